--- a/cmd/heathgap-crew/main.go
+++ b/cmd/heathgap-crew/main.go
@@ -6,7 +6,7 @@
 import (
 	"os"
 
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster/member"
 )
 
 func main() { os.Exit(member.Process()) }
--- a/internal/crew/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -1,12 +1,12 @@
-package crew
+package cluster
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
-	"heathgap/internal/terms"
 )
 
 // BenchmarkRenewal is what one renewal costs a leader of a crew of so many, without the network: the answer, and the look whether
@@ -46,7 +46,7 @@
 // placement, the plan that follows, a copy of the ledger as a status tells it, and the hash of the terms with each renewal.
 func BenchmarkParts(b *testing.B) {
 	for _, members := range []int{60, 120, 240, 580} {
-		conf := Terms{Lease: time.Second, Drift: 0.01, Holdings: terms.Holdings{Copies: 2, Keep: time.Minute, LostAfter: time.Minute}}
+		conf := Terms{Lease: time.Second, Drift: 0.01, Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: time.Minute}}
 		l := NewLedger()
 		for i := range members {
 			l.Apply(&Entry{Enter: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1), Zone: fmt.Sprint(i % 5), Address: fmt.Sprint("10.0.0.1:", i)}}})
--- a/internal/crew/delta_test.go
+++ b/internal/cluster/delta_test.go
@@ -1,4 +1,4 @@
-package crew_test
+package cluster_test
 
 import (
 	"errors"
--- a/internal/crew/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -1,4 +1,4 @@
-package crew_test
+package cluster_test
 
 import (
 	"flag"
@@ -15,11 +15,11 @@
 	"golang.org/x/sys/unix"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
-	"heathgap/internal/peers"
-	"heathgap/internal/terms"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
@@ -33,11 +33,11 @@
 // was due. A member's copies are filled at once.
 type fleet struct {
 	t       testing.TB
-	terms   crew.Terms
-	now     crew.Boot
-	ledger  *crew.Ledger
-	granter *crew.Granter
-	pending *crew.Entry
+	terms   cluster.Terms
+	now     cluster.Boot
+	ledger  *cluster.Ledger
+	granter *cluster.Granter
+	pending *cluster.Entry
 	all     []*fellow
 	tokens  uint64
 
@@ -48,23 +48,23 @@
 	term           uint64
 	spoil          func(m *fellow, d *holdings.Delta) // where set: what befalls a delta on its way
 	oldLeader      bool                               // the leader's build tells no changes
-	last           crew.Boot                          // when the last entry was applied
+	last           cluster.Boot                       // when the last entry was applied
 }
 
 // fellow is a member of a fleet.
 type fellow struct {
 	i       int
-	self    crew.Member
-	holder  *crew.Holder
-	seeker  *crew.Seeker
+	self    cluster.Member
+	holder  *cluster.Holder
+	seeker  *cluster.Seeker
 	store   *holdings.Store
 	me      holdings.Who
 	view    holdings.View // as its store has learnt it
 	told    int           // bytes of answers
-	leaveBy crew.Boot     // it wants to leave, and does so by then; 0 for not
+	leaveBy cluster.Boot  // it wants to leave, and does so by then; 0 for not
 	down    bool
-	comes   crew.Boot // again, when it is down
-	old     bool      // its build takes no changes
+	comes   cluster.Boot // again, when it is down
+	old     bool         // its build takes no changes
 }
 
 const (
@@ -84,8 +84,8 @@
 }
 
 func newFleet(t testing.TB, members int) *fleet {
-	f := &fleet{t: t, now: time.Second, ledger: crew.NewLedger(), terms: crew.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
-		Holdings: terms.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 30 * time.Second}}}
+	f := &fleet{t: t, now: time.Second, ledger: cluster.NewLedger(), terms: cluster.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
+		Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 30 * time.Second}}}
 	f.lead()
 	for i := range members {
 		m := &fellow{i: i}
@@ -100,7 +100,7 @@
 func (f *fleet) lead() {
 	f.term++
 	f.ledger, f.pending = f.ledger.Clone(), nil
-	f.granter = crew.NewGranter(f.terms, f.term)
+	f.granter = cluster.NewGranter(f.terms, f.term)
 }
 
 // check tells whether all members that are up know the ledger's members and placement.
@@ -120,10 +120,10 @@
 func (f *fleet) start(m *fellow) {
 	f.tokens++
 	zone := m.i % fleetZones
-	m.self = crew.Member{Name: fmt.Sprintf("sidecar-%04d", m.i), Token: 0x9e3779b97f4a7c15 * f.tokens, Zone: fmt.Sprintf("eu-%d%c", 1+zone/3, 'a'+zone),
+	m.self = cluster.Member{Name: fmt.Sprintf("sidecar-%04d", m.i), Token: 0x9e3779b97f4a7c15 * f.tokens, Zone: fmt.Sprintf("eu-%d%c", 1+zone/3, 'a'+zone),
 		Address: fmt.Sprintf("10.%d.%d.%d:7411", 16+zone, m.i/250, m.i%250)}
-	m.holder = crew.NewHolder(m.self, f.terms, versions.Own(&decide.Settings{}), 0)
-	m.seeker = crew.NewSeeker(m.holder, []string{"k1"})
+	m.holder = cluster.NewHolder(m.self, f.terms, versions.Own(&decide.Settings{}), 0)
+	m.seeker = cluster.NewSeeker(m.holder, []string{"k1"})
 	m.store = holdings.NewStore(f.terms.Holdings, 1<<16)
 	m.view, m.me, m.leaveBy, m.down = holdings.View{}, holdings.Who{}, 0, false
 }
@@ -146,7 +146,7 @@
 
 // tick is a moment in which a part of the members asks.
 func (f *fleet) tick() {
-	gap := f.terms.Lease / crew.Heartbeats / fleetTicks
+	gap := f.terms.Lease / cluster.Heartbeats / fleetTicks
 	f.now += gap
 	for _, m := range f.all[int(f.now/gap)%fleetTicks*len(f.all)/fleetTicks : (int(f.now/gap)%fleetTicks+1)*len(f.all)/fleetTicks] {
 		f.heartbeat(m)
@@ -207,7 +207,7 @@
 }
 
 // renew has the leader answer, over the wire.
-func (f *fleet) renew(m *fellow, r *crew.Renewal) *crew.Grant {
+func (f *fleet) renew(m *fellow, r *cluster.Renewal) *cluster.Grant {
 	if m.old {
 		r.Takes = 0
 	}
@@ -215,25 +215,25 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	text, err := cbor.Marshal(peers.Message{Crew: "fleet", From: m.self.Name, Body: body})
+	text, err := cbor.Marshal(peerrpc.Message{Crew: "fleet", From: m.self.Name, Body: body})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.asked += len(text)
 	began := processor()
-	var message peers.Message
-	var heard crew.Renewal
-	if err := peers.Decode(text, &message); err != nil {
+	var message peerrpc.Message
+	var heard cluster.Renewal
+	if err := peerrpc.Decode(text, &message); err != nil {
 		f.t.Fatal(err)
 	}
-	if err := peers.Decode(message.Body, &heard); err != nil {
+	if err := peerrpc.Decode(message.Body, &heard); err != nil {
 		f.t.Fatal(err)
 	}
 	if f.oldLeader {
 		heard.Takes = 0
 	}
 	grant := f.granter.Renew(f.now, f.ledger, &heard)
-	answer, err := cbor.Marshal(keeper.Renewed{Grant: &grant})
+	answer, err := cbor.Marshal(voter.Renewed{Grant: &grant})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -244,8 +244,8 @@
 	f.told += len(answer)
 	m.told += len(answer)
 	began = processor()
-	var renewed keeper.Renewed
-	if err := peers.Decode(answer, &renewed); err != nil {
+	var renewed voter.Renewed
+	if err := peerrpc.Decode(answer, &renewed); err != nil {
 		f.t.Fatal(err)
 	}
 	f.member += processor() - began
--- a/internal/crew/granter.go
+++ b/internal/cluster/granter.go
@@ -1,4 +1,4 @@
-package crew
+package cluster
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
-	"heathgap/internal/terms"
 )
 
 // Renewal is what a member asks the leader for: a lease, again and again.
@@ -169,12 +169,12 @@
 			g.news = true
 		}
 		return no(false, "left")
-	case !there && len(l.Members) >= terms.MostMembers:
-		return no(false, "the crew is full: %d members", terms.MostMembers)
+	case !there && len(l.Members) >= clusterparams.MostMembers:
+		return no(false, "the crew is full: %d members", clusterparams.MostMembers)
 	case (!there || in != r.Member) && !g.hears(now, r):
 		return no(true, "say back what is told here")
 	case !there || in != r.Member:
-		if len(g.enter) < terms.MostMembers {
+		if len(g.enter) < clusterparams.MostMembers {
 			g.enter[r.Name] = r.Member
 			g.news = true
 		}
@@ -208,10 +208,10 @@
 	if l.Placement != nil && (r.HasPlacement != l.Placement.Number || r.HasMembership != l.Epoch) {
 		g.tell(&grant, l, r)
 	}
-	if len(r.Filled) > 0 && len(r.Filled) <= holdings.Shards*terms.MostCopies && !slices.Equal(g.filled[r.Name], r.Filled) {
+	if len(r.Filled) > 0 && len(r.Filled) <= holdings.Shards*clusterparams.MostCopies && !slices.Equal(g.filled[r.Name], r.Filled) {
 		g.filled[r.Name], g.news, g.planned = r.Filled, true, basis{}
 	}
-	if r.Moving != g.moving[r.Name] || len(r.Unheard) <= terms.MostMembers && !slices.Equal(g.unheard[r.Name], r.Unheard) {
+	if r.Moving != g.moving[r.Name] || len(r.Unheard) <= clusterparams.MostMembers && !slices.Equal(g.unheard[r.Name], r.Unheard) {
 		g.moving[r.Name], g.unheard[r.Name], g.news, g.planned = r.Moving, r.Unheard, true, basis{}
 	}
 	if grant.Active.Number == r.HasActive {
--- a/internal/crew/holder.go
+++ b/internal/cluster/holder.go
@@ -1,4 +1,4 @@
-package crew
+package cluster
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"heathgap/decide"
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
-	"heathgap/internal/terms"
 	"heathgap/internal/versions"
 )
 
 // decoding bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
 // crew has may come and go at once.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * terms.MostMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MostMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 
 // Stance is what a member acts on.
 type Stance struct {
--- a/internal/crew/ledger.go
+++ b/internal/cluster/ledger.go
@@ -1,10 +1,10 @@
-// Package crew holds what the sidecars of a crew agree on, and by which rules: who is in, in which epoch, which version of
+// Package cluster holds what the sidecars of a crew agree on, and by which rules: who is in, in which epoch, which version of
 // the rules is acted on, and until when each may act on it. It is pure: no clock, no I/O, no goroutine. Its folders carry
 // it out: keeper the agreement, member a sidecar's part.
 //
 // Three parts: Ledger is what the keepers' log says, the same everywhere; Granter is what their leader keeps in memory
 // alone; Holder is a member's side.
-package crew
+package cluster
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 	"slices"
 	"time"
 
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
-	"heathgap/internal/terms"
 	"heathgap/internal/versions"
 )
 
@@ -23,7 +23,7 @@
 type Boot = time.Duration
 
 // Terms are those of the operator's file.
-type Terms = terms.Terms
+type Terms = clusterparams.Terms
 
 // Member is a process that is in the crew.
 type Member struct {
@@ -180,7 +180,7 @@
 	}
 	for _, m := range enter {
 		// Guards against a second process under one name: the first must be gone before.
-		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= terms.MostMembers {
+		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= clusterparams.MostMembers {
 			continue
 		}
 		changed = changed || l.Members[m.Name] != m
--- a/internal/crew/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"heathgap/decide"
+	"heathgap/internal/cluster"
 	"heathgap/internal/config"
-	"heathgap/internal/crew"
-	"heathgap/internal/figures"
 	"heathgap/internal/holdings"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
 	"heathgap/internal/operator"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/pipeline"
 )
 
@@ -67,7 +67,7 @@
 
 // lines are connections to one address.
 type lines struct {
-	free  chan *peers.Line
+	free  chan *peerrpc.Line
 	made  atomic.Int64
 	ended atomic.Bool // nobody goes by the address any more
 }
@@ -95,10 +95,10 @@
 	return c, nil
 }
 
-func (c *copies) now() crew.Boot { return c.m.world.Boot() }
+func (c *copies) now() cluster.Boot { return c.m.world.Boot() }
 
 // learn takes what a renewal brought. The member's lock is held.
-func (c *copies) learn(h *crew.Holder) {
+func (c *copies) learn(h *cluster.Holder) {
 	me, view := h.Me(), h.View()
 	ends := h.Ends()
 	c.mu.Lock()
@@ -225,7 +225,7 @@
 	c.mu.Lock()
 	l := c.lines[address]
 	if l == nil {
-		l = &lines{free: make(chan *peers.Line, mostLines)}
+		l = &lines{free: make(chan *peerrpc.Line, mostLines)}
 		c.lines[address] = l
 	}
 	c.mu.Unlock()
@@ -243,14 +243,14 @@
 
 var errBusy = errors.New("all connections to it are busy")
 
-func (l *lines) take(c *copies, address string, within time.Duration) (*peers.Line, error) {
+func (l *lines) take(c *copies, address string, within time.Duration) (*peerrpc.Line, error) {
 	select {
 	case line := <-l.free:
 		return line, nil
 	default:
 	}
 	if l.made.Add(1) <= mostLines {
-		return peers.NewLine(c.m.world, c.m.conf.Name, c.m.holder.Self.Name, address), nil
+		return peerrpc.NewLine(c.m.world, c.m.conf.Name, c.m.holder.Self.Name, address), nil
 	}
 	l.made.Add(-1)
 	timer := c.m.world.NewTimer(within)
@@ -277,11 +277,11 @@
 }
 
 // handlers answer peers.
-func (c *copies) handlers() map[string]peers.Handler {
-	return map[string]peers.Handler{
+func (c *copies) handlers() map[string]peerrpc.Handler {
+	return map[string]peerrpc.Handler{
 		"hold-ask": func(_ string, body []byte) (any, error) {
 			var a holdings.Ask
-			if err := peers.Decode(body, &a); err != nil {
+			if err := peerrpc.Decode(body, &a); err != nil {
 				return nil, fmt.Errorf("hold-ask: malformed: %w", err)
 			}
 			if err := a.Check(); err != nil {
@@ -291,7 +291,7 @@
 		},
 		"hold-show": func(_ string, body []byte) (any, error) {
 			var key holdings.Key
-			if err := peers.Decode(body, &key); err != nil {
+			if err := peerrpc.Decode(body, &key); err != nil {
 				return nil, fmt.Errorf("hold-show: malformed: %w", err)
 			}
 			c.mu.Lock()
@@ -302,7 +302,7 @@
 		},
 		"hold-store": func(_ string, body []byte) (any, error) {
 			var b holdings.Batch
-			if err := peers.Decode(body, &b); err != nil {
+			if err := peerrpc.Decode(body, &b); err != nil {
 				return nil, fmt.Errorf("hold-store: malformed: %w", err)
 			}
 			c.mu.Lock()
@@ -529,11 +529,11 @@
 		value int64
 		kind  byte
 	}{
-		{"held_entries", int64(entries), figures.Present}, {"held_bytes", int64(bytes), figures.Present},
-		{"held_claims", c.open.Load(), figures.Counts}, {"held_known", c.was.Load(), figures.Counts},
-		{"held_refused", c.refused.Load(), figures.Counts}, {"held_alone", c.alone.Load(), figures.Counts},
+		{"held_entries", int64(entries), metrics.Present}, {"held_bytes", int64(bytes), metrics.Present},
+		{"held_claims", c.open.Load(), metrics.Counts}, {"held_known", c.was.Load(), metrics.Counts},
+		{"held_refused", c.refused.Load(), metrics.Counts}, {"held_alone", c.alone.Load(), metrics.Counts},
 	} {
-		text = figures.Append(text, f.name, f.value, f.kind)
+		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
 	return text
 }
--- a/internal/crew/member/member.go
+++ b/internal/cluster/member/member.go
@@ -14,13 +14,13 @@
 
 	"github.com/rs/zerolog"
 
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/config"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
 	"heathgap/internal/env"
-	"heathgap/internal/figures"
+	"heathgap/internal/metrics"
 	"heathgap/internal/operator"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/pipeline"
 	"heathgap/internal/versions"
 )
@@ -38,13 +38,13 @@
 	conf   operator.Crew
 	world  env.Env
 	log    zerolog.Logger
-	server *peers.Server
-	keeper *keeper.Keeper         // nil where this sidecar is none
-	lines  map[string]*peers.Line // to keepers, by name
+	server *peerrpc.Server
+	keeper *voter.Keeper            // nil where this sidecar is none
+	lines  map[string]*peerrpc.Line // to keepers, by name
 
 	mu         sync.Mutex
-	holder     *crew.Holder // guarded by mu, as the seeker is
-	seeker     *crew.Seeker
+	holder     *cluster.Holder // guarded by mu, as the seeker is
+	seeker     *cluster.Seeker
 	generation uint64
 	warned     string // the last reason that was logged; guarded by mu
 	differed   bool   // it was logged that changes of members and placement could not be taken; guarded by mu
@@ -61,17 +61,17 @@
 // acted is what is acted on until a time.
 type acted struct {
 	pipeline.Acting
-	stance crew.Stance
-	until  crew.Boot // of the lease; what stands here holds no longer
+	stance cluster.Stance
+	until  cluster.Boot // of the lease; what stands here holds no longer
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
 func Start(table operator.Crew, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
-	self := crew.Member{Name: conf.Name, Token: keeper.Draw(), Zone: conf.Settings.Zone, Address: table.Address}
+	self := cluster.Member{Name: conf.Name, Token: voter.Draw(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, world: world, log: log, lines: map[string]*peers.Line{},
-		holder: crew.NewHolder(self, table.Terms, versions.Own(&conf.Settings), conf.ConnectTimeout),
+		conf: table, world: world, log: log, lines: map[string]*peerrpc.Line{},
+		holder: cluster.NewHolder(self, table.Terms, versions.Own(&conf.Settings), conf.ConnectTimeout),
 		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
 	}
 	m.publish(world.Boot())
@@ -81,16 +81,16 @@
 			return nil, err
 		}
 	}
-	if m.server, err = peers.Listen(world, table.Address, table.Name); err != nil {
+	if m.server, err = peerrpc.Listen(world, table.Address, table.Name); err != nil {
 		return nil, err
 	}
-	handlers := map[string]peers.Handler{"acting": m.tellActing}
+	handlers := map[string]peerrpc.Handler{"acting": m.tellActing}
 	if _, is := table.Keepers[conf.Name]; is {
 		if table.Data == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
-		m.keeper, err = keeper.Open(keeper.Conf{
+		m.keeper, err = voter.Open(voter.Conf{
 			Crew: table.Name, Name: conf.Name, Keepers: table.Keepers, Terms: table.Terms, Data: table.Data,
 		}, world, log)
 		if err != nil {
@@ -101,9 +101,9 @@
 		world.Go("keeper", m.keeper.Run)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Keepers)) {
-		m.lines[name] = peers.NewLine(world, table.Name, conf.Name, table.Keepers[name])
+		m.lines[name] = peerrpc.NewLine(world, table.Name, conf.Name, table.Keepers[name])
 	}
-	m.seeker = crew.NewSeeker(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
+	m.seeker = cluster.NewSeeker(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
 	if m.copies != nil {
 		maps.Copy(handlers, m.copies.handlers())
 		world.Go("holdings", m.copies.run)
@@ -133,13 +133,13 @@
 }
 
 // publish puts in force what the holder says, if it differs.
-func (m *Member) publish(now crew.Boot) *acted {
+func (m *Member) publish(now cluster.Boot) *acted {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publishLocked(now)
 }
 
-func (m *Member) publishLocked(now crew.Boot) *acted {
+func (m *Member) publishLocked(now cluster.Boot) *acted {
 	stance := m.holder.Acting(now)
 	before := m.acting.Load()
 	if before != nil && before.Cautious == stance.Cautious && before.stance.Active == stance.Active &&
@@ -166,7 +166,7 @@
 // run keeps the lease until Stop.
 func (m *Member) run() {
 	defer close(m.ended)
-	heartbeat := m.conf.Terms.Lease / crew.Heartbeats
+	heartbeat := m.conf.Terms.Lease / cluster.Heartbeats
 	timer := m.world.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -193,9 +193,9 @@
 	}
 	name, r := m.seeker.Question(m.world.Boot())
 	m.mu.Unlock()
-	var reply keeper.Renewed
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/crew.CallPart); err != nil {
-		reply = keeper.Renewed{}
+	var reply voter.Renewed
+	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/cluster.CallPart); err != nil {
+		reply = voter.Renewed{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -204,7 +204,7 @@
 		m.renewals.Add(1)
 	}
 	switch {
-	case errors.Is(next.Err, crew.ErrNoLeader):
+	case errors.Is(next.Err, cluster.ErrNoLeader):
 		m.lost.Add(1)
 		return false
 	case next.Err != nil:
@@ -300,14 +300,14 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, figures.Present}, {"crew_version", int64(a.stance.Active), figures.Present},
-		{"crew_next", int64(a.stance.Next), figures.Present}, {"crew_epoch", int64(a.stance.Epoch), figures.Present},
-		{"crew_lease_ms", max(0, (a.until - m.world.Boot()).Milliseconds()), figures.Present},
-		{"crew_banned", int64(len(a.Banned)), figures.Present}, {"crew_leads", leads, figures.Present},
-		{"crew_renewals", m.renewals.Load(), figures.Counts}, {"crew_refused", m.refused.Load(), figures.Counts},
-		{"crew_unheard", m.lost.Load(), figures.Counts},
+		{"crew_cautious", cautious, metrics.Present}, {"crew_version", int64(a.stance.Active), metrics.Present},
+		{"crew_next", int64(a.stance.Next), metrics.Present}, {"crew_epoch", int64(a.stance.Epoch), metrics.Present},
+		{"crew_lease_ms", max(0, (a.until - m.world.Boot()).Milliseconds()), metrics.Present},
+		{"crew_banned", int64(len(a.Banned)), metrics.Present}, {"crew_leads", leads, metrics.Present},
+		{"crew_renewals", m.renewals.Load(), metrics.Counts}, {"crew_refused", m.refused.Load(), metrics.Counts},
+		{"crew_unheard", m.lost.Load(), metrics.Counts},
 	} {
-		text = figures.Append(text, f.name, f.value, f.kind)
+		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
 	if m.copies != nil {
 		text = m.copies.figures(text)
@@ -355,7 +355,7 @@
 	r, first := m.holder.Ask(), m.seeker.First()
 	m.mu.Unlock()
 	r.Leaving = true
-	var reply keeper.Renewed
+	var reply voter.Renewed
 	m.lines[first].Call("renew", &r, &reply, leaveTime) //nolint:errcheck // else its lease's end says it
 	for _, l := range m.lines {
 		l.Close()
--- a/internal/crew/seeker_test.go
+++ b/internal/cluster/seeker_test.go
@@ -1,4 +1,4 @@
-package crew
+package cluster
 
 import (
 	"errors"
--- a/internal/crew/keeper/clear.go
+++ b/internal/cluster/voter/clear.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"fmt"
--- a/internal/crew/keeper/clear_test.go
+++ b/internal/cluster/voter/clear_test.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"strings"
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 	"heathgap/internal/env"
 )
 
@@ -17,7 +17,7 @@
 func started(t *testing.T) *Core {
 	t.Helper()
 	opened, err := Open(Conf{Crew: "c", Name: "a", Keepers: map[string]string{"a": "x:1", "b": "x:2", "c": "x:3"},
-		Terms: crew.Terms{Lease: time.Second}, Data: t.TempDir()}, env.Real{}, zerolog.Nop())
+		Terms: cluster.Terms{Lease: time.Second}, Data: t.TempDir()}, env.Real{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/crew/keeper/core.go
+++ b/internal/cluster/voter/core.go
@@ -1,6 +1,6 @@
-// Package keeper carries a crew's agreement: etcd's raft over a bbolt file, the ledger that follows from its log, and the
+// Package voter carries a crew's agreement: etcd's raft over a bbolt file, the ledger that follows from its log, and the
 // leases that its leader grants. One goroutine owns all of it; what comes over the network is handed to it as events.
-package keeper
+package voter
 
 import (
 	"crypto/rand"
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 )
 
 // Figures of a keeper.
@@ -39,7 +39,7 @@
 	Crew    string
 	Name    string
 	Keepers map[string]string // addresses by names, this one's too
-	Terms   crew.Terms
+	Terms   cluster.Terms
 	Data    string // folder
 }
 
@@ -69,14 +69,14 @@
 	fail  error // why it ended
 
 	node     *raft.RawNode // nil until the crew is formed
-	ledger   *crew.Ledger
+	ledger   *cluster.Ledger
 	applied  uint64
 	conf3    *raftpb.ConfState // as applied
 	leader   uint64            // id; 0 for none
 	state    raft.StateType
-	granter  *crew.Granter // while it leads
-	term     uint64        // in which it came to lead
-	mark     uint64        // of the entry of its own that is on its way; 0 for none
+	granter  *cluster.Granter // while it leads
+	term     uint64           // in which it came to lead
+	mark     uint64           // of the entry of its own that is on its way; 0 for none
 	marks    uint64
 	waiting  []renewal // for a majority's word
 	reading  *read
@@ -97,7 +97,7 @@
 
 // renewal is a member's renewal that waits.
 type renewal struct {
-	r     crew.Renewal
+	r     cluster.Renewal
 	reply func(Renewed)
 }
 
@@ -111,8 +111,8 @@
 
 // Renewed is the answer to a renewal.
 type Renewed struct {
-	Grant  *crew.Grant `cbor:"1,keyasint,omitempty"`
-	Leader string      `cbor:"2,keyasint,omitempty"` // its name, where this keeper does not lead
+	Grant  *cluster.Grant `cbor:"1,keyasint,omitempty"`
+	Leader string         `cbor:"2,keyasint,omitempty"` // its name, where this keeper does not lead
 }
 
 // Proposed is the answer to a proposal.
@@ -123,8 +123,8 @@
 
 // logged is an entry of the log. The mark tells a leader its own.
 type logged struct {
-	Mark  uint64     `cbor:"1,keyasint"`
-	Entry crew.Entry `cbor:"2,keyasint"`
+	Mark  uint64        `cbor:"1,keyasint"`
+	Entry cluster.Entry `cbor:"2,keyasint"`
 }
 
 // Draw draws an id, never 0.
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Core{conf: conf, clock: clock, log: logTo, store: store, ways: ways, ledger: crew.NewLedger(),
+	return &Core{conf: conf, clock: clock, log: logTo, store: store, ways: ways, ledger: cluster.NewLedger(),
 		asked: map[uint64][]func(Proposed, error){}, heard: map[string]Word{}, met: map[string]uint64{}, spoke: map[uint64]time.Time{}, seen: map[uint64]past{}}, nil
 }
 
@@ -151,7 +151,7 @@
 func (k *Core) Leads() (term uint64, leads bool) { return k.term, k.state == raft.StateLeader }
 
 // Ledger is what it knows to be agreed on, after so many entries of the log. It is not to be changed, and not to be kept.
-func (k *Core) Ledger() (l *crew.Ledger, applied uint64) { return k.ledger, k.applied }
+func (k *Core) Ledger() (l *cluster.Ledger, applied uint64) { return k.ledger, k.applied }
 
 // Tick tells it that TickEvery has passed.
 func (k *Core) Tick() {
@@ -210,7 +210,7 @@
 
 // restore takes the ledger of a snapshot.
 func (k *Core) restore(snap *raftpb.Snapshot) error {
-	ledger := crew.NewLedger()
+	ledger := cluster.NewLedger()
 	if err := cbor.Unmarshal(snap.GetData(), ledger); err != nil {
 		return fmt.Errorf("%w: ledger: %w", errDamaged, err)
 	}
@@ -262,7 +262,7 @@
 // turn books a change of leader.
 func (k *Core) turn(s *raft.SoftState) {
 	if term := k.node.BasicStatus().HardState.GetTerm(); s.RaftState == raft.StateLeader && (k.granter == nil || k.term != term) {
-		k.granter, k.term, k.mark = crew.NewGranter(k.conf.Terms, term), term, 0
+		k.granter, k.term, k.mark = cluster.NewGranter(k.conf.Terms, term), term, 0
 		k.log.Info().Uint64("term", term).Msg("this keeper leads the crew")
 	}
 	if s.RaftState != raft.StateLeader && k.state == raft.StateLeader {
@@ -310,7 +310,7 @@
 }
 
 // propose gives an entry of this leader's own to raft.
-func (k *Core) propose(e crew.Entry) {
+func (k *Core) propose(e cluster.Entry) {
 	k.marks++
 	mark := Draw() + 2*k.marks
 	if k.append(logged{mark, e}) == nil {
@@ -361,9 +361,9 @@
 }
 
 // tell writes what has been agreed on into the log.
-func (k *Core) tell(e *crew.Entry) {
+func (k *Core) tell(e *cluster.Entry) {
 	ev := k.log.Info().Uint64("epoch", k.ledger.Epoch)
-	names := func(list []crew.Member) (out []string) {
+	names := func(list []cluster.Member) (out []string) {
 		for _, m := range list {
 			out = append(out, m.Name)
 		}
@@ -456,7 +456,7 @@
 }
 
 // Renew answers a renewal: at once, or when a majority has said that this is the leader.
-func (k *Core) Renew(r crew.Renewal, reply func(Renewed)) {
+func (k *Core) Renew(r cluster.Renewal, reply func(Renewed)) {
 	if k.state != raft.StateLeader {
 		reply(Renewed{Leader: k.nameOf(k.leader)})
 		return
@@ -465,19 +465,19 @@
 }
 
 // Told hears that a lease's answer has been handed to the network.
-func (k *Core) Told(r *crew.Renewal) {
+func (k *Core) Told(r *cluster.Renewal) {
 	if k.granter != nil {
 		k.granter.Told(k.clock.Boot(), r)
 	}
 }
 
 // Propose has a version proposed: the reply comes when that is agreed on, or refused.
-func (k *Core) Propose(p crew.Proposal, reply func(Proposed, error)) {
+func (k *Core) Propose(p cluster.Proposal, reply func(Proposed, error)) {
 	if k.state != raft.StateLeader {
 		reply(Proposed{Leader: k.nameOf(k.leader)}, nil)
 		return
 	}
-	if err := k.append(logged{Entry: crew.Entry{Propose: &p}}); err != nil {
+	if err := k.append(logged{Entry: cluster.Entry{Propose: &p}}); err != nil {
 		reply(Proposed{}, err)
 		return
 	}
@@ -511,14 +511,14 @@
 
 // Status is what a keeper knows.
 type Status struct {
-	Name    string         `cbor:"1,keyasint"`
-	Leader  string         `cbor:"2,keyasint,omitempty"` // name
-	Term    uint64         `cbor:"3,keyasint"`
-	Applied uint64         `cbor:"4,keyasint"`
-	Ledger  *crew.Ledger   `cbor:"5,keyasint"`
-	Forming []string       `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
-	Leases  map[string]int `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
-	Dropped int64          `cbor:"8,keyasint,omitempty"`
+	Name    string          `cbor:"1,keyasint"`
+	Leader  string          `cbor:"2,keyasint,omitempty"` // name
+	Term    uint64          `cbor:"3,keyasint"`
+	Applied uint64          `cbor:"4,keyasint"`
+	Ledger  *cluster.Ledger `cbor:"5,keyasint"`
+	Forming []string        `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
+	Leases  map[string]int  `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
+	Dropped int64           `cbor:"8,keyasint,omitempty"`
 }
 
 // Status tells what it knows.
--- a/internal/crew/keeper/form.go
+++ b/internal/cluster/voter/form.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 )
 
 // Form: how keepers with empty folders become a crew, and how one with an empty folder comes into a crew that stands.
@@ -127,7 +127,7 @@
 
 // found writes the beginning that all keepers of a set have in common: a snapshot with an empty ledger.
 func (k *Core) found(set map[string]uint64) error {
-	ledger := crew.NewLedger()
+	ledger := cluster.NewLedger()
 	ledger.Keepers = maps.Clone(set)
 	text, err := cbor.Marshal(ledger)
 	if err != nil {
@@ -205,7 +205,7 @@
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
 	former := append(k.ledger.Former, k.ledger.Keepers[r.Name])
-	k.ledger.Former = former[max(0, len(former)-crew.MostFormer):]
+	k.ledger.Former = former[max(0, len(former)-cluster.MostFormer):]
 	k.ledger.Keepers[r.Name] = r.ID
 	in := slices.Collect(maps.Values(k.ledger.Keepers))
 	maps.DeleteFunc(k.seen, func(id uint64, _ past) bool { return !slices.Contains(in, id) })
--- a/internal/crew/keeper/keeper.go
+++ b/internal/cluster/voter/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 	"heathgap/internal/env"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 )
 
 // Figures of a keeper's process.
@@ -136,7 +136,7 @@
 }
 
 // Renew answers a renewal: here, or by the name of the leader.
-func (k *Keeper) Renew(r crew.Renewal) (Renewed, error) {
+func (k *Keeper) Renew(r cluster.Renewal) (Renewed, error) {
 	a, err := owned(k, func(reply func(Renewed)) { k.core.Renew(r, reply) })
 	if a.Grant != nil && a.Grant.Granted {
 		k.post(func() { k.core.Told(&r) })
@@ -145,7 +145,7 @@
 }
 
 // Propose has a version proposed: it returns when that is agreed on, or refused.
-func (k *Keeper) Propose(p crew.Proposal) (Proposed, error) {
+func (k *Keeper) Propose(p cluster.Proposal) (Proposed, error) {
 	type proposed struct {
 		answer Proposed
 		err    error
@@ -165,19 +165,19 @@
 }
 
 // Handlers answer peers.
-func (k *Keeper) Handlers() map[string]peers.Handler {
-	return map[string]peers.Handler{
+func (k *Keeper) Handlers() map[string]peerrpc.Handler {
+	return map[string]peerrpc.Handler{
 		"raft": k.takeRaft, "form": k.takeForm,
 		"renew": func(_ string, body []byte) (any, error) {
-			var r crew.Renewal
-			if err := peers.Decode(body, &r); err != nil {
+			var r cluster.Renewal
+			if err := peerrpc.Decode(body, &r); err != nil {
 				return nil, fmt.Errorf("renew: malformed: %w", err)
 			}
 			return k.Renew(r)
 		},
 		"propose": func(_ string, body []byte) (any, error) {
-			var p crew.Proposal
-			if err := peers.Decode(body, &p); err != nil {
+			var p cluster.Proposal
+			if err := peerrpc.Decode(body, &p); err != nil {
 				return nil, fmt.Errorf("propose: malformed: %w", err)
 			}
 			return k.Propose(p)
@@ -189,7 +189,7 @@
 // takeRaft takes messages of another keeper's raft.
 func (k *Keeper) takeRaft(from string, body []byte) (any, error) {
 	var texts [][]byte
-	if err := peers.Decode(body, &texts); err != nil {
+	if err := peerrpc.Decode(body, &texts); err != nil {
 		return nil, fmt.Errorf("raft: malformed: %w", err)
 	}
 	var messages []*raftpb.Message
@@ -210,7 +210,7 @@
 // takeForm answers another keeper's word with the own one.
 func (k *Keeper) takeForm(_ string, body []byte) (any, error) {
 	var theirs Word
-	if err := peers.Decode(body, &theirs); err != nil {
+	if err := peerrpc.Decode(body, &theirs); err != nil {
 		return nil, fmt.Errorf("form: malformed: %w", err)
 	}
 	return owned(k, func(reply func(Word)) {
--- a/internal/crew/keeper/keeper_test.go
+++ b/internal/cluster/voter/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"github.com/rs/zerolog"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 	"heathgap/internal/env"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
@@ -20,16 +20,16 @@
 	t       *testing.T
 	dir     string
 	keepers map[string]*Keeper
-	servers map[string]*peers.Server
+	servers map[string]*peerrpc.Server
 	conf    Conf
 }
 
 func startThree(t *testing.T) *three {
 	t.Helper()
-	c := &three{t: t, dir: t.TempDir(), keepers: map[string]*Keeper{}, servers: map[string]*peers.Server{},
-		conf: Conf{Crew: "c", Keepers: map[string]string{}, Terms: crew.Terms{Lease: time.Second}}}
+	c := &three{t: t, dir: t.TempDir(), keepers: map[string]*Keeper{}, servers: map[string]*peerrpc.Server{},
+		conf: Conf{Crew: "c", Keepers: map[string]string{}, Terms: cluster.Terms{Lease: time.Second}}}
 	for _, name := range []string{"a", "b", "c"} {
-		s, err := peers.Listen(env.Real{}, "127.0.0.1:0", "c")
+		s, err := peerrpc.Listen(env.Real{}, "127.0.0.1:0", "c")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 	}
 	s := c.servers[name]
 	if s == nil {
-		if s, err = peers.Listen(env.Real{}, conf.Keepers[name], "c"); err != nil {
+		if s, err = peerrpc.Listen(env.Real{}, conf.Keepers[name], "c"); err != nil {
 			c.t.Fatal(err)
 		}
 	}
@@ -100,7 +100,7 @@
 func TestLostFoldersAreFilled(t *testing.T) {
 	c := startThree(t)
 	lead := c.leader()
-	p := crew.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}
+	p := cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}
 	if told, err := c.keepers[lead].Propose(p); err != nil || told.Number != 1 {
 		t.Fatalf("%+v, %v", told, err)
 	}
@@ -132,10 +132,10 @@
 // takes proposals. Who was in the former crew does not take its word.
 func TestAllFoldersLost(t *testing.T) {
 	c := startThree(t)
-	if told, err := c.keepers[c.leader()].Propose(crew.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
+	if told, err := c.keepers[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
 		t.Fatalf("%+v, %v", told, err)
 	}
-	member := crew.NewHolder(crew.Member{Name: "m", Token: 1}, c.conf.Terms, versions.Own(&decide.Settings{}), 0)
+	member := cluster.NewHolder(cluster.Member{Name: "m", Token: 1}, c.conf.Terms, versions.Own(&decide.Settings{}), 0)
 	grant := ask(t, c, member)
 	if _, err := member.Told(0, grant); err != nil || grant.Next == nil && grant.Active.Number != 1 {
 		t.Fatalf("%+v, %v", grant, err)
@@ -156,13 +156,13 @@
 	if _, err := member.Told(1, ask(t, c, member)); err == nil {
 		t.Error("a member of the former crew takes the new one's word")
 	}
-	if told, err := c.keepers[lead].Propose(crew.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
+	if told, err := c.keepers[lead].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
 		t.Errorf("%+v, %v", told, err)
 	}
 }
 
 // ask has a member ask the leader until it is in, or refused for good.
-func ask(t *testing.T, c *three, h *crew.Holder) *crew.Grant {
+func ask(t *testing.T, c *three, h *cluster.Holder) *cluster.Grant {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
 		a, err := c.keepers[c.leader()].Renew(h.Ask())
--- a/internal/crew/keeper/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 )
 
 // outbox holds messages for another keeper until its goroutine has said them. Raft says again what is lost.
@@ -42,8 +42,8 @@
 	})
 }
 
-func (k *Keeper) line(name string) *peers.Line {
-	return peers.NewLine(k.world, k.core.conf.Crew, k.core.conf.Name, k.core.conf.Keepers[name])
+func (k *Keeper) line(name string) *peerrpc.Line {
+	return peerrpc.NewLine(k.world, k.core.conf.Crew, k.core.conf.Name, k.core.conf.Keepers[name])
 }
 
 // deliver says what is in an outbox until it is closed.
@@ -73,7 +73,7 @@
 		for _, id := range snapTo {
 			k.post(func() { k.core.Reported(id, err == nil) })
 		}
-		if err != nil && errors.Is(err, peers.ErrRefused) && err.Error() != refused {
+		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != refused {
 			refused = err.Error() // once, not with each message
 			k.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
 		}
--- a/internal/crew/keeper/store_test.go
+++ b/internal/cluster/voter/store_test.go
@@ -1,4 +1,4 @@
-package keeper
+package voter
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 )
 
 func open(t *testing.T, dir, crewName, name string) (*store, error) {
@@ -31,7 +31,7 @@
 // fill writes so many entries, one sync each, behind the beginning of a crew.
 func fill(t *testing.T, s *store, n uint64, after func(i uint64)) {
 	t.Helper()
-	k := &Core{conf: Conf{Name: s.who.Name}, store: s, ledger: crew.NewLedger()}
+	k := &Core{conf: Conf{Name: s.who.Name}, store: s, ledger: cluster.NewLedger()}
 	if err := k.found(map[string]uint64{s.who.Name: s.who.ID}); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +239,7 @@
 	if err := s.save(&raftpb.HardState{Term: &term, Commit: &last}, nil, nil, false); err != nil {
 		t.Fatal(err)
 	}
-	ledger, err := cbor.Marshal(crew.NewLedger())
+	ledger, err := cbor.Marshal(cluster.NewLedger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	defer s.close()
-	k := &Core{conf: Conf{Name: "k"}, store: s, ledger: crew.NewLedger()}
+	k := &Core{conf: Conf{Name: "k"}, store: s, ledger: cluster.NewLedger()}
 	if err := k.begin(); err != nil || k.applied != 10 {
 		t.Errorf("applied %d, %v", k.applied, err)
 	}
--- a/internal/terms/holdings.go
+++ b/internal/clusterparams/holdings.go
@@ -1,4 +1,4 @@
-package terms
+package clusterparams
 
 import "time"
 
--- a/internal/terms/terms.go
+++ b/internal/clusterparams/terms.go
@@ -1,6 +1,6 @@
-// Package terms holds what all processes of a crew must be started with alike. It stands below all that uses it, so that
+// Package clusterparams holds what all processes of a crew must be started with alike. It stands below all that uses it, so that
 // reading an operator's file links none of the agreement's libraries.
-package terms
+package clusterparams
 
 import (
 	"crypto/sha256"
--- a/internal/command/crew.go
+++ b/internal/command/crew.go
@@ -11,12 +11,12 @@
 	"text/tabwriter"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
 	"heathgap/internal/operator"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
@@ -46,7 +46,7 @@
 // crewTalk is a conversation with the keepers of a crew.
 type crewTalk struct {
 	table *operator.Crew
-	lines map[string]*peers.Line
+	lines map[string]*peerrpc.Line
 }
 
 func (a *crewAt) open() (*crewTalk, error) {
@@ -57,18 +57,18 @@
 	if file.Crew == nil {
 		return nil, fmt.Errorf("%s: no table [crew]", a.Operator)
 	}
-	t := &crewTalk{table: file.Crew, lines: map[string]*peers.Line{}}
+	t := &crewTalk{table: file.Crew, lines: map[string]*peerrpc.Line{}}
 	for name, address := range file.Crew.Keepers {
-		t.lines[name] = peers.NewLine(env.Real{}, file.Crew.Name, "cli", address)
+		t.lines[name] = peerrpc.NewLine(env.Real{}, file.Crew.Name, "cli", address)
 	}
 	return t, nil
 }
 
 // status asks the keepers; the leader's word goes before any other's.
-func (t *crewTalk) status() (best keeper.Status, err error) {
+func (t *crewTalk) status() (best voter.Status, err error) {
 	var faults []error
 	for _, name := range slices.Sorted(maps.Keys(t.lines)) {
-		var s keeper.Status
+		var s voter.Status
 		if err := t.lines[name].Call("status", struct{}{}, &s, crewCall); err != nil {
 			faults = append(faults, fmt.Errorf("keeper %s: %w", name, err))
 			continue
@@ -84,27 +84,27 @@
 }
 
 // look asks the keepers that the file names.
-func (a *crewAt) look() (*crewTalk, keeper.Status, error) {
+func (a *crewAt) look() (*crewTalk, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
-		return nil, keeper.Status{}, err
+		return nil, voter.Status{}, err
 	}
 	s, err := t.status()
 	return t, s, err
 }
 
 // led is look, with a leader.
-func (a *crewAt) led() (*crewTalk, keeper.Status, error) {
+func (a *crewAt) led() (*crewTalk, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
-		return nil, keeper.Status{}, err
+		return nil, voter.Status{}, err
 	}
 	s, err := t.led()
 	return t, s, err
 }
 
 // led is status, with a leader.
-func (t *crewTalk) led() (keeper.Status, error) {
+func (t *crewTalk) led() (voter.Status, error) {
 	s, err := t.status()
 	if err == nil && s.Leader != s.Name {
 		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(t.lines), formingOf(&s))
@@ -112,7 +112,7 @@
 	return s, err
 }
 
-func formingOf(s *keeper.Status) string {
+func formingOf(s *voter.Status) string {
 	if len(s.Forming) == 0 {
 		return ""
 	}
@@ -179,7 +179,7 @@
 		if ms, known := s.Leases[name]; known {
 			one.LeaseMS = &ms
 		}
-		line := peers.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
+		line := peerrpc.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
 		var acts member.Acts
 		if err := line.Call("acting", struct{}{}, &acts, crewCall); err != nil {
 			one.Error = err.Error()
@@ -233,7 +233,7 @@
 	var all []crewVersion
 	for _, r := range s.Ledger.Rounds() {
 		state := r.State.String()
-		if r.State == crew.Active && r.Number != s.Ledger.Active.Number {
+		if r.State == cluster.Active && r.Number != s.Ledger.Active.Number {
 			state = "was active"
 		}
 		all = append(all, crewVersion{r.Number, r.Parent, state, r.Hash.String(), r.Author, r.Note, r.Why, r.Doc})
@@ -283,7 +283,7 @@
 }
 
 // docOf finds a version's document.
-func docOf(l *crew.Ledger, number uint64) (*versions.Document, error) {
+func docOf(l *cluster.Ledger, number uint64) (*versions.Document, error) {
 	if number == 0 {
 		return &versions.Document{}, nil
 	}
@@ -320,7 +320,7 @@
 	if c.Parent != nil {
 		parent = *c.Parent
 	}
-	return t.propose(o, crew.Proposal{Parent: parent, Note: note, Doc: doc}, c.Wait, c.JSON)
+	return t.propose(o, cluster.Proposal{Parent: parent, Note: note, Doc: doc}, c.Wait, c.JSON)
 }
 
 type crewUndo struct {
@@ -342,12 +342,12 @@
 	if err != nil {
 		return err
 	}
-	return t.propose(o, crew.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
+	return t.propose(o, cluster.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
 }
 
 // propose says a proposal until it is told, and waits for its end.
-func (t *crewTalk) propose(o *Out, p crew.Proposal, wait time.Duration, asJSON bool) error {
-	p.ID = keeper.Draw()
+func (t *crewTalk) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
+	p.ID = voter.Draw()
 	if u, err := user.Current(); err == nil {
 		p.Author = u.Username
 	}
@@ -359,10 +359,10 @@
 			continue
 		}
 		if number == 0 {
-			var told keeper.Proposed
+			var told voter.Proposed
 			// The same proposal said again counts once: an answer that was lost does no harm.
 			err := t.lines[s.Name].Call("propose", p, &told, crewCall)
-			if errors.Is(err, peers.ErrRefused) {
+			if errors.Is(err, peerrpc.ErrRefused) {
 				return err
 			}
 			if err != nil || told.Number == 0 {
@@ -374,11 +374,11 @@
 			continue
 		}
 		r := s.Ledger.Find(p.ID)
-		if r == nil || r.State != crew.Active && r.State != crew.Refused {
+		if r == nil || r.State != cluster.Active && r.State != cluster.Refused {
 			continue
 		}
 		took := time.Since(began).Round(time.Millisecond)
-		if r.State == crew.Refused {
+		if r.State == cluster.Refused {
 			return fmt.Errorf("version %d is refused: %s", number, r.Why)
 		}
 		if asJSON {
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 	"time"
 
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
 	"heathgap/internal/holdings"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 )
 
 // holdingsCommands are `heathgap holdings ...`.
@@ -32,7 +32,7 @@
 	Seats   map[string]int `json:"seats"`   // by members
 }
 
-func statusOf(s *keeper.Status, copies int) heldStatus {
+func statusOf(s *voter.Status, copies int) heldStatus {
 	out := heldStatus{Copies: copies, Shards: holdings.Shards, Seats: map[string]int{}}
 	for name := range s.Ledger.Members {
 		out.Seats[name] = 0
@@ -69,7 +69,7 @@
 var errNothingHeld = fmt.Errorf("no table [holdings]: this crew's sidecars hold nothing for one another")
 
 // held asks for the present placement of replicas.
-func (a *crewAt) held() (*crewTalk, keeper.Status, error) {
+func (a *crewAt) held() (*crewTalk, voter.Status, error) {
 	t, s, err := a.led()
 	switch {
 	case err != nil:
@@ -132,7 +132,7 @@
 	for _, replica := range shard.Replicas {
 		m := s.Ledger.Members[replica.Name]
 		one := heldCopy{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
-		line := peers.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
+		line := peerrpc.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
 		var shown member.Shown
 		switch err := line.Call("hold-show", key, &shown, crewCall); {
 		case err != nil:
--- a/internal/holdings/delta.go
+++ b/internal/holdings/delta.go
@@ -10,14 +10,14 @@
 
 	"github.com/zeebo/xxh3"
 
-	"heathgap/internal/terms"
+	"heathgap/internal/clusterparams"
 )
 
 // Bounds of a history.
 const (
 	// mostNoted names of members and shards a history keeps: as many as a crew may have members. Who needs changes of more is
 	// nearly always told the whole in fewer bytes.
-	mostNoted = terms.MostMembers
+	mostNoted = clusterparams.MostMembers
 	// mostRecords of changes it keeps: a restart makes two epochs, so that this reaches over half an hour of a restart a second.
 	mostRecords = 4096
 )
@@ -244,8 +244,8 @@
 	switch {
 	case d.SinceEpoch > d.Epoch || d.SinceNumber > d.Number || d.Number == 0:
 		return fmt.Errorf("%w: from epoch %d to %d, from placement %d to %d", ErrDelta, d.SinceEpoch, d.Epoch, d.SinceNumber, d.Number)
-	case len(d.In)+len(d.Gone) > 2*terms.MostMembers:
-		return fmt.Errorf("%w: %d members; allowed: up to %d", ErrDelta, len(d.In)+len(d.Gone), 2*terms.MostMembers)
+	case len(d.In)+len(d.Gone) > 2*clusterparams.MostMembers:
+		return fmt.Errorf("%w: %d members; allowed: up to %d", ErrDelta, len(d.In)+len(d.Gone), 2*clusterparams.MostMembers)
 	}
 	for _, s := range d.Shards {
 		if s.Shard < 0 || s.Shard >= Shards {
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -14,7 +14,7 @@
 
 	"github.com/zeebo/xxh3"
 
-	"heathgap/internal/terms"
+	"heathgap/internal/clusterparams"
 )
 
 // Bounds.
@@ -24,7 +24,7 @@
 )
 
 // Terms are what all members of a crew must be started with alike.
-type Terms = terms.Holdings
+type Terms = clusterparams.Holdings
 
 // Who is one incarnation of a sidecar in the crew: who was counted out and came in again is another.
 type Who struct {
--- a/internal/lab/accord/accord.go
+++ b/internal/lab/consistency/accord.go
@@ -1,6 +1,6 @@
-// Package accord judges whether the processes of a crew kept to rules that agree: from what reached endpoints, when, and
+// Package consistency judges whether the processes of a crew kept to rules that agree: from what reached endpoints, when, and
 // from what each process said that it acts on. It is pure. Times count from the start of a run, on one clock.
-package accord
+package consistency
 
 import (
 	"cmp"
--- a/internal/lab/accord/accord_test.go
+++ b/internal/lab/consistency/accord_test.go
@@ -1,4 +1,4 @@
-package accord
+package consistency
 
 import (
 	"testing"
--- a/internal/lab/hollow/control.go
+++ b/internal/lab/emulated/control.go
@@ -1,7 +1,7 @@
-// Package hollow runs hollow members of a crew: the crew's, the holdings' and the peers' own code over real sockets, many
+// Package emulated runs hollow members of a crew: the crew's, the holdings' and the peers' own code over real sockets, many
 // members in one process, without engine and traffic. A process of them is led by lines of JSON on its standard input, and
 // tells what its members act on, and what they cost, on its standard output.
-package hollow
+package emulated
 
 import "time"
 
--- a/internal/lab/hollow/faults.go
+++ b/internal/lab/emulated/faults.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 // The planted faults stand in the member's world and in what is told of it; the member's own code is the product's.
 
-// What a question for the lease looks like on the wire (internal/peers, crew.Renewal).
+// What a question for the lease looks like on the wire (internal/peerrpc, crew.Renewal).
 const (
 	renewPath   = "POST /crew/1/renew "
 	lengthField = "Content-Length: "
--- a/internal/lab/hollow/hollow_test.go
+++ b/internal/lab/emulated/hollow_test.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"bufio"
@@ -16,11 +16,11 @@
 
 	"github.com/rs/zerolog"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
@@ -193,7 +193,7 @@
 type theCrew struct {
 	t     *testing.T
 	start Start
-	lines []*peers.Line
+	lines []*peerrpc.Line
 }
 
 // form starts keepers and draws up members.
@@ -227,7 +227,7 @@
 			}
 			t.Cleanup(m.Stop)
 		})
-		c.lines = append(c.lines, peers.NewLine(env.Real{}, c.start.Crew, "test", k.Address))
+		c.lines = append(c.lines, peerrpc.NewLine(env.Real{}, c.start.Crew, "test", k.Address))
 	}
 	starting.Wait()
 	if t.Failed() {
@@ -240,11 +240,11 @@
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 // ledger is what the leader knows.
-func (c *theCrew) ledger() *crew.Ledger {
+func (c *theCrew) ledger() *cluster.Ledger {
 	c.t.Helper()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
 		for i, line := range c.lines {
-			var s keeper.Status
+			var s voter.Status
 			if line.Call("status", struct{}{}, &s, time.Second) == nil && s.Leader == c.start.Keepers[i].Name && s.Ledger != nil {
 				return s.Ledger
 			}
@@ -255,9 +255,9 @@
 }
 
 // awaitLedger waits until something holds of what the leader knows.
-func (c *theCrew) awaitLedger(what string, holds func(l *crew.Ledger) bool) *crew.Ledger {
+func (c *theCrew) awaitLedger(what string, holds func(l *cluster.Ledger) bool) *cluster.Ledger {
 	c.t.Helper()
-	var l *crew.Ledger
+	var l *cluster.Ledger
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
 		if l = c.ledger(); holds(l) {
 			return l
@@ -268,10 +268,10 @@
 }
 
 // awaitWhole waits until all shards have all copies, nothing has been copied elsewhere for a while, and nobody has come or gone.
-func (c *theCrew) awaitWhole() *crew.Ledger {
+func (c *theCrew) awaitWhole() *cluster.Ledger {
 	c.t.Helper()
 	since, epoch, table := time.Now(), uint64(0), uint64(0)
-	return c.awaitLedger("all shards are whole", func(l *crew.Ledger) bool {
+	return c.awaitLedger("all shards are whole", func(l *cluster.Ledger) bool {
 		if l.Placement == nil {
 			return false
 		}
@@ -296,11 +296,11 @@
 // propose has a version proposed.
 func (c *theCrew) propose(doc versions.Document) uint64 {
 	c.t.Helper()
-	id := keeper.Draw()
+	id := voter.Draw()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
 		for _, line := range c.lines {
-			var told keeper.Proposed
-			p := crew.Proposal{ID: id, Parent: c.ledger().Active.Number, Author: "test", Doc: doc}
+			var told voter.Proposed
+			p := cluster.Proposal{ID: id, Parent: c.ledger().Active.Number, Author: "test", Doc: doc}
 			if err := line.Call("propose", p, &told, time.Second); err == nil && told.Number > 0 {
 				return told.Number
 			}
@@ -379,7 +379,7 @@
 	if s := p.sample().Members["m1"]; s.Conns != 0 || !s.Stance.Gone || s.Renewals < renewals {
 		t.Errorf("%+v", s)
 	}
-	c.awaitLedger("it is counted out", func(l *crew.Ledger) bool { return l.Members["m1"].Token == 0 })
+	c.awaitLedger("it is counted out", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 })
 	// Its last word was at most a beat, or one that was late by as much, before: a word that it leaves would end it at once.
 	if after := time.Since(struck); after < testLease/2 {
 		t.Errorf("counted out %v after its end, before its lease's", after)
@@ -422,7 +422,7 @@
 		}
 		return n == 3
 	})
-	l := c.awaitLedger("the south is counted out", func(l *crew.Ledger) bool { return len(l.Members) == 6 })
+	l := c.awaitLedger("the south is counted out", func(l *cluster.Ledger) bool { return len(l.Members) == 6 })
 	for name := range l.Members {
 		if south(name) {
 			t.Errorf("%s is in", name)
@@ -430,7 +430,7 @@
 	}
 	p.good(Command{Do: Mend, Regions: [2]string{"north", "south"}})
 	p.awaitAll("leases again", 6, func(s Stance) bool { return !s.Cautious })
-	c.awaitLedger("all are in", func(l *crew.Ledger) bool { return len(l.Members) == 9 })
+	c.awaitLedger("all are in", func(l *cluster.Ledger) bool { return len(l.Members) == 9 })
 	for _, bad := range []Command{
 		{Do: Cut, Regions: [2]string{"north", "west"}}, {Do: Cut}, {Do: Mend, Regions: [2]string{"north", "north"}}, {Do: Sample, Members: []string{"m9"}},
 		{Do: Order, Orders: 1}, {Do: Order, Orders: -1},
@@ -444,22 +444,22 @@
 // Bytes are those of the messages, as the server that takes them counts, with their heads. Who leaves says so, and who is killed
 // does not.
 func TestBytesAndLastWords(t *testing.T) {
-	s, err := peers.Listen(env.Real{}, free(t), "hollow")
+	s, err := peerrpc.Listen(env.Real{}, free(t), "hollow")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
 	var asked, leaving atomic.Int64
-	s.Serve(env.Real{}, map[string]peers.Handler{"renew": func(from string, body []byte) (any, error) {
-		var r crew.Renewal
-		if err := peers.Decode(body, &r); err != nil || r.Name != from || r.Leaving && !r.Moving {
+	s.Serve(env.Real{}, map[string]peerrpc.Handler{"renew": func(from string, body []byte) (any, error) {
+		var r cluster.Renewal
+		if err := peerrpc.Decode(body, &r); err != nil || r.Name != from || r.Leaving && !r.Moving {
 			t.Errorf("%+v of %s, %v", r, from, err)
 		}
 		asked.Add(1)
 		if r.Leaving {
 			leaving.Add(1)
 		}
-		return keeper.Renewed{}, nil // neither a lease nor who leads
+		return voter.Renewed{}, nil // neither a lease nor who leads
 	}})
 	start := Start{Crew: "hollow", Lease: 400 * time.Millisecond, ContradictAtMost: time.Second, Copies: 2, Keep: time.Minute, LostAfter: time.Second,
 		Keepers: []Place{{Name: "k1", Address: s.Address()}}}
@@ -505,7 +505,7 @@
 }
 
 // seatsOf is in how many shards a member has one.
-func seatsOf(l *crew.Ledger, name string) (n int) {
+func seatsOf(l *cluster.Ledger, name string) (n int) {
 	for _, shard := range l.Placement.Shards {
 		for _, seat := range shard.Replicas {
 			if seat.Who.Name == name {
@@ -547,7 +547,7 @@
 	}
 	p.good(Command{Do: Order, Orders: 0})
 	p.good(Command{Do: Leave, Members: []string{"m1"}})
-	l := c.awaitLedger("it has left", func(l *crew.Ledger) bool { return l.Members["m1"].Token == 0 && seatsOf(l, "m1") == 0 })
+	l := c.awaitLedger("it has left", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 && seatsOf(l, "m1") == 0 })
 	for i, shard := range l.Placement.Shards {
 		if shard.Lost > 0 {
 			t.Errorf("shard %d was lost", i)
@@ -584,7 +584,7 @@
 	p := run(t, c.start)
 	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
 	number := c.propose(versions.Document{MaxAttempts: 1})
-	c.awaitLedger("the version is active", func(l *crew.Ledger) bool { return l.Active.Number == number })
+	c.awaitLedger("the version is active", func(l *cluster.Ledger) bool { return l.Active.Number == number })
 	p.await("all others act on it", func() bool {
 		n := 0
 		for _, s := range p.last() {
@@ -602,7 +602,7 @@
 	}
 	p.mu.Unlock()
 	var says member.Acts
-	line := peers.NewLine(env.Real{}, "hollow", "test", c.start.Members[0].Address)
+	line := peerrpc.NewLine(env.Real{}, "hollow", "test", c.start.Members[0].Address)
 	defer line.Close()
 	if err := line.Call("acting", struct{}{}, &says, testWait); err != nil || says.Active != number {
 		t.Errorf("it says %+v, %v", says, err)
--- a/internal/lab/hollow/member.go
+++ b/internal/lab/emulated/member.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
 	"heathgap/internal/env"
 	"heathgap/internal/httpwire"
 )
@@ -80,7 +80,7 @@
 	}
 	h.starts++
 	l := &life{
-		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/crew.Heartbeats),
+		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/cluster.Heartbeats),
 		started: make(chan struct{}), halt: make(chan struct{}), number: h.starts,
 	}
 	h.life, h.heed = l, heed{}
--- a/internal/lab/hollow/process.go
+++ b/internal/lab/emulated/process.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"bufio"
@@ -116,7 +116,7 @@
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("%w; allowed: what internal/lab/hollow says of it", err)
+		return fmt.Errorf("%w; allowed: what internal/lab/emulated says of it", err)
 	}
 	return nil
 }
--- a/internal/lab/hollow/start.go
+++ b/internal/lab/emulated/start.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
+	"heathgap/internal/cluster"
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/config"
-	"heathgap/internal/crew"
 	"heathgap/internal/operator"
-	"heathgap/internal/terms"
 )
 
 // The classes of a hollow member's settings, as those of the crew's rig. Versions may name them, but for the fixed ones.
@@ -83,10 +83,10 @@
 	return t
 }
 
-func (s *Start) terms() crew.Terms {
-	t := crew.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
+func (s *Start) terms() cluster.Terms {
+	t := cluster.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
 	if s.Copies > 0 {
-		t.Holdings = terms.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
+		t.Holdings = clusterparams.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	}
 	return t
 }
@@ -112,28 +112,28 @@
 	switch {
 	case s.Crew == "":
 		return errors.New("crew: missing; allowed: the crew's name")
-	case s.Lease < terms.LeastLease || s.Lease > terms.MostLease:
-		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, terms.LeastLease, terms.MostLease)
-	case s.Drift < 0 || s.Drift > terms.MostDrift:
-		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, terms.MostDrift)
+	case s.Lease < clusterparams.LeastLease || s.Lease > clusterparams.MostLease:
+		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, clusterparams.LeastLease, clusterparams.MostLease)
+	case s.Drift < 0 || s.Drift > clusterparams.MostDrift:
+		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, clusterparams.MostDrift)
 	case s.Slack < 0:
 		return fmt.Errorf("slack_ns: %v; allowed: 0 and more", s.Slack)
 	case t.Wait() > s.ContradictAtMost:
 		return fmt.Errorf("contradict_at_most_ns: %v; allowed: %v and more, which lease, drift and slack add up to", s.ContradictAtMost, t.Wait())
-	case s.Copies < 0 || s.Copies > terms.MostCopies:
-		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, terms.MostCopies)
-	case s.Copies > 0 && (s.Keep < max(terms.LeastKeep, orderWindow) || s.Keep > terms.MostKeep):
-		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(terms.LeastKeep, orderWindow), terms.MostKeep)
-	case s.Copies > 0 && (s.LostAfter < terms.LeastLost || s.LostAfter > terms.MostLostAfter):
-		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, terms.LeastLost, terms.MostLostAfter)
+	case s.Copies < 0 || s.Copies > clusterparams.MostCopies:
+		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, clusterparams.MostCopies)
+	case s.Copies > 0 && (s.Keep < max(clusterparams.LeastKeep, orderWindow) || s.Keep > clusterparams.MostKeep):
+		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(clusterparams.LeastKeep, orderWindow), clusterparams.MostKeep)
+	case s.Copies > 0 && (s.LostAfter < clusterparams.LeastLost || s.LostAfter > clusterparams.MostLostAfter):
+		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.LeastLost, clusterparams.MostLostAfter)
 	case s.RegionDelay < 0 || s.RegionDelay > longestDelay:
 		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, longestDelay)
 	case s.OrderTakes < 0 || s.OrderTakes > longestOrder:
 		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.OrderTakes, longestOrder)
-	case len(s.Keepers) == 0 || len(s.Keepers) > terms.MostKeepers:
-		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), terms.MostKeepers)
-	case len(s.Members) == 0 || len(s.Members) > terms.MostMembers:
-		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), terms.MostMembers)
+	case len(s.Keepers) == 0 || len(s.Keepers) > clusterparams.MostKeepers:
+		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), clusterparams.MostKeepers)
+	case len(s.Members) == 0 || len(s.Members) > clusterparams.MostMembers:
+		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MostMembers)
 	}
 	if err := s.checkRate(s.Orders); err != nil {
 		return err
--- a/internal/lab/hollow/world.go
+++ b/internal/lab/emulated/world.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"context"
--- a/internal/lab/hollow/world_test.go
+++ b/internal/lab/emulated/world_test.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"bytes"
@@ -285,7 +285,7 @@
 }
 
 // A member's goroutine that asks for the lease has a thread of its own, so that the kernel wakes it by itself. Guards against
-// another name of that goroutine in internal/crew/member, by which hollow members would cost too little.
+// another name of that goroutine in internal/cluster/member, by which hollow members would cost too little.
 func TestLeaseHasAThread(t *testing.T) {
 	threads := func() int {
 		t.Helper()
@@ -311,7 +311,7 @@
 }
 
 // The timer between two questions for the lease is the kernel's own for each member, and ends with it. Guards against another time
-// there in internal/crew/member, by which hollow members would ask together.
+// there in internal/cluster/member, by which hollow members would ask together.
 func TestLeaseHasATimer(t *testing.T) {
 	timers := func() (n int) {
 		t.Helper()
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 // Line is one endpoint of the list, as discovery writes it.
@@ -42,7 +42,7 @@
 // Discovery is the list of one tier: one service for all its sidecars, each of
 // which has an address of its own there, so that the book knows who was told what.
 type Discovery struct {
-	book *truth.Shared
+	book *oracle.Shared
 
 	mu      sync.Mutex
 	index   int64
@@ -65,7 +65,7 @@
 }
 
 // NewDiscovery returns an empty list.
-func NewDiscovery(book *truth.Shared) *Discovery {
+func NewDiscovery(book *oracle.Shared) *Discovery {
 	return &Discovery{
 		book: book, lines: map[string]Line{}, changed: map[string]int64{}, former: map[string][]versionedLine{},
 		told: map[string]int64{}, news: make(chan struct{}),
@@ -85,7 +85,7 @@
 		d.former[l.Name] = append(d.former[l.Name], versionedLine{l, d.index})
 	}
 	now := d.book.Now()
-	d.book.Do(func(b *truth.Book) {
+	d.book.Do(func(b *oracle.Book) {
 		for _, l := range lines {
 			b.Listed(now, d.index, l.Name, l.Status == Serving)
 		}
@@ -103,7 +103,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.book.Do(func(b *truth.Book) { b.ListUp(d.book.Now(), !down) })
+	d.book.Do(func(b *oracle.Book) { b.ListUp(d.book.Now(), !down) })
 	d.wake()
 }
 
@@ -194,8 +194,8 @@
 // serve answers one call: at once for the whole list, and when there is news, or
 // after the time that it asks for, for a watch.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request, sidecar string) {
-	d.book.Do(func(b *truth.Book) { b.Calls(sidecar) })
-	defer func() { d.book.Do(func(b *truth.Book) { b.Called(d.book.Now(), sidecar) }) }()
+	d.book.Do(func(b *oracle.Book) { b.Calls(sidecar) })
+	defer func() { d.book.Do(func(b *oracle.Book) { b.Called(d.book.Now(), sidecar) }) }()
 	if r.URL.Path != "/discovery/hosts" {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -209,7 +209,7 @@
 		return
 	}
 	if wait := min(time.Duration(ms)*time.Millisecond, mostWait); after > 0 {
-		d.book.Do(func(b *truth.Book) { b.Stands(sidecar, d.book.Now()+wait) })
+		d.book.Do(func(b *oracle.Book) { b.Stands(sidecar, d.book.Now()+wait) })
 		if !d.waitNews(r, after, wait) {
 			return
 		}
@@ -281,5 +281,5 @@
 	d.mu.Lock()
 	d.told[sidecar] = max(d.told[sidecar], list.Index)
 	d.mu.Unlock()
-	d.book.Do(func(b *truth.Book) { b.Told(d.book.Now(), sidecar, list.Index) })
+	d.book.Do(func(b *oracle.Book) { b.Told(d.book.Now(), sidecar, list.Index) })
 }
--- a/internal/lab/standin/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -1,7 +1,7 @@
-// Package standin holds the lab's stand-ins for what a sidecar meets: endpoints and
+// Package fake holds the lab's stand-ins for what a sidecar meets: endpoints and
 // discovery. They speak the published protocol on sockets of 127.0.0.0/8, behave as
 // badly as they are told to, and tell the book of truth what came.
-package standin
+package fake
 
 import (
 	"bufio"
@@ -18,8 +18,8 @@
 	"github.com/valyala/fasthttp"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/station"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
+	"heathgap/internal/lab/servermodel"
 )
 
 // Trouble is how an endpoint misbehaves.
@@ -45,7 +45,7 @@
 type EndpointConf struct {
 	Name        string
 	Address     string // with port 0 for any
-	Station     station.Conf
+	Station     servermodel.Conf
 	Cold        bool
 	Connections int           // at once; more are turned away; 0 for no limit
 	Handshake   time.Duration // work that a new connection costs
@@ -67,14 +67,14 @@
 // Endpoint is one process of a tier.
 type Endpoint struct {
 	conf     EndpointConf
-	book     *truth.Shared
+	book     *oracle.Shared
 	listener net.Listener
 	address  string
 	life     context.Context // ends with the process
 	die      context.CancelFunc
 
 	mu      sync.Mutex
-	station *station.Station
+	station *servermodel.Station
 	timer   *time.Timer
 	trouble Trouble
 	share   float64 // of requests that Errors strikes
@@ -87,8 +87,8 @@
 var errDead = errors.New("the endpoint has died")
 
 // StartEndpoint starts one. Its address may be that of one that has just died.
-func StartEndpoint(conf EndpointConf, book *truth.Shared) (*Endpoint, error) {
-	s, err := station.New(conf.Station, book.Now(), conf.Cold)
+func StartEndpoint(conf EndpointConf, book *oracle.Shared) (*Endpoint, error) {
+	s, err := servermodel.New(conf.Station, book.Now(), conf.Cold)
 	if err != nil {
 		return nil, err
 	}
@@ -184,7 +184,7 @@
 func (e *Endpoint) finishDue(now time.Duration) {
 	done, fell := e.station.Due(now)
 	if fell {
-		e.book.Do(func(b *truth.Book) { b.Fell(now, e.conf.Name) })
+		e.book.Do(func(b *oracle.Book) { b.Fell(now, e.conf.Name) })
 	}
 	for _, j := range done {
 		var err error
@@ -230,7 +230,7 @@
 
 // job is a request at work at the station.
 type job struct {
-	station.Job
+	servermodel.Job
 	done chan error // its one end
 }
 
@@ -379,8 +379,8 @@
 
 // arrived books an attempt; false if no client sent it.
 func (e *Endpoint) arrived(m message, runs, repeat bool) (known bool) {
-	e.book.Do(func(b *truth.Book) {
-		known = b.Arrived(truth.Arrival{
+	e.book.Do(func(b *oracle.Book) {
+		known = b.Arrived(oracle.Arrival{
 			ID: m.id, Endpoint: e.conf.Name, First: m.first, Whole: m.whole, Runs: runs, Repeat: repeat,
 		})
 	})
@@ -429,7 +429,7 @@
 	if fresh {
 		j.Work += e.conf.Handshake
 	}
-	taken := e.station.Arrive(now, &j.Job) == station.Taken
+	taken := e.station.Arrive(now, &j.Job) == servermodel.Taken
 	e.arm(now)
 	return j, taken
 }
--- a/internal/lab/standin/keys.go
+++ b/internal/lab/fake/keys.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"sync"
--- a/internal/lab/standin/standin_test.go
+++ b/internal/lab/fake/standin_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/station"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
+	"heathgap/internal/lab/servermodel"
 )
 
 const (
@@ -22,14 +22,14 @@
 	patience = 20 * time.Second
 )
 
-func newBook() *truth.Shared {
-	return truth.Share(truth.New(truth.Conf{Margin: time.Minute}), truth.NewService(nil, 0))
+func newBook() *oracle.Shared {
+	return oracle.Share(oracle.New(oracle.Conf{Margin: time.Minute}), oracle.NewService(nil, 0))
 }
 
-func newEndpoint(t *testing.T, book *truth.Shared, change func(*EndpointConf)) *Endpoint {
+func newEndpoint(t *testing.T, book *oracle.Shared, change func(*EndpointConf)) *Endpoint {
 	t.Helper()
 	conf := EndpointConf{
-		Name: "e", Address: "127.0.0.1:0", Station: station.Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 4},
+		Name: "e", Address: "127.0.0.1:0", Station: servermodel.Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 4},
 		BodyBytes: 100, Classes: map[string]ClassConf{
 			"look": {Effect: decide.Safe, Work: ms},
 			"pay":  {Effect: decide.Keyed, Work: ms, Keys: NewKeys(time.Minute)},
@@ -65,9 +65,9 @@
 }
 
 // ask books a request and sends it.
-func (c *client) ask(book *truth.Shared, class, id, key string, effect decide.Effect) {
-	book.Do(func(b *truth.Book) {
-		b.Asking(truth.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Until: time.Hour})
+func (c *client) ask(book *oracle.Shared, class, id, key string, effect decide.Effect) {
+	book.Do(func(b *oracle.Book) {
+		b.Asking(oracle.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Until: time.Hour})
 		b.Written(id)
 	})
 	method := "GET"
@@ -91,8 +91,8 @@
 	return r.StatusCode, string(text), err
 }
 
-func tally(book *truth.Shared) (arrivals, runs, off int) {
-	book.Do(func(b *truth.Book) {
+func tally(book *oracle.Shared) (arrivals, runs, off int) {
+	book.Do(func(b *oracle.Book) {
 		if t := b.Close().Sidecars["s"]; t != nil {
 			arrivals, runs, off = t.Arrivals, t.Runs, t.TurnedOff
 		}
@@ -219,7 +219,7 @@
 func TestBounds(t *testing.T) {
 	book := newBook()
 	e := newEndpoint(t, book, func(c *EndpointConf) {
-		c.Connections, c.Station = 2, station.Conf{Cores: 1, Speed: 0.001, Slots: 1, Queue: 0}
+		c.Connections, c.Station = 2, servermodel.Conf{Cores: 1, Speed: 0.001, Slots: 1, Queue: 0}
 	})
 	first := dial(t, e)
 	first.ask(book, "burn", "1", "", decide.Unsafe)
@@ -257,7 +257,7 @@
 	if status, body, err := second.answer(); status != 200 || !strings.HasPrefix(body, "2 e repeat\n") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *truth.Book) {
+	book.Do(func(b *oracle.Book) {
 		if a := b.Close(); a.Broken() > 0 || a.Repeats > 0 {
 			t.Errorf("%v", a.Breaks)
 		}
@@ -280,7 +280,7 @@
 	if status, body, err := second.answer(); status != 200 || !strings.Contains(body, "repeat") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *truth.Book) {
+	book.Do(func(b *oracle.Book) {
 		if a := b.Close(); a.Broken() > 0 {
 			t.Errorf("%v", a.Breaks)
 		}
@@ -387,11 +387,11 @@
 		t.Errorf("down: %d", status)
 	}
 	// What was told holds from then on: a later send to it is held against the sidecar.
-	book.Do(func(b *truth.Book) {
-		b.Asking(truth.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Until: time.Hour})
+	book.Do(func(b *oracle.Book) {
+		b.Asking(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Until: time.Hour})
 		b.Written("1")
-		b.Arrived(truth.Arrival{ID: "1", Endpoint: "a", First: book.Now() + 2*time.Minute, Runs: true})
-		if n := b.Close().Rules[truth.Drained]; n != 1 {
+		b.Arrived(oracle.Arrival{ID: "1", Endpoint: "a", First: book.Now() + 2*time.Minute, Runs: true})
+		if n := b.Close().Rules[oracle.Drained]; n != 1 {
 			t.Errorf("%d sends past the drain are booked, want 1", n)
 		}
 	})
--- a/internal/lab/liar/liar.go
+++ b/internal/lab/faultproxy/liar.go
@@ -1,7 +1,7 @@
-// Package liar is a stand-in for a sidecar whose wire is faulty: it stands before a
+// Package faultproxy is a stand-in for a sidecar whose wire is faulty: it stands before a
 // real one and answers some requests twice. The lab shows by it that its book would
 // notice; what policies can do wrong, package policy does.
-package liar
+package faultproxy
 
 import (
 	"bufio"
--- a/internal/lab/rig/chain.go
+++ b/internal/lab/harness/chain.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"heathgap/decide"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // MostDeep bounds a chain: a tier is a sidecar's process and its stand-ins.
@@ -30,7 +30,7 @@
 	Peers     int           // that each sidecar is told of
 	Own       bool          // the settings say that each caller has a sidecar of its own (family mesh)
 	Straight  bool          // every other request goes along a chain without sidecars
-	Trouble   standin.Trouble
+	Trouble   fake.Trouble
 	Share     float64 // of the last tier's requests that Errors strikes
 	Seed      uint64
 }
@@ -39,11 +39,11 @@
 type Chain struct {
 	Front    [2]Way // straight, and through the sidecars
 	Tiers    []ChainTier
-	Lag      float64       // ms, the load's own at the 99th percentile
-	Seconds  float64       // how long the sidecars stood under load
-	Breaks   int           // of the four rules
-	Said     []truth.Break // the first of them
-	Balanced error         // what of the book does not add up
+	Lag      float64        // ms, the load's own at the 99th percentile
+	Seconds  float64        // how long the sidecars stood under load
+	Breaks   int            // of the four rules
+	Said     []oracle.Break // the first of them
+	Balanced error          // what of the book does not add up
 }
 
 // Way is one way along the chain.
@@ -122,12 +122,12 @@
 
 // link is a tier, and the ways to it.
 type link struct {
-	list      *standin.Discovery
+	list      *fake.Discovery
 	sidecar   *sidecar
 	through   *load.Client
 	straight  *load.Client // nil without a straight way
 	direct    *front
-	endpoints []*standin.Endpoint // those of the way through sidecars first
+	endpoints []*fake.Endpoint // those of the way through sidecars first
 
 	mu         sync.Mutex
 	took, used *hdrhistogram.Histogram // of calls, and of the deadline when they were made
@@ -145,7 +145,7 @@
 	}
 	defer os.RemoveAll(dir)
 	c := &chain{rig: newRig(scene, conf.Seed, opts, dir), conf: conf}
-	c.share(truth.NewService(nil, 0))
+	c.share(oracle.NewService(nil, 0))
 	defer c.end()
 	if err := c.start(ctx); err != nil {
 		return nil, err
@@ -156,7 +156,7 @@
 // start starts the last tier first: those before it call it.
 func (c *chain) start(ctx context.Context) error {
 	for range c.scene.Tiers {
-		c.lists = append(c.lists, standin.NewDiscovery(c.book))
+		c.lists = append(c.lists, fake.NewDiscovery(c.book))
 	}
 	c.links = make([]*link, c.conf.Deep)
 	for n := c.conf.Deep - 1; n >= 0; n-- {
@@ -199,10 +199,10 @@
 			return err
 		}
 		t := c.scene.Tiers[n]
-		conf := standin.EndpointConf{
+		conf := fake.EndpointConf{
 			Name: fmt.Sprintf("%s-%d", t.Name, i), Address: host + ":0", Station: t.Station,
 			IdleFor: c.scene.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
-			Classes: map[string]standin.ClassConf{"look": {Effect: decide.Safe, Work: c.scene.Classes[0].Work}},
+			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scene.Classes[0].Work}},
 		}
 		if n+1 < c.conf.Deep {
 			next := c.links[n+1]
@@ -215,7 +215,7 @@
 				return c.call(ctx, next, client, until)
 			}
 		}
-		e, err := standin.StartEndpoint(conf, c.book)
+		e, err := fake.StartEndpoint(conf, c.book)
 		if err != nil {
 			return err
 		}
@@ -224,8 +224,8 @@
 			l.direct.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
-		l.list.Set(standin.Line{
-			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: standin.Serving, Weight: 1,
+		l.list.Set(fake.Line{
+			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: fake.Serving, Weight: 1,
 		})
 	}
 	return nil
@@ -237,7 +237,7 @@
 	result := client.Send(ctx, load.Ask{
 		ID: fmt.Sprintf("c%x", c.calls.Add(1)), Class: "look", Tier: 1, Effect: decide.Safe, Until: until,
 	})
-	served := result.How == load.Answered && result.Verdict == truth.Served
+	served := result.How == load.Answered && result.Verdict == oracle.Served
 	if client == to.through {
 		to.mu.Lock()
 		defer to.mu.Unlock()
@@ -313,7 +313,7 @@
 			defer mu.Unlock()
 			observe(lag, late)
 			out.Front[way].Requests++
-			if result.How == load.Answered && result.Verdict == truth.Served {
+			if result.How == load.Answered && result.Verdict == oracle.Served {
 				out.Front[way].Served++
 				observe(took[way], end)
 			}
@@ -344,7 +344,7 @@
 		}
 		ran[n] = after - before[n]
 	}
-	var account truth.Account
+	var account oracle.Account
 	for n, l := range c.links {
 		said := l.sidecar.close(true)
 		if n == 0 {
@@ -362,15 +362,15 @@
 		}
 		out.Tiers = append(out.Tiers, t)
 	}
-	c.book.Do(func(b *truth.Book) { account = b.Close() })
+	c.book.Do(func(b *oracle.Book) { account = b.Close() })
 	out.Breaks, out.Said, out.Balanced = account.Broken(), account.Breaks, account.Balance()
 	for n := range out.Tiers {
 		t, tally := &out.Tiers[n], account.Sidecars[c.links[n].sidecar.name]
 		if tally == nil { // nothing was asked of it
-			tally = &truth.Tally{}
+			tally = &oracle.Tally{}
 		}
 		t.Asked, t.Attempts, t.Left = tally.Asked, tally.Arrivals, tally.Left+tally.Cut
-		t.Served, t.Refused, t.Failed = tally.Answers[truth.Served], tally.Answers[truth.Refused], tally.Answers[truth.Failed]
+		t.Served, t.Refused, t.Failed = tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed]
 		t.CPU = ratio(int(ran[n].Microseconds()), t.Asked)
 		t.Budget = NewBudget(c.conf.Own, c.conf.Peers, t.Outcomes["served"], out.Seconds)
 	}
--- a/internal/lab/rig/crew.go
+++ b/internal/lab/harness/crew.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -20,18 +20,18 @@
 	"golang.org/x/sys/unix"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
-	"heathgap/internal/lab/accord"
+	"heathgap/internal/lab/consistency"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
 // A crew of real processes with relays between them: faults on the ways and of the processes, a load that endpoints
-// count, and a book (internal/lab/accord) that judges from outside.
+// count, and a book (internal/lab/consistency) that judges from outside.
 
 // Figures of a crew's rig.
 const (
@@ -111,7 +111,7 @@
 	dir     string
 	starts  int
 	proc    *process
-	line    *peers.Line
+	line    *peerrpc.Line
 
 	mu   sync.Mutex
 	up   bool // it runs, and is not stopped
@@ -133,7 +133,7 @@
 	ends    []*crewEndpoint
 
 	mu       sync.Mutex // guards book and what follows
-	book     *accord.Book
+	book     *consistency.Book
 	rec      CrewRecord
 	leader   string // as last said
 	lastTerm uint64
@@ -180,13 +180,13 @@
 	}
 	r := &crewRig{
 		scene: scene, opts: opts, seed: seed, dir: dir, hosts: newHosts(), began: time.Now(), relays: map[[2]string]*relay{},
-		book: accord.New(accord.Conf{AtMost: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
+		book: consistency.New(consistency.Conf{AtMost: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
 		lastAt: map[string]member.Acts{}, cautious: map[string]time.Duration{},
 		rec: CrewRecord{Name: scene.Name, Seed: seed, Processes: scene.Keepers + scene.Members, Leaders: map[uint64]string{},
 			RSSMB: map[string]float64{}, CPU: map[string]float64{},
 			AtMost: millis(scene.ContradictAtMost)},
 	}
-	r.book.Version(0, accord.Forbids{})
+	r.book.Version(0, consistency.Forbids{})
 	r.orders = newOrders(r)
 	defer r.close()
 	if err := r.start(ctx); err != nil {
@@ -262,7 +262,7 @@
 		if p.address, err = r.hosts.address(p.host); err != nil {
 			return err
 		}
-		p.line = peers.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
+		p.line = peerrpc.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
 		r.procs = append(r.procs, p)
 	}
 	first := r.procs[:len(r.procs)-twins]
@@ -313,7 +313,7 @@
 					return err
 				}
 			}
-			var st keeper.Status
+			var st voter.Status
 			if err := r.procs[0].line.Call("status", struct{}{}, &st, pollTime); err != nil {
 				return err
 			}
@@ -451,7 +451,7 @@
 	for ; ctx.Err() == nil; time.Sleep(pollCrew) {
 		if r.opts.Separate {
 			r.mu.Lock()
-			r.book.Says(p.name, accord.Saying{At: r.now(), Active: p.other.Load()})
+			r.book.Says(p.name, consistency.Saying{At: r.now(), Active: p.other.Load()})
 			r.mu.Unlock()
 			continue
 		}
@@ -461,7 +461,7 @@
 			continue
 		}
 		r.mu.Lock()
-		r.book.Says(p.name, accord.Saying{At: asked, Heard: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
+		r.book.Says(p.name, consistency.Saying{At: asked, Heard: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
 		if a.Cautious {
 			r.cautious[p.name] += pollCrew
 		}
@@ -492,7 +492,7 @@
 }
 
 func (r *crewRig) askLeader(p *crewProc) {
-	var s keeper.Status
+	var s voter.Status
 	if p.line.Call("status", struct{}{}, &s, pollTime) != nil {
 		return
 	}
@@ -814,7 +814,7 @@
 		p.proc.end(syscall.SIGKILL)
 		p.proc.wait(killTime)
 		r.mu.Lock()
-		r.book.Version(1, accord.Forbids{Resend: true})
+		r.book.Version(1, consistency.Forbids{Resend: true})
 		r.mu.Unlock()
 		p.other.Store(1)
 		return r.startAs(ctx, p, decide.Unsafe)
@@ -824,7 +824,7 @@
 
 // mayLose books that a keeper loses its folder, if no other one is lost.
 func (r *crewRig) mayLose(p *crewProc) bool {
-	var st keeper.Status
+	var st voter.Status
 	if p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil || !p.isUp() {
 		return false
 	}
@@ -862,11 +862,11 @@
 
 // propose proposes a version at whichever keeper leads, until it is told or refused.
 func (r *crewRig) propose(ctx context.Context, s scenario.CrewStep) {
-	id := keeper.Draw()
+	id := voter.Draw()
 	limit := time.Now().Add(r.scene.Duration)
 	for i := 0; ctx.Err() == nil && time.Now().Before(limit); i++ {
 		p := r.procs[i%r.scene.Keepers]
-		var st keeper.Status
+		var st voter.Status
 		if !p.isUp() || p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil || st.Leader != p.name {
 			time.Sleep(pollCrew)
 			continue
@@ -898,11 +898,11 @@
 			time.Sleep(pollCrew)
 			continue
 		}
-		r.book.Version(next, accord.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+		r.book.Version(next, consistency.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 		r.mu.Unlock()
 		began := r.now()
-		var told keeper.Proposed
-		proposal := crew.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
+		var told voter.Proposed
+		proposal := cluster.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
 		var err error
 		if s.Dies && i == 0 {
 			err = r.sayAndDie(p, proposal, &told)
@@ -911,7 +911,7 @@
 		}
 		if err == nil && told.Number > 0 {
 			r.mu.Lock()
-			r.book.Version(told.Number, accord.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+			r.book.Version(told.Number, consistency.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 			r.book.Told(told.Number)
 			r.lastTold = max(r.lastTold, told.Number)
 			r.pending[told.Number] = began
@@ -924,13 +924,13 @@
 }
 
 // sayAndDie proposes as somebody who is gone before any answer; whether the proposal counts then shows at the keepers alone.
-func (r *crewRig) sayAndDie(p *crewProc, proposal crew.Proposal, told *keeper.Proposed) error {
-	proposer := peers.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
+func (r *crewRig) sayAndDie(p *crewProc, proposal cluster.Proposal, told *voter.Proposed) error {
+	proposer := peerrpc.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
 	err := proposer.Call("propose", proposal, nil, hangUpAfter)
 	proposer.Close()
 	r.note("a proposer has died: %v", err)
 	for limit := time.Now().Add(proposeTime); time.Now().Before(limit); time.Sleep(pollCrew) {
-		var st keeper.Status
+		var st voter.Status
 		if p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil {
 			continue
 		}
@@ -968,7 +968,7 @@
 			time.Sleep(pollTime)
 		}
 		for _, k := range r.procs[:r.scene.Keepers] {
-			var st keeper.Status
+			var st voter.Status
 			if led || k.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Leader != k.name || st.Ledger == nil {
 				continue
 			}
@@ -980,7 +980,7 @@
 			}
 			for _, round := range st.Ledger.Rounds() {
 				present[round.Number] = true
-				if round.State == crew.Refused {
+				if round.State == cluster.Refused {
 					r.rec.Versions = append(r.rec.Versions, CrewVersion{Number: round.Number, State: "refused", Why: round.Why})
 				}
 			}
@@ -1033,7 +1033,7 @@
 		most := uint64(0)
 		applied := map[string]uint64{}
 		for _, k := range r.procs[:r.scene.Keepers] {
-			var st keeper.Status
+			var st voter.Status
 			if k.line.Call("status", struct{}{}, &st, pollTime) == nil {
 				applied[k.name] = st.Applied
 				most = max(most, st.Applied)
@@ -1100,9 +1100,9 @@
 		again := probed && r.seen(id)
 		r.mu.Lock()
 		if again {
-			r.book.Did(accord.Act{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
+			r.book.Did(consistency.Act{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
 		}
-		r.book.Did(accord.Act{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
+		r.book.Did(consistency.Act{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
 		r.mu.Unlock()
 		if !probed {
 			w.Write([]byte("good\n")) //nolint:errcheck // its client shows
--- a/internal/lab/rig/crew_test.go
+++ b/internal/lab/harness/crew_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 
 	"github.com/rs/zerolog"
 
+	"heathgap/internal/cluster/member"
 	"heathgap/internal/config"
-	"heathgap/internal/crew/member"
 	"heathgap/internal/env"
 	"heathgap/internal/httpwire"
-	"heathgap/internal/lab/accord"
+	"heathgap/internal/lab/consistency"
 	"heathgap/internal/lab/scenario"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
@@ -252,7 +252,7 @@
 	}
 	r, err := RunCrew(t.Context(), s, s.Seed, opts)
 	if err != nil {
-		t.Fatalf("%v; logs of its processes: HEATHGAP_TEST_LOGS=DIR go test ./internal/lab/rig -run '%s'", err, t.Name())
+		t.Fatalf("%v; logs of its processes: HEATHGAP_TEST_LOGS=DIR go test ./internal/lab/harness -run '%s'", err, t.Name())
 	}
 	t.Logf("%+v", r)
 	return r
@@ -400,11 +400,11 @@
 		"[[step]]\nat = \"810ms\"\ndo = \"stop\"\nwho = \"m2\"\nfor = \"3s\"\n" +
 		"[[step]]\nat = \"1s\"\ndo = \"propose\"\neffect = \"once\"\n"
 	for bug, c := range map[string]struct{ scene, rule string }{
-		bugGoesOn:  {cutAndPropose, accord.Contradicts},
-		bugSlow:    {cutAndPropose, accord.Contradicts},
-		bugSleeps:  {stopAndPropose, accord.Contradicts},
-		bugForgets: {bannedThenCut, accord.Contradicts},
-		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", accord.AgainstSelf},
+		bugGoesOn:  {cutAndPropose, consistency.Contradicts},
+		bugSlow:    {cutAndPropose, consistency.Contradicts},
+		bugSleeps:  {stopAndPropose, consistency.Contradicts},
+		bugForgets: {bannedThenCut, consistency.Contradicts},
+		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/rig/discovery_test.go
+++ b/internal/lab/harness/discovery_test.go
@@ -1,12 +1,12 @@
-package rig
+package harness
 
 import (
 	"testing"
 	"time"
 
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/policy"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/truth"
 )
 
 // Guards against requests to endpoints that count as gone, sent by sidecars whose calls for the list are all refused
@@ -48,7 +48,7 @@
 	if r.Service < served {
 		t.Errorf("service %.3f, want %.3f", r.Service, served)
 	}
-	if drained := r.Rules[truth.Drained]; drained > 0 {
+	if drained := r.Rules[oracle.Drained]; drained > 0 {
 		t.Logf("the first: %v", r.Breaks[:min(3, len(r.Breaks))])
 	}
 }
--- a/internal/lab/rig/fleet.go
+++ b/internal/lab/harness/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"time"
 
 	"heathgap/decide"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // tier is one tier of endpoints at work.
@@ -20,8 +20,8 @@
 	rig   *rig
 	place int
 	conf  scenario.Tier
-	list  *standin.Discovery
-	keys  map[keyScope]*standin.Keys
+	list  *fake.Discovery
+	keys  map[keyScope]*fake.Keys
 
 	mu    sync.Mutex
 	slots []*slot
@@ -40,14 +40,14 @@
 	client  *load.Client
 
 	mu       sync.Mutex
-	born     int               // how many have stood here
-	endpoint *standin.Endpoint // nil while there is none
-	line     standin.Line
+	born     int            // how many have stood here
+	endpoint *fake.Endpoint // nil while there is none
+	line     fake.Line
 }
 
 func newTier(r *rig, place int) *tier {
 	return &tier{
-		rig: r, place: place, conf: r.scene.Tiers[place], list: r.lists[place], keys: map[keyScope]*standin.Keys{},
+		rig: r, place: place, conf: r.scene.Tiers[place], list: r.lists[place], keys: map[keyScope]*fake.Keys{},
 	}
 }
 
@@ -105,7 +105,7 @@
 func (s *slot) group() int { return 1 + s.number%s.tier.conf.Groups }
 
 // keysOf is the memory of keys that an endpoint shares with others of its scope.
-func (s *slot) keysOf(c scenario.Class) *standin.Keys {
+func (s *slot) keysOf(c scenario.Class) *fake.Keys {
 	if c.Effect != decide.Keyed {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.keys[scope] == nil {
-		t.keys[scope] = standin.NewKeys(c.Window)
+		t.keys[scope] = fake.NewKeys(c.Window)
 	}
 	return t.keys[scope]
 }
@@ -135,11 +135,11 @@
 }
 
 // startUnlisted starts an endpoint in its place and returns the line that is to be listed.
-func (s *slot) startUnlisted(ctx context.Context, again, cold bool) (standin.Line, error) {
+func (s *slot) startUnlisted(ctx context.Context, again, cold bool) (fake.Line, error) {
 	if s.sidecar != nil {
 		target, err := s.sidecar.start(ctx)
 		if err != nil {
-			return standin.Line{}, err
+			return fake.Line{}, err
 		}
 		s.only.Set(target)
 	}
@@ -156,12 +156,12 @@
 	conf := s.endpointConf(name, address, cold)
 	endpoint, err := startAt(ctx, conf, s.tier.rig.book)
 	if err != nil {
-		return standin.Line{}, err
+		return fake.Line{}, err
 	}
 	s.endpoint = endpoint
-	s.line = standin.Line{
+	s.line = fake.Line{
 		Name: name, Address: endpoint.Address(), Zone: s.zone(), Type: "lab", Group: s.group(),
-		Status: standin.Serving, Weight: 1,
+		Status: fake.Serving, Weight: 1,
 	}
 	if cold {
 		s.line.Since = time.Now().UnixMilli()
@@ -172,7 +172,7 @@
 // crash begins or ends a crash of some places: what comes of it is listed in one version.
 func (t *tier) crash(ctx context.Context, step scenario.Step) error {
 	var errs []error
-	var lines []standin.Line
+	var lines []fake.Line
 	for _, n := range step.Slots {
 		s := t.at(n)
 		switch {
@@ -198,12 +198,12 @@
 
 // listGone has discovery list those places as gone in which nothing stands.
 func (t *tier) listGone(places []int) {
-	var lines []standin.Line
+	var lines []fake.Line
 	for _, n := range places {
 		s := t.at(n)
 		s.mu.Lock()
 		if s.endpoint == nil {
-			s.line.Status = standin.Deleted
+			s.line.Status = fake.Deleted
 			lines = append(lines, s.line)
 		}
 		s.mu.Unlock()
@@ -214,9 +214,9 @@
 }
 
 // startAt starts an endpoint; its address may take a moment to be free.
-func startAt(ctx context.Context, conf standin.EndpointConf, book *truth.Shared) (*standin.Endpoint, error) {
+func startAt(ctx context.Context, conf fake.EndpointConf, book *oracle.Shared) (*fake.Endpoint, error) {
 	for end := time.Now().Add(killTime); ; {
-		e, err := standin.StartEndpoint(conf, book)
+		e, err := fake.StartEndpoint(conf, book)
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
 			return e, err
 		}
@@ -224,15 +224,15 @@
 	}
 }
 
-func (s *slot) endpointConf(name, address string, cold bool) standin.EndpointConf {
+func (s *slot) endpointConf(name, address string, cold bool) fake.EndpointConf {
 	t, scene := s.tier, s.tier.rig.scene
-	conf := standin.EndpointConf{
+	conf := fake.EndpointConf{
 		Name: name, Address: address, Station: t.conf.Station, Cold: cold, Connections: t.conf.Connections,
 		Handshake: t.conf.Handshake, IdleFor: scene.Limits.ConnIdle, BodyBytes: t.conf.Body,
-		Seed: t.rig.seed<<16 + uint64(t.place<<12+s.number), Classes: map[string]standin.ClassConf{},
+		Seed: t.rig.seed<<16 + uint64(t.place<<12+s.number), Classes: map[string]fake.ClassConf{},
 	}
 	for _, c := range scene.Classes {
-		conf.Classes[c.Name] = standin.ClassConf{
+		conf.Classes[c.Name] = fake.ClassConf{
 			Effect: c.Effect, Keys: s.keysOf(c), Work: time.Duration(float64(c.Work) * t.conf.WorkScale),
 		}
 	}
@@ -255,7 +255,7 @@
 		ID: fmt.Sprintf("call%x", n), Class: class.Name, Key: key, Tier: s.tier.place + 1,
 		Effect: class.Effect, Until: until,
 	})
-	return result.How == load.Answered && result.Verdict == truth.Served
+	return result.How == load.Answered && result.Verdict == oracle.Served
 }
 
 // kill ends the endpoint, and its sidecar with it.
@@ -283,7 +283,7 @@
 }
 
 // present is the endpoint that stands there, if there is one.
-func (s *slot) present() *standin.Endpoint {
+func (s *slot) present() *fake.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoint
@@ -312,7 +312,7 @@
 	default:
 		trouble := troubles[step.Kind]
 		if step.Back {
-			trouble = standin.Well
+			trouble = fake.Well
 		}
 		e.Misbehave(trouble, step.Fault.Of)
 	}
@@ -320,10 +320,10 @@
 }
 
 // troubles are the faults that are an endpoint's own behaviour.
-var troubles = map[scenario.Kind]standin.Trouble{
-	scenario.Errors: standin.Errors, scenario.Hang: standin.Hang, scenario.Silent: standin.Silent,
-	scenario.Refuse: standin.Refuses, scenario.Half: standin.Half, scenario.Garbage: standin.Garbage,
-	scenario.Surplus: standin.Surplus,
+var troubles = map[scenario.Kind]fake.Trouble{
+	scenario.Errors: fake.Errors, scenario.Hang: fake.Hang, scenario.Silent: fake.Silent,
+	scenario.Refuse: fake.Refuses, scenario.Half: fake.Half, scenario.Garbage: fake.Garbage,
+	scenario.Surplus: fake.Surplus,
 }
 
 func (s *slot) comeAndGo(ctx context.Context, step scenario.Step) error {
@@ -331,7 +331,7 @@
 	case step.Kind == scenario.Add:
 		return s.start(ctx, false, true)
 	case !step.Back && (step.Kind == scenario.Drain || step.Kind == scenario.Release):
-		s.list(standin.Draining)
+		s.list(fake.Draining)
 		return nil
 	case !step.Back:
 		s.kill()
@@ -339,7 +339,7 @@
 	}
 	// A drain, a release or a replacement ends: the old one goes.
 	s.kill()
-	s.list(standin.Deleted)
+	s.list(fake.Deleted)
 	if step.Kind == scenario.Drain {
 		return nil
 	}
--- a/internal/lab/rig/lists.go
+++ b/internal/lab/harness/lists.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"time"
 
 	"heathgap/internal/httpwire"
+	"heathgap/internal/lab/fake"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // ListsConf is what is measured of a list's changes.
@@ -112,7 +112,7 @@
 type lists struct {
 	*rig
 	conf    ListsConf
-	list    *standin.Discovery
+	list    *fake.Discovery
 	version int64
 	real    []*counts
 	hollow  []*counts
@@ -132,7 +132,7 @@
 	}
 	defer os.RemoveAll(dir)
 	l := &lists{rig: newRig(scene, 1, opts, dir), conf: conf}
-	l.share(truth.NewService(nil, 0))
+	l.share(oracle.NewService(nil, 0))
 	var watchers sync.WaitGroup
 	watching, stop := context.WithCancel(ctx)
 	defer watchers.Wait()
@@ -145,19 +145,19 @@
 }
 
 // line is one of the list; the same endpoint is gone and back.
-func line(n int, status string) standin.Line {
-	return standin.Line{
+func line(n int, status string) fake.Line {
+	return fake.Line{
 		Name: fmt.Sprintf("svc-%d.example.internal", n), Address: fmt.Sprintf("127.15.%d.%d:8080", n/250, 1+n%250), Zone: "zone-a", Type: "lab",
 		Group: 1, Status: status, Weight: 1, Since: 1_764_633_600_000 + int64(n),
 	}
 }
 
 func (l *lists) start(ctx context.Context, watchers *sync.WaitGroup) error {
-	l.list = standin.NewDiscovery(l.book)
-	l.lists = []*standin.Discovery{l.list}
-	all := make([]standin.Line, l.conf.Endpoints)
+	l.list = fake.NewDiscovery(l.book)
+	l.lists = []*fake.Discovery{l.list}
+	all := make([]fake.Line, l.conf.Endpoints)
 	for n := range all {
-		all[n] = line(n, standin.Serving)
+		all[n] = line(n, fake.Serving)
 	}
 	l.set(all...)
 	for n := range l.conf.Sidecars {
@@ -201,7 +201,7 @@
 }
 
 // set makes one version.
-func (l *lists) set(lines ...standin.Line) {
+func (l *lists) set(lines ...fake.Line) {
 	l.list.Set(lines...)
 	l.version++
 }
@@ -233,11 +233,11 @@
 // change has lines go, or those that went come back.
 func (l *lists) change() {
 	l.flip = !l.flip
-	status := standin.Serving
+	status := fake.Serving
 	if l.flip {
-		status = standin.Deleted
+		status = fake.Deleted
 	}
-	lines := make([]standin.Line, l.conf.AtOnce)
+	lines := make([]fake.Line, l.conf.AtOnce)
 	for n := range lines {
 		lines[n] = line(n, status)
 	}
--- a/internal/lab/rig/orders.go
+++ b/internal/lab/harness/orders.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 )
 
 // Orders: keyed requests whose clients repeat them through other processes until they are served, and once more after that.
@@ -281,9 +281,9 @@
 }
 
 // ledger is the leader's; nil where none says that it leads.
-func (r *crewRig) ledger() *crew.Ledger {
+func (r *crewRig) ledger() *cluster.Ledger {
 	for _, k := range r.procs[:r.scene.Keepers] {
-		var st keeper.Status
+		var st voter.Status
 		if k.line.Call("status", struct{}{}, &st, pollTime) == nil && st.Leader == k.name {
 			return st.Ledger
 		}
--- a/internal/lab/rig/orders_test.go
+++ b/internal/lab/harness/orders_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"strings"
--- a/internal/lab/rig/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 
 	"heathgap/decide"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // CallConf is what a call is measured with.
@@ -107,7 +107,7 @@
 	}
 	defer os.RemoveAll(dir)
 	r := newRig(scene, 1, opts, dir)
-	r.share(truth.NewService(nil, 0))
+	r.share(oracle.NewService(nil, 0))
 	defer r.endAll()
 	if err := r.startCall(ctx, &conf); err != nil {
 		return Call{}, err
@@ -159,7 +159,7 @@
 
 // startCall starts the endpoints and the sidecar; tiers that settings only name have none.
 func (r *rig) startCall(ctx context.Context, conf *CallConf) error {
-	r.lists = []*standin.Discovery{standin.NewDiscovery(r.book)}
+	r.lists = []*fake.Discovery{fake.NewDiscovery(r.book)}
 	r.tiers = []*tier{newTier(r, 0)}
 	r.tiers[0].conf.Calls = 0
 	if err := r.tiers[0].start(ctx); err != nil {
@@ -204,7 +204,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			observe(m.lag, late)
-			if result.How != load.Answered || result.Verdict != truth.Served {
+			if result.How != load.Answered || result.Verdict != oracle.Served {
 				m.failed++
 				return
 			}
--- a/internal/lab/rig/rig.go
+++ b/internal/lab/harness/rig.go
@@ -1,6 +1,6 @@
-// Package rig plays scenarios: it starts real sidecar processes between stand-ins,
+// Package harness plays scenarios: it starts real sidecar processes between stand-ins,
 // makes the load and the faults, keeps the book, and ends all that it has started.
-package rig
+package harness
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"sync"
 	"time"
 
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // Times of a run.
@@ -37,9 +37,9 @@
 	opts  Options
 	dir   string // for configurations
 	hosts *hosts
-	book  *truth.Shared
+	book  *oracle.Shared
 	base  time.Duration // on the book's clock: when the load begins
-	lists []*standin.Discovery
+	lists []*fake.Discovery
 	tiers []*tier
 	front *front
 
@@ -59,11 +59,11 @@
 	}
 	defer os.RemoveAll(dir)
 	r := newRig(scene, seed, opts, dir)
-	worth := map[string]truth.Worth{}
+	worth := map[string]oracle.Worth{}
 	for _, c := range scene.Classes {
-		worth[c.Name] = truth.Worth{Full: c.Worth, Late: c.LateShare, Aim: c.Aim, Deadline: c.Deadline}
+		worth[c.Name] = oracle.Worth{Full: c.Worth, Late: c.LateShare, Aim: c.Aim, Deadline: c.Deadline}
 	}
-	service := truth.NewService(worth, scene.Warmup)
+	service := oracle.NewService(worth, scene.Warmup)
 	r.share(service)
 	defer r.endAll()
 	if err := r.startAll(ctx); err != nil {
@@ -79,8 +79,8 @@
 }
 
 // share opens the book.
-func (r *rig) share(service *truth.Service) {
-	r.book = truth.Share(truth.New(truth.Conf{
+func (r *rig) share(service *oracle.Service) {
+	r.book = oracle.Share(oracle.New(oracle.Conf{
 		AnswerSlack: r.scene.Rules.AnswerSlack, DrainGrace: r.scene.Rules.DrainGrace,
 		AskEvery: r.scene.Rules.AskEvery, ToldAfter: r.scene.Rules.ToldAfter, Margin: r.scene.Margin,
 	}), service)
@@ -108,7 +108,7 @@
 // startAll starts the last tier first: those before it call it.
 func (r *rig) startAll(ctx context.Context) error {
 	for range r.scene.Tiers {
-		r.lists = append(r.lists, standin.NewDiscovery(r.book))
+		r.lists = append(r.lists, fake.NewDiscovery(r.book))
 	}
 	r.tiers = make([]*tier, len(r.scene.Tiers))
 	for i := len(r.tiers) - 1; i >= 0; i-- {
@@ -170,7 +170,7 @@
 }
 
 // play makes load and faults, and closes the book.
-func (r *rig) play(ctx context.Context, service *truth.Service) (*record.Record, error) {
+func (r *rig) play(ctx context.Context, service *oracle.Service) (*record.Record, error) {
 	began := time.Now()
 	driver := &load.Driver{
 		Plan: r.scene.Plan(), Seed: r.seed, Habits: r.scene.Load.Habits, Book: r.book, Base: r.base,
@@ -311,13 +311,13 @@
 		}
 		now := r.book.Now()
 		broken := 0
-		r.book.Do(func(b *truth.Book) {
+		r.book.Do(func(b *oracle.Book) {
 			b.Fold(now)
 			a := b.Close()
 			broken = a.Broken()
 		})
 		if r.opts.Progress != nil {
-			r.book.Service(func(s *truth.Service) {
+			r.book.Service(func(s *oracle.Service) {
 				f := s.All()
 				r.opts.Progress(fmt.Sprintf("%4.0f of %.0f s  asked %d  served %d  service %.3f  rules broken %d",
 					(now - r.base).Seconds(), r.scene.Duration.Seconds(), f.Asked, f.Served, f.Service, broken))
@@ -327,18 +327,18 @@
 }
 
 // close takes the counters, ends the sidecars and writes the record.
-func (r *rig) close(service *truth.Service, driver *load.Driver) *record.Record {
+func (r *rig) close(service *oracle.Service, driver *load.Driver) *record.Record {
 	rec := &record.Record{
 		Version: record.Version, Scenario: r.scene.Name, About: r.scene.About, Policy: r.opts.Policy,
 		Seed: r.seed, Timeline: r.scene.Hash(r.seed), Void: []string{}, Books: []string{}, Machine: thisMachine(),
 		Service: service.All().Service, All: service.All(), Classes: service.Classes(), Tenants: service.Tenants(),
 		Series: service.Series(), Faults: r.played,
 	}
-	var account truth.Account
+	var account oracle.Account
 	for _, s := range r.all() {
 		rec.Sidecars = append(rec.Sidecars, s.close(true))
 	}
-	r.book.Do(func(b *truth.Book) { account = b.Close() })
+	r.book.Do(func(b *oracle.Book) { account = b.Close() })
 	for i := range account.Breaks {
 		account.Breaks[i].At -= r.base
 	}
@@ -351,7 +351,7 @@
 		s := &rec.Sidecars[i]
 		s.Book = account.Sidecars[s.Name]
 		if s.Book == nil {
-			s.Book = &truth.Tally{}
+			s.Book = &oracle.Tally{}
 		}
 		if s.Tier == 0 {
 			asked += s.Book.Asked
--- a/internal/lab/rig/rig_test.go
+++ b/internal/lab/harness/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"heathgap/internal/lab/liar"
+	"heathgap/internal/lab/faultproxy"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/policy"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/truth"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
 )
@@ -144,12 +144,12 @@
 func TestLiars(t *testing.T) {
 	for name, c := range map[string]struct {
 		more string
-		rule truth.Rule
+		rule oracle.Rule
 	}{
-		"lie-drop":      {"", truth.Lost},
-		"lie-double":    {"", truth.Doubled},
-		"lie-drain":     {drain, truth.Drained},
-		"lie-push-over": {arrival, truth.PushedOver},
+		"lie-drop":      {"", oracle.Lost},
+		"lie-double":    {"", oracle.Doubled},
+		"lie-drain":     {drain, oracle.Drained},
+		"lie-push-over": {arrival, oracle.PushedOver},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -159,11 +159,11 @@
 	}
 	t.Run("answers twice", func(t *testing.T) {
 		t.Parallel()
-		var liars []*liar.Liar
+		var liars []*faultproxy.Liar
 		var mu sync.Mutex
 		s := scene(t, "")
 		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarOf(policy.Module), Before: func(to string) (string, error) {
-			l, err := liar.Start("127.0.0.1:0", to, 100)
+			l, err := faultproxy.Start("127.0.0.1:0", to, 100)
 			if err != nil {
 				return "", err
 			}
@@ -179,16 +179,16 @@
 		for _, l := range liars {
 			doubled += l.Close()
 		}
-		wantOnly(t, r, truth.AnsweredTwice)
-		if n := r.Rules[truth.AnsweredTwice]; n > doubled || n < doubled/2 {
+		wantOnly(t, r, oracle.AnsweredTwice)
+		if n := r.Rules[oracle.AnsweredTwice]; n > doubled || n < doubled/2 {
 			t.Errorf("noticed %d of %d; the rest may have ended with its connection", n, doubled)
 		}
 	})
 }
 
-func wantOnly(t *testing.T, r *record.Record, rule truth.Rule) {
+func wantOnly(t *testing.T, r *record.Record, rule oracle.Rule) {
 	t.Helper()
-	for _, other := range truth.Rules {
+	for _, other := range oracle.Rules {
 		if n := r.Rules[other]; (n > 0) != (other == rule) {
 			t.Errorf("%s: %d", other, n)
 		}
--- a/internal/lab/rig/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"time"
 
 	"heathgap/decide"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // startTries is how often a sidecar is started at other ports where one was taken
@@ -103,7 +103,7 @@
 	if s.rig.opts.LogDir != "" {
 		logPath = filepath.Join(s.rig.opts.LogDir, s.name+".log")
 	}
-	s.rig.book.Do(func(b *truth.Book) { b.Started(s.rig.book.Now(), s.name, known.Index) })
+	s.rig.book.Do(func(b *oracle.Book) { b.Started(s.rig.book.Now(), s.name, known.Index) })
 	if s.proc, err = startProcess(s.rig.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 }
 
 // config is the sidecar's configuration, as the platform writes it.
-func (s *sidecar) config(known standin.List) map[string]any {
+func (s *sidecar) config(known fake.List) map[string]any {
 	scene := s.rig.scene
 	return map[string]any{
 		"name": s.name, "listen": s.address, "discovery": s.list,
--- a/internal/lab/rig/slopes_test.go
+++ b/internal/lab/harness/slopes_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/policy"
-	"heathgap/internal/lab/standin"
 )
 
 func TestBudget(t *testing.T) {
@@ -94,7 +94,7 @@
 	t.Run("last tier fails", func(t *testing.T) {
 		t.Parallel()
 		conf := conf
-		conf.Trouble, conf.Share = standin.Errors, 1
+		conf.Trouble, conf.Share = fake.Errors, 1
 		m, err := MeasureChain(context.Background(), conf, opts)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 // Target is one start of a sidecar. A sidecar that starts again is another target
@@ -51,7 +51,7 @@
 
 // Client sends requests over connections that it keeps.
 type Client struct {
-	book  *truth.Shared
+	book  *oracle.Shared
 	front Front
 	grace time.Duration // waited past a request's time for its answer
 
@@ -63,7 +63,7 @@
 
 // NewClient returns a client; it waits so much longer than the rules allow before
 // it holds a missing answer against a sidecar.
-func NewClient(book *truth.Shared, front Front, grace time.Duration) *Client {
+func NewClient(book *oracle.Shared, front Front, grace time.Duration) *Client {
 	return &Client{book: book, front: front, grace: grace}
 }
 
@@ -102,7 +102,7 @@
 // Result is what came of a try.
 type Result struct {
 	How        How
-	Verdict    truth.Verdict
+	Verdict    oracle.Verdict
 	RetryAfter time.Duration
 }
 
@@ -125,8 +125,8 @@
 // it and that it may be sent on a new connection.
 func (c *Client) exchange(ctx context.Context, conn *conn, a Ask) (again bool, result Result) {
 	used := conn.lastID != ""
-	c.book.Do(func(b *truth.Book) {
-		b.Asking(truth.Request{
+	c.book.Do(func(b *oracle.Book) {
+		b.Asking(oracle.Request{
 			ID: a.ID, Sidecar: conn.target.Name, Tier: a.Tier, Effect: a.Effect, Key: a.Key, Until: a.Until,
 		})
 	})
@@ -136,7 +136,7 @@
 		again := c.unwritten(a.ID)
 		return again && used, Result{How: Unreached}
 	}
-	c.book.Do(func(b *truth.Book) { b.Written(a.ID) })
+	c.book.Do(func(b *oracle.Book) { b.Written(a.ID) })
 	until, leaves := a.Until+c.grace, a.Leave > 0 && a.Leave < a.Until
 	if leaves {
 		until = a.Leave
@@ -159,7 +159,7 @@
 }
 
 func (c *Client) unwritten(id string) (again bool) {
-	c.book.Do(func(b *truth.Book) { again = b.Unwritten(id) })
+	c.book.Do(func(b *oracle.Book) { again = b.Unwritten(id) })
 	return again
 }
 
@@ -170,7 +170,7 @@
 	stopped := conn.target.Stopped.Load()
 	conn.Close()
 	result := Result{How: NoAnswer}
-	c.book.Do(func(b *truth.Book) {
+	c.book.Do(func(b *oracle.Book) {
 		switch {
 		case stopped:
 			result.How = CutOff
@@ -192,14 +192,14 @@
 	if s, err := strconv.ParseFloat(string(answer.Header.Peek(fasthttp.HeaderRetryAfter)), 64); err == nil && s > 0 {
 		result.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	foreign := result.Verdict == truth.Served && !strings.HasPrefix(string(answer.Body()), a.ID+" ")
-	if c.ServedBy != nil && result.Verdict == truth.Served && !foreign {
+	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), a.ID+" ")
+	if c.ServedBy != nil && result.Verdict == oracle.Served && !foreign {
 		_, by, _ := strings.Cut(string(answer.Body()), " ")
 		by, _, _ = strings.Cut(by, "\n")
 		c.ServedBy(by)
 	}
 	surplus := conn.in.Buffered() > 0
-	c.book.Do(func(b *truth.Book) {
+	c.book.Do(func(b *oracle.Book) {
 		if foreign {
 			b.Foreign(now, a.ID)
 		} else {
@@ -210,7 +210,7 @@
 		}
 	})
 	if foreign {
-		result.Verdict = truth.Failed
+		result.Verdict = oracle.Failed
 	}
 	conn.lastID = a.ID
 	if answer.ConnectionClose() || a.Close || surplus || foreign {
@@ -223,16 +223,16 @@
 	return result
 }
 
-func verdictOf(status int) truth.Verdict {
+func verdictOf(status int) oracle.Verdict {
 	switch status {
 	case fasthttp.StatusOK:
-		return truth.Served
+		return oracle.Served
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
-		return truth.Refused
+		return oracle.Refused
 	case fasthttp.StatusBadRequest:
-		return truth.Malformed
+		return oracle.Malformed
 	}
-	return truth.Failed
+	return oracle.Failed
 }
 
 // take returns an idle connection, any of them, or a new one; nil if none comes up.
@@ -283,7 +283,7 @@
 		return true
 	})
 	if surplus {
-		c.book.Do(func(b *truth.Book) { b.Surplus(c.book.Now(), k.lastID) })
+		c.book.Do(func(b *oracle.Book) { b.Surplus(c.book.Now(), k.lastID) })
 	}
 	return err == nil && silent
 }
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 const patience = 20 * time.Second
@@ -48,7 +48,7 @@
 			}()
 		}
 	}()
-	book := truth.Share(truth.New(truth.Conf{Margin: patience}), truth.NewService(nil, 0))
+	book := oracle.Share(oracle.New(oracle.Conf{Margin: patience}), oracle.NewService(nil, 0))
 	only := &Only{}
 	only.Set(&Target{Name: "s", Address: listener.Addr().String()})
 	c := NewClient(book, only, 10*time.Millisecond)
@@ -67,8 +67,8 @@
 	return c.Send(context.Background(), Ask{ID: id, Class: "look", Effect: decide.Safe, Until: c.book.Now() + left})
 }
 
-func account(c *Client) (a truth.Account) {
-	c.book.Do(func(b *truth.Book) { a = b.Close() })
+func account(c *Client) (a oracle.Account) {
+	c.book.Do(func(b *oracle.Book) { a = b.Close() })
 	return a
 }
 
@@ -86,12 +86,12 @@
 		foreign bool
 	}{
 		"served":  {script: served, result: Result{How: Answered}, left: patience},
-		"refused": {script: say("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, truth.Refused, 250 * time.Millisecond}, left: patience},
-		"failed":  {script: say("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{How: Answered, Verdict: truth.Failed}, left: patience},
+		"refused": {script: say("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, left: patience},
+		"failed":  {script: say("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{How: Answered, Verdict: oracle.Failed}, left: patience},
 		"half":    {script: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{How: NoAnswer}, lost: 1, left: patience},
 		"closed":  {script: say(""), result: Result{How: NoAnswer}, lost: 1, left: patience},
 		"mute":    {script: mute, result: Result{How: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
-		"foreign": {script: func(conn net.Conn, _ int, _ string) bool { serve(conn, "other"); return true }, result: Result{How: Answered, Verdict: truth.Failed}, lost: 1, left: patience},
+		"foreign": {script: func(conn net.Conn, _ int, _ string) bool { serve(conn, "other"); return true }, result: Result{How: Answered, Verdict: oracle.Failed}, lost: 1, left: patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := scripted(t, c.script)
@@ -99,7 +99,7 @@
 				t.Errorf("got %+v, want %+v", got, c.result)
 			}
 			a := account(client)
-			if a.Rules[truth.Lost] != c.lost || a.Broken() != c.lost || a.Balance() != nil {
+			if a.Rules[oracle.Lost] != c.lost || a.Broken() != c.lost || a.Balance() != nil {
 				t.Errorf("broken %v, balance %v", a.Breaks, a.Balance())
 			}
 		})
@@ -146,7 +146,7 @@
 	if got := c.askFor("2", patience); got.How != Answered {
 		t.Errorf("the next request: %+v", got)
 	}
-	if a := account(c); a.Rules[truth.AnsweredTwice] != 1 || a.Broken() != 1 {
+	if a := account(c); a.Rules[oracle.AnsweredTwice] != 1 || a.Broken() != 1 {
 		t.Errorf("broken %v", a.Breaks)
 	}
 }
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 // Habits are how clients behave.
@@ -43,7 +43,7 @@
 	Classes []Class
 	Habits  Habits
 	Client  *Client
-	Book    *truth.Shared
+	Book    *oracle.Shared
 	Base    time.Duration // on the book's clock: when the plan begins
 
 	open    atomic.Int64
@@ -120,14 +120,14 @@
 	d.mu.Unlock()
 	class := d.Classes[a.Class]
 	random := rand.New(rand.NewPCG(a.Seed, 3))
-	want := truth.Want{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
+	want := oracle.Want{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
 	ask := d.ask(a, class, random)
 	for {
 		ask.ID = fmt.Sprintf("%x.%d", a.Number, want.Tries)
 		ask.Repeat = want.Tries > 0
 		want.Tries++
 		result := d.Client.Send(ctx, ask)
-		if result.How == Answered && result.Verdict == truth.Served {
+		if result.How == Answered && result.Verdict == oracle.Served {
 			want.Served, want.Took = true, d.Book.Now()-d.Base-a.At
 			break
 		}
@@ -154,9 +154,9 @@
 
 // pauseToRepeat waits before a client asks again; false if it does not.
 func (d *Driver) pauseToRepeat(ctx context.Context, ask *Ask, tries int, r Result, random *rand.Rand) bool {
-	harmless := r.How == Unreached || r.How == Answered && r.Verdict == truth.Refused
+	harmless := r.How == Unreached || r.How == Answered && r.Verdict == oracle.Refused
 	switch {
-	case tries > d.Habits.Retries, r.How == Gone, r.How == Answered && r.Verdict == truth.Malformed,
+	case tries > d.Habits.Retries, r.How == Gone, r.How == Answered && r.Verdict == oracle.Malformed,
 		ask.Effect == decide.Unsafe && !harmless:
 		return false
 	}
--- a/internal/lab/truth/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -1,4 +1,4 @@
-package truth
+package oracle
 
 import (
 	"sync"
--- a/internal/lab/truth/truth.go
+++ b/internal/lab/oracle/truth.go
@@ -1,11 +1,11 @@
-// Package truth is the lab's book: an account of what clients asked and heard and
+// Package oracle is the lab's book: an account of what clients asked and heard and
 // of what reached endpoints, kept without reading anything that a sidecar says. From
 // it follow the four rules and the service.
 //
 // The book is pure: it has no clock and does no I/O. Times count from the start of
 // a run and only grow, give or take what goroutines are late by. One goroutine at a
 // time may use it; Shared guards one that many use.
-package truth
+package oracle
 
 import (
 	"fmt"
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"heathgap/internal/lab/load"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 // Version is that of the record's form.
@@ -31,22 +31,22 @@
 	Void     []string  `json:"void"`    // why its figures count for nothing; empty for a good run
 	Machine  Machine   `json:"machine"`
 
-	Service            float64                  `json:"service"`
-	All                truth.Figures            `json:"all"`
-	Classes            map[string]truth.Figures `json:"classes"`
-	Tenants            map[string]truth.Figures `json:"tenants"`
-	Rules              map[truth.Rule]int       `json:"rules"`
-	Breaks             []truth.Break            `json:"breaks"`
-	AttemptsPerRequest float64                  `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
-	AttemptsPerWant    float64                  `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
-	ClientRepeats      int                      `json:"client_repeats"`       // keyed effects that clients doubled themselves
-	Sidecars           []Sidecar                `json:"sidecars"`
-	Books              []string                 `json:"books"` // where a sidecar's counters differ from the book
-	LateSendsP99       float64                  `json:"late_sends_ms_p99"`
-	LateSendsMax       float64                  `json:"late_sends_ms_max"`
-	BadClients         load.Rude                `json:"bad_clients"`
-	Series             []truth.Second           `json:"series"`
-	Faults             []string                 `json:"faults"` // as they were played
+	Service            float64                   `json:"service"`
+	All                oracle.Figures            `json:"all"`
+	Classes            map[string]oracle.Figures `json:"classes"`
+	Tenants            map[string]oracle.Figures `json:"tenants"`
+	Rules              map[oracle.Rule]int       `json:"rules"`
+	Breaks             []oracle.Break            `json:"breaks"`
+	AttemptsPerRequest float64                   `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
+	AttemptsPerWant    float64                   `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
+	ClientRepeats      int                       `json:"client_repeats"`       // keyed effects that clients doubled themselves
+	Sidecars           []Sidecar                 `json:"sidecars"`
+	Books              []string                  `json:"books"` // where a sidecar's counters differ from the book
+	LateSendsP99       float64                   `json:"late_sends_ms_p99"`
+	LateSendsMax       float64                   `json:"late_sends_ms_max"`
+	BadClients         load.Rude                 `json:"bad_clients"`
+	Series             []oracle.Second           `json:"series"`
+	Faults             []string                  `json:"faults"` // as they were played
 }
 
 // Machine is where a run took place.
@@ -58,15 +58,15 @@
 
 // Sidecar is one sidecar, over all its starts.
 type Sidecar struct {
-	Name     string       `json:"name"`
-	Tier     int          `json:"tier"`
-	Starts   int          `json:"starts"`
-	Crashed  bool         `json:"crashed"` // it ended by itself
-	RSSMB    float64      `json:"rss_mb"`  // the most, resident
-	CPU      float64      `json:"cpu_s"`   // of its last start
-	FDs      int          `json:"fds"`     // the most
-	Book     *truth.Tally `json:"book"`    // what it was asked, by the book
-	Counters *Counters    `json:"counters"`
+	Name     string        `json:"name"`
+	Tier     int           `json:"tier"`
+	Starts   int           `json:"starts"`
+	Crashed  bool          `json:"crashed"` // it ended by itself
+	RSSMB    float64       `json:"rss_mb"`  // the most, resident
+	CPU      float64       `json:"cpu_s"`   // of its last start
+	FDs      int           `json:"fds"`     // the most
+	Book     *oracle.Tally `json:"book"`    // what it was asked, by the book
+	Counters *Counters     `json:"counters"`
 }
 
 // Counters are what a sidecar says of itself.
@@ -85,7 +85,7 @@
 
 // Compare tells where a sidecar's counters differ from the book. Where a client
 // left, the sidecar may have answered or not: only there is it free.
-func Compare(name string, c *Counters, t *truth.Tally) []string {
+func Compare(name string, c *Counters, t *oracle.Tally) []string {
 	var faults []string
 	within := func(what string, got, least, most int) {
 		if got < least || got > most {
@@ -95,9 +95,9 @@
 	answers := t.Answers
 	within("taken and turned away", c.Taken+c.TurnedAway, t.Asked, t.Asked)
 	within("ends", c.Served+c.Refused+c.Failed+c.Left+c.Held, c.Taken, c.Taken)
-	within("served", c.Served, answers[truth.Served], answers[truth.Served]+t.Left)
-	within("refused", c.Refused+c.TurnedAway, answers[truth.Refused], answers[truth.Refused]+t.Left)
-	within("failed", c.Failed, answers[truth.Failed], answers[truth.Failed]+t.Left)
+	within("served", c.Served, answers[oracle.Served], answers[oracle.Served]+t.Left)
+	within("refused", c.Refused+c.TurnedAway, answers[oracle.Refused], answers[oracle.Refused]+t.Left)
+	within("failed", c.Failed, answers[oracle.Failed], answers[oracle.Failed]+t.Left)
 	unsure := c.Attempts["connect_failed"] + c.Attempts["timed_out"] + c.Attempts["canceled"] +
 		c.Attempts["reset"] + c.Attempts["not_sent"]
 	within("attempts", c.Sent, t.Arrivals, t.Arrivals+unsure)
--- a/internal/lab/record/record_test.go
+++ b/internal/lab/record/record_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
 )
 
 // Guards against a comparison that takes any counters: each that is off by one is
 // noticed, and where a client left, the sidecar may have seen it either way.
 func TestCompare(t *testing.T) {
-	tally := truth.Tally{Asked: 10, Arrivals: 9, Runs: 8}
-	tally.Answers[truth.Served], tally.Answers[truth.Refused], tally.Answers[truth.Failed] = 7, 2, 1
+	tally := oracle.Tally{Asked: 10, Arrivals: 9, Runs: 8}
+	tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed] = 7, 2, 1
 	good := Counters{Taken: 9, TurnedAway: 1, Served: 7, Refused: 1, Failed: 1, Sent: 9, Attempts: map[string]int{"served": 7}}
 	if faults := Compare("s", &good, &tally); len(faults) > 0 {
 		t.Errorf("equal books differ: %q", faults)
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -9,8 +9,8 @@
 	"strings"
 	"text/tabwriter"
 
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
-	"heathgap/internal/lab/truth"
 )
 
 // Sides are records by what they were made with, to be compared seed by seed.
@@ -32,7 +32,7 @@
 
 // Value reads one metric of a record.
 func Value(r *record.Record, metric string) (float64, error) {
-	groups := map[string]map[string]truth.Figures{"class": r.Classes, "tenant": r.Tenants}
+	groups := map[string]map[string]oracle.Figures{"class": r.Classes, "tenant": r.Tenants}
 	if kind, name, ok := strings.Cut(metric, ":"); ok {
 		if f, there := groups[kind][name]; there {
 			return f.Service, nil
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
-	"heathgap/internal/lab/truth"
 )
 
 // Size of a plot.
@@ -40,7 +40,7 @@
 
 // plots are those of a record.
 func plots(r *record.Record) []picture {
-	of := func(read func(truth.Second) float64) plotter.XYs {
+	of := func(read func(oracle.Second) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(r.Series))
 		for i, s := range r.Series {
 			xy[i] = plotter.XY{X: float64(i), Y: read(s)}
@@ -49,12 +49,12 @@
 	}
 	return []picture{
 		{name: "requests", title: "Requests", unit: "a second", lines: []line{
-			{"asked", blue, of(func(s truth.Second) float64 { return float64(s.Asked) })},
-			{"served", orange, of(func(s truth.Second) float64 { return float64(s.Served) })},
-			{"in time", green, of(func(s truth.Second) float64 { return float64(s.InTime) })},
+			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Asked) })},
+			{"served", orange, of(func(s oracle.Second) float64 { return float64(s.Served) })},
+			{"in time", green, of(func(s oracle.Second) float64 { return float64(s.InTime) })},
 		}},
 		{name: "service", title: "Service", unit: "worth earned over worth asked", lines: []line{
-			{"service", blue, of(func(s truth.Second) float64 {
+			{"service", blue, of(func(s oracle.Second) float64 {
 				if s.Wanted == 0 {
 					return 1
 				}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -16,8 +16,8 @@
 	"strings"
 	"text/tabwriter"
 
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
-	"heathgap/internal/lab/truth"
 )
 
 // JSON prints a record.
@@ -28,9 +28,9 @@
 }
 
 // rulesLine are the rules and how often each was broken.
-func rulesLine(rules map[truth.Rule]int) string {
-	parts := make([]string, 0, len(truth.Rules))
-	for _, rule := range truth.Rules {
+func rulesLine(rules map[oracle.Rule]int) string {
+	parts := make([]string, 0, len(oracle.Rules))
+	for _, rule := range oracle.Rules {
 		parts = append(parts, fmt.Sprintf("%s %d", rule, rules[rule]))
 	}
 	return strings.Join(parts, ", ")
@@ -51,10 +51,10 @@
 	fmt.Fprintf(w, "\n%s, decided by %s, seed %d, timeline %s\n%s\n\n", r.Scenario, r.Policy, r.Seed, r.Timeline, Line(r))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\tasked\tserved\tin time\tservice\tp50 ms\tp99 ms")
-	row := func(name string, f truth.Figures) {
+	row := func(name string, f oracle.Figures) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\n", name, f.Asked, f.Served, f.InTime, f.Service, f.P50, f.P99)
 	}
-	for _, groups := range []map[string]truth.Figures{r.Classes, r.Tenants} {
+	for _, groups := range []map[string]oracle.Figures{r.Classes, r.Tenants} {
 		for _, name := range slices.Sorted(maps.Keys(groups)) {
 			row(name, groups[name])
 		}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -7,17 +7,17 @@
 	"strings"
 	"testing"
 
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
-	"heathgap/internal/lab/truth"
 )
 
 func someRecord(policy string, seed uint64, service float64) *record.Record {
 	return &record.Record{
 		Version: record.Version, Scenario: "calm", Policy: policy, Seed: seed, Service: service,
-		Classes: map[string]truth.Figures{"look": {Asked: 3, Service: 0.5}}, Tenants: map[string]truth.Figures{},
-		Rules: map[truth.Rule]int{truth.Lost: 2}, Series: []truth.Second{{Asked: 3, Wanted: 3, Earned: 1}, {}},
-		Breaks:   []truth.Break{{Rule: truth.Lost, What: "request <1>: no answer"}},
-		Sidecars: []record.Sidecar{{Name: "s0", Starts: 1, Book: &truth.Tally{Asked: 3}}},
+		Classes: map[string]oracle.Figures{"look": {Asked: 3, Service: 0.5}}, Tenants: map[string]oracle.Figures{},
+		Rules: map[oracle.Rule]int{oracle.Lost: 2}, Series: []oracle.Second{{Asked: 3, Wanted: 3, Earned: 1}, {}},
+		Breaks:   []oracle.Break{{Rule: oracle.Lost, What: "request <1>: no answer"}},
+		Sidecars: []record.Sidecar{{Name: "s0", Starts: 1, Book: &oracle.Tally{Asked: 3}}},
 	}
 }
 
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	back, err := record.Load(filepath.Join(dir, "record.json"))
-	if err != nil || back.Seed != 7 || back.Service != 0.25 || back.Rules[truth.Lost] != 2 {
+	if err != nil || back.Seed != 7 || back.Service != 0.25 || back.Rules[oracle.Lost] != 2 {
 		t.Errorf("read back %+v, %v", back, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "report.html"))
--- a/internal/lab/scale/acts.go
+++ b/internal/lab/scale/acts.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/lab/hollow"
-	"heathgap/internal/lab/rig"
-	"heathgap/internal/peers"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
+	"heathgap/internal/lab/emulated"
+	"heathgap/internal/lab/harness"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/versions"
 )
 
@@ -132,7 +132,7 @@
 	at := boot()
 	var err error
 	if h := r.herdOf[members[0]]; h != nil {
-		_, err = h.do(hollow.Command{Do: hollow.Begin, Members: members}, commandTime)
+		_, err = h.do(emulated.Command{Do: emulated.Begin, Members: members}, commandTime)
 	} else {
 		err = r.sidecars[members[0]].start(ctx)
 	}
@@ -150,11 +150,11 @@
 func (r *run) endMembers(members []string, kill bool) (down map[string]int, did bool) {
 	from := boot()
 	if h := r.herdOf[members[0]]; h != nil {
-		do := hollow.Leave
+		do := emulated.Leave
 		if kill {
-			do = hollow.Kill
+			do = emulated.Kill
 		}
-		if _, err := h.do(hollow.Command{Do: do, Members: members}, commandTime); err != nil {
+		if _, err := h.do(emulated.Command{Do: do, Members: members}, commandTime); err != nil {
 			r.broken("%v", err)
 			return nil, false
 		}
@@ -188,14 +188,14 @@
 				b.relay.Cut(cut)
 			}
 		}
-		do := hollow.Mend
+		do := emulated.Mend
 		if cut {
-			do = hollow.Cut
+			do = emulated.Cut
 		}
 		var all sync.WaitGroup
 		for _, h := range r.herds {
 			all.Go(func() {
-				if _, err := h.do(hollow.Command{Do: do, Regions: a.Between}, commandTime); err != nil {
+				if _, err := h.do(emulated.Command{Do: do, Regions: a.Between}, commandTime); err != nil {
 					r.broken("%v", err)
 				}
 			})
@@ -265,7 +265,7 @@
 	if n%2 == 1 {
 		effect = decide.Unsafe
 	}
-	doc := versions.Document{Classes: map[string]versions.Class{rig.ProbedClass: {Effect: effect}}}
+	doc := versions.Document{Classes: map[string]versions.Class{harness.ProbedClass: {Effect: effect}}}
 	for i := range r.s.Banned {
 		name := fmt.Sprintf("endpoint-%06d.%s", n+i, r.s.zones()[i%len(r.s.zones())])
 		if i == 0 { // one of those that the real sidecars send to
@@ -279,7 +279,7 @@
 
 // proposeOne proposes a version at whichever keeper leads, until it is told.
 func (r *run) proposeOne(ctx context.Context, due time.Duration, doc versions.Document) (number uint64, ok bool) {
-	proposal := crew.Proposal{ID: keeper.Draw(), Author: "lab", Doc: doc}
+	proposal := cluster.Proposal{ID: voter.Draw(), Author: "lab", Doc: doc}
 	limit := time.Now().Add(r.s.Duration + lastVersion)
 	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposePause) { //nolint:errcheck // the loop looks
 		r.mu.Lock()
@@ -289,15 +289,15 @@
 		if leader == nil {
 			continue
 		}
-		var told keeper.Proposed
+		var told voter.Proposed
 		err := leader.line.Call("propose", proposal, &told, proposeTime)
 		switch {
 		case err == nil && told.Number > 0:
 			r.told(told.Number, due)
 			return told.Number, true
-		case errors.Is(err, peers.ErrRefused):
+		case errors.Is(err, peerrpc.ErrRefused):
 			// Turned down, or the leader was lost before it was agreed on and it may count: the ledger tells.
-			var s keeper.Status
+			var s voter.Status
 			if leader.line.Call("status", struct{}{}, &s, proposeTime) != nil || s.Ledger == nil || s.Leader != s.Name {
 				continue
 			}
@@ -306,7 +306,7 @@
 				return round.Number, true
 			}
 			if slices.Contains(s.Ledger.Turned, proposal.ID) {
-				proposal.ID = keeper.Draw()
+				proposal.ID = voter.Draw()
 			}
 		}
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -18,9 +18,9 @@
 
 	"heathgap/decide"
 	"heathgap/internal/env"
-	"heathgap/internal/lab/hollow"
-	"heathgap/internal/lab/rig"
-	"heathgap/internal/peers"
+	"heathgap/internal/lab/emulated"
+	"heathgap/internal/lab/harness"
+	"heathgap/internal/peerrpc"
 )
 
 // Times of processes.
@@ -44,11 +44,11 @@
 	listen  string
 	address string // of its part in the crew
 	dir     string
-	relays  map[string]*rig.Relay // to keepers, by name
-	line    *peers.Line           // to a keeper
+	relays  map[string]*harness.Relay // to keepers, by name
+	line    *peerrpc.Line             // to a keeper
 
 	mu     sync.Mutex // guards what follows
-	proc   *rig.Process
+	proc   *harness.Process
 	starts int
 	up     bool // it runs, and nobody has begun to end it
 }
@@ -60,7 +60,7 @@
 }
 
 // take marks it as being ended; false where it is so already.
-func (c *sidecar) take() (*rig.Process, bool) {
+func (c *sidecar) take() (*harness.Process, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.up
@@ -79,7 +79,7 @@
 		return err
 	}
 	s, r := c.run.s, c.run
-	conf := rig.SidecarFile{Name: c.name, Listen: c.listen, Host: c.host, Seed: r.plan.Seed + uint64(number)*7919, Replicas: max(1, s.Size()),
+	conf := harness.SidecarFile{Name: c.name, Listen: c.listen, Host: c.host, Seed: r.plan.Seed + uint64(number)*7919, Replicas: max(1, s.Size()),
 		Zone: r.plan.Places[c.name].Zone, Effect: decide.Safe, Endpoints: r.endpoints}
 	if conf.Zone == "" {
 		conf.Zone = s.zones()[0]
@@ -106,7 +106,7 @@
 	if c.kind != PlainProcess {
 		one.Env = append(one.Env, "HEATHGAP_OPERATOR="+operatorPath)
 	}
-	proc, err := rig.StartProcess(one, c.name, confPath, r.logPath(c.name), func(line string) { r.heard(c, line) })
+	proc, err := harness.StartProcess(one, c.name, confPath, r.logPath(c.name), func(line string) { r.heard(c, line) })
 	if err != nil {
 		return err
 	}
@@ -127,14 +127,14 @@
 
 func (c *sidecar) operatorFile(data string) string {
 	s := c.run.s
-	f := rig.CrewFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
+	f := harness.CrewFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
 		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	for _, k := range c.run.keepers {
 		address := k.address
 		if way := c.relays[k.name]; way != nil {
 			address = way.Address()
 		}
-		f.Keepers = append(f.Keepers, rig.NamedAddress{Name: k.name, Address: address})
+		f.Keepers = append(f.Keepers, harness.NamedAddress{Name: k.name, Address: address})
 	}
 	return f.Text()
 }
@@ -192,7 +192,7 @@
 type herd struct {
 	run     *run
 	name    string
-	members []hollow.Place
+	members []emulated.Place
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	ready   chan struct{} // closed when all members listen
@@ -201,15 +201,15 @@
 	writing sync.Mutex // guards in
 	mu      sync.Mutex // guards what follows
 	next    int
-	waiting map[int]chan hollow.Line
+	waiting map[int]chan emulated.Line
 	fault   string // what it said is wrong with it
 	ended   bool   // it was told to end
 }
 
 // startHerd starts a process and tells it what to start.
-func (r *run) startHerd(name string, start hollow.Start) (*herd, error) {
+func (r *run) startHerd(name string, start emulated.Start) (*herd, error) {
 	h := &herd{run: r, name: name, members: start.Members, cmd: r.opts.Hollow(), ready: make(chan struct{}), exited: make(chan struct{}),
-		waiting: map[int]chan hollow.Line{}}
+		waiting: map[int]chan emulated.Line{}}
 	// As a sidecar of the rig: an interrupt from a terminal is the lab's, and if the lab itself is killed, it dies with it.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var err error
@@ -245,7 +245,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(make([]byte, 0, 64<<10), mostJSONLine)
 	for lines.Scan() {
-		var l hollow.Line
+		var l emulated.Line
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			h.fail(fmt.Sprintf("malformed: %v", err))
 			continue
@@ -294,8 +294,8 @@
 }
 
 // do has it do a command, and waits for the answer.
-func (h *herd) do(c hollow.Command, within time.Duration) (hollow.Line, error) {
-	answer := make(chan hollow.Line, 1)
+func (h *herd) do(c emulated.Command, within time.Duration) (emulated.Line, error) {
+	answer := make(chan emulated.Line, 1)
 	h.mu.Lock()
 	h.next++
 	c.ID = h.next
@@ -305,7 +305,7 @@
 	err := json.NewEncoder(h.in).Encode(c)
 	h.writing.Unlock()
 	if err != nil {
-		return hollow.Line{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
+		return emulated.Line{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
 	}
 	timer := time.NewTimer(within)
 	defer timer.Stop()
@@ -316,12 +316,12 @@
 		}
 		return l, nil
 	case <-h.exited:
-		return hollow.Line{}, fmt.Errorf("%s: it has ended", h.name)
+		return emulated.Line{}, fmt.Errorf("%s: it has ended", h.name)
 	case <-timer.C:
 		h.mu.Lock()
 		delete(h.waiting, c.ID)
 		h.mu.Unlock()
-		return hollow.Line{}, fmt.Errorf("%s: %s: no answer after %v", h.name, c.Do, within)
+		return emulated.Line{}, fmt.Errorf("%s: %s: no answer after %v", h.name, c.Do, within)
 	}
 }
 
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -8,24 +8,24 @@
 	"slices"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/lab/hollow"
+	"heathgap/internal/cluster"
+	"heathgap/internal/lab/emulated"
 )
 
 // Observed is what was seen of a run: all that Judge rests on. Times are of CLOCK_BOOTTIME.
 type Observed struct {
 	Plan         *Plan
-	Began, Ended time.Duration              // of what counts: all held a lease before
-	Stances      map[string][]hollow.Stance // by member, in the order of their times
-	Downs        map[string][]Span          // by member: it did not run
+	Began, Ended time.Duration                // of what counts: all held a lease before
+	Stances      map[string][]emulated.Stance // by member, in the order of their times
+	Downs        map[string][]Span            // by member: it did not run
 	Cuts         []CutSpan
 	Versions     []Told
 	Left         int // versions that were to be proposed, and were not by the end
 	Leaders      []Led
-	Samples      map[string][]hollow.Sampled // by hollow process, in the order of their times
-	Usage        map[string][]Usage          // by keeper, real sidecar and plain one, likewise
-	Late         map[string]time.Duration    // by how much the run's own load was late, at most
-	Asked        int                         // requests of the real sidecars' load
+	Samples      map[string][]emulated.Sampled // by hollow process, in the order of their times
+	Usage        map[string][]Usage            // by keeper, real sidecar and plain one, likewise
+	Late         map[string]time.Duration      // by how much the run's own load was late, at most
+	Asked        int                           // requests of the real sidecars' load
 	Served       int
 	Broken       []string // what must not be, such as a process that ended by itself
 	Partial      bool     // it was interrupted
@@ -237,14 +237,14 @@
 	times = slices.Compact(times)
 	var out []piece
 	next := 0
-	last := hollow.Stance{Cautious: true}
+	last := emulated.Stance{Cautious: true}
 	for i, from := range times {
 		for ; next < len(o.Stances[name]) && o.Stances[name][next].At <= from; next++ {
 			last = o.Stances[name][next]
 		}
 		for _, d := range o.Downs[name] {
 			if d.To == from && last.At < from { // a new process has no lease
-				last = hollow.Stance{At: from, Cautious: true, Active: last.Active}
+				last = emulated.Stance{At: from, Cautious: true, Active: last.Active}
 			}
 		}
 		if from < o.Began || from >= o.Ended || i+1 == len(times) {
@@ -576,33 +576,33 @@
 			descriptors, goroutines = max(descriptors, one.Descriptors), max(goroutines, one.Goroutines)
 		}
 		for name := range samples[len(samples)-1].Members {
-			of := func(read func(hollow.Spent) int64) func(i int) float64 {
+			of := func(read func(emulated.Spent) int64) func(i int) float64 {
 				return func(i int) float64 { return float64(read(samples[i].Members[name])) }
 			}
-			points := rising(len(samples), at, of(func(s hollow.Spent) int64 { return s.In + s.Out }), same)
+			points := rising(len(samples), at, of(func(s emulated.Spent) int64 { return s.In + s.Out }), same)
 			most, mean := worst(points)
 			members++
 			bytes += mean
 			if most > bytesWorst {
 				bytesWorst, bytesWho = most, name
 			}
-			last := func(read func(hollow.Spent) int64) float64 {
+			last := func(read func(emulated.Spent) int64) float64 {
 				p := rising(len(samples), at, of(read), same)
 				return p[len(p)-1].value
 			}
-			made := last(func(s hollow.Spent) int64 { return s.Renewals })
-			refused += last(func(s hollow.Spent) int64 { return s.Refused })
-			asked += last(func(s hollow.Spent) int64 { return s.Asked })
-			denied += last(func(s hollow.Spent) int64 { return s.Denied })
+			made := last(func(s emulated.Spent) int64 { return s.Renewals })
+			refused += last(func(s emulated.Spent) int64 { return s.Refused })
+			asked += last(func(s emulated.Spent) int64 { return s.Asked })
+			denied += last(func(s emulated.Spent) int64 { return s.Denied })
 			ran := j.upFor(name, samples[0].At, samples[len(samples)-1].At).Seconds()
 			renewals, up = renewals+made, up+ran
 			if ran > j.s.Lease.Seconds() { // else its start is most of it
-				one := made / ran * (j.s.Lease / crew.Heartbeats).Seconds()
+				one := made / ran * (j.s.Lease / cluster.Heartbeats).Seconds()
 				if rates = append(rates, one); one > mostRenewals {
 					mostRenewals, renewalsWho = one, name
 				}
 			}
-			said := last(func(s hollow.Spent) int64 { return s.ToKeeper + s.OfKeeper })
+			said := last(func(s emulated.Spent) int64 { return s.ToKeeper + s.OfKeeper })
 			if keeperBytes += said; made > 0 && said/made > eachBytes {
 				eachBytes, eachWho = said/made, name
 			}
@@ -616,7 +616,7 @@
 		j.add("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
 		j.add("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesWho)
 		j.least("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
-			renewals/up*(j.s.Lease/crew.Heartbeats).Seconds(), l.LeastRenewals, "")
+			renewals/up*(j.s.Lease/cluster.Heartbeats).Seconds(), l.LeastRenewals, "")
 		j.add("renewals_most", "  of any", "", mostRenewals, l.MostRenewals, renewalsWho)
 		j.add("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsWho)
 		j.add("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", keeperBytes/renewals, 0, "")
@@ -642,7 +642,7 @@
 	return sum
 }
 
-func (j *judge) within(all []hollow.Sampled) (out []hollow.Sampled) {
+func (j *judge) within(all []emulated.Sampled) (out []emulated.Sampled) {
 	for _, s := range all {
 		if s.At >= j.o.Began && s.At <= j.o.Ended {
 			out = append(out, s)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -21,11 +21,11 @@
 
 	"golang.org/x/sys/unix"
 
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
-	"heathgap/internal/lab/hollow"
-	"heathgap/internal/lab/rig"
-	"heathgap/internal/peers"
+	"heathgap/internal/lab/emulated"
+	"heathgap/internal/lab/harness"
+	"heathgap/internal/peerrpc"
 )
 
 // Figures of a run.
@@ -63,17 +63,17 @@
 	plan  *Plan
 	opts  Options
 	dir   string
-	hosts *rig.Hosts
+	hosts *harness.Hosts
 
-	endpoints []rig.NamedAddress
+	endpoints []harness.NamedAddress
 	servers   []*http.Server
 	sidecars  map[string]*sidecar
 	keepers   []*sidecar
 	herds     []*herd
 	herdOf    map[string]*herd
-	fronts    map[string]*rig.Relay // of keepers, for hollow members, where a step may slow them
-	between   []regional            // relays between regions
-	proposals chan time.Duration    // when each was due
+	fronts    map[string]*harness.Relay // of keepers, for hollow members, where a step may slow them
+	between   []regional                // relays between regions
+	proposals chan time.Duration        // when each was due
 
 	playing atomic.Bool // what is late counts
 	asked   atomic.Int64
@@ -81,7 +81,7 @@
 
 	mu       sync.Mutex // guards what follows
 	obs      Observed
-	last     map[string]hollow.Stance // of each member
+	last     map[string]emulated.Stance // of each member
 	leader   string
 	term     uint64
 	active   uint64
@@ -95,7 +95,7 @@
 // regional is a relay between two regions.
 type regional struct {
 	regions [2]string
-	relay   *rig.Relay
+	relay   *harness.Relay
 }
 
 // Descriptors is how many a process that is started from this one may have.
@@ -138,10 +138,10 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{
-		s: s, plan: plan, opts: opts, dir: dir, hosts: rig.NewHosts(), sidecars: map[string]*sidecar{}, herdOf: map[string]*herd{},
-		fronts: map[string]*rig.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]hollow.Stance{}, refused: map[uint64]string{},
+		s: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, herdOf: map[string]*herd{},
+		fronts: map[string]*harness.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]emulated.Stance{}, refused: map[uint64]string{},
 	}
-	r.obs = Observed{Plan: plan, Stances: map[string][]hollow.Stance{}, Downs: map[string][]Span{}, Samples: map[string][]hollow.Sampled{},
+	r.obs = Observed{Plan: plan, Stances: map[string][]emulated.Stance{}, Downs: map[string][]Span{}, Samples: map[string][]emulated.Sampled{},
 		Usage: map[string][]Usage{}, Late: map[string]time.Duration{}}
 	defer r.close()
 	started := time.Now()
@@ -162,7 +162,7 @@
 	}
 	slices.SortStableFunc(o.Leaders, func(a, b Led) int { return int(a.At - b.At) })
 	for _, stances := range o.Stances {
-		slices.SortStableFunc(stances, func(a, b hollow.Stance) int { return int(a.At - b.At) })
+		slices.SortStableFunc(stances, func(a, b emulated.Stance) int { return int(a.At - b.At) })
 	}
 	return r, nil
 }
@@ -234,7 +234,7 @@
 }
 
 // stance books what a member acts on.
-func (r *run) stance(s hollow.Stance) {
+func (r *run) stance(s emulated.Stance) {
 	r.mu.Lock()
 	r.obs.Stances[s.Member] = append(r.obs.Stances[s.Member], s)
 	r.last[s.Member] = s
@@ -267,7 +267,7 @@
 	}
 	at := boot() - time.Since(line.Time)
 	if line.Message == lineStance {
-		r.stance(hollow.Stance{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
+		r.stance(emulated.Stance{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
 		return
 	}
 	r.mu.Lock()
@@ -337,7 +337,7 @@
 	var before state
 	since, looked, why := time.Now(), time.Time{}, "no word of the leader"
 	err := r.await(ctx, steadyTime, "steady seats", func() (bool, string) {
-		var s keeper.Status
+		var s voter.Status
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
 		r.mu.Unlock()
@@ -377,7 +377,7 @@
 	})}
 	go server.Serve(listener) //nolint:errcheck // until Close
 	r.servers = append(r.servers, server)
-	r.endpoints = append(r.endpoints, rig.NamedAddress{Name: name, Address: listener.Addr().String()})
+	r.endpoints = append(r.endpoints, harness.NamedAddress{Name: name, Address: listener.Addr().String()})
 	return nil
 }
 
@@ -397,7 +397,7 @@
 		if p.Kind == HollowProcess {
 			continue
 		}
-		c := &sidecar{run: r, name: p.Name, kind: p.Kind, dir: filepath.Join(r.dir, p.Name), relays: map[string]*rig.Relay{}}
+		c := &sidecar{run: r, name: p.Name, kind: p.Kind, dir: filepath.Join(r.dir, p.Name), relays: map[string]*harness.Relay{}}
 		r.sidecars[p.Name] = c
 		var err error
 		if c.host, err = r.hosts.Take(); err != nil {
@@ -410,7 +410,7 @@
 			return err
 		}
 		if p.Kind == KeeperProcess {
-			c.line = peers.NewLine(env.Real{}, r.s.Name, "lab", c.address)
+			c.line = peerrpc.NewLine(env.Real{}, r.s.Name, "lab", c.address)
 			r.keepers = append(r.keepers, c)
 		}
 	}
@@ -440,12 +440,12 @@
 	return nil
 }
 
-func (r *run) relayTo(k *sidecar) (*rig.Relay, error) {
+func (r *run) relayTo(k *sidecar) (*harness.Relay, error) {
 	host, err := r.hosts.Take()
 	if err != nil {
 		return nil, err
 	}
-	return rig.NewRelay(host, k.address)
+	return harness.NewRelay(host, k.address)
 }
 
 // startAll starts sidecars at once.
@@ -461,15 +461,15 @@
 
 // startHerds starts the hollow processes one after another: each comes in before the next is started.
 func (r *run) startHerds(ctx context.Context) error {
-	start := hollow.Start{
+	start := emulated.Start{
 		Crew: r.s.Name, Lease: r.s.Lease, Drift: r.s.Drift, Slack: r.s.Slack, ContradictAtMost: r.s.ContradictAtMost,
-		FixedClasses: []string{rig.LoadClass}, Copies: r.s.Copies, Keep: r.s.Keep, LostAfter: r.s.LostAfter,
+		FixedClasses: []string{harness.LoadClass}, Copies: r.s.Copies, Keep: r.s.Keep, LostAfter: r.s.LostAfter,
 		Regions: map[string]string{}, RegionDelay: r.s.RegionDelay, Orders: r.s.Orders, OrderTakes: r.s.OrderTakes, Seed: r.plan.Seed,
 	}
-	place := func(name, address string) hollow.Place {
+	place := func(name, address string) emulated.Place {
 		at := r.plan.Places[name]
 		start.Regions[address] = at.Region
-		return hollow.Place{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
+		return emulated.Place{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
 	}
 	for _, c := range r.sidecars {
 		if c.kind != PlainProcess {
@@ -483,7 +483,7 @@
 		}
 		start.Keepers = append(start.Keepers, place(k.name, address))
 	}
-	groups := map[string][]hollow.Place{}
+	groups := map[string][]emulated.Place{}
 	var names []string
 	for _, p := range r.plan.Processes {
 		if p.Kind != HollowProcess {
@@ -504,7 +504,7 @@
 	}
 	for i, name := range names {
 		one := start
-		one.Members, one.Planted = groups[name], map[string]hollow.Fault{}
+		one.Members, one.Planted = groups[name], map[string]emulated.Fault{}
 		var members []string
 		for _, m := range one.Members {
 			members = append(members, m.Name)
@@ -708,7 +708,7 @@
 	var all sync.WaitGroup
 	for _, h := range r.herds {
 		all.Go(func() {
-			l, err := h.do(hollow.Command{Do: hollow.Sample}, sampleTime)
+			l, err := h.do(emulated.Command{Do: emulated.Sample}, sampleTime)
 			if err != nil || l.Sample == nil {
 				r.broken("a sample of %s: %v", h.name, err)
 				return
@@ -767,7 +767,7 @@
 		}
 		under.Go(func() {
 			defer func() { <-room }()
-			q, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+rig.LoadClass+"/x", nil)
+			q, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+harness.LoadClass+"/x", nil)
 			if err != nil {
 				return
 			}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/rs/zerolog"
 
-	"heathgap/internal/crew/member"
-	"heathgap/internal/lab/hollow"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/lab/emulated"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
 )
@@ -28,7 +28,7 @@
 	case "plain":
 		os.Exit(lifecycle.Main(lifecycle.Options{Operator: operator.Default()}))
 	case "hollow":
-		if err := hollow.Run(os.Stdin, os.Stdout, zerolog.New(os.Stderr).Level(zerolog.WarnLevel)); err != nil {
+		if err := emulated.Run(os.Stdin, os.Stdout, zerolog.New(os.Stderr).Level(zerolog.WarnLevel)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -168,7 +168,7 @@
 	out := o
 	plan, scene := *o.Plan, *o.Plan.Scene
 	plan.Scene = &scene
-	out.Plan, plan.Places, out.Samples = &plan, maps.Clone(plan.Places), map[string][]hollow.Sampled{}
+	out.Plan, plan.Places, out.Samples = &plan, maps.Clone(plan.Places), map[string][]emulated.Sampled{}
 	for _, name := range names {
 		delete(plan.Places, name)
 	}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -1,5 +1,5 @@
 // Package scale plays a crew at the size that operators expect, and tells which of their limits hold: real keepers, a few real
-// sidecars under load, and hollow members (internal/lab/hollow) in place of all others, while versions are proposed and machines,
+// sidecars under load, and hollow members (internal/lab/emulated) in place of all others, while versions are proposed and machines,
 // racks, zones and the ways between regions fail.
 //
 // Scenario, plan and judge are pure. Run starts the processes, plays the plan and writes down what was seen; Judge makes the
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"heathgap/internal/lab/hollow"
-	"heathgap/internal/terms"
+	"heathgap/internal/clusterparams"
+	"heathgap/internal/lab/emulated"
 	"heathgap/internal/tomlread"
 )
 
@@ -111,7 +111,7 @@
 // Planted is a hollow member with a fault, so that a check can be seen to catch it.
 type Planted struct {
 	Who   string
-	Fault hollow.Fault
+	Fault emulated.Fault
 }
 
 // Limits are what the run is held to. A limit of 0 is none.
@@ -165,15 +165,15 @@
 	t.Need("name", "a text")
 	s := &Scenario{
 		Name: t.Text("name", "scale"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
-		Keepers: t.Int("keepers", 3, 1, terms.MostKeepers), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
+		Keepers: t.Int("keepers", 3, 1, clusterparams.MostKeepers), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
 		Plain: t.Int("plain", 0, 0, mostReal), Hollow: t.Int("hollow", 60, 0, mostHollow), EachProcess: t.Int("each_process", 50, 1, 500),
 		RegionDelay: t.Duration("region_delay", 0, 0, time.Second),
 		KeeperZones: t.Texts("keeper_zones"), MemberZones: t.Texts("member_zones"),
-		Lease: t.Duration("lease", 2*time.Second, terms.LeastLease, terms.MostLease), Drift: t.Float("drift", 0.01, 0, terms.MostDrift),
+		Lease: t.Duration("lease", 2*time.Second, clusterparams.LeastLease, clusterparams.MostLease), Drift: t.Float("drift", 0.01, 0, clusterparams.MostDrift),
 		Slack:            t.Duration("slack", 200*time.Millisecond, 0, 10*time.Second),
 		ContradictAtMost: t.Duration("contradict_at_most", 2500*time.Millisecond, 200*time.Millisecond, 5*time.Minute),
-		Copies:           t.Int("copies", 0, 0, terms.MostCopies), Keep: t.Duration("keep", 10*time.Minute, terms.LeastKeep, terms.MostKeep),
-		LostAfter: t.Duration("lost_after", 30*time.Second, terms.LeastLost, terms.MostLostAfter),
+		Copies:           t.Int("copies", 0, 0, clusterparams.MostCopies), Keep: t.Duration("keep", 10*time.Minute, clusterparams.LeastKeep, clusterparams.MostKeep),
+		LostAfter: t.Duration("lost_after", 30*time.Second, clusterparams.LeastLost, clusterparams.MostLostAfter),
 		Orders:    t.Float("orders", 0, 0, 100), OrderTakes: t.Duration("order_takes", 20*time.Millisecond, 0, 10*time.Second),
 		Duration: t.Duration("duration", 20*time.Second, time.Second, mostDuration),
 		Changes:  t.Float("changes", 0, 0, 100), Banned: t.Int("banned", 4, 0, 1000), SpeedUp: t.Float("speed_up", 1, 0, 100_000),
@@ -191,7 +191,7 @@
 		p.Need("fault", "unheeding, hasty, forgetful")
 		one := Planted{
 			Who:   p.Text("who", "h1"),
-			Fault: hollow.Fault(p.Word("fault", string(hollow.Unheeding), string(hollow.Unheeding), string(hollow.Hasty), string(hollow.Forgetful))),
+			Fault: emulated.Fault(p.Word("fault", string(emulated.Unheeding), string(emulated.Unheeding), string(emulated.Hasty), string(emulated.Forgetful))),
 		}
 		if p.Has("who") && !slices.Contains(s.hollowNames(), one.Who) {
 			p.Fail("who", fmt.Sprintf("%q", one.Who), fmt.Sprintf("a hollow member, h1 to h%d", s.Hollow))
@@ -222,14 +222,14 @@
 	if s.Orders > 0 && s.Copies == 0 {
 		t.Fail("orders", fmt.Sprint(s.Orders), "0, or copies of 1 or more")
 	}
-	if all := s.Keepers + s.Real + s.Hollow; all > terms.MostMembers {
-		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", terms.MostMembers))
+	if all := s.Keepers + s.Real + s.Hollow; all > clusterparams.MostMembers {
+		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", clusterparams.MostMembers))
 	}
 }
 
 // terms are those that the processes are started with.
-func (s *Scenario) terms() terms.Terms {
-	return terms.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
+func (s *Scenario) terms() clusterparams.Terms {
+	return clusterparams.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
 }
 
 func (s *Scenario) decodeRegions(t *tomlread.Table) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -10,7 +10,7 @@
 
 	"heathgap/decide"
 	"heathgap/internal/lab/load"
-	"heathgap/internal/lab/station"
+	"heathgap/internal/lab/servermodel"
 	"heathgap/internal/tomlread"
 )
 
@@ -68,7 +68,7 @@
 	Sidecars    int // of the first tier; those of others belong to the endpoints before them
 	Zones       []string
 	Groups      int // endpoints are dealt out over so many groups of keys
-	Station     station.Conf
+	Station     servermodel.Conf
 	WorkScale   float64 // of the classes' work
 	Connections int
 	Handshake   time.Duration
@@ -319,8 +319,8 @@
 	}
 }
 
-func decodeStation(t *tomlread.Table, rules Rules) station.Conf {
-	return station.Conf{
+func decodeStation(t *tomlread.Table, rules Rules) servermodel.Conf {
+	return servermodel.Conf{
 		Cores:        t.Float("cores", 2, 0.01, 1000),
 		Speed:        t.Float("speed", 1, 0.01, 1000),
 		Slots:        t.Int("slots", 16, 1, 100_000),
--- a/internal/lab/station/station.go
+++ b/internal/lab/servermodel/station.go
@@ -1,7 +1,7 @@
-// Package station models how an endpoint works off what it is given: cores shared
+// Package servermodel models how an endpoint works off what it is given: cores shared
 // by what runs, slots, a queue, a cold start, choking, falling over when pushed. It
 // does no I/O and has no clock: time and jobs come in, and what is done goes out.
-package station
+package servermodel
 
 import (
 	"container/heap"
--- a/internal/lab/station/station_test.go
+++ b/internal/lab/servermodel/station_test.go
@@ -1,4 +1,4 @@
-package station
+package servermodel
 
 import (
 	"testing"
--- a/internal/labcommand/crew.go
+++ b/internal/labcommand/crew.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"heathgap/internal/command"
-	"heathgap/internal/lab/rig"
+	"heathgap/internal/lab/harness"
 	"heathgap/internal/lab/scenario"
 )
 
@@ -55,7 +55,7 @@
 	if c.Hold > 0 {
 		s.Steps, s.Random, s.Proposals, s.Duration = nil, 0, 0, c.Hold
 	}
-	opts := rig.CrewOptions{Program: func() *exec.Cmd { return exec.Command(program) }, LogDir: c.Logs, Dir: c.Dir, Separate: c.Without}
+	opts := harness.CrewOptions{Program: func() *exec.Cmd { return exec.Command(program) }, LogDir: c.Logs, Dir: c.Dir, Separate: c.Without}
 	if c.Older != "" {
 		opts.Older = func() *exec.Cmd { return exec.Command(c.Older) }
 	}
@@ -69,7 +69,7 @@
 		first = *c.Seed
 	}
 	for seed := first; seed < first+uint64(max(1, c.Seeds)); seed++ {
-		r, err := rig.RunCrew(ctx, s, seed, opts)
+		r, err := harness.RunCrew(ctx, s, seed, opts)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"heathgap/internal/command"
+	"heathgap/internal/lab/harness"
 	"heathgap/internal/lab/policy"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/report"
-	"heathgap/internal/lab/rig"
 	"heathgap/internal/lab/scenario"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opts := rig.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
+	opts := harness.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
 	if name != policy.Module {
 		self, err := os.Executable()
 		if err != nil {
@@ -96,7 +96,7 @@
 		opts.Progress = func(line string) { fmt.Fprintln(o, line) }
 	}
 	debug.SetGCPercent(labGC)
-	return rig.Run(ctx, s, seed, opts)
+	return harness.Run(ctx, s, seed, opts)
 }
 
 // interruptible ends with an interrupt: what plays is then ended in order.
@@ -287,7 +287,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	m, err := rig.MeasureCall(ctx, rig.CallConf{
+	m, err := harness.MeasureCall(ctx, harness.CallConf{
 		Rate: c.Rate / 2, For: c.For, Endpoints: 4, Peers: 1, Classes: 1, Stages: 1, Seed: 1,
 	}, opts)
 	if err != nil {
--- a/internal/labcommand/slopes.go
+++ b/internal/labcommand/slopes.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"heathgap/internal/command"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/fit"
-	"heathgap/internal/lab/rig"
+	"heathgap/internal/lab/harness"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
 )
 
 // Bounds of what is measured: what one machine's descriptors, ports and patience hold.
@@ -36,18 +36,18 @@
 )
 
 // measuring has sidecars started for a measurement.
-func (g *ground) measuring() (rig.Options, error) {
+func (g *ground) measuring() (harness.Options, error) {
 	program, err := g.program()
 	if err != nil {
-		return rig.Options{}, err
+		return harness.Options{}, err
 	}
 	if g.Logs != "" {
 		if err := os.MkdirAll(g.Logs, 0o755); err != nil {
-			return rig.Options{}, err
+			return harness.Options{}, err
 		}
 	}
 	debug.SetGCPercent(labGC)
-	return rig.Options{LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}, nil
+	return harness.Options{LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}, nil
 }
 
 // within checks the values of a flag.
@@ -109,7 +109,7 @@
 
 // here begins a report: a figure counts for nothing without its machine.
 func here(o *command.Out, format string, args ...any) {
-	m := rig.Here()
+	m := harness.Here()
 	fmt.Fprintf(o, format+"\n", args...)
 	fmt.Fprintf(o, "machine: %d cores, %d MB, %s; load average %s\n", m.Cores, m.MemoryMB, m.Go, loadAverage())
 }
@@ -194,7 +194,7 @@
 }
 
 // sizes is the flag that has several values, and a conf for each.
-func (c *labCall) sizes() (flag string, sizes []float64, confs []rig.CallConf, err error) {
+func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.CallConf, err error) {
 	if err := cmp.Or(
 		c.check(), rates(scenario.MostRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
 		within("peers", 0, mostPeers, c.Peers...), within("classes", 1, mostClasses, c.Classes...),
@@ -202,19 +202,19 @@
 	); err != nil {
 		return "", nil, nil, err
 	}
-	base := rig.CallConf{
+	base := harness.CallConf{
 		Rate: c.Rate[0], For: c.For, Endpoints: c.Endpoints[0], Peers: c.Peers[0], Classes: c.Classes[0], Stages: c.Stages[0], Own: c.Own,
 	}
 	flags := []struct {
 		name string
 		n    int
-		set  func(conf *rig.CallConf, i int) float64
+		set  func(conf *harness.CallConf, i int) float64
 	}{
-		{"rate", len(c.Rate), func(f *rig.CallConf, i int) float64 { f.Rate = c.Rate[i]; return f.Rate }},
-		{"endpoints", len(c.Endpoints), func(f *rig.CallConf, i int) float64 { f.Endpoints = c.Endpoints[i]; return float64(f.Endpoints) }},
-		{"peers", len(c.Peers), func(f *rig.CallConf, i int) float64 { f.Peers = c.Peers[i]; return float64(f.Peers) }},
-		{"classes", len(c.Classes), func(f *rig.CallConf, i int) float64 { f.Classes = c.Classes[i]; return float64(f.Classes) }},
-		{"stages", len(c.Stages), func(f *rig.CallConf, i int) float64 { f.Stages = c.Stages[i]; return float64(f.Stages) }},
+		{"rate", len(c.Rate), func(f *harness.CallConf, i int) float64 { f.Rate = c.Rate[i]; return f.Rate }},
+		{"endpoints", len(c.Endpoints), func(f *harness.CallConf, i int) float64 { f.Endpoints = c.Endpoints[i]; return float64(f.Endpoints) }},
+		{"peers", len(c.Peers), func(f *harness.CallConf, i int) float64 { f.Peers = c.Peers[i]; return float64(f.Peers) }},
+		{"classes", len(c.Classes), func(f *harness.CallConf, i int) float64 { f.Classes = c.Classes[i]; return float64(f.Classes) }},
+		{"stages", len(c.Stages), func(f *harness.CallConf, i int) float64 { f.Stages = c.Stages[i]; return float64(f.Stages) }},
 	}
 	chosen := flags[0]
 	for _, f := range flags {
@@ -262,7 +262,7 @@
 		for i, conf := range confs {
 			conf.Seed = uint64(run + 1)
 			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
-				func() (rig.Call, error) { return rig.MeasureCall(ctx, conf, opts) }, func(m rig.Call) float64 { return m.Lag })
+				func() (harness.Call, error) { return harness.MeasureCall(ctx, conf, opts) }, func(m harness.Call) float64 { return m.Lag })
 			if err != nil {
 				return err
 			}
@@ -297,7 +297,7 @@
 // failure is what the last tier does.
 type failure struct {
 	name    string
-	trouble standin.Trouble
+	trouble fake.Trouble
 	share   float64
 }
 
@@ -305,10 +305,10 @@
 func failureOf(word string) (failure, error) {
 	name, text, shared := strings.Cut(word, ":")
 	f := failure{name: word, share: 1}
-	switch trouble := standin.Trouble(name); trouble {
-	case standin.Hang, standin.Refuses, standin.Silent, standin.Half, standin.Garbage:
+	switch trouble := fake.Trouble(name); trouble {
+	case fake.Hang, fake.Refuses, fake.Silent, fake.Half, fake.Garbage:
 		f.trouble = trouble
-	case standin.Errors:
+	case fake.Errors:
 		f.trouble = trouble
 		if !shared {
 			return f, nil
@@ -331,7 +331,7 @@
 
 func (c *labChain) failures() ([]failure, error) {
 	if err := cmp.Or(
-		c.check(), within("deep", 1, rig.MostDeep, c.Deep...), rates(scenario.MostRate, c.Rate),
+		c.check(), within("deep", 1, harness.MostDeep, c.Deep...), rates(scenario.MostRate, c.Rate),
 		within("endpoints", 1, mostOfATier, c.Endpoints), within("deadline", 10*time.Millisecond, mostDeadline, c.Deadline),
 		within("peers", 1, mostPeers, c.Peers),
 	); err != nil {
@@ -373,14 +373,14 @@
 }
 
 // play plays all depths with one failure.
-func (c *labChain) play(ctx context.Context, o *command.Out, f failure, opts rig.Options) error {
+func (c *labChain) play(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
 	sizes := make([]float64, len(c.Deep))
 	names := []string{
 		"added p50, ms", "added p99, ms", "through p50, ms", "through p99, ms", "straight p50, ms", "straight p99, ms", "served of a hundred",
 		"attempts at the last tier for a request at the front", "us of all sidecars' processors for a request at the front",
 		"ms of the deadline that the last tier's sidecar was told, p50", "the load's own lag p99, ms",
 	}
-	well := f.trouble == standin.Well
+	well := f.trouble == fake.Well
 	figures := make([]*figure, len(names))
 	for i, name := range names {
 		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: well && (i < 2 || i == 8 || i == 9)}
@@ -389,7 +389,7 @@
 	for run := range c.Runs {
 		for i, deep := range c.Deep {
 			sizes[i] = float64(deep)
-			conf := rig.ChainConf{
+			conf := harness.ChainConf{
 				Deep: deep, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, Own: c.Own, Straight: well,
 				Trouble: f.trouble, Share: f.share, Seed: uint64(run + 1),
 			}
@@ -397,7 +397,7 @@
 				conf.Rate = 2 * c.Rate
 			}
 			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, deep %d", run+1, deep),
-				func() (*rig.Chain, error) { return rig.MeasureChain(ctx, conf, opts) }, func(m *rig.Chain) float64 { return m.Lag })
+				func() (*harness.Chain, error) { return harness.MeasureChain(ctx, conf, opts) }, func(m *harness.Chain) float64 { return m.Lag })
 			if err != nil {
 				return err
 			}
@@ -434,13 +434,13 @@
 }
 
 // printTiers prints what each tier was asked, and what came of it.
-func printTiers(o *command.Out, m *rig.Chain) {
+func printTiers(o *command.Out, m *harness.Chain) {
 	requests := float64(max(1, m.Front[1].Requests))
 	fmt.Fprintln(o, "  tier  asked  attempts  per-ask  per-front  1.1^n  served refused failed left  retries  floors-paid>=  budget(start+floor+tenth)"+
 		"  p50   p99  left-p50 left-min  us/ask  MB fds  outcomes")
 	for n, t := range m.Tiers {
 		fmt.Fprintf(o, "  %4d %6d %9d %8.3f %10.3f %6.2f %7d %7d %6d %4d %8d %14.0f  %8.0f+%.0f+%.0f  %8.2f %.2f %9.1f %8.1f %7.0f %4.0f %3d  %s\n",
-			n+1, t.Asked, t.Attempts, float64(t.Attempts)/float64(max(1, t.Asked)), float64(t.Attempts)/requests, rig.Amplified(n+1),
+			n+1, t.Asked, t.Attempts, float64(t.Attempts)/float64(max(1, t.Asked)), float64(t.Attempts)/requests, harness.Amplified(n+1),
 			t.Served, t.Refused, t.Failed, t.Left, t.Retries(), t.Budget.FromFloors(t.Retries()), t.Budget.Start, t.Budget.Floor, t.Budget.Served,
 			t.P50, t.P99, t.LeftP50, t.LeftMin, t.CPU, t.RSSMB, t.FDs, outcomes(t.Outcomes))
 	}
@@ -518,7 +518,7 @@
 	for run := range c.Runs {
 		for i, n := range endpoints {
 			sizes[i] = float64(n)
-			m, err := rig.MeasureLists(ctx, rig.ListsConf{
+			m, err := harness.MeasureLists(ctx, harness.ListsConf{
 				Endpoints: n, AtOnce: c.AtOnce, Apart: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Hollow: c.Hollow, Peers: c.Peers, Idle: c.Idle,
 			}, opts)
 			if err != nil {
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -16,7 +16,7 @@
 	"heathgap/internal/httpwire"
 	"heathgap/internal/operator"
 	"heathgap/internal/pipeline"
-	"heathgap/internal/watching"
+	"heathgap/internal/shadow"
 )
 
 // Figures of a sidecar's life.
@@ -112,7 +112,7 @@
 	}
 	if set := opts.Operator.Watch.Settings; set != nil {
 		// A seed of its own: the deciding one's random numbers stay as they are.
-		if balancer, err = watching.New(balancer, *set, ^conf.Seed); err != nil {
+		if balancer, err = shadow.New(balancer, *set, ^conf.Seed); err != nil {
 			return nil, fmt.Errorf("watch: %w", err)
 		}
 	}
--- a/internal/figures/figures.go
+++ b/internal/metrics/figures.go
@@ -1,6 +1,6 @@
-// Package figures holds what a sidecar counts for its operators: one set of counts
+// Package metrics holds what a sidecar counts for its operators: one set of counts
 // for each class, read while they change. The log's sums come from the same counts.
-package figures
+package metrics
 
 import (
 	"slices"
--- a/internal/figures/listcalls.go
+++ b/internal/metrics/listcalls.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"sync/atomic"
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"heathgap/internal/terms"
+	"heathgap/internal/clusterparams"
 )
 
 func load(t *testing.T, text string) (File, error) {
@@ -75,7 +75,7 @@
 	f, err := load(t, shown)
 	if err != nil || f.Crew == nil || len(f.Crew.Keepers) != 1 || f.Crew.Terms.Lease != defaultLease || f.Crew.ContradictAtMost != defaultContradict ||
 		f.Crew.Terms.Slack != defaultSlack || f.Crew.Terms.Drift != defaultDrift || len(f.Crew.Holdings.Classes) != 1 ||
-		f.Crew.Terms.Holdings != (terms.Holdings{Copies: defaultCopies, Keep: defaultKeep, LostAfter: defaultLostAfter}) ||
+		f.Crew.Terms.Holdings != (clusterparams.Holdings{Copies: defaultCopies, Keep: defaultKeep, LostAfter: defaultLostAfter}) ||
 		f.Crew.Holdings.MostEntries != defaultEntries || f.Crew.Holdings.MostBody != defaultBody {
 		t.Fatalf("%+v, %v of\n%s", f.Crew, err, shown)
 	}
--- a/internal/peers/peers.go
+++ b/internal/peerrpc/peers.go
@@ -1,6 +1,6 @@
-// Package peers is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
+// Package peerrpc is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
 // encryption and no sign-in: a crew's addresses are loopback, or a closed network of the operators.
-package peers
+package peerrpc
 
 import (
 	"bytes"
--- a/internal/peers/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peerrpc
 
 import (
 	"errors"
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -2,8 +2,8 @@
 
 import (
 	"heathgap/decide"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
 	"heathgap/internal/state"
 )
 
@@ -35,7 +35,7 @@
 		// the module is not asked, as in the simulator.
 		e.counters.Over++
 		e.logTurnedAway(a)
-		e.board.Count(a.message.Class, figures.Refused)
+		e.board.Count(a.message.Class, metrics.Refused)
 		a.answer <- httpwire.Answer{Verdict: httpwire.Refused, Last: a.crowded}
 		return
 	}
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/crossing_test.go
@@ -14,9 +14,9 @@
 
 	"heathgap/decide"
 	"heathgap/internal/env"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
 	"heathgap/internal/lab/scripted"
+	"heathgap/internal/metrics"
 )
 
 // barrier is a world in which connections come up when the test says so.
@@ -383,7 +383,7 @@
 	s.conf.Classes = map[string]decide.Class{
 		"look": s.conf.Settings.Classes[0], "burn": {Name: "burn", Effect: decide.Unsafe},
 	}
-	s.board = figures.New([]string{"look", "burn"})
+	s.board = metrics.New([]string{"look", "burn"})
 	s.conf.Settings.MustAsk = true // nothing is asked here
 	known := listOf("s0", s.doors[0].Address, decide.Active)
 	known.Endpoints = append(known.Endpoints, listOf("s1", s.doors[1].Address, decide.Active).Endpoints...)
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -16,10 +16,10 @@
 	"heathgap/decide"
 	"heathgap/internal/config"
 	"heathgap/internal/env"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
+	"heathgap/internal/shadow"
 	"heathgap/internal/state"
-	"heathgap/internal/watching"
 )
 
 // Figures of the engine.
@@ -55,7 +55,7 @@
 	clock        state.Clock
 	events       chan event
 	urgent       chan event     // of operators: looked at before all others, however many wait
-	board        *figures.Board // read at any time
+	board        *metrics.Board // read at any time
 	listed       atomic.Bool    // there has been a list
 	goingOn      atomic.Int64   // long answers of another process that are on their way here
 	goneOn       atomic.Int64   // long answers of another process that ended here
@@ -115,7 +115,7 @@
 		e.endpoints.KeepGone()
 	}
 	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / lateShare)
-	e.board = figures.New(names)
+	e.board = metrics.New(names)
 	e.room = httpwire.NewRoom(conf.AnswerBytes)
 	e.pool = state.NewPool(conf.EndpointConns, conf.IdleFor, e.linkEnded)
 	e.watch = newWatch(conf.Discovery, usualTimes(conf.Settings.Peers, conf.Settings.Rules.DrainGrace))
@@ -232,12 +232,12 @@
 // Snapshot is what the engine counts and holds.
 type Snapshot struct {
 	state.Counters
-	ListCalls *figures.ListCalls
-	Watched   *watching.Counts // what other settings would have done; nil where nothing is watched
-	Held      int              // requests without a final answer, or one that is not whole yet
-	Passing   int              // of those held, the ones whose answer is on its way
-	Endpoints int              // listed
-	Links     int              // connections to endpoints
+	ListCalls *metrics.ListCalls
+	Watched   *shadow.Counts // what other settings would have done; nil where nothing is watched
+	Held      int            // requests without a final answer, or one that is not whole yet
+	Passing   int            // of those held, the ones whose answer is on its way
+	Endpoints int            // listed
+	Links     int            // connections to endpoints
 }
 
 // MarshalZerologObject writes the snapshot into a log line.
@@ -260,10 +260,10 @@
 func (e *Engine) snapshot() Snapshot {
 	counters := e.counters
 	counters.Malformed, counters.GoneOn = int(e.malformed.Load()), int(e.goneOn.Load())
-	counters.Served, counters.Failed = e.board.Sum(figures.Served), e.board.Sum(figures.Failed)
-	counters.Refused, counters.Left = e.board.Sum(figures.Refused)-counters.Over, e.board.Sum(figures.Left)
-	var watched *watching.Counts
-	if w, ok := e.balancer.(*watching.Watch); ok {
+	counters.Served, counters.Failed = e.board.Sum(metrics.Served), e.board.Sum(metrics.Failed)
+	counters.Refused, counters.Left = e.board.Sum(metrics.Refused)-counters.Over, e.board.Sum(metrics.Left)
+	var watched *shadow.Counts
+	if w, ok := e.balancer.(*shadow.Watch); ok {
 		counts := w.Counts()
 		watched = &counts
 	}
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
 )
 
 // Each call to discovery has a number and one log line that says what was asked and how it ended; the counts by end stand
@@ -35,23 +35,23 @@
 }
 
 // listCallEnd reads how a call ended from its error.
-func listCallEnd(err error, connected, calledOff bool) figures.ListCallEnd {
+func listCallEnd(err error, connected, calledOff bool) metrics.ListCallEnd {
 	var status httpwire.StatusError
 	switch {
 	case err == nil:
-		return figures.ListAnswered
+		return metrics.ListAnswered
 	case calledOff || errors.Is(err, context.Canceled):
-		return figures.ListCalledOff
+		return metrics.ListCalledOff
 	case !connected:
-		return figures.ListNotConnected
+		return metrics.ListNotConnected
 	case errors.As(err, &status):
-		return figures.ListRefused
+		return metrics.ListRefused
 	case errors.Is(err, errSilent):
-		return figures.ListSilent
+		return metrics.ListSilent
 	case lost(err):
-		return figures.ListBroken
+		return metrics.ListBroken
 	}
-	return figures.ListMalformed
+	return metrics.ListMalformed
 }
 
 // logListCall counts a call that has ended and writes its log line. The list is what it brought; nil if it failed.
@@ -59,7 +59,7 @@
 	end := listCallEnd(err, w.link != nil, w.ended.Err() != nil)
 	e.board.ListCalls.Count(end)
 	line := e.log.Info()
-	if err != nil && end != figures.ListCalledOff {
+	if err != nil && end != metrics.ListCalledOff {
 		line = e.log.Warn()
 	}
 	line = line.Str("discovery", w.address).Int64("call", call.number).Str("kind", string(call.kind)).
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 
 	"heathgap/decide"
-	"heathgap/internal/figures"
+	"heathgap/internal/metrics"
 )
 
 // logged is what a test reads of a log line.
@@ -101,9 +101,9 @@
 
 // Guards against calls that are counted as something else: what an end means decides what staff look at.
 func TestEndsOfListCalls(t *testing.T) {
-	for fate, want := range map[fate]figures.ListCallEnd{
-		refused: figures.ListNotConnected, deaf: figures.ListNotConnected, silent: figures.ListSilent, overrun: figures.ListRefused,
-		broken: figures.ListMalformed, stalled: figures.ListSilent, reset: figures.ListBroken,
+	for fate, want := range map[fate]metrics.ListCallEnd{
+		refused: metrics.ListNotConnected, deaf: metrics.ListNotConnected, silent: metrics.ListSilent, overrun: metrics.ListRefused,
+		broken: metrics.ListMalformed, stalled: metrics.ListSilent, reset: metrics.ListBroken,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -4,17 +4,17 @@
 	"net"
 
 	"heathgap/decide"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
 	"heathgap/internal/state"
 )
 
 // Relay: a request's one final answer goes to its caller.
 
 // ends are what verdicts count as.
-var ends = [...]figures.End{
-	httpwire.Served: figures.Served, httpwire.Refused: figures.Refused, httpwire.Failed: figures.Failed,
-	httpwire.Abandoned: figures.Left,
+var ends = [...]metrics.End{
+	httpwire.Served: metrics.Served, httpwire.Refused: metrics.Refused, httpwire.Failed: metrics.Failed,
+	httpwire.Abandoned: metrics.Left,
 }
 
 // relay gives a request its final answer, unless it has had one.
@@ -89,14 +89,14 @@
 
 func (p passed) handle(e *Engine) {
 	delete(e.passing, p.reply.Rest)
-	to, ended, end := p.attempt.Endpoint, httpwire.Reason(""), figures.Served
+	to, ended, end := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
 	switch {
 	case p.how == httpwire.BrokenOff:
-		ended, end = httpwire.ReasonBroken, figures.Failed
+		ended, end = httpwire.ReasonBroken, metrics.Failed
 	case p.how == httpwire.HandedOver:
-		ended, end = httpwire.ReasonHandedOver, figures.Left // it counts where it ends
+		ended, end = httpwire.ReasonHandedOver, metrics.Left // it counts where it ends
 	case p.how == httpwire.NobodyReads:
-		ended, end = httpwire.ReasonCallerLeft, figures.Left
+		ended, end = httpwire.ReasonCallerLeft, metrics.Left
 	case p.reply.Close:
 		ended = httpwire.ReasonPeerClose
 	}
@@ -132,12 +132,12 @@
 	e.goingOn.Add(1)
 	e.world.Go("go on", func() {
 		defer e.goingOn.Add(-1)
-		end := figures.Left
+		end := metrics.Left
 		switch httpwire.GoOn(over, caller, endpoint, e.world) {
 		case httpwire.Whole:
-			end = figures.Served
+			end = metrics.Served
 		case httpwire.BrokenOff:
-			end = figures.Failed
+			end = metrics.Failed
 		}
 		e.board.Active.Add(-1)
 		e.board.Count(over.Class, end)
--- a/internal/watching/watching.go
+++ b/internal/shadow/watching.go
@@ -1,9 +1,9 @@
-// Package watching shows what other settings would decide, beside what is decided: a second balancer is told the
+// Package shadow shows what other settings would decide, beside what is decided: a second balancer is told the
 // same events, and what it decides is counted and never carried out. It is for operators who are about to switch.
 //
 // The watching balancer has no say. It cannot change, delay or re-seed the deciding one: it has its own random
 // numbers, gets no timer of its own, and its actions end here.
-package watching
+package shadow
 
 import (
 	"github.com/rs/zerolog"
--- a/internal/watching/watching_test.go
+++ b/internal/shadow/watching_test.go
@@ -1,4 +1,4 @@
-package watching
+package shadow
 
 import (
 	"math/rand/v2"
--- a/internal/sim/crewsim/disk.go
+++ b/internal/sim/clustersim/disk.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster/voter"
 )
 
 // table holds values in the order of their keys.
@@ -60,7 +60,7 @@
 	unsynced []func()
 }
 
-var _ keeper.Disk = (*disk)(nil)
+var _ voter.Disk = (*disk)(nil)
 
 func newDisk() *disk { return &disk{buckets: map[string]*table{}} }
 
@@ -81,13 +81,13 @@
 }
 
 // View is keeper.Disk's.
-func (d *disk) View(do func(keeper.Tx) error) error { return do(&transaction{disk: d}) }
+func (d *disk) View(do func(voter.Tx) error) error { return do(&transaction{disk: d}) }
 
 // mostUnsynced writes are lost with a disk that lies.
 const mostUnsynced = 3
 
 // Update is keeper.Disk's.
-func (d *disk) Update(do func(keeper.Tx) error) error {
+func (d *disk) Update(do func(voter.Tx) error) error {
 	tx := &transaction{disk: d}
 	if err := do(tx); err != nil {
 		tx.back()
--- a/internal/sim/crewsim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -1,12 +1,12 @@
-package crewsim
+package clustersim
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
 )
 
 // kind is one kind of fault, with how often it is drawn beside the others.
@@ -106,9 +106,9 @@
 	p := r.anybody()
 	said := p.holder.Ask()
 	said.Leaving = true
-	call(p, p.seeker.First(), "renew", said, 500*time.Millisecond, func(q *process, said crew.Renewal, reply func(keeper.Renewed)) {
-		q.keep(func(c *keeper.Core) { c.Renew(said, reply) })
-	}, func(keeper.Renewed, bool) {})
+	call(p, p.seeker.First(), "renew", said, 500*time.Millisecond, func(q *process, said cluster.Renewal, reply func(voter.Renewed)) {
+		q.keep(func(c *voter.Core) { c.Renew(said, reply) })
+	}, func(voter.Renewed, bool) {})
 	// It asks for nothing any more: the word that it leaves is its last.
 	p.leaving = true
 	r.w.after(50*time.Millisecond, "exit", p.id, func() {
--- a/internal/sim/crewsim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"github.com/anishathalye/porcupine"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/versions"
 )
 
@@ -152,12 +152,12 @@
 
 // propose has a client propose, with the same id to one keeper after another until one tells how it went.
 func (r *run) propose(d versions.Document, done func(number uint64, err error)) {
-	p := crew.Proposal{ID: keeper.Draw(), Parent: r.active(), Author: client, Doc: d}
+	p := cluster.Proposal{ID: voter.Draw(), Parent: r.active(), Author: client, Doc: d}
 	from, c := r.w.now, r.procs[client]
 	who := fmt.Sprintf("client %d", r.next.count)
 	keepers := slices.Clone(r.names[:r.conf.Keepers])
 	type answer struct {
-		Told keeper.Proposed
+		Told voter.Proposed
 		Why  string
 	}
 	tries := 0
@@ -171,13 +171,13 @@
 			return
 		}
 		to := keepers[0]
-		call(c, to, "propose", p, proposeTime, func(q *process, p crew.Proposal, reply func(answer)) {
-			q.keep(func(k *keeper.Core) {
+		call(c, to, "propose", p, proposeTime, func(q *process, p cluster.Proposal, reply func(answer)) {
+			q.keep(func(k *voter.Core) {
 				if _, leads := k.Leads(); leads && r.bug == TellsEarly {
 					l, _ := k.Ledger()
-					reply(answer{Told: keeper.Proposed{Number: l.Last + 1}})
+					reply(answer{Told: voter.Proposed{Number: l.Last + 1}})
 				}
-				k.Propose(p, func(told keeper.Proposed, err error) {
+				k.Propose(p, func(told voter.Proposed, err error) {
 					a := answer{Told: told}
 					if err != nil {
 						a.Why = err.Error()
@@ -192,7 +192,7 @@
 				r.history.add(who, from, r.w.now, asking{true, p.Parent}, told{number: a.Told.Number})
 				done(a.Told.Number, nil)
 				return
-			case ok && a.Why != "" && !counted && a.Why != keeper.ErrNoWord.Error():
+			case ok && a.Why != "" && !counted && a.Why != voter.ErrNoWord.Error():
 				done(0, fmt.Errorf("%s", a.Why)) // it does not count
 				return
 			case ok && a.Told.Leader != "":
--- a/internal/sim/crewsim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/holdings"
 )
 
@@ -39,8 +39,8 @@
 	// pauseNext is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
 	pauseNext time.Duration
 
-	holder  *crew.Holder
-	seeker  *crew.Seeker
+	holder  *cluster.Holder
+	seeker  *cluster.Seeker
 	store   *holdings.Store // nil where nothing is held
 	me      holdings.Who
 	learnt  holdings.View   // by the store, last
@@ -50,8 +50,8 @@
 	leaving bool            // it has said so
 	why     string          // it holds no lease
 
-	core   *keeper.Core // nil where this one is no keeper, or its keeper has ended
-	failed error        // why
+	core   *voter.Core // nil where this one is no keeper, or its keeper has ended
+	failed error       // why
 	disk   *disk
 	lines  map[string]*line
 	judged uint64 // entries applied, when its ledger was last compared
@@ -113,9 +113,9 @@
 
 // open opens the keeper's folder and begins.
 func (p *process) open() {
-	conf := keeper.Conf{Crew: "sim", Name: p.name, Keepers: p.r.keepers, Terms: p.r.conf.Terms}
+	conf := voter.Conf{Crew: "sim", Name: p.name, Keepers: p.r.keepers, Terms: p.r.conf.Terms}
 	p.guarded(func() (err error) {
-		p.core, err = keeper.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.fresh(p) }, p)
+		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.fresh(p) }, p)
 		if err == nil {
 			err = p.core.Start()
 		}
@@ -159,7 +159,7 @@
 }
 
 // keep has the keeper of this process do something, if there is one.
-func (p *process) keep(do func(c *keeper.Core)) {
+func (p *process) keep(do func(c *voter.Core)) {
 	if p.core != nil {
 		p.guarded(func() error {
 			do(p.core)
@@ -169,8 +169,8 @@
 }
 
 func (p *process) tick() {
-	p.later(keeper.TickEvery, "tick", func() {
-		p.keep(func(c *keeper.Core) { c.Tick() })
+	p.later(voter.TickEvery, "tick", func() {
+		p.keep(func(c *voter.Core) { c.Tick() })
 		if p.core != nil {
 			p.tick()
 		}
@@ -200,7 +200,7 @@
 		// The planted bug: each of the others is taken for having said yes.
 		yes := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
 		p.r.w.after(leastWay, "forged", p.id, func() {
-			p.do(func() { p.keep(func(c *keeper.Core) { c.Take(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
+			p.do(func() { p.keep(func(c *voter.Core) { c.Take(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
 		})
 	}
 	if !l.busy {
@@ -233,7 +233,7 @@
 			}
 			messages = append(messages, m)
 		}
-		q.keep(func(c *keeper.Core) {
+		q.keep(func(c *voter.Core) {
 			why := ""
 			if err := c.Take(p.name, messages); err != nil {
 				why = err.Error()
@@ -243,7 +243,7 @@
 	}, func(why string, ok bool) {
 		for _, m := range batch {
 			if m.GetType() == raftpb.MsgSnap {
-				p.keep(func(c *keeper.Core) { c.Reported(m.GetTo(), ok && why == "") })
+				p.keep(func(c *voter.Core) { c.Reported(m.GetTo(), ok && why == "") })
 			}
 		}
 		if ok || p.r.bug != FallsSilent {
@@ -253,18 +253,18 @@
 }
 
 // Ask is keeper.Ways'.
-func (p *process) Ask(to string, mine keeper.Word) {
-	call(p, to, "form", mine, peerTime, func(q *process, theirs keeper.Word, reply func(keeper.Word)) {
-		q.keep(func(c *keeper.Core) {
+func (p *process) Ask(to string, mine voter.Word) {
+	call(p, to, "form", mine, peerTime, func(q *process, theirs voter.Word, reply func(voter.Word)) {
+		q.keep(func(c *voter.Core) {
 			c.Hear(theirs)
 			reply(c.Word())
 		})
-	}, func(theirs keeper.Word, ok bool) {
+	}, func(theirs voter.Word, ok bool) {
 		if p.r.bug == TrustsOldFolder {
-			theirs.Term, theirs.End, theirs.Seen = 0, keeper.Word{}.End, nil
+			theirs.Term, theirs.End, theirs.Seen = 0, voter.Word{}.End, nil
 		}
 		if ok {
-			p.keep(func(c *keeper.Core) { c.Hear(theirs) })
+			p.keep(func(c *voter.Core) { c.Hear(theirs) })
 		}
 	})
 }
@@ -288,7 +288,7 @@
 		p.pauseNext = 0
 		p.r.pause(p, long)
 	}
-	answered := func(a keeper.Renewed) {
+	answered := func(a voter.Renewed) {
 		if p.leaving {
 			return
 		}
@@ -311,29 +311,29 @@
 			p.ask()
 			return
 		}
-		p.later(p.r.conf.Terms.Lease/crew.Heartbeats, "heartbeat", p.heartbeat)
+		p.later(p.r.conf.Terms.Lease/cluster.Heartbeats, "heartbeat", p.heartbeat)
 	}
-	call(p, to, "renew", r, p.r.conf.Terms.Lease/crew.CallPart, func(q *process, r crew.Renewal, reply func(keeper.Renewed)) {
-		q.keep(func(c *keeper.Core) {
+	call(p, to, "renew", r, p.r.conf.Terms.Lease/cluster.CallPart, func(q *process, r cluster.Renewal, reply func(voter.Renewed)) {
+		q.keep(func(c *voter.Core) {
 			if l, _ := c.Ledger(); q.r.bug == AnyEpoch {
 				r.Epoch = l.Epoch
 			}
 			if l, _ := c.Ledger(); q.r.bug == WrongBase && l.Epoch > 0 && r.HasMembership > 0 {
 				r.HasMembership = max(r.HasMembership, l.Epoch-1)
 			}
-			c.Renew(r, func(a keeper.Renewed) {
+			c.Renew(r, func(a voter.Renewed) {
 				if l, _ := c.Ledger(); a.Grant != nil {
 					q.r.agreeOn(q, l)
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *keeper.Core) { c.Told(&r) }) }) })
+					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *voter.Core) { c.Told(&r) }) }) })
 				}
 			})
 		})
-	}, func(a keeper.Renewed, ok bool) {
+	}, func(a voter.Renewed, ok bool) {
 		if !ok {
-			a = keeper.Renewed{}
+			a = voter.Renewed{}
 		}
 		answered(a)
 	})
