--- a/internal/sim/crewsim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"fmt"
@@ -10,18 +10,18 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/holdings"
 	"heathgap/internal/sim"
-	"heathgap/internal/terms"
 	"heathgap/internal/versions"
 )
 
 // Conf is what a run plays.
 type Conf struct {
 	Keepers, Members int // members that are no keepers: each keeper is a member too
-	Terms            crew.Terms
+	Terms            cluster.Terms
 	Duration         time.Duration // of faults; then all is mended
 	// FaultEvery is how far apart faults begin, about, in the middle one of three kinds of days; 0 for none.
 	FaultEvery time.Duration
@@ -34,14 +34,14 @@
 
 // Usual is the crew that CI plays.
 func Usual() Conf {
-	return Conf{Keepers: 5, Members: 25, Terms: crew.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
+	return Conf{Keepers: 5, Members: 25, Terms: cluster.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
 		Duration: 20 * time.Second, FaultEvery: 700 * time.Millisecond, ProposeEvery: time.Second}
 }
 
 // Held is that crew with copied holdings, whose members are told of each other and of the placement.
 func Held() Conf {
 	c := Usual()
-	c.Terms.Holdings = terms.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 3 * time.Second}
+	c.Terms.Holdings = clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 3 * time.Second}
 	return c
 }
 
@@ -235,7 +235,7 @@
 	if old := r.ids[p.name]; old != 0 && r.bug == KeepsOldID {
 		return old
 	}
-	r.ids[p.name] = keeper.Draw()
+	r.ids[p.name] = voter.Draw()
 	return r.ids[p.name]
 }
 
@@ -261,13 +261,13 @@
 		p.rate = 0.6
 	}
 	own := versions.Own(&decide.Settings{Limits: decide.Limits{MaxAttempts: versions.MostAttempts}, Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
-	self := crew.Member{Name: name, Token: keeper.Draw(), Address: name + ":1"}
+	self := cluster.Member{Name: name, Token: voter.Draw(), Address: name + ":1"}
 	if r.conf.Terms.Holdings.Copies > 0 {
 		self.Zone = fmt.Sprint(slices.Index(r.names, name) % 3)
 		p.store = holdings.NewStore(r.conf.Terms.Holdings, 1<<10)
 	}
-	p.holder = crew.NewHolder(self, r.conf.Terms, own, 0)
-	p.seeker = crew.NewSeeker(p.holder, slices.Sorted(maps.Keys(r.keepers)))
+	p.holder = cluster.NewHolder(self, r.conf.Terms, own, 0)
+	p.seeker = cluster.NewSeeker(p.holder, slices.Sorted(maps.Keys(r.keepers)))
 	return p
 }
 
@@ -379,7 +379,7 @@
 	if applied >= r.doubt[p.name] {
 		delete(r.doubt, p.name) // entries that nobody has applied yet may still show that it was set back
 	}
-	for _, round := range []*crew.Round{&l.Active, l.Next} {
+	for _, round := range []*cluster.Round{&l.Active, l.Next} {
 		if round != nil && round.Number > 0 {
 			r.banned[round.Number] = round.Doc.Banned
 		}
@@ -405,7 +405,7 @@
 }
 
 // heard books what a member was told.
-func (r *run) heard(p *process, asked time.Duration, g *crew.Grant, err error) {
+func (r *run) heard(p *process, asked time.Duration, g *cluster.Grant, err error) {
 	// A few members' words are enough for the order of events; they come eight times a lease.
 	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.Again {
 		return
--- a/internal/sim/crewsim/sim_test.go
+++ b/internal/sim/clustersim/sim_test.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"flag"
--- a/internal/sim/crewsim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -1,4 +1,4 @@
-package crewsim
+package clustersim
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"heathgap/internal/crew"
+	"heathgap/internal/cluster"
 	"heathgap/internal/holdings"
 )
 
@@ -22,7 +22,7 @@
 }
 
 // agreeOn notes the members and the placement of a ledger by which a member is answered.
-func (r *run) agreeOn(p *process, l *crew.Ledger) {
+func (r *run) agreeOn(p *process, l *cluster.Ledger) {
 	if l.Placement == nil || p.noted == [2]uint64{l.Epoch, l.Placement.Number} {
 		return
 	}
@@ -69,7 +69,7 @@
 const tamperShare = 0.2
 
 // tamper counts what a member is told, and has a planted bug befall it.
-func (r *run) tamper(p *process, g *crew.Grant) {
+func (r *run) tamper(p *process, g *cluster.Grant) {
 	if g == nil || len(g.Delta) == 0 {
 		return
 	}
--- a/internal/sim/crewsim/world.go
+++ b/internal/sim/clustersim/world.go
@@ -1,11 +1,11 @@
-// Package crewsim plays a crew in a world of its own, under one seed: the real cores of keepers (raft, ledger, leases,
+// Package clustersim plays a crew in a world of its own, under one seed: the real cores of keepers (raft, ledger, leases,
 // their folders' store) and the real seekers and holders of members, on virtual time, between models of the network, of
 // clocks that differ and of disks. It has no goroutines: one step follows another, and the same seed takes the same steps.
 // After each step it checks what must never be (run.go), in the end that what was told is there and that the crew is well.
 //
 // What it does not play: sockets, the wire, bbolt's file and the engine that acts on the rules. Real processes
 // (heathlab crew) play those.
-package crewsim
+package clustersim
 
 import (
 	"container/heap"
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -15,8 +15,8 @@
 	"github.com/valyala/fasthttp"
 
 	"heathgap/decide"
-	"heathgap/internal/lab/station"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
+	"heathgap/internal/lab/servermodel"
 )
 
 // The models act in the world's steps, one at a time: they need no locks, and whatever
@@ -103,7 +103,7 @@
 	s       *simulation
 	name    string
 	address string
-	station *station.Station
+	station *servermodel.Station
 	inboxes map[*conn]*inbox
 	busy    map[*conn]*task
 	conns   []*conn
@@ -119,7 +119,7 @@
 
 // task is a request at work.
 type task struct {
-	station.Job
+	servermodel.Job
 	q    request
 	c    *conn // nil when its peer has gone
 	own  *keyRun
@@ -194,7 +194,7 @@
 	class, known := e.s.classes[q.class]
 	e.s.seen[q.id] = true
 	arrived := func(runs, repeat bool) {
-		e.s.book.Arrived(truth.Arrival{ID: q.id, Endpoint: e.name, First: q.first, Whole: q.whole, Runs: runs, Repeat: repeat})
+		e.s.book.Arrived(oracle.Arrival{ID: q.id, Endpoint: e.name, First: q.first, Whole: q.whole, Runs: runs, Repeat: repeat})
 	}
 	if !known || e.trouble == Refuse {
 		arrived(false, false)
@@ -225,7 +225,7 @@
 	t.Data = t
 	t.Work = time.Duration(e.s.dice(e.name, q.id).ExpFloat64() * float64(e.s.work))
 	e.due()
-	if e.station.Arrive(e.s.now(), &t.Job) == station.TurnedAway {
+	if e.station.Arrive(e.s.now(), &t.Job) == servermodel.TurnedAway {
 		if own != nil {
 			delete(e.s.keys.seen, q.key)
 		}
@@ -518,7 +518,7 @@
 	class := k.s.classes[a.Class]
 	k.out = k.s.now()
 	until := k.out + class.Deadline
-	k.s.book.Asking(truth.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Until: until + spikeLatency*2})
+	k.s.book.Asking(oracle.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Until: until + spikeLatency*2})
 	k.s.book.Written(a.ID)
 	k.s.asking[k] = true
 	method, more := "GET", ""
@@ -615,14 +615,14 @@
 func (k *client) answered(m *fasthttp.Response) {
 	a, now := k.ask, k.s.now()
 	k.s.w.off(k.limit)
-	verdict := truth.Failed
+	verdict := oracle.Failed
 	switch m.StatusCode() {
 	case fasthttp.StatusOK:
-		verdict = truth.Served
+		verdict = oracle.Served
 	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		verdict = truth.Refused
+		verdict = oracle.Refused
 	}
-	if body := string(m.Body()); verdict == truth.Served && !(strings.HasPrefix(body, a.ID+" ") && strings.HasSuffix(body, "\n")) {
+	if body := string(m.Body()); verdict == oracle.Served && !(strings.HasPrefix(body, a.ID+" ") && strings.HasSuffix(body, "\n")) {
 		k.s.book.Foreign(now, a.ID)
 	} else {
 		k.s.book.Answered(now, a.ID, verdict)
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -15,8 +15,8 @@
 
 	"heathgap/decide"
 	"heathgap/internal/config"
-	"heathgap/internal/lab/station"
-	"heathgap/internal/lab/truth"
+	"heathgap/internal/lab/oracle"
+	"heathgap/internal/lab/servermodel"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
 )
@@ -79,7 +79,7 @@
 	w         *World
 	script    Script
 	opts      Options
-	book      *truth.Book
+	book      *oracle.Book
 	classes   map[string]decide.Class
 	keys      *keyMemory
 	work      time.Duration
@@ -125,7 +125,7 @@
 func Run(script Script, opts Options) Result {
 	s := &simulation{
 		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, work: script.Work,
-		book: truth.New(truth.Conf{
+		book: oracle.New(oracle.Conf{
 			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: askEvery, ToldAfter: toldAfter, Margin: margin,
 		}),
 		keys: &keyMemory{window: script.Window, seen: map[string]*keyRun{}}, routes: map[string]peer{},
@@ -221,7 +221,7 @@
 	} else {
 		address = s.endpoints[place].address
 	}
-	st, err := station.New(station.Conf{
+	st, err := servermodel.New(servermodel.Conf{
 		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: fallMultiple, FallFor: fallFor,
 	}, s.now(), cold)
 	if err != nil {
