--- a/decide/asking.go
+++ b/decide/asking.go
@@ -46,10 +46,10 @@
 	return fleetSpread(peers)
 }
 
-// FailedPause is how long an instance with so many peers waits at the least, and how much longer by chance,
+// ListRetryDelay is how long an instance with so many peers waits at the least, and how much longer by chance,
 // behind a failed call for the list: as long as its backoff each, or by the number of peers where discovery
 // has refused the call and they can overrun it.
-func FailedPause(backoff time.Duration, peers int, refused bool) (least, spread time.Duration) {
+func ListRetryDelay(backoff time.Duration, peers int, refused bool) (least, spread time.Duration) {
 	if !refused || !mayOverrun(peers) {
 		return backoff, backoff
 	}
@@ -63,7 +63,7 @@
 func (b *Balancer) listFailed(e *Event) {
 	b.listMissed(0, 0)
 	backoff := min(b.asking.backoff, cmp.Or(e.Grace/2, askBackoffMost))
-	least, spread := FailedPause(backoff, b.set.Peers, e.Refused)
+	least, spread := ListRetryDelay(backoff, b.set.Peers, e.Refused)
 	b.timers.set(b.now+least+b.jitter(spread), timerList, 0)
 	b.asking.backoff = min(askBackoffMost, 2*b.asking.backoff)
 }
--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -10,7 +10,7 @@
 	t.Helper()
 	const seeds = 400
 	set := testSettings()
-	set.MustAsk, set.Peers = true, peers
+	set.MustPoll, set.Peers = true, peers
 	least = time.Hour
 	for seed := range uint64(seeds) {
 		b, err := New(set, seed)
--- a/decide/balancer.go
+++ b/decide/balancer.go
@@ -74,7 +74,7 @@
 	b.now, b.actions = now, actions
 	switch e.Kind {
 	case Start:
-		if b.set.MustAsk {
+		if b.set.MustPoll {
 			b.firstAsk()
 		}
 	case Arrived:
@@ -83,12 +83,12 @@
 		b.finished(e)
 	case StreamBegan, ClientLeft:
 		b.clientDid(e, 0)
-	case BodyCame:
+	case BodyReceived:
 		b.clientDid(e, 1)
 	case ListChanged, ListReplaced, ListRestored:
 		b.listCame(e)
 	case ListMissed:
-		b.listMissed(e.Since, e.Told)
+		b.listMissed(e.Since, e.DeliveredBy)
 	case ListConfirmed:
 		b.listAnswered()
 	case ListFailed:
@@ -99,8 +99,8 @@
 		if to := b.fleet.byID[e.Endpoint]; to != nil {
 			to.payoff *= 1 - payoffGain // as a failure
 		}
-	case Ruled:
-		b.ruled(e.Ruling)
+	case SettingsChanged:
+		b.ruled(e.Dynamic)
 	case Banned, Unbanned:
 		b.ban(e.Endpoint, e.Kind == Banned)
 	}
--- a/decide/ban_test.go
+++ b/decide/ban_test.go
@@ -130,13 +130,13 @@
 		t.Errorf("%d out, %v; want %d", out, err, last-1)
 	}
 	full := s.b.hold.out
-	s.event(Event{Kind: BodyCame, Request: 1})
-	s.event(Event{Kind: BodyCame, Request: 1})
+	s.event(Event{Kind: BodyReceived, Request: 1})
+	s.event(Event{Kind: BodyReceived, Request: 1})
 	if s.b.hold.out != full+1 {
 		t.Errorf("%d in flight when the body has come, want %d", s.b.hold.out, full+1)
 	}
 	s.after(5*ms).finish(1, 0, Served)
-	s.event(Event{Kind: BodyCame, Request: 1})
+	s.event(Event{Kind: BodyReceived, Request: 1})
 	if _, err := s.b.Audit(); err != nil {
 		t.Error(err)
 	}
--- a/decide/coldstart_test.go
+++ b/decide/coldstart_test.go
@@ -60,11 +60,11 @@
 	set.Rules.ColdTime = time.Duration(between(8, 24) * float64(time.Second))
 	set.Rules.FallMultiple = float64(2 + r.IntN(3))
 	set.Rules.FallWindow = time.Duration(1+r.IntN(3)) * time.Second
-	set.Limits.MaxAttempts, set.Limits.SecondCopies = 4, r.IntN(2) == 0
+	set.Limits.MaxAttempts, set.Limits.Hedging = 4, r.IntN(2) == 0
 	set.WeightKnown, set.Front, set.Depth = r.IntN(3) > 0, r.IntN(3) > 0, r.IntN(3)
 	if r.IntN(4) == 0 {
-		set.Entry, set.Limits.Probing = Own, true
-		set.Report = Report{How: ToProbes, Fields: []LoadField{Outstanding, Utilization}}
+		set.Entry, set.Limits.Probing = PerCaller, true
+		set.Report = Report{Mode: ReportWithProbes, Fields: []LoadField{Outstanding, Utilization}}
 	}
 	c.zones = 1 + r.IntN(2)
 	set.Prices.CrossZone = 0.03
@@ -278,7 +278,7 @@
 	}
 	f.give(k, Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.line.ID, Outcome: outcome,
-		Latency: f.now - a.sent, Over: r.over,
+		Latency: f.now - a.sent, RequestDone: r.over,
 	})
 }
 
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -85,7 +85,7 @@
 func (s *script) finish(id RequestID, attempt int, o Outcome) []Action {
 	s.t.Helper()
 	return s.event(Event{
-		Kind: Finished, Request: id, Attempt: attempt, Outcome: o, Latency: 50 * ms, Over: o == Served,
+		Kind: Finished, Request: id, Attempt: attempt, Outcome: o, Latency: 50 * ms, RequestDone: o == Served,
 	})
 }
 
@@ -338,7 +338,7 @@
 		"no token":          {true, true, false, false},
 	} {
 		set := testSettings()
-		set.Limits.SecondCopies = c.copies
+		set.Limits.Hedging = c.copies
 		s := start(t, set, two()[:1]...)
 		s.want(s.arrive(1, "read"), Send)
 		s.want(s.after(50*ms).finish(1, 0, Served)) // usual: 50 ms
@@ -369,7 +369,7 @@
 func TestSecondCopiesOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		set := testSettings()
-		set.Limits.SecondCopies = allowed
+		set.Limits.Hedging = allowed
 		s := start(t, set, two()...)
 		s.arrive(1, "read")
 		r := s.b.held[1]
@@ -571,7 +571,7 @@
 
 func TestListIsAskedForAgain(t *testing.T) {
 	set := testSettings()
-	set.MustAsk = true
+	set.MustPoll = true
 	s := start(t, set, two()...)
 	asked := s.after(firstAskSpread).tick()
 	s.want(asked, WatchList)
@@ -579,7 +579,7 @@
 		s.want(s.event(Event{Kind: ListFailed}))
 		s.want(s.after(2*askBackoffMost).tick(), WatchList)
 	}
-	set.MustAsk = false
+	set.MustPoll = false
 	s = start(t, set, two()...)
 	s.want(s.after(firstAskSpread).tick())
 }
@@ -587,7 +587,7 @@
 // Guards against a call that comes after its grace, and against calls that come ever faster or all together.
 func TestNextCallForTheListIsInTime(t *testing.T) {
 	set := testSettings()
-	set.MustAsk = true
+	set.MustPoll = true
 	for grace, least := range map[time.Duration]time.Duration{
 		0: askBackoff, 2500 * ms: askBackoff, 1400 * ms: 700 * ms, 200 * ms: 100 * ms,
 	} {
@@ -714,7 +714,7 @@
 	s.arrive(1, "read")
 	s.event(Event{Kind: StreamBegan, Request: 1})
 	s.want(s.after(2 * time.Second).tick())
-	s.want(s.event(Event{Kind: Finished, Request: 1, Outcome: Reset, Over: true}))
+	s.want(s.event(Event{Kind: Finished, Request: 1, Outcome: Reset, RequestDone: true}))
 }
 
 func TestTimersComeInOrder(t *testing.T) {
@@ -848,7 +848,7 @@
 		})
 		s.arrive(id+1000, "read")
 		s.after(180 * ms).event(Event{
-			Kind: Finished, Request: id + 1000, Outcome: Served, Latency: 180 * ms, Over: true,
+			Kind: Finished, Request: id + 1000, Outcome: Served, Latency: 180 * ms, RequestDone: true,
 		})
 	}
 	if got := s.b.hold.each; got > 0.7*before {
@@ -992,7 +992,7 @@
 func TestGoneServesOn(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 9
-	set.Rules.GoneServes = true
+	set.Rules.GoneMayServe = true
 	s := start(t, set, two()...)
 	s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]})
 	s.want(s.arrive(1, "read"), Send)
@@ -1062,7 +1062,7 @@
 	for id := RequestID(1); id <= 60; id++ {
 		s.after(400 * ms)
 		s.want(work(id, 20*ms), Send)
-		s.event(Event{Kind: Finished, Request: id, Outcome: Served, Latency: 40 * ms, Over: true})
+		s.event(Event{Kind: Finished, Request: id, Outcome: Served, Latency: 40 * ms, RequestDone: true})
 	}
 	out := RequestID(100)
 	for len(work(out, 20*ms)) > 0 {
@@ -1071,8 +1071,8 @@
 	heavy, light := out+1, out+2
 	work(heavy, 400*ms)
 	work(light, 10*ms)
-	s.event(Event{Kind: Finished, Request: 100, Outcome: Served, Latency: 40 * ms, Over: true})
-	got := s.event(Event{Kind: Finished, Request: 101, Outcome: Served, Latency: 40 * ms, Over: true})
+	s.event(Event{Kind: Finished, Request: 100, Outcome: Served, Latency: 40 * ms, RequestDone: true})
+	got := s.event(Event{Kind: Finished, Request: 101, Outcome: Served, Latency: 40 * ms, RequestDone: true})
 	if len(got) != 1 || got[0].Request == heavy {
 		t.Errorf("a request of 800 ms within an aim of 200 ms went before one of 20 ms: %+v", got)
 	}
@@ -1109,7 +1109,7 @@
 	}
 	for id := RequestID(200); id < 240; id++ {
 		s.after(20*ms).want(s.arrive(id, "read"), Send)
-		s.event(Event{Kind: Finished, Request: id, Outcome: Reset, Latency: 2 * time.Second, Over: true})
+		s.event(Event{Kind: Finished, Request: id, Outcome: Reset, Latency: 2 * time.Second, RequestDone: true})
 	}
 	if got := order(300); got != "fleet" {
 		t.Errorf("%q goes first though it lately holds places forty times its usual time", got)
--- a/decide/effects.go
+++ b/decide/effects.go
@@ -7,7 +7,7 @@
 
 // mayTake is the one rule on effects: whether another attempt may go there. What is out counts as having run.
 func (b *Balancer) mayTake(r *request, to *endpoint) bool {
-	if r.over || r.bound || (r.out > 0 && !b.set.Limits.SecondCopies) {
+	if r.over || r.bound || (r.out > 0 && !b.set.Limits.Hedging) {
 		return false
 	}
 	for i := range r.attempts {
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -60,7 +60,7 @@
 func (b *Balancer) listCame(e *Event) {
 	b.listAnswered()
 	f := &b.fleet
-	if e.Kind == ListRestored && b.set.MustAsk { // from before the start: it may be old
+	if e.Kind == ListRestored && b.set.MustPoll { // from before the start: it may be old
 		b.listMissed(0, 0)
 	}
 	if e.Kind != ListChanged { // what a whole list no longer names is gone
@@ -76,7 +76,7 @@
 
 // leave books that one was told gone. Where only draining binds it serves on, last, until it fails.
 func (b *Balancer) leave(e *endpoint) {
-	if b.set.Rules.GoneServes && e.state == Active {
+	if b.set.Rules.GoneMayServe && e.state == Active {
 		e.absent = cmp.Or(e.absent, b.now)
 		return
 	}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -25,7 +25,7 @@
 
 // scouting tells whether the hold goes by what endpoints say: even parts say nothing where few carry most.
 func (b *Balancer) scouting() bool {
-	return b.set.Front && b.set.Entry == Own && b.set.Limits.Probing && b.set.Report.How != Silent
+	return b.set.Front && b.set.Entry == PerCaller && b.set.Limits.Probing && b.set.Report.Mode != ReportNever
 }
 
 // ask asks endpoints for the held requests that have nowhere to go: two at a time, or one where that is dear.
@@ -92,7 +92,7 @@
 	} else if e.Outcome != Rejected { // turned away: others wait there too
 		to.payoff, to.touched, to.known = (1-payoffGain)*b.payoff(to), b.now, true
 	}
-	if r.awaited > 0 && b.set.Report.How == ToProbes { // to be compared with the others' answers
+	if r.awaited > 0 && b.set.Report.Mode == ReportWithProbes { // to be compared with the others' answers
 		b.timers.set(b.now+b.set.Tick, timerWaiting, 0)
 		return
 	}
--- a/decide/reason.go
+++ b/decide/reason.go
@@ -15,10 +15,10 @@
 	AnswerBegun           // an answer or a long body has begun to go, which can't go twice
 	Retried               // the attempt before has failed
 	Copied                // the attempt that is out is overdue
-	Reasons               // how many there are
+	NumReasons            // how many there are
 )
 
-var reasonNames = [Reasons]string{
+var reasonNames = [NumReasons]string{
 	"", "no_time_left", "held_too_long", "nothing_may_take", "no_attempts_left", "no_retry_token",
 	"errors_alike", "answer_begun", "retried", "copied",
 }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -127,7 +127,7 @@
 func (b *Balancer) copyLost(r *request) {
 	a, usual := &r.attempts[len(r.attempts)-1], r.class.pace.usual(r.work)
 	switch due := a.sent + overdueTimes*usual; {
-	case !b.set.Limits.SecondCopies || a.settled || r.out > 1 || usual == 0:
+	case !b.set.Limits.Hedging || a.settled || r.out > 1 || usual == 0:
 	case b.now >= due && a.to.passed > a.sent+usual && b.bucket.wait(b.now, r.class) == 0 && b.mayRetry(r):
 		b.retry(r)
 	case b.now < b.lastUse(r):
@@ -175,7 +175,7 @@
 	b.count(a, 0)
 	r.out--
 	b.learn(r, a, e)
-	r.over = r.over || e.Over
+	r.over = r.over || e.RequestDone
 	if e.Outcome == Served {
 		b.stopRest(r)
 	}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -27,7 +27,7 @@
 // newBucket returns a full one. Hundreds of whole floors would bound nothing: many instances share one.
 func newBucket(set *Settings) bucket {
 	k := bucket{floor: floorRate, burst: floorBurst}
-	if set.Entry == Own {
+	if set.Entry == PerCaller {
 		k.floor = floorRate / float64(max(1, set.Peers)) * floorPeers
 		k.burst = max(leastBurst, floorTime*k.floor)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -97,7 +97,7 @@
 		o.t.Fatalf("at %v: attempt past the limit: %+v", o.now, a)
 	}
 	for _, old := range r.attempts {
-		if !old.settled && !o.set.Limits.SecondCopies {
+		if !old.settled && !o.set.Limits.Hedging {
 			o.t.Fatalf("at %v: two attempts out at once: %+v", o.now, a)
 		}
 		if !old.ran {
@@ -186,7 +186,7 @@
 	}
 	o.give(Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.ID, Outcome: outcome,
-		Latency: o.now - a.sent, Over: r.over,
+		Latency: o.now - a.sent, RequestDone: r.over,
 	})
 }
 
@@ -313,16 +313,16 @@
 // variant is the test settings in one of several shapes.
 func variant(n uint64) Settings {
 	set := testSettings()
-	set.Limits.SecondCopies = n&1 != 0
+	set.Limits.Hedging = n&1 != 0
 	set.Front = n&2 == 0
-	set.MustAsk = n&4 != 0
+	set.MustPoll = n&4 != 0
 	set.Limits.Cancel = n&8 == 0
 	set.Peers = 1 + int(n%3)
 	if n&16 != 0 {
-		set.Limits.Probing, set.Entry = true, Own
-		set.Report = Report{How: ToProbes, Fields: []LoadField{Outstanding, Utilization}}
+		set.Limits.Probing, set.Entry = true, PerCaller
+		set.Report = Report{Mode: ReportWithProbes, Fields: []LoadField{Outstanding, Utilization}}
 		if n&32 != 0 {
-			set.Report, set.Prices.Probe = Report{How: WithAnswers, Fields: []LoadField{OtherField, Utilization}}, 0.01
+			set.Report, set.Prices.Probe = Report{Mode: ReportWithAnswers, Fields: []LoadField{OtherField, Utilization}}, 0.01
 		}
 	}
 	return set
--- a/decide/scout_test.go
+++ b/decide/scout_test.go
@@ -8,8 +8,8 @@
 // scoutSettings are those of endpoints that tell their load to probes.
 func scoutSettings() Settings {
 	set := testSettings()
-	set.Entry, set.Limits.Probing = Own, true
-	set.Report = Report{How: ToProbes, Fields: []LoadField{Outstanding, Utilization}}
+	set.Entry, set.Limits.Probing = PerCaller, true
+	set.Report = Report{Mode: ReportWithProbes, Fields: []LoadField{Outstanding, Utilization}}
 	return set
 }
 
@@ -112,7 +112,7 @@
 // Where a probe costs a point, one endpoint is asked at a time, and the first answer takes the request.
 func TestDearProbesGoOneByOne(t *testing.T) {
 	set := scoutSettings()
-	set.Prices.Probe, set.Report = 0.01, Report{How: WithAnswers, Fields: []LoadField{Utilization}}
+	set.Prices.Probe, set.Report = 0.01, Report{Mode: ReportWithAnswers, Fields: []LoadField{Utilization}}
 	s := start(t, set, two()...)
 	first := s.want(s.arrive(1, "read"), Probe)[0].Endpoint
 	second := s.want(s.after(30*ms).tick(), Probe)[0].Endpoint
@@ -169,7 +169,7 @@
 // The floor of hundreds of buckets was twelve times the tenth.
 func TestFloorIsAPartOfTheTiers(t *testing.T) {
 	set := testSettings()
-	set.Entry, set.Peers = Own, 700
+	set.Entry, set.Peers = PerCaller, 700
 	b, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -189,7 +189,7 @@
 // A copy that waits for a place was asked for again at each look, and all of them went: attempts past the limit.
 func TestCopyThatWaitsForAPlaceIsNotAskedForTwice(t *testing.T) {
 	set := scoutSettings()
-	set.Limits.SecondCopies, set.Limits.MaxAttempts = true, 2
+	set.Limits.Hedging, set.Limits.MaxAttempts = true, 2
 	s := start(t, set, two()...)
 	s.want(s.arrive(1, "read"), Probe, Probe)
 	s.told(1, 0, 0.1)
--- a/decide/staleness_test.go
+++ b/decide/staleness_test.go
@@ -18,7 +18,7 @@
 // askingSettings are test settings of an instance that asks for the list, with room for what the tests send.
 func askingSettings() Settings {
 	set := testSettings()
-	set.MustAsk = true
+	set.MustPoll = true
 	return set
 }
 
@@ -254,7 +254,7 @@
 // Guards against requests that nobody takes: where endpoints are asked first, those few that are proven are seldom among them.
 func TestStaleListWhereEndpointsAreAsked(t *testing.T) {
 	set := scoutSettings()
-	set.MustAsk = true
+	set.MustPoll = true
 	s := start(t, set, two()...)
 	s.event(Event{Kind: ListChanged})
 	s.event(Event{Kind: ListMissed, Since: s.now})
@@ -311,12 +311,12 @@
 	if !s.stale(sure) {
 		t.Error("not stale behind a call that failed, with no word of since when")
 	}
-	set.MustAsk = false
+	set.MustPoll = false
 	s = start(t, set, two()...)
 	if s.stale(time.Hour) {
 		t.Error("stale where lists are pushed and nothing has failed")
 	}
-	s.want(s.event(Event{Kind: ListMissed, Since: s.now, Told: s.now}))
+	s.want(s.event(Event{Kind: ListMissed, Since: s.now, DeliveredBy: s.now}))
 	if !s.stale(s.b.set.Rules.DrainGrace) {
 		t.Error("not stale where lists are pushed, and count as told at once")
 	}
--- a/decide/tenants.go
+++ b/decide/tenants.go
@@ -10,7 +10,7 @@
 
 // charge books a request on its tenant's allowance. It returns the part of its worth that is left to it.
 func (b *Balancer) charge(t *bucket) float64 {
-	if t == nil || !b.set.Front || b.set.Entry == Own {
+	if t == nil || !b.set.Front || b.set.Entry == PerCaller {
 		return 1
 	}
 	if t.refill(b.now); t.tokens < 1 {
--- a/decide/types.go
+++ b/decide/types.go
@@ -28,7 +28,7 @@
 	Classes        []Class       // request classes; at least one
 	Tenants        []Tenant      // customers with a share; may be empty
 	OverShareWorth float64       // worth of a request beyond its tenant's share, as a part of its class's
-	MustAsk        bool          // the endpoint list comes only when asked for
+	MustPoll       bool          // the endpoint list comes only when asked for
 	Limits         Limits        // what the deployment allows
 	Rules          Rules         // figures of the rules
 	WeightKnown    bool          // Endpoint.Weight states a size
@@ -85,7 +85,7 @@
 // Limits are what the deployment allows.
 type Limits struct {
 	Cancel        bool // attempts may be called off
-	SecondCopies  bool // a request may have two attempts out at once
+	Hedging       bool // a request may have two attempts out at once
 	RetryAfter    bool // a refusal may say when to come back
 	Probing       bool // endpoints may be probed
 	MaxAttempts   int
@@ -105,18 +105,18 @@
 
 // The entries.
 const (
-	Pooled Entry = iota // callers share a pool of instances: each has an even part of the traffic
-	Own                 // each caller has an instance of its own: most carry little, a few far more
+	Pooled    Entry = iota // callers share a pool of instances: each has an even part of the traffic
+	PerCaller              // each caller has an instance of its own: most carry little, a few far more
 )
 
-// ReportHow says how endpoints tell their load.
-type ReportHow uint8
+// ReportMode says how endpoints tell their load.
+type ReportMode uint8
 
 // The ways of telling it.
 const (
-	Silent      ReportHow = iota // not at all
-	WithAnswers                  // in outcomes, which the module passes over, and probe results
-	ToProbes                     // in probe results only
+	ReportNever       ReportMode = iota // not at all
+	ReportWithAnswers                   // in outcomes, which the module passes over, and probe results
+	ReportWithProbes                    // in probe results only
 )
 
 // LoadField is one value of a load report.
@@ -131,7 +131,7 @@
 
 // Report is how endpoints tell their load.
 type Report struct {
-	How    ReportHow
+	Mode   ReportMode
 	Fields []LoadField // in the order in which a report holds them
 }
 
@@ -165,7 +165,7 @@
 	FallMultiple float64       // sent more than this many times its present capacity
 	FallWindow   time.Duration // for this long, a cold endpoint falls over
 	DrainGrace   time.Duration // sends to a draining endpoint end within this
-	GoneServes   bool          // only draining binds: one told gone, or left out, without it may serve on
+	GoneMayServe bool          // only draining binds: one told gone, or left out, without it may serve on
 }
 
 // EndpointState is what the list says of an endpoint.
@@ -214,46 +214,46 @@
 
 // The kinds of event.
 const (
-	Start         EventKind = iota // the instance starts
-	Arrived                        // Request, Class, Repeat, Work, Tenant, Grace
-	Finished                       // Request, Attempt, Endpoint, Outcome, Latency, Over
-	StreamBegan                    // Request, Attempt: bytes of its body or answer can't go twice
-	ClientLeft                     // Request
-	TimerDue                       // the timer asked for is due
-	ListChanged                    // Endpoints: only changed lines
-	ListReplaced                   // Endpoints: the whole list
-	ListRestored                   // Endpoints: the whole list as last known, maybe old
-	ListFailed                     // Grace, Refused: a call for the list failed; nothing has come of it
-	ProbeFinished                  // Endpoint, Outcome, Latency, Load
-	BodyCame                       // Request, Attempt: the body that began to go then has come whole
-	StreamBroke                    // Endpoint: it broke off an answer that counted as served
-	Banned                         // Endpoint, listed or not: nothing new for it until Unbanned
-	Unbanned                       // Endpoint: the ban has ended, however often it was told
-	Ruled                          // Ruling: it holds from now on
-	ListMissed                     // Since, Told: what discovery has had since then may not have come
-	ListConfirmed                  // the list is as discovery has it: a watch waits there for what is newer
+	Start           EventKind = iota // the instance starts
+	Arrived                          // Request, Class, Repeat, Work, Tenant, Grace
+	Finished                         // Request, Attempt, Endpoint, Outcome, Latency, Over
+	StreamBegan                      // Request, Attempt: bytes of its body or answer can't go twice
+	ClientLeft                       // Request
+	TimerDue                         // the timer asked for is due
+	ListChanged                      // Endpoints: only changed lines
+	ListReplaced                     // Endpoints: the whole list
+	ListRestored                     // Endpoints: the whole list as last known, maybe old
+	ListFailed                       // Grace, Refused: a call for the list failed; nothing has come of it
+	ProbeFinished                    // Endpoint, Outcome, Latency, Load
+	BodyReceived                     // Request, Attempt: the body that began to go then has come whole
+	StreamBroke                      // Endpoint: it broke off an answer that counted as served
+	Banned                           // Endpoint, listed or not: nothing new for it until Unbanned
+	Unbanned                         // Endpoint: the ban has ended, however often it was told
+	SettingsChanged                  // Ruling: it holds from now on
+	ListMissed                       // Since, Told: what discovery has had since then may not have come
+	ListConfirmed                    // the list is as discovery has it: a watch waits there for what is newer
 )
 
 // Event is something that happened to the instance.
 type Event struct {
-	Kind      EventKind
-	Request   RequestID
-	Class     string
-	Tenant    string
-	Repeat    bool          // a client's repeat, where clients mark it
-	Work      time.Duration // expected work; 0 when unknown
-	Grace     time.Duration // until the client gives up on this try, or the next call for the list
-	Attempt   int
-	Endpoint  EndpointID
-	Outcome   Outcome
-	Latency   time.Duration
-	Over      bool // the request has had its final answer
-	Refused   bool // discovery has answered, and not with a list
-	Since     Time // 0 for now
-	Told      Time // when that counts as told, whether or not it comes; 0 for the usual time
-	Load      Load // the endpoint's report, if one came
-	Endpoints []Endpoint
-	Ruling    *Ruling
+	Kind        EventKind
+	Request     RequestID
+	Class       string
+	Tenant      string
+	Repeat      bool          // a client's repeat, where clients mark it
+	Work        time.Duration // expected work; 0 when unknown
+	Grace       time.Duration // until the client gives up on this try, or the next call for the list
+	Attempt     int
+	Endpoint    EndpointID
+	Outcome     Outcome
+	Latency     time.Duration
+	RequestDone bool // the request has had its final answer
+	Refused     bool // discovery has answered, and not with a list
+	Since       Time // 0 for now
+	DeliveredBy Time // when that counts as told, whether or not it comes; 0 for the usual time
+	Load        Load // the endpoint's report, if one came
+	Endpoints   []Endpoint
+	Dynamic     *DynamicSettings
 }
 
 // ActionKind says which fields of an Action are set.
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -397,8 +397,8 @@
 	ask   holdings.Ask
 }
 
-// Open is pipeline.Holdings'.
-func (c *copies) Open(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.Opened {
+// Claim is pipeline.Holdings'.
+func (c *copies) Claim(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
 	class := c.classes[message.Class]
 	until := c.m.world.Now().Add(within)
 	a := holdings.Ask{
@@ -420,18 +420,18 @@
 	switch answer.Kind {
 	case holdings.Yes:
 		c.open.Add(1)
-		return pipeline.Opened{Hold: &claim{c, class, a}, Within: bound}
+		return pipeline.ClaimResult{Claim: &claim{c, class, a}, Within: bound}
 	case holdings.Was:
 		c.was.Add(1)
-		return pipeline.Opened{Answer: kept(answer.Outcome)}
+		return pipeline.ClaimResult{Answer: kept(answer.Outcome)}
 	case holdings.Other:
-		return pipeline.Opened{Answer: &httpwire.Answer{Verdict: httpwire.Malformed, Reason: "key: it came with another request before"}}
+		return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Malformed, Reason: "key: it came with another request before"}}
 	case holdings.Running, holdings.Unclear, holdings.Fenced:
 		return c.refuse(&a, answer)
 	}
 	c.alone.Add(1)
 	if class.alone == operator.GoOn {
-		return pipeline.Opened{}
+		return pipeline.ClaimResult{}
 	}
 	if answer.Kind == holdings.Away && a.Do == holdings.Open { // else it was out before
 		a.Do = holdings.Drop
@@ -454,7 +454,7 @@
 }
 
 // refuse refuses a request. A kind of reason is logged once a while.
-func (c *copies) refuse(a *holdings.Ask, why holdings.Answer) pipeline.Opened {
+func (c *copies) refuse(a *holdings.Ask, why holdings.Answer) pipeline.ClaimResult {
 	c.refused.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -467,7 +467,7 @@
 		}
 		ev.Msg("a held request is refused")
 	}
-	return pipeline.Opened{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: returnAfter}}
+	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: returnAfter}}
 }
 
 // kept is the answer that a request had.
@@ -480,7 +480,7 @@
 
 // MayWrite is pipeline.Hold's: the lease holds, and this is the incarnation that claimed.
 func (h *claim) MayWrite() bool {
-	if h.c.m.Acting().Cautious {
+	if h.c.m.Effective().Cautious {
 		return false
 	}
 	h.c.mu.Lock()
@@ -494,7 +494,7 @@
 	switch {
 	case answer.Verdict == httpwire.Served:
 		a.Do, a.Outcome = holdings.Finish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
-		if answer.Rest != nil || len(answer.Body) > h.c.body {
+		if answer.Stream != nil || len(answer.Body) > h.c.body {
 			a.Outcome = &holdings.Outcome{Long: true}
 		}
 	case ran:
@@ -513,10 +513,10 @@
 	if h.class.alone == operator.GoOn && got.Kind != holdings.Fenced {
 		return answer
 	}
-	if answer.Rest != nil {
-		answer.Rest.Close()
+	if answer.Stream != nil {
+		answer.Stream.Close()
 	}
-	return httpwire.Answer{Verdict: httpwire.Failed, Taken: answer.Taken}
+	return httpwire.Answer{Verdict: httpwire.Failed, Reserved: answer.Reserved}
 }
 
 // figures appends those of what is held.
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -60,7 +60,7 @@
 
 // acted is what is acted on until a time.
 type acted struct {
-	pipeline.Acting
+	pipeline.EffectiveRules
 	stance cluster.Stance
 	until  cluster.Boot // of the lease; what stands here holds no longer
 }
@@ -122,14 +122,14 @@
 	return m, nil
 }
 
-// Acting is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
+// Effective is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
 // acts.
-func (m *Member) Acting() *pipeline.Acting {
+func (m *Member) Effective() *pipeline.EffectiveRules {
 	a := m.acting.Load()
 	if now := m.world.Boot(); now >= a.until && !a.Cautious {
-		return &m.publish(now).Acting
+		return &m.publish(now).EffectiveRules
 	}
-	return &a.Acting
+	return &a.EffectiveRules
 }
 
 // publish puts in force what the holder says, if it differs.
@@ -150,8 +150,8 @@
 		return &next
 	}
 	m.generation++
-	next := &acted{stance: stance, until: m.holder.Ends(), Acting: pipeline.Acting{
-		Generation: m.generation, Ruling: stance.Rules.Ruling(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
+	next := &acted{stance: stance, until: m.holder.Ends(), EffectiveRules: pipeline.EffectiveRules{
+		Generation: m.generation, Dynamic: stance.Rules.Ruling(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
 	}}
 	m.acting.Store(next)
 	ev := m.log.Info()
@@ -180,7 +180,7 @@
 		m.mu.Unlock()
 		for m.ask() {
 		}
-		m.Acting() // an end of the lease is told when it comes, not with the next request
+		m.Effective() // an end of the lease is told when it comes, not with the next request
 		timer.Reset(heartbeat)
 	}
 }
@@ -272,7 +272,7 @@
 
 // current is what is acted on at this moment.
 func (m *Member) current() *acted {
-	m.Acting()
+	m.Effective()
 	return m.acting.Load()
 }
 
@@ -286,7 +286,7 @@
 
 // Figures is lifecycle.Crew's.
 func (m *Member) Figures(text []byte) []byte {
-	m.Acting()
+	m.Effective()
 	a := m.acting.Load()
 	cautious, leads := int64(0), int64(0)
 	if a.Cautious {
@@ -334,7 +334,7 @@
 func (m *Member) leaveReplicas() {
 	m.Leaving()
 	for limit := m.world.Now().Add(moveTime); m.world.Now().Before(limit); m.world.Sleep(tickHoldings) {
-		if m.copies.replicas() == 0 || m.Acting().Cautious {
+		if m.copies.replicas() == 0 || m.Effective().Cautious {
 			return
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,8 +27,8 @@
 	if c.Name != "n3" || c.Listen != "127.0.0.1:7070" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 {
 		t.Errorf("head: %+v", c)
 	}
-	if c.ConnectTimeout != 75*time.Millisecond || c.IdleFor >= 10*time.Second || c.Transport.MostHeld != 50 {
-		t.Errorf("connections: %v %v %d", c.ConnectTimeout, c.IdleFor, c.Transport.MostHeld)
+	if c.ConnectTimeout != 75*time.Millisecond || c.IdleFor >= 10*time.Second || c.Transport.MaxPending != 50 {
+		t.Errorf("connections: %v %v %d", c.ConnectTimeout, c.IdleFor, c.Transport.MaxPending)
 	}
 	if c.HeapBytes >= 100<<20 || c.CallerConns+c.EndpointConns >= 1000 {
 		t.Errorf("nothing is in reserve: %d bytes, %d+%d connections", c.HeapBytes, c.CallerConns, c.EndpointConns)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -39,8 +39,8 @@
 type Operations interface {
 	// Ready tells whether this process serves.
 	Ready() bool
-	// Figures returns the figures, a line each.
-	Figures() []byte
+	// Metrics returns the figures, a line each.
+	Metrics() []byte
 	// Disable keeps everything from an endpoint until Enable; it returns when that binds.
 	// It fails where the endpoint has never been listed.
 	Disable(id string) error
@@ -156,7 +156,7 @@
 	case len(ids) > 0:
 		return refusal(fmt.Errorf("%s takes no argument", word))
 	case word == "STATS":
-		return append(append([]byte("200 figures\n"), c.ops.Figures()...), "EOF\n"...)
+		return append(append([]byte("200 figures\n"), c.ops.Metrics()...), "EOF\n"...)
 	case !c.ops.Ready():
 		return refusal(errors.New("not ready: this process does not serve yet, or is ending"))
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -20,7 +20,7 @@
 type fake struct{ calls chan string }
 
 func (f *fake) Ready() bool             { return true }
-func (f *fake) Figures() []byte         { return []byte("sidecar.active:3|g\n") }
+func (f *fake) Metrics() []byte         { return []byte("sidecar.active:3|g\n") }
 func (f *fake) Disable(id string) error { return f.change("off ", id) }
 func (f *fake) Enable(id string) error  { return f.change("on ", id) }
 
--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -38,10 +38,10 @@
 	Encoding   string        // of the body's content
 	RetryAfter time.Duration // a refused caller should stay away so long; 0 for no advice
 	Reason     string        // what is wrong with a malformed request
-	Last       bool          // the caller's connection ends with it
-	Ran        bool          // the request may have run at an endpoint
-	Taken      int           // of the room for answers, to be returned when it is written
-	Rest       *AnswerRest   // of a long body, Body being its beginning; nil for one that is whole
+	CloseAfter bool          // the caller's connection ends with it
+	MayHaveRun bool          // the request may have run at an endpoint
+	Reserved   int           // of the room for answers, to be returned when it is written
+	Stream     *AnswerStream // of a long body, Body being its beginning; nil for one that is whole
 }
 
 // EncodeAnswer writes the answer for a caller.
@@ -55,14 +55,14 @@
 		if a.Encoding != "" {
 			m.Header.SetContentEncoding(a.Encoding)
 		}
-		if a.Rest != nil {
+		if a.Stream != nil {
 			// In chunks, so that each piece goes out as it comes and an end that is cut off shows.
 			m.ImmediateHeaderFlush = true
 			size := chunked
-			if a.Rest.Whole {
-				size = a.Rest.Length
+			if a.Stream.WithLength {
+				size = a.Stream.Length
 			}
-			m.SetBodyStream(a.Rest, size)
+			m.SetBodyStream(a.Stream, size)
 			return
 		}
 		m.SetBodyRaw(a.Body)
@@ -88,9 +88,9 @@
 	Body     []byte
 	Type     string
 	Encoding string
-	Close    bool        // the endpoint ends the connection
-	Taken    int         // of the room for answers
-	Rest     *AnswerRest // of a long body, of which Body is the beginning; nil for one that is whole
+	Close    bool          // the endpoint ends the connection
+	Reserved int           // of the room for answers
+	Stream   *AnswerStream // of a long body, of which Body is the beginning; nil for one that is whole
 }
 
 // DecodeLoad reads a load report: name=value with commas between them, in one line. Names that the module has no use
@@ -118,31 +118,31 @@
 	return []byte("GET " + pathLoad + " HTTP/1.1\r\nHost: " + serviceHost + "\r\n\r\n")
 }
 
-// Room is the memory that bodies of answers may take together, from their first
+// MemoryBudget is the memory that bodies of answers may take together, from their first
 // byte until they are written to their callers.
-type Room struct{ left atomic.Int64 }
+type MemoryBudget struct{ left atomic.Int64 }
 
-// NewRoom returns room for so many bytes.
-func NewRoom(bytes int64) *Room {
-	m := &Room{}
+// NewMemoryBudget returns room for so many bytes.
+func NewMemoryBudget(bytes int64) *MemoryBudget {
+	m := &MemoryBudget{}
 	m.left.Store(bytes)
 	return m
 }
 
 // Take takes so many bytes, if they are there.
-func (m *Room) Take(bytes int) bool {
+func (m *MemoryBudget) Take(bytes int) bool {
 	if m.left.Add(-int64(bytes)) >= 0 {
 		return true
 	}
-	m.Return(bytes)
+	m.Release(bytes)
 	return false
 }
 
-// Left is how many bytes are left.
-func (m *Room) Left() int64 { return m.left.Load() }
+// Available is how many bytes are left.
+func (m *MemoryBudget) Available() int64 { return m.left.Load() }
 
-// Return gives bytes back.
-func (m *Room) Return(bytes int) { m.left.Add(int64(bytes)) }
+// Release gives bytes back.
+func (m *MemoryBudget) Release(bytes int) { m.left.Add(int64(bytes)) }
 
 // Bounds of reading an answer.
 const (
@@ -169,16 +169,18 @@
 const beginTime = 150 * time.Millisecond
 
 // Receive reads the answer to what was sent: whole, or the beginning of a long one.
-func (l *Link) Receive(room *Room, world env.Env) (Reply, error) {
+func (l *Link) Receive(room *MemoryBudget, world env.Env) (Reply, error) {
 	reply, err := decodeReply(l.in, room, &pacer{link: l, world: world})
-	if reply.Rest != nil {
-		reply.Rest.link, reply.Rest.world = l, world
+	if reply.Stream != nil {
+		reply.Stream.link, reply.Stream.world = l, world
 	}
 	return reply, err
 }
 
 // DecodeReply reads an endpoint's answer from what can't wait.
-func DecodeReply(r *bufio.Reader, room *Room) (Reply, error) { return decodeReply(r, room, nil) }
+func DecodeReply(r *bufio.Reader, room *MemoryBudget) (Reply, error) {
+	return decodeReply(r, room, nil)
+}
 
 // pacer tells when to stop waiting for more of an answer's beginning.
 type pacer struct {
@@ -203,7 +205,7 @@
 }
 
 // decodeReply reads an answer; what is read of its body takes of the room.
-func decodeReply(r *bufio.Reader, room *Room, pace *pacer) (Reply, error) {
+func decodeReply(r *bufio.Reader, room *MemoryBudget, pace *pacer) (Reply, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
 	body, err := readHead(m, r)
@@ -227,15 +229,15 @@
 		return reply, nil
 	}
 	first, whole, err := readBeginning(body, length, room, pace)
-	reply.Body, reply.Taken = first, cap(first)
+	reply.Body, reply.Reserved = first, cap(first)
 	switch {
 	case err != nil:
-		room.Return(cap(first))
+		room.Release(cap(first))
 		return Reply{}, err
 	case !whole && reply.Outcome != decide.Served: // it tells all that it has to tell
 		reply.Close = true
 	case !whole:
-		reply.Rest = &AnswerRest{Length: length, first: first, body: body}
+		reply.Stream = &AnswerStream{Length: length, first: first, body: body}
 	}
 	return reply, nil
 }
@@ -399,16 +401,16 @@
 // MaxWhole bytes at most. It takes memory as the bytes come: guards against heads that
 // announce more than ever comes. What was taken of the room is the capacity of what is
 // returned, also with an error.
-func readBeginning(r io.Reader, length int, room *Room, pace *pacer) (body []byte, whole bool, err error) {
+func readBeginning(r io.Reader, length int, room *MemoryBudget, pace *pacer) (body []byte, whole bool, err error) {
 	for {
-		if len(body) >= MaxWhole && length != len(body) {
+		if len(body) >= MaxBuffered && length != len(body) {
 			return body, false, nil
 		}
-		if len(body) > 0 && (length < 0 || length > MaxWhole) && pace != nil && !pace.more() {
+		if len(body) > 0 && (length < 0 || length > MaxBuffered) && pace != nil && !pace.more() {
 			return body, false, nil
 		}
 		if len(body) == cap(body) {
-			more := min(max(firstBody, cap(body)), MaxWhole-cap(body))
+			more := min(max(firstBody, cap(body)), MaxBuffered-cap(body))
 			if length > 0 {
 				more = min(more, length-len(body))
 			}
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -47,15 +47,15 @@
 		Listener: l, world: world, ended: ended, conns: map[*CallerConn]struct{}{},
 		resume: make(chan struct{}, 1), backlogEmpty: make(chan struct{}), freed: make(chan struct{}, 1),
 	}
-	c.Bound(limit)
+	c.SetLimit(limit)
 	return c
 }
 
 // spareShare is so large a part of the connections as is kept free of those that stay.
 const spareShare = 16
 
-// Bound sets how many connections there may be. What is idle beyond that ends; what is in use goes on.
-func (l *Callers) Bound(limit int) {
+// SetLimit sets how many connections there may be. What is idle beyond that ends; what is in use goes on.
+func (l *Callers) SetLimit(limit int) {
 	l.limit.Store(int64(limit))
 	l.most.Store(int64(max(1, limit-max(1, limit/spareShare))))
 	l.mu.Lock()
@@ -258,7 +258,7 @@
 func (l *Callers) closeOldest(n int) {
 	all, age := l.byAge()
 	for _, c := range all {
-		if n > 0 && (c.closeIdle(ReasonRoom) || age[c].young && !age[c].proven) {
+		if n > 0 && (c.closeIdle(ReasonConnLimit) || age[c].young && !age[c].proven) {
 			n--
 		}
 	}
@@ -275,7 +275,7 @@
 func (l *Callers) closeSilent(n int) {
 	all, age := l.byAge()
 	for _, c := range all {
-		if n > 0 && !age[c].proven && (c.closeIdle(ReasonRoom) || c.cutLinger() || c.cutShort()) {
+		if n > 0 && !age[c].proven && (c.closeIdle(ReasonConnLimit) || c.cutLinger() || c.cutShort()) {
 			n--
 		}
 	}
@@ -450,8 +450,8 @@
 	c.body, c.unread = &bodyPace{}, true
 }
 
-// BodyUnread marks that a body comes that nobody will read.
-func (c *CallerConn) BodyUnread() {
+// MarkBodyUnread marks that a body comes that nobody will read.
+func (c *CallerConn) MarkBodyUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unread = true
@@ -477,8 +477,8 @@
 	}
 }
 
-// Hold marks that the connection holds a request whose body still comes.
-func (c *CallerConn) Hold() {
+// MarkPending marks that the connection holds a request whose body still comes.
+func (c *CallerConn) MarkPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hold()
@@ -562,7 +562,7 @@
 	}
 	c.mu.Unlock()
 	if err != nil {
-		c.Note(ReasonWriteFailed)
+		c.SetReason(ReasonWriteFailed)
 	}
 	return n, err
 }
@@ -599,9 +599,9 @@
 	return c.unsent
 }
 
-// Answered marks that the server has the answer to the request at hand. written is
+// MarkAnswered marks that the server has the answer to the request at hand. written is
 // called once, when that is written or its connection ends.
-func (c *CallerConn) Answered(written func()) {
+func (c *CallerConn) MarkAnswered(written func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.settle()
@@ -616,8 +616,8 @@
 	return c.requests
 }
 
-// Held is how many connections hold a whole request, or one whose body still comes.
-func (l *Callers) Held() int { return int(l.held.Load()) }
+// Pending is how many connections hold a whole request, or one whose body still comes.
+func (l *Callers) Pending() int { return int(l.held.Load()) }
 
 // Crowded tells whether more requests are held than there should be connections.
 func (c *CallerConn) Crowded() bool {
@@ -625,8 +625,8 @@
 	return l.held.Load() > l.most.Load()
 }
 
-// Note sets why the connection ends, unless that is known already.
-func (c *CallerConn) Note(why Reason) {
+// SetReason sets why the connection ends, unless that is known already.
+func (c *CallerConn) SetReason(why Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.note(why)
@@ -681,7 +681,7 @@
 		return false
 	}
 	c.closing = true
-	c.note(ReasonRoom)
+	c.note(ReasonConnLimit)
 	c.Conn.SetReadDeadline(aPast)
 	return true
 }
@@ -694,7 +694,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Guards against a stop that cuts short what lingers already; where room is wanted it may be cut short.
-	lingers := c.closed && why != ReasonRoom
+	lingers := c.closed && why != ReasonConnLimit
 	if c.closing || c.busy || lingers || c.owner.world.Now().Sub(c.changed) < settleTime {
 		return false
 	}
@@ -725,7 +725,7 @@
 		defer close(done)
 		if c.look() {
 			c.disconnected.Store(true)
-			c.Note(ReasonCallerLeft)
+			c.SetReason(ReasonCallerLeft)
 			left()
 		}
 	})
@@ -788,7 +788,7 @@
 		return false
 	}
 	c.disconnected.Store(true)
-	c.Note(ReasonCallerLeft)
+	c.SetReason(ReasonCallerLeft)
 	return true
 }
 
@@ -863,7 +863,7 @@
 		return 0
 	case c.unread:
 		return longLinger
-	case c.why == ReasonRoom && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
+	case c.why == ReasonConnLimit && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
 		return 0
 	}
 	return shortLinger
--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -59,7 +59,7 @@
 	proven, _ := connect(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
-	proven.Answered(nil)
+	proven.MarkAnswered(nil)
 	var silent []*CallerConn
 	for range 3 {
 		c, _ := connect(t, callers)
@@ -90,7 +90,7 @@
 // Guards against a request that stands unread in a connection which is ended.
 func TestClosingConnectionStillGivesWhatHasCome(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
-		"made room":  func(c *CallerConn) { c.closeIdle(ReasonRoom) },
+		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
 		"idle limit": func(c *CallerConn) { c.SetReadDeadline(aPast) },
 	} {
 		c, client, _ := callerPair(t)
@@ -113,7 +113,7 @@
 // caller could take for one to its next request is never made.
 func TestClosingConnectionReadsAsClosed(t *testing.T) {
 	c, _, ended := callerPair(t)
-	if !c.closeIdle(ReasonShutdown) || c.closeIdle(ReasonRoom) {
+	if !c.closeIdle(ReasonShutdown) || c.closeIdle(ReasonConnLimit) {
 		t.Error("an idle connection is closed once")
 	}
 	c.SetReadDeadline(time.Now().Add(time.Minute)) // the server's, before it reads
@@ -132,7 +132,7 @@
 func TestBusyConnectionIsNotClosed(t *testing.T) {
 	c, client, _ := callerPair(t)
 	c.changed = time.Now()
-	if c.closeIdle(ReasonRoom) {
+	if c.closeIdle(ReasonConnLimit) {
 		t.Error("closed when new")
 	}
 	client.Write([]byte("G"))
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	c.changed = c.changed.Add(-time.Hour)
-	if c.closeIdle(ReasonRoom) {
+	if c.closeIdle(ReasonConnLimit) {
 		t.Error("closed while a request comes")
 	}
 	c.Watch(func() {})
@@ -191,7 +191,7 @@
 	proven, _ := connect(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
-	proven.Answered(nil)
+	proven.MarkAnswered(nil)
 	proven.mu.Lock()
 	proven.settle()
 	proven.changed = proven.changed.Add(-time.Hour)
@@ -230,7 +230,7 @@
 			t.Fatal(err)
 		}
 	}
-	c.closeIdle(ReasonRoom)
+	c.closeIdle(ReasonConnLimit)
 	if n, err := c.Read(make([]byte, 3)); n != 3 || err != nil {
 		t.Errorf("%d bytes, %v; want those that have come", n, err)
 	}
--- a/internal/httpwire/crossing_test.go
+++ b/internal/httpwire/crossing_test.go
@@ -92,12 +92,12 @@
 func TestCloseOverUnreadBytes(t *testing.T) {
 	for _, unread := range []int{1, 5000} {
 		c, peer := accepted(t)
-		c.Hold()
+		c.MarkPending()
 		peer.Say(strings.Repeat("x", unread))
 		if _, err := io.WriteString(c, "answer"); err != nil {
 			t.Fatal(err)
 		}
-		c.Answered(nil)
+		c.MarkAnswered(nil)
 		closed := make(chan struct{})
 		go func() {
 			c.Close()
@@ -138,7 +138,7 @@
 	if _, err := io.WriteString(peer, "crossing"); err != nil {
 		t.Errorf("writing meets %v", err)
 	}
-	if !c.closeIdle(ReasonRoom) {
+	if !c.closeIdle(ReasonConnLimit) {
 		t.Error("it can't make room")
 	}
 	peer.Close()
@@ -158,7 +158,7 @@
 		t.Errorf("%d are counted", c.owner.lingering.Load())
 	}
 	c, peer = accepted(t)
-	c.Note(ReasonRoom)
+	c.SetReason(ReasonConnLimit)
 	begin := time.Now()
 	c.Close()
 	if took := time.Since(begin); took >= shortLinger {
@@ -241,7 +241,7 @@
 // goes on, while others wait for a place.
 func TestReadingOutMakesRoom(t *testing.T) {
 	c, peer := accepted(t)
-	c.Hold()
+	c.MarkPending()
 	c.bodyBegins()
 	c.bodyEnded(false)
 	closed := make(chan struct{})
@@ -276,7 +276,7 @@
 	for name, end := range ends {
 		for _, ahead := range []int{0, 1, 300, maxPipelinedKept + 1, 40 << 10} {
 			c, peer := accepted(t)
-			c.Hold()
+			c.MarkPending()
 			peer.Say(strings.Repeat("x", ahead))
 			if end != nil {
 				end(peer)
@@ -327,7 +327,7 @@
 		b.Fatal(err)
 	}
 	c := conn.(*CallerConn)
-	c.Hold()
+	c.MarkPending()
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Disconnected() {
--- a/internal/httpwire/fuzz_test.go
+++ b/internal/httpwire/fuzz_test.go
@@ -22,12 +22,12 @@
 	}
 	const most = 64 << 10
 	f.Fuzz(func(t *testing.T, text []byte) {
-		room := NewRoom(most)
+		room := NewMemoryBudget(most)
 		r, err := DecodeReply(bufio.NewReaderSize(bytes.NewReader(text), MaxHead), room)
 		if err == nil && len(r.Body) > len(text) {
 			t.Errorf("a body of %d bytes out of %d", len(r.Body), len(text))
 		}
-		if room.Return(r.Taken); !room.Take(most) {
+		if room.Release(r.Reserved); !room.Take(most) {
 			t.Error("not all of the room came back")
 		}
 	})
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -172,7 +172,7 @@
 		"500 away":  {"HTTP/1.1 500 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n", decide.ServerError, "", false},
 		"other 2xx": {"HTTP/1.1 204 None\r\n\r\n", decide.ServerError, "", false},
 	} {
-		r, err := DecodeReply(bufio.NewReader(strings.NewReader(c.text)), NewRoom(MaxAnswer))
+		r, err := DecodeReply(bufio.NewReader(strings.NewReader(c.text)), NewMemoryBudget(MaxAnswer))
 		if err != nil || r.Outcome != c.outcome || string(r.Body) != c.body || r.Close != c.close {
 			t.Errorf("%s: %+v, %v", name, r, err)
 		}
@@ -206,36 +206,36 @@
 		"too long":           {head(MaxAnswer+1) + strings.Repeat("x", MaxAnswer+1), roomy, -1},
 		"3 GB":               {head(3<<30) + "x", roomy, -1},
 		"chunks too long":    {chunked + chunk(MaxAnswer) + chunk(1) + "0\r\n\r\n", roomy, -1},
-		"no room":            {head(long) + strings.Repeat("x", long), MaxWhole / 2, -1},
+		"no room":            {head(long) + strings.Repeat("x", long), MaxBuffered / 2, -1},
 		"announced only":     {head(MaxAnswer) + "x", roomy, -1},
 		"no last chunk":      {chunked + chunk(long), roomy, -1},
 		"no end of trailer":  {chunked + chunk(long) + "0\r\n", roomy, -1},
 		"endless interim":    {strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", 1000), roomy, -1},
 		"length that is odd": {"HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\nhi", roomy, -1},
 	} {
-		room := NewRoom(int64(c.room))
+		room := NewMemoryBudget(int64(c.room))
 		r, err := DecodeReply(bufio.NewReader(strings.NewReader(c.text)), room)
 		length := len(r.Body)
-		if r.Rest != nil { // it is passed on, and the pipe's end shows what would be written
+		if r.Stream != nil { // it is passed on, and the pipe's end shows what would be written
 			var out bytes.Buffer
 			ours, theirs := net.Pipe()
 			defer ours.Close()
 			defer theirs.Close()
-			r.Rest.link, r.Rest.world = &Link{conn: ours}, env.Real{}
-			_, err = r.Rest.WriteTo(&out)
+			r.Stream.link, r.Stream.world = &Link{conn: ours}, env.Real{}
+			_, err = r.Stream.WriteTo(&out)
 			length = out.Len()
 		}
 		if failed := err != nil; failed != (c.want < 0) || !failed && length != c.want {
 			t.Errorf("%s: %d bytes, %v; want %d", name, length, err, c.want)
 		}
-		if room.Return(r.Taken); !room.Take(c.room) {
+		if room.Release(r.Reserved); !room.Take(c.room) {
 			t.Errorf("%s: not all of its room came back", name)
 		}
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 100 {
-		DecodeReply(bufio.NewReader(strings.NewReader(head(MaxAnswer)+"x")), NewRoom(roomy))
+		DecodeReply(bufio.NewReader(strings.NewReader(head(MaxAnswer)+"x")), NewMemoryBudget(roomy))
 	}
 	runtime.ReadMemStats(&after)
 	if took := (after.TotalAlloc - before.TotalAlloc) / 100; took > 64<<10 {
--- a/internal/httpwire/link.go
+++ b/internal/httpwire/link.go
@@ -71,8 +71,8 @@
 	return n == len(message), err
 }
 
-// Await sets until when the answer to what was sent is waited for.
-func (l *Link) Await(deadline time.Time) error {
+// SetReadDeadline sets until when the answer to what was sent is waited for.
+func (l *Link) SetReadDeadline(deadline time.Time) error {
 	l.until = deadline
 	return l.conn.SetDeadline(deadline)
 }
@@ -87,9 +87,9 @@
 	}
 }
 
-// Fresh tells whether an idle connection still stands and is silent: what is
+// Usable tells whether an idle connection still stands and is silent: what is
 // written to one that the other side has ended would count as a reset.
-func (l *Link) Fresh() bool {
+func (l *Link) Usable() bool {
 	if l.closed.Load() || l.in.Buffered() > 0 {
 		return false
 	}
--- a/internal/httpwire/link_test.go
+++ b/internal/httpwire/link_test.go
@@ -61,7 +61,7 @@
 			t.Fatal(err)
 		}
 		reset(t, endpoint) // on loopback it has come when Close returns
-		if reply, err := link.Receive(NewRoom(1<<20), env.Real{}); err == nil {
+		if reply, err := link.Receive(NewMemoryBudget(1<<20), env.Real{}); err == nil {
 			t.Errorf("%s: taken for whole: %q", name, reply.Body)
 		}
 	}
--- a/internal/httpwire/names.go
+++ b/internal/httpwire/names.go
@@ -24,10 +24,10 @@
 	serviceHost = "service.internal"
 )
 
-// MaxWhole is the most of a body that is read whole before it goes on, in bytes, in
+// MaxBuffered is the most of a body that is read whole before it goes on, in bytes, in
 // either direction: what can be tried again. Shorter ones are all that a tier without
 // long bodies has.
-const MaxWhole = 64 << 10
+const MaxBuffered = 64 << 10
 
 // MaxBody and MaxAnswer are the most that the body of a request and of an answer may
 // hold, in bytes: what the operators name, and none of it is kept.
--- a/internal/httpwire/reason.go
+++ b/internal/httpwire/reason.go
@@ -10,7 +10,7 @@
 	ReasonPeerReset  Reason = "peer_reset"  // it broke
 	ReasonIdle       Reason = "idle"        // it stood idle for too long
 	ReasonShutdown   Reason = "shutdown"    // this sidecar is stopping
-	ReasonRoom       Reason = "room"        // it made room: too many were open
+	ReasonConnLimit  Reason = "room"        // it made room: too many were open
 )
 
 // Reasons on the callers' side.
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -77,15 +77,15 @@
 	u := &Upload{Length: length, body: stream, conn: conn, done: make(chan struct{})}
 	size := firstBody
 	if length > 0 {
-		size = min(length, MaxWhole+1)
+		size = min(length, MaxBuffered+1)
 	}
 	first := make([]byte, 0, size)
 	for {
-		if len(first) > MaxWhole {
+		if len(first) > MaxBuffered {
 			return first, u, nil
 		}
 		if len(first) == cap(first) {
-			first = append(make([]byte, 0, min(2*cap(first), MaxWhole+1)), first...)
+			first = append(make([]byte, 0, min(2*cap(first), MaxBuffered+1)), first...)
 		}
 		n, err := u.Read(first[len(first):cap(first)])
 		switch first = first[:len(first)+n]; {
@@ -224,40 +224,40 @@
 
 // How a long answer ended on its way.
 const (
-	Whole       AnswerEnd = iota // all of it is written
-	BrokenOff                    // its endpoint broke it off, or it was longer than may be
-	NobodyReads                  // its caller has gone
-	HandedOver                   // another process goes on with it
+	AnswerComplete   AnswerEnd = iota // all of it is written
+	AnswerBrokenOff                   // its endpoint broke it off, or it was longer than may be
+	AnswerCallerGone                  // its caller has gone
+	AnswerHandedOver                  // another process goes on with it
 )
 
 // AnswerEnd is how the passing on of a long answer has ended.
 type AnswerEnd uint8
 
-// AnswerRest is a long answer that is passed on as it comes: fasthttp writes it as the
+// AnswerStream is a long answer that is passed on as it comes: fasthttp writes it as the
 // body of a response. It ends once.
-type AnswerRest struct {
-	Length int // of the whole body in bytes; below 0 where only its end tells
-	Class  string
-	Whole  bool // it is written with its length, not in chunks: for callers of HTTP/1.0
-	first  []byte
-	body   io.Reader
-	link   *Link
-	to     atomic.Pointer[CallerConn]
-	world  env.Env
-	ended  func(AnswerEnd) // set by Pass; nil before, and after the end
-	give   atomic.Pointer[Give]
+type AnswerStream struct {
+	Length     int // of the whole body in bytes; below 0 where only its end tells
+	Class      string
+	WithLength bool // it is written with its length, not in chunks: for callers of HTTP/1.0
+	first      []byte
+	body       io.Reader
+	link       *Link
+	to         atomic.Pointer[CallerConn]
+	world      env.Env
+	ended      func(AnswerEnd) // set by Pass; nil before, and after the end
+	give       atomic.Pointer[HandOverFunc]
 }
 
-// Give hands a long answer to another process: what it needs to go on, as text, and the
+// HandOverFunc hands a long answer to another process: what it needs to go on, as text, and the
 // connections of its caller and its endpoint.
-type Give func(state []byte, caller, endpoint syscall.Conn) error
+type HandOverFunc func(state []byte, caller, endpoint syscall.Conn) error
 
-// Pass says who is told of the end, once.
-func (a *AnswerRest) Pass(ended func(AnswerEnd)) { a.ended = ended }
+// OnEnd says who is told of the end, once.
+func (a *AnswerStream) OnEnd(ended func(AnswerEnd)) { a.ended = ended }
 
 // HandOver has the answer handed to another process at the next piece. It may be called
 // at any time.
-func (a *AnswerRest) HandOver(give Give) {
+func (a *AnswerStream) HandOver(give HandOverFunc) {
 	a.give.Store(&give)
 	a.link.conn.SetReadDeadline(aPast)
 	if to := a.to.Load(); to != nil {
@@ -265,11 +265,11 @@
 	}
 }
 
-// To says whose connection it is written to.
-func (a *AnswerRest) To(conn *CallerConn) { a.to.Store(conn) }
+// SetConn says whose connection it is written to.
+func (a *AnswerStream) SetConn(conn *CallerConn) { a.to.Store(conn) }
 
-// Over is what another process needs to go on with a long answer.
-type Over struct {
+// AnswerHandover is what another process needs to go on with a long answer.
+type AnswerHandover struct {
 	Class    string
 	Unsent   []byte // read and not written
 	Buffered []byte // read from the endpoint's connection, and not unframed
@@ -280,12 +280,12 @@
 }
 
 // handOver hands it over, and tells whether it has.
-func (a *AnswerRest) handOver(give Give, total int64) bool {
+func (a *AnswerStream) handOver(give HandOverFunc, total int64) bool {
 	to := a.to.Load()
-	if a.Whole {
+	if a.WithLength {
 		return false
 	}
-	over := Over{Class: a.Class, Unsent: to.unsentBytes(), Left: -1, Total: total}
+	over := AnswerHandover{Class: a.Class, Unsent: to.unsentBytes(), Left: -1, Total: total}
 	switch b := a.body.(type) {
 	case *exactBody:
 		over.Left = b.left
@@ -303,9 +303,9 @@
 	return true
 }
 
-// GoOn passes on what another process has begun to: it writes to the caller what is
+// ResumeAnswer passes on what another process has begun to: it writes to the caller what is
 // left of the answer, and ends both connections.
-func GoOn(over *Over, caller, endpoint net.Conn, world env.Env) AnswerEnd {
+func ResumeAnswer(over *AnswerHandover, caller, endpoint net.Conn, world env.Env) AnswerEnd {
 	defer caller.Close()
 	defer endpoint.Close()
 	in := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(over.Buffered), endpoint), MaxHead)
@@ -318,7 +318,7 @@
 	}
 	out := &Link{conn: caller}
 	if out.writePiece(over.Unsent, false, false, world) != nil {
-		return NobodyReads
+		return AnswerCallerGone
 	}
 	buf := pieces.Get().(*[pieceSize]byte)
 	defer pieces.Put(buf)
@@ -326,32 +326,32 @@
 		endpoint.SetReadDeadline(world.Now().Add(pieceStall))
 		n, err := body.Read(buf[:])
 		if total += int64(n); total > MaxAnswer || err != nil && err != io.EOF {
-			return BrokenOff
+			return AnswerBrokenOff
 		}
 		if out.writePiece(buf[:n], true, err == io.EOF, world) != nil {
-			return NobodyReads
+			return AnswerCallerGone
 		}
 		if err == io.EOF {
-			return Whole
+			return AnswerComplete
 		}
 	}
 }
 
 // SupportsBodyWriteTo has fasthttp use WriteTo.
-func (a *AnswerRest) SupportsBodyWriteTo() bool { return true }
+func (a *AnswerStream) SupportsBodyWriteTo() bool { return true }
 
 // Read is io.Reader's, which fasthttp asks of bodies; WriteTo is what it uses.
-func (a *AnswerRest) Read([]byte) (int, error) {
+func (a *AnswerStream) Read([]byte) (int, error) {
 	return 0, errors.New("a long answer is written, not read")
 }
 
 // WriteTo writes all of it. On an error what is written must not look whole.
-func (a *AnswerRest) WriteTo(w io.Writer) (int64, error) {
+func (a *AnswerStream) WriteTo(w io.Writer) (int64, error) {
 	n, err := w.Write(a.first)
 	total := int64(n)
 	a.first = nil
 	if err != nil {
-		a.end(NobodyReads)
+		a.end(AnswerCallerGone)
 		return total, err
 	}
 	buf := pieces.Get().(*[pieceSize]byte)
@@ -364,41 +364,41 @@
 			give = a.give.Load()
 		}
 		if give != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-			how := BrokenOff
+			how := AnswerBrokenOff
 			if a.handOver(*give, total) {
-				how = HandedOver
+				how = AnswerHandedOver
 			}
 			a.end(how)
 			return total, errHandedOver
 		}
 		if total += int64(n); total > MaxAnswer {
-			a.end(BrokenOff)
+			a.end(AnswerBrokenOff)
 			return total, errTooLong
 		}
 		if n > 0 {
 			if _, err := w.Write(buf[:n]); err != nil {
-				a.end(NobodyReads)
+				a.end(AnswerCallerGone)
 				return total, err
 			}
 		}
 		switch {
 		case err == io.EOF:
-			a.end(Whole)
+			a.end(AnswerComplete)
 			return total, nil
 		case err != nil:
-			a.end(BrokenOff)
+			a.end(AnswerBrokenOff)
 			return total, err
 		}
 	}
 }
 
 // Close is called when it is written, or never will be.
-func (a *AnswerRest) Close() error {
-	a.end(NobodyReads)
+func (a *AnswerStream) Close() error {
+	a.end(AnswerCallerGone)
 	return nil
 }
 
-func (a *AnswerRest) end(how AnswerEnd) {
+func (a *AnswerStream) end(how AnswerEnd) {
 	if ended := a.ended; ended != nil {
 		a.ended = nil
 		ended(how)
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -353,15 +353,15 @@
 	request := &httpwire.Request{Class: OrderClass, Key: key, Remaining: classDeadline, Method: "POST", URI: "/" + OrderClass + "/x", Body: []byte(key)}
 	var print [16]byte
 	copy(print[:], key[max(0, len(key)-len(print)):]) // drawn, as the hash of a request would be
-	opened := m.Holdings().Open(request, print, request.Remaining)
-	if opened.Hold == nil || opened.Answer != nil {
+	opened := m.Holdings().Claim(request, print, request.Remaining)
+	if opened.Claim == nil || opened.Answer != nil {
 		return false
 	}
 	left := func() time.Duration { return max(endTime, classDeadline-time.Since(began)+endTime) }
-	if !opened.Hold.MayWrite() {
-		opened.Hold.End(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
+	if !opened.Claim.MayWrite() {
+		opened.Claim.End(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
 		return false
 	}
 	time.Sleep(p.start.OrderTakes)
-	return opened.Hold.End(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
+	return opened.Claim.End(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
 }
--- a/internal/lab/emulated/world_test.go
+++ b/internal/lab/emulated/world_test.go
@@ -191,11 +191,11 @@
 				t.Fatal(err)
 			}
 			there := <-accepted
-			if !l.Fresh() {
+			if !l.Usable() {
 				t.Errorf("%s: not fresh", name)
 			}
 			end(there)
-			for limit := time.Now().Add(testWait); l.Fresh(); time.Sleep(testPause) {
+			for limit := time.Now().Add(testWait); l.Usable(); time.Sleep(testPause) {
 				if time.Now().After(limit) {
 					t.Fatalf("%s: fresh though %s", name, what)
 				}
--- a/internal/lab/harness/crew_test.go
+++ b/internal/lab/harness/crew_test.go
@@ -117,20 +117,20 @@
 // deadlyEnd is the outcome with which a process dies, the first ones having shown that it serves.
 const deadlyEnd = 20
 
-// Open is pipeline.Holdings'.
-func (b *buggyHoldings) Open(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.Opened {
+// Claim is pipeline.Holdings'.
+func (b *buggyHoldings) Claim(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
 	if b.bug == bugNoClaim {
-		return pipeline.Opened{}
+		return pipeline.ClaimResult{}
 	}
-	opened := b.Holdings.Open(m, print, within)
-	if opened.Hold != nil {
-		opened.Hold = &buggyHold{opened.Hold, b}
+	opened := b.Holdings.Claim(m, print, within)
+	if opened.Claim != nil {
+		opened.Claim = &buggyHold{opened.Claim, b}
 	}
 	return opened
 }
 
 type buggyHold struct {
-	pipeline.Hold
+	pipeline.Claim
 	of *buggyHoldings
 }
 
@@ -138,13 +138,13 @@
 func (h *buggyHold) End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	n := h.of.ends.Add(1)
 	if h.of.bug == bugTellsEarly {
-		time.AfterFunc(orderWindow+time.Second, func() { h.Hold.End(answer, ran, within) })
+		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.End(answer, ran, within) })
 		if n == 2*deadlyEnd {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 		}
 		return answer
 	}
-	answer = h.Hold.End(answer, ran, within)
+	answer = h.Claim.End(answer, ran, within)
 	if n == deadlyEnd && h.of.bug == diesThen {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 	}
@@ -153,7 +153,7 @@
 
 // Holdings is lifecycle.Crew's.
 func (b *buggyMember) Holdings() pipeline.Holdings {
-	h := b.Crew.Holdings()
+	h := b.Cluster.Holdings()
 	if h == nil || b.name != "m1" {
 		return h
 	}
@@ -182,15 +182,15 @@
 
 // buggyMember is a member with a bug round it.
 type buggyMember struct {
-	lifecycle.Crew
+	lifecycle.Cluster
 	bug  string
 	name string
-	last atomic.Pointer[pipeline.Acting]
+	last atomic.Pointer[pipeline.EffectiveRules]
 }
 
-// Acting is pipeline.Rules'.
-func (b *buggyMember) Acting() *pipeline.Acting {
-	a := b.Crew.Acting()
+// Effective is pipeline.Rules'.
+func (b *buggyMember) Effective() *pipeline.EffectiveRules {
+	a := b.Cluster.Effective()
 	last := b.last.Load()
 	switch {
 	case b.bug == bugForgets && a.Cautious:
@@ -213,9 +213,9 @@
 	}
 	join := member.Joiner(*file.Crew)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
-		Crew: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Crew, error) {
+		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
 			m, err := join(conf, clockOf(world, bug, conf.Name, file.Crew.Terms.Drift), log)
-			return &buggyMember{Crew: m, bug: bug, name: conf.Name}, err
+			return &buggyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
 
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -270,9 +270,9 @@
 		"membership_mode": scene.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
 		"over_share_worth": 0.1,
 		"bounds": map[string]any{
-			"cancel": l.Cancel, "second_copies": l.SecondCopies, "retry_after": l.RetryAfter, "probing": false,
+			"cancel": l.Cancel, "second_copies": l.Hedging, "retry_after": l.RetryAfter, "probing": false,
 			"max_attempts": l.MaxAttempts, "max_retry_after": millis(l.MaxRetryAfter),
-			"connect_timeout": millis(l.ConnectTimeout), "conn_idle": millis(l.ConnIdle), "most_held": l.MostHeld,
+			"connect_timeout": millis(l.ConnectTimeout), "conn_idle": millis(l.ConnIdle), "most_held": l.MaxPending,
 		},
 		"rules": map[string]any{
 			"answer_slack": millis(r.AnswerSlack), "ask_every": millis(r.AskEvery), "cold": millis(r.Cold),
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -162,7 +162,7 @@
 	p.now = now
 	switch ev.Kind {
 	case decide.Start:
-		if p.settings.MustAsk {
+		if p.settings.MustPoll {
 			out = append(out, decide.Action{Kind: decide.WatchList})
 		}
 	case decide.ListReplaced, decide.ListRestored:
@@ -250,7 +250,7 @@
 	}
 	q.mayRun = q.mayRun || !ev.Outcome.NeverRan()
 	switch {
-	case ev.Over || ev.Outcome == decide.Served:
+	case ev.RequestDone || ev.Outcome == decide.Served:
 		return p.end(ev.Request, out)
 	case len(q.out) > 0: // another attempt is out
 		return out
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -16,7 +16,7 @@
 		return decide.Class{Name: name, Effect: e, Aim: 100 * ms, Deadline: time.Second}
 	}
 	return decide.Settings{
-		MustAsk: true, Limits: decide.Limits{Cancel: true, MaxAttempts: 3},
+		MustPoll: true, Limits: decide.Limits{Cancel: true, MaxAttempts: 3},
 		Classes: []decide.Class{class("look", decide.Safe), class("pay", decide.Keyed), class("burn", decide.Unsafe)},
 	}
 }
@@ -101,7 +101,7 @@
 			q.mayBe = q.mayBe || !o.NeverRan()
 			over := q.over || o == decide.Served
 			q.over = over
-			handle(decide.Event{Kind: decide.Finished, Request: id, Attempt: n, Outcome: o, Over: over})
+			handle(decide.Event{Kind: decide.Finished, Request: id, Attempt: n, Outcome: o, RequestDone: over})
 		case 4:
 			list()
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -56,9 +56,9 @@
 
 // Limits are those of sidecars.
 type Limits struct {
-	MemoryMB, Sockets, MaxAttempts, MostHeld int
-	Cancel, SecondCopies, RetryAfter         bool
-	MaxRetryAfter, ConnectTimeout, ConnIdle  time.Duration
+	MemoryMB, Sockets, MaxAttempts, MaxPending int
+	Cancel, Hedging, RetryAfter                bool
+	MaxRetryAfter, ConnectTimeout, ConnIdle    time.Duration
 }
 
 // Tier is one tier of endpoints.
@@ -223,9 +223,9 @@
 		MemoryMB:       t.Int("memory_mb", 192, 16, 8192),
 		Sockets:        t.Int("sockets", 1024, 64, 65536),
 		MaxAttempts:    t.Int("max_attempts", 4, 1, 16),
-		MostHeld:       t.Int("most_held", 1000, 1, 100_000),
+		MaxPending:     t.Int("most_held", 1000, 1, 100_000),
 		Cancel:         t.Bool("cancel", true),
-		SecondCopies:   t.Bool("second_copies", true),
+		Hedging:        t.Bool("second_copies", true),
 		RetryAfter:     t.Bool("retry_after", true),
 		MaxRetryAfter:  t.Duration("max_retry_after", 2*time.Second, 0, time.Minute),
 		ConnectTimeout: t.Duration("connect_timeout", 500*time.Millisecond, time.Millisecond, time.Minute),
--- a/internal/lifecycle/crossing_test.go
+++ b/internal/lifecycle/crossing_test.go
@@ -53,7 +53,7 @@
 		p.Say(asked("/look", ""))
 		peers = append(peers, p)
 	}
-	eventually(t, "all are held", func() bool { return s.Counters().Held == burst })
+	eventually(t, "all are held", func() bool { return s.Counters().Pending == burst })
 	for i, p := range peers {
 		ways[i%len(ways)](p)
 	}
@@ -191,7 +191,7 @@
 			world := &held{stands: make(chan string, 1), goOn: make(chan struct{}), skipped: 1}
 			world.hold.Store(door.Address, true)
 			d := scripted.StartDiscovery(t)
-			s := startWith(t, testConfig(d, scripted.Line("e1", door.Address)), Options{Operator: operator.Default(), World: world})
+			s := startWith(t, testConfig(d, scripted.Line("e1", door.Address)), Options{Operator: operator.Default(), Env: world})
 			p := scripted.Connect(t, s.Address())
 			p.Say(asked("/look", ""))
 			e := door.Next()
@@ -417,7 +417,7 @@
 			}
 			eventually(t, "it is booked", func() bool {
 				c := s.Counters()
-				return c.Passing == 0 && c.Held == 0 && c.Left == 1 && c.Links == 0
+				return c.Streaming == 0 && c.Pending == 0 && c.Left == 1 && c.Links == 0
 			})
 		})
 	}
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -132,6 +132,6 @@
 	if keys := s.conf.NeedRestart(next); len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).Msg("changed keys need a restart")
 	}
-	s.engine.Move(next.Discovery)
+	s.engine.MoveDiscovery(next.Discovery)
 	s.log.Info().Str("discovery", next.Discovery).Msg("reloaded")
 }
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -216,7 +216,7 @@
 	if step < 3 {
 		return
 	}
-	if err := json.NewEncoder(conn).Encode(map[string]any{"version": 1, "state": pipeline.Legacy{From: "127.0.0.1:1"}}); err != nil {
+	if err := json.NewEncoder(conn).Encode(map[string]any{"version": 1, "state": pipeline.Handover{From: "127.0.0.1:1"}}); err != nil {
 		t.Error(err)
 	}
 	var word map[string]any
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -53,7 +53,7 @@
 	callers *httpwire.Callers
 	server  *fasthttp.Server
 	console *console.Console // nil where none is configured
-	crew    Crew             // nil for a sidecar in none
+	crew    Cluster          // nil for a sidecar in none
 	upgrade upgrade
 	cancel  context.CancelFunc
 	ran     chan struct{} // closed when the engine has stopped
@@ -79,14 +79,14 @@
 	Operator operator.File
 	Meet     string  // where the processes of an upgrade meet; empty for nowhere
 	Decider  Decider // nil for the module
-	World    env.Env // nil for the real one
-	// Crew makes the sidecar a member of a crew; nil for a sidecar in none.
-	Crew func(conf *config.Config, world env.Env, log zerolog.Logger) (Crew, error)
+	Env      env.Env // nil for the real one
+	// Cluster makes the sidecar a member of a crew; nil for a sidecar in none.
+	Cluster func(conf *config.Config, world env.Env, log zerolog.Logger) (Cluster, error)
 }
 
-// Crew is a sidecar's part in a crew: the rules on which its members agree.
-type Crew interface {
-	pipeline.Rules
+// Cluster is a sidecar's part in a crew: the rules on which its members agree.
+type Cluster interface {
+	pipeline.RulesSource
 	// Figures appends those of its part, a line each.
 	Figures(text []byte) []byte
 	// Holdings are what its sidecars hold for one another; nil for nothing.
@@ -102,10 +102,10 @@
 	if opts.Decider == nil {
 		opts.Decider = Module
 	}
-	if opts.World == nil {
-		opts.World = env.Real{}
+	if opts.Env == nil {
+		opts.Env = env.Real{}
 	}
-	world := opts.World
+	world := opts.Env
 	balancer, err := opts.Decider(conf)
 	if err != nil {
 		return nil, err
@@ -121,18 +121,18 @@
 	if n := opts.Operator.Log.ConnectionEnded; n > 1 {
 		ends = log.Sample(zerolog.LevelSampler{InfoSampler: &zerolog.BasicSampler{N: uint32(n)}})
 	}
-	engine := pipeline.New(conf, world, pipeline.Logs{All: log, Ends: ends}, balancer)
+	engine := pipeline.New(conf, world, pipeline.Logs{All: log, ConnEnds: ends}, balancer)
 	s := &Sidecar{
 		conf: conf, log: log, ends: ends, world: world, engine: engine, ran: make(chan struct{}), served: make(chan error, 1),
 	}
-	if opts.Crew != nil {
-		crew, err := opts.Crew(conf, world, log)
+	if opts.Cluster != nil {
+		crew, err := opts.Cluster(conf, world, log)
 		if err != nil {
 			return nil, err
 		}
-		engine.Heed(crew)
+		engine.SetRules(crew)
 		if h := crew.Holdings(); h != nil {
-			engine.Keep(h)
+			engine.SetHoldings(h)
 		}
 		s.crew = crew
 	}
@@ -157,7 +157,7 @@
 	})
 	s.succeed()
 	world.Go("server", func() { s.served <- s.server.Serve(s.callers) })
-	engine.Serve(true)
+	engine.SetServing(true)
 	s.offer(opts.Meet, listener)
 	log.Info().Str("listen", listener.Addr().String()).Str("discovery", conf.Discovery).Msg("ready")
 	return s, nil
@@ -207,7 +207,7 @@
 // platform kills the process, each answer becomes the last on its connection.
 func (s *Sidecar) Stop() {
 	begin := s.world.Now()
-	s.engine.Unready()
+	s.engine.MarkUnready()
 	s.log.Info().Bool("succeeded", s.upgrade.yielded.Load()).Msg("stopping")
 	s.upgrade.stopping.Store(true)
 	if s.crew != nil {
@@ -221,7 +221,7 @@
 	s.emptyOut(begin.Add(s.finishTime() - handOverAhead))
 	s.handOver()
 	s.emptyOut(begin.Add(s.finishTime()))
-	if s.engine.Finish(); s.engine.Passing() {
+	if s.engine.FailPending(); s.engine.Streaming() {
 		s.emptyOut(begin.Add(passTime))
 	}
 	s.emptyOut(begin.Add(s.finishTime() + leaveAfter))
@@ -244,15 +244,15 @@
 	s.callers.CloseNow()
 }
 
-// Move goes on with the list of another discovery.
-func (s *Sidecar) Move(discovery string) { s.engine.Move(discovery) }
+// MoveDiscovery goes on with the list of another discovery.
+func (s *Sidecar) MoveDiscovery(discovery string) { s.engine.MoveDiscovery(discovery) }
 
 // Audit checks what the engine keeps; it must stand still meanwhile.
 func (s *Sidecar) Audit() error { return s.engine.Audit() }
 
 // emptyOut waits until all callers have their answers, until a time at most.
 func (s *Sidecar) emptyOut(until time.Time) {
-	for (s.callers.Open() > 0 || s.engine.GoingOn()) && s.world.Now().Before(until) {
+	for (s.callers.Open() > 0 || s.engine.Resuming()) && s.world.Now().Before(until) {
 		s.callers.CloseIdle(httpwire.ReasonShutdown)
 		s.world.Sleep(pollEvery)
 	}
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -146,7 +146,7 @@
 	if body := <-got; body != "/look/first" || e.Count() != 1 {
 		t.Errorf("the first got %q, and the endpoint was asked %d times", body, e.Count())
 	}
-	if c := s.Counters(); c.Malformed != 1 || c.Taken != 1 || c.Held != 0 {
+	if c := s.Counters(); c.Malformed != 1 || c.Taken != 1 || c.Pending != 0 {
 		t.Errorf("the books: %+v", c)
 	}
 }
@@ -286,8 +286,8 @@
 	eventually(t, "the request is out", func() bool { return s.Counters().Sent == 1 })
 	conn.Close()
 	eventually(t, "it is seen that the caller left", func() bool { return s.Counters().Left == 1 })
-	if c := s.Counters(); c.Held != 0 || c.Taken != 1 {
-		t.Errorf("held %d, taken %d: want 0 and 1", c.Held, c.Taken)
+	if c := s.Counters(); c.Pending != 0 || c.Taken != 1 {
+		t.Errorf("held %d, taken %d: want 0 and 1", c.Pending, c.Taken)
 	}
 	eventually(t, "its line", func() bool { return strings.Contains(s.log.String(), `"reason":"caller_left"`) })
 }
@@ -334,7 +334,7 @@
 			if status, body := get(t, s.Address(), "/look"); status != 200 || body != "older" {
 				t.Fatalf("with the list as known: %d %q", status, body)
 			}
-			eventually(t, "a call fails", func() bool { return s.Counters().ListFails > 0 })
+			eventually(t, "a call fails", func() bool { return s.Counters().ListFailures > 0 })
 			if !strings.Contains(s.log.String(), `"side":"discovery"`) {
 				t.Errorf("no line on discovery:\n%s", s.log)
 			}
@@ -381,7 +381,7 @@
 	conf := testConfig(d, a.Line())
 	conf["settings"].(map[string]any)["membership_mode"] = "automatic"
 	s := start(t, conf)
-	eventually(t, "a call fails", func() bool { return s.Counters().ListFails > 0 })
+	eventually(t, "a call fails", func() bool { return s.Counters().ListFailures > 0 })
 	d.Down(false)
 	d.Publish(t, 2, b.Line())
 	eventually(t, "the list", func() bool { return s.Counters().Lists > 0 })
@@ -526,8 +526,8 @@
 		t.Errorf("more than %d connections to endpoints", s.conf.EndpointConns)
 	}
 	c := s.Counters()
-	if c.Held != 0 || c.Taken+c.Over != 100 || c.Over == 0 {
-		t.Errorf("held %d, taken %d, turned away %d: want 0, and 100 in all with some of both", c.Held, c.Taken, c.Over)
+	if c.Pending != 0 || c.Taken+c.OverLimit != 100 || c.OverLimit == 0 {
+		t.Errorf("held %d, taken %d, turned away %d: want 0, and 100 in all with some of both", c.Pending, c.Taken, c.OverLimit)
 	}
 }
 
@@ -634,7 +634,7 @@
 	eventually(t, "traffic", func() bool { return s.Counters().Served > 100 })
 	s.Stop()
 	wait.Wait()
-	if c := s.Counters(); c.Held != 0 || c.Taken != c.Served+c.Refused+c.Failed+c.Left {
+	if c := s.Counters(); c.Pending != 0 || c.Taken != c.Served+c.Refused+c.Failed+c.Left {
 		t.Errorf("the books do not add up: %+v", c)
 	}
 }
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/stream_test.go
@@ -190,7 +190,7 @@
 			}
 		})
 	}
-	eventually(t, "nothing is kept", func() bool { return s.Counters().Held == 0 && s.callers.Open() == 0 })
+	eventually(t, "nothing is kept", func() bool { return s.Counters().Pending == 0 && s.callers.Open() == 0 })
 }
 
 func closeWrite(c net.Conn) { c.(*net.TCPConn).CloseWrite() }
@@ -275,8 +275,8 @@
 	eventually(t, "nothing is kept", func() bool { return s.callers.Open() == 0 })
 	s.stayFor, s.stopped = 0, true
 	s.Stop()
-	if err := s.Audit(); err != nil || s.callers.Held() != 0 {
-		t.Errorf("%v; requests held %v", err, s.callers.Held() != 0)
+	if err := s.Audit(); err != nil || s.callers.Pending() != 0 {
+		t.Errorf("%v; requests held %v", err, s.callers.Pending() != 0)
 	}
 }
 
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -29,8 +29,8 @@
 	stopping atomic.Bool    // the platform has said so
 
 	mu    sync.Mutex
-	peers []*takeover.Peer // that live: predecessor, successor
-	door  *takeover.Door   // for a successor; nil when there is none
+	peers []*takeover.Peer            // that live: predecessor, successor
+	door  *takeover.SuccessorListener // for a successor; nil when there is none
 }
 
 // listen returns where callers connect: a predecessor's own listener if there is one.
@@ -38,9 +38,9 @@
 	if s.upgrade.path = meet; meet == "" {
 		return s.world.Listen(s.conf.Listen)
 	}
-	peer, listener, state, err := takeover.Find(meet)
+	peer, listener, state, err := takeover.FindPredecessor(meet)
 	if err == nil {
-		err = s.engine.Inherit(state)
+		err = s.engine.ImportHandover(state)
 	}
 	switch {
 	case err == nil:
@@ -48,7 +48,7 @@
 		s.join(peer)
 		s.log.Info().Msg("a predecessor serves")
 		return listener, nil
-	case !errors.Is(err, takeover.ErrNone):
+	case !errors.Is(err, takeover.ErrNoPredecessor):
 		s.log.Warn().Err(err).Msg("no predecessor, starting without one")
 	}
 	if peer != nil {
@@ -79,8 +79,8 @@
 
 // share keeps this process to a part of the limits.
 func (s *Sidecar) share(parts int) {
-	s.callers.Bound(s.conf.CallerConns / parts)
-	s.engine.Share(parts)
+	s.callers.SetLimit(s.conf.CallerConns / parts)
+	s.engine.SetConnShare(parts)
 	debug.SetMemoryLimit(s.conf.HeapBytes / int64(parts))
 }
 
@@ -94,7 +94,7 @@
 	}
 	s.share(processes)
 	go peer.Run(successor{s, peer})
-	if err := peer.Take(); err != nil {
+	if err := peer.StopAccepting(); err != nil {
 		s.log.Warn().Err(err).Msg("the predecessor does not answer, serving beside it")
 	}
 }
@@ -105,11 +105,11 @@
 	peer *takeover.Peer
 }
 
-// Yield is nothing that a predecessor asks for.
-func (successor) Yield() {}
+// StopAccepting is nothing that a predecessor asks for.
+func (successor) StopAccepting() {}
 
-// Gone is takeover.Handler's.
-func (s successor) Gone(bool) {
+// PeerEnded is takeover.Handler's.
+func (s successor) PeerEnded(bool) {
 	s.log.Info().Msg("the predecessor has ended")
 	s.part(s.peer)
 }
@@ -120,10 +120,10 @@
 	if meet == "" || !ok {
 		return
 	}
-	door, err := takeover.Offer(meet, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
+	door, err := takeover.AcceptSuccessor(meet, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
 		s.join(peer)
 		s.log.Info().Msg("a successor has come")
-		state, err := s.engine.Legacy()
+		state, err := s.engine.ExportHandover()
 		return state, predecessor{s, peer, listener}, err
 	})
 	if err != nil {
@@ -147,9 +147,9 @@
 	listener net.Listener
 }
 
-// Yield stops accepting. What stands on the connections that there are is served, and
+// StopAccepting stops accepting. What stands on the connections that there are is served, and
 // each answer is the last on its connection.
-func (s predecessor) Yield() {
+func (s predecessor) StopAccepting() {
 	s.upgrade.yielded.Store(true)
 	s.callers.Pause()
 	s.engine.Drain(true)
@@ -158,8 +158,8 @@
 	go debug.FreeOSMemory()
 }
 
-// Gone goes on as before if the successor has ended and this process is not to stop.
-func (s predecessor) Gone(yielded bool) {
+// PeerEnded goes on as before if the successor has ended and this process is not to stop.
+func (s predecessor) PeerEnded(yielded bool) {
 	s.part(s.peer)
 	if !yielded || s.upgrade.stopping.Load() {
 		return
@@ -171,16 +171,16 @@
 	s.offer(s.upgrade.path, s.listener)
 }
 
-// GoOn is takeover.Handler's.
-func (s *Sidecar) GoOn(state []byte, caller, endpoint net.Conn) {
-	var over httpwire.Over
+// ResumeAnswer is takeover.Handler's.
+func (s *Sidecar) ResumeAnswer(state []byte, caller, endpoint net.Conn) {
+	var over httpwire.AnswerHandover
 	if err := json.Unmarshal(state, &over); err != nil {
 		s.log.Warn().Err(err).Msg("a long answer of the other process")
 		caller.Close()
 		endpoint.Close()
 		return
 	}
-	s.engine.GoOn(&over, caller, endpoint)
+	s.engine.ResumeAnswer(&over, caller, endpoint)
 }
 
 // handOver gives the long answers that are still on their way to the successor, if
@@ -192,13 +192,13 @@
 	s.upgrade.mu.Lock()
 	defer s.upgrade.mu.Unlock()
 	if n := len(s.upgrade.peers); n > 0 {
-		s.engine.HandOver(s.upgrade.peers[n-1].Give)
+		s.engine.HandOverAnswers(s.upgrade.peers[n-1].HandOver)
 	}
 }
 
-// Adopt is takeover.Handler's.
-func (s *Sidecar) Adopt(name string, on bool) {
-	if err := s.engine.Adopt(name, on); err != nil {
+// AdoptBan is takeover.Handler's.
+func (s *Sidecar) AdoptBan(name string, on bool) {
+	if err := s.engine.AdoptBan(name, on); err != nil {
 		s.log.Warn().Err(err).Msg("a ban of the other process")
 	}
 }
@@ -206,9 +206,9 @@
 // Ready is console.Operations'.
 func (s *Sidecar) Ready() bool { return s.engine.Ready() }
 
-// Figures is console.Operations'.
-func (s *Sidecar) Figures() []byte {
-	text := s.engine.Figures()
+// Metrics is console.Operations'.
+func (s *Sidecar) Metrics() []byte {
+	text := s.engine.Metrics()
 	if s.crew != nil {
 		text = s.crew.Figures(text)
 	}
@@ -229,7 +229,7 @@
 	peers := slices.Clone(s.upgrade.peers)
 	s.upgrade.mu.Unlock()
 	for _, peer := range peers {
-		if err := peer.Tell(name, on); err != nil {
+		if err := peer.SendBan(name, on); err != nil {
 			return err
 		}
 	}
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -206,7 +206,7 @@
 		return err
 	}
 	until := l.world.Now().Add(within)
-	if l.link != nil && !l.link.Fresh() {
+	if l.link != nil && !l.link.Usable() {
 		l.drop()
 	}
 	if l.link == nil {
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -19,7 +19,7 @@
 	crowded  bool // its connection is one more than there is room for
 	answer   chan httpwire.Answer
 	request  *state.Request // the owner's, once it is admitted
-	hold     Hold           // its key's claim; nil where it has none
+	hold     Claim          // its key's claim; nil where it has none
 }
 
 func (a *arrival) handle(e *Engine) {
@@ -33,20 +33,20 @@
 	if a.crowded || e.stopping || e.full() {
 		// What the settings and the limits leave no room for is turned away unseen:
 		// the module is not asked, as in the simulator.
-		e.counters.Over++
+		e.counters.OverLimit++
 		e.logTurnedAway(a)
 		e.board.Count(a.message.Class, metrics.Refused)
-		a.answer <- httpwire.Answer{Verdict: httpwire.Refused, Last: a.crowded}
+		a.answer <- httpwire.Answer{Verdict: httpwire.Refused, CloseAfter: a.crowded}
 		return
 	}
 	e.counters.Taken++
-	a.request = e.requests.Take(a.message, a.deadline, a.answer)
+	a.request = e.requests.Add(a.message, a.deadline, a.answer)
 	a.request.Caller = a.caller
 	if a.hold != nil {
 		a.request.MayWrite = a.hold.MayWrite
 	}
 	if a.gone { // nobody waits: nothing is sent
-		e.relay(a.request, httpwire.Answer{Verdict: httpwire.Abandoned, Last: true})
+		e.relay(a.request, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
 		return
 	}
 	e.tell(decide.Event{
@@ -57,6 +57,6 @@
 
 // full tells whether as many requests are open as the settings allow.
 func (e *Engine) full() bool {
-	most := e.conf.Transport.MostHeld
-	return most > 0 && e.requests.Held() >= most
+	most := e.conf.Transport.MaxPending
+	return most > 0 && e.requests.Pending() >= most
 }
--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -5,8 +5,8 @@
 // Audit checks that what the engine keeps adds up. It is for tests and simulations:
 // it reads the owner's state, which must stand still meanwhile.
 func (e *Engine) Audit() error {
-	if most := e.conf.Transport.MostHeld; most > 0 && e.requests.Held() > most {
-		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Held(), most)
+	if most := e.conf.Transport.MaxPending; most > 0 && e.requests.Pending() > most {
+		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), most)
 	}
 	if err := e.requests.Audit(); err != nil {
 		return err
@@ -36,10 +36,10 @@
 	}
 	c := e.snapshot()
 	ends := c.Served + c.Refused + c.Failed + c.Left
-	if ends+c.Held != e.counters.Taken+c.GoneOn {
-		return fmt.Errorf("%d requests taken, %d ended, %d held", e.counters.Taken, ends, c.Held)
+	if ends+c.Pending != e.counters.Taken+c.HandedOver {
+		return fmt.Errorf("%d requests taken, %d ended, %d held", e.counters.Taken, ends, c.Pending)
 	}
-	if left, all := e.room.Left(), e.conf.AnswerBytes; left < 0 || left > all {
+	if left, all := e.room.Available(), e.conf.AnswerBytes; left < 0 || left > all {
 		return fmt.Errorf("room for answers: %d of %d left", left, all)
 	}
 	return nil
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/book.go
@@ -16,8 +16,8 @@
 		e.pool.Drop(to, x.link, x.ended)
 	}
 	x.attempt.GiveUp() // frees what belongs to its context
-	if r := x.attempt.Request; x.reply != nil && (r.Over || x.attempt.Settled || x.outcome != decide.Served) {
-		e.room.Return(x.reply.Taken) // its body goes to nobody
+	if r := x.attempt.Request; x.reply != nil && (r.Done || x.attempt.Settled || x.outcome != decide.Served) {
+		e.room.Release(x.reply.Reserved) // its body goes to nobody
 	}
 	e.settle(x.attempt, x.outcome, x.reply)
 }
@@ -35,12 +35,12 @@
 	if outcome == decide.Served {
 		e.relay(r, httpwire.Answer{
 			Verdict: httpwire.Served, Body: reply.Body, Type: reply.Type, Encoding: reply.Encoding,
-			Taken: reply.Taken, Rest: reply.Rest,
+			Reserved: reply.Reserved, Stream: reply.Stream,
 		})
 	}
 	ev := decide.Event{
 		Kind: decide.Finished, Request: r.ID, Attempt: a.Number, Outcome: outcome,
-		Latency: a.Took, Over: r.Over,
+		Latency: a.Took, RequestDone: r.Done,
 	}
 	if a.Endpoint != nil {
 		ev.Endpoint = a.Endpoint.ID
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/crossing_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	e := testEngine(t)
 	world := &barrier{begun: make(chan struct{}, 1), goOn: make(chan struct{})}
-	e.world, e.room = world, httpwire.NewRoom(1<<20)
+	e.world, e.room = world, httpwire.NewMemoryBudget(1<<20)
 	return e, world, scripted.OpenDoor(t)
 }
 
@@ -63,10 +63,10 @@
 			e, world, door := lateEngine(t)
 			e.endpoints.SetGrace(c.grace)
 			e.takeList(listOf("s", door.Address, decide.Active), decide.ListReplaced)
-			to := e.endpoints.Lines()[0]
+			to := e.endpoints.List()[0]
 			id := e.update(listOf("s", to.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Take(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
 			<-world.begun
 			e.update(listOf("s", to.Address, c.news))
@@ -106,7 +106,7 @@
 			e, world, door := lateEngine(t)
 			id := e.update(listOf("s", door.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Take(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
 			action := decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id}
 			if c.bound > 0 {
 				action.NotAfter = e.clock.Now() + c.bound
@@ -141,24 +141,24 @@
 	for name, c := range map[string]struct {
 		effect  decide.Effect
 		first   decide.Outcome
-		ruled   *decide.Ruling
+		ruled   *decide.DynamicSettings
 		written bool
 	}{
 		"may have run":          {decide.Keyed, decide.Reset, nil, false},
 		"never ran":             {decide.Keyed, decide.ConnectFailed, nil, true},
 		"safe":                  {decide.Safe, decide.Reset, nil, true},
-		"a longer window ruled": {decide.Keyed, decide.Reset, &decide.Ruling{Classes: map[string]decide.ClassRule{"look": {Effect: decide.Keyed, Window: time.Hour}}}, true},
-		"ruled to be keyed":     {decide.Safe, decide.Reset, &decide.Ruling{Classes: map[string]decide.ClassRule{"look": {Effect: decide.Keyed, Window: window}}}, false},
+		"a longer window ruled": {decide.Keyed, decide.Reset, &decide.DynamicSettings{Classes: map[string]decide.DynamicClass{"look": {Effect: decide.Keyed, Window: time.Hour}}}, true},
+		"ruled to be keyed":     {decide.Safe, decide.Reset, &decide.DynamicSettings{Classes: map[string]decide.DynamicClass{"look": {Effect: decide.Keyed, Window: window}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, world, door := lateEngine(t)
 			e.conf.Classes = map[string]decide.Class{"look": {Name: "look", Effect: c.effect, Window: window}}
 			if c.ruled != nil {
-				e.acting = &Acting{Ruling: c.ruled}
+				e.acting = &EffectiveRules{Dynamic: c.ruled}
 			}
 			id := e.update(listOf("s", door.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Take(&httpwire.Request{Method: "GET", URI: "/look", Class: "look"}, until, make(chan httpwire.Answer, 1))
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look", Class: "look"}, until, make(chan httpwire.Answer, 1))
 			first := e.requests.Begin(r, nil, e.clock.Now(), until)
 			first.GiveUp = func() {}
 			e.settle(first, c.first, nil)
@@ -211,16 +211,16 @@
 
 func (*slowClaims) Holds(string) bool { return true }
 
-func (h *slowClaims) Open(*httpwire.Request, [16]byte, time.Duration) Opened {
+func (h *slowClaims) Claim(*httpwire.Request, [16]byte, time.Duration) ClaimResult {
 	h.asked <- struct{}{}
 	<-h.goOn
-	return Opened{Hold: h}
+	return ClaimResult{Claim: h}
 }
 
 func (*slowClaims) MayWrite() bool { return true }
 
 func (h *slowClaims) End(answer httpwire.Answer, ran bool, _ time.Duration) httpwire.Answer {
-	answer.Ran = ran
+	answer.MayHaveRun = ran
 	h.ended <- answer
 	return answer
 }
@@ -232,11 +232,11 @@
 		door := scripted.OpenDoor(t)
 		e := testEngine(t)
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
-		e.conf.Settings.MustAsk = true // nothing is asked here
+		e.conf.Settings.MustPoll = true // nothing is asked here
 		e.conf.Known = listOf("s", door.Address, decide.Active)
-		e.room = httpwire.NewRoom(1 << 20)
+		e.room = httpwire.NewMemoryBudget(1 << 20)
 		claims := &slowClaims{asked: make(chan struct{}, 1), goOn: make(chan struct{}), ended: make(chan httpwire.Answer, 1)}
-		e.Keep(claims)
+		e.SetHoldings(claims)
 		ctx, stop := context.WithCancel(t.Context())
 		go e.Run(ctx)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -262,7 +262,7 @@
 			to.Say(scripted.OK("x"))
 		}
 		want := map[bool]httpwire.Verdict{true: httpwire.Abandoned, false: httpwire.Served}[leaves]
-		if answer := <-claims.ended; answer.Verdict != want || answer.Ran == leaves || door.Came() {
+		if answer := <-claims.ended; answer.Verdict != want || answer.MayHaveRun == leaves || door.Came() {
 			t.Errorf("leaves %v: %+v, sent on %v", leaves, answer, door.Came())
 		}
 		callers.CloseNow() //nolint:errcheck // it listens no more
@@ -379,12 +379,12 @@
 	t.Helper()
 	s := &staged{Engine: testEngine(t), doors: [2]*scripted.Door{scripted.OpenDoor(t), scripted.OpenDoor(t)}}
 	s.world = &stage{at: newStep(), watch: make(chan struct{}), watched: make(chan struct{}, 1), up: map[string]int{}, wrote: map[string]int{}}
-	s.Engine.world, s.room = s.world, httpwire.NewRoom(1<<20)
+	s.Engine.world, s.room = s.world, httpwire.NewMemoryBudget(1<<20)
 	s.conf.Classes = map[string]decide.Class{
 		"look": s.conf.Settings.Classes[0], "burn": {Name: "burn", Effect: decide.Unsafe},
 	}
 	s.board = metrics.New([]string{"look", "burn"})
-	s.conf.Settings.MustAsk = true // nothing is asked here
+	s.conf.Settings.MustPoll = true // nothing is asked here
 	known := listOf("s0", s.doors[0].Address, decide.Active)
 	known.Endpoints = append(known.Endpoints, listOf("s1", s.doors[1].Address, decide.Active).Endpoints...)
 	s.conf.Known = known
@@ -458,7 +458,7 @@
 		return "GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 9\r\n\r\n"
 	}
 	return "POST /burn HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 9\r\nContent-Length: " + strconv.Itoa(body) + "\r\n\r\n" +
-		strings.Repeat("x", httpwire.MaxWhole+1)
+		strings.Repeat("x", httpwire.MaxBuffered+1)
 }
 
 // Guards against an attempt, first or further, that begins though its caller has gone, wherever it stands then and
@@ -500,7 +500,7 @@
 			})
 		}},
 		"its key is claimed": {set: func(s *staged) {
-			s.Keep(&slowClaims{asked: s.world.at.reached, goOn: s.world.at.goOn, ended: make(chan httpwire.Answer, 1)})
+			s.SetHoldings(&slowClaims{asked: s.world.at.reached, goOn: s.world.at.goOn, ended: make(chan httpwire.Answer, 1)})
 			s.balancer = planned(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
 					return []decide.Action{send(s, ev.Request, 1)}
@@ -564,7 +564,7 @@
 					close(s.world.at.goOn)
 					if stays {
 						if c.body > 0 {
-							rest := strings.Repeat("x", c.body-httpwire.MaxWhole-1)
+							rest := strings.Repeat("x", c.body-httpwire.MaxBuffered-1)
 							if leave != nil { // two bytes of it came ahead
 								rest = rest[2:]
 							}
@@ -629,7 +629,7 @@
 		peer := scripted.Connect(t, s.address)
 		peer.Say(ask(long) + strings.Repeat("x", 100))
 		<-s.world.at.reached // some of it is on its way
-		peer.Say(strings.Repeat("x", long-httpwire.MaxWhole-1-100))
+		peer.Say(strings.Repeat("x", long-httpwire.MaxBuffered-1-100))
 		leave(peer)
 		close(s.world.at.goOn)
 		to := s.doors[0].Next()
@@ -666,7 +666,7 @@
 	peer := scripted.Connect(t, s.address)
 	peer.Say(ask(long))
 	<-s.world.at.reached
-	peer.Say(strings.Repeat("x", long-httpwire.MaxWhole-1))
+	peer.Say(strings.Repeat("x", long-httpwire.MaxBuffered-1))
 	peer.Close()
 	close(s.world.at.goOn)
 	for s.Snapshot().Left != 1 {
--- a/internal/pipeline/crowd_test.go
+++ b/internal/pipeline/crowd_test.go
@@ -154,7 +154,7 @@
 			Discovery: "discovery",
 			Settings: decide.Settings{
 				Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
-				Number:  n, Peers: count, MustAsk: true, Rules: decide.Rules{DrainGrace: time.Second},
+				Number:  n, Peers: count, MustPoll: true, Rules: decide.Rules{DrainGrace: time.Second},
 			},
 			ConnectTimeout: time.Second, EndpointConns: 10, IdleFor: time.Minute,
 			Known: &httpwire.List{Index: 1},
@@ -163,7 +163,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := New(conf, d, Logs{All: zerolog.Nop(), Ends: zerolog.Nop()}, balancer)
+		e := New(conf, d, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, balancer)
 		fleet = append(fleet, e)
 		go e.Run(ctx)
 	}
@@ -204,7 +204,7 @@
 
 // longestPause is the longest behind a refused call.
 func longestPause(peers int) time.Duration {
-	least, spread := decide.FailedPause(0, peers, true)
+	least, spread := decide.ListRetryDelay(0, peers, true)
 	return least + spread
 }
 
@@ -246,7 +246,7 @@
 					}
 					time.Sleep(settled)
 					for _, e := range fleet {
-						e.Move("another discovery")
+						e.MoveDiscovery("another discovery")
 					}
 					synctest.Wait()
 					moved, left := allHeard(fleet, 2*most)
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Move goes on with the list of another discovery.
-func (e *Engine) Move(address string) { e.post(moved{address}) }
+// MoveDiscovery goes on with the list of another discovery.
+func (e *Engine) MoveDiscovery(address string) { e.post(moved{address}) }
 
 type moved struct{ address string }
 
@@ -71,7 +71,7 @@
 	e.backoff = 0 // the former one's failures are not this one's
 	e.watch = newWatch(m.address, e.watch.times)
 	spread := decide.MoveSpread(e.conf.Settings.Peers)
-	if spread == 0 || !e.conf.Settings.MustAsk { // pushed news bind 4 s behind a reload
+	if spread == 0 || !e.conf.Settings.MustPoll { // pushed news bind 4 s behind a reload
 		e.startWatch()
 		return
 	}
@@ -98,7 +98,7 @@
 		e.takeLegacy(e.legacy)
 		e.legacy = nil
 	}
-	if !e.conf.Settings.MustAsk {
+	if !e.conf.Settings.MustPoll {
 		e.startWatch()
 		return
 	}
@@ -109,7 +109,7 @@
 // list is what a successor begins with: the predecessor's list, or, where another discovery has told that, its own with
 // what the predecessor knows of the same endpoints. Guards against a list that belongs to another installation, and
 // against drains that are forgotten because discovery has moved.
-func (l *Legacy) list(own *httpwire.List, address string) *httpwire.List {
+func (l *Handover) list(own *httpwire.List, address string) *httpwire.List {
 	if l.From == address || l.From == "" || own == nil {
 		return &l.List
 	}
@@ -332,22 +332,22 @@
 
 func (f listFailed) handle(e *Engine) {
 	if f.from == e.watch.older { // the other one goes on
-		e.counters.ListFails++
+		e.counters.ListFailures++
 		e.watch.older = nil
 	}
 	if f.from != e.watch { // it was ended, and another goes on
 		return
 	}
-	e.counters.ListFails++
-	since := e.clock.Of(f.since)
+	e.counters.ListFailures++
+	since := e.clock.FromWall(f.since)
 	e.listMissed(since, since+e.toldAfter())
 	e.watch.running = false
-	if e.conf.Settings.MustAsk {
+	if e.conf.Settings.MustPoll {
 		e.tell(decide.Event{Kind: decide.ListFailed, Grace: f.within, Refused: f.refused})
 		return
 	}
 	e.backoff = min(max(backoffLeast, 2*e.backoff), backoffMost)
-	least, spread := decide.FailedPause(min(e.backoff, f.within/2), e.conf.Settings.Peers, f.refused)
+	least, spread := decide.ListRetryDelay(min(e.backoff, f.within/2), e.conf.Settings.Peers, f.refused)
 	e.world.AfterFunc(least+e.world.Chance(spread), func() { e.post(rewatch{}) })
 }
 
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -31,8 +31,8 @@
 		e.watch.known = known
 		go e.runWatch(e.watch)
 		(<-e.events).handle(e)
-		if e.counters.ListFails != 1 || e.watch.link != nil || e.watch.running {
-			t.Errorf("known %v: %d failed calls, watch %+v", known, e.counters.ListFails, e.watch)
+		if e.counters.ListFailures != 1 || e.watch.link != nil || e.watch.running {
+			t.Errorf("known %v: %d failed calls, watch %+v", known, e.counters.ListFailures, e.watch)
 		}
 		if !strings.Contains(log.String(), `"reason":"silent"`) {
 			t.Errorf("known %v: log %s", known, &log)
@@ -91,8 +91,8 @@
 	}
 	listCame{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
 	listFailed{from: former}.handle(e)
-	if e.endpoints.Len() != 0 || e.counters.ListFails != 0 || !e.watch.running {
-		t.Errorf("%d endpoints, %d failures, running %v", e.endpoints.Len(), e.counters.ListFails, e.watch.running)
+	if e.endpoints.Len() != 0 || e.counters.ListFailures != 0 || !e.watch.running {
+		t.Errorf("%d endpoints, %d failures, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
 	}
 	next := e.watch
 	moved{next.address}.handle(e)
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -39,8 +39,8 @@
 
 // Logs are where the engine writes its lines.
 type Logs struct {
-	All  zerolog.Logger
-	Ends zerolog.Logger // for ends of connections, one line each: may be sampled
+	All      zerolog.Logger
+	ConnEnds zerolog.Logger // for ends of connections, one line each: may be sampled
 }
 
 // event is something that an I/O goroutine hands to the owner.
@@ -68,7 +68,7 @@
 	requests     *state.Requests
 	endpoints    *state.Endpoints
 	pool         *state.Pool
-	room         *httpwire.Room // for bodies of answers
+	room         *httpwire.MemoryBudget // for bodies of answers
 	timeouts     state.Timeouts
 	counters     state.Counters
 	watch        *watch        // of the present discovery
@@ -77,46 +77,46 @@
 	unheard      listUnheard
 	requestLines lineBudget
 	listCalls    atomic.Int64 // calls to discovery that have begun
-	legacy       *Legacy      // of a predecessor; nil without one
+	legacy       *Handover    // of a predecessor; nil without one
 	moduleDue    decide.Time  // when the module wants to be woken; 0 when it does not
 	sweepAt      decide.Time
 	pending      []decide.Event // for the module, behind the one it is being told
 	telling      bool
-	give         httpwire.Give                     // for long answers, once they go to another process
-	passing      map[*httpwire.AnswerRest]struct{} // long answers whose rest is on its way
-	stopping     bool                              // nothing is taken any more
+	give         httpwire.HandOverFunc               // for long answers, once they go to another process
+	passing      map[*httpwire.AnswerStream]struct{} // long answers whose rest is on its way
+	stopping     bool                                // nothing is taken any more
 	actions      []decide.Action
 
-	holdings Holdings // nil where nothing is held
-	rules    Rules    // nil where the sidecar is in no crew
-	acting   *Acting
+	holdings Holdings    // nil where nothing is held
+	rules    RulesSource // nil where the sidecar is in no crew
+	acting   *EffectiveRules
 	byCrew   map[string]bool                    // endpoints that the crew's version bans; true where one by hand stands beside it
 	withheld map[string]httpwire.ListedEndpoint // lines of the list that are not taken yet, by name
 }
 
-// Heed has the engine act on rules that others agree on. It is called before Run.
-func (e *Engine) Heed(rules Rules) {
-	e.rules, e.acting = rules, &Acting{}
+// SetRules has the engine act on rules that others agree on. It is called before Run.
+func (e *Engine) SetRules(rules RulesSource) {
+	e.rules, e.acting = rules, &EffectiveRules{}
 	e.byCrew, e.withheld = map[string]bool{}, map[string]httpwire.ListedEndpoint{}
 }
 
 // New returns an engine that has not started.
 func New(conf *config.Config, world env.Env, logs Logs, balancer Decider) *Engine {
 	e := &Engine{
-		conf: conf, log: logs.All, ends: logs.Ends, world: world, clock: state.NewClock(world), balancer: balancer,
+		conf: conf, log: logs.All, ends: logs.ConnEnds, world: world, clock: state.NewClock(world), balancer: balancer,
 		events: make(chan event, eventQueue), urgent: make(chan event, urgentQueue), stopped: make(chan struct{}),
-		requests: state.NewRequests(), endpoints: state.NewEndpoints(), passing: map[*httpwire.AnswerRest]struct{}{},
+		requests: state.NewRequests(), endpoints: state.NewEndpoints(), passing: map[*httpwire.AnswerStream]struct{}{},
 	}
 	names := make([]string, 0, len(conf.Classes))
 	for name := range conf.Classes {
 		names = append(names, name)
 	}
-	if conf.Settings.Rules.GoneServes {
+	if conf.Settings.Rules.GoneMayServe {
 		e.endpoints.KeepGone()
 	}
 	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / lateShare)
 	e.board = metrics.New(names)
-	e.room = httpwire.NewRoom(conf.AnswerBytes)
+	e.room = httpwire.NewMemoryBudget(conf.AnswerBytes)
 	e.pool = state.NewPool(conf.EndpointConns, conf.IdleFor, e.linkEnded)
 	e.watch = newWatch(conf.Discovery, usualTimes(conf.Settings.Peers, conf.Settings.Rules.DrainGrace))
 	return e
@@ -178,7 +178,7 @@
 	now := e.clock.Now()
 	for a := e.timeouts.Due(now); a != nil; a = e.timeouts.Due(now) {
 		outcome := decide.TimedOut
-		if a.Bar() { // no connection has come up: it has never run
+		if a.PreventWrite() { // no connection has come up: it has never run
 			outcome = decide.ConnectFailed
 		}
 		a.GiveUp()
@@ -195,23 +195,23 @@
 	}
 }
 
-// Unready has GET /up say that the sidecar takes no new callers.
-func (e *Engine) Unready() { e.unready.Store(true) }
+// MarkUnready has GET /up say that the sidecar takes no new callers.
+func (e *Engine) MarkUnready() { e.unready.Store(true) }
 
 // Drain makes every answer from now on the last on its connection, or no more.
 func (e *Engine) Drain(on bool) { e.draining.Store(on) }
 
-// Finish fails what is still held: the process is about to end, or to be killed,
+// FailPending fails what is still held: the process is about to end, or to be killed,
 // and what it leaves unanswered is lost. A failure promises nothing, so that it
 // is true whatever has run.
-func (e *Engine) Finish() { e.post(finish{}) }
+func (e *Engine) FailPending() { e.post(finish{}) }
 
 type finish struct{}
 
 func (finish) handle(e *Engine) {
 	e.stopping = true
 	for _, r := range e.requests.All() {
-		if r.Over {
+		if r.Done {
 			continue
 		}
 		e.logEnd(r, "failed", reasonProcessEnds)
@@ -223,19 +223,19 @@
 	}
 }
 
-// Passing tells whether long answers are on their way.
-func (e *Engine) Passing() bool { return e.GoingOn() || e.Snapshot().Passing > 0 }
+// Streaming tells whether long answers are on their way.
+func (e *Engine) Streaming() bool { return e.Resuming() || e.Snapshot().Streaming > 0 }
 
-// GoingOn tells whether long answers of another process are on their way here.
-func (e *Engine) GoingOn() bool { return e.goingOn.Load() > 0 }
+// Resuming tells whether long answers of another process are on their way here.
+func (e *Engine) Resuming() bool { return e.goingOn.Load() > 0 }
 
 // Snapshot is what the engine counts and holds.
 type Snapshot struct {
 	state.Counters
 	ListCalls *metrics.ListCalls
-	Watched   *shadow.Counts // what other settings would have done; nil where nothing is watched
-	Held      int            // requests without a final answer, or one that is not whole yet
-	Passing   int            // of those held, the ones whose answer is on its way
+	Shadow    *shadow.Counts // what other settings would have done; nil where nothing is watched
+	Pending   int            // requests without a final answer, or one that is not whole yet
+	Streaming int            // of those held, the ones whose answer is on its way
 	Endpoints int            // listed
 	Links     int            // connections to endpoints
 }
@@ -243,13 +243,13 @@
 // MarshalZerologObject writes the snapshot into a log line.
 func (s Snapshot) MarshalZerologObject(ev *zerolog.Event) {
 	s.Counters.MarshalZerologObject(ev)
-	if s.Watched != nil {
-		ev.Object("watching", *s.Watched)
+	if s.Shadow != nil {
+		ev.Object("watching", *s.Shadow)
 	}
 	if s.ListCalls != nil {
 		ev.Object("list_calls", s.ListCalls)
 	}
-	ev.Int("held", s.Held).Int("endpoints", s.Endpoints).Int("links", s.Links)
+	ev.Int("held", s.Pending).Int("endpoints", s.Endpoints).Int("links", s.Links)
 }
 
 // snapshotWanted asks the owner for a snapshot.
@@ -259,17 +259,17 @@
 
 func (e *Engine) snapshot() Snapshot {
 	counters := e.counters
-	counters.Malformed, counters.GoneOn = int(e.malformed.Load()), int(e.goneOn.Load())
+	counters.Malformed, counters.HandedOver = int(e.malformed.Load()), int(e.goneOn.Load())
 	counters.Served, counters.Failed = e.board.Sum(metrics.Served), e.board.Sum(metrics.Failed)
-	counters.Refused, counters.Left = e.board.Sum(metrics.Refused)-counters.Over, e.board.Sum(metrics.Left)
+	counters.Refused, counters.Left = e.board.Sum(metrics.Refused)-counters.OverLimit, e.board.Sum(metrics.Left)
 	var watched *shadow.Counts
 	if w, ok := e.balancer.(*shadow.Watch); ok {
 		counts := w.Counts()
 		watched = &counts
 	}
 	return Snapshot{
-		Counters: counters, ListCalls: &e.board.ListCalls, Watched: watched, Held: e.requests.Held() + len(e.passing),
-		Passing: len(e.passing), Endpoints: e.endpoints.Len(), Links: e.pool.Open(),
+		Counters: counters, ListCalls: &e.board.ListCalls, Shadow: watched, Pending: e.requests.Pending() + len(e.passing),
+		Streaming: len(e.passing), Endpoints: e.endpoints.Len(), Links: e.pool.Open(),
 	}
 }
 
--- a/internal/pipeline/hold.go
+++ b/internal/pipeline/hold.go
@@ -16,27 +16,27 @@
 type Holdings interface {
 	// Holds tells whether requests of a class are held.
 	Holds(class string) bool
-	// Open claims a request's key within a time, or tells what is known of it.
-	Open(message *httpwire.Request, print [16]byte, within time.Duration) Opened
+	// Claim claims a request's key within a time, or tells what is known of it.
+	Claim(message *httpwire.Request, print [16]byte, within time.Duration) ClaimResult
 }
 
-// Opened is what came of a claim. Answer is the request's answer where nothing is to be sent.
-type Opened struct {
-	Hold   Hold // nil where nothing was promised, or nothing is to be sent
+// ClaimResult is what came of a claim. Answer is the request's answer where nothing is to be sent.
+type ClaimResult struct {
+	Claim  Claim // nil where nothing was promised, or nothing is to be sent
 	Answer *httpwire.Answer
 	Within time.Duration // all attempts have to have ended by then; 0 for no bound but the request's
 }
 
-// Hold is one claim.
-type Hold interface {
+// Claim is one claim.
+type Claim interface {
 	// MayWrite tells whether the claim still stands: it is looked at just before a first byte leaves. Any goroutine may ask.
 	MayWrite() bool
 	// End has it known how the request ended, within a time, and returns what its caller hears.
 	End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer
 }
 
-// Keep has the engine hold keys. It is called before Run.
-func (e *Engine) Keep(h Holdings) { e.holdings = h }
+// SetHoldings has the engine hold keys. It is called before Run.
+func (e *Engine) SetHoldings(h Holdings) { e.holdings = h }
 
 // endTime is a held request's time that is kept for its outcome: a tenth, up to that.
 const endTime = 50 * time.Millisecond
@@ -44,12 +44,12 @@
 var errHeldBody = errors.New("body: over 64 KiB, in a class whose requests are held")
 
 // open claims a request's key, and takes its time from the request's. An answer is the request's.
-func (e *Engine) open(message *httpwire.Request) (Hold, *httpwire.Answer) {
+func (e *Engine) open(message *httpwire.Request) (Claim, *httpwire.Answer) {
 	if message.Upload != nil {
-		return nil, &httpwire.Answer{Verdict: httpwire.Malformed, Reason: errHeldBody.Error(), Last: true}
+		return nil, &httpwire.Answer{Verdict: httpwire.Malformed, Reason: errHeldBody.Error(), CloseAfter: true}
 	}
 	began := e.clock.Now()
-	opened := e.holdings.Open(message, printOf(message), message.Remaining)
+	opened := e.holdings.Claim(message, printOf(message), message.Remaining)
 	if opened.Answer != nil {
 		return nil, opened.Answer
 	}
@@ -57,11 +57,11 @@
 	if opened.Within > 0 {
 		left = min(left, opened.Within)
 	}
-	if opened.Hold != nil {
+	if opened.Claim != nil {
 		left -= min(endTime, left/10)
 	}
 	message.Remaining = max(left, 0)
-	return opened.Hold, nil
+	return opened.Claim, nil
 }
 
 // printOf identifies what a request asks for: not its id, which each repeat has anew, nor the time that it has.
--- a/internal/pipeline/legacy_test.go
+++ b/internal/pipeline/legacy_test.go
@@ -14,7 +14,7 @@
 )
 
 // successor returns an engine whose discovery is at a door, that begins with what a predecessor left.
-func successor(t *testing.T, left Legacy) (*Engine, *scripted.Door, *strings.Builder) {
+func successor(t *testing.T, left Handover) (*Engine, *scripted.Door, *strings.Builder) {
 	t.Helper()
 	door := scripted.OpenDoor(t)
 	e := testEngine(t)
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := e.Inherit(text); err != nil {
+	if err := e.ImportHandover(text); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
@@ -50,23 +50,23 @@
 		{Name: "both", Address: "127.0.0.1:2", State: decide.Draining}, {Name: "theirs", Address: "127.0.0.1:3"},
 	}}
 	for name, c := range map[string]struct {
-		left      Legacy
+		left      Handover
 		asked     string
 		endpoints []string
 		draining  bool
 		banned    int
 	}{
 		"the same discovery": {
-			Legacy{List: list, From: "here", Of: []string{"look"}, Seen: []uint64{1}, Banned: []string{"theirs"}},
+			Handover{List: list, From: "here", Of: []string{"look"}, Seen: []uint64{1}, Banned: []string{"theirs"}},
 			"after=40&wait_ms=100", []string{"both", "theirs"}, true, 1},
 		"another discovery": {
-			Legacy{List: list, From: "127.0.0.1:9", Of: []string{"look"}, Banned: []string{"both"}},
+			Handover{List: list, From: "127.0.0.1:9", Of: []string{"look"}, Banned: []string{"both"}},
 			"", []string{"both", "own"}, true, 1},
 		"other classes": {
-			Legacy{List: list, From: "127.0.0.1:9", Of: []string{"pay", "burn"}, Banned: []string{"both"}},
+			Handover{List: list, From: "127.0.0.1:9", Of: []string{"pay", "burn"}, Banned: []string{"both"}},
 			"after=5&wait_ms=100", []string{"both", "own"}, false, 0},
 		"an older build": {
-			Legacy{List: list}, "", []string{"both", "theirs"}, true, 0},
+			Handover{List: list}, "", []string{"both", "theirs"}, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, door, log := successor(t, c.left)
@@ -75,7 +75,7 @@
 			}
 			var names []string
 			draining := false
-			for _, line := range e.endpoints.Lines() {
+			for _, line := range e.endpoints.List() {
 				names = append(names, line.Name)
 				draining = draining || line.State == decide.Draining
 			}
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -85,7 +85,7 @@
 
 // toldAfter is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
 func (e *Engine) toldAfter() time.Duration {
-	if e.conf.Settings.MustAsk {
+	if e.conf.Settings.MustPoll {
 		return toldAfterAsked
 	}
 	return 0
@@ -103,7 +103,7 @@
 func (e *Engine) listMissed(since, told decide.Time) {
 	if e.unheard.since == 0 {
 		e.unheard = listUnheard{since: since, told: told}
-		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, Told: told})
+		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: told})
 	}
 	e.timeUnheard()
 }
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -169,7 +169,7 @@
 	at := time.Since(n.begun).Round(time.Millisecond)
 	switch ev.Kind {
 	case decide.ListMissed:
-		n.got = append(n.got, fmt.Sprintf("%v: missed since %v ago, told %v after that", at, now-ev.Since, ev.Told-ev.Since))
+		n.got = append(n.got, fmt.Sprintf("%v: missed since %v ago, told %v after that", at, now-ev.Since, ev.DeliveredBy-ev.Since))
 	case decide.ListConfirmed:
 		n.got = append(n.got, fmt.Sprintf("%v: confirmed", at))
 	}
@@ -207,7 +207,7 @@
 				go e.Run(ctx)
 				time.Sleep(5 * time.Second)
 				if c.moves {
-					e.Move("another")
+					e.MoveDiscovery("another")
 				}
 				time.Sleep(time.Millisecond)
 				stop()
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -15,14 +15,14 @@
 // errEnded is the answer to operators' calls when the owner has stopped.
 var errEnded = errors.New("this process is ending")
 
-// Serve says that callers are accepted from now on, or no more.
-func (e *Engine) Serve(on bool) { e.serving.Store(on) }
+// SetServing says that callers are accepted from now on, or no more.
+func (e *Engine) SetServing(on bool) { e.serving.Store(on) }
 
 // Ready tells whether this process serves: it accepts callers and has had a list.
 func (e *Engine) Ready() bool { return e.serving.Load() && e.listed.Load() && !e.unready.Load() }
 
-// Figures returns the figures, a line each.
-func (e *Engine) Figures() []byte { return e.board.Append(nil) }
+// Metrics returns the figures, a line each.
+func (e *Engine) Metrics() []byte { return e.board.Append(nil) }
 
 // Disable bans an endpoint by hand. When it returns, the module knows.
 func (e *Engine) Disable(name string) error { return e.ban(name, true) }
@@ -30,9 +30,9 @@
 // Enable ends a ban.
 func (e *Engine) Enable(name string) error { return e.ban(name, false) }
 
-// Adopt takes over a ban by hand, or its end, from the other process of an upgrade,
+// AdoptBan takes over a ban by hand, or its end, from the other process of an upgrade,
 // which knows that the endpoint has been listed.
-func (e *Engine) Adopt(name string, on bool) error {
+func (e *Engine) AdoptBan(name string, on bool) error {
 	return e.call(banCall{name: name, on: on, seen: true, done: make(chan error, 1)})
 }
 
@@ -68,7 +68,7 @@
 		return
 	}
 	if c.seen {
-		e.endpoints.See(c.name)
+		e.endpoints.MarkSeen(c.name)
 	}
 	id, err := e.endpoints.Ban(c.name, c.on, e.clock.Now())
 	if err == nil {
@@ -85,8 +85,8 @@
 	c.done <- err
 }
 
-// Legacy is what a process leaves to the one that takes its place.
-type Legacy struct {
+// Handover is what a process leaves to the one that takes its place.
+type Handover struct {
 	List   httpwire.List // as last known
 	From   string        // the discovery that told it: versions are each discovery's own
 	Of     []string      // the classes that the settings name
@@ -95,9 +95,9 @@
 	Lifted []string // whose bans have ended lately: they may still be cold
 }
 
-// Legacy returns what a successor must know, as text.
-func (e *Engine) Legacy() ([]byte, error) {
-	reply := make(chan Legacy, 1)
+// ExportHandover returns what a successor must know, as text.
+func (e *Engine) ExportHandover() ([]byte, error) {
+	reply := make(chan Handover, 1)
 	select {
 	case e.urgent <- legacyWanted{reply}:
 	case <-e.stopped:
@@ -111,7 +111,7 @@
 	}
 }
 
-type legacyWanted struct{ reply chan Legacy }
+type legacyWanted struct{ reply chan Handover }
 
 func (w legacyWanted) handle(e *Engine) {
 	t := e.endpoints
@@ -119,16 +119,16 @@
 		hand, crew := e.byCrew[name]
 		return crew && !hand // the successor hears of it from the crew
 	})
-	w.reply <- Legacy{
-		List: httpwire.List{Index: e.index, Whole: true, Endpoints: t.Lines()}, Seen: t.Seen(), Banned: byHand,
+	w.reply <- Handover{
+		List: httpwire.List{Index: e.index, Whole: true, Endpoints: t.List()}, Seen: t.SeenHashes(), Banned: byHand,
 		From: e.watch.address, Of: e.conf.ClassNames(),
 		Lifted: t.Lifted(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
 	}
 }
 
-// Inherit has the engine start with what a predecessor has left. It is called before Run.
-func (e *Engine) Inherit(text []byte) error {
-	var l Legacy
+// ImportHandover has the engine start with what a predecessor has left. It is called before Run.
+func (e *Engine) ImportHandover(text []byte) error {
+	var l Handover
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("what the predecessor left: %w", err)
 	}
@@ -143,9 +143,9 @@
 }
 
 // takeLegacy takes over a predecessor's list and bans.
-func (e *Engine) takeLegacy(l *Legacy) {
+func (e *Engine) takeLegacy(l *Handover) {
 	for _, hash := range l.Seen {
-		e.endpoints.Remember(hash)
+		e.endpoints.MarkSeenHash(hash)
 	}
 	for _, name := range l.Banned {
 		e.takeBan(name, true)
@@ -164,10 +164,10 @@
 	}
 }
 
-// Share bounds connections to endpoints by a part of what one process may hold, while
+// SetConnShare bounds connections to endpoints by a part of what one process may hold, while
 // two processes share the limits.
-func (e *Engine) Share(parts int) { e.post(share{parts}) }
+func (e *Engine) SetConnShare(parts int) { e.post(share{parts}) }
 
 type share struct{ parts int }
 
-func (s share) handle(e *Engine) { e.pool.Bound(e.conf.EndpointConns / s.parts) }
+func (s share) handle(e *Engine) { e.pool.SetLimit(e.conf.EndpointConns / s.parts) }
--- a/internal/pipeline/probe.go
+++ b/internal/pipeline/probe.go
@@ -63,7 +63,7 @@
 		return
 	}
 	p.outcome, p.reply = reply.Outcome, &reply
-	if reply.Close || reply.Rest != nil { // no report is so long
+	if reply.Close || reply.Stream != nil { // no report is so long
 		p.ended = httpwire.ReasonPeerClose
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	if p.reply != nil {
 		ev.Load = httpwire.DecodeLoad(p.reply.Body)
-		e.room.Return(p.reply.Taken)
+		e.room.Release(p.reply.Reserved)
 	}
 	e.tell(ev)
 }
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -22,11 +22,11 @@
 	if !e.requests.End(r) {
 		return
 	}
-	if answer.Rest == nil { // else it ends when the rest has
+	if answer.Stream == nil { // else it ends when the rest has
 		e.board.Count(r.Message.Class, ends[answer.Verdict])
 	}
 	if r.MayWrite != nil { // its key is held: what becomes of the claim rests on it
-		answer.Ran = answer.Verdict == httpwire.Served || ran(r)
+		answer.MayHaveRun = answer.Verdict == httpwire.Served || ran(r)
 	}
 	r.Answer <- answer
 	e.requests.Release(r)
@@ -48,10 +48,10 @@
 
 // abandon ends a request whose caller has gone.
 func (e *Engine) abandon(r *state.Request) {
-	if r.Over {
+	if r.Done {
 		return
 	}
-	e.relay(r, httpwire.Answer{Verdict: httpwire.Abandoned, Last: true})
+	e.relay(r, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
 	e.tell(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
 }
 
@@ -65,19 +65,19 @@
 // handle gives it to its caller, who takes the rest from the endpoint's connection.
 func (b begun) handle(e *Engine) {
 	a := b.attempt
-	if a.Settled || a.Request.Over {
+	if a.Settled || a.Request.Done {
 		exchanged{
 			attempt: a, link: b.link, ended: httpwire.ReasonGivenUp, outcome: decide.Served, reply: b.reply,
 		}.handle(e)
 		return
 	}
-	e.passing[b.reply.Rest] = struct{}{}
-	b.reply.Rest.Class = a.Request.Message.Class
-	b.reply.Rest.Pass(func(how httpwire.AnswerEnd) { e.post(passed{b, how}) })
+	e.passing[b.reply.Stream] = struct{}{}
+	b.reply.Stream.Class = a.Request.Message.Class
+	b.reply.Stream.OnEnd(func(how httpwire.AnswerEnd) { e.post(passed{b, how}) })
 	e.tell(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 	e.settle(a, decide.Served, b.reply)
 	if e.give != nil {
-		b.reply.Rest.HandOver(e.give)
+		b.reply.Stream.HandOver(e.give)
 	}
 }
 
@@ -88,14 +88,14 @@
 }
 
 func (p passed) handle(e *Engine) {
-	delete(e.passing, p.reply.Rest)
+	delete(e.passing, p.reply.Stream)
 	to, ended, end := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
 	switch {
-	case p.how == httpwire.BrokenOff:
+	case p.how == httpwire.AnswerBrokenOff:
 		ended, end = httpwire.ReasonBroken, metrics.Failed
-	case p.how == httpwire.HandedOver:
+	case p.how == httpwire.AnswerHandedOver:
 		ended, end = httpwire.ReasonHandedOver, metrics.Left // it counts where it ends
-	case p.how == httpwire.NobodyReads:
+	case p.how == httpwire.AnswerCallerGone:
 		ended, end = httpwire.ReasonCallerLeft, metrics.Left
 	case p.reply.Close:
 		ended = httpwire.ReasonPeerClose
@@ -107,16 +107,16 @@
 	}
 	p.attempt.GiveUp() // frees what belongs to its context
 	e.board.Count(p.attempt.Request.Message.Class, end)
-	if p.how == httpwire.BrokenOff {
+	if p.how == httpwire.AnswerBrokenOff {
 		e.tell(decide.Event{Kind: decide.StreamBroke, Endpoint: to.ID})
 	}
 }
 
-// HandOver has all long answers on their way given to another process, and those that
+// HandOverAnswers has all long answers on their way given to another process, and those that
 // begin from now on.
-func (e *Engine) HandOver(give httpwire.Give) { e.post(handOver{give}) }
+func (e *Engine) HandOverAnswers(give httpwire.HandOverFunc) { e.post(handOver{give}) }
 
-type handOver struct{ give httpwire.Give }
+type handOver struct{ give httpwire.HandOverFunc }
 
 func (h handOver) handle(e *Engine) {
 	e.give = h.give
@@ -125,18 +125,18 @@
 	}
 }
 
-// GoOn passes on, in a goroutine of its own, what another process has begun to. It
+// ResumeAnswer passes on, in a goroutine of its own, what another process has begun to. It
 // ends with the answer, or when one side stands still.
-func (e *Engine) GoOn(over *httpwire.Over, caller, endpoint net.Conn) {
+func (e *Engine) ResumeAnswer(over *httpwire.AnswerHandover, caller, endpoint net.Conn) {
 	e.board.Active.Add(1)
 	e.goingOn.Add(1)
 	e.world.Go("go on", func() {
 		defer e.goingOn.Add(-1)
 		end := metrics.Left
-		switch httpwire.GoOn(over, caller, endpoint, e.world) {
-		case httpwire.Whole:
+		switch httpwire.ResumeAnswer(over, caller, endpoint, e.world) {
+		case httpwire.AnswerComplete:
 			end = metrics.Served
-		case httpwire.BrokenOff:
+		case httpwire.AnswerBrokenOff:
 			end = metrics.Failed
 		}
 		e.board.Active.Add(-1)
--- a/internal/pipeline/requestlog_test.go
+++ b/internal/pipeline/requestlog_test.go
@@ -29,7 +29,7 @@
 	e.log, e.index = zerolog.New(&log), 7
 	id := e.update(listOf("s", "127.0.0.1:1", decide.Active))[0].ID
 	until := e.clock.Now() + time.Minute
-	r := e.requests.Take(&httpwire.Request{ID: "txn-1", Class: "look"}, until, make(chan httpwire.Answer, 1))
+	r := e.requests.Add(&httpwire.Request{ID: "txn-1", Class: "look"}, until, make(chan httpwire.Answer, 1))
 	first := e.requests.Begin(r, e.endpoints.Get(id), e.clock.Now(), until)
 	first.GiveUp = func() {}
 	e.settle(first, decide.Rejected, nil)
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -14,29 +14,29 @@
 // Rules: what the sidecars of a crew agree on is put in force before anything is decided, and looked at again where a
 // request is written.
 
-// Acting is what a sidecar acts on. It is never changed once it is handed out.
-type Acting struct {
+// EffectiveRules is what a sidecar acts on. It is never changed once it is handed out.
+type EffectiveRules struct {
 	Generation uint64 // differs from that of any other, and is never 0
-	Ruling     *decide.Ruling
+	Dynamic    *decide.DynamicSettings
 	Banned     map[string]bool // names of endpoints
 	Cautious   bool            // nobody vouches for the rules: nothing new is begun with
 }
 
-// Rules tell what holds now. They cost no I/O, and any goroutine may ask.
-type Rules interface{ Acting() *Acting }
+// RulesSource tell what holds now. They cost no I/O, and any goroutine may ask.
+type RulesSource interface{ Effective() *EffectiveRules }
 
 // errCrewBans is the answer to who would lift by hand what all have agreed on.
 var errCrewBans = errors.New("the crew's version bans it; propose one without")
 
 // heed puts in force what holds now, ahead of all that the module is still to be told.
 func (e *Engine) heed() {
-	acting := e.rules.Acting()
+	acting := e.rules.Effective()
 	if acting.Generation == e.acting.Generation {
 		return
 	}
 	before := e.acting
 	e.acting = acting
-	events := []decide.Event{{Kind: decide.Ruled, Ruling: acting.Ruling}}
+	events := []decide.Event{{Kind: decide.SettingsChanged, Dynamic: acting.Dynamic}}
 	for _, name := range slices.Sorted(maps.Keys(before.Banned)) {
 		if !acting.Banned[name] {
 			events = e.crewBan(events, name, false)
@@ -71,7 +71,7 @@
 	if byHand {
 		return events
 	}
-	e.endpoints.See(name)
+	e.endpoints.MarkSeen(name)
 	id, err := e.endpoints.Ban(name, on, e.clock.Now())
 	if err != nil {
 		e.log.Error().Err(err).Str("endpoint", name).Msg("a ban of the crew's version can't be kept")
@@ -105,14 +105,14 @@
 // process that was paused since. A first attempt may, but for a ban; what comes after it was allowed by rules that are no
 // more, and is decided anew.
 func (e *Engine) mayWrite(a *state.Attempt) bool {
-	acting := e.rules.Acting()
+	acting := e.rules.Effective()
 	return acting.Generation == a.Generation || a.Number == 0 && !acting.Banned[a.Endpoint.Name]
 }
 
 // withhold keeps back the lines of a list that would bring in endpoints while nobody can tell whether a version bans or
 // drains them. The first list is taken whole: without it nothing could be served.
 func (e *Engine) withhold(list *httpwire.List) *httpwire.List {
-	if !e.rules.Acting().Cautious || !e.listed.Load() {
+	if !e.rules.Effective().Cautious || !e.listed.Load() {
 		maps.DeleteFunc(e.withheld, func(name string, _ httpwire.ListedEndpoint) bool {
 			return list.Whole || slices.ContainsFunc(list.Endpoints, func(l httpwire.ListedEndpoint) bool { return l.Name == name })
 		})
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -11,17 +11,17 @@
 )
 
 // toldRules say what a test has them say.
-type toldRules struct{ acting *Acting }
+type toldRules struct{ acting *EffectiveRules }
 
-// Acting is Rules'.
-func (r *toldRules) Acting() *Acting { return r.acting }
+// Effective is Rules'.
+func (r *toldRules) Effective() *EffectiveRules { return r.acting }
 
 // heedEngine is an engine in a crew, with the events that its module is told.
 func heedEngine(t *testing.T) (*Engine, *toldRules, *[]decide.Event) {
 	t.Helper()
 	e := testEngine(t)
-	rules := &toldRules{&Acting{Generation: 1, Ruling: &decide.Ruling{MaxAttempts: 1}}}
-	e.Heed(rules)
+	rules := &toldRules{&EffectiveRules{Generation: 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}}}
+	e.SetRules(rules)
 	told := &[]decide.Event{}
 	e.balancer = tapped{e.balancer, told}
 	return e, rules, told
@@ -46,13 +46,13 @@
 	for _, c := range []struct {
 		name   string
 		number int
-		now    Acting
+		now    EffectiveRules
 		want   bool
 	}{
-		{"the same rules", 1, Acting{Generation: 1}, true},
-		{"a repeat under rules that are no more", 1, Acting{Generation: 2}, false},
-		{"a first attempt", 0, Acting{Generation: 2}, true},
-		{"its endpoint is banned", 0, Acting{Generation: 2, Banned: map[string]bool{"e": true}}, false},
+		{"the same rules", 1, EffectiveRules{Generation: 1}, true},
+		{"a repeat under rules that are no more", 1, EffectiveRules{Generation: 2}, false},
+		{"a first attempt", 0, EffectiveRules{Generation: 2}, true},
+		{"its endpoint is banned", 0, EffectiveRules{Generation: 2, Banned: map[string]bool{"e": true}}, false},
 	} {
 		rules.acting = &c.now
 		if got := e.mayWrite(&state.Attempt{Number: c.number, Endpoint: to, Generation: 1}); got != c.want {
@@ -77,7 +77,7 @@
 		return <-c.done
 	}
 	next := func(banned ...string) {
-		a := &Acting{Generation: rules.acting.Generation + 1, Ruling: &decide.Ruling{MaxAttempts: 1}, Banned: map[string]bool{}}
+		a := &EffectiveRules{Generation: rules.acting.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Banned: map[string]bool{}}
 		for _, name := range banned {
 			a.Banned[name] = true
 		}
@@ -89,19 +89,19 @@
 		do   func()
 		want []decide.EventKind
 	}{
-		{func() { next() }, []decide.EventKind{decide.Ruled, due}},
+		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}},
 		{func() { e.tell(decide.Event{Kind: due}) }, []decide.EventKind{due}},
-		{func() { next("e") }, []decide.EventKind{decide.Ruled, decide.Banned, due}},
+		{func() { next("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() { hand(true) }, nil},
-		{func() { next() }, []decide.EventKind{decide.Ruled, due}}, // by hand it stays banned
+		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}}, // by hand it stays banned
 		{func() { hand(false) }, []decide.EventKind{decide.Unbanned}},
-		{func() { next("e") }, []decide.EventKind{decide.Ruled, decide.Banned, due}},
+		{func() { next("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() {
 			if err := hand(false); err == nil || !strings.Contains(err.Error(), "propose one without") {
 				t.Errorf("the crew's ban was lifted by hand: %v", err)
 			}
 		}, nil},
-		{func() { next() }, []decide.EventKind{decide.Ruled, decide.Unbanned, due}},
+		{func() { next() }, []decide.EventKind{decide.SettingsChanged, decide.Unbanned, due}},
 	} {
 		step.do()
 		if got := kinds(); !slices.Equal(got, step.want) {
@@ -121,13 +121,13 @@
 		return l
 	}
 	names := func() (out []string) {
-		for _, l := range e.endpoints.Lines() {
+		for _, l := range e.endpoints.List() {
 			out = append(out, l.Name)
 		}
 		return out
 	}
 	say := func(cautious bool) {
-		rules.acting = &Acting{Generation: rules.acting.Generation + 1, Ruling: &decide.Ruling{MaxAttempts: 1}, Cautious: cautious}
+		rules.acting = &EffectiveRules{Generation: rules.acting.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Cautious: cautious}
 	}
 	say(true)
 	e.takeList(list(true, "a", "b"), decide.ListReplaced) // a process's first list is taken whole
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -31,7 +31,7 @@
 		attempt.Generation = e.acting.Generation
 	}
 	switch {
-	case r.Over, r.Deadline <= now:
+	case r.Done, r.Deadline <= now:
 		e.settle(attempt, decide.NotSent, nil)
 		return
 	case to == nil: // it has left the list since
@@ -69,9 +69,9 @@
 		return 0
 	}
 	class := e.conf.Classes[r.Message.Class]
-	rule := decide.ClassRule{Effect: class.Effect, Window: class.Window}
-	if e.acting != nil && e.acting.Ruling != nil {
-		if ruled, ok := e.acting.Ruling.Classes[r.Message.Class]; ok && ruled.Effect != decide.EffectUnset {
+	rule := decide.DynamicClass{Effect: class.Effect, Window: class.Window}
+	if e.acting != nil && e.acting.Dynamic != nil {
+		if ruled, ok := e.acting.Dynamic.Classes[r.Message.Class]; ok && ruled.Effect != decide.EffectUnset {
 			rule = ruled
 		}
 	}
@@ -98,7 +98,7 @@
 		if ctx.Err() != nil {
 			done.ended = httpwire.ReasonGivenUp
 		}
-		if done.reply != nil && done.reply.Rest != nil && ctx.Err() == nil {
+		if done.reply != nil && done.reply.Stream != nil && ctx.Err() == nil {
 			e.post(begun{a, done.link, done.reply})
 			return
 		}
@@ -150,7 +150,7 @@
 	}
 	// Guards against a connection that comes up late: the endpoint may have begun to drain since it was chosen, and
 	// nothing new goes to it after the grace (rule 3 counts from the first byte).
-	if a.Endpoint.Shut(now) {
+	if a.Endpoint.ClosedForWrites(now) {
 		return decide.ConnectFailed, false
 	}
 	// Guards against an effect that comes twice: this attempt was allowed while its key's window was open, and the
@@ -178,9 +178,9 @@
 
 // write writes an attempt. On an error its last byte is not written: it has never run.
 func (e *Engine) write(a *state.Attempt, link *httpwire.Link, upload *httpwire.Upload) error {
-	wait := a.Until - e.clock.Now()
+	wait := a.TimeoutAt - e.clock.Now()
 	message := httpwire.EncodeAttempt(a.Request.Message, wait)
-	whole, err := link.Send(message, e.clock.At(a.Until).Add(readSlack))
+	whole, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
 	if whole {
 		err = nil // what comes of it shows when the answer is read
 	}
@@ -195,7 +195,7 @@
 		return err
 	}
 	e.post(uploaded{a})
-	return link.Await(e.world.Now().Add(a.Request.Message.Remaining + readSlack))
+	return link.SetReadDeadline(e.world.Now().Add(a.Request.Message.Remaining + readSlack))
 }
 
 // uploading is an attempt that has begun to take the rest of a long body. It can't be
@@ -221,15 +221,15 @@
 	if a := u.attempt; !a.Settled {
 		a.Sent = e.clock.Now()
 		e.restart(a, a.Request.Message.Remaining)
-		e.tell(decide.Event{Kind: decide.BodyCame, Request: a.Request.ID, Attempt: a.Number})
+		e.tell(decide.Event{Kind: decide.BodyReceived, Request: a.Request.ID, Attempt: a.Number})
 	}
 }
 
 // restart gives an attempt, and its request, so much time from now on.
 func (e *Engine) restart(a *state.Attempt, left decide.Time) {
 	e.timeouts.Remove(a)
-	a.Until = e.clock.Now() + left
-	a.Request.Deadline = a.Until
+	a.TimeoutAt = e.clock.Now() + left
+	a.Request.Deadline = a.TimeoutAt
 	e.timeouts.Add(a)
 }
 
@@ -242,7 +242,7 @@
 		}
 		return link, ""
 	}
-	if !link.Fresh() {
+	if !link.Usable() {
 		// Guards against a connection that was ended, or brought more than its answer,
 		// after the owner took it: what is not written has never run.
 		return link, httpwire.ReasonPeerClosed
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New(conf, env.Real{}, Logs{All: zerolog.Nop(), Ends: zerolog.Nop()}, balancer)
+	return New(conf, env.Real{}, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, balancer)
 }
 
 // An attempt whose time is up while its connection is still being made has never
@@ -34,7 +34,7 @@
 	for outcome, written := range map[decide.Outcome]bool{decide.ConnectFailed: false, decide.TimedOut: true} {
 		e := testEngine(t)
 		now := e.clock.Now()
-		r := e.requests.Take(&httpwire.Request{}, now, make(chan httpwire.Answer, 1))
+		r := e.requests.Add(&httpwire.Request{}, now, make(chan httpwire.Answer, 1))
 		a := e.requests.Begin(r, nil, now, now)
 		a.GiveUp = func() {}
 		e.timeouts.Add(a)
@@ -42,7 +42,7 @@
 			t.Fatal("it may be written and is not")
 		}
 		e.runDue()
-		if e.counters.Outcomes[outcome] != 1 || written == a.Bar() {
+		if e.counters.Outcomes[outcome] != 1 || written == a.PreventWrite() {
 			t.Errorf("written %v: outcomes %v", written, e.counters.Outcomes)
 		}
 	}
@@ -62,7 +62,7 @@
 		t.Fatal("no room in an empty pool")
 	}
 	until := e.clock.Now() + 10*time.Second
-	r := e.requests.Take(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
+	r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
 	a := e.requests.Begin(r, to, 0, until)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/pipeline/takein.go
+++ b/internal/pipeline/takein.go
@@ -26,28 +26,28 @@
 		e.answerReady(ctx)
 	} else {
 		answer, counted := e.takeIn(ctx, conn)
-		taken = answer.Taken
+		taken = answer.Reserved
 		if counted {
 			active = 1
 		}
-		if rest := answer.Rest; rest != nil && !ctx.Request.Header.IsHTTP11() && rest.Length < 0 {
+		if rest := answer.Stream; rest != nil && !ctx.Request.Header.IsHTTP11() && rest.Length < 0 {
 			rest.Close() // there is no way to tell its end but the connection's
-			answer.Verdict, answer.Rest, answer.Last = httpwire.Failed, nil, true
+			answer.Verdict, answer.Stream, answer.CloseAfter = httpwire.Failed, nil, true
 		} else if rest != nil {
-			rest.Whole = !ctx.Request.Header.IsHTTP11()
-			rest.To(conn)
+			rest.WithLength = !ctx.Request.Header.IsHTTP11()
+			rest.SetConn(conn)
 		}
 		httpwire.EncodeAnswer(&answer, &ctx.Response)
 		// What follows what is malformed may be a part of it.
-		if answer.Last || answer.Verdict == httpwire.Malformed {
+		if answer.CloseAfter || answer.Verdict == httpwire.Malformed {
 			ctx.SetConnectionClose()
 		}
 	}
 	if e.draining.Load() || conn.Closing() {
 		ctx.SetConnectionClose()
 	}
-	conn.Answered(func() {
-		e.room.Return(taken)
+	conn.MarkAnswered(func() {
+		e.room.Release(taken)
 		e.board.Active.Add(-active)
 	})
 }
@@ -72,7 +72,7 @@
 	if err != nil {
 		e.malformed.Add(1)
 		if ctx.RequestBodyStream() != nil && !errors.Is(err, httpwire.ErrBody) {
-			conn.BodyUnread()
+			conn.MarkBodyUnread()
 		}
 		return httpwire.Answer{Verdict: httpwire.Malformed, Reason: err.Error()}, false
 	}
@@ -102,7 +102,7 @@
 
 // awaitWhole claims a request that has come whole, if its class is held, hands it over and waits for its answer.
 func (e *Engine) awaitWhole(message *httpwire.Request, conn *httpwire.CallerConn, crowded bool, w *waiting) (answer httpwire.Answer, counted bool) {
-	var hold Hold
+	var hold Claim
 	if e.holdings != nil && e.holdings.Holds(message.Class) {
 		var known *httpwire.Answer
 		if hold, known = e.open(message); known != nil {
@@ -117,7 +117,7 @@
 	w.admit(e, in)
 	answer = e.await(in)
 	if hold != nil {
-		answer = hold.End(answer, answer.Ran, max(endTime, in.deadline-e.clock.Now()+endTime))
+		answer = hold.End(answer, answer.MayHaveRun, max(endTime, in.deadline-e.clock.Now()+endTime))
 	}
 	return answer, true
 }
@@ -153,7 +153,7 @@
 	case answer := <-in.answer:
 		return answer
 	case <-e.stopped:
-		return httpwire.Answer{Verdict: httpwire.Failed, Ran: true} // nobody knows
+		return httpwire.Answer{Verdict: httpwire.Failed, MayHaveRun: true} // nobody knows
 	}
 }
 
@@ -161,21 +161,21 @@
 // watched when all of that is there.
 func (e *Engine) awaitUpload(in *arrival, conn *httpwire.CallerConn) (answer httpwire.Answer, counted bool) {
 	upload := in.message.Upload
-	conn.Hold()
+	conn.MarkPending()
 	e.post(in)
 	defer upload.Stop()
 	select {
 	case answer = <-in.answer:
-		answer.Last = true // more of the body may come
+		answer.CloseAfter = true // more of the body may come
 		return answer, false
 	case <-e.stopped:
-		return httpwire.Answer{Verdict: httpwire.Failed, Last: true}, false
+		return httpwire.Answer{Verdict: httpwire.Failed, CloseAfter: true}, false
 	case <-upload.Done():
 	}
 	if upload.Err() != nil {
 		e.post(callerDisconnected{in})
 		answer = e.await(in)
-		answer.Last = true
+		answer.CloseAfter = true
 		return answer, false
 	}
 	e.board.Active.Add(1)
@@ -205,7 +205,7 @@
 func (e *Engine) Unreadable(ctx *fasthttp.RequestCtx, err error) {
 	e.malformed.Add(1)
 	if conn, ok := ctx.Conn().(*httpwire.CallerConn); ok {
-		conn.Note(httpwire.ReasonBadRequest)
+		conn.SetReason(httpwire.ReasonBadRequest)
 	}
 	answer := httpwire.Answer{Verdict: httpwire.Malformed, Reason: "malformed request"}
 	httpwire.EncodeAnswer(&answer, &ctx.Response)
--- a/internal/pipeline/told_test.go
+++ b/internal/pipeline/told_test.go
@@ -191,8 +191,8 @@
 	conf := &config.Config{
 		Discovery: address,
 		Settings: decide.Settings{
-			Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
-			MustAsk: asks, Rules: decide.Rules{DrainGrace: time.Second},
+			Classes:  []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
+			MustPoll: asks, Rules: decide.Rules{DrainGrace: time.Second},
 		},
 		ConnectTimeout: time.Second, EndpointConns: 10, IdleFor: time.Minute, Seed: seed,
 	}
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	module := &told{Decider: balancer, at: make(chan time.Time, 1)}
-	return New(conf, world, Logs{All: zerolog.Nop(), Ends: zerolog.Nop()}, module), module
+	return New(conf, world, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, module), module
 }
 
 // way is how long the change takes from when it can be had to when it is in force.
@@ -221,7 +221,7 @@
 		go e.Run(ctx)
 		if moves {
 			time.Sleep(3 * time.Second) // where it asks, the watch of the former one has begun
-			e.Move("discovery")
+			e.MoveDiscovery("discovery")
 		}
 		select {
 		case at := <-module.at:
@@ -330,8 +330,8 @@
 		}
 		time.Sleep(fetchTime) // had the other one gone on, it would have told by now
 		s := e.Snapshot()
-		if d.mu.Lock(); d.came != 2 || d.open != 1 || s.Lists != 1 || s.ListFails != 0 {
-			t.Errorf("%d connections, %d open, %d lists, %d failures", d.came, d.open, s.Lists, s.ListFails)
+		if d.mu.Lock(); d.came != 2 || d.open != 1 || s.Lists != 1 || s.ListFailures != 0 {
+			t.Errorf("%d connections, %d open, %d lists, %d failures", d.came, d.open, s.Lists, s.ListFailures)
 		}
 		d.mu.Unlock()
 		stop()
@@ -352,8 +352,8 @@
 		time.Sleep(long)
 		s := e.Snapshot()
 		d.mu.Lock()
-		if most := int(long/hedgeAfter) + 1; d.came > most || d.came < most-1 || d.mostOpen != 2 || s.ListFails < d.came-2 {
-			t.Errorf("%d fetches, %d at a time, %d failures; %d at most", d.came, d.mostOpen, s.ListFails, most)
+		if most := int(long/hedgeAfter) + 1; d.came > most || d.came < most-1 || d.mostOpen != 2 || s.ListFailures < d.came-2 {
+			t.Errorf("%d fetches, %d at a time, %d failures; %d at most", d.came, d.mostOpen, s.ListFailures, most)
 		}
 		d.mu.Unlock()
 		stop()
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -85,8 +85,8 @@
 			}
 			fresh.Say(scripted.OK(drained))
 			next(t, e)
-			if e.counters.Lists != 1 || e.counters.ListFails != 0 || e.index != 8 {
-				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFails, e.index)
+			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.index != 8 {
+				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.index)
 			}
 			if asked := fresh.Request().URL.RawQuery; asked != "after=8&wait_ms=100" {
 				t.Errorf("after it came %q, want the watch to go on", asked)
@@ -115,8 +115,8 @@
 	fresh.Request()
 	fresh.Say(scripted.OK(drained))
 	next(t, e)
-	if e.counters.Lists != 1 || e.counters.ListFails != 0 || dials != 3 {
-		t.Errorf("%d lists, %d failures after %d connections", e.counters.Lists, e.counters.ListFails, dials)
+	if e.counters.Lists != 1 || e.counters.ListFailures != 0 || dials != 3 {
+		t.Errorf("%d lists, %d failures after %d connections", e.counters.Lists, e.counters.ListFailures, dials)
 	}
 }
 
@@ -142,8 +142,8 @@
 		door.Next().Request()
 	}
 	next(t, e)
-	if e.counters.ListFails != 1 || e.watch.running || door.Came() {
-		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFails, e.watch.running, door.Came())
+	if e.counters.ListFailures != 1 || e.watch.running || door.Came() {
+		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFailures, e.watch.running, door.Came())
 	}
 	for name, answer := range map[string]string{
 		"overrun": "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "broken": scripted.OK(`{"index":`),
@@ -151,8 +151,8 @@
 		e, door, first := watchAt(t, quick)
 		first.Say(answer)
 		next(t, e)
-		if e.counters.ListFails != 1 || door.Came() {
-			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFails, door.Came())
+		if e.counters.ListFailures != 1 || door.Came() {
+			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFailures, door.Came())
 		}
 	}
 }
@@ -186,11 +186,11 @@
 			var log strings.Builder
 			e.ends = zerolog.New(&log)
 			e.takeList(listOf("s", "127.0.0.1:1", decide.Active), decide.ListReplaced)
-			before := e.endpoints.Lines()
+			before := e.endpoints.List()
 			first.Say(answer)
 			next(t, e)
-			if now := e.endpoints.Lines(); !reflect.DeepEqual(now, before) || e.counters.Lists != 0 || e.counters.ListFails != 1 {
-				t.Errorf("%+v in force, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFails)
+			if now := e.endpoints.List(); !reflect.DeepEqual(now, before) || e.counters.Lists != 0 || e.counters.ListFailures != 1 {
+				t.Errorf("%+v in force, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFailures)
 			}
 			if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), `"level":"warn"`) ||
 				!strings.Contains(log.String(), `"reason":"broken"`) || !strings.Contains(log.String(), `"error":"answer: `) {
@@ -232,8 +232,8 @@
 	for e.counters.Lists == 0 {
 		next(t, e)
 	}
-	if e.index != 3 || e.counters.ListFails != 0 {
-		t.Errorf("version %d, %d failures", e.index, e.counters.ListFails)
+	if e.index != 3 || e.counters.ListFailures != 0 {
+		t.Errorf("version %d, %d failures", e.index, e.counters.ListFailures)
 	}
 }
 
@@ -274,7 +274,7 @@
 
 // Guards against a large fleet with pushed lists that keeps its discovery overrun: refused calls are made again later.
 func TestRefusedCallsForPushedListsComeAgainByTheFleet(t *testing.T) {
-	least, spread := decide.FailedPause(0, 376, true)
+	least, spread := decide.ListRetryDelay(0, 376, true)
 	for _, c := range []struct {
 		peers   int
 		refused bool
@@ -298,7 +298,7 @@
 		spread time.Duration
 	}{{62, true, 0}, {376, false, 0}, {376, true, decide.MoveSpread(376)}} {
 		e, world := testEngine(t), &timed{}
-		e.world, e.conf.Settings.Peers, e.conf.Settings.MustAsk = world, c.peers, c.asks
+		e.world, e.conf.Settings.Peers, e.conf.Settings.MustPoll = world, c.peers, c.asks
 		moved{"another"}.handle(e)
 		switch {
 		case c.spread == 0 && (world.runs != 1 || len(world.set) != 0):
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -73,7 +73,7 @@
 		return nil, false, fmt.Errorf("answer: %w", overdue(err))
 	}
 	w.heard, w.last.firstByte = true, world.Now()
-	if err := w.link.Await(world.Now().Add(w.times.rest)); err != nil {
+	if err := w.link.SetReadDeadline(world.Now().Add(w.times.rest)); err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
 	answer, keep, err := httpwire.DecodeListReply(w.link.Reader())
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,7 +17,7 @@
 type Transport struct {
 	ConnectTimeout time.Duration // a connection that is not made by then has failed
 	IdleTimeout    time.Duration // endpoints close connections that are idle for so long
-	MostHeld       int           // requests an instance may have open; 0 for no limit
+	MaxPending     int           // requests an instance may have open; 0 for no limit
 }
 
 var effects = map[string]decide.Effect{
@@ -29,8 +29,8 @@
 }
 
 // hows are the words for how endpoints tell their load; an absent one is silence.
-var hows = map[string]decide.ReportHow{
-	"silent": decide.Silent, "piggyback": decide.WithAnswers, "pull": decide.ToProbes,
+var hows = map[string]decide.ReportMode{
+	"silent": decide.ReportNever, "piggyback": decide.ReportWithAnswers, "pull": decide.ReportWithProbes,
 }
 
 var loadFields = map[string]decide.LoadField{
@@ -50,7 +50,7 @@
 		Peers:          int(o.Float("replicas_of_me")),
 		Zone:           o.Text("az"),
 		OverShareWorth: o.Float("over_share_worth"),
-		MustAsk:        o.Text("membership_mode") == "subscribe",
+		MustPoll:       o.Text("membership_mode") == "subscribe",
 		WeightKnown:    weights == "nominal" || weights == "rough",
 		HintsWork:      o.Text("worth_by") == "work",
 		Front:          tier == 0,
@@ -67,7 +67,7 @@
 	s.Prices.Probe = prices.Float("probe")
 	decodeReport(o.Child("report"), &s.Report)
 	if o.Text("family") == "mesh" {
-		s.Entry = decide.Own
+		s.Entry = decide.PerCaller
 	}
 	for _, c := range o.Children("profiles") {
 		s.Classes = append(s.Classes, decodeClass(c))
@@ -80,14 +80,14 @@
 	transport := Transport{
 		ConnectTimeout: bounds.Duration("connect_timeout"),
 		IdleTimeout:    bounds.Duration("conn_idle"),
-		MostHeld:       int(bounds.Float("most_held")),
+		MaxPending:     int(bounds.Float("most_held")),
 	}
 	return s, transport, o.Err()
 }
 
 func decodeLimits(o jsonread.Object, l *decide.Limits) {
 	l.Cancel = o.Boolean("cancel")
-	l.SecondCopies = o.Boolean("second_copies")
+	l.Hedging = o.Boolean("second_copies")
 	l.RetryAfter = o.Boolean("retry_after")
 	l.Probing = o.Boolean("probing")
 	l.MaxAttempts = int(o.Float("max_attempts"))
@@ -95,7 +95,7 @@
 }
 
 func decodeReport(o jsonread.Object, r *decide.Report) {
-	r.How = jsonread.Word(o, "how", hows)
+	r.Mode = jsonread.Word(o, "how", hows)
 	for i, v := range o.Array("fields") {
 		name, err := v.StringBytes()
 		if err != nil {
@@ -113,7 +113,7 @@
 	r.FallMultiple = o.Float("fall_multiple")
 	r.FallWindow = o.Duration("overload_for")
 	r.DrainGrace = o.Duration("drain_grace")
-	r.GoneServes = o.Boolean("removal_not_binding")
+	r.GoneMayServe = o.Boolean("removal_not_binding")
 }
 
 func decodeClass(o jsonread.Object) decide.Class {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Number != 2 || s.Peers != 5 || s.Zone != "z" || s.Front || s.Depth != 1 || !s.MustAsk || !s.WeightKnown ||
+	if s.Number != 2 || s.Peers != 5 || s.Zone != "z" || s.Front || s.Depth != 1 || !s.MustPoll || !s.WeightKnown ||
 		!s.HintsWork || s.Tick != 2500*time.Microsecond {
 		t.Errorf("head: %+v", s)
 	}
-	if !s.Limits.Cancel || s.Limits.MaxAttempts != 4 || s.Rules.DrainGrace != time.Second || !s.Rules.GoneServes || s.Prices.Waste != 0.05 {
+	if !s.Limits.Cancel || s.Limits.MaxAttempts != 4 || s.Rules.DrainGrace != time.Second || !s.Rules.GoneMayServe || s.Prices.Waste != 0.05 {
 		t.Errorf("limits, rules, prices: %+v", s)
 	}
 	want := decide.Class{
@@ -46,7 +46,7 @@
 	if len(s.Tenants) != 1 || s.Tenants[0].Allowed != 13 {
 		t.Errorf("tenants: %+v", s.Tenants)
 	}
-	if transport != (Transport{ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, MostHeld: 7}) {
+	if transport != (Transport{ConnectTimeout: 75 * time.Millisecond, IdleTimeout: 10 * time.Second, MaxPending: 7}) {
 		t.Errorf("transport: %+v", transport)
 	}
 }
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Entry != decide.Own || !s.Limits.Probing || s.Prices.Probe != 0.002 || s.Report.How != decide.ToProbes {
+	if s.Entry != decide.PerCaller || !s.Limits.Probing || s.Prices.Probe != 0.002 || s.Report.Mode != decide.ReportWithProbes {
 		t.Errorf("%+v", s)
 	}
 	want := decide.Load{Outstanding: 3, Utilization: 0.5}
@@ -70,7 +70,7 @@
 		t.Errorf("no report reads as %+v", got)
 	}
 	s, _, err = Decode(parse(t, `{"family":"chain","report":{"how":"silent"},`+classes+`}`))
-	if err != nil || s.Entry != decide.Pooled || s.Report.How != decide.Silent || s.Limits.Probing {
+	if err != nil || s.Entry != decide.Pooled || s.Report.Mode != decide.ReportNever || s.Limits.Probing {
 		t.Errorf("a pool: %+v, %v", s, err)
 	}
 }
--- a/internal/shadow/watching.go
+++ b/internal/shadow/watching.go
@@ -111,7 +111,7 @@
 		w.counts.Watched++
 		w.views[ev.Request] = &view{}
 		w.tell(now, ev)
-	case decide.Finished, decide.StreamBegan, decide.BodyCame, decide.ClientLeft:
+	case decide.Finished, decide.StreamBegan, decide.BodyReceived, decide.ClientLeft:
 		if v := w.views[ev.Request]; v != nil && !v.differed {
 			w.tell(now, ev)
 		}
@@ -150,7 +150,7 @@
 				delete(w.inFlight, to)
 			}
 		}
-		v.over = v.over || ev.Over || ev.Kind == decide.ClientLeft
+		v.over = v.over || ev.RequestDone || ev.Kind == decide.ClientLeft
 		w.close(now, ev.Request, v)
 	}
 	w.look(now)
@@ -165,7 +165,7 @@
 		return
 	}
 	for i := range v.sent {
-		w.settle(now, decide.Event{Kind: decide.Finished, Request: id, Attempt: i, Outcome: decide.NotSent, Over: true})
+		w.settle(now, decide.Event{Kind: decide.Finished, Request: id, Attempt: i, Outcome: decide.NotSent, RequestDone: true})
 	}
 	w.settle(now, decide.Event{Kind: decide.ClientLeft, Request: id})
 }
--- a/internal/shadow/watching_test.go
+++ b/internal/shadow/watching_test.go
@@ -18,7 +18,7 @@
 			{Name: "look", Aim: 200 * ms, Deadline: time.Second, Worth: 1, LateShare: 0.5, Effect: decide.Safe},
 			{Name: "burn", Aim: 200 * ms, Deadline: time.Second, Worth: 3, LateShare: 0.5, Effect: decide.Unsafe},
 		},
-		Limits: decide.Limits{Cancel: true, MaxAttempts: 3, SecondCopies: true},
+		Limits: decide.Limits{Cancel: true, MaxAttempts: 3, Hedging: true},
 		Rules:  decide.Rules{ColdShare: 0.2, ColdTime: 10 * time.Second, DrainGrace: time.Second},
 	}
 }
@@ -26,8 +26,8 @@
 // newShape are settings under which endpoints are asked before a request goes.
 func newShape() decide.Settings {
 	set := settings()
-	set.Entry, set.Peers, set.Limits.Probing = decide.Own, 100, true
-	set.Report = decide.Report{How: decide.ToProbes, Fields: []decide.LoadField{decide.Outstanding}}
+	set.Entry, set.Peers, set.Limits.Probing = decide.PerCaller, 100, true
+	set.Report = decide.Report{Mode: decide.ReportWithProbes, Fields: []decide.LoadField{decide.Outstanding}}
 	return set
 }
 
@@ -90,7 +90,7 @@
 				over[o.id] = over[o.id] || outcome == decide.Served
 				handle(decide.Event{
 					Kind: decide.Finished, Request: o.id, Attempt: o.attempt, Endpoint: o.to, Outcome: outcome,
-					Latency: 100 * ms, Over: over[o.id],
+					Latency: 100 * ms, RequestDone: over[o.id],
 				})
 			}
 		}
@@ -193,7 +193,7 @@
 	for _, ev := range []decide.Event{
 		{Kind: decide.ListReplaced, Endpoints: []decide.Endpoint{{ID: 7, Zone: "z", Weight: 1}}},
 		{Kind: decide.Arrived, Request: 1, Class: "look", Grace: time.Second},
-		{Kind: decide.Finished, Request: 1, Outcome: decide.TimedOut, Latency: time.Second, Over: true},
+		{Kind: decide.Finished, Request: 1, Outcome: decide.TimedOut, Latency: time.Second, RequestDone: true},
 	} {
 		w.Handle(time.Hour, &ev, nil)
 	}
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -272,7 +272,7 @@
 	if s.opts.Log != nil {
 		log = zerolog.New(s.opts.Log).With().Str("sidecar", id).Logger()
 	}
-	run, err := lifecycle.Start(conf, log, lifecycle.Options{Operator: operator.Default(), Decider: s.opts.Decider, World: proc})
+	run, err := lifecycle.Start(conf, log, lifecycle.Options{Operator: operator.Default(), Decider: s.opts.Decider, Env: proc})
 	if err != nil {
 		panic(err) // nothing can be in its way
 	}
@@ -405,7 +405,7 @@
 				s.w.met[ReloadDuringCall]++
 			}
 		}
-		proc.Go("reload", func() { run.Move("discovery:2") })
+		proc.Go("reload", func() { run.MoveDiscovery("discovery:2") })
 	case Kill:
 		s.end(proc, run)
 		later(func() { s.start(sc) })
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -23,15 +23,15 @@
 
 // Now is the present time.
 func (c Clock) Now() decide.Time {
-	return c.Of(c.world.Now())
+	return c.FromWall(c.world.Now())
 }
 
-// At is the moment of a time, for deadlines of connections.
-func (c Clock) At(t decide.Time) time.Time {
+// Wall is the moment of a time, for deadlines of connections.
+func (c Clock) Wall(t decide.Time) time.Time {
 	return c.started.Add(t - decide.Time(c.started.UnixNano()))
 }
 
-// Of is a moment's time.
-func (c Clock) Of(at time.Time) decide.Time {
+// FromWall is a moment's time.
+func (c Clock) FromWall(at time.Time) decide.Time {
 	return decide.Time(c.started.UnixNano()) + at.Sub(c.started)
 }
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -22,9 +22,9 @@
 	shut atomic.Int64 // when nothing new may be written to it any more, as a decide.Time; 0 for never
 }
 
-// Shut tells whether nothing new may be written to the endpoint: it has drained, or been gone, for too long. Any
+// ClosedForWrites tells whether nothing new may be written to the endpoint: it has drained, or been gone, for too long. Any
 // goroutine may ask.
-func (e *Endpoint) Shut(now decide.Time) bool {
+func (e *Endpoint) ClosedForWrites(now decide.Time) bool {
 	at := e.shut.Load()
 	return at > 0 && int64(now) >= at
 }
@@ -168,7 +168,7 @@
 	}
 	e := &Endpoint{ID: id, Listed: true}
 	t.byName[name], t.byID[id] = e, e
-	t.See(name)
+	t.MarkSeen(name)
 	return e
 }
 
@@ -199,11 +199,11 @@
 	return h.Sum64()
 }
 
-// See remembers that a name has been listed.
-func (t *Endpoints) See(name string) { t.Remember(hashOf(name)) }
+// MarkSeen remembers that a name has been listed.
+func (t *Endpoints) MarkSeen(name string) { t.MarkSeenHash(hashOf(name)) }
 
-// Remember is See for what a process before has told, by the name's hash.
-func (t *Endpoints) Remember(hash uint64) {
+// MarkSeenHash is See for what a process before has told, by the name's hash.
+func (t *Endpoints) MarkSeenHash(hash uint64) {
 	if _, known := t.seen[hash]; known {
 		return
 	}
@@ -217,8 +217,8 @@
 	t.next = (t.next + 1) % mostSeen
 }
 
-// Seen returns the hashes of names that have been listed.
-func (t *Endpoints) Seen() []uint64 { return slices.Clone(t.ring) }
+// SeenHashes returns the hashes of names that have been listed.
+func (t *Endpoints) SeenHashes() []uint64 { return slices.Clone(t.ring) }
 
 // Banned returns the names that are banned.
 func (t *Endpoints) Banned() []string { return slices.Sorted(maps.Keys(t.banned)) }
@@ -264,8 +264,8 @@
 	return slices.Sorted(maps.Keys(t.lifted))
 }
 
-// Lines returns the list as it stands, by name.
-func (t *Endpoints) Lines() []httpwire.ListedEndpoint {
+// List returns the list as it stands, by name.
+func (t *Endpoints) List() []httpwire.ListedEndpoint {
 	lines := make([]httpwire.ListedEndpoint, 0, len(t.byName))
 	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
 		if _, absent := t.absent[name]; absent {
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -36,8 +36,8 @@
 	return &Pool{most: most, idleFor: idleFor, holders: map[*Endpoint]struct{}{}, ended: ended}
 }
 
-// Bound sets how many connections there may be; idle ones beyond that end.
-func (p *Pool) Bound(most int) {
+// SetLimit sets how many connections there may be; idle ones beyond that end.
+func (p *Pool) SetLimit(most int) {
 	for p.most = most; p.open > p.most && p.makeRoom(); {
 	}
 }
@@ -60,7 +60,7 @@
 		l = e.idle[at].link
 		e.idle = slices.Delete(e.idle, at, at+1)
 		p.forgetEmpty(e)
-		if l.Fresh() {
+		if l.Usable() {
 			return l, true
 		}
 		p.Drop(e, l, httpwire.ReasonPeerClosed)
@@ -137,7 +137,7 @@
 	l := oldest.idle[0].link
 	oldest.idle = slices.Delete(oldest.idle, 0, 1)
 	p.forgetEmpty(oldest)
-	p.Drop(oldest, l, httpwire.ReasonRoom)
+	p.Drop(oldest, l, httpwire.ReasonConnLimit)
 	return true
 }
 
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -20,7 +20,7 @@
 	Message  *httpwire.Request // read by the goroutines of attempts: never written to
 	Deadline decide.Time       // when the caller stops waiting
 	Answer   chan httpwire.Answer
-	Over     bool // the final answer is given, or nobody waits for one
+	Done     bool // the final answer is given, or nobody waits for one
 	Attempts []*Attempt
 	// Caller is the connection on which it came; nil where there is none to look at. Goroutines of attempts ask it.
 	Caller *httpwire.CallerConn
@@ -31,17 +31,17 @@
 
 // Attempt is one send of a request.
 type Attempt struct {
-	Request  *Request
-	Number   int
-	Endpoint *Endpoint
-	Sent     decide.Time
-	Until    decide.Time // when it times out
-	NotAfter decide.Time // nothing of it is written from then on; 0 for no such bound
-	GiveUp   context.CancelFunc
-	Settled  bool           // it has its outcome
-	Ran      bool           // by that it may have run
-	Outcome  decide.Outcome // once it is settled
-	Took     decide.Time    // until then
+	Request   *Request
+	Number    int
+	Endpoint  *Endpoint
+	Sent      decide.Time
+	TimeoutAt decide.Time // when it times out
+	NotAfter  decide.Time // nothing of it is written from then on; 0 for no such bound
+	GiveUp    context.CancelFunc
+	Settled   bool           // it has its outcome
+	Ran       bool           // by that it may have run
+	Outcome   decide.Outcome // once it is settled
+	Took      decide.Time    // until then
 	// Generation is that of the rules by which it was decided on; 0 where there are none beside the settings.
 	Generation uint64
 	gate       atomic.Int32
@@ -59,9 +59,9 @@
 // goroutine that carries it asks once, when its connection stands.
 func (a *Attempt) Write() bool { return a.gate.CompareAndSwap(gateOpen, gateWriting) }
 
-// Bar keeps the attempt from being written, and tells whether it has never been:
+// PreventWrite keeps the attempt from being written, and tells whether it has never been:
 // what has begun to be written may come whole.
-func (a *Attempt) Bar() bool {
+func (a *Attempt) PreventWrite() bool {
 	return a.gate.CompareAndSwap(gateOpen, gateBarred) || a.gate.Load() == gateBarred
 }
 
@@ -82,7 +82,7 @@
 	if a.Settled {
 		return a.Ran
 	}
-	return !a.Bar()
+	return !a.PreventWrite()
 }
 
 // Requests are those that are kept.
@@ -103,8 +103,8 @@
 	return open
 }
 
-// Take keeps a new request and numbers it.
-func (t *Requests) Take(message *httpwire.Request, deadline decide.Time, answer chan httpwire.Answer) *Request {
+// Add keeps a new request and numbers it.
+func (t *Requests) Add(message *httpwire.Request, deadline decide.Time, answer chan httpwire.Answer) *Request {
 	t.last++
 	r := &Request{ID: t.last, Message: message, Deadline: deadline, Answer: answer}
 	t.byID[r.ID] = r
@@ -121,12 +121,12 @@
 	return slices.SortedFunc(maps.Values(t.byID), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Held is how many requests are without a final answer.
-func (t *Requests) Held() int { return len(t.open) }
+// Pending is how many requests are without a final answer.
+func (t *Requests) Pending() int { return len(t.open) }
 
 // Begin books a new attempt.
 func (t *Requests) Begin(r *Request, to *Endpoint, sent, until decide.Time) *Attempt {
-	a := &Attempt{Request: r, Number: len(r.Attempts), Endpoint: to, Sent: sent, Until: until}
+	a := &Attempt{Request: r, Number: len(r.Attempts), Endpoint: to, Sent: sent, TimeoutAt: until}
 	r.Attempts = append(r.Attempts, a)
 	r.out++
 	return a
@@ -146,20 +146,20 @@
 // Nothing is sent for it afterwards: an attempt whose connection is still being
 // made is barred.
 func (t *Requests) End(r *Request) bool {
-	if r.Over {
+	if r.Done {
 		return false
 	}
-	r.Over = true
+	r.Done = true
 	delete(t.open, r.Message.ID)
 	for _, a := range r.Attempts {
-		a.Bar()
+		a.PreventWrite()
 	}
 	return true
 }
 
 // Release forgets a request that is over and has nothing out.
 func (t *Requests) Release(r *Request) {
-	if r.Over && r.out == 0 {
+	if r.Done && r.out == 0 {
 		delete(t.byID, r.ID)
 	}
 }
@@ -176,10 +176,10 @@
 		if out != r.out {
 			return fmt.Errorf("request %d: %d attempts are out, and %d are counted", id, out, r.out)
 		}
-		if r.Over && out == 0 {
+		if r.Done && out == 0 {
 			return fmt.Errorf("request %d: it is over and kept", id)
 		}
-		if _, open := t.open[r.Message.ID]; !open && !r.Over {
+		if _, open := t.open[r.Message.ID]; !open && !r.Done {
 			return fmt.Errorf("request %d: its caller's id %q is not open", id, r.Message.ID)
 		}
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -69,7 +69,7 @@
 	drains.State = decide.Draining
 	table.Update(&httpwire.List{Endpoints: []httpwire.ListedEndpoint{drains}}, 0)
 	_, stale := table.Update(whole("c"), time.Second)
-	if len(stale) != 1 || stale[0] != b || table.Get(a.ID) != a || table.Get(b.ID) != nil || table.Len() != 1 || len(table.Lines()) != 1 {
+	if len(stale) != 1 || stale[0] != b || table.Get(a.ID) != a || table.Get(b.ID) != nil || table.Len() != 1 || len(table.List()) != 1 {
 		t.Errorf("stale %v; %d listed", stale, table.Len())
 	}
 	if _, stale = table.Update(whole("c"), time.Second+absentTime); len(stale) != 1 || stale[0] != a || table.Get(a.ID) != nil || c != table.Get(c.ID) {
@@ -153,7 +153,7 @@
 	ended, other := pair(t)
 	pool.Put(e, ended, 1)
 	other.Close()
-	for end := time.Now().Add(10 * time.Second); ended.Fresh(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); ended.Usable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the end of the connection is not seen")
 		}
@@ -184,7 +184,7 @@
 	}
 	l, _ := pair(t)
 	pool.Put(a, l, 1)
-	if _, ok := pool.Take(b, 1); !ok || why[httpwire.ReasonRoom] != 1 || pool.Open() != 1 {
+	if _, ok := pool.Take(b, 1); !ok || why[httpwire.ReasonConnLimit] != 1 || pool.Open() != 1 {
 		t.Errorf("no room was made: %v, %d open", why, pool.Open())
 	}
 	l, _ = pair(t)
@@ -198,7 +198,7 @@
 	var timeouts Timeouts
 	attempts := make([]*Attempt, 20)
 	for i := range attempts {
-		attempts[i] = &Attempt{Number: i, Until: decide.Time((i*7)%20 + 1)}
+		attempts[i] = &Attempt{Number: i, TimeoutAt: decide.Time((i*7)%20 + 1)}
 		timeouts.Add(attempts[i])
 	}
 	for i, a := range attempts {
@@ -209,16 +209,16 @@
 	}
 	last, n := decide.Time(0), 0
 	for a := timeouts.Due(20); a != nil; a = timeouts.Due(20) {
-		if a.Until < last || a.Number%3 == 0 {
-			t.Errorf("attempt %d, due at %d, after one due at %d", a.Number, a.Until, last)
+		if a.TimeoutAt < last || a.Number%3 == 0 {
+			t.Errorf("attempt %d, due at %d, after one due at %d", a.Number, a.TimeoutAt, last)
 		}
-		last = a.Until
+		last = a.TimeoutAt
 		n++
 	}
 	if n != 13 || timeouts.Next() != 0 {
 		t.Errorf("%d came, want 13, and nothing is left (%v)", n, timeouts.Next())
 	}
-	timeouts.Add(&Attempt{Until: 50})
+	timeouts.Add(&Attempt{TimeoutAt: 50})
 	if timeouts.Due(49) != nil || timeouts.Next() != 50 {
 		t.Error("one came before its time")
 	}
@@ -227,9 +227,9 @@
 // A request has one final answer and is kept until its attempts have ended.
 func TestRequestIsKeptUntilAllHasEnded(t *testing.T) {
 	table := NewRequests()
-	r := table.Take(&httpwire.Request{}, 10, nil)
+	r := table.Add(&httpwire.Request{}, 10, nil)
 	a := table.Begin(r, nil, 1, 10)
-	if !table.End(r) || table.End(r) || table.Held() != 0 {
+	if !table.End(r) || table.End(r) || table.Pending() != 0 {
 		t.Error("a request ends once")
 	}
 	if table.Release(r); table.Get(r.ID) == nil {
@@ -250,7 +250,7 @@
 	if off := time.Until(time.Unix(0, int64(now))); off > time.Second || off < -time.Second {
 		t.Errorf("off by %v", off)
 	}
-	if at := c.At(now); at.Sub(c.started) < 0 || c.Now() < now {
+	if at := c.Wall(now); at.Sub(c.started) < 0 || c.Now() < now {
 		t.Errorf("it goes back: %v", at)
 	}
 }
--- a/internal/state/timeouts.go
+++ b/internal/state/timeouts.go
@@ -25,12 +25,12 @@
 	if len(t.byUntil) == 0 {
 		return 0
 	}
-	return t.byUntil[0].Until
+	return t.byUntil[0].TimeoutAt
 }
 
 // Due removes and returns an attempt whose time is up, or nil.
 func (t *Timeouts) Due(now decide.Time) *Attempt {
-	if len(t.byUntil) == 0 || t.byUntil[0].Until > now {
+	if len(t.byUntil) == 0 || t.byUntil[0].TimeoutAt > now {
 		return nil
 	}
 	return heap.Pop(&t.byUntil).(*Attempt)
@@ -40,7 +40,7 @@
 type attemptHeap []*Attempt
 
 func (h attemptHeap) Len() int           { return len(h) }
-func (h attemptHeap) Less(i, j int) bool { return h[i].Until < h[j].Until }
+func (h attemptHeap) Less(i, j int) bool { return h[i].TimeoutAt < h[j].TimeoutAt }
 func (h attemptHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].place, h[j].place = i+1, j+1
--- a/internal/takeover/hang_test.go
+++ b/internal/takeover/hang_test.go
@@ -45,7 +45,7 @@
 				}
 			}()
 			begin := time.Now()
-			peer, listener, _, err := Find(path)
+			peer, listener, _, err := FindPredecessor(path)
 			close(found)
 			<-ended
 			if peer != nil || listener != nil || err == nil || !broken && !errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -145,15 +145,15 @@
 	}
 }
 
-// ErrNone says that no predecessor is there.
-var ErrNone = errors.New("no predecessor")
+// ErrNoPredecessor says that no predecessor is there.
+var ErrNoPredecessor = errors.New("no predecessor")
 
-// Find looks for a predecessor and returns it with its listener, on which nothing is
+// FindPredecessor looks for a predecessor and returns it with its listener, on which nothing is
 // to be accepted before Take, and its state. The error is ErrNone where nobody has
 // listened there yet; any other tells what is wrong with who has.
-func Find(path string) (p *Peer, listener net.Listener, state []byte, err error) {
+func FindPredecessor(path string) (p *Peer, listener net.Listener, state []byte, err error) {
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, nil, ErrNone
+		return nil, nil, nil, ErrNoPredecessor
 	}
 	conn, err := (&net.Dialer{Timeout: findTimeout}).Dial("unix", path)
 	if err != nil {
@@ -237,14 +237,14 @@
 // Handler is what a process does when the other says something. Its methods are called
 // one at a time.
 type Handler interface {
-	// Adopt takes over a ban by hand, or its end; it returns when that binds.
-	Adopt(name string, on bool)
-	// GoOn goes on with a long answer that the other has begun to pass on.
-	GoOn(state []byte, caller, endpoint net.Conn)
-	// Yield stops accepting: the other is about to.
-	Yield()
-	// Gone says that the other has ended; yielded tells whether Yield was called.
-	Gone(yielded bool)
+	// AdoptBan takes over a ban by hand, or its end; it returns when that binds.
+	AdoptBan(name string, on bool)
+	// ResumeAnswer goes on with a long answer that the other has begun to pass on.
+	ResumeAnswer(state []byte, caller, endpoint net.Conn)
+	// StopAccepting stops accepting: the other is about to.
+	StopAccepting()
+	// PeerEnded says that the other has ended; yielded tells whether Yield was called.
+	PeerEnded(yielded bool)
 }
 
 // Run hears what the other says until it ends.
@@ -256,20 +256,20 @@
 			p.conn.Close()
 			p.fds.drop()
 			close(p.gone)
-			h.Gone(yielded)
+			h.PeerEnded(yielded)
 			return
 		}
 		switch {
 		case m.Ban != "":
-			h.Adopt(m.Ban, m.On)
+			h.AdoptBan(m.Ban, m.On)
 			p.say(message{Done: m.Seq})
 		case m.Over != nil:
 			if caller, endpoint, err := p.fds.conns(); err == nil {
-				h.GoOn(m.Over, caller, endpoint)
+				h.ResumeAnswer(m.Over, caller, endpoint)
 			}
 		case m.Take && !yielded:
 			yielded = true
-			h.Yield()
+			h.StopAccepting()
 			p.say(message{Taken: true})
 		case m.Taken:
 			select {
@@ -295,9 +295,9 @@
 	return p.out.Encode(m)
 }
 
-// Take has the predecessor stop accepting, and returns when it has, or has ended. On
+// StopAccepting has the predecessor stop accepting, and returns when it has, or has ended. On
 // an error it may still accept. Run must be at work.
-func (p *Peer) Take() error {
+func (p *Peer) StopAccepting() error {
 	// Guards against a predecessor that dies between its state and this word: that can't be said any more, and need not
 	// be. Run notices that it has ended.
 	err := p.say(message{Take: true})
@@ -312,9 +312,9 @@
 	return nil
 }
 
-// Tell tells the other of a ban by hand, or its end, and waits until that binds there,
+// SendBan tells the other of a ban by hand, or its end, and waits until that binds there,
 // the other has ended, or it does not answer.
-func (p *Peer) Tell(name string, on bool) error {
+func (p *Peer) SendBan(name string, on bool) error {
 	done := make(chan struct{})
 	p.mu.Lock()
 	p.seq++
@@ -340,8 +340,8 @@
 	return nil
 }
 
-// Give hands a long answer on its way to the other.
-func (p *Peer) Give(state []byte, caller, endpoint syscall.Conn) error {
+// HandOver hands a long answer on its way to the other.
+func (p *Peer) HandOver(state []byte, caller, endpoint syscall.Conn) error {
 	text, err := json.Marshal(message{Over: state})
 	if err != nil {
 		return err
@@ -376,16 +376,16 @@
 // Close ends the connection to the other.
 func (p *Peer) Close() { p.conn.Close() }
 
-// Door is where a successor comes.
-type Door struct {
+// SuccessorListener is where a successor comes.
+type SuccessorListener struct {
 	listener *net.UnixListener
 	mu       sync.Mutex
 	busy     bool
 }
 
-// Offer waits for a successor at a path, one at a time; what stands there is replaced.
+// AcceptSuccessor waits for a successor at a path, one at a time; what stands there is replaced.
 // enter is called for each, and returns what it is given.
-func Offer(path string, listener syscall.Conn, enter func(*Peer) (state []byte, h Handler, err error)) (*Door, error) {
+func AcceptSuccessor(path string, listener syscall.Conn, enter func(*Peer) (state []byte, h Handler, err error)) (*SuccessorListener, error) {
 	// Bound beside it and renamed: there is no moment without a way in for a successor.
 	beside := path + ".new"
 	os.Remove(beside)
@@ -400,15 +400,15 @@
 		l.Close()
 		return nil, err
 	}
-	d := &Door{listener: l}
+	d := &SuccessorListener{listener: l}
 	go d.serve(listener, enter)
 	return d, nil
 }
 
 // Close lets nobody in any more. A successor that has come stays.
-func (d *Door) Close() { d.listener.Close() }
+func (d *SuccessorListener) Close() { d.listener.Close() }
 
-func (d *Door) serve(listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
+func (d *SuccessorListener) serve(listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
 	for {
 		conn, err := d.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
@@ -436,14 +436,14 @@
 	}
 }
 
-func (d *Door) free() {
+func (d *SuccessorListener) free() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.busy = false
 }
 
 // attend gives one successor what it needs, and hears it until it ends.
-func (d *Door) attend(conn *net.UnixConn, listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
+func (d *SuccessorListener) attend(conn *net.UnixConn, listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
 	p := newPeer(conn)
 	// Bans that come from here on are told to it, behind the state.
 	p.mu.Lock()
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -11,10 +11,10 @@
 // quiet hears what the other process says and does nothing.
 type quiet struct{ gone chan bool }
 
-func (quiet) Adopt(string, bool)              {}
-func (quiet) GoOn([]byte, net.Conn, net.Conn) {}
-func (quiet) Yield()                          {}
-func (q quiet) Gone(yielded bool)             { q.gone <- yielded }
+func (quiet) AdoptBan(string, bool)                   {}
+func (quiet) ResumeAnswer([]byte, net.Conn, net.Conn) {}
+func (quiet) StopAccepting()                          {}
+func (q quiet) PeerEnded(yielded bool)                { q.gone <- yielded }
 
 // Guards against a successor that ends because its predecessor has: whatever step the predecessor dies in, the successor
 // either knows that it has none, or has the listener and takes its place.
@@ -71,7 +71,7 @@
 				}
 			}
 		}()
-		peer, listener, _, err := Find(path)
+		peer, listener, _, err := FindPredecessor(path)
 		if step < withState {
 			if err == nil || peer != nil || listener != nil {
 				t.Errorf("step %d: found %v, %v", step, peer, err)
@@ -85,7 +85,7 @@
 			}
 			gone := make(chan bool, 1)
 			go peer.Run(quiet{gone})
-			if err := peer.Take(); err != nil {
+			if err := peer.StopAccepting(); err != nil {
 				t.Errorf("step %d: the successor does not take the place of who has died: %v", step, err)
 			}
 			if <-gone {
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -141,7 +141,7 @@
 // Own are the rules of a sidecar's own settings. They are not shared with them.
 func Own(set *decide.Settings) Rules {
 	r := Rules{
-		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), SecondCopies: set.Limits.SecondCopies,
+		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), SecondCopies: set.Limits.Hedging,
 		Banned: map[string]bool{},
 	}
 	for _, c := range set.Classes {
@@ -282,10 +282,10 @@
 }
 
 // Ruling is what the module is told to act on.
-func (r Rules) Ruling() *decide.Ruling {
-	out := &decide.Ruling{MaxAttempts: r.MaxAttempts, SecondCopies: r.SecondCopies, Classes: map[string]decide.ClassRule{}}
+func (r Rules) Ruling() *decide.DynamicSettings {
+	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.SecondCopies, Classes: map[string]decide.DynamicClass{}}
 	for name, c := range r.Classes {
-		out.Classes[name] = decide.ClassRule{Effect: c.Effect, Group: c.Group, Window: c.Window}
+		out.Classes[name] = decide.DynamicClass{Effect: c.Effect, Group: c.Group, Window: c.Window}
 	}
 	return out
 }
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -255,7 +255,7 @@
 		return err
 	}
 	over, err := r.boolean(6, "ended")
-	h.event.Over = over
+	h.event.RequestDone = over
 	return err
 }
 
