--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -15,27 +15,27 @@
 	for _, members := range []int{30, 300, 3000} {
 		for _, looks := range []string{"when due", "each time"} {
 			b.Run(fmt.Sprintf("%d members, %s", members, looks), func(b *testing.B) {
-				conf := Terms{Lease: time.Second, Drift: 0.01}
+				conf := Params{Lease: time.Second, Drift: 0.01}
 				l := NewLedger()
 				for i := range members {
-					l.Apply(&Entry{Enter: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}}})
+					l.Apply(&Entry{Join: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}}})
 				}
-				g := NewGranter(conf, 1)
-				now := Boot(time.Second)
-				heard := Word{Term: 1, At: now}
-				gap := conf.Lease / Heartbeats / time.Duration(members)
+				g := NewLessor(conf, 1)
+				now := BootTime(time.Second)
+				heard := Echo{Term: 1, At: now}
+				gap := conf.Lease / HeartbeatsPerLease / time.Duration(members)
 				for i := 0; b.Loop(); i++ {
 					n := i % members
-					r := Renewal{Member: Member{Name: fmt.Sprint("m", n), Token: uint64(n + 1)}, Terms: conf.Hash(), Epoch: l.Epoch, Heard: heard}
+					r := Renewal{Member: Member{Name: fmt.Sprint("m", n), Token: uint64(n + 1)}, ParamsHash: conf.Hash(), Epoch: l.Epoch, LastEcho: heard}
 					grant := g.Renew(now, l, &r)
 					if !grant.Granted {
-						b.Fatal(grant.Why)
+						b.Fatal(grant.Reason)
 					}
 					g.news = g.news || looks == "each time"
 					if due := g.Due(now, l); len(due) > 0 {
 						b.Fatalf("%+v", due)
 					}
-					heard, now = grant.Word, now+gap
+					heard, now = grant.Echo, now+gap
 				}
 			})
 		}
@@ -46,19 +46,19 @@
 // placement, the plan that follows, a copy of the ledger as a status tells it, and the hash of the terms with each renewal.
 func BenchmarkParts(b *testing.B) {
 	for _, members := range []int{60, 120, 240, 580} {
-		conf := Terms{Lease: time.Second, Drift: 0.01, Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: time.Minute}}
+		conf := Params{Lease: time.Second, Drift: 0.01, Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: time.Minute}}
 		l := NewLedger()
 		for i := range members {
-			l.Apply(&Entry{Enter: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1), Zone: fmt.Sprint(i % 5), Address: fmt.Sprint("10.0.0.1:", i)}}})
+			l.Apply(&Entry{Join: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1), Zone: fmt.Sprint(i % 5), Address: fmt.Sprint("10.0.0.1:", i)}}})
 		}
-		plan := func() []holdings.Change {
+		plan := func() []holdings.PlacementChange {
 			placement := l.Placement
 			if placement == nil {
 				placement = &holdings.Placement{}
 			}
-			return placement.Plan(&holdings.Crew{Members: l.Membership(), Copies: 2, Lost: func(int) bool { return false }})
+			return placement.Plan(&holdings.PlacementInput{Members: l.Membership(), Copies: 2, Lost: func(int) bool { return false }})
 		}
-		l.Apply(&Entry{Replicas: plan(), Epoch: l.Epoch})
+		l.Apply(&Entry{ReplicaChanges: plan(), Epoch: l.Epoch})
 		for _, part := range []struct {
 			name string
 			do   func()
@@ -69,7 +69,7 @@
 			{"ledger's copy", func() { l.Clone() }},
 			{"hash of the terms", func() { conf.Hash() }},
 			{"look", func() {
-				g := NewGranter(conf, 1)
+				g := NewLessor(conf, 1)
 				g.planned = basis{l.Epoch, l.Placement.Number}
 				g.look(time.Second, l)
 			}},
--- a/internal/cluster/crew_test.go
+++ b/internal/cluster/cluster_test.go
@@ -34,13 +34,13 @@
 type model struct {
 	roll    dice
 	bug     bug
-	terms   Terms
+	terms   Params
 	now     time.Duration // true time
 	rates   []float64
-	holders []*Holder
+	holders []*LeaseHolder
 	ledger  *Ledger
-	granter *Granter
-	old     *Granter
+	granter *Lessor
+	old     *Lessor
 	oldL    *Ledger
 	leader  float64 // rate of its clock
 	term    uint64
@@ -53,30 +53,30 @@
 
 type flight struct {
 	to    int
-	asked Boot
+	asked BootTime
 	grant Grant
 }
 
 func newModel(roll dice, b bug) *model {
 	m := &model{roll: roll, bug: b, ledger: NewLedger(), leader: 1, stopped: -1,
-		terms: Terms{Lease: time.Second, Drift: 0.1, Slack: 10 * time.Millisecond}}
-	own := versions.Own(&decide.Settings{Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
+		terms: Params{Lease: time.Second, Drift: 0.1, Slack: 10 * time.Millisecond}}
+	own := versions.FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
 	for i := range 3 {
 		m.rates = append(m.rates, 1+m.terms.Drift*float64(roll(3)-1))
-		m.holders = append(m.holders, NewHolder(Member{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}, m.terms, own, 0))
+		m.holders = append(m.holders, NewLeaseHolder(Member{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}, m.terms, own, 0))
 	}
 	m.lead()
 	return m
 }
 
-func (m *model) boot(i int) Boot {
+func (m *model) boot(i int) BootTime {
 	if m.bug == stoppedClock && i == 0 && m.stopped >= 0 {
-		return Boot(float64(m.stopped) * m.rates[i])
+		return BootTime(float64(m.stopped) * m.rates[i])
 	}
-	return Boot(float64(m.now) * m.rates[i])
+	return BootTime(float64(m.now) * m.rates[i])
 }
 
-func (m *model) leaderBoot() Boot { return Boot(float64(m.now) * m.leader) }
+func (m *model) leaderBoot() BootTime { return BootTime(float64(m.now) * m.leader) }
 
 // lead brings a new leader.
 func (m *model) lead() {
@@ -91,7 +91,7 @@
 		conf.Drift, conf.Slack = 0, 0
 	}
 	m.term++
-	m.granter = NewGranter(conf, m.term)
+	m.granter = NewLessor(conf, m.term)
 	m.granter.Due(m.leaderBoot(), m.ledger.Clone()) // it looks at the members at once
 	if m.bug == noWait {
 		for _, s := range m.granter.said {
@@ -101,7 +101,7 @@
 	// Terms are told by their hash: the planted wait must not show there.
 	if m.bug == shortWait {
 		for _, h := range m.holders {
-			h.terms = Terms{Lease: m.terms.Lease}
+			h.terms = Params{Lease: m.terms.Lease}
 		}
 	}
 }
@@ -149,7 +149,7 @@
 }
 
 func (m *model) ask(i int) {
-	r, asked := m.holders[i].Ask(), m.boot(i)
+	r, asked := m.holders[i].NextRenewal(), m.boot(i)
 	by, ledger := m.granter, m.ledger
 	if m.bug == oldLeader && m.old != nil && m.roll(2) == 0 {
 		by, ledger = m.old, m.oldL
@@ -173,7 +173,7 @@
 	if m.bug == lateWord {
 		m.holders[f.to].asked = 0
 	}
-	m.holders[f.to].Told(f.asked, &f.grant)
+	m.holders[f.to].HandleGrant(f.asked, &f.grant)
 	if f.to == 0 && m.stopped < 0 && f.grant.Granted && m.now > time.Second {
 		m.stopped = m.now
 	}
@@ -183,9 +183,9 @@
 // left, or has not come to.
 func (m *model) check() error {
 	for i, a := range m.holders {
-		x := a.Acting(m.boot(i))
+		x := a.Effective(m.boot(i))
 		for j, b := range m.holders[:i] {
-			y := b.Acting(m.boot(j))
+			y := b.Effective(m.boot(j))
 			if x.Cautious || y.Cautious {
 				continue
 			}
@@ -267,8 +267,8 @@
 		}
 	}
 	a, b := Member{Name: "a", Token: 1}, Member{Name: "a", Token: 2}
-	must(true, &Entry{Enter: []Member{a}})
-	must(true, &Entry{Enter: []Member{b}}) // the same name twice: the first one stays
+	must(true, &Entry{Join: []Member{a}})
+	must(true, &Entry{Join: []Member{b}}) // the same name twice: the first one stays
 	if l.Members["a"] != a || l.Epoch != 1 {
 		t.Fatalf("%+v", l)
 	}
@@ -277,19 +277,19 @@
 	must(false, propose(8, 0, 3))
 	must(false, &Entry{Prepare: 1, Epoch: 0})
 	must(true, &Entry{Prepare: 1, Epoch: 1})
-	must(false, &Entry{End: &End{1, "late"}, Epoch: 1}) // prepared: it can't end by a refusal any more
-	must(true, &Entry{Gone: []Member{b}})               // not the one that is in
+	must(false, &Entry{End: &ProposalEnd{1, "late"}, Epoch: 1}) // prepared: it can't end by a refusal any more
+	must(true, &Entry{Leave: []Member{b}})                      // not the one that is in
 	must(true, &Entry{Activate: 1, Epoch: 1})
 	must(false, propose(20, 0, 3)) // its author saw version 0
 	must(false, propose(21, 1, 2)) // nothing differs
 	must(true, propose(9, 1, 3))
 	must(false, propose(10, 1, 4)) // version 2 is under way
-	must(true, &Entry{End: &End{2, "m refuses"}, Epoch: 1})
+	must(true, &Entry{End: &ProposalEnd{2, "m refuses"}, Epoch: 1})
 	must(false, propose(10, 1, 4)) // its author was told no: late word of it changes nothing
-	if l.Last != 2 || l.Active.Number != 1 || l.Next != nil || len(l.Rounds()) != 2 || l.Find(9).State != Refused {
+	if l.LastNumber != 2 || l.Active.Number != 1 || l.Next != nil || len(l.VersionRecords()) != 2 || l.Find(9).State != Refused {
 		t.Errorf("%+v", l)
 	}
-	must(true, &Entry{Gone: []Member{a}})
+	must(true, &Entry{Leave: []Member{a}})
 	if l.Epoch != 2 || len(l.Members) != 0 {
 		t.Errorf("%+v", l)
 	}
@@ -297,14 +297,14 @@
 
 // What the granter says no to.
 func TestRenewRefuses(t *testing.T) {
-	terms := Terms{Lease: time.Second}
+	terms := Params{Lease: time.Second}
 	l := NewLedger()
-	l.Apply(&Entry{Enter: []Member{{Name: "a", Token: 1}}})
-	g := NewGranter(terms, 0)
+	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
+	g := NewLessor(terms, 0)
 	for _, c := range []struct {
 		name    string
 		r       Renewal
-		now     Boot
+		now     BootTime
 		granted bool
 		again   bool
 	}{
@@ -312,13 +312,13 @@
 		{"the same name twice", Renewal{Member: Member{Name: "a", Token: 2}, Epoch: 1}, 0, false, false},
 		{"its lease over", Renewal{Member: Member{Name: "a", Token: 2}, Epoch: 1}, 2 * time.Second, false, true},
 		{"newcomer", Renewal{Member: Member{Name: "b", Token: 1}}, 0, false, true},
-		{"other terms", Renewal{Member: Member{Name: "a", Token: 1}, Terms: "other", Epoch: 1}, 0, false, false},
+		{"other terms", Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: "other", Epoch: 1}, 0, false, false},
 		{"no name", Renewal{}, 0, false, false},
 	} {
-		if c.r.Terms == "" {
-			c.r.Terms = terms.Hash()
+		if c.r.ParamsHash == "" {
+			c.r.ParamsHash = terms.Hash()
 		}
-		if got := g.Renew(c.now, l, &c.r); got.Granted != c.granted || got.Again != c.again || (got.Why == "") != c.granted {
+		if got := g.Renew(c.now, l, &c.r); got.Granted != c.granted || got.RetryNow != c.again || (got.Reason == "") != c.granted {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -326,13 +326,13 @@
 
 // What a member says under an older epoch is not taken, and its lease is renewed all the same.
 func TestWordsOfAnOlderEpoch(t *testing.T) {
-	terms := Terms{Lease: time.Second}
+	terms := Params{Lease: time.Second}
 	l := NewLedger()
-	l.Apply(&Entry{Enter: []Member{{Name: "a", Token: 1}}})
+	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
 	l.Apply(propose(7, 0, 2))
-	g := NewGranter(terms, 0)
+	g := NewLessor(terms, 0)
 	for epoch, due := range []int{0, 1} {
-		r := Renewal{Member: Member{Name: "a", Token: 1}, Terms: terms.Hash(), Epoch: uint64(epoch), Checked: 1}
+		r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: terms.Hash(), Epoch: uint64(epoch), Checked: 1}
 		if got := g.Renew(0, l, &r); !got.Granted || got.Epoch != 1 {
 			t.Errorf("said in epoch %d: %+v", epoch, got)
 		}
@@ -345,25 +345,25 @@
 // Guards against a member that is heard and hears nothing: it held up each version for as long as its questions came. It is
 // counted out, and does not come in again before it says an answer back.
 func TestDeafMemberIsCountedOut(t *testing.T) {
-	terms := Terms{Lease: time.Second}
+	terms := Params{Lease: time.Second}
 	l := NewLedger()
-	l.Apply(&Entry{Enter: []Member{{Name: "a", Token: 1}}})
-	g := NewGranter(terms, 5)
-	r := Renewal{Member: Member{Name: "a", Token: 1}, Terms: terms.Hash(), Epoch: 1}
-	now, last := Boot(time.Second), Boot(0)
-	for ; len(g.Due(now, l)) == 0 && now < 5*time.Second; now += terms.Lease / Heartbeats {
+	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
+	g := NewLessor(terms, 5)
+	r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: terms.Hash(), Epoch: 1}
+	now, last := BootTime(time.Second), BootTime(0)
+	for ; len(g.Due(now, l)) == 0 && now < 5*time.Second; now += terms.Lease / HeartbeatsPerLease {
 		if got := g.Renew(now, l, &r); got.Granted {
 			last = now
 		}
 	}
-	if last == 0 || now-last > terms.Wait()+terms.Lease/Heartbeats {
+	if last == 0 || now-last > terms.LessorWait()+terms.Lease/HeartbeatsPerLease {
 		t.Fatalf("granted last at %v, counted out at %v", last, now)
 	}
 	l.Apply(&g.Due(now, l)[0])
 	if g.Renew(now, l, &r); len(g.Due(now, l)) > 0 {
 		t.Error("it comes in and says nothing back")
 	}
-	r.Heard = g.Renew(now, l, &r).Word
+	r.LastEcho = g.Renew(now, l, &r).Echo
 	if g.Renew(now, l, &r); len(g.Due(now, l)) != 1 {
 		t.Error("it hears, and does not come in")
 	}
@@ -372,17 +372,17 @@
 // Guards against a process that sends, after a restart, to what was banned while it was away: without a lease, since the
 // one of the process before still holds, it keeps the bans all the same.
 func TestRefusedHearsOfBans(t *testing.T) {
-	terms := Terms{Lease: time.Second}
+	terms := Params{Lease: time.Second}
 	l := NewLedger()
-	l.Apply(&Entry{Enter: []Member{{Name: "a", Token: 1}}})
+	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
 	l.Apply(&Entry{Propose: &Proposal{ID: 1, Doc: versions.Document{Banned: []string{"e"}}}})
-	h := NewHolder(Member{Name: "a", Token: 2}, terms, versions.Own(&decide.Settings{}), 0)
-	r := h.Ask()
-	grant := NewGranter(terms, 0).Renew(0, l, &r)
-	if _, err := h.Told(0, &grant); err != nil {
+	h := NewLeaseHolder(Member{Name: "a", Token: 2}, terms, versions.FromSettings(&decide.Settings{}), 0)
+	r := h.NextRenewal()
+	grant := NewLessor(terms, 0).Renew(0, l, &r)
+	if _, err := h.HandleGrant(0, &grant); err != nil {
 		t.Fatal(err)
 	}
-	if s := h.Acting(1); grant.Granted || !s.Cautious || !s.Rules.Banned["e"] {
+	if s := h.Effective(1); grant.Granted || !s.Cautious || !s.Rules.Banned["e"] {
 		t.Errorf("%+v after %+v", s, grant)
 	}
 }
--- a/internal/cluster/delta_test.go
+++ b/internal/cluster/delta_test.go
@@ -108,7 +108,7 @@
 		}
 		if spoils > 0 {
 			spoils--
-			d.Sum++
+			d.Checksum++
 		}
 	}
 	for _, c := range []struct{ spoils, whole int }{{1, 1}, {2, 1}} {
@@ -123,8 +123,8 @@
 			}
 		}
 		after := one.holder.View()
-		if after.Epoch != before.Epoch || after.Placement != before.Placement || !errors.Is(one.holder.Differed(), holdings.ErrSum) {
-			t.Errorf("what it knows is of epoch %d after %d, because of %v", after.Epoch, before.Epoch, one.holder.Differed())
+		if after.Epoch != before.Epoch || after.Placement != before.Placement || !errors.Is(one.holder.ViewErr(), holdings.ErrChecksum) {
+			t.Errorf("what it knows is of epoch %d after %d, because of %v", after.Epoch, before.Epoch, one.holder.ViewErr())
 		}
 		f.run(2 * time.Second)
 		f.settle(20 * time.Second)
@@ -132,13 +132,13 @@
 		if whole != c.whole || spoils != 0 {
 			t.Errorf("%d spoilt: told the whole %d times, not %d; %d not played", c.spoils, whole, c.whole, spoils)
 		}
-		if takes := one.holder.Ask().Takes; (takes == 0) != (c.spoils > 1) {
+		if takes := one.holder.NextRenewal().Takes; (takes == 0) != (c.spoils > 1) {
 			t.Errorf("%d spoilt: it takes the form %d", c.spoils, takes)
 		}
 	}
 	f.lead()
 	f.run(time.Second)
-	if one.holder.Ask().Takes == 0 {
+	if one.holder.NextRenewal().Takes == 0 {
 		t.Error("it takes no changes of another leader either")
 	}
 }
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -33,10 +33,10 @@
 // was due. A member's copies are filled at once.
 type fleet struct {
 	t       testing.TB
-	terms   cluster.Terms
-	now     cluster.Boot
+	terms   cluster.Params
+	now     cluster.BootTime
 	ledger  *cluster.Ledger
-	granter *cluster.Granter
+	granter *cluster.Lessor
 	pending *cluster.Entry
 	all     []*fellow
 	tokens  uint64
@@ -48,23 +48,23 @@
 	term           uint64
 	spoil          func(m *fellow, d *holdings.Delta) // where set: what befalls a delta on its way
 	oldLeader      bool                               // the leader's build tells no changes
-	last           cluster.Boot                       // when the last entry was applied
+	last           cluster.BootTime                   // when the last entry was applied
 }
 
 // fellow is a member of a fleet.
 type fellow struct {
 	i       int
 	self    cluster.Member
-	holder  *cluster.Holder
-	seeker  *cluster.Seeker
+	holder  *cluster.LeaseHolder
+	seeker  *cluster.LeaseRenewer
 	store   *holdings.Store
-	me      holdings.Who
-	view    holdings.View // as its store has learnt it
-	told    int           // bytes of answers
-	leaveBy cluster.Boot  // it wants to leave, and does so by then; 0 for not
+	me      holdings.Incarnation
+	view    holdings.View    // as its store has learnt it
+	told    int              // bytes of answers
+	leaveBy cluster.BootTime // it wants to leave, and does so by then; 0 for not
 	down    bool
-	comes   cluster.Boot // again, when it is down
-	old     bool         // its build takes no changes
+	comes   cluster.BootTime // again, when it is down
+	old     bool             // its build takes no changes
 }
 
 const (
@@ -84,7 +84,7 @@
 }
 
 func newFleet(t testing.TB, members int) *fleet {
-	f := &fleet{t: t, now: time.Second, ledger: cluster.NewLedger(), terms: cluster.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
+	f := &fleet{t: t, now: time.Second, ledger: cluster.NewLedger(), terms: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
 		Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 30 * time.Second}}}
 	f.lead()
 	for i := range members {
@@ -100,7 +100,7 @@
 func (f *fleet) lead() {
 	f.term++
 	f.ledger, f.pending = f.ledger.Clone(), nil
-	f.granter = cluster.NewGranter(f.terms, f.term)
+	f.granter = cluster.NewLessor(f.terms, f.term)
 }
 
 // check tells whether all members that are up know the ledger's members and placement.
@@ -122,10 +122,10 @@
 	zone := m.i % fleetZones
 	m.self = cluster.Member{Name: fmt.Sprintf("sidecar-%04d", m.i), Token: 0x9e3779b97f4a7c15 * f.tokens, Zone: fmt.Sprintf("eu-%d%c", 1+zone/3, 'a'+zone),
 		Address: fmt.Sprintf("10.%d.%d.%d:7411", 16+zone, m.i/250, m.i%250)}
-	m.holder = cluster.NewHolder(m.self, f.terms, versions.Own(&decide.Settings{}), 0)
-	m.seeker = cluster.NewSeeker(m.holder, []string{"k1"})
+	m.holder = cluster.NewLeaseHolder(m.self, f.terms, versions.FromSettings(&decide.Settings{}), 0)
+	m.seeker = cluster.NewLeaseRenewer(m.holder, []string{"k1"})
 	m.store = holdings.NewStore(f.terms.Holdings, 1<<16)
-	m.view, m.me, m.leaveBy, m.down = holdings.View{}, holdings.Who{}, 0, false
+	m.view, m.me, m.leaveBy, m.down = holdings.View{}, holdings.Incarnation{}, 0, false
 }
 
 // settle lets a fleet go on until nothing has been due for a second.
@@ -146,7 +146,7 @@
 
 // tick is a moment in which a part of the members asks.
 func (f *fleet) tick() {
-	gap := f.terms.Lease / cluster.Heartbeats / fleetTicks
+	gap := f.terms.Lease / cluster.HeartbeatsPerLease / fleetTicks
 	f.now += gap
 	for _, m := range f.all[int(f.now/gap)%fleetTicks*len(f.all)/fleetTicks : (int(f.now/gap)%fleetTicks+1)*len(f.all)/fleetTicks] {
 		f.heartbeat(m)
@@ -173,34 +173,34 @@
 		f.start(m)
 	}
 	if m.leaveBy > 0 {
-		m.holder.Moving = true
+		m.holder.Decommissioning = true
 		held := m.view.Placement != nil && slices.ContainsFunc(m.view.Placement.Shards[:], func(s holdings.Shard) bool {
-			return slices.ContainsFunc(s.Replicas, func(r holdings.Replica) bool { return r.Who == m.me })
+			return slices.ContainsFunc(s.Replicas, func(r holdings.Replica) bool { return r.Incarnation == m.me })
 		})
 		if !held || f.now > m.leaveBy {
-			r := m.holder.Ask()
+			r := m.holder.NextRenewal()
 			r.Leaving = true
 			f.renew(m, &r)
 			m.down, m.comes = true, f.now+fleetReturn
 			return
 		}
 	}
-	m.seeker.Heartbeat()
+	m.seeker.StartHeartbeat()
 	for {
-		m.holder.Filled = m.store.Filled()
-		_, r := m.seeker.Question(f.now)
+		m.holder.CaughtUp = m.store.CaughtUp()
+		_, r := m.seeker.NextRequest(f.now)
 		grant := f.renew(m, &r)
 		began := processor()
-		next := m.seeker.Answer(f.now, grant, "")
+		next := m.seeker.HandleResponse(f.now, grant, "")
 		if next.Err != nil {
 			f.t.Fatal(next.Err)
 		}
-		if me, view := m.holder.Me(), m.holder.View(); view.Placement != nil && me != (holdings.Who{}) && (me != m.me || !view.Is(&m.view)) {
+		if me, view := m.holder.Incarnation(), m.holder.View(); view.Placement != nil && me != (holdings.Incarnation{}) && (me != m.me || !view.Is(&m.view)) {
 			m.me, m.view = me, view
-			m.store.Learn(f.now, me, view.Placement, view.Members)
+			m.store.ApplyView(f.now, me, view.Placement, view.Members)
 		}
 		f.member += processor() - began
-		if !next.Ask {
+		if !next.RenewNow {
 			return
 		}
 	}
@@ -215,7 +215,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	text, err := cbor.Marshal(peerrpc.Message{Crew: "fleet", From: m.self.Name, Body: body})
+	text, err := cbor.Marshal(peerrpc.Message{Cluster: "fleet", From: m.self.Name, Body: body})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -233,18 +233,18 @@
 		heard.Takes = 0
 	}
 	grant := f.granter.Renew(f.now, f.ledger, &heard)
-	answer, err := cbor.Marshal(voter.Renewed{Grant: &grant})
+	answer, err := cbor.Marshal(voter.RenewResult{Grant: &grant})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	if grant.Granted {
-		f.granter.Told(f.now, &heard)
+		f.granter.AnswerSent(f.now, &heard)
 	}
 	f.leader += processor() - began
 	f.told += len(answer)
 	m.told += len(answer)
 	began = processor()
-	var renewed voter.Renewed
+	var renewed voter.RenewResult
 	if err := peerrpc.Decode(answer, &renewed); err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/cluster/holder.go
+++ b/internal/cluster/leaseholder.go
@@ -13,10 +13,10 @@
 
 // decoding bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
 // crew has may come and go at once.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MostMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 
-// Stance is what a member acts on.
-type Stance struct {
+// EffectiveRules is what a member acts on.
+type EffectiveRules struct {
 	Rules    versions.Rules
 	Cautious bool   // it holds no lease: the rules agree with every version
 	Active   uint64 // the version acted on
@@ -24,21 +24,21 @@
 	Epoch    uint64
 }
 
-// Holder is a member's side of the leases. What it is told it acts on until its lease
+// LeaseHolder is a member's side of the leases. What it is told it acts on until its lease
 // ends, counted from before it asked.
-type Holder struct {
+type LeaseHolder struct {
 	Self  Member
-	terms Terms
+	terms Params
 	own   versions.Rules
 	// connect is the time that a connection to an endpoint may take: windows are judged less that.
 	connect decide.Time
 
-	ends     Boot // of the lease; 0 before the first
-	asked    Boot // when the newest word was asked for that was taken
-	heard    Word // of the newest answer
+	ends     BootTime // of the lease; 0 before the first
+	asked    BootTime // when the newest word was asked for that was taken
+	heard    Echo     // of the newest answer
 	epoch    uint64
-	active   Round
-	next     *Round
+	active   VersionRecord
+	next     *VersionRecord
 	checked  uint64
 	refusal  string
 	prepared uint64
@@ -48,20 +48,20 @@
 	differs  int   // deltas in a row that could not be taken, of this leader; 1: the whole is asked for
 	differed error // the last one's
 	// What this sidecar's store says, for the next renewal.
-	Filled  []holdings.Filled
-	Unheard []holdings.Who
-	Moving  bool // it wants to leave
+	CaughtUp        []holdings.CaughtUp
+	Unreachable     []holdings.Incarnation
+	Decommissioning bool // it wants to leave
 }
 
-// NewHolder returns that of a process that has not been told anything.
-func NewHolder(self Member, terms Terms, own versions.Rules, connect decide.Time) *Holder {
-	return &Holder{Self: self, terms: terms, own: own, connect: connect, rules: own, cautious: own.Cautious(terms.FixedClasses)}
+// NewLeaseHolder returns that of a process that has not been told anything.
+func NewLeaseHolder(self Member, terms Params, own versions.Rules, connect decide.Time) *LeaseHolder {
+	return &LeaseHolder{Self: self, terms: terms, own: own, connect: connect, rules: own, cautious: own.Cautious(terms.FixedClasses)}
 }
 
-// Ask returns the renewal to be sent now. The caller notes the time before it, for Told.
-func (h *Holder) Ask() Renewal {
-	r := Renewal{Member: h.Self, Terms: h.terms.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
-		Prepared: h.prepared, HasActive: h.active.Number, Heard: h.heard, Filled: h.Filled, Unheard: h.Unheard, Moving: h.Moving, Takes: formDelta}
+// NextRenewal returns the renewal to be sent now. The caller notes the time before it, for Told.
+func (h *LeaseHolder) NextRenewal() Renewal {
+	r := Renewal{Member: h.Self, ParamsHash: h.terms.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
+		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.heard, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: formDelta}
 	if h.view.Placement != nil && h.differs != 1 {
 		r.HasMembership, r.HasPlacement = h.view.Epoch, h.view.Placement.Number
 	}
@@ -74,17 +74,17 @@
 	return r
 }
 
-// Told takes the answer to what was asked at a time. It tells whether what is acted on
+// HandleGrant takes the answer to what was asked at a time. It tells whether what is acted on
 // has changed: then the caller puts Acting in force before it asks again, since the next
 // renewal says so. An error is an answer that can't be true.
-func (h *Holder) Told(asked Boot, g *Grant) (changed bool, err error) {
+func (h *LeaseHolder) HandleGrant(asked BootTime, g *Grant) (changed bool, err error) {
 	if asked < h.asked {
 		return false, nil // late word: what was asked for after it says more
 	}
-	if g.Word.Term != h.heard.Term {
+	if g.Echo.Term != h.heard.Term {
 		h.differs = 0 // another leader, maybe of another build
 	}
-	h.asked, h.heard = asked, g.Word
+	h.asked, h.heard = asked, g.Echo
 	if g.Epoch < h.epoch {
 		return false, fmt.Errorf("epoch %d after %d: late word, or a crew that was formed anew (then restart this process)", g.Epoch, h.epoch)
 	}
@@ -92,7 +92,7 @@
 	if err != nil {
 		return false, err
 	}
-	var next *Round
+	var next *VersionRecord
 	if g.Next != nil {
 		if next, err = h.whole(g.Next); err != nil {
 			return false, err
@@ -112,7 +112,7 @@
 }
 
 // stamp is equal as long as the rules are.
-func (h *Holder) stamp() [3]uint64 {
+func (h *LeaseHolder) stamp() [3]uint64 {
 	s := [3]uint64{h.active.Number}
 	if h.next != nil {
 		s[1], s[2] = h.next.Number, uint64(h.next.State)
@@ -121,11 +121,11 @@
 }
 
 // whole returns a round with its document: from what came, or from what is known.
-func (h *Holder) whole(r *Round) (*Round, error) {
+func (h *LeaseHolder) whole(r *VersionRecord) (*VersionRecord, error) {
 	if r.Number == 0 {
 		return r, nil
 	}
-	for _, known := range []*Round{&h.active, h.next} {
+	for _, known := range []*VersionRecord{&h.active, h.next} {
 		if known != nil && known.Number == r.Number && known.Hash == r.Hash {
 			out := *r
 			out.Doc = known.Doc
@@ -139,8 +139,8 @@
 }
 
 // look works out what is acted on, and what is to be said of the proposal under way.
-func (h *Holder) look() {
-	now := h.own.Over(&h.active.Doc, h.connect)
+func (h *LeaseHolder) look() {
+	now := h.own.With(&h.active.Doc, h.connect)
 	h.rules = now
 	if h.next == nil {
 		return
@@ -151,7 +151,7 @@
 			h.refusal = err.Error()
 		}
 	}
-	both, err := now.Stricter(h.own.Over(&h.next.Doc, h.connect))
+	both, err := now.Stricter(h.own.With(&h.next.Doc, h.connect))
 	if h.next.State == Prepared && err == nil {
 		h.rules, h.prepared = both, h.next.Number
 		return
@@ -162,10 +162,10 @@
 	}
 }
 
-// Acting is what is acted on at a time, and until when that may be relied on without
+// Effective is what is acted on at a time, and until when that may be relied on without
 // another look.
-func (h *Holder) Acting(now Boot) Stance {
-	s := Stance{Rules: h.rules, Active: h.active.Number, Epoch: h.epoch}
+func (h *LeaseHolder) Effective(now BootTime) EffectiveRules {
+	s := EffectiveRules{Rules: h.rules, Active: h.active.Number, Epoch: h.epoch}
 	if h.next != nil && h.next.State == Prepared && h.prepared == h.next.Number {
 		s.Next = h.next.Number
 	}
@@ -183,7 +183,7 @@
 const mostDiffers = 2
 
 // learn takes what is told of members and placement, or leaves both as they were.
-func (h *Holder) learn(g *Grant) {
+func (h *LeaseHolder) learn(g *Grant) {
 	switch {
 	case len(g.Delta) > 0:
 		var d holdings.Delta
@@ -193,7 +193,7 @@
 		}
 		next := h.view
 		if err == nil {
-			next, err = h.view.Take(&d)
+			next, err = h.view.Apply(&d)
 		}
 		if err != nil {
 			h.differs, h.differed = h.differs+1, err
@@ -215,22 +215,22 @@
 	}
 }
 
-// Differed is why what the leader told of members and placement could not be taken the last time; nil while it always could.
-func (h *Holder) Differed() error { return h.differed }
+// ViewErr is why what the leader told of members and placement could not be taken the last time; nil while it always could.
+func (h *LeaseHolder) ViewErr() error { return h.differed }
 
 // View is what it was told last of members and placement; zero before the first, or where nothing is held. What is told here is never
 // changed afterwards.
-func (h *Holder) View() holdings.View { return h.view }
+func (h *LeaseHolder) View() holdings.View { return h.view }
 
-// Me is this process's incarnation in the crew, by that view; zero where it is not in.
-func (h *Holder) Me() holdings.Who {
+// Incarnation is this process's incarnation in the crew, by that view; zero where it is not in.
+func (h *LeaseHolder) Incarnation() holdings.Incarnation {
 	for _, m := range h.view.Members {
 		if m.Token == h.Self.Token && m.Name == h.Self.Name {
-			return m.Who
+			return m.Incarnation
 		}
 	}
-	return holdings.Who{}
+	return holdings.Incarnation{}
 }
 
-// Ends is when the lease ends; 0 before the first.
-func (h *Holder) Ends() Boot { return h.ends }
+// LeaseEnd is when the lease ends; 0 before the first.
+func (h *LeaseHolder) LeaseEnd() BootTime { return h.ends }
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -18,12 +18,12 @@
 	"heathgap/internal/versions"
 )
 
-// Boot is a moment on a machine's clock that goes on while it is suspended (CLOCK_BOOTTIME). Moments of different
+// BootTime is a moment on a machine's clock that goes on while it is suspended (CLOCK_BOOTTIME). Moments of different
 // processes are never compared.
-type Boot = time.Duration
+type BootTime = time.Duration
 
-// Terms are those of the operator's file.
-type Terms = clusterparams.Terms
+// Params are those of the operator's file.
+type Params = clusterparams.Params
 
 // Member is a process that is in the crew.
 type Member struct {
@@ -49,19 +49,19 @@
 	return [...]string{"none", "checking", "prepared", "active", "refused"}[min(int(s), 4)]
 }
 
-// Round is a version with its state.
-type Round struct {
+// VersionRecord is a version with its state.
+type VersionRecord struct {
 	versions.Version
-	ID    uint64 `cbor:"20,keyasint"` // of the proposal: said twice, it counts once
-	State State  `cbor:"21,keyasint"`
-	Why   string `cbor:"22,keyasint,omitempty"` // it was refused
+	ID     uint64 `cbor:"20,keyasint"` // of the proposal: said twice, it counts once
+	State  State  `cbor:"21,keyasint"`
+	Reason string `cbor:"22,keyasint,omitempty"` // it was refused
 }
 
 // mostTurned bounds the proposals that are remembered as turned down: more than are on their way in a minute.
 const mostTurned = 256
 
-// MostFormer bounds the replaced folders that are remembered: far more than are ever tried again.
-const MostFormer = 256
+// MaxReplacedVoters bounds the replaced folders that are remembered: far more than are ever tried again.
+const MaxReplacedVoters = 256
 
 // mostHistory bounds the ended rounds that the ledger keeps, for people and for proposals
 // that are said again; documents of 64 KiB make 8 MiB of it at most.
@@ -72,20 +72,20 @@
 type Ledger struct {
 	Epoch   uint64            `cbor:"1,keyasint"` // rises with each change of members
 	Members map[string]Member `cbor:"2,keyasint"` // by name
-	Active  Round             `cbor:"3,keyasint"` // number 0 before the first version
-	Next    *Round            `cbor:"4,keyasint,omitempty"`
+	Active  VersionRecord     `cbor:"3,keyasint"` // number 0 before the first version
+	Next    *VersionRecord    `cbor:"4,keyasint,omitempty"`
 	// History holds rounds that have ended, the newest last: refused, or active once.
-	History []Round `cbor:"5,keyasint,omitempty"`
-	Last    uint64  `cbor:"6,keyasint"` // the highest number given
-	// Keepers are ids by names: of the folders that take part in the agreement.
-	Keepers map[string]uint64 `cbor:"7,keyasint"`
-	// Former are ids of folders that others took the place of, the newest last.
-	Former []uint64 `cbor:"8,keyasint,omitempty"`
-	// Turned are ids of proposals that were turned down, the newest last. Guards against one whose author was told no, and
+	History    []VersionRecord `cbor:"5,keyasint,omitempty"`
+	LastNumber uint64          `cbor:"6,keyasint"` // the highest number given
+	// Voters are ids by names: of the folders that take part in the agreement.
+	Voters map[string]uint64 `cbor:"7,keyasint"`
+	// ReplacedVoters are ids of folders that others took the place of, the newest last.
+	ReplacedVoters []uint64 `cbor:"8,keyasint,omitempty"`
+	// RejectedProposals are ids of proposals that were turned down, the newest last. Guards against one whose author was told no, and
 	// of which an earlier word, held up on its way, comes when it would count.
-	Turned []uint64 `cbor:"9,keyasint,omitempty"`
-	// In are the epochs in which members came in, by name: who was counted out and came in again is another incarnation.
-	In map[string]uint64 `cbor:"10,keyasint,omitempty"`
+	RejectedProposals []uint64 `cbor:"9,keyasint,omitempty"`
+	// JoinEpochs are the epochs in which members came in, by name: who was counted out and came in again is another incarnation.
+	JoinEpochs map[string]uint64 `cbor:"10,keyasint,omitempty"`
 	// Placement are the replicas in the shards of what sidecars hold for one another; nil where they hold nothing.
 	Placement *holdings.Placement `cbor:"11,keyasint,omitempty"`
 
@@ -95,17 +95,19 @@
 }
 
 // NewLedger returns that of a crew without members and versions.
-func NewLedger() *Ledger { return &Ledger{Members: map[string]Member{}, In: map[string]uint64{}} }
+func NewLedger() *Ledger {
+	return &Ledger{Members: map[string]Member{}, JoinEpochs: map[string]uint64{}}
+}
 
 // Entry is one change that a leader proposes. One of its parts is set.
 type Entry struct {
-	Enter    []Member          `cbor:"1,keyasint,omitempty"`
-	Gone     []Member          `cbor:"2,keyasint,omitempty"` // by name and token
-	Propose  *Proposal         `cbor:"3,keyasint,omitempty"`
-	Prepare  uint64            `cbor:"4,keyasint,omitempty"` // number
-	Activate uint64            `cbor:"5,keyasint,omitempty"`
-	End      *End              `cbor:"6,keyasint,omitempty"`
-	Replicas []holdings.Change `cbor:"8,keyasint,omitempty"`
+	Join           []Member                   `cbor:"1,keyasint,omitempty"`
+	Leave          []Member                   `cbor:"2,keyasint,omitempty"` // by name and token
+	Propose        *Proposal                  `cbor:"3,keyasint,omitempty"`
+	Prepare        uint64                     `cbor:"4,keyasint,omitempty"` // number
+	Activate       uint64                     `cbor:"5,keyasint,omitempty"`
+	End            *ProposalEnd               `cbor:"6,keyasint,omitempty"`
+	ReplicaChanges []holdings.PlacementChange `cbor:"8,keyasint,omitempty"`
 	// Epoch under which the leader came to the conclusion; 0 where it rests on no members.
 	Epoch uint64 `cbor:"7,keyasint,omitempty"`
 }
@@ -119,30 +121,30 @@
 	Doc    versions.Document `cbor:"5,keyasint"`
 }
 
-// End is a proposal's end by refusal.
-type End struct {
+// ProposalEnd is a proposal's end by refusal.
+type ProposalEnd struct {
 	Number uint64 `cbor:"1,keyasint"`
-	Why    string `cbor:"2,keyasint"`
+	Reason string `cbor:"2,keyasint"`
 }
 
 // Apply takes one entry of the log. An entry that does not fit any more changes nothing:
 // its reason is for whoever proposed it.
 func (l *Ledger) Apply(e *Entry) error {
 	switch {
-	case len(e.Enter) > 0 || len(e.Gone) > 0:
-		return l.change(e.Enter, e.Gone)
+	case len(e.Join) > 0 || len(e.Leave) > 0:
+		return l.change(e.Join, e.Leave)
 	case e.Propose != nil:
 		return l.propose(e.Propose)
 	case e.Epoch != l.Epoch:
 		// Guards against a conclusion about members that have changed since it was drawn.
 		return fmt.Errorf("epoch %d has passed, it is %d", e.Epoch, l.Epoch)
-	case len(e.Replicas) > 0:
+	case len(e.ReplicaChanges) > 0:
 		if l.Placement == nil {
 			l.Placement = &holdings.Placement{}
 		}
 		before := l.Placement.Number
-		err := l.Placement.Apply(e.Replicas)
-		l.history.NoteChanges(before, l.Placement.Number, e.Replicas)
+		err := l.Placement.Apply(e.ReplicaChanges)
+		l.history.RecordChanges(before, l.Placement.Number, e.ReplicaChanges)
 		return err
 	case e.Prepare > 0:
 		return l.advance(e.Prepare, Checking, Prepared)
@@ -158,7 +160,7 @@
 		if l.Next == nil || l.Next.Number != e.End.Number || l.Next.State != Checking {
 			return fmt.Errorf("version %d is not being checked", e.End.Number)
 		}
-		l.Next.State, l.Next.Why = Refused, e.End.Why
+		l.Next.State, l.Next.Reason = Refused, e.End.Reason
 		l.keep(*l.Next)
 		l.Next = nil
 	}
@@ -174,27 +176,27 @@
 	for _, m := range gone {
 		if in, there := l.Members[m.Name]; there && in.Token == m.Token {
 			delete(l.Members, m.Name)
-			delete(l.In, m.Name)
+			delete(l.JoinEpochs, m.Name)
 			changed = true
 		}
 	}
 	for _, m := range enter {
 		// Guards against a second process under one name: the first must be gone before.
-		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= clusterparams.MostMembers {
+		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= clusterparams.MaxMembers {
 			continue
 		}
 		changed = changed || l.Members[m.Name] != m
 		l.Members[m.Name] = m
-		if _, stays := l.In[m.Name]; !stays {
-			if l.In == nil { // a ledger that an older build wrote
-				l.In = map[string]uint64{}
+		if _, stays := l.JoinEpochs[m.Name]; !stays {
+			if l.JoinEpochs == nil { // a ledger that an older build wrote
+				l.JoinEpochs = map[string]uint64{}
 			}
-			l.In[m.Name] = l.Epoch + 1
+			l.JoinEpochs[m.Name] = l.Epoch + 1
 		}
 	}
 	if changed {
 		l.Epoch++
-		l.history.NoteMembers(l.Epoch-1, l.Epoch, names)
+		l.history.RecordMembers(l.Epoch-1, l.Epoch, names)
 	}
 	return nil
 }
@@ -203,13 +205,13 @@
 	switch {
 	case l.Find(p.ID) != nil:
 		return nil // said again: its answer was lost
-	case slices.Contains(l.Turned, p.ID):
+	case slices.Contains(l.RejectedProposals, p.ID):
 		return errors.New("this proposal was turned down before; propose anew")
 	}
 	err := l.take(p)
 	if err != nil {
-		l.Turned = append(l.Turned, p.ID)
-		l.Turned = l.Turned[max(0, len(l.Turned)-mostTurned):]
+		l.RejectedProposals = append(l.RejectedProposals, p.ID)
+		l.RejectedProposals = l.RejectedProposals[max(0, len(l.RejectedProposals)-mostTurned):]
 	}
 	return err
 }
@@ -222,15 +224,15 @@
 		return fmt.Errorf("parent %d is not the active version, that is %d; look at it (versions, diff) and propose again",
 			p.Parent, l.Active.Number)
 	}
-	v := versions.Version{Number: l.Last + 1, Parent: p.Parent, Author: p.Author, Note: p.Note, Doc: p.Doc, Hash: p.Doc.Hash()}
+	v := versions.Version{Number: l.LastNumber + 1, Parent: p.Parent, Author: p.Author, Note: p.Note, Doc: p.Doc, Hash: p.Doc.Hash()}
 	if err := v.Check(); err != nil {
 		return err
 	}
 	if v.Hash == l.Active.Hash {
 		return fmt.Errorf("nothing differs from version %d", l.Active.Number)
 	}
-	l.Last++
-	l.Next = &Round{Version: v, ID: p.ID, State: Checking}
+	l.LastNumber++
+	l.Next = &VersionRecord{Version: v, ID: p.ID, State: Checking}
 	return nil
 }
 
@@ -242,15 +244,15 @@
 	return nil
 }
 
-func (l *Ledger) keep(r Round) {
+func (l *Ledger) keep(r VersionRecord) {
 	if len(l.History) >= mostHistory {
 		l.History = slices.Delete(l.History, 0, len(l.History)-mostHistory+1)
 	}
 	l.History = append(l.History, r)
 }
 
-// Rounds are all rounds that are kept, the oldest first.
-func (l *Ledger) Rounds() []Round {
+// VersionRecords are all rounds that are kept, the oldest first.
+func (l *Ledger) VersionRecords() []VersionRecord {
 	all := slices.Clone(l.History)
 	if l.Active.Number > 0 {
 		all = append(all, l.Active)
@@ -258,13 +260,13 @@
 	if l.Next != nil {
 		all = append(all, *l.Next)
 	}
-	slices.SortFunc(all, func(a, b Round) int { return int(a.Number) - int(b.Number) })
+	slices.SortFunc(all, func(a, b VersionRecord) int { return int(a.Number) - int(b.Number) })
 	return all
 }
 
 // Find returns the round of a proposal, nil if there is none or it is too long ago.
-func (l *Ledger) Find(id uint64) *Round {
-	for _, r := range l.Rounds() {
+func (l *Ledger) Find(id uint64) *VersionRecord {
+	for _, r := range l.VersionRecords() {
 		if r.ID == id {
 			return &r
 		}
@@ -277,7 +279,7 @@
 	out := make([]holdings.Member, 0, len(l.Members))
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
 		m := l.Members[name]
-		out = append(out, holdings.Member{Who: holdings.Who{Name: name, In: l.In[name]}, Token: m.Token, Zone: m.Zone, Address: m.Address})
+		out = append(out, holdings.Member{Incarnation: holdings.Incarnation{Name: name, JoinEpoch: l.JoinEpochs[name]}, Token: m.Token, Zone: m.Zone, Address: m.Address})
 	}
 	return out
 }
@@ -291,8 +293,8 @@
 func (l *Ledger) Clone() *Ledger {
 	c := *l
 	c.history = holdings.History{}
-	c.Members, c.History, c.Keepers = maps.Clone(l.Members), slices.Clone(l.History), maps.Clone(l.Keepers)
-	c.Former, c.Turned, c.In = slices.Clone(l.Former), slices.Clone(l.Turned), maps.Clone(l.In)
+	c.Members, c.History, c.Voters = maps.Clone(l.Members), slices.Clone(l.History), maps.Clone(l.Voters)
+	c.ReplacedVoters, c.RejectedProposals, c.JoinEpochs = slices.Clone(l.ReplacedVoters), slices.Clone(l.RejectedProposals), maps.Clone(l.JoinEpochs)
 	if l.Placement != nil {
 		c.Placement = l.Placement.Clone()
 	}
--- a/internal/cluster/granter.go
+++ b/internal/cluster/lessor.go
@@ -14,8 +14,8 @@
 // Renewal is what a member asks the leader for: a lease, again and again.
 type Renewal struct {
 	Member
-	Terms string `cbor:"10,keyasint"` // Terms.Hash
-	Epoch uint64 `cbor:"11,keyasint"` // as the member knows it
+	ParamsHash string `cbor:"10,keyasint"` // Terms.Hash
+	Epoch      uint64 `cbor:"11,keyasint"` // as the member knows it
 	// Checked is the number of the proposal that it has looked at, and Refusal why it can't take it.
 	Checked uint64 `cbor:"12,keyasint,omitempty"`
 	Refusal string `cbor:"13,keyasint,omitempty"`
@@ -25,15 +25,15 @@
 	HasActive uint64 `cbor:"15,keyasint,omitempty"`
 	HasNext   uint64 `cbor:"16,keyasint,omitempty"`
 	Leaving   bool   `cbor:"17,keyasint,omitempty"` // the process ends: its name is free
-	Heard     Word   `cbor:"18,keyasint"`           // of the newest answer that came
+	LastEcho  Echo   `cbor:"18,keyasint"`           // of the newest answer that came
 	// HasPlacement is the number of the placement that it has, and HasMembership the epoch of the members that it knows. Filled
 	// are its words on replicas that lack nothing any more.
-	HasPlacement  uint64            `cbor:"19,keyasint,omitempty"`
-	HasMembership uint64            `cbor:"20,keyasint,omitempty"`
-	Filled        []holdings.Filled `cbor:"21,keyasint,omitempty"`
-	// Moving says that it will leave when its replicas have been given to others, and Unheard are those that it does not reach.
-	Moving  bool           `cbor:"22,keyasint,omitempty"`
-	Unheard []holdings.Who `cbor:"23,keyasint,omitempty"`
+	HasPlacement  uint64              `cbor:"19,keyasint,omitempty"`
+	HasMembership uint64              `cbor:"20,keyasint,omitempty"`
+	CaughtUp      []holdings.CaughtUp `cbor:"21,keyasint,omitempty"`
+	// Decommissioning says that it will leave when its replicas have been given to others, and Unheard are those that it does not reach.
+	Decommissioning bool                   `cbor:"22,keyasint,omitempty"`
+	Unreachable     []holdings.Incarnation `cbor:"23,keyasint,omitempty"`
 	// Takes is the form in which it takes changes, formDelta; 0 for none, as a build says that is older than they are.
 	Takes uint64 `cbor:"24,keyasint,omitempty"`
 }
@@ -42,24 +42,24 @@
 // number is another form, and who takes that is told the whole.
 const formDelta = 1
 
-// Word is what a member says back so that the leader knows that it hears: which leader answered, and when by its clock.
-type Word struct {
-	Term uint64 `cbor:"1,keyasint,omitempty"`
-	At   Boot   `cbor:"2,keyasint,omitempty"`
+// Echo is what a member says back so that the leader knows that it hears: which leader answered, and when by its clock.
+type Echo struct {
+	Term uint64   `cbor:"1,keyasint,omitempty"`
+	At   BootTime `cbor:"2,keyasint,omitempty"`
 }
 
 // Grant is the leader's answer.
 type Grant struct {
 	// Granted tells whether the member holds a lease, from before it asked. What else is told binds no leader, but who has
 	// no lease keeps the bans that it hears of: a process that has just started does not send to what was banned before.
-	Granted bool   `cbor:"1,keyasint"`
-	Why     string `cbor:"2,keyasint,omitempty"` // if not
-	Again   bool   `cbor:"3,keyasint,omitempty"` // if not: asking again at once, with what is told here, may do
-	Epoch   uint64 `cbor:"4,keyasint"`
+	Granted  bool   `cbor:"1,keyasint"`
+	Reason   string `cbor:"2,keyasint,omitempty"` // if not
+	RetryNow bool   `cbor:"3,keyasint,omitempty"` // if not: asking again at once, with what is told here, may do
+	Epoch    uint64 `cbor:"4,keyasint"`
 	// Active and Next are told without their documents where the member has them.
-	Active Round  `cbor:"5,keyasint"`
-	Next   *Round `cbor:"6,keyasint,omitempty"`
-	Word   Word   `cbor:"7,keyasint"` // to be said back
+	Active VersionRecord  `cbor:"5,keyasint"`
+	Next   *VersionRecord `cbor:"6,keyasint,omitempty"`
+	Echo   Echo           `cbor:"7,keyasint"` // to be said back
 	// Placement (holdings.Placement) and Membership (a list of holdings.Member) are told whole, where the member has others and
 	// takes no changes; Delta (holdings.Delta) where it does. They stand here as encoded: many are told the same.
 	Placement  cbor.RawMessage `cbor:"8,keyasint,omitempty"`
@@ -70,37 +70,37 @@
 // said is what a granter knows of a member, in memory alone.
 type said struct {
 	token    uint64
-	until    Boot // its lease may be acted on until then
+	until    BootTime // its lease may be acted on until then
 	checked  uint64
 	refusal  string
 	prepared uint64
-	epoch    uint64 // under which the three above were said
-	deaf     Boot   // since when no answer of ours has been said back; 0 for not
+	epoch    uint64   // under which the three above were said
+	deaf     BootTime // since when no answer of ours has been said back; 0 for not
 }
 
 // deafPart of a lease is how long a member that says no answer back goes on being granted it: four of its questions.
 const deafPart = 2
 
-// Granter is the leader's side of the leases. It lives for one term of a leader; a new
+// Lessor is the leader's side of the leases. It lives for one term of a leader; a new
 // one knows nothing of leases given before, and takes each for held for their whole time.
-type Granter struct {
-	conf  Terms
+type Lessor struct {
+	conf  Params
 	term  uint64
 	said  map[string]*said
 	enter map[string]Member // asked to come in, and are not in the ledger yet
 	gone  map[string]Member // said that they leave
 
 	// What follows spares a leader the look at each member with each renewal: at 3,000 members that look was most of its work.
-	news    bool                         // something was said since the last look that may make an entry due
-	soonest Boot                         // no lease that was known then ends before
-	looked  stage                        // the ledger then
-	filled  map[string][]holdings.Filled // as each member said last
-	unheard map[string][]holdings.Who    // likewise
-	moving  map[string]bool              // likewise
-	planned basis                        // for which replicas were planned last
-	dead    map[int]Boot                 // since when no ready replica of a shard is in the crew
-	texts   texts                        // what members are told of the ledger's present state
-	lacks   string                       // a member whose word the round under way waited for then
+	news    bool                              // something was said since the last look that may make an entry due
+	soonest BootTime                          // no lease that was known then ends before
+	looked  stage                             // the ledger then
+	filled  map[string][]holdings.CaughtUp    // as each member said last
+	unheard map[string][]holdings.Incarnation // likewise
+	moving  map[string]bool                   // likewise
+	planned basis                             // for which replicas were planned last
+	dead    map[int]BootTime                  // since when no ready replica of a shard is in the crew
+	texts   texts                             // what members are told of the ledger's present state
+	lacks   string                            // a member whose word the round under way waited for then
 }
 
 // basis is what replicas follow from.
@@ -120,18 +120,18 @@
 	return s
 }
 
-// NewGranter returns that of a leader that has just come to lead, in a term.
-func NewGranter(conf Terms, term uint64) *Granter {
-	return &Granter{conf: conf, term: term, said: map[string]*said{}, enter: map[string]Member{}, gone: map[string]Member{}, news: true,
-		filled: map[string][]holdings.Filled{}, unheard: map[string][]holdings.Who{}, moving: map[string]bool{}, dead: map[int]Boot{}}
+// NewLessor returns that of a leader that has just come to lead, in a term.
+func NewLessor(conf Params, term uint64) *Lessor {
+	return &Lessor{conf: conf, term: term, said: map[string]*said{}, enter: map[string]Member{}, gone: map[string]Member{}, news: true,
+		filled: map[string][]holdings.CaughtUp{}, unheard: map[string][]holdings.Incarnation{}, moving: map[string]bool{}, dead: map[int]BootTime{}}
 }
 
 // of returns what is known of a member of the ledger. One that is met for the first time may have been granted a lease a
 // moment ago, by a leader before, or has just come in.
-func (g *Granter) of(now Boot, m Member) *said {
+func (g *Lessor) of(now BootTime, m Member) *said {
 	s := g.said[m.Name]
 	if s == nil || s.token != m.Token {
-		s = &said{token: m.Token, until: now + g.conf.Wait()}
+		s = &said{token: m.Token, until: now + g.conf.LessorWait()}
 		g.said[m.Name] = s
 	}
 	return s
@@ -140,22 +140,22 @@
 // Renew answers a renewal. The caller has made sure, after the renewal came, that a
 // majority still takes it for the leader and that the ledger is up to date; it calls
 // Told when the answer has been handed to the network.
-func (g *Granter) Renew(now Boot, l *Ledger, r *Renewal) Grant {
-	grant := Grant{Epoch: l.Epoch, Active: l.Active, Word: Word{g.term, now}}
+func (g *Lessor) Renew(now BootTime, l *Ledger, r *Renewal) Grant {
+	grant := Grant{Epoch: l.Epoch, Active: l.Active, Echo: Echo{g.term, now}}
 	if l.Next != nil {
 		next := *l.Next // a grant is on its way while the ledger goes on
 		grant.Next = &next
 	}
 	no := func(again bool, format string, args ...any) Grant {
-		grant.Why, grant.Again = fmt.Sprintf(format, args...), again
+		grant.Reason, grant.RetryNow = fmt.Sprintf(format, args...), again
 		return grant
 	}
 	in, there := l.Members[r.Name]
 	switch {
 	case r.Name == "" || r.Token == 0 || len(r.Name) > 256:
 		return no(false, "name: %d bytes, token %d; allowed: a name of 1 to 256 bytes and a token", len(r.Name), r.Token)
-	case r.Terms != g.conf.Hash():
-		grant.Active, grant.Next = Round{}, nil
+	case r.ParamsHash != g.conf.Hash():
+		grant.Active, grant.Next = VersionRecord{}, nil
 		return no(false, "terms differ: the crew has %v; start this process with the same [crew]", g.conf)
 	case there && in.Token != r.Token:
 		if g.of(now, in).until > now {
@@ -169,12 +169,12 @@
 			g.news = true
 		}
 		return no(false, "left")
-	case !there && len(l.Members) >= clusterparams.MostMembers:
-		return no(false, "the crew is full: %d members", clusterparams.MostMembers)
+	case !there && len(l.Members) >= clusterparams.MaxMembers:
+		return no(false, "the crew is full: %d members", clusterparams.MaxMembers)
 	case (!there || in != r.Member) && !g.hears(now, r):
 		return no(true, "say back what is told here")
 	case !there || in != r.Member:
-		if len(g.enter) < clusterparams.MostMembers {
+		if len(g.enter) < clusterparams.MaxMembers {
 			g.enter[r.Name] = r.Member
 			g.news = true
 		}
@@ -203,16 +203,16 @@
 		g.news = g.news || l.Next != nil && (r.Refusal != "" || r.Name == g.lacks)
 		s.checked, s.refusal, s.prepared, s.epoch = r.Checked, r.Refusal, r.Prepared, r.Epoch
 	}
-	s.until = max(s.until, now+g.conf.Wait())
+	s.until = max(s.until, now+g.conf.LessorWait())
 	grant.Granted = true
 	if l.Placement != nil && (r.HasPlacement != l.Placement.Number || r.HasMembership != l.Epoch) {
 		g.tell(&grant, l, r)
 	}
-	if len(r.Filled) > 0 && len(r.Filled) <= holdings.Shards*clusterparams.MostCopies && !slices.Equal(g.filled[r.Name], r.Filled) {
-		g.filled[r.Name], g.news, g.planned = r.Filled, true, basis{}
+	if len(r.CaughtUp) > 0 && len(r.CaughtUp) <= holdings.NumShards*clusterparams.MaxCopies && !slices.Equal(g.filled[r.Name], r.CaughtUp) {
+		g.filled[r.Name], g.news, g.planned = r.CaughtUp, true, basis{}
 	}
-	if r.Moving != g.moving[r.Name] || len(r.Unheard) <= clusterparams.MostMembers && !slices.Equal(g.unheard[r.Name], r.Unheard) {
-		g.moving[r.Name], g.unheard[r.Name], g.news, g.planned = r.Moving, r.Unheard, true, basis{}
+	if r.Decommissioning != g.moving[r.Name] || len(r.Unreachable) <= clusterparams.MaxMembers && !slices.Equal(g.unheard[r.Name], r.Unreachable) {
+		g.moving[r.Name], g.unheard[r.Name], g.news, g.planned = r.Decommissioning, r.Unreachable, true, basis{}
 	}
 	if grant.Active.Number == r.HasActive {
 		grant.Active.Doc.Classes, grant.Active.Doc.Banned = nil, nil
@@ -224,8 +224,8 @@
 }
 
 // hears tells whether a member has said back an answer of this leader that is not older than a lease.
-func (g *Granter) hears(now Boot, r *Renewal) bool {
-	return r.Heard.Term == g.term && now-r.Heard.At <= g.conf.Lease
+func (g *Lessor) hears(now BootTime, r *Renewal) bool {
+	return r.LastEcho.Term == g.term && now-r.LastEcho.At <= g.conf.Lease
 }
 
 // mostBases bounds the states that changes are kept for: members lag by one or two of them, and after a cut by some more. What
@@ -242,10 +242,10 @@
 }
 
 // tell tells a member what it lacks of members and placement.
-func (g *Granter) tell(grant *Grant, l *Ledger, r *Renewal) {
+func (g *Lessor) tell(grant *Grant, l *Ledger, r *Renewal) {
 	if at := (basis{l.Epoch, l.Placement.Number}); g.texts.at != at {
 		g.texts = texts{at: at, view: l.View(), deltas: map[basis]cbor.RawMessage{}}
-		g.texts.sum = g.texts.view.Sum()
+		g.texts.sum = g.texts.view.Checksum()
 	}
 	t := &g.texts
 	if r.Takes != formDelta {
@@ -275,16 +275,16 @@
 	return text
 }
 
-// Told counts a lease from the moment after its answer went: now is read then. (The holder counts from before it
+// AnswerSent counts a lease from the moment after its answer went: now is read then. (The holder counts from before it
 // asked, so that counting from Renew on would do; an answer's time on its way is a margin more.)
-func (g *Granter) Told(now Boot, r *Renewal) {
+func (g *Lessor) AnswerSent(now BootTime, r *Renewal) {
 	if s := g.said[r.Name]; s != nil && s.token == r.Token && s.until > now {
-		s.until = max(s.until, now+g.conf.Wait())
+		s.until = max(s.until, now+g.conf.LessorWait())
 	}
 }
 
 // Due returns the entries that the leader has to propose now. It is called when none is on its way.
-func (g *Granter) Due(now Boot, l *Ledger) []Entry {
+func (g *Lessor) Due(now BootTime, l *Ledger) []Entry {
 	if at := stageOf(l); g.news || now >= g.soonest || at != g.looked {
 		due := g.look(now, l)
 		g.news, g.looked = len(due) > 0, at // what is due stays so until it is agreed on
@@ -293,15 +293,15 @@
 	return nil
 }
 
-func (g *Granter) look(now Boot, l *Ledger) []Entry {
+func (g *Lessor) look(now BootTime, l *Ledger) []Entry {
 	var due []Entry
-	g.soonest = now + g.conf.Wait()
+	g.soonest = now + g.conf.LessorWait()
 	var change Entry
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
 		m := l.Members[name]
 		until := g.of(now, m).until
 		if left, does := g.gone[name]; does && left.Token == m.Token || until <= now {
-			change.Gone = append(change.Gone, m)
+			change.Leave = append(change.Leave, m)
 		}
 		g.soonest = min(g.soonest, until)
 	}
@@ -310,16 +310,16 @@
 		if in, there := l.Members[name]; there && (in == m || in.Token != m.Token) {
 			continue
 		}
-		change.Enter = append(change.Enter, m)
+		change.Join = append(change.Join, m)
 	}
 	clear(g.enter) // proposed once; who is not in then asks again
 	maps.DeleteFunc(g.gone, func(name string, m Member) bool { return l.Members[name].Token != m.Token })
 	gone := func(name string) bool { return l.Members[name].Token == 0 }
-	maps.DeleteFunc(g.filled, func(name string, _ []holdings.Filled) bool { return gone(name) })
-	maps.DeleteFunc(g.unheard, func(name string, _ []holdings.Who) bool { return gone(name) })
+	maps.DeleteFunc(g.filled, func(name string, _ []holdings.CaughtUp) bool { return gone(name) })
+	maps.DeleteFunc(g.unheard, func(name string, _ []holdings.Incarnation) bool { return gone(name) })
 	maps.DeleteFunc(g.moving, func(name string, _ bool) bool { return gone(name) })
 	maps.DeleteFunc(g.said, func(name string, s *said) bool { return l.Members[name].Token != s.token })
-	if len(change.Gone) > 0 || len(change.Enter) > 0 {
+	if len(change.Leave) > 0 || len(change.Join) > 0 {
 		return append(due, change) // the rest waits for the new epoch
 	}
 	if e, ok := g.round(now, l); ok {
@@ -332,7 +332,7 @@
 }
 
 // place tells which replicas follow from who is in the crew, and from what primaries have said.
-func (g *Granter) place(now Boot, l *Ledger) (Entry, bool) {
+func (g *Lessor) place(now BootTime, l *Ledger) (Entry, bool) {
 	if g.conf.Holdings.Copies == 0 {
 		return Entry{}, false
 	}
@@ -342,7 +342,7 @@
 	}
 	late := false // a shard has waited for long enough
 	for i := range placement.Shards {
-		if !placement.Shards[i].Dead(func(w holdings.Who, token uint64) bool { return l.Members[w.Name].Token == token }) {
+		if !placement.Shards[i].Dead(func(w holdings.Incarnation, token uint64) bool { return l.Members[w.Name].Token == token }) {
 			delete(g.dead, i)
 			continue
 		}
@@ -357,12 +357,12 @@
 	if at := (basis{l.Epoch, placement.Number}); at == g.planned && !late {
 		return Entry{}, false
 	}
-	var filled []holdings.Filled
+	var filled []holdings.CaughtUp
 	for _, name := range slices.Sorted(maps.Keys(g.filled)) {
 		filled = append(filled, g.filled[name]...)
 	}
-	changes := placement.Plan(&holdings.Crew{
-		Members: l.Membership(), Copies: g.conf.Holdings.Copies, Filled: filled, Leaving: g.leavers(l), Unheard: g.silent(l),
+	changes := placement.Plan(&holdings.PlacementInput{
+		Members: l.Membership(), Copies: g.conf.Holdings.Copies, CaughtUp: filled, Leaving: g.leavers(l), Unreachable: g.silent(l),
 		Lost: func(shard int) bool {
 			since, dead := g.dead[shard]
 			return dead && now >= since+g.conf.Holdings.LostAfter
@@ -372,12 +372,12 @@
 		g.planned = basis{l.Epoch, placement.Number}
 		return Entry{}, false
 	}
-	return Entry{Replicas: changes, Epoch: l.Epoch}, true
+	return Entry{ReplicaChanges: changes, Epoch: l.Epoch}, true
 }
 
 // round tells whether the proposal under way may go on: when each member has said so, in
 // this epoch. Who says nothing is counted out when its lease has surely ended.
-func (g *Granter) round(now Boot, l *Ledger) (Entry, bool) {
+func (g *Lessor) round(now BootTime, l *Ledger) (Entry, bool) {
 	if l.Next == nil {
 		return Entry{}, false
 	}
@@ -387,7 +387,7 @@
 		s := g.of(now, l.Members[name])
 		current := s.epoch == l.Epoch
 		if l.Next.State == Checking && current && s.checked == number && s.refusal != "" {
-			return Entry{End: &End{number, fmt.Sprintf("%s refuses: %s", name, s.refusal)}, Epoch: l.Epoch}, true
+			return Entry{End: &ProposalEnd{number, fmt.Sprintf("%s refuses: %s", name, s.refusal)}, Epoch: l.Epoch}, true
 		}
 		done := s.checked
 		if l.Next.State == Prepared {
@@ -407,28 +407,28 @@
 }
 
 // leavers are the members that will go when their replicas have been given to others.
-func (g *Granter) leavers(l *Ledger) map[holdings.Who]bool {
-	out := map[holdings.Who]bool{}
+func (g *Lessor) leavers(l *Ledger) map[holdings.Incarnation]bool {
+	out := map[holdings.Incarnation]bool{}
 	for name, moving := range g.moving {
 		if moving {
-			out[holdings.Who{Name: name, In: l.In[name]}] = true
+			out[holdings.Incarnation{Name: name, JoinEpoch: l.JoinEpochs[name]}] = true
 		}
 	}
 	return out
 }
 
 // silent are the pairs of members of which the first does not reach the second.
-func (g *Granter) silent(l *Ledger) map[[2]holdings.Who]bool {
-	out := map[[2]holdings.Who]bool{}
+func (g *Lessor) silent(l *Ledger) map[[2]holdings.Incarnation]bool {
+	out := map[[2]holdings.Incarnation]bool{}
 	for name, list := range g.unheard {
 		for _, who := range list {
-			out[[2]holdings.Who{{Name: name, In: l.In[name]}, who}] = true
+			out[[2]holdings.Incarnation{{Name: name, JoinEpoch: l.JoinEpochs[name]}, who}] = true
 		}
 	}
 	return out
 }
 
-// Until is when a member's lease has surely ended, for people.
-func (g *Granter) Until(now Boot, l *Ledger, name string) Boot {
+// LeaseEnd is when a member's lease has surely ended, for people.
+func (g *Lessor) LeaseEnd(now BootTime, l *Ledger, name string) BootTime {
 	return g.of(now, l.Members[name]).until
 }
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -26,7 +26,7 @@
 const (
 	tickHoldings = 20 * time.Millisecond
 	// storeTime is for one word to a copy: ages are wrong by that at most (holdings.Slack).
-	storeTime = holdings.Slack / 2
+	storeTime = holdings.AgeSlack / 2
 	askTime   = 300 * time.Millisecond // for one word to a primary; it is said again
 	askPause  = 10 * time.Millisecond  // until it is said again, at first; twice as long each time
 	longPause = 80 * time.Millisecond
@@ -49,9 +49,9 @@
 
 	mu      sync.Mutex
 	store   *holdings.Store // guarded by mu, as all that follows
-	me      holdings.Who
+	me      holdings.Incarnation
 	view    holdings.View // as the store has learnt it
-	address map[holdings.Who]string
+	address map[holdings.Incarnation]string
 	ended   bool
 	lines   map[string]*lines
 
@@ -67,7 +67,7 @@
 
 // lines are connections to one address.
 type lines struct {
-	free  chan *peerrpc.Line
+	free  chan *peerrpc.Client
 	made  atomic.Int64
 	ended atomic.Bool // nobody goes by the address any more
 }
@@ -95,35 +95,35 @@
 	return c, nil
 }
 
-func (c *copies) now() cluster.Boot { return c.m.world.Boot() }
+func (c *copies) now() cluster.BootTime { return c.m.world.Boot() }
 
 // learn takes what a renewal brought. The member's lock is held.
-func (c *copies) learn(h *cluster.Holder) {
-	me, view := h.Me(), h.View()
-	ends := h.Ends()
+func (c *copies) learn(h *cluster.LeaseHolder) {
+	me, view := h.Incarnation(), h.View()
+	ends := h.LeaseEnd()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.store.Lease(ends)
-	if view.Placement == nil || me == (holdings.Who{}) {
+	c.store.SetLease(ends)
+	if view.Placement == nil || me == (holdings.Incarnation{}) {
 		return
 	}
 	if !view.Is(&c.view) || me != c.me {
 		c.me, c.view = me, view
-		c.address = map[holdings.Who]string{}
+		c.address = map[holdings.Incarnation]string{}
 		for _, m := range view.Members {
-			c.address[m.Who] = cmp.Or(c.m.conf.Ways[m.Name], c.m.conf.Keepers[m.Name], m.Address)
+			c.address[m.Incarnation] = cmp.Or(c.m.conf.Ways[m.Name], c.m.conf.Keepers[m.Name], m.Address)
 		}
-		c.store.Learn(c.now(), me, view.Placement, view.Members)
+		c.store.ApplyView(c.now(), me, view.Placement, view.Members)
 		c.dropLines()
 	}
 	c.kick()
 }
 
 // says is what the store has to say to the leader.
-func (c *copies) says() ([]holdings.Filled, []holdings.Who) {
+func (c *copies) says() ([]holdings.CaughtUp, []holdings.Incarnation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.store.Filled(), c.store.Unheard(c.now())
+	return c.store.CaughtUp(), c.store.Unreachable(c.now())
 }
 
 // replicas is in how many shards this sidecar has one.
@@ -133,7 +133,7 @@
 	n := 0
 	if c.view.Placement != nil {
 		for _, s := range c.view.Placement.Shards {
-			if slices.ContainsFunc(s.Replicas, func(replica holdings.Replica) bool { return replica.Who == c.me }) {
+			if slices.ContainsFunc(s.Replicas, func(replica holdings.Replica) bool { return replica.Incarnation == c.me }) {
 				n++
 			}
 		}
@@ -190,19 +190,19 @@
 	if c.ended {
 		return
 	}
-	for _, to := range c.store.Peers() {
-		if b := c.store.Next(c.now(), to.Who); b != nil {
-			address := c.address[to.Who]
-			c.m.world.Go("copy", func() { c.say(to.Who, address, b) })
+	for _, to := range c.store.PendingPeers() {
+		if b := c.store.NextBatch(c.now(), to.Incarnation); b != nil {
+			address := c.address[to.Incarnation]
+			c.m.world.Go("copy", func() { c.say(to.Incarnation, address, b) })
 		}
 	}
 }
 
 // say says batches to one sidecar until there are none.
-func (c *copies) say(to holdings.Who, address string, b *holdings.Batch) {
+func (c *copies) say(to holdings.Incarnation, address string, b *holdings.Batch) {
 	for b != nil {
-		var answer *holdings.Batched
-		got := holdings.Batched{}
+		var answer *holdings.BatchReply
+		got := holdings.BatchReply{}
 		err := c.call(address, "hold-store", b, &got, storeTime)
 		if err == nil {
 			answer = &got
@@ -210,10 +210,10 @@
 			c.m.world.Sleep(askPause)
 		}
 		c.mu.Lock()
-		c.store.Said(c.now(), to, b, answer)
+		c.store.BatchDone(c.now(), to, b, answer)
 		b = nil
 		if !c.ended {
-			b = c.store.Next(c.now(), to)
+			b = c.store.NextBatch(c.now(), to)
 		}
 		c.kick()
 		c.mu.Unlock()
@@ -225,7 +225,7 @@
 	c.mu.Lock()
 	l := c.lines[address]
 	if l == nil {
-		l = &lines{free: make(chan *peerrpc.Line, mostLines)}
+		l = &lines{free: make(chan *peerrpc.Client, mostLines)}
 		c.lines[address] = l
 	}
 	c.mu.Unlock()
@@ -243,14 +243,14 @@
 
 var errBusy = errors.New("all connections to it are busy")
 
-func (l *lines) take(c *copies, address string, within time.Duration) (*peerrpc.Line, error) {
+func (l *lines) take(c *copies, address string, within time.Duration) (*peerrpc.Client, error) {
 	select {
 	case line := <-l.free:
 		return line, nil
 	default:
 	}
 	if l.made.Add(1) <= mostLines {
-		return peerrpc.NewLine(c.m.world, c.m.conf.Name, c.m.holder.Self.Name, address), nil
+		return peerrpc.NewClient(c.m.world, c.m.conf.Name, c.m.holder.Self.Name, address), nil
 	}
 	l.made.Add(-1)
 	timer := c.m.world.NewTimer(within)
@@ -280,7 +280,7 @@
 func (c *copies) handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"hold-ask": func(_ string, body []byte) (any, error) {
-			var a holdings.Ask
+			var a holdings.Command
 			if err := peerrpc.Decode(body, &a); err != nil {
 				return nil, fmt.Errorf("hold-ask: malformed: %w", err)
 			}
@@ -296,8 +296,8 @@
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			var s Shown
-			s.Entry, s.Has = c.store.Peek(c.now(), key)
+			var s KeyState
+			s.Entry, s.Found = c.store.Peek(c.now(), key)
 			return s, nil
 		},
 		"hold-store": func(_ string, body []byte) (any, error) {
@@ -307,7 +307,7 @@
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			answer := c.store.Take(c.now(), &b)
+			answer := c.store.HandleBatch(c.now(), &b)
 			if answer == nil {
 				return nil, errors.New("hold-store: for another incarnation than the present one")
 			}
@@ -316,17 +316,17 @@
 	}
 }
 
-// Shown is what a sidecar has of a key.
-type Shown struct {
-	Has   bool           `cbor:"1,keyasint"`
+// KeyState is what a sidecar has of a key.
+type KeyState struct {
+	Found bool           `cbor:"1,keyasint"`
 	Entry holdings.Entry `cbor:"2,keyasint"`
 }
 
 // answer answers an owner's ask as the primary.
-func (c *copies) answer(a *holdings.Ask) holdings.Answer {
+func (c *copies) answer(a *holdings.Command) holdings.Answer {
 	got := make(chan holdings.Answer, 1)
 	c.mu.Lock()
-	c.store.Ask(c.now(), a, func(answer holdings.Answer) { got <- answer })
+	c.store.Handle(c.now(), a, func(answer holdings.Answer) { got <- answer })
 	c.kick()
 	c.mu.Unlock()
 	timer := c.m.world.NewTimer(askTime)
@@ -335,18 +335,18 @@
 	case answer := <-got:
 		return answer
 	case <-timer.C():
-		return holdings.Answer{Kind: holdings.Away}
+		return holdings.Answer{Kind: holdings.AnswerNone}
 	}
 }
 
 // ask says an owner's word to the primary of its key, again and again, until there is an answer that more asking does not
 // change, or the time is over: then it returns the last one. A running request is asked for until it ends.
-func (c *copies) ask(a *holdings.Ask, until time.Time) holdings.Answer {
+func (c *copies) ask(a *holdings.Command, until time.Time) holdings.Answer {
 	pause := askPause
 	for {
 		answer := c.askOnce(a, until)
 		switch answer.Kind {
-		case holdings.NotHere, holdings.Short, holdings.Running, holdings.Away:
+		case holdings.AnswerNotPrimary, holdings.AnswerTooFewReplicas, holdings.AnswerRunning, holdings.AnswerNone:
 		default:
 			return answer
 		}
@@ -358,28 +358,28 @@
 	}
 }
 
-func (c *copies) askOnce(a *holdings.Ask, until time.Time) holdings.Answer {
+func (c *copies) askOnce(a *holdings.Command, until time.Time) holdings.Answer {
 	c.mu.Lock()
-	primary, address, me := holdings.Who{}, "", c.me
+	primary, address, me := holdings.Incarnation{}, "", c.me
 	if c.view.Placement != nil {
 		if replicas := c.view.Placement.Shards[a.Key.Shard()].Replicas; len(replicas) > 0 {
-			primary = replicas[0].Who
+			primary = replicas[0].Incarnation
 			address = c.address[primary]
 		}
 	}
 	c.mu.Unlock()
-	if a.Do == holdings.Open && a.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
+	if a.Op == holdings.OpClaim && a.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
 		a.Owner = me
 	}
 	switch {
-	case address == "" || a.Owner == (holdings.Who{}):
-		return holdings.Answer{Kind: holdings.NotHere}
+	case address == "" || a.Owner == (holdings.Incarnation{}):
+		return holdings.Answer{Kind: holdings.AnswerNotPrimary}
 	case primary == me:
 		return c.answer(a)
 	}
 	var answer holdings.Answer
 	if err := c.call(address, "hold-ask", a, &answer, min(askTime, until.Sub(c.m.world.Now()))); err != nil {
-		return holdings.Answer{Kind: holdings.Away}
+		return holdings.Answer{Kind: holdings.AnswerNone}
 	}
 	return answer
 }
@@ -394,47 +394,47 @@
 type claim struct {
 	c     *copies
 	class heldClass
-	ask   holdings.Ask
+	ask   holdings.Command
 }
 
 // Claim is pipeline.Holdings'.
 func (c *copies) Claim(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
 	class := c.classes[message.Class]
 	until := c.m.world.Now().Add(within)
-	a := holdings.Ask{
-		Do: holdings.Open, Key: holdings.Key{Class: message.Class, Tenant: message.Tenant, Text: message.Key},
-		Claim: c.claims.Add(1), Print: print, Lasts: within,
+	a := holdings.Command{
+		Op: holdings.OpClaim, Key: holdings.Key{Class: message.Class, Tenant: message.Tenant, Text: message.Key},
+		Claim: c.claims.Add(1), Fingerprint: print, Lifetime: within,
 	}
 	// What is left must be enough to send the request, and to keep its outcome.
 	answer := c.ask(&a, until.Add(-within/4))
 	var bound time.Duration
-	if answer.Kind == holdings.Unclear {
+	if answer.Kind == holdings.AnswerUnknown {
 		left := until.Sub(c.m.world.Now())
 		if !holdings.MayRepeat(&class.Class, answer.Age, left, c.m.conf.Terms.Drift) {
 			return c.refuse(&a, answer)
 		}
 		bound = left
-		a.Do, a.Rev, a.Lasts = holdings.Again, answer.Rev, left
+		a.Op, a.Rev, a.Lifetime = holdings.OpReclaim, answer.Rev, left
 		answer = c.ask(&a, until.Add(-left/4))
 	}
 	switch answer.Kind {
-	case holdings.Yes:
+	case holdings.AnswerOK:
 		c.open.Add(1)
 		return pipeline.ClaimResult{Claim: &claim{c, class, a}, Within: bound}
-	case holdings.Was:
+	case holdings.AnswerFinished:
 		c.was.Add(1)
 		return pipeline.ClaimResult{Answer: kept(answer.Outcome)}
-	case holdings.Other:
+	case holdings.AnswerMismatch:
 		return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Malformed, Reason: "key: it came with another request before"}}
-	case holdings.Running, holdings.Unclear, holdings.Fenced:
+	case holdings.AnswerRunning, holdings.AnswerUnknown, holdings.AnswerFenced:
 		return c.refuse(&a, answer)
 	}
 	c.alone.Add(1)
 	if class.alone == operator.GoOn {
 		return pipeline.ClaimResult{}
 	}
-	if answer.Kind == holdings.Away && a.Do == holdings.Open { // else it was out before
-		a.Do = holdings.Drop
+	if answer.Kind == holdings.AnswerNone && a.Op == holdings.OpClaim { // else it was out before
+		a.Op = holdings.OpDrop
 		c.later(a)
 	}
 	return c.refuse(&a, answer)
@@ -442,7 +442,7 @@
 
 // later goes on asking when the request's own time is over. Guards against keys that stay unclear though their owner knows what
 // came of them, because the primary was lost at the wrong moment: a claim that nobody confirmed, an outcome that nobody copied.
-func (c *copies) later(a holdings.Ask) {
+func (c *copies) later(a holdings.Command) {
 	if c.asking.Add(1) > mostLater {
 		c.asking.Add(-1)
 		return
@@ -454,7 +454,7 @@
 }
 
 // refuse refuses a request. A kind of reason is logged once a while.
-func (c *copies) refuse(a *holdings.Ask, why holdings.Answer) pipeline.ClaimResult {
+func (c *copies) refuse(a *holdings.Command, why holdings.Answer) pipeline.ClaimResult {
 	c.refused.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -472,7 +472,7 @@
 
 // kept is the answer that a request had.
 func kept(o *holdings.Outcome) *httpwire.Answer {
-	if o == nil || o.Long {
+	if o == nil || o.TooLong {
 		return &httpwire.Answer{Verdict: httpwire.Failed}
 	}
 	return &httpwire.Answer{Verdict: httpwire.Served, Body: o.Body, Type: o.Type, Encoding: o.Encoding}
@@ -493,24 +493,24 @@
 	a := h.ask
 	switch {
 	case answer.Verdict == httpwire.Served:
-		a.Do, a.Outcome = holdings.Finish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
+		a.Op, a.Outcome = holdings.OpFinish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
 		if answer.Stream != nil || len(answer.Body) > h.c.body {
-			a.Outcome = &holdings.Outcome{Long: true}
+			a.Outcome = &holdings.Outcome{TooLong: true}
 		}
 	case ran:
-		a.Do = holdings.GiveUp
+		a.Op = holdings.OpGiveUp
 	default:
-		a.Do = holdings.Drop
+		a.Op = holdings.OpDrop
 	}
 	got := h.c.ask(&a, h.c.m.world.Now().Add(within))
-	if got.Kind != holdings.Yes && got.Kind != holdings.Fenced {
+	if got.Kind != holdings.AnswerOK && got.Kind != holdings.AnswerFenced {
 		h.c.later(a)
 	}
-	if answer.Verdict != httpwire.Served || got.Kind == holdings.Yes {
+	if answer.Verdict != httpwire.Served || got.Kind == holdings.AnswerOK {
 		return answer
 	}
 	h.c.alone.Add(1)
-	if h.class.alone == operator.GoOn && got.Kind != holdings.Fenced {
+	if h.class.alone == operator.GoOn && got.Kind != holdings.AnswerFenced {
 		return answer
 	}
 	if answer.Stream != nil {
--- a/internal/cluster/member/holdings_test.go
+++ b/internal/cluster/member/holdings_test.go
@@ -19,7 +19,7 @@
 // What a sidecar's own settings do not bear is told with the key at fault, before anything is held.
 func TestHoldingsThatDoNotFit(t *testing.T) {
 	good := func() (operator.Crew, *config.Config) {
-		table := operator.Crew{Terms: clusterparams.Terms{Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute}},
+		table := operator.Crew{Terms: clusterparams.Params{Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute}},
 			Holdings: operator.Holdings{Classes: map[string]operator.WhenAlone{"pay": operator.RefuseAlone}, MostEntries: 1000}}
 		conf := &config.Config{Settings: decide.Settings{Zone: "a", Classes: []decide.Class{
 			{Name: "pay", Effect: decide.Keyed, Window: time.Second}, {Name: "look", Effect: decide.Safe},
@@ -49,33 +49,33 @@
 // Guards against a sidecar that is told of a newcomer, or of one that is gone, while the placement stays, and goes on with the
 // addresses that it had: members and placement are told apart from each other.
 func TestMembersChangeWhileThePlacementStays(t *testing.T) {
-	conf := clusterparams.Terms{Lease: time.Second, Holdings: clusterparams.Holdings{Copies: 1, Keep: time.Minute, LostAfter: time.Minute}}
-	l, g := cluster.NewLedger(), cluster.NewGranter(conf, 1)
+	conf := clusterparams.Params{Lease: time.Second, Holdings: clusterparams.Holdings{Copies: 1, Keep: time.Minute, LostAfter: time.Minute}}
+	l, g := cluster.NewLedger(), cluster.NewLessor(conf, 1)
 	of := func(i int) cluster.Member {
 		return cluster.Member{Name: fmt.Sprint("m", i), Token: uint64(i), Zone: "a", Address: fmt.Sprint("127.0.0.1:", i)}
 	}
 	enter := func(i int) {
-		if err := l.Apply(&cluster.Entry{Enter: []cluster.Member{of(i)}}); err != nil {
+		if err := l.Apply(&cluster.Entry{Join: []cluster.Member{of(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	enter(1)
-	var changes []holdings.Change
-	for i := range holdings.Shards {
-		changes = append(changes, holdings.Change{Shard: i, Replicas: []holdings.Replica{{Who: holdings.Who{Name: "m1", In: 1}, Token: 1, Ready: true}}})
+	var changes []holdings.PlacementChange
+	for i := range holdings.NumShards {
+		changes = append(changes, holdings.PlacementChange{Shard: i, Replicas: []holdings.Replica{{Incarnation: holdings.Incarnation{Name: "m1", JoinEpoch: 1}, Token: 1, Ready: true}}})
 	}
-	if err := l.Apply(&cluster.Entry{Replicas: changes, Epoch: l.Epoch}); err != nil {
+	if err := l.Apply(&cluster.Entry{ReplicaChanges: changes, Epoch: l.Epoch}); err != nil {
 		t.Fatal(err)
 	}
-	h := cluster.NewHolder(of(1), conf, versions.Own(&decide.Settings{}), 0)
+	h := cluster.NewLeaseHolder(of(1), conf, versions.FromSettings(&decide.Settings{}), 0)
 	c := &copies{m: &Member{world: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), lines: map[string]*lines{}}
 	at := time.Second
 	renew := func() {
 		at += time.Millisecond
-		r := h.Ask()
+		r := h.NextRenewal()
 		grant := g.Renew(at, l, &r)
-		if _, err := h.Told(at, &grant); err != nil || !grant.Granted {
-			t.Fatal(err, grant.Why)
+		if _, err := h.HandleGrant(at, &grant); err != nil || !grant.Granted {
+			t.Fatal(err, grant.Reason)
 		}
 		c.learn(h)
 	}
@@ -83,10 +83,10 @@
 	before := c.view.Placement
 	enter(2)
 	renew()
-	if who := (holdings.Who{Name: "m2", In: 2}); c.address[who] != "127.0.0.1:2" || c.view.Placement != before {
+	if who := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.address[who] != "127.0.0.1:2" || c.view.Placement != before {
 		t.Errorf("addresses %v after %+v came in", c.address, who)
 	}
-	if err := l.Apply(&cluster.Entry{Gone: []cluster.Member{of(2)}}); err != nil {
+	if err := l.Apply(&cluster.Entry{Leave: []cluster.Member{of(2)}}); err != nil {
 		t.Fatal(err)
 	}
 	renew()
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -39,12 +39,12 @@
 	world  env.Env
 	log    zerolog.Logger
 	server *peerrpc.Server
-	keeper *voter.Keeper            // nil where this sidecar is none
-	lines  map[string]*peerrpc.Line // to keepers, by name
+	keeper *voter.Voter               // nil where this sidecar is none
+	lines  map[string]*peerrpc.Client // to keepers, by name
 
 	mu         sync.Mutex
-	holder     *cluster.Holder // guarded by mu, as the seeker is
-	seeker     *cluster.Seeker
+	holder     *cluster.LeaseHolder // guarded by mu, as the seeker is
+	seeker     *cluster.LeaseRenewer
 	generation uint64
 	warned     string // the last reason that was logged; guarded by mu
 	differed   bool   // it was logged that changes of members and placement could not be taken; guarded by mu
@@ -61,17 +61,17 @@
 // acted is what is acted on until a time.
 type acted struct {
 	pipeline.EffectiveRules
-	stance cluster.Stance
-	until  cluster.Boot // of the lease; what stands here holds no longer
+	stance cluster.EffectiveRules
+	until  cluster.BootTime // of the lease; what stands here holds no longer
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
 func Start(table operator.Crew, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
-	self := cluster.Member{Name: conf.Name, Token: voter.Draw(), Zone: conf.Settings.Zone, Address: table.Address}
+	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, world: world, log: log, lines: map[string]*peerrpc.Line{},
-		holder: cluster.NewHolder(self, table.Terms, versions.Own(&conf.Settings), conf.ConnectTimeout),
+		conf: table, world: world, log: log, lines: map[string]*peerrpc.Client{},
+		holder: cluster.NewLeaseHolder(self, table.Terms, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
 		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
 	}
 	m.publish(world.Boot())
@@ -91,7 +91,7 @@
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
 		m.keeper, err = voter.Open(voter.Conf{
-			Crew: table.Name, Name: conf.Name, Keepers: table.Keepers, Terms: table.Terms, Data: table.Data,
+			Cluster: table.Name, Name: conf.Name, Voters: table.Keepers, Params: table.Terms, DataDir: table.Data,
 		}, world, log)
 		if err != nil {
 			m.server.Close()
@@ -101,9 +101,9 @@
 		world.Go("keeper", m.keeper.Run)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Keepers)) {
-		m.lines[name] = peerrpc.NewLine(world, table.Name, conf.Name, table.Keepers[name])
+		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Keepers[name])
 	}
-	m.seeker = cluster.NewSeeker(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
+	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
 	if m.copies != nil {
 		maps.Copy(handlers, m.copies.handlers())
 		world.Go("holdings", m.copies.run)
@@ -133,25 +133,25 @@
 }
 
 // publish puts in force what the holder says, if it differs.
-func (m *Member) publish(now cluster.Boot) *acted {
+func (m *Member) publish(now cluster.BootTime) *acted {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publishLocked(now)
 }
 
-func (m *Member) publishLocked(now cluster.Boot) *acted {
-	stance := m.holder.Acting(now)
+func (m *Member) publishLocked(now cluster.BootTime) *acted {
+	stance := m.holder.Effective(now)
 	before := m.acting.Load()
 	if before != nil && before.Cautious == stance.Cautious && before.stance.Active == stance.Active &&
 		before.stance.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
 		next := *before // the same, for longer
-		next.until, next.stance.Epoch = m.holder.Ends(), stance.Epoch
+		next.until, next.stance.Epoch = m.holder.LeaseEnd(), stance.Epoch
 		m.acting.Store(&next)
 		return &next
 	}
 	m.generation++
-	next := &acted{stance: stance, until: m.holder.Ends(), EffectiveRules: pipeline.EffectiveRules{
-		Generation: m.generation, Dynamic: stance.Rules.Ruling(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
+	next := &acted{stance: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
+		Generation: m.generation, Dynamic: stance.Rules.DynamicSettings(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
 	}}
 	m.acting.Store(next)
 	ev := m.log.Info()
@@ -166,7 +166,7 @@
 // run keeps the lease until Stop.
 func (m *Member) run() {
 	defer close(m.ended)
-	heartbeat := m.conf.Terms.Lease / cluster.Heartbeats
+	heartbeat := m.conf.Terms.Lease / cluster.HeartbeatsPerLease
 	timer := m.world.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -176,7 +176,7 @@
 		case <-timer.C():
 		}
 		m.mu.Lock()
-		m.seeker.Heartbeat()
+		m.seeker.StartHeartbeat()
 		m.mu.Unlock()
 		for m.ask() {
 		}
@@ -189,18 +189,18 @@
 func (m *Member) ask() (again bool) {
 	m.mu.Lock()
 	if m.copies != nil {
-		m.holder.Filled, m.holder.Unheard = m.copies.says()
+		m.holder.CaughtUp, m.holder.Unreachable = m.copies.says()
 	}
-	name, r := m.seeker.Question(m.world.Boot())
+	name, r := m.seeker.NextRequest(m.world.Boot())
 	m.mu.Unlock()
-	var reply voter.Renewed
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/cluster.CallPart); err != nil {
-		reply = voter.Renewed{}
+	var reply voter.RenewResult
+	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/cluster.CallTimeoutPart); err != nil {
+		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.seeker.Answer(m.world.Boot(), reply.Grant, reply.Leader)
-	if next.Over {
+	next := m.seeker.HandleResponse(m.world.Boot(), reply.Grant, reply.Leader)
+	if next.Done {
 		m.renewals.Add(1)
 	}
 	switch {
@@ -210,14 +210,14 @@
 	case next.Err != nil:
 		m.warn("the crew's word can't be taken", next.Err.Error())
 		return false
-	case !next.Over:
-		return next.Ask
+	case !next.Done:
+		return next.RenewNow
 	}
 	m.publishLocked(m.world.Boot())
 	if m.copies != nil {
 		m.copies.learn(m.holder)
 	}
-	if err := m.holder.Differed(); err != nil && !m.differed {
+	if err := m.holder.ViewErr(); err != nil && !m.differed {
 		m.differed = true // once for a process: what can't be taken is asked for whole
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
@@ -229,13 +229,13 @@
 	switch {
 	case reply.Grant.Granted:
 		m.warned = ""
-	case next.Why != "":
-		m.warn("the crew grants no lease", next.Why)
+	case next.Reason != "":
+		m.warn("the crew grants no lease", next.Reason)
 		fallthrough
 	default:
 		m.refused.Add(1)
 	}
-	return next.Ask
+	return next.RenewNow
 }
 
 // warn writes a line, but not the same one with each heartbeat.
@@ -246,8 +246,8 @@
 	}
 }
 
-// Acts is what a member says that it acts on.
-type Acts struct {
+// Status is what a member says that it acts on.
+type Status struct {
 	Name     string   `cbor:"1,keyasint"`
 	Cautious bool     `cbor:"2,keyasint"`
 	Active   uint64   `cbor:"3,keyasint"`
@@ -267,8 +267,8 @@
 	return acts, nil
 }
 
-// Acts tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
-func (m *Member) Acts() Acts { return m.acts(m.current()) }
+// Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
+func (m *Member) Status() Status { return m.acts(m.current()) }
 
 // current is what is acted on at this moment.
 func (m *Member) current() *acted {
@@ -276,8 +276,8 @@
 	return m.acting.Load()
 }
 
-func (m *Member) acts(a *acted) Acts {
-	return Acts{
+func (m *Member) acts(a *acted) Status {
+	return Status{
 		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.stance.Active, Next: a.stance.Next, Epoch: a.stance.Epoch,
 		LeaseMS:  int((a.until - m.world.Boot()).Milliseconds()),
 		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.lost.Load(),
@@ -292,7 +292,7 @@
 	if a.Cautious {
 		cautious = 1
 	}
-	if m.keeper != nil && m.keeper.Leads() {
+	if m.keeper != nil && m.keeper.IsLeader() {
 		leads = 1
 	}
 	for _, f := range []struct {
@@ -327,7 +327,7 @@
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Moving = m.copies != nil
+	m.holder.Decommissioning = m.copies != nil
 }
 
 // leaveReplicas waits, not for long, until others have what this sidecar holds for them.
@@ -352,10 +352,10 @@
 		m.copies.stop()
 	}
 	m.mu.Lock()
-	r, first := m.holder.Ask(), m.seeker.First()
+	r, first := m.holder.NextRenewal(), m.seeker.FirstVoter()
 	m.mu.Unlock()
 	r.Leaving = true
-	var reply voter.Renewed
+	var reply voter.RenewResult
 	m.lines[first].Call("renew", &r, &reply, leaveTime) //nolint:errcheck // else its lease's end says it
 	for _, l := range m.lines {
 		l.Close()
--- a/internal/cluster/voter/clear.go
+++ b/internal/cluster/voter/clear.go
@@ -41,7 +41,7 @@
 // clearing is a keeper's part between its start and its taking part; nil else.
 type clearing struct {
 	until time.Time
-	words map[string]Word
+	words map[string]Announcement
 }
 
 // logEnd is that of this keeper's folder.
@@ -73,8 +73,8 @@
 }
 
 // hearClearing takes another keeper's word while this one takes no part yet.
-func (k *Core) hearClearing(w Word) error {
-	if w.ID != k.ledger.Keepers[w.Name] {
+func (k *Core) hearClearing(w Announcement) error {
+	if w.ID != k.ledger.Voters[w.Name] {
 		return nil
 	}
 	hard, _, err := k.store.mem.InitialState()
@@ -86,7 +86,7 @@
 			k.logEnd().Index, hard.GetTerm(), w.Name, of.Index, of.Term)
 	}
 	k.clearing.words[w.Name] = w
-	if n := len(k.ledger.Keepers); len(k.clearing.words) < n-n/2 {
+	if n := len(k.ledger.Voters); len(k.clearing.words) < n-n/2 {
 		return nil
 	}
 	k.bounds = map[string]logEnd{}
@@ -119,8 +119,8 @@
 // two elections' time. Guards against a crew without a leader for good (three keepers, seed 560 of the simulation): the end of
 // a log that was nowhere else went with that folder, and this keeper waited for it. What the entries there rested on beside
 // it would be this folder alone: one that was set back, and another one lost, are two at once, of which nothing is promised.
-func (k *Core) unbind(w Word) {
-	old := k.ledger.Keepers[w.Name]
+func (k *Core) unbind(w Announcement) {
+	old := k.ledger.Voters[w.Name]
 	if _, bound := k.bounds[w.Name]; !bound || w.ID == old || w.Set != nil || w.Begun {
 		return
 	}
--- a/internal/cluster/voter/clear_test.go
+++ b/internal/cluster/voter/clear_test.go
@@ -16,8 +16,8 @@
 // in that term.
 func started(t *testing.T) *Core {
 	t.Helper()
-	opened, err := Open(Conf{Crew: "c", Name: "a", Keepers: map[string]string{"a": "x:1", "b": "x:2", "c": "x:3"},
-		Terms: cluster.Terms{Lease: time.Second}, Data: t.TempDir()}, env.Real{}, zerolog.Nop())
+	opened, err := Open(Conf{Cluster: "c", Name: "a", Voters: map[string]string{"a": "x:1", "b": "x:2", "c": "x:3"},
+		Params: cluster.Params{Lease: time.Second}, DataDir: t.TempDir()}, env.Real{}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,14 +48,14 @@
 func TestFolderSetBackIsFound(t *testing.T) {
 	for name, seen := range map[string]past{"it held more": {Term: 4, Index: 9}, "it spoke in a later term": {Term: 5, Index: 5}} {
 		k := started(t)
-		k.Hear(Word{Name: "b", ID: 2, Terms: k.conf.Terms.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
+		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
 		if k.fail == nil || !strings.Contains(k.fail.Error(), "set back to an earlier copy") {
 			t.Errorf("%s: %v", name, k.fail)
 		}
 	}
 	for name, seen := range map[string]past{"it is as it was": {Term: 4, Index: 5}, "what it held more of was overwritten since": {Term: 3, Index: 9}} {
 		k := started(t)
-		k.Hear(Word{Name: "b", ID: 2, Terms: k.conf.Terms.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
+		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
 		if k.fail != nil {
 			t.Errorf("%s: %v", name, k.fail)
 		}
@@ -66,17 +66,17 @@
 // of, for nobody whose log lacks what they have, and does not stand while its own does.
 func TestStartedKeeperIsBoundByTheOthers(t *testing.T) {
 	k := started(t)
-	hash := k.conf.Terms.Hash()
-	k.Hear(Word{Name: "b", ID: 2, Terms: hash, Term: 6, End: logEnd{4, 5}})
+	hash := k.conf.Params.Hash()
+	k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: hash, Term: 6, End: logEnd{4, 5}})
 	if k.takesPart() {
 		t.Fatal("one of two others is not enough: that other may be the one that a vote was not given to")
 	}
 	ask := vote(7, 6, 8)
 	ask.To = &k.store.who.ID
-	if err := k.Take("b", []*raftpb.Message{ask}); err != nil || k.node.BasicStatus().HardState.GetTerm() != 4 {
+	if err := k.HandleMessages("b", []*raftpb.Message{ask}); err != nil || k.node.BasicStatus().HardState.GetTerm() != 4 {
 		t.Errorf("it heeds a candidate before it takes part: %v", err)
 	}
-	k.Hear(Word{Name: "c", ID: 3, Terms: hash, Term: 5, End: logEnd{6, 8}})
+	k.HandleAnnouncement(Announcement{Name: "c", ID: 3, ParamsHash: hash, Term: 5, End: logEnd{6, 8}})
 	if !k.takesPart() {
 		t.Fatal("it has heard both others and takes no part")
 	}
@@ -102,12 +102,12 @@
 	}
 	// Guards against a keeper that waits for good for the end of a log that went with its folder.
 	k.spoke[3] = k.clock.Now()
-	back := Word{Name: "c", ID: 33, Terms: hash}
-	if k.Hear(back); !k.atLeast.before(logEnd{6, 9}) || k.atLeast.before(logEnd{6, 8}) {
+	back := Announcement{Name: "c", ID: 33, ParamsHash: hash}
+	if k.HandleAnnouncement(back); !k.atLeast.before(logEnd{6, 9}) || k.atLeast.before(logEnd{6, 8}) {
 		t.Errorf("bound by %v while c was heard of a moment ago", k.atLeast)
 	}
 	delete(k.spoke, 3)
-	if k.Hear(back); k.atLeast != (logEnd{4, 5}) {
+	if k.HandleAnnouncement(back); k.atLeast != (logEnd{4, 5}) {
 		t.Errorf("bound by %v with c's folder lost", k.atLeast)
 	}
 }
@@ -131,14 +131,14 @@
 	k.clearing = nil
 	from, term, commit := uint64(99), uint64(7), uint64(0)
 	m := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &from, To: &k.store.who.ID, Term: &term, Commit: &commit}
-	if err := k.Take("b", []*raftpb.Message{m}); err != nil || k.node.BasicStatus().Lead != from {
+	if err := k.HandleMessages("b", []*raftpb.Message{m}); err != nil || k.node.BasicStatus().Lead != from {
 		t.Errorf("a folder that is not known yet: %v, leader %d", err, k.node.BasicStatus().Lead)
 	}
 	if k.nameOf(from) != "b" {
 		t.Error("it can't be answered")
 	}
-	k.ledger.Former = []uint64{from}
-	if err := k.Take("b", []*raftpb.Message{m}); err == nil || !strings.Contains(err.Error(), "was replaced") {
+	k.ledger.ReplacedVoters = []uint64{from}
+	if err := k.HandleMessages("b", []*raftpb.Message{m}); err == nil || !strings.Contains(err.Error(), "was replaced") {
 		t.Errorf("a folder that was replaced: %v", err)
 	}
 }
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -36,11 +36,11 @@
 
 // Conf is what a keeper is started with.
 type Conf struct {
-	Crew    string
+	Cluster string
 	Name    string
-	Keepers map[string]string // addresses by names, this one's too
-	Terms   cluster.Terms
-	Data    string // folder
+	Voters  map[string]string // addresses by names, this one's too
+	Params  cluster.Params
+	DataDir string // folder
 }
 
 // Clock is a keeper's view of time; env.Env has it.
@@ -49,12 +49,12 @@
 	Boot() time.Duration
 }
 
-// Ways are how a keeper speaks to the others. Calls return at once, and may lose what they are given.
-type Ways interface {
-	// Say has messages of raft said to another keeper; false when there was no room for them.
-	Say(keeper string, m *raftpb.Message) bool
-	// Ask has another keeper told this one's word; its answer is to come to Hear.
-	Ask(keeper string, mine Word)
+// Transport are how a keeper speaks to the others. Calls return at once, and may lose what they are given.
+type Transport interface {
+	// Send has messages of raft said to another keeper; false when there was no room for them.
+	Send(keeper string, m *raftpb.Message) bool
+	// Announce has another keeper told this one's word; its answer is to come to Hear.
+	Announce(keeper string, mine Announcement)
 }
 
 // Core is a keeper without network and goroutines: what comes is told to it, what it says goes to its Ways, and Settle does
@@ -65,7 +65,7 @@
 	clock Clock
 	log   zerolog.Logger
 	store *store
-	ways  Ways
+	ways  Transport
 	fail  error // why it ended
 
 	node     *raft.RawNode // nil until the crew is formed
@@ -74,15 +74,15 @@
 	conf3    *raftpb.ConfState // as applied
 	leader   uint64            // id; 0 for none
 	state    raft.StateType
-	granter  *cluster.Granter // while it leads
-	term     uint64           // in which it came to lead
-	mark     uint64           // of the entry of its own that is on its way; 0 for none
+	granter  *cluster.Lessor // while it leads
+	term     uint64          // in which it came to lead
+	mark     uint64          // of the entry of its own that is on its way; 0 for none
 	marks    uint64
 	waiting  []renewal // for a majority's word
 	reading  *read
 	reads    uint64
-	asked    map[uint64][]func(Proposed, error) // proposals on their way, by id
-	heard    map[string]Word
+	asked    map[uint64][]func(ProposeResult, error) // proposals on their way, by id
+	heard    map[string]Announcement
 	met      map[string]uint64 // ids of folders that others have last spoken with, by names
 	seen     map[uint64]past   // of other keepers' folders, by id
 	nextForm time.Time
@@ -98,7 +98,7 @@
 // renewal is a member's renewal that waits.
 type renewal struct {
 	r     cluster.Renewal
-	reply func(Renewed)
+	reply func(RenewResult)
 }
 
 // read is a question to a majority whether this is the leader.
@@ -109,14 +109,14 @@
 	until time.Time
 }
 
-// Renewed is the answer to a renewal.
-type Renewed struct {
+// RenewResult is the answer to a renewal.
+type RenewResult struct {
 	Grant  *cluster.Grant `cbor:"1,keyasint,omitempty"`
 	Leader string         `cbor:"2,keyasint,omitempty"` // its name, where this keeper does not lead
 }
 
-// Proposed is the answer to a proposal.
-type Proposed struct {
+// ProposeResult is the answer to a proposal.
+type ProposeResult struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Leader string `cbor:"2,keyasint,omitempty"`
 }
@@ -127,28 +127,28 @@
 	Entry cluster.Entry `cbor:"2,keyasint"`
 }
 
-// Draw draws an id, never 0.
-func Draw() uint64 {
+// NewID draws an id, never 0.
+func NewID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) //nolint:errcheck // it does not fail
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
 // NewCore opens a keeper on its disk; where names that to people. fresh draws the id of a new folder.
-func NewCore(conf Conf, clock Clock, logTo zerolog.Logger, disk Disk, where string, fresh func() uint64, ways Ways) (*Core, error) {
-	store, err := newStore(disk, where, conf.Crew, conf.Name, fresh)
+func NewCore(conf Conf, clock Clock, logTo zerolog.Logger, disk Disk, where string, fresh func() uint64, ways Transport) (*Core, error) {
+	store, err := newStore(disk, where, conf.Cluster, conf.Name, fresh)
 	if err != nil {
 		return nil, err
 	}
 	return &Core{conf: conf, clock: clock, log: logTo, store: store, ways: ways, ledger: cluster.NewLedger(),
-		asked: map[uint64][]func(Proposed, error){}, heard: map[string]Word{}, met: map[string]uint64{}, spoke: map[uint64]time.Time{}, seen: map[uint64]past{}}, nil
+		asked: map[uint64][]func(ProposeResult, error){}, heard: map[string]Announcement{}, met: map[string]uint64{}, spoke: map[uint64]time.Time{}, seen: map[uint64]past{}}, nil
 }
 
 // Err is why it takes no further part; nil while it does.
 func (k *Core) Err() error { return k.fail }
 
-// Leads tells whether it takes itself for the leader, and in which term.
-func (k *Core) Leads() (term uint64, leads bool) { return k.term, k.state == raft.StateLeader }
+// IsLeader tells whether it takes itself for the leader, and in which term.
+func (k *Core) IsLeader() (term uint64, leads bool) { return k.term, k.state == raft.StateLeader }
 
 // Ledger is what it knows to be agreed on, after so many entries of the log. It is not to be changed, and not to be kept.
 func (k *Core) Ledger() (l *cluster.Ledger, applied uint64) { return k.ledger, k.applied }
@@ -164,26 +164,26 @@
 	}
 }
 
-// Settle does what follows from all that it was told: it writes, and then speaks. After an error it is not to be used.
-func (k *Core) Settle() error {
+// ProcessReady does what follows from all that it was told: it writes, and then speaks. After an error it is not to be used.
+func (k *Core) ProcessReady() error {
 	if k.fail == nil && k.node != nil {
 		k.fail = k.step()
 	}
 	return k.fail
 }
 
-// End answers all that wait.
-func (k *Core) End() { k.failAll() }
+// FailWaiting answers all that wait.
+func (k *Core) FailWaiting() { k.failAll() }
 
 // Start begins raft where the folder is that of a formed crew.
 func (k *Core) Start() error {
 	if hard, conf, err := k.store.mem.InitialState(); err != nil || raft.IsEmptyHardState(hard) && len(conf.GetVoters()) == 0 {
 		return err
 	}
-	if err := k.begin(); err != nil || len(k.ledger.Keepers) < 2 {
+	if err := k.begin(); err != nil || len(k.ledger.Voters) < 2 {
 		return err
 	}
-	k.clearing = &clearing{until: k.clock.Now().Add(clearTime), words: map[string]Word{}}
+	k.clearing = &clearing{until: k.clock.Now().Add(clearTime), words: map[string]Announcement{}}
 	return nil
 }
 
@@ -262,7 +262,7 @@
 // turn books a change of leader.
 func (k *Core) turn(s *raft.SoftState) {
 	if term := k.node.BasicStatus().HardState.GetTerm(); s.RaftState == raft.StateLeader && (k.granter == nil || k.term != term) {
-		k.granter, k.term, k.mark = cluster.NewGranter(k.conf.Terms, term), term, 0
+		k.granter, k.term, k.mark = cluster.NewLessor(k.conf.Params, term), term, 0
 		k.log.Info().Uint64("term", term).Msg("this keeper leads the crew")
 	}
 	if s.RaftState != raft.StateLeader && k.state == raft.StateLeader {
@@ -280,12 +280,12 @@
 		k.reading = nil
 		for _, w := range rd.batch {
 			grant := k.granter.Renew(k.clock.Boot(), k.ledger, &w.r)
-			w.reply(Renewed{Grant: &grant})
+			w.reply(RenewResult{Grant: &grant})
 		}
 	} else if rd != nil && now.After(rd.until) {
 		k.reading = nil // its members ask again
 		for _, w := range rd.batch {
-			w.reply(Renewed{})
+			w.reply(RenewResult{})
 		}
 	}
 	if k.reading == nil && len(k.waiting) > 0 {
@@ -312,7 +312,7 @@
 // propose gives an entry of this leader's own to raft.
 func (k *Core) propose(e cluster.Entry) {
 	k.marks++
-	mark := Draw() + 2*k.marks
+	mark := NewID() + 2*k.marks
 	if k.append(logged{mark, e}) == nil {
 		k.mark = mark
 	}
@@ -345,7 +345,7 @@
 		k.mark = 0
 	}
 	if p := l.Entry.Propose; p != nil {
-		var answer Proposed
+		var answer ProposeResult
 		if round := k.ledger.Find(p.ID); round != nil {
 			answer.Number = round.Number
 		}
@@ -370,24 +370,24 @@
 		return out
 	}
 	switch {
-	case len(e.Enter) > 0 || len(e.Gone) > 0:
-		ev.Strs("in", names(e.Enter)).Strs("gone", names(e.Gone)).Int("members", len(k.ledger.Members)).Msg("the crew has changed")
+	case len(e.Join) > 0 || len(e.Leave) > 0:
+		ev.Strs("in", names(e.Join)).Strs("gone", names(e.Leave)).Int("members", len(k.ledger.Members)).Msg("the crew has changed")
 	case e.Propose != nil:
-		ev.Uint64("version", k.ledger.Last).Msg("a version is proposed")
+		ev.Uint64("version", k.ledger.LastNumber).Msg("a version is proposed")
 	case e.Prepare > 0:
 		ev.Uint64("version", e.Prepare).Msg("a version is prepared")
 	case e.Activate > 0:
 		ev.Uint64("version", e.Activate).Msg("a version is active")
-	case len(e.Replicas) > 0:
+	case len(e.ReplicaChanges) > 0:
 		lost := 0
-		for _, c := range e.Replicas {
+		for _, c := range e.ReplicaChanges {
 			if c.Lost {
 				lost++
 			}
 		}
-		ev.Int("shards", len(e.Replicas)).Int("lost", lost).Msg("seats have changed")
+		ev.Int("shards", len(e.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
 	case e.End != nil:
-		ev.Uint64("version", e.End.Number).Str("why", e.End.Why).Msg("a version is refused")
+		ev.Uint64("version", e.End.Number).Str("why", e.End.Reason).Msg("a version is refused")
 	}
 }
 
@@ -419,23 +419,23 @@
 		k.reading = nil
 	}
 	for _, w := range k.waiting {
-		w.reply(Renewed{})
+		w.reply(RenewResult{})
 	}
 	k.waiting = nil
 	for _, id := range slices.Sorted(maps.Keys(k.asked)) {
 		for _, reply := range k.asked[id] {
-			reply(Proposed{}, ErrNoWord)
+			reply(ProposeResult{}, ErrUnknownOutcome)
 		}
 	}
 	clear(k.asked)
 }
 
-// ErrNoWord leaves open whether a proposal counts.
-var ErrNoWord = errors.New("the leader was lost before the proposal was agreed on: whether it counts shows in `heathgap crew versions`; the same proposal said again counts once")
+// ErrUnknownOutcome leaves open whether a proposal counts.
+var ErrUnknownOutcome = errors.New("the leader was lost before the proposal was agreed on: whether it counts shows in `heathgap crew versions`; the same proposal said again counts once")
 
 // nameOf is the name of the keeper with an id; empty where there is none.
 func (k *Core) nameOf(id uint64) string {
-	for name, other := range k.ledger.Keepers {
+	for name, other := range k.ledger.Voters {
 		if other == id {
 			return name
 		}
@@ -456,29 +456,29 @@
 }
 
 // Renew answers a renewal: at once, or when a majority has said that this is the leader.
-func (k *Core) Renew(r cluster.Renewal, reply func(Renewed)) {
+func (k *Core) Renew(r cluster.Renewal, reply func(RenewResult)) {
 	if k.state != raft.StateLeader {
-		reply(Renewed{Leader: k.nameOf(k.leader)})
+		reply(RenewResult{Leader: k.nameOf(k.leader)})
 		return
 	}
 	k.waiting = append(k.waiting, renewal{r, reply})
 }
 
-// Told hears that a lease's answer has been handed to the network.
-func (k *Core) Told(r *cluster.Renewal) {
+// LeaseAnswerSent hears that a lease's answer has been handed to the network.
+func (k *Core) LeaseAnswerSent(r *cluster.Renewal) {
 	if k.granter != nil {
-		k.granter.Told(k.clock.Boot(), r)
+		k.granter.AnswerSent(k.clock.Boot(), r)
 	}
 }
 
 // Propose has a version proposed: the reply comes when that is agreed on, or refused.
-func (k *Core) Propose(p cluster.Proposal, reply func(Proposed, error)) {
+func (k *Core) Propose(p cluster.Proposal, reply func(ProposeResult, error)) {
 	if k.state != raft.StateLeader {
-		reply(Proposed{Leader: k.nameOf(k.leader)}, nil)
+		reply(ProposeResult{Leader: k.nameOf(k.leader)}, nil)
 		return
 	}
 	if err := k.append(logged{Entry: cluster.Entry{Propose: &p}}); err != nil {
-		reply(Proposed{}, err)
+		reply(ProposeResult{}, err)
 		return
 	}
 	k.asked[p.ID] = append(k.asked[p.ID], reply)
@@ -488,18 +488,18 @@
 func (k *Core) send(messages []*raftpb.Message) {
 	for _, m := range messages {
 		name := k.nameOf(m.GetTo())
-		if k.conf.Keepers[name] == "" || !k.maySay(m) {
+		if k.conf.Voters[name] == "" || !k.maySay(m) {
 			continue
 		}
-		if !k.ways.Say(name, m) {
+		if !k.ways.Send(name, m) {
 			k.dropped++
 			k.node.ReportUnreachable(m.GetTo())
 		}
 	}
 }
 
-// Reported hears whether a snapshot has come to who it was for.
-func (k *Core) Reported(id uint64, whole bool) {
+// SnapshotReported hears whether a snapshot has come to who it was for.
+func (k *Core) SnapshotReported(id uint64, whole bool) {
 	status := raft.SnapshotFinish
 	if !whole {
 		status = raft.SnapshotFailure
@@ -525,7 +525,7 @@
 func (k *Core) Status() Status {
 	s := Status{Name: k.conf.Name, Applied: k.applied, Ledger: k.ledger.Clone(), Dropped: k.dropped}
 	if k.node == nil {
-		for _, name := range slices.Sorted(maps.Keys(k.conf.Keepers)) {
+		for _, name := range slices.Sorted(maps.Keys(k.conf.Voters)) {
 			if _, there := k.heard[name]; !there && name != k.conf.Name {
 				s.Forming = append(s.Forming, name)
 			}
@@ -538,21 +538,21 @@
 	if k.granter != nil {
 		s.Leases = map[string]int{}
 		for name := range k.ledger.Members {
-			s.Leases[name] = int((k.granter.Until(k.clock.Boot(), k.ledger, name) - k.clock.Boot()).Milliseconds())
+			s.Leases[name] = int((k.granter.LeaseEnd(k.clock.Boot(), k.ledger, name) - k.clock.Boot()).Milliseconds())
 		}
 	}
 	return s
 }
 
-// Take hears messages of another keeper's raft. An error is for who said them.
-func (k *Core) Take(from string, messages []*raftpb.Message) error {
+// HandleMessages hears messages of another keeper's raft. An error is for who said them.
+func (k *Core) HandleMessages(from string, messages []*raftpb.Message) error {
 	for _, m := range messages {
 		if m.GetTo() != k.store.who.ID {
 			return fmt.Errorf("%s has another folder now: this word was for the one before", k.conf.Name)
 		}
 		// Only what is agreed on is refused. Guards against a keeper that lags behind a change of folders and refuses the new
 		// one, which may lead: it was never filled (storm seed 365).
-		if slices.Contains(k.ledger.Former, m.GetFrom()) && !k.changing(m.GetFrom()) {
+		if slices.Contains(k.ledger.ReplacedVoters, m.GetFrom()) && !k.changing(m.GetFrom()) {
 			return fmt.Errorf("the folder of %s was replaced: it takes no part any more; move it away and start again", from)
 		}
 		if k.node == nil { // a newcomer in the place of a folder that is lost
@@ -566,10 +566,10 @@
 		if k.clearing != nil || !k.mayVote(m) {
 			continue // raft asks again
 		}
-		if k.conf.Keepers[from] != "" {
+		if k.conf.Voters[from] != "" {
 			k.met[from] = m.GetFrom()
 		}
-		if k.ledger.Keepers[from] == m.GetFrom() {
+		if k.ledger.Voters[from] == m.GetFrom() {
 			k.spoke[m.GetFrom()] = k.clock.Now()
 		}
 		k.noteSeen(m)
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -21,23 +21,23 @@
 // set, or one that holds it says that it has begun. So a folder that is lost on the way can't make two crews of one: its
 // new id is in nobody's set, and the others wait until all start anew, or have begun without it.
 
-// Word is what a keeper says of itself.
-type Word struct {
-	Name  string            `cbor:"1,keyasint"`
-	ID    uint64            `cbor:"2,keyasint"`
-	Set   map[string]uint64 `cbor:"3,keyasint,omitempty"`
-	Begun bool              `cbor:"4,keyasint,omitempty"`
-	Terms string            `cbor:"5,keyasint"`
+// Announcement is what a keeper says of itself.
+type Announcement struct {
+	Name       string            `cbor:"1,keyasint"`
+	ID         uint64            `cbor:"2,keyasint"`
+	Set        map[string]uint64 `cbor:"3,keyasint,omitempty"`
+	Begun      bool              `cbor:"4,keyasint,omitempty"`
+	ParamsHash string            `cbor:"5,keyasint"`
 	// What a keeper that starts with an older folder must know.
 	Term uint64          `cbor:"6,keyasint,omitempty"`
 	End  logEnd          `cbor:"7,keyasint"`
 	Seen map[uint64]past `cbor:"8,keyasint,omitempty"`
 }
 
-// Word is what it says of itself.
-func (k *Core) Word() Word {
-	w := Word{Name: k.conf.Name, ID: k.store.who.ID, Set: maps.Clone(k.store.who.Set), Begun: k.node != nil && len(k.ledger.Keepers) > 0,
-		Terms: k.conf.Terms.Hash(), End: k.logEnd(), Seen: maps.Clone(k.seen)}
+// Announcement is what it says of itself.
+func (k *Core) Announcement() Announcement {
+	w := Announcement{Name: k.conf.Name, ID: k.store.who.ID, Set: maps.Clone(k.store.who.Set), Begun: k.node != nil && len(k.ledger.Voters) > 0,
+		ParamsHash: k.conf.Params.Hash(), End: k.logEnd(), Seen: maps.Clone(k.seen)}
 	if k.node != nil {
 		w.Term = k.node.BasicStatus().HardState.GetTerm()
 	}
@@ -46,27 +46,27 @@
 
 // settled tells whether this keeper's own folder takes part in the agreement.
 func (k *Core) settled() bool {
-	return k.node != nil && k.ledger.Keepers[k.conf.Name] == k.store.who.ID
+	return k.node != nil && k.ledger.Voters[k.conf.Name] == k.store.who.ID
 }
 
 // askToForm asks the other keepers.
 func (k *Core) askToForm() {
-	for _, name := range slices.Sorted(maps.Keys(k.conf.Keepers)) {
+	for _, name := range slices.Sorted(maps.Keys(k.conf.Voters)) {
 		if name != k.conf.Name {
-			k.ways.Ask(name, k.Word())
+			k.ways.Announce(name, k.Announcement())
 		}
 	}
 }
 
-// Hear takes another keeper's word.
-func (k *Core) Hear(w Word) {
-	if k.fail != nil || w.Name == k.conf.Name || k.conf.Keepers[w.Name] == "" || w.ID == 0 {
+// HandleAnnouncement takes another keeper's word.
+func (k *Core) HandleAnnouncement(w Announcement) {
+	if k.fail != nil || w.Name == k.conf.Name || k.conf.Voters[w.Name] == "" || w.ID == 0 {
 		return
 	}
 	before, known := k.heard[w.Name]
-	if k.heard[w.Name] = w; w.Terms != k.conf.Terms.Hash() {
-		if !known || before.Terms != w.Terms {
-			k.log.Error().Str("keeper", w.Name).Str("here", k.conf.Terms.String()).Msg("its terms differ; start all with the same [crew]")
+	if k.heard[w.Name] = w; w.ParamsHash != k.conf.Params.Hash() {
+		if !known || before.ParamsHash != w.ParamsHash {
+			k.log.Error().Str("keeper", w.Name).Str("here", k.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
 		}
 		return
 	}
@@ -74,7 +74,7 @@
 		k.fail = k.hearClearing(w)
 		return
 	}
-	if k.node != nil && len(k.ledger.Keepers) > 0 {
+	if k.node != nil && len(k.ledger.Voters) > 0 {
 		k.unbind(w)
 		k.replace(w)
 		return
@@ -95,7 +95,7 @@
 		}
 	}
 	if mine == nil {
-		if len(k.heard) < len(k.conf.Keepers)-1 {
+		if len(k.heard) < len(k.conf.Voters)-1 {
 			return nil
 		}
 		set := map[string]uint64{k.conf.Name: k.store.who.ID}
@@ -103,7 +103,7 @@
 			set[name] = w.ID
 		}
 		for _, w := range k.heard {
-			if w.Terms != k.conf.Terms.Hash() || w.Set != nil && !maps.Equal(w.Set, set) {
+			if w.ParamsHash != k.conf.Params.Hash() || w.Set != nil && !maps.Equal(w.Set, set) {
 				return nil
 			}
 		}
@@ -128,7 +128,7 @@
 // found writes the beginning that all keepers of a set have in common: a snapshot with an empty ledger.
 func (k *Core) found(set map[string]uint64) error {
 	ledger := cluster.NewLedger()
-	ledger.Keepers = maps.Clone(set)
+	ledger.Voters = maps.Clone(set)
 	text, err := cbor.Marshal(ledger)
 	if err != nil {
 		return err
@@ -151,8 +151,8 @@
 
 // replace has the leader put a keeper's new folder in the place of the one that it lost, one at a time, and only if the
 // old one has not been heard of for an election's time: the same name started twice must not push out who serves.
-func (k *Core) replace(w Word) {
-	old, there := k.ledger.Keepers[w.Name]
+func (k *Core) replace(w Announcement) {
+	old, there := k.ledger.Voters[w.Name]
 	if k.state != raft.StateLeader || !there || old == w.ID || w.Set != nil || k.changing(0) || k.mark != 0 || !k.caughtUp() {
 		return
 	}
@@ -204,10 +204,10 @@
 	if err := cbor.Unmarshal(change.GetContext(), &r); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	former := append(k.ledger.Former, k.ledger.Keepers[r.Name])
-	k.ledger.Former = former[max(0, len(former)-cluster.MostFormer):]
-	k.ledger.Keepers[r.Name] = r.ID
-	in := slices.Collect(maps.Values(k.ledger.Keepers))
+	former := append(k.ledger.ReplacedVoters, k.ledger.Voters[r.Name])
+	k.ledger.ReplacedVoters = former[max(0, len(former)-cluster.MaxReplacedVoters):]
+	k.ledger.Voters[r.Name] = r.ID
+	in := slices.Collect(maps.Values(k.ledger.Voters))
 	maps.DeleteFunc(k.seen, func(id uint64, _ past) bool { return !slices.Contains(in, id) })
 	maps.DeleteFunc(k.spoke, func(id uint64, _ time.Time) bool { return !slices.Contains(in, id) })
 	k.log.Info().Str("keeper", r.Name).Msg("a keeper's folder was replaced")
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -14,8 +14,8 @@
 	queue chan *raftpb.Message
 }
 
-// Say is Ways'.
-func (k *Keeper) Say(name string, m *raftpb.Message) bool {
+// Send is Ways'.
+func (k *Voter) Send(name string, m *raftpb.Message) bool {
 	o := k.out[name]
 	if o == nil {
 		o = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
@@ -30,24 +30,24 @@
 	}
 }
 
-// Ask is Ways': each question has a goroutine and a connection of its own.
-func (k *Keeper) Ask(name string, mine Word) {
+// Announce is Ways': each question has a goroutine and a connection of its own.
+func (k *Voter) Announce(name string, mine Announcement) {
 	k.world.Go("form", func() {
 		line := k.line(name)
 		defer line.Close()
-		var theirs Word
+		var theirs Announcement
 		if err := line.Call("form", mine, &theirs, peerTime); err == nil {
-			k.post(func() { k.core.Hear(theirs) })
+			k.post(func() { k.core.HandleAnnouncement(theirs) })
 		}
 	})
 }
 
-func (k *Keeper) line(name string) *peerrpc.Line {
-	return peerrpc.NewLine(k.world, k.core.conf.Crew, k.core.conf.Name, k.core.conf.Keepers[name])
+func (k *Voter) line(name string) *peerrpc.Client {
+	return peerrpc.NewClient(k.world, k.core.conf.Cluster, k.core.conf.Name, k.core.conf.Voters[name])
 }
 
 // deliver says what is in an outbox until it is closed.
-func (k *Keeper) deliver(o *outbox, name string) {
+func (k *Voter) deliver(o *outbox, name string) {
 	line := k.line(name)
 	defer line.Close()
 	refused := ""
@@ -71,7 +71,7 @@
 		}
 		err := line.Call("raft", texts, nil, peerTime)
 		for _, id := range snapTo {
-			k.post(func() { k.core.Reported(id, err == nil) })
+			k.post(func() { k.core.SnapshotReported(id, err == nil) })
 		}
 		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != refused {
 			refused = err.Error() // once, not with each message
--- a/internal/cluster/voter/store_test.go
+++ b/internal/cluster/voter/store_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := newStore(disk, path, crewName, name, Draw)
+	s, err := newStore(disk, path, crewName, name, NewID)
 	if err != nil {
 		disk.Close()
 	}
--- a/internal/cluster/voter/keeper.go
+++ b/internal/cluster/voter/voter.go
@@ -27,8 +27,8 @@
 // ErrEnded is the answer of a keeper that has stopped.
 var ErrEnded = errors.New("this keeper has ended")
 
-// Keeper is one keeper of a crew: its core, and the goroutine that owns it.
-type Keeper struct {
+// Voter is one keeper of a crew: its core, and the goroutine that owns it.
+type Voter struct {
 	core  *Core
 	world env.Env
 	log   zerolog.Logger
@@ -41,14 +41,14 @@
 }
 
 // Open opens a keeper's folder; Run begins.
-func Open(conf Conf, world env.Env, logTo zerolog.Logger) (*Keeper, error) {
-	disk, path, err := openDisk(conf.Data)
+func Open(conf Conf, world env.Env, logTo zerolog.Logger) (*Voter, error) {
+	disk, path, err := openDisk(conf.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{world: world, log: logTo, events: make(chan func(), eventQueue),
+	k := &Voter{world: world, log: logTo, events: make(chan func(), eventQueue),
 		halt: make(chan struct{}), ended: make(chan struct{}), out: map[string]*outbox{}}
-	if k.core, err = NewCore(conf, world, logTo, disk, path, Draw, k); err != nil {
+	if k.core, err = NewCore(conf, world, logTo, disk, path, NewID, k); err != nil {
 		disk.Close()
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 }
 
 // Run carries the keeper until Stop, or until what it rests on fails: then it takes no further part in the agreement.
-func (k *Keeper) Run() {
+func (k *Voter) Run() {
 	defer close(k.ended)
 	defer k.core.store.close()
 	defer k.leads.Store(false)
@@ -64,13 +64,13 @@
 	for _, o := range k.out {
 		close(o.queue)
 	}
-	k.core.End()
+	k.core.FailWaiting()
 	if fail != nil {
 		k.log.Error().Err(fail).Str("file", k.core.store.path).Msg("this keeper takes no further part; see docs/crew.md, A keeper that has stopped")
 	}
 }
 
-func (k *Keeper) run() error {
+func (k *Voter) run() error {
 	if err := k.core.Start(); err != nil {
 		return err
 	}
@@ -89,16 +89,16 @@
 				(<-k.events)()
 			}
 		}
-		if err := k.core.Settle(); err != nil {
+		if err := k.core.ProcessReady(); err != nil {
 			return err
 		}
-		_, leads := k.core.Leads()
+		_, leads := k.core.IsLeader()
 		k.leads.Store(leads)
 	}
 }
 
 // Stop ends it and waits until it has.
-func (k *Keeper) Stop() {
+func (k *Voter) Stop() {
 	select {
 	case <-k.halt:
 	default:
@@ -107,11 +107,11 @@
 	<-k.ended
 }
 
-// Leads tells whether it took itself for the leader a moment ago.
-func (k *Keeper) Leads() bool { return k.leads.Load() }
+// IsLeader tells whether it took itself for the leader a moment ago.
+func (k *Voter) IsLeader() bool { return k.leads.Load() }
 
 // post hands something to the owner; false when that has ended.
-func (k *Keeper) post(do func()) bool {
+func (k *Voter) post(do func()) bool {
 	select {
 	case k.events <- do:
 		return true
@@ -121,7 +121,7 @@
 }
 
 // owned has the owner do something and returns what that replies.
-func owned[T any](k *Keeper, do func(reply func(T))) (T, error) {
+func owned[T any](k *Voter, do func(reply func(T))) (T, error) {
 	answer := make(chan T, 1)
 	var none T
 	if !k.post(func() { do(func(t T) { answer <- t }) }) {
@@ -136,22 +136,22 @@
 }
 
 // Renew answers a renewal: here, or by the name of the leader.
-func (k *Keeper) Renew(r cluster.Renewal) (Renewed, error) {
-	a, err := owned(k, func(reply func(Renewed)) { k.core.Renew(r, reply) })
+func (k *Voter) Renew(r cluster.Renewal) (RenewResult, error) {
+	a, err := owned(k, func(reply func(RenewResult)) { k.core.Renew(r, reply) })
 	if a.Grant != nil && a.Grant.Granted {
-		k.post(func() { k.core.Told(&r) })
+		k.post(func() { k.core.LeaseAnswerSent(&r) })
 	}
 	return a, err
 }
 
 // Propose has a version proposed: it returns when that is agreed on, or refused.
-func (k *Keeper) Propose(p cluster.Proposal) (Proposed, error) {
+func (k *Voter) Propose(p cluster.Proposal) (ProposeResult, error) {
 	type proposed struct {
-		answer Proposed
+		answer ProposeResult
 		err    error
 	}
 	a, err := owned(k, func(reply func(proposed)) {
-		k.core.Propose(p, func(answer Proposed, err error) { reply(proposed{answer, err}) })
+		k.core.Propose(p, func(answer ProposeResult, err error) { reply(proposed{answer, err}) })
 	})
 	if err == nil {
 		err = a.err
@@ -160,12 +160,12 @@
 }
 
 // Status tells what it knows.
-func (k *Keeper) Status() (Status, error) {
+func (k *Voter) Status() (Status, error) {
 	return owned(k, func(reply func(Status)) { reply(k.core.Status()) })
 }
 
 // Handlers answer peers.
-func (k *Keeper) Handlers() map[string]peerrpc.Handler {
+func (k *Voter) Handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"raft": k.takeRaft, "form": k.takeForm,
 		"renew": func(_ string, body []byte) (any, error) {
@@ -187,7 +187,7 @@
 }
 
 // takeRaft takes messages of another keeper's raft.
-func (k *Keeper) takeRaft(from string, body []byte) (any, error) {
+func (k *Voter) takeRaft(from string, body []byte) (any, error) {
 	var texts [][]byte
 	if err := peerrpc.Decode(body, &texts); err != nil {
 		return nil, fmt.Errorf("raft: malformed: %w", err)
@@ -200,7 +200,7 @@
 		}
 		messages = append(messages, m)
 	}
-	why, err := owned(k, func(reply func(error)) { reply(k.core.Take(from, messages)) })
+	why, err := owned(k, func(reply func(error)) { reply(k.core.HandleMessages(from, messages)) })
 	if err == nil {
 		err = why
 	}
@@ -208,13 +208,13 @@
 }
 
 // takeForm answers another keeper's word with the own one.
-func (k *Keeper) takeForm(_ string, body []byte) (any, error) {
-	var theirs Word
+func (k *Voter) takeForm(_ string, body []byte) (any, error) {
+	var theirs Announcement
 	if err := peerrpc.Decode(body, &theirs); err != nil {
 		return nil, fmt.Errorf("form: malformed: %w", err)
 	}
-	return owned(k, func(reply func(Word)) {
-		k.core.Hear(theirs)
-		reply(k.core.Word())
+	return owned(k, func(reply func(Announcement)) {
+		k.core.HandleAnnouncement(theirs)
+		reply(k.core.Announcement())
 	})
 }
--- a/internal/cluster/voter/keeper_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -19,21 +19,21 @@
 type three struct {
 	t       *testing.T
 	dir     string
-	keepers map[string]*Keeper
+	keepers map[string]*Voter
 	servers map[string]*peerrpc.Server
 	conf    Conf
 }
 
 func startThree(t *testing.T) *three {
 	t.Helper()
-	c := &three{t: t, dir: t.TempDir(), keepers: map[string]*Keeper{}, servers: map[string]*peerrpc.Server{},
-		conf: Conf{Crew: "c", Keepers: map[string]string{}, Terms: cluster.Terms{Lease: time.Second}}}
+	c := &three{t: t, dir: t.TempDir(), keepers: map[string]*Voter{}, servers: map[string]*peerrpc.Server{},
+		conf: Conf{Cluster: "c", Voters: map[string]string{}, Params: cluster.Params{Lease: time.Second}}}
 	for _, name := range []string{"a", "b", "c"} {
 		s, err := peerrpc.Listen(env.Real{}, "127.0.0.1:0", "c")
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.servers[name], c.conf.Keepers[name] = s, s.Address()
+		c.servers[name], c.conf.Voters[name] = s, s.Address()
 	}
 	for name := range c.servers {
 		c.start(name)
@@ -49,14 +49,14 @@
 func (c *three) start(name string) {
 	c.t.Helper()
 	conf := c.conf
-	conf.Name, conf.Data = name, c.dir+"/"+name
+	conf.Name, conf.DataDir = name, c.dir+"/"+name
 	k, err := Open(conf, env.Real{}, zerolog.New(zerolog.NewTestWriter(c.t)).With().Str("keeper", name).Logger())
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	s := c.servers[name]
 	if s == nil {
-		if s, err = peerrpc.Listen(env.Real{}, conf.Keepers[name], "c"); err != nil {
+		if s, err = peerrpc.Listen(env.Real{}, conf.Voters[name], "c"); err != nil {
 			c.t.Fatal(err)
 		}
 	}
@@ -84,9 +84,9 @@
 			if err != nil {
 				continue
 			}
-			seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Keepers)]++
+			seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Voters)]++
 			last += fmt.Sprintf(" %s: leader %q term %d applied %d;", name, s.Leader, s.Term, s.Applied)
-			if s.Leader != "" && seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Keepers)] == len(c.keepers) {
+			if s.Leader != "" && seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Voters)] == len(c.keepers) {
 				return s.Leader
 			}
 		}
@@ -114,7 +114,7 @@
 		c.start(name)
 		for limit := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
 			s, err := c.keepers[c.leader()].Status()
-			if err == nil && s.Ledger.Keepers[name] != before {
+			if err == nil && s.Ledger.Voters[name] != before {
 				break
 			}
 			if time.Now().After(limit) {
@@ -135,9 +135,9 @@
 	if told, err := c.keepers[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
 		t.Fatalf("%+v, %v", told, err)
 	}
-	member := cluster.NewHolder(cluster.Member{Name: "m", Token: 1}, c.conf.Terms, versions.Own(&decide.Settings{}), 0)
+	member := cluster.NewLeaseHolder(cluster.Member{Name: "m", Token: 1}, c.conf.Params, versions.FromSettings(&decide.Settings{}), 0)
 	grant := ask(t, c, member)
-	if _, err := member.Told(0, grant); err != nil || grant.Next == nil && grant.Active.Number != 1 {
+	if _, err := member.HandleGrant(0, grant); err != nil || grant.Next == nil && grant.Active.Number != 1 {
 		t.Fatalf("%+v, %v", grant, err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
@@ -150,10 +150,10 @@
 		c.start(name)
 	}
 	lead := c.leader()
-	if s, err := c.keepers[lead].Status(); err != nil || len(s.Ledger.Rounds()) != 0 {
+	if s, err := c.keepers[lead].Status(); err != nil || len(s.Ledger.VersionRecords()) != 0 {
 		t.Fatalf("%+v, %v", s.Ledger, err)
 	}
-	if _, err := member.Told(1, ask(t, c, member)); err == nil {
+	if _, err := member.HandleGrant(1, ask(t, c, member)); err == nil {
 		t.Error("a member of the former crew takes the new one's word")
 	}
 	if told, err := c.keepers[lead].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
@@ -162,17 +162,17 @@
 }
 
 // ask has a member ask the leader until it is in, or refused for good.
-func ask(t *testing.T, c *three, h *cluster.Holder) *cluster.Grant {
+func ask(t *testing.T, c *three, h *cluster.LeaseHolder) *cluster.Grant {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-		a, err := c.keepers[c.leader()].Renew(h.Ask())
+		a, err := c.keepers[c.leader()].Renew(h.NextRenewal())
 		if err != nil || a.Grant == nil {
 			continue
 		}
-		if !a.Grant.Again {
+		if !a.Grant.RetryNow {
 			return a.Grant
 		}
-		if _, err := h.Told(0, a.Grant); err != nil {
+		if _, err := h.HandleGrant(0, a.Grant); err != nil {
 			return a.Grant
 		}
 	}
--- a/internal/clusterparams/holdings.go
+++ b/internal/clusterparams/holdings.go
@@ -12,9 +12,9 @@
 
 // Bounds of those terms.
 const (
-	MostCopies    = 5
-	LeastKeep     = time.Second
-	MostKeep      = 24 * time.Hour
-	LeastLost     = time.Second
-	MostLostAfter = time.Hour
+	MaxCopies    = 5
+	MinKeep      = time.Second
+	MaxKeep      = 24 * time.Hour
+	MinLostAfter = time.Second
+	MaxLostAfter = time.Hour
 )
--- a/internal/clusterparams/terms.go
+++ b/internal/clusterparams/terms.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Terms are what all processes of a crew must be started with alike: a lease that holder
+// Params are what all processes of a crew must be started with alike: a lease that holder
 // and granter count differently would protect nothing.
-type Terms struct {
+type Params struct {
 	Lease time.Duration // for so long a member may act on what it was told, from before it asked
 	Drift float64       // each clock's rate is right to this part, at most
 	Slack time.Duration // between a member's look at its lease and what it then does
@@ -23,21 +23,21 @@
 
 // Bounds of the terms, and of a crew.
 const (
-	LeastLease  = 200 * time.Millisecond // shorter ones end between two renewals on a busy machine
-	MostLease   = time.Minute
-	MostDrift   = 0.1
-	MostMembers = 4096
-	MostKeepers = 7
+	MinLease   = 200 * time.Millisecond // shorter ones end between two renewals on a busy machine
+	MaxLease   = time.Minute
+	MaxDrift   = 0.1
+	MaxMembers = 4096
+	MaxVoters  = 7
 )
 
-// Wait is how long after its last word a granter takes a lease for held: however far
+// LessorWait is how long after its last word a granter takes a lease for held: however far
 // apart both clocks go within the drift, the holder has stopped by then.
-func (t Terms) Wait() time.Duration {
+func (t Params) LessorWait() time.Duration {
 	return time.Duration(float64(t.Lease)*(1+t.Drift)/(1-t.Drift)) + t.Slack
 }
 
 // Hash is equal for equal terms.
-func (t Terms) Hash() string {
+func (t Params) Hash() string {
 	fixed := slices.Sorted(slices.Values(t.FixedClasses))
 	text := fmt.Appendf(nil, "%d %v %d %q", t.Lease, t.Drift, t.Slack, fixed)
 	if t.Holdings.Copies > 0 {
@@ -48,7 +48,7 @@
 }
 
 // String names them as the operator's file does.
-func (t Terms) String() string {
+func (t Params) String() string {
 	holdings := ""
 	if h := t.Holdings; h.Copies > 0 {
 		holdings = fmt.Sprintf(", holdings: copies %d, keep %v, lost_after %v", h.Copies, h.Keep, h.LostAfter)
--- a/internal/command/crew.go
+++ b/internal/command/crew.go
@@ -46,7 +46,7 @@
 // crewTalk is a conversation with the keepers of a crew.
 type crewTalk struct {
 	table *operator.Crew
-	lines map[string]*peerrpc.Line
+	lines map[string]*peerrpc.Client
 }
 
 func (a *crewAt) open() (*crewTalk, error) {
@@ -57,9 +57,9 @@
 	if file.Crew == nil {
 		return nil, fmt.Errorf("%s: no table [crew]", a.Operator)
 	}
-	t := &crewTalk{table: file.Crew, lines: map[string]*peerrpc.Line{}}
+	t := &crewTalk{table: file.Crew, lines: map[string]*peerrpc.Client{}}
 	for name, address := range file.Crew.Keepers {
-		t.lines[name] = peerrpc.NewLine(env.Real{}, file.Crew.Name, "cli", address)
+		t.lines[name] = peerrpc.NewClient(env.Real{}, file.Crew.Name, "cli", address)
 	}
 	return t, nil
 }
@@ -140,7 +140,7 @@
 	if c.JSON {
 		return writeJSON(o, map[string]any{"crew": t.table.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
 			"members": len(s.Ledger.Members), "version": s.Ledger.Active.Number, "hash": s.Ledger.Active.Hash.String(), "next": next,
-			"keepers": slices.Sorted(maps.Keys(s.Ledger.Keepers)), "forming": s.Forming})
+			"keepers": slices.Sorted(maps.Keys(s.Ledger.Voters)), "forming": s.Forming})
 	}
 	leader := s.Leader
 	if leader == "" {
@@ -158,12 +158,12 @@
 
 // crewMember is a line of the members.
 type crewMember struct {
-	Name    string       `json:"name"`
-	Zone    string       `json:"zone"`
-	Address string       `json:"address"`
-	LeaseMS *int         `json:"lease_ms,omitempty"` // until it has surely ended, by the leader
-	Acts    *member.Acts `json:"acts,omitempty"`     // by its own word
-	Error   string       `json:"error,omitempty"`
+	Name    string         `json:"name"`
+	Zone    string         `json:"zone"`
+	Address string         `json:"address"`
+	LeaseMS *int           `json:"lease_ms,omitempty"` // until it has surely ended, by the leader
+	Acts    *member.Status `json:"acts,omitempty"`     // by its own word
+	Error   string         `json:"error,omitempty"`
 }
 
 // Run asks each member.
@@ -179,8 +179,8 @@
 		if ms, known := s.Leases[name]; known {
 			one.LeaseMS = &ms
 		}
-		line := peerrpc.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
-		var acts member.Acts
+		line := peerrpc.NewClient(env.Real{}, t.table.Name, "cli", m.Address)
+		var acts member.Status
 		if err := line.Call("acting", struct{}{}, &acts, crewCall); err != nil {
 			one.Error = err.Error()
 		} else {
@@ -231,12 +231,12 @@
 		return err
 	}
 	var all []crewVersion
-	for _, r := range s.Ledger.Rounds() {
+	for _, r := range s.Ledger.VersionRecords() {
 		state := r.State.String()
 		if r.State == cluster.Active && r.Number != s.Ledger.Active.Number {
 			state = "was active"
 		}
-		all = append(all, crewVersion{r.Number, r.Parent, state, r.Hash.String(), r.Author, r.Note, r.Why, r.Doc})
+		all = append(all, crewVersion{r.Number, r.Parent, state, r.Hash.String(), r.Author, r.Note, r.Reason, r.Doc})
 	}
 	if c.JSON {
 		return writeJSON(o, all)
@@ -287,7 +287,7 @@
 	if number == 0 {
 		return &versions.Document{}, nil
 	}
-	for _, r := range l.Rounds() {
+	for _, r := range l.VersionRecords() {
 		if r.Number == number {
 			return &r.Doc, nil
 		}
@@ -347,7 +347,7 @@
 
 // propose says a proposal until it is told, and waits for its end.
 func (t *crewTalk) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
-	p.ID = voter.Draw()
+	p.ID = voter.NewID()
 	if u, err := user.Current(); err == nil {
 		p.Author = u.Username
 	}
@@ -359,7 +359,7 @@
 			continue
 		}
 		if number == 0 {
-			var told voter.Proposed
+			var told voter.ProposeResult
 			// The same proposal said again counts once: an answer that was lost does no harm.
 			err := t.lines[s.Name].Call("propose", p, &told, crewCall)
 			if errors.Is(err, peerrpc.ErrRefused) {
@@ -379,7 +379,7 @@
 		}
 		took := time.Since(began).Round(time.Millisecond)
 		if r.State == cluster.Refused {
-			return fmt.Errorf("version %d is refused: %s", number, r.Why)
+			return fmt.Errorf("version %d is refused: %s", number, r.Reason)
 		}
 		if asJSON {
 			return writeJSON(o, map[string]any{"number": number, "state": r.State.String(), "took_ms": took.Milliseconds()})
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -33,7 +33,7 @@
 }
 
 func statusOf(s *voter.Status, copies int) heldStatus {
-	out := heldStatus{Copies: copies, Shards: holdings.Shards, Seats: map[string]int{}}
+	out := heldStatus{Copies: copies, Shards: holdings.NumShards, Seats: map[string]int{}}
 	for name := range s.Ledger.Members {
 		out.Seats[name] = 0
 	}
@@ -132,12 +132,12 @@
 	for _, replica := range shard.Replicas {
 		m := s.Ledger.Members[replica.Name]
 		one := heldCopy{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
-		line := peerrpc.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
-		var shown member.Shown
+		line := peerrpc.NewClient(env.Real{}, t.table.Name, "cli", m.Address)
+		var shown member.KeyState
 		switch err := line.Call("hold-show", key, &shown, crewCall); {
 		case err != nil:
 			one.Error = err.Error()
-		case !shown.Has:
+		case !shown.Found:
 			one.State = "nothing"
 		default:
 			one.State, one.Owner, one.Age = shown.Entry.State.String(), shown.Entry.Owner.Name, shown.Entry.Age
--- a/internal/holdings/delta.go
+++ b/internal/holdings/delta.go
@@ -17,7 +17,7 @@
 const (
 	// mostNoted names of members and shards a history keeps: as many as a crew may have members. Who needs changes of more is
 	// nearly always told the whole in fewer bytes.
-	mostNoted = clusterparams.MostMembers
+	mostNoted = clusterparams.MaxMembers
 	// mostRecords of changes it keeps: a restart makes two epochs, so that this reaches over half an hour of a restart a second.
 	mostRecords = 4096
 )
@@ -82,13 +82,13 @@
 	return slices.Compact(things), true
 }
 
-// NoteMembers books members that came, went or changed between two epochs.
-func (h *History) NoteMembers(before, after uint64, names []string) {
+// RecordMembers books members that came, went or changed between two epochs.
+func (h *History) RecordMembers(before, after uint64, names []string) {
 	h.epochs.note(before, after, names)
 }
 
-// NoteChanges books changes of a placement between two of its numbers.
-func (h *History) NoteChanges(before, after uint64, changes []Change) {
+// RecordChanges books changes of a placement between two of its numbers.
+func (h *History) RecordChanges(before, after uint64, changes []PlacementChange) {
 	shards := make([]int, 0, len(changes))
 	for _, c := range changes {
 		shards = append(shards, c.Shard)
@@ -104,11 +104,11 @@
 	Epoch       uint64 `cbor:"2,keyasint"`
 	SinceNumber uint64 `cbor:"3,keyasint,omitempty"`
 	Number      uint64 `cbor:"4,keyasint"`
-	// In are members that came or changed, as they are now, and Gone the names of those that are gone.
-	In     []Member       `cbor:"5,keyasint,omitempty"`
-	Gone   []string       `cbor:"6,keyasint,omitempty"`
-	Shards []ChangedShard `cbor:"7,keyasint,omitempty"`
-	Sum    uint64         `cbor:"8,keyasint"` // of the state that it leads to
+	// Joined are members that came or changed, as they are now, and Gone the names of those that are gone.
+	Joined   []Member       `cbor:"5,keyasint,omitempty"`
+	Gone     []string       `cbor:"6,keyasint,omitempty"`
+	Shards   []ChangedShard `cbor:"7,keyasint,omitempty"`
+	Checksum uint64         `cbor:"8,keyasint"` // of the state that it leads to
 }
 
 // ChangedShard is a shard as it is now.
@@ -120,17 +120,17 @@
 // Delta returns what leads from a state, of which epoch and number are named (0 for none), to one that is the ledger's.
 // Each of both parts is told whole where that takes no more. sum is the checksum of to, which has a placement.
 func (h *History) Delta(sinceEpoch, sinceNumber uint64, to *View, sum uint64) *Delta {
-	d := &Delta{SinceEpoch: sinceEpoch, Epoch: to.Epoch, SinceNumber: sinceNumber, Number: to.number(), Sum: sum}
+	d := &Delta{SinceEpoch: sinceEpoch, Epoch: to.Epoch, SinceNumber: sinceNumber, Number: to.number(), Checksum: sum}
 	names, known := h.epochs.since(sinceEpoch, to.Epoch)
 	if !known || len(names) > 0 && len(names) >= len(to.Members) {
-		d.SinceEpoch, d.In = 0, to.Members
+		d.SinceEpoch, d.Joined = 0, to.Members
 	}
 	for _, name := range names {
 		if d.SinceEpoch == 0 {
 			break
 		}
 		if i, in := to.find(name); in {
-			d.In = append(d.In, to.Members[i])
+			d.Joined = append(d.Joined, to.Members[i])
 		} else {
 			d.Gone = append(d.Gone, name)
 		}
@@ -138,7 +138,7 @@
 	shards, known := h.numbers.since(sinceNumber, to.number())
 	if !known {
 		d.SinceNumber = 0
-		for i := range Shards {
+		for i := range NumShards {
 			if !to.Placement.Shards[i].empty() {
 				shards = append(shards, i)
 			}
@@ -165,9 +165,9 @@
 
 // Errors of a delta that can't be taken.
 var (
-	ErrBase  = errors.New("it starts from another state than the one that is known")
-	ErrSum   = errors.New("what it leads to has another checksum than the one that it tells")
-	ErrDelta = errors.New("it is malformed")
+	ErrBase     = errors.New("it starts from another state than the one that is known")
+	ErrChecksum = errors.New("what it leads to has another checksum than the one that it tells")
+	ErrDelta    = errors.New("it is malformed")
 )
 
 // NewView is one of members and a placement that were told whole.
@@ -196,9 +196,9 @@
 	return slices.BinarySearchFunc(v.Members, name, func(m Member, name string) int { return cmp.Compare(m.Name, name) })
 }
 
-// Take returns the view that a delta leads to; with an error, the view as it was. A delta that leads to where the view
+// Apply returns the view that a delta leads to; with an error, the view as it was. A delta that leads to where the view
 // is already changes nothing.
-func (v View) Take(d *Delta) (View, error) {
+func (v View) Apply(d *Delta) (View, error) {
 	if err := d.check(); err != nil {
 		return v, err
 	}
@@ -209,8 +209,8 @@
 		return v, fmt.Errorf("%w: epoch %d and placement %d; %d and %d are known", ErrBase, d.SinceEpoch, d.SinceNumber, v.Epoch, v.number())
 	}
 	next := v.apply(d)
-	if next.Sum() != d.Sum {
-		return v, fmt.Errorf("%w: epoch %d, placement %d", ErrSum, d.Epoch, d.Number)
+	if next.Checksum() != d.Checksum {
+		return v, fmt.Errorf("%w: epoch %d, placement %d", ErrChecksum, d.Epoch, d.Number)
 	}
 	return next, nil
 }
@@ -223,7 +223,7 @@
 		if d.SinceEpoch == 0 {
 			base = nil
 		}
-		next.Members = merged(base, d.In, d.Gone)
+		next.Members = merged(base, d.Joined, d.Gone)
 	}
 	if d.SinceNumber != d.Number {
 		p := Placement{}
@@ -244,12 +244,12 @@
 	switch {
 	case d.SinceEpoch > d.Epoch || d.SinceNumber > d.Number || d.Number == 0:
 		return fmt.Errorf("%w: from epoch %d to %d, from placement %d to %d", ErrDelta, d.SinceEpoch, d.Epoch, d.SinceNumber, d.Number)
-	case len(d.In)+len(d.Gone) > 2*clusterparams.MostMembers:
-		return fmt.Errorf("%w: %d members; allowed: up to %d", ErrDelta, len(d.In)+len(d.Gone), 2*clusterparams.MostMembers)
+	case len(d.Joined)+len(d.Gone) > 2*clusterparams.MaxMembers:
+		return fmt.Errorf("%w: %d members; allowed: up to %d", ErrDelta, len(d.Joined)+len(d.Gone), 2*clusterparams.MaxMembers)
 	}
 	for _, s := range d.Shards {
-		if s.Shard < 0 || s.Shard >= Shards {
-			return fmt.Errorf("%w: shard %d; allowed: 0 to %d", ErrDelta, s.Shard, Shards-1)
+		if s.Shard < 0 || s.Shard >= NumShards {
+			return fmt.Errorf("%w: shard %d; allowed: 0 to %d", ErrDelta, s.Shard, NumShards-1)
 		}
 	}
 	return nil
@@ -279,9 +279,9 @@
 	return out
 }
 
-// Sum is equal for equal views, and hardly ever for others: over each field of all members and shards, with lengths before what
+// Checksum is equal for equal views, and hardly ever for others: over each field of all members and shards, with lengths before what
 // has one.
-func (v *View) Sum() uint64 {
+func (v *View) Checksum() uint64 {
 	var h xxh3.Hasher
 	var buffer [256]byte
 	b := buffer[:0]
@@ -294,7 +294,7 @@
 	for i := range v.Members {
 		m := &v.Members[i]
 		text(m.Name)
-		b = binary.AppendUvarint(b, m.In)
+		b = binary.AppendUvarint(b, m.JoinEpoch)
 		b = binary.AppendUvarint(b, m.Token)
 		text(m.Zone)
 		text(m.Address)
@@ -310,7 +310,7 @@
 			}
 			for _, r := range s.Replicas {
 				text(r.Name)
-				b = binary.AppendUvarint(b, r.In)
+				b = binary.AppendUvarint(b, r.JoinEpoch)
 				b = binary.AppendUvarint(b, r.Token)
 				ready := byte(0)
 				if r.Ready {
--- a/internal/holdings/delta_test.go
+++ b/internal/holdings/delta_test.go
@@ -32,25 +32,25 @@
 	}
 	a.view.Members = merged(a.view.Members, in, gone)
 	a.view.Epoch++
-	a.history.NoteMembers(a.view.Epoch-1, a.view.Epoch, append(names, gone...))
+	a.history.RecordMembers(a.view.Epoch-1, a.view.Epoch, append(names, gone...))
 }
 
-func (a *author) place(t *rapid.T, changes []Change) {
+func (a *author) place(t *rapid.T, changes []PlacementChange) {
 	before := a.view.Placement.Number
 	if err := a.view.Placement.Apply(changes); err != nil {
 		t.Fatal(err)
 	}
-	a.history.NoteChanges(before, a.view.Placement.Number, changes)
+	a.history.RecordChanges(before, a.view.Placement.Number, changes)
 }
 
 // change draws an entry.
 func (a *author) change(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
-		var changes []Change
-		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, Shards-1), 1, 6, rapid.ID[int]).Draw(t, "shards") {
-			c := Change{Shard: i, Config: a.view.Placement.Shards[i].Config, Lost: rapid.Bool().Draw(t, "lost")}
+		var changes []PlacementChange
+		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, NumShards-1), 1, 6, rapid.ID[int]).Draw(t, "shards") {
+			c := PlacementChange{Shard: i, Config: a.view.Placement.Shards[i].Config, Lost: rapid.Bool().Draw(t, "lost")}
 			for n := range rapid.IntRange(0, 2).Draw(t, "replicas") {
-				c.Replicas = append(c.Replicas, Replica{Who: Who{fmt.Sprint("m", n), a.view.Epoch}, Token: rapid.Uint64().Draw(t, "token"), Ready: n == 0})
+				c.Replicas = append(c.Replicas, Replica{Incarnation: Incarnation{fmt.Sprint("m", n), a.view.Epoch}, Token: rapid.Uint64().Draw(t, "token"), Ready: n == 0})
 			}
 			changes = append(changes, c)
 		}
@@ -65,7 +65,7 @@
 			gone = append(gone, name)
 			continue
 		}
-		in = append(in, Member{Who: Who{name, a.view.Epoch + 1}, Token: rapid.Uint64().Draw(t, "token"), Zone: fmt.Sprint(i % 3),
+		in = append(in, Member{Incarnation: Incarnation{name, a.view.Epoch + 1}, Token: rapid.Uint64().Draw(t, "token"), Zone: fmt.Sprint(i % 3),
 			Address: fmt.Sprint("10.0.0.", i)})
 	}
 	a.members(gone, in)
@@ -74,7 +74,7 @@
 func newAuthor(most int) *author {
 	a := &author{view: View{Placement: &Placement{}}}
 	a.history.epochs.most, a.history.numbers.most = most, most
-	a.members(nil, []Member{{Who: Who{"m00", 1}, Token: 1}})
+	a.members(nil, []Member{{Incarnation: Incarnation{"m00", 1}, Token: 1}})
 	return a
 }
 
@@ -90,7 +90,7 @@
 func TestDeltaLeadsToTheLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := newAuthor(rapid.IntRange(1, 40).Draw(t, "most"))
-		leader.place(t, []Change{{Shard: 0, Replicas: []Replica{{Who: Who{"m00", 1}, Ready: true}}}})
+		leader.place(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
 		type member struct {
 			view, copied View // as it is, and as it was when it came
 			flying       []*Delta
@@ -122,9 +122,9 @@
 				if !m.distrusts {
 					epoch, number = m.view.Epoch, m.view.number()
 				}
-				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Sum()); epoch != leader.view.Epoch || number != leader.view.number() {
+				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Checksum()); epoch != leader.view.Epoch || number != leader.view.number() {
 					c := *d // coded, on its way
-					c.In, c.Gone, c.Shards = slices.Clone(d.In), slices.Clone(d.Gone), slices.Clone(d.Shards)
+					c.Joined, c.Gone, c.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 					for i := range c.Shards {
 						c.Shards[i].Of.Replicas = slices.Clone(c.Shards[i].Of.Replicas)
 					}
@@ -142,8 +142,8 @@
 				if d.Epoch < m.view.Epoch || d.Epoch == m.view.Epoch && d.Number < m.view.number() {
 					continue // late word: who asks in order drops it
 				}
-				next, err := m.view.Take(d)
-				if errors.Is(err, ErrSum) || errors.Is(err, ErrDelta) {
+				next, err := m.view.Apply(d)
+				if errors.Is(err, ErrChecksum) || errors.Is(err, ErrDelta) {
 					t.Fatalf("%+v: %v", d, err)
 				}
 				if err != nil && m.view.Placement != nil && !same(&next, &m.copied) {
@@ -169,8 +169,8 @@
 		// In the end whoever asks has all.
 		for i := range all {
 			v := &all[i].view
-			d := leader.history.Delta(v.Epoch, v.number(), &leader.view, leader.view.Sum())
-			if next, err := v.Take(d); err != nil || !same(&next, &leader.view) {
+			d := leader.history.Delta(v.Epoch, v.number(), &leader.view, leader.view.Checksum())
+			if next, err := v.Apply(d); err != nil || !same(&next, &leader.view) {
 				t.Fatalf("%+v: %v", d, err)
 			}
 		}
@@ -185,12 +185,12 @@
 			met := 0 // faults that would lead to another state than the ledger's
 			rapid.Check(t, func(t *rapid.T) {
 				a := newAuthor(rapid.IntRange(4, 200).Draw(t, "most"))
-				a.place(t, []Change{{Shard: 0, Replicas: []Replica{{Who: Who{"m00", 1}, Ready: true}}}})
+				a.place(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
 				for range rapid.IntRange(0, 8).Draw(t, "before") {
 					a.change(t)
 				}
-				whole := a.history.Delta(0, 0, &a.view, a.view.Sum())
-				known, err := View{}.Take(whole)
+				whole := a.history.Delta(0, 0, &a.view, a.view.Checksum())
+				known, err := View{}.Apply(whole)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -207,7 +207,7 @@
 				if wrong := known.apply(d); same(&wrong, &a.view) {
 					return // it is no fault this time: it leads to what is true, and would without the checksum
 				}
-				next, err := known.Take(d)
+				next, err := known.Apply(d)
 				if !same(&next, &known) {
 					t.Fatalf("%+v is taken: %+v", d, next)
 				}
@@ -215,7 +215,7 @@
 					t.Fatalf("%+v: no error", d)
 				}
 				met++
-				if next, err = next.Take(a.history.Delta(0, 0, &a.view, a.view.Sum())); err != nil || !same(&next, &a.view) {
+				if next, err = next.Apply(a.history.Delta(0, 0, &a.view, a.view.Checksum())); err != nil || !same(&next, &a.view) {
 					t.Fatalf("the whole does not mend it: %v", err)
 				}
 			})
@@ -230,12 +230,12 @@
 // deltaFaults are what a leader could say wrongly to who knows a view. middle is the leader one entry before.
 var deltaFaults = map[string]func(a, middle *author, known *View) (*Delta, bool){
 	"a change is left out": func(a, _ *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(known.Epoch, known.number(), &a.view, a.view.Sum())
+		d := *a.history.Delta(known.Epoch, known.number(), &a.view, a.view.Checksum())
 		switch {
 		case len(d.Gone) > 0:
 			d.Gone = d.Gone[1:]
-		case len(d.In) > 0:
-			d.In = d.In[1:]
+		case len(d.Joined) > 0:
+			d.Joined = d.Joined[1:]
 		case len(d.Shards) > 0:
 			d.Shards = d.Shards[1:]
 		default:
@@ -245,7 +245,7 @@
 	},
 	"a change is applied again after a later one": func(a, middle *author, known *View) (*Delta, bool) {
 		// The delta of one entry before, said to lead to the present one.
-		d := *middle.history.Delta(known.Epoch, known.number(), &middle.view, a.view.Sum())
+		d := *middle.history.Delta(known.Epoch, known.number(), &middle.view, a.view.Checksum())
 		if d.SinceEpoch != 0 && d.SinceEpoch == d.Epoch && a.view.Epoch != d.Epoch {
 			return nil, false // it has no members, and would have to
 		}
@@ -254,7 +254,7 @@
 	},
 	"a wrong base number": func(a, middle *author, known *View) (*Delta, bool) {
 		// From one entry before, said to start from what is known.
-		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Sum())
+		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Checksum())
 		if d.SinceEpoch == 0 || d.SinceNumber == 0 || middle.view.Epoch == known.Epoch && middle.view.number() == known.number() {
 			return nil, false
 		}
@@ -262,7 +262,7 @@
 		return &d, true
 	},
 	"a wrong base number that is said": func(a, middle *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Sum())
+		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Checksum())
 		return &d, d.SinceEpoch > known.Epoch || d.SinceNumber > known.number()
 	},
 	"the history is cut short and the whole is not sent": func(a, _ *author, known *View) (*Delta, bool) {
@@ -270,7 +270,7 @@
 		short.history.epochs.most, short.history.numbers.most = 1, 1
 		cut(&short.history.epochs)
 		cut(&short.history.numbers)
-		d := short.history.Delta(known.Epoch, known.number(), &short.view, a.view.Sum())
+		d := short.history.Delta(known.Epoch, known.number(), &short.view, a.view.Checksum())
 		return d, d.SinceEpoch != 0 || d.SinceNumber != 0
 	},
 }
@@ -285,11 +285,11 @@
 // Bounds: what a delta may not hold is told, and a history forgets its oldest records and says so.
 func TestDeltaBounds(t *testing.T) {
 	for want, d := range map[error]Delta{
-		ErrDelta: {Epoch: 1, Number: 1, Shards: []ChangedShard{{Shard: Shards}}},
-		ErrBase:  {SinceEpoch: 1, Epoch: 2, Number: 1},
-		ErrSum:   {Epoch: 2, Number: 1},
+		ErrDelta:    {Epoch: 1, Number: 1, Shards: []ChangedShard{{Shard: NumShards}}},
+		ErrBase:     {SinceEpoch: 1, Epoch: 2, Number: 1},
+		ErrChecksum: {Epoch: 2, Number: 1},
 	} {
-		if got, err := (View{}).Take(&d); !errors.Is(err, want) || got.Placement != nil || got.Epoch != 0 {
+		if got, err := (View{}).Apply(&d); !errors.Is(err, want) || got.Placement != nil || got.Epoch != 0 {
 			t.Errorf("%+v: %v, %+v", d, err, got)
 		}
 	}
--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -72,7 +72,7 @@
 	moving     bool // it leaves when its replicas are others'
 	inbox      []func()
 	store      *Store
-	me         Who
+	me         Incarnation
 	leased     Boot
 	view       View // what it was told of members and placement
 	distrusts  bool // a delta could not be taken: it names nothing
@@ -90,12 +90,12 @@
 	epoch     uint64
 	in        map[string]Member
 	until     map[string]Boot
-	filled    map[string][]Filled
-	unheard   map[string][]Who
+	filled    map[string][]CaughtUp
+	unheard   map[string][]Incarnation
 	ways      map[[2]string]bool // that are cut
 	placement *Placement
 	history   History
-	dead      [Shards]Boot
+	dead      [NumShards]Boot
 	calm      bool // machines are lost and leave, and nothing else happens: often enough within what is promised
 	effects   map[string]int
 	first     map[string]Boot // when each key came to an endpoint
@@ -133,7 +133,7 @@
 
 func (m *model) start(s *sidecar) {
 	m.claims++
-	s.token, s.dead, s.paused, s.me, s.leased, s.inbox = m.claims, false, false, Who{}, 0, nil
+	s.token, s.dead, s.paused, s.me, s.leased, s.inbox = m.claims, false, false, Incarnation{}, 0, nil
 	s.moving, s.view, s.distrusts = false, View{}, false
 	s.store = NewStore(m.terms, 1<<16)
 	m.heartbeat(s, s.token)
@@ -169,8 +169,8 @@
 		if !there || in.Token != token {
 			if !there {
 				m.epoch++
-				m.history.NoteMembers(m.epoch-1, m.epoch, []string{s.name})
-				m.in[s.name] = Member{Who: Who{s.name, m.epoch}, Token: token, Zone: s.zone}
+				m.history.RecordMembers(m.epoch-1, m.epoch, []string{s.name})
+				m.in[s.name] = Member{Incarnation: Incarnation{s.name, m.epoch}, Token: token, Zone: s.zone}
 				m.until[s.name] = m.now + modelWait
 			}
 			return
@@ -180,24 +180,24 @@
 			if s.token != token {
 				return
 			}
-			m.filled[s.name], m.unheard[s.name] = s.store.Filled(), s.store.Unheard(m.now)
+			m.filled[s.name], m.unheard[s.name] = s.store.CaughtUp(), s.store.Unreachable(m.now)
 		})
 		now := View{m.epoch, m.members(), m.placement.Clone()}
 		var delta *Delta
 		if now.number() > 0 && (known.Epoch != now.Epoch || known.number() != now.number()) {
-			delta = m.history.Delta(known.Epoch, known.number(), &now, now.Sum())
+			delta = m.history.Delta(known.Epoch, known.number(), &now, now.Checksum())
 		}
 		m.after(m.between(time.Millisecond, 30*time.Millisecond), func() {
 			s.on(func() {
 				if s.token != token || asked+modelLease < s.leased {
 					return
 				}
-				s.me, s.leased = in.Who, asked+modelLease
+				s.me, s.leased = in.Incarnation, asked+modelLease
 				m.learn(s, &now, delta)
 				if s.view.Placement != nil {
-					s.store.Learn(m.now, in.Who, s.view.Placement, s.view.Members)
+					s.store.ApplyView(m.now, in.Incarnation, s.view.Placement, s.view.Members)
 				}
-				s.store.Lease(s.leased)
+				s.store.SetLease(s.leased)
 				m.say(s)
 			})
 		})
@@ -209,7 +209,7 @@
 	if delta == nil {
 		return
 	}
-	next, err := s.view.Take(delta)
+	next, err := s.view.Apply(delta)
 	switch {
 	case errors.Is(err, ErrBase): // two answers came at once, after a pause: the second starts from before the first
 		m.counts["other base"]++
@@ -242,7 +242,7 @@
 		if _, there := m.in[s.name]; there && m.now >= m.until[s.name] {
 			delete(m.in, s.name)
 			m.epoch++
-			m.history.NoteMembers(m.epoch-1, m.epoch, []string{s.name})
+			m.history.RecordMembers(m.epoch-1, m.epoch, []string{s.name})
 		}
 	}
 	members := m.members()
@@ -251,11 +251,11 @@
 			members[i].Zone = members[i].Name
 		}
 	}
-	var filled []Filled
+	var filled []CaughtUp
 	for i, s := range m.placement.Shards {
 		for _, replica := range s.Replicas {
 			if m.bug == bugFilled && !replica.Ready {
-				filled = append(filled, Filled{i, s.Config, replica.Who})
+				filled = append(filled, CaughtUp{i, s.Config, replica.Incarnation})
 			}
 		}
 	}
@@ -263,29 +263,29 @@
 		filled = append(filled, m.filled[s.name]...)
 	}
 	for i := range m.placement.Shards {
-		if !m.placement.Shards[i].Dead(func(w Who, token uint64) bool {
+		if !m.placement.Shards[i].Dead(func(w Incarnation, token uint64) bool {
 			in, there := m.in[w.Name]
-			return there && (in.Who == w || in.Token == token)
+			return there && (in.Incarnation == w || in.Token == token)
 		}) {
 			m.dead[i] = 0
 		} else if m.dead[i] == 0 {
 			m.dead[i] = m.now
 		}
 	}
-	leaving, unheard := map[Who]bool{}, map[[2]Who]bool{}
+	leaving, unheard := map[Incarnation]bool{}, map[[2]Incarnation]bool{}
 	for _, s := range m.all {
-		if leaving[m.in[s.name].Who] = s.moving; s.moving && !s.dead && !slices.ContainsFunc(m.placement.Shards[:], func(sh Shard) bool {
-			return slices.ContainsFunc(sh.Replicas, func(replica Replica) bool { return replica.Who == m.in[s.name].Who })
+		if leaving[m.in[s.name].Incarnation] = s.moving; s.moving && !s.dead && !slices.ContainsFunc(m.placement.Shards[:], func(sh Shard) bool {
+			return slices.ContainsFunc(sh.Replicas, func(replica Replica) bool { return replica.Incarnation == m.in[s.name].Incarnation })
 		}) {
 			m.counts["left"]++
 			s.dead = true
 			m.after(time.Second, func() { m.start(s) })
 		}
 		for _, who := range m.unheard[s.name] {
-			unheard[[2]Who{m.in[s.name].Who, who}] = true
+			unheard[[2]Incarnation{m.in[s.name].Incarnation, who}] = true
 		}
 	}
-	changes := m.placement.Plan(&Crew{Members: members, Copies: m.terms.Copies, Filled: filled, Leaving: leaving, Unheard: unheard,
+	changes := m.placement.Plan(&PlacementInput{Members: members, Copies: m.terms.Copies, CaughtUp: filled, Leaving: leaving, Unreachable: unheard,
 		Lost: func(i int) bool { return m.dead[i] > 0 && m.now > m.dead[i]+m.terms.LostAfter }})
 	for _, c := range changes {
 		if n := len(c.Replicas); m.bug == bugPrimary && n > 1 && !c.Replicas[n-1].Ready {
@@ -297,22 +297,22 @@
 	if err := m.placement.Apply(changes); err != nil {
 		m.breaks("plan: %v", err)
 	}
-	m.history.NoteChanges(before, m.placement.Number, changes)
+	m.history.RecordChanges(before, m.placement.Number, changes)
 }
 
 // say sends what is to be said.
 func (m *model) say(s *sidecar) {
-	for _, to := range s.store.Peers() {
-		b := s.store.Next(m.now, to.Who)
+	for _, to := range s.store.PendingPeers() {
+		b := s.store.NextBatch(m.now, to.Incarnation)
 		if b == nil {
 			continue
 		}
 		over, token := false, s.token
-		end := func(a *Batched) {
+		end := func(a *BatchReply) {
 			s.on(func() {
 				if !over && s.token == token {
 					over = true
-					s.store.Said(m.now, to.Who, b, a)
+					s.store.BatchDone(m.now, to.Incarnation, b, a)
 					m.say(s)
 				}
 			})
@@ -322,7 +322,7 @@
 		arrive := func() {
 			m.after(m.delay(), func() {
 				other.on(func() {
-					if a := other.store.Take(m.now, m.late(other, b)); a != nil {
+					if a := other.store.HandleBatch(m.now, m.late(other, b)); a != nil {
 						m.after(m.delay(), func() { end(a) })
 					}
 				})
@@ -337,7 +337,7 @@
 			m.after(200*time.Millisecond, arrive)
 		}
 		if m.bug == bugEarly {
-			m.after(0, func() { end(&Batched{}) })
+			m.after(0, func() { end(&BatchReply{}) })
 		}
 	}
 }
@@ -368,7 +368,7 @@
 }
 
 // ask says an owner's word to the primary that it knows of, until it has an answer that counts, or its time is over.
-func (m *model) ask(s *sidecar, a *Ask, until Boot, done func(Answer)) {
+func (m *model) ask(s *sidecar, a *Command, until Boot, done func(Answer)) {
 	token := s.token
 	again := func(last Answer) {
 		m.after(50*time.Millisecond, func() {
@@ -384,10 +384,10 @@
 		})
 	}
 	if s.store.placement == nil || len(s.store.placement.Shards[a.Key.Shard()].Replicas) == 0 {
-		again(Answer{Kind: NotHere})
+		again(Answer{Kind: AnswerNotPrimary})
 		return
 	}
-	to := s.store.placement.Shards[a.Key.Shard()].Replicas[0].Who
+	to := s.store.placement.Shards[a.Key.Shard()].Replicas[0].Incarnation
 	over := false
 	end := func(got Answer) {
 		s.on(func() {
@@ -396,18 +396,18 @@
 			}
 			over = true
 			switch got.Kind {
-			case NotHere, Short, Running, Away, Full:
+			case AnswerNotPrimary, AnswerTooFewReplicas, AnswerRunning, AnswerNone, AnswerFull:
 				again(got)
 			default:
 				done(got)
 			}
 		})
 	}
-	m.after(sayTime, func() { end(Answer{Kind: Away}) })
+	m.after(sayTime, func() { end(Answer{Kind: AnswerNone}) })
 	other := m.all[slices.IndexFunc(m.all, func(o *sidecar) bool { return o.name == to.Name })]
 	m.after(m.delay(), func() {
 		other.on(func() {
-			other.store.Ask(m.now, a, func(got Answer) { m.after(m.delay(), func() { end(got) }) })
+			other.store.Handle(m.now, a, func(got Answer) { m.after(m.delay(), func() { end(got) }) })
 			m.say(other)
 		})
 	})
@@ -415,24 +415,24 @@
 
 // request is a client's, through one sidecar.
 func (m *model) request(s *sidecar, key string, next func()) {
-	if s.dead || s.me == (Who{}) {
+	if s.dead || s.me == (Incarnation{}) {
 		next()
 		return
 	}
 	m.claims++
 	owner, until := s.me, m.now+askTime
-	a := &Ask{Do: Open, Key: Key{Class: "order", Text: key}, Owner: owner, Claim: m.claims, Lasts: askTime}
+	a := &Command{Op: OpClaim, Key: Key{Class: "order", Text: key}, Owner: owner, Claim: m.claims, Lifetime: askTime}
 	m.claim(s, a, until, next)
 }
 
-func (m *model) claim(s *sidecar, a *Ask, until Boot, next func()) {
+func (m *model) claim(s *sidecar, a *Command, until Boot, next func()) {
 	token, key, owner := s.token, a.Key.Text, a.Owner
 	_, before := m.told[key] // an answer may come long after it was given
 	m.ask(s, a, until, func(got Answer) {
-		if got.Kind == Unclear && MayRepeat(&orders, got.Age, until-m.now, 0) {
+		if got.Kind == AnswerUnknown && MayRepeat(&orders, got.Age, until-m.now, 0) {
 			m.counts["again"]++
 			again := *a
-			again.Do, again.Rev, again.Lasts = Again, got.Rev, until-m.now
+			again.Op, again.Rev, again.Lifetime = OpReclaim, got.Rev, until-m.now
 			m.claim(s, &again, until, next)
 			return
 		}
@@ -440,12 +440,12 @@
 		m.counts[got.Kind.String()]++
 		want, told := m.told[key]
 		switch got.Kind {
-		case Was:
+		case AnswerFinished:
 			if told && string(got.Outcome.Body) != want {
 				m.breaks("key %s: %q, and %q was told", key, got.Outcome.Body, want)
 			}
-		case Yes:
-			if before && a.Do == Open {
+		case AnswerOK:
+			if before && a.Op == OpClaim {
 				m.breaks("key %s: claimed anew, and %q was told", key, want)
 			}
 			if !m.calm && m.dice.Float64() < 0.01 { // between the word and the first byte
@@ -471,9 +471,9 @@
 					m.after(m.between(time.Millisecond, 100*time.Millisecond), func() {
 						s.on(func() {
 							f := *a
-							f.Do, f.Outcome = Finish, &Outcome{Body: []byte(outcome)}
+							f.Op, f.Outcome = OpFinish, &Outcome{Body: []byte(outcome)}
 							m.ask(s, &f, until, func(got Answer) {
-								if got.Kind == Yes {
+								if got.Kind == AnswerOK {
 									m.told[key] = outcome
 									m.counts["told"]++
 								}
@@ -482,7 +482,7 @@
 					})
 				})
 			})
-		case Unclear, Missing:
+		case AnswerUnknown, AnswerLost:
 			if before {
 				m.breaks("key %s: %v, and %q was told", key, got.Kind, want)
 			}
@@ -520,7 +520,7 @@
 		s := &m.placement.Shards[i]
 		ready := 0
 		for _, replica := range s.Replicas {
-			if replica.Ready && m.in[replica.Name].Who == replica.Who {
+			if replica.Ready && m.in[replica.Name].Incarnation == replica.Incarnation {
 				ready++
 			}
 		}
@@ -533,7 +533,7 @@
 
 func playModel(t *testing.T, seed uint64, bug string) (string, map[string]int) {
 	m := &model{t: t, dice: rand.New(rand.NewPCG(seed, 0x401d)), bug: bug, terms: Terms{Copies: 2, Keep: time.Minute, LostAfter: 2 * modelTime},
-		in: map[string]Member{}, until: map[string]Boot{}, filled: map[string][]Filled{}, unheard: map[string][]Who{}, ways: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, first: map[string]Boot{}, told: map[string]string{},
+		in: map[string]Member{}, until: map[string]Boot{}, filled: map[string][]CaughtUp{}, unheard: map[string][]Incarnation{}, ways: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, first: map[string]Boot{}, told: map[string]string{},
 		counts: map[string]int{}, calm: seed%2 == 1}
 	if m.calm {
 		m.terms.LostAfter = 3 * time.Second
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -19,22 +19,22 @@
 
 // Bounds.
 const (
-	// Shards of the key space: a machine of 300 has a replica in one of a hundred of them, and the placement stays some KB.
-	Shards = 64
+	// NumShards of the key space: a machine of 300 has a replica in one of a hundred of them, and the placement stays some KB.
+	NumShards = 64
 )
 
 // Terms are what all members of a crew must be started with alike.
 type Terms = clusterparams.Holdings
 
-// Who is one incarnation of a sidecar in the crew: who was counted out and came in again is another.
-type Who struct {
-	Name string `cbor:"1,keyasint"`
-	In   uint64 `cbor:"2,keyasint"` // the epoch in which it came in
+// Incarnation is one incarnation of a sidecar in the crew: who was counted out and came in again is another.
+type Incarnation struct {
+	Name      string `cbor:"1,keyasint"`
+	JoinEpoch uint64 `cbor:"2,keyasint"` // the epoch in which it came in
 }
 
 // Member is a sidecar that is in the crew.
 type Member struct {
-	Who
+	Incarnation
 	Token   uint64 `cbor:"5,keyasint"` // of its process
 	Zone    string `cbor:"3,keyasint,omitempty"`
 	Address string `cbor:"4,keyasint"`
@@ -42,7 +42,7 @@
 
 // Replica is a sidecar's place in a shard.
 type Replica struct {
-	Who
+	Incarnation
 	Token uint64 `cbor:"4,keyasint"`           // of its process, whose memory it is
 	Ready bool   `cbor:"3,keyasint,omitempty"` // it has all that was ever told of the shard
 }
@@ -58,33 +58,33 @@
 
 // Placement is all shards.
 type Placement struct {
-	Number uint64        `cbor:"1,keyasint"` // rises with each change
-	Shards [Shards]Shard `cbor:"2,keyasint"`
+	Number uint64           `cbor:"1,keyasint"` // rises with each change
+	Shards [NumShards]Shard `cbor:"2,keyasint"`
 }
 
-// Change is new replicas of one shard, in the place of those of a configuration.
-type Change struct {
+// PlacementChange is new replicas of one shard, in the place of those of a configuration.
+type PlacementChange struct {
 	Shard    int       `cbor:"1,keyasint"`
 	Config   uint64    `cbor:"2,keyasint"` // that it was decided on
 	Replicas []Replica `cbor:"3,keyasint"`
 	Lost     bool      `cbor:"4,keyasint,omitempty"`
 }
 
-// Filled is a primary's word that a replica has all that its shard holds.
-type Filled struct {
-	Shard   int    `cbor:"1,keyasint"`
-	Config  uint64 `cbor:"2,keyasint"`
-	Replica Who    `cbor:"3,keyasint"`
+// CaughtUp is a primary's word that a replica has all that its shard holds.
+type CaughtUp struct {
+	Shard   int         `cbor:"1,keyasint"`
+	Config  uint64      `cbor:"2,keyasint"`
+	Replica Incarnation `cbor:"3,keyasint"`
 }
 
 // ErrConfig is a change that was decided on replicas that are no more.
 var ErrConfig = errors.New("the shard's configuration has passed")
 
 // Apply takes changes that were agreed on, all or none.
-func (t *Placement) Apply(changes []Change) error {
+func (t *Placement) Apply(changes []PlacementChange) error {
 	for _, c := range changes {
-		if c.Shard < 0 || c.Shard >= Shards {
-			return fmt.Errorf("shard %d; allowed: 0 to %d", c.Shard, Shards-1)
+		if c.Shard < 0 || c.Shard >= NumShards {
+			return fmt.Errorf("shard %d; allowed: 0 to %d", c.Shard, NumShards-1)
 		}
 		if t.Shards[c.Shard].Config != c.Config {
 			return fmt.Errorf("shard %d: %w: %d, it is %d", c.Shard, ErrConfig, c.Config, t.Shards[c.Shard].Config)
@@ -116,42 +116,42 @@
 // for each.
 const mostMoves = 4
 
-// Crew is what replicas follow from.
-type Crew struct {
-	Members []Member
-	Copies  int
-	Filled  []Filled // primaries' words
+// PlacementInput is what replicas follow from.
+type PlacementInput struct {
+	Members  []Member
+	Copies   int
+	CaughtUp []CaughtUp // primaries' words
 	// Lost tells whether a shard of which no ready replica is in the crew is to be given up; until then it waits for one of them to
 	// come back, as it does after a cut.
 	Lost func(shard int) bool
 	// Leaving will go: their replicas are copied to others first.
-	Leaving map[Who]bool
-	// Unheard are sidecars that others, named first, have not reached for a while though both are in the crew.
-	Unheard map[[2]Who]bool
+	Leaving map[Incarnation]bool
+	// Unreachable are sidecars that others, named first, have not reached for a while though both are in the crew.
+	Unreachable map[[2]Incarnation]bool
 }
 
 // planner is a crew as a plan looks things up.
 type planner struct {
-	*Crew
-	in        map[Who]Member
+	*PlacementInput
+	in        map[Incarnation]Member
 	processes map[uint64]Member
-	said      map[Filled]bool
-	deaf      map[Who]bool // who reaches hardly anybody: it is at fault itself
-	moving    int          // shards with a replica that is being filled
+	said      map[CaughtUp]bool
+	deaf      map[Incarnation]bool // who reaches hardly anybody: it is at fault itself
+	moving    int                  // shards with a replica that is being filled
 }
 
 // Plan returns the changes that follow from who is in the crew, and from what primaries have said of their replicas. The same
 // placement and crew give the same changes.
-func (t *Placement) Plan(crew *Crew) []Change {
-	p := &planner{Crew: crew, in: map[Who]Member{}, processes: map[uint64]Member{}, said: map[Filled]bool{}, deaf: map[Who]bool{}}
+func (t *Placement) Plan(crew *PlacementInput) []PlacementChange {
+	p := &planner{PlacementInput: crew, in: map[Incarnation]Member{}, processes: map[uint64]Member{}, said: map[CaughtUp]bool{}, deaf: map[Incarnation]bool{}}
 	for _, m := range crew.Members {
-		p.in[m.Who], p.processes[m.Token] = m, m
+		p.in[m.Incarnation], p.processes[m.Token] = m, m
 	}
-	for _, f := range crew.Filled {
+	for _, f := range crew.CaughtUp {
 		p.said[f] = true
 	}
-	unheard := map[Who]int{}
-	for pair := range crew.Unheard {
+	unheard := map[Incarnation]int{}
+	for pair := range crew.Unreachable {
 		unheard[pair[0]]++
 	}
 	for who, n := range unheard {
@@ -162,10 +162,10 @@
 			p.moving++
 		}
 	}
-	var changes []Change
+	var changes []PlacementChange
 	for i := range t.Shards {
 		s := &t.Shards[i]
-		c := Change{Shard: i, Config: s.Config}
+		c := PlacementChange{Shard: i, Config: s.Config}
 		if p.plan(&c, s); !slices.Equal(c.Replicas, s.Replicas) {
 			changes = append(changes, c)
 		}
@@ -173,17 +173,17 @@
 	return changes
 }
 
-func (p *planner) plan(c *Change, s *Shard) {
+func (p *planner) plan(c *PlacementChange, s *Shard) {
 	for _, replica := range s.Replicas {
-		m, there := p.in[replica.Who]
+		m, there := p.in[replica.Incarnation]
 		if !there {
 			// The process may be in anew: nothing was told under this configuration without its word, so that it lacks nothing.
 			if m, there = p.processes[replica.Token]; !there || m.Name != replica.Name {
 				continue
 			}
-			replica.Who = m.Who
+			replica.Incarnation = m.Incarnation
 		}
-		if !replica.Ready && p.said[Filled{c.Shard, s.Config, replica.Who}] {
+		if !replica.Ready && p.said[CaughtUp{c.Shard, s.Config, replica.Incarnation}] {
 			replica.Ready = true
 		}
 		c.Replicas = append(c.Replicas, replica)
@@ -195,7 +195,7 @@
 		switch {
 		case !replica.Ready:
 			return 2
-		case p.deaf[replica.Who]:
+		case p.deaf[replica.Incarnation]:
 			return 1
 		}
 		return 0
@@ -214,18 +214,18 @@
 	}
 	ranked := ranked(c.Shard, p.Members)
 	best := p.best(ranked, c.Replicas, without)
-	ready := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !without[replica.Who] })
+	ready := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !without[replica.Incarnation] })
 	switch {
 	case len(best) < p.Copies:
 		// Too few, leaving ones not counted: the next of the order in zones that have none.
 		zones := map[string]bool{}
 		for _, replica := range best {
-			zones[p.in[replica.Who].Zone] = true
+			zones[p.in[replica.Incarnation].Zone] = true
 		}
 		for _, m := range ranked {
 			if n := len(zones); n < p.Copies && !zones[m.Zone] && takes(c, m, without) {
 				zones[m.Zone] = true
-				c.Replicas = append(c.Replicas, Replica{Who: m.Who, Token: m.Token, Ready: len(c.Replicas) == 0})
+				c.Replicas = append(c.Replicas, Replica{Incarnation: m.Incarnation, Token: m.Token, Ready: len(c.Replicas) == 0})
 			}
 		}
 	case !ready:
@@ -235,13 +235,13 @@
 		// All is well, and somebody else should sit here: who came into the crew since.
 		var want []Replica
 		for _, m := range ranked {
-			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Who == m.Who }) && !takes(c, m, without) {
+			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation }) && !takes(c, m, without) {
 				continue
 			}
-			want = append(want, Replica{Who: m.Who, Token: m.Token})
+			want = append(want, Replica{Incarnation: m.Incarnation, Token: m.Token})
 		}
 		for _, replica := range p.best(ranked, want, without) {
-			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Who == replica.Who }) {
+			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == replica.Incarnation }) {
 				c.Replicas = append(c.Replicas, replica)
 				p.moving++
 				break
@@ -253,17 +253,17 @@
 // without tells which members a shard should do without, of those that are in the crew: who leaves, who reaches hardly anybody,
 // and whom its primary does not reach. Guards against replicas that go before others have what they held: a way that is cut is no
 // machine lost, and the primary that complains may be lost next (seed 12 of the model).
-func (p *planner) without(s *Shard) map[Who]bool {
+func (p *planner) without(s *Shard) map[Incarnation]bool {
 	out := maps.Clone(p.Leaving)
 	if out == nil {
-		out = map[Who]bool{}
+		out = map[Incarnation]bool{}
 	}
 	for who, deaf := range p.deaf {
 		out[who] = out[who] || deaf
 	}
-	if len(s.Replicas) > 0 && !p.deaf[s.Replicas[0].Who] {
-		for pair, unheard := range p.Unheard {
-			if pair[0] == s.Replicas[0].Who {
+	if len(s.Replicas) > 0 && !p.deaf[s.Replicas[0].Incarnation] {
+		for pair, unheard := range p.Unreachable {
+			if pair[0] == s.Replicas[0].Incarnation {
 				out[pair[1]] = out[pair[1]] || unheard
 			}
 		}
@@ -272,19 +272,19 @@
 }
 
 // takes tells whether a member may have a new replica in a shard.
-func takes(c *Change, m Member, without map[Who]bool) bool {
-	return !without[m.Who] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Who == m.Who })
+func takes(c *PlacementChange, m Member, without map[Incarnation]bool) bool {
+	return !without[m.Incarnation] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
 }
 
 // best are the replicas that should stay, by their order, one a zone.
-func (p *planner) best(ranked []Member, replicas []Replica, without map[Who]bool) (out []Replica) {
+func (p *planner) best(ranked []Member, replicas []Replica, without map[Incarnation]bool) (out []Replica) {
 	zones := map[string]bool{}
 	for _, m := range ranked {
 		if len(out) >= p.Copies {
 			break
 		}
-		i := slices.IndexFunc(replicas, func(s Replica) bool { return s.Who == m.Who })
-		if i < 0 || without[m.Who] || zones[m.Zone] {
+		i := slices.IndexFunc(replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
+		if i < 0 || without[m.Incarnation] || zones[m.Zone] {
 			continue
 		}
 		zones[m.Zone] = true
@@ -294,8 +294,8 @@
 }
 
 // Dead tells whether no ready replica of a shard is in the crew.
-func (s *Shard) Dead(in func(Who, uint64) bool) bool {
-	return s.Config > 0 && !slices.ContainsFunc(s.Replicas, func(replica Replica) bool { return replica.Ready && in(replica.Who, replica.Token) })
+func (s *Shard) Dead(in func(Incarnation, uint64) bool) bool {
+	return s.Config > 0 && !slices.ContainsFunc(s.Replicas, func(replica Replica) bool { return replica.Ready && in(replica.Incarnation, replica.Token) })
 }
 
 // ranked is the order in which members are taken into a shard: rendezvous hashing, so that one who comes or goes changes
@@ -310,7 +310,7 @@
 		places = append(places, place{m, xxh3.HashStringSeed(m.Name, uint64(shard)+1)})
 	}
 	slices.SortFunc(places, func(a, b place) int {
-		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.m.Name, b.m.Name), cmp.Compare(a.m.In, b.m.In))
+		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.m.Name, b.m.Name), cmp.Compare(a.m.JoinEpoch, b.m.JoinEpoch))
 	})
 	out := make([]Member, 0, len(places))
 	for _, p := range places {
@@ -334,5 +334,5 @@
 		h.WriteString(fmt.Sprintf("%d:", len(part))) //nolint:errcheck // it does not fail
 		h.WriteString(part)                          //nolint:errcheck // it does not fail
 	}
-	return int(h.Sum64() % Shards)
+	return int(h.Sum64() % NumShards)
 }
--- a/internal/holdings/placement_test.go
+++ b/internal/holdings/placement_test.go
@@ -16,9 +16,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
 		placement, epoch := &Placement{}, uint64(0)
-		crew := &Crew{Copies: copies, Lost: func(int) bool { return false }}
+		crew := &PlacementInput{Copies: copies, Lost: func(int) bool { return false }}
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
-			crew.Leaving, crew.Unheard, crew.Filled = map[Who]bool{}, map[[2]Who]bool{}, nil
+			crew.Leaving, crew.Unreachable, crew.CaughtUp = map[Incarnation]bool{}, map[[2]Incarnation]bool{}, nil
 			pick := func(what string) int { return rapid.IntRange(0, len(crew.Members)-1).Draw(t, what) }
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
@@ -26,7 +26,7 @@
 				n := rapid.IntRange(0, 7).Draw(t, "name")
 				name := fmt.Sprint("s", n)
 				if !slices.ContainsFunc(crew.Members, func(m Member) bool { return m.Name == name }) {
-					crew.Members = append(crew.Members, Member{Who: Who{name, epoch}, Token: epoch, Zone: fmt.Sprint(n % 4)})
+					crew.Members = append(crew.Members, Member{Incarnation: Incarnation{name, epoch}, Token: epoch, Zone: fmt.Sprint(n % 4)})
 				}
 			case 2:
 				if len(crew.Members) > 0 {
@@ -35,18 +35,18 @@
 				}
 			case 3:
 				if len(crew.Members) > 0 {
-					crew.Leaving[crew.Members[pick("leaves")].Who] = true
+					crew.Leaving[crew.Members[pick("leaves")].Incarnation] = true
 				}
 			case 4:
 				if len(crew.Members) > 1 {
-					crew.Unheard[[2]Who{crew.Members[pick("who")].Who, crew.Members[pick("whom")].Who}] = true
+					crew.Unreachable[[2]Incarnation{crew.Members[pick("who")].Incarnation, crew.Members[pick("whom")].Incarnation}] = true
 				}
 			}
 			fills := rapid.IntRange(0, 2).Draw(t, "fills") // none, some, all
 			for i, s := range placement.Shards {
 				for _, replica := range s.Replicas {
 					if !replica.Ready && (fills == 2 || fills == 1 && i%2 == 0) {
-						crew.Filled = append(crew.Filled, Filled{i, s.Config, replica.Who})
+						crew.CaughtUp = append(crew.CaughtUp, CaughtUp{i, s.Config, replica.Incarnation})
 					}
 				}
 			}
@@ -65,7 +65,7 @@
 	})
 }
 
-func checkReplicas(t *rapid.T, crew *Crew, number int, before, after *Shard) {
+func checkReplicas(t *rapid.T, crew *PlacementInput, number int, before, after *Shard) {
 	in := func(replica Replica) bool {
 		return slices.ContainsFunc(crew.Members, func(m Member) bool { return m.Token == replica.Token })
 	}
@@ -98,7 +98,7 @@
 	for i := range 6400 {
 		shards[Key{Class: "pay", Tenant: "a", Text: fmt.Sprint(i)}.Shard()]++
 	}
-	for i := range Shards {
+	for i := range NumShards {
 		if n := shards[i]; n < 50 || n > 200 {
 			t.Errorf("shard %d has %d of 6,400 keys", i, n)
 		}
@@ -116,16 +116,16 @@
 
 // An ask that breaks a bound is told what is allowed; one within them is taken.
 func TestAskBounds(t *testing.T) {
-	for want, spoil := range map[string]func(*Ask){
-		"":                       func(*Ask) {},
-		"do: 9; allowed: 1 to 5": func(a *Ask) { a.Do = 9 },
-		"up to 256 bytes":        func(a *Ask) { a.Key.Tenant = strings.Repeat("t", MostName+1) },
-		"allowed: a key":         func(a *Ask) { a.Key.Text = "" },
-		"outcome: missing":       func(a *Ask) { a.Do = Finish },
-		"outcome: 65537 bytes":   func(a *Ask) { a.Outcome = &Outcome{Body: make([]byte, MostBody+1)} },
-		"lasts: 2h0m0s":          func(a *Ask) { a.Lasts = 2 * MostLasts },
+	for want, spoil := range map[string]func(*Command){
+		"":                       func(*Command) {},
+		"do: 9; allowed: 1 to 5": func(a *Command) { a.Op = 9 },
+		"up to 256 bytes":        func(a *Command) { a.Key.Tenant = strings.Repeat("t", MaxName+1) },
+		"allowed: a key":         func(a *Command) { a.Key.Text = "" },
+		"outcome: missing":       func(a *Command) { a.Op = OpFinish },
+		"outcome: 65537 bytes":   func(a *Command) { a.Outcome = &Outcome{Body: make([]byte, MaxBody+1)} },
+		"lasts: 2h0m0s":          func(a *Command) { a.Lifetime = 2 * MaxLifetime },
 	} {
-		a := Ask{Do: Open, Key: Key{Class: "pay", Text: "k"}}
+		a := Command{Op: OpClaim, Key: Key{Class: "pay", Text: "k"}}
 		spoil(&a)
 		if err := a.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -30,14 +30,14 @@
 // What must hold: a primary answers by an entry only when each replica of its shard, under the configuration of that moment, has said that it
 // has it; a replica says yes to no configuration that is older than one that it has heard of.
 type Store struct {
-	me        Who
+	me        Incarnation
 	terms     Terms
 	most      int // entries of a shard
 	placement *Placement
-	members   map[Who]Member
+	members   map[Incarnation]Member
 	leased    Boot // until then this sidecar may act as a primary
-	shards    [Shards]*shard
-	out       map[Who]*outbox
+	shards    [NumShards]*shard
+	out       map[Incarnation]*outbox
 	sweep     Boot
 	next      int    // the shard that is swept then
 	alone     []item // entries that wait for nobody's word
@@ -54,23 +54,23 @@
 	count  uint64 // of revisions, under the present configuration
 	lost   uint64 // Lost as last heard of, and when: until a keep later an unknown key may have been held
 	lostAt Boot
-	left   map[Who]int // entries that replicas which are not ready still lack
+	left   map[Incarnation]int // entries that replicas which are not ready still lack
 }
 
 // held is an entry with what its primary does about it.
 type held struct {
 	Entry
 	since, changed Boot
-	under          uint64       // the configuration under which it was said last
-	settled        uint64       // the configuration under which all replicas have it
-	waits          map[Who]bool // replicas whose word is missing
-	then           []func()     // when it comes
+	under          uint64               // the configuration under which it was said last
+	settled        uint64               // the configuration under which all replicas have it
+	waits          map[Incarnation]bool // replicas whose word is missing
+	then           []func()             // when it comes
 	queue          []op
 }
 
 // op is an ask that waits its turn.
 type op struct {
-	ask   *Ask
+	ask   *Command
 	reply func(Answer)
 }
 
@@ -102,31 +102,31 @@
 
 // Batch is what is said to a sidecar at once.
 type Batch struct {
-	To      Who      `cbor:"2,keyasint"` // a word for an incarnation that is over is for nobody
-	Updates []Update `cbor:"1,keyasint"`
+	To      Incarnation `cbor:"2,keyasint"` // a word for an incarnation that is over is for nobody
+	Updates []Update    `cbor:"1,keyasint"`
 }
 
-// Batched is its answer: shards of which it has heard a later configuration. All else it has.
-type Batched struct {
+// BatchReply is its answer: shards of which it has heard a later configuration. All else it has.
+type BatchReply struct {
 	Later map[int]Shard `cbor:"1,keyasint,omitempty"`
 }
 
 // NewStore returns one that knows nothing. most bounds its entries.
 func NewStore(terms Terms, most int) *Store {
-	r := &Store{terms: terms, most: max(1, most/Shards), members: map[Who]Member{}, out: map[Who]*outbox{}}
+	r := &Store{terms: terms, most: max(1, most/NumShards), members: map[Incarnation]Member{}, out: map[Incarnation]*outbox{}}
 	for i := range r.shards {
 		r.shards[i] = &shard{number: i, held: map[Key]*held{}}
 	}
 	return r
 }
 
-// Learn takes the ledger's placement and members, as a renewal brought them. me is this sidecar's present incarnation in the crew.
-func (r *Store) Learn(now Boot, me Who, placement *Placement, members []Member) {
+// ApplyView takes the ledger's placement and members, as a renewal brought them. me is this sidecar's present incarnation in the crew.
+func (r *Store) ApplyView(now Boot, me Incarnation, placement *Placement, members []Member) {
 	moved := me != r.me
 	r.me, r.placement = me, placement
-	r.members = map[Who]Member{}
+	r.members = map[Incarnation]Member{}
 	for _, m := range members {
-		r.members[m.Who] = m
+		r.members[m.Incarnation] = m
 	}
 	for who := range r.out {
 		if _, in := r.members[who]; !in {
@@ -138,8 +138,8 @@
 	}
 }
 
-// Lease tells until when this sidecar may act as a primary.
-func (r *Store) Lease(until Boot) { r.leased = until }
+// SetLease tells until when this sidecar may act as a primary.
+func (r *Store) SetLease(until Boot) { r.leased = until }
 
 // adopt takes a shard's replicas, if they are later than those known.
 func (r *Store) adopt(now Boot, s *shard, of Shard, anew bool) {
@@ -158,15 +158,15 @@
 		}
 		return
 	}
-	s.left = map[Who]int{}
+	s.left = map[Incarnation]int{}
 	keys := r.sorted(s)
 	for _, replica := range s.Replicas[1:] {
 		if replica.Ready {
 			continue
 		}
-		s.left[replica.Who] = len(keys)
+		s.left[replica.Incarnation] = len(keys)
 		for _, k := range keys {
-			r.to(replica.Who).fill = append(r.to(replica.Who).fill, item{s.number, s.Config, k, true})
+			r.to(replica.Incarnation).fill = append(r.to(replica.Incarnation).fill, item{s.number, s.Config, k, true})
 		}
 	}
 	for _, k := range keys { // what was on its way is said under the new configuration, to the new replicas
@@ -179,7 +179,9 @@
 // sits tells whether this process has a replica, be it of an earlier incarnation. Guards against one that comes into the crew anew, hears a placement
 // from before its replicas follow, and drops what it held: it is placed again as one that has all (seed 22 of the model).
 func (r *Store) sits(s *shard) bool {
-	return slices.ContainsFunc(s.Replicas, func(replica Replica) bool { return replica.Who == r.me || replica.Token == r.members[r.me].Token })
+	return slices.ContainsFunc(s.Replicas, func(replica Replica) bool {
+		return replica.Incarnation == r.me || replica.Token == r.members[r.me].Token
+	})
 }
 
 // sorted are a shard's keys, in one order with all runs.
@@ -196,7 +198,7 @@
 		queue := h.queue
 		h.waits, h.then, h.queue = nil, nil, nil
 		for _, o := range queue {
-			o.reply(Answer{Kind: NotHere})
+			o.reply(Answer{Kind: AnswerNotPrimary})
 		}
 	}
 }
@@ -210,29 +212,31 @@
 	clear(s.held)
 }
 
-func (r *Store) primary(s *shard) bool { return len(s.Replicas) > 0 && s.Replicas[0].Who == r.me }
+func (r *Store) primary(s *shard) bool {
+	return len(s.Replicas) > 0 && s.Replicas[0].Incarnation == r.me
+}
 
-func (r *Store) to(who Who) *outbox {
+func (r *Store) to(who Incarnation) *outbox {
 	if r.out[who] == nil {
 		r.out[who] = &outbox{}
 	}
 	return r.out[who]
 }
 
-// Ask answers an owner: at once, or when all replicas have what the answer rests on. An owner whose ask gets no answer says it
+// Handle answers an owner: at once, or when all replicas have what the answer rests on. An owner whose ask gets no answer says it
 // again.
-func (r *Store) Ask(now Boot, a *Ask, reply func(Answer)) {
+func (r *Store) Handle(now Boot, a *Command, reply func(Answer)) {
 	s := r.shards[a.Key.Shard()]
 	// Guards, with the owner, against a placement that is older than its incarnation: it would count as gone.
 	if _, in := r.members[a.Owner]; !in || !r.primary(s) || now >= r.leased {
-		reply(Answer{Kind: NotHere})
+		reply(Answer{Kind: AnswerNotPrimary})
 		return
 	}
 	defer r.settleAlone(now)
 	h := s.held[a.Key]
 	if h != nil && h.waits != nil {
 		if len(h.queue) >= mostQueued {
-			reply(Answer{Kind: Full})
+			reply(Answer{Kind: AnswerFull})
 			return
 		}
 		h.queue = append(h.queue, op{a, reply})
@@ -245,7 +249,7 @@
 func (r *Store) answer(now Boot, s *shard, h *held, o op) {
 	a := o.ask
 	if len(s.Replicas) < r.terms.Copies {
-		o.reply(Answer{Kind: Short})
+		o.reply(Answer{Kind: AnswerTooFewReplicas})
 		return
 	}
 	if h != nil && h.settled != s.Config {
@@ -258,66 +262,66 @@
 	switch {
 	case h == nil || h.State == Free:
 		r.first(now, s, h, o)
-	case h.Print != a.Print:
-		o.reply(Answer{Kind: Other})
-	case h.State == Done && (a.Do == Open || a.Do == Again || a.Do == Finish && mine):
-		if a.Do == Finish {
-			o.reply(Answer{Kind: Yes})
+	case h.Fingerprint != a.Fingerprint:
+		o.reply(Answer{Kind: AnswerMismatch})
+	case h.State == Done && (a.Op == OpClaim || a.Op == OpReclaim || a.Op == OpFinish && mine):
+		if a.Op == OpFinish {
+			o.reply(Answer{Kind: AnswerOK})
 			return
 		}
-		o.reply(Answer{Kind: Was, Outcome: h.Outcome})
-	case a.Do == Open && mine && h.State == Claimed, a.Do == GiveUp && mine && h.State == Unknown, a.Do == Again && mine && h.State == Claimed:
-		o.reply(Answer{Kind: Yes, Rev: h.Rev}) // said again: its answer was lost
-	case a.Do == Open || a.Do == Again && a.Rev != h.Rev:
-		kind := Unclear
+		o.reply(Answer{Kind: AnswerFinished, Outcome: h.Outcome})
+	case a.Op == OpClaim && mine && h.State == Claimed, a.Op == OpGiveUp && mine && h.State == Unknown, a.Op == OpReclaim && mine && h.State == Claimed:
+		o.reply(Answer{Kind: AnswerOK, Rev: h.Rev}) // said again: its answer was lost
+	case a.Op == OpClaim || a.Op == OpReclaim && a.Rev != h.Rev:
+		kind := AnswerUnknown
 		if r.runs(now, h) {
-			kind = Running
+			kind = AnswerRunning
 		}
 		o.reply(Answer{Kind: kind, Rev: h.Rev, Age: now - h.since})
-	case a.Do == Again:
+	case a.Op == OpReclaim:
 		if r.runs(now, h) {
-			o.reply(Answer{Kind: Running})
+			o.reply(Answer{Kind: AnswerRunning})
 			return
 		}
-		r.change(now, s, h, o, func(e *Entry) { e.State, e.Owner, e.Claim, e.Lasts = Claimed, a.Owner, a.Claim, a.Lasts })
+		r.change(now, s, h, o, func(e *Entry) { e.State, e.Owner, e.Claim, e.Lifetime = Claimed, a.Owner, a.Claim, a.Lifetime })
 	case !mine || h.State != Claimed:
 		// Guards against an owner that was paused, and counted out meanwhile: its key may be another's now.
-		o.reply(Answer{Kind: Fenced})
-	case a.Do == Finish:
+		o.reply(Answer{Kind: AnswerFenced})
+	case a.Op == OpFinish:
 		r.change(now, s, h, o, func(e *Entry) { e.State, e.Outcome = Done, a.Outcome })
-	case a.Do == GiveUp:
+	case a.Op == OpGiveUp:
 		r.change(now, s, h, o, func(e *Entry) { e.State = Unknown })
-	case a.Do == Drop:
+	case a.Op == OpDrop:
 		r.change(now, s, h, o, func(e *Entry) { e.State = Free })
 	default:
-		o.reply(Answer{Kind: Fenced})
+		o.reply(Answer{Kind: AnswerFenced})
 	}
 }
 
 // runs tells whether an owner may still act on its claim: it is in the crew, and the time that it named is not over.
 func (r *Store) runs(now Boot, h *held) bool {
 	_, in := r.members[h.Owner]
-	return in && h.State == Claimed && now < h.changed+h.Lasts+Slack
+	return in && h.State == Claimed && now < h.changed+h.Lifetime+AgeSlack
 }
 
 // first answers an ask for a key of which nothing is held.
 func (r *Store) first(now Boot, s *shard, h *held, o op) {
 	a := o.ask
-	if a.Do != Open {
-		kind := Fenced
-		if a.Do == Drop {
-			kind = Yes
+	if a.Op != OpClaim {
+		kind := AnswerFenced
+		if a.Op == OpDrop {
+			kind = AnswerOK
 		}
 		o.reply(Answer{Kind: kind})
 		return
 	}
 	if s.lost > 0 && now < s.lostAt+r.terms.Keep+staleAfter {
-		o.reply(Answer{Kind: Missing})
+		o.reply(Answer{Kind: AnswerLost})
 		return
 	}
 	if h == nil {
 		if len(s.held) >= r.most {
-			o.reply(Answer{Kind: Full})
+			o.reply(Answer{Kind: AnswerFull})
 			return
 		}
 		h = &held{Entry: Entry{Key: a.Key}}
@@ -327,7 +331,7 @@
 	}
 	h.since = now
 	r.change(now, s, h, o, func(e *Entry) {
-		e.State, e.Owner, e.Claim, e.Lasts, e.Print, e.Outcome = Claimed, a.Owner, a.Claim, a.Lasts, a.Print, nil
+		e.State, e.Owner, e.Claim, e.Lifetime, e.Fingerprint, e.Outcome = Claimed, a.Owner, a.Claim, a.Lifetime, a.Fingerprint, nil
 	})
 }
 
@@ -339,17 +343,17 @@
 	s.count++
 	h.Rev, h.changed, h.settled = Rev{s.Config, s.count}, now, 0
 	rev := h.Rev
-	h.then = append(h.then, func() { o.reply(Answer{Kind: Yes, Rev: rev}) })
+	h.then = append(h.then, func() { o.reply(Answer{Kind: AnswerOK, Rev: rev}) })
 	r.copy(s, h)
 }
 
 // copy has all replicas told an entry.
 func (r *Store) copy(s *shard, h *held) {
 	h.under = s.Config
-	h.waits = map[Who]bool{}
+	h.waits = map[Incarnation]bool{}
 	for _, replica := range s.Replicas[1:] {
-		h.waits[replica.Who] = true
-		r.to(replica.Who).items = append(r.to(replica.Who).items, item{s.number, s.Config, h.Key, false})
+		h.waits[replica.Incarnation] = true
+		r.to(replica.Incarnation).items = append(r.to(replica.Incarnation).items, item{s.number, s.Config, h.Key, false})
 	}
 	if len(h.waits) == 0 {
 		r.alone = append(r.alone, item{s.number, s.Config, h.Key, false})
@@ -372,8 +376,8 @@
 	}
 }
 
-// Peers are the sidecars that there is something to say to, and nothing on its way to.
-func (r *Store) Peers() []Member {
+// PendingPeers are the sidecars that there is something to say to, and nothing on its way to.
+func (r *Store) PendingPeers() []Member {
 	var out []Member
 	for who, o := range r.out {
 		if !o.busy && len(o.items)+len(o.fill) > 0 {
@@ -384,8 +388,8 @@
 	return out
 }
 
-// Next is what to say to a sidecar now; nil for nothing. Its answer goes to Said before the next.
-func (r *Store) Next(now Boot, to Who) *Batch {
+// NextBatch is what to say to a sidecar now; nil for nothing. Its answer goes to Said before the next.
+func (r *Store) NextBatch(now Boot, to Incarnation) *Batch {
 	o := r.out[to]
 	if o == nil || o.busy {
 		return nil
@@ -413,7 +417,7 @@
 				continue // it has ended: nothing is lacking
 			}
 			e := h.Entry
-			e.Age, e.Still = now-h.since, now-h.changed
+			e.Age, e.SinceChange = now-h.since, now-h.changed
 			st.Entries = append(st.Entries, e)
 			size += e.size()
 		}
@@ -432,8 +436,8 @@
 	return b
 }
 
-// Said takes what came of a batch: its answer, nil for none. What was not heard is to be said again.
-func (r *Store) Said(now Boot, to Who, b *Batch, answer *Batched) {
+// BatchDone takes what came of a batch: its answer, nil for none. What was not heard is to be said again.
+func (r *Store) BatchDone(now Boot, to Incarnation, b *Batch, answer *BatchReply) {
 	o := r.out[to]
 	if o == nil {
 		return // it is gone
@@ -486,17 +490,17 @@
 	o.items = append(o.items, it)
 }
 
-// Take takes what a primary says.
+// HandleBatch takes what a primary says.
 //
 // nil is no answer: the word was for another incarnation than the present one.
-func (r *Store) Take(now Boot, b *Batch) *Batched {
+func (r *Store) HandleBatch(now Boot, b *Batch) *BatchReply {
 	if b.To != r.me {
 		return nil
 	}
-	out := &Batched{}
+	out := &BatchReply{}
 	for i := range b.Updates {
 		st := &b.Updates[i]
-		if st.Shard < 0 || st.Shard >= Shards {
+		if st.Shard < 0 || st.Shard >= NumShards {
 			continue
 		}
 		s := r.shards[st.Shard]
@@ -533,20 +537,20 @@
 		since = min(since, h.since) // the older of two ages: the way took time
 	}
 	h.Entry, h.under, h.settled = *e, s.Config, 0
-	h.since, h.changed = since, now-e.Still
+	h.since, h.changed = since, now-e.SinceChange
 	r.Bytes += h.size()
 }
 
-// Filled are this sidecar's words on replicas that lack nothing any more.
-func (r *Store) Filled() []Filled {
-	var out []Filled
+// CaughtUp are this sidecar's words on replicas that lack nothing any more.
+func (r *Store) CaughtUp() []CaughtUp {
+	var out []CaughtUp
 	for _, s := range r.shards {
 		if !r.primary(s) {
 			continue
 		}
 		for _, replica := range s.Replicas[1:] {
-			if left, fills := s.left[replica.Who]; fills && left == 0 {
-				out = append(out, Filled{s.number, s.Config, replica.Who})
+			if left, fills := s.left[replica.Incarnation]; fills && left == 0 {
+				out = append(out, CaughtUp{s.number, s.Config, replica.Incarnation})
 			}
 		}
 	}
@@ -560,19 +564,19 @@
 		return e, false
 	}
 	e = h.Entry
-	e.Age, e.Still = now-h.since, now-h.changed
+	e.Age, e.SinceChange = now-h.since, now-h.changed
 	return e, true
 }
 
-// Unheard are the sidecars that have not answered for a while, and lately: who gives them replicas can give those to others.
-func (r *Store) Unheard(now Boot) []Who {
-	var out []Who
+// Unreachable are the sidecars that have not answered for a while, and lately: who gives them replicas can give those to others.
+func (r *Store) Unreachable(now Boot) []Incarnation {
+	var out []Incarnation
 	for who, o := range r.out {
 		if o.failing > 0 && o.failed-o.failing >= unheardAfter && now-o.failed < unheardFor {
 			out = append(out, who)
 		}
 	}
-	slices.SortFunc(out, func(a, b Who) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b Incarnation) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
@@ -584,7 +588,7 @@
 	}
 	r.sweep = now + sweepEvery
 	s := r.shards[r.next]
-	r.next = (r.next + 1) % Shards
+	r.next = (r.next + 1) % NumShards
 	for k, h := range s.held { // in any order: each ends by itself
 		end := h.changed + r.terms.Keep
 		if !r.primary(s) {
