--- a/internal/lab/emulated/hollow_test.go
+++ b/internal/lab/emulated/hollow_test.go
@@ -193,7 +193,7 @@
 type theCrew struct {
 	t     *testing.T
 	start Start
-	lines []*peerrpc.Line
+	lines []*peerrpc.Client
 }
 
 // form starts keepers and draws up members.
@@ -227,7 +227,7 @@
 			}
 			t.Cleanup(m.Stop)
 		})
-		c.lines = append(c.lines, peerrpc.NewLine(env.Real{}, c.start.Crew, "test", k.Address))
+		c.lines = append(c.lines, peerrpc.NewClient(env.Real{}, c.start.Crew, "test", k.Address))
 	}
 	starting.Wait()
 	if t.Failed() {
@@ -296,10 +296,10 @@
 // propose has a version proposed.
 func (c *theCrew) propose(doc versions.Document) uint64 {
 	c.t.Helper()
-	id := voter.Draw()
+	id := voter.NewID()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
 		for _, line := range c.lines {
-			var told voter.Proposed
+			var told voter.ProposeResult
 			p := cluster.Proposal{ID: id, Parent: c.ledger().Active.Number, Author: "test", Doc: doc}
 			if err := line.Call("propose", p, &told, time.Second); err == nil && told.Number > 0 {
 				return told.Number
@@ -452,14 +452,14 @@
 	var asked, leaving atomic.Int64
 	s.Serve(env.Real{}, map[string]peerrpc.Handler{"renew": func(from string, body []byte) (any, error) {
 		var r cluster.Renewal
-		if err := peerrpc.Decode(body, &r); err != nil || r.Name != from || r.Leaving && !r.Moving {
+		if err := peerrpc.Decode(body, &r); err != nil || r.Name != from || r.Leaving && !r.Decommissioning {
 			t.Errorf("%+v of %s, %v", r, from, err)
 		}
 		asked.Add(1)
 		if r.Leaving {
 			leaving.Add(1)
 		}
-		return voter.Renewed{}, nil // neither a lease nor who leads
+		return voter.RenewResult{}, nil // neither a lease nor who leads
 	}})
 	start := Start{Crew: "hollow", Lease: 400 * time.Millisecond, ContradictAtMost: time.Second, Copies: 2, Keep: time.Minute, LostAfter: time.Second,
 		Keepers: []Place{{Name: "k1", Address: s.Address()}}}
@@ -508,7 +508,7 @@
 func seatsOf(l *cluster.Ledger, name string) (n int) {
 	for _, shard := range l.Placement.Shards {
 		for _, seat := range shard.Replicas {
-			if seat.Who.Name == name {
+			if seat.Incarnation.Name == name {
 				n++
 			}
 		}
@@ -601,8 +601,8 @@
 		}
 	}
 	p.mu.Unlock()
-	var says member.Acts
-	line := peerrpc.NewLine(env.Real{}, "hollow", "test", c.start.Members[0].Address)
+	var says member.Status
+	line := peerrpc.NewClient(env.Real{}, "hollow", "test", c.start.Members[0].Address)
 	defer line.Close()
 	if err := line.Call("acting", struct{}{}, &says, testWait); err != nil || says.Active != number {
 		t.Errorf("it says %+v, %v", says, err)
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -41,7 +41,7 @@
 
 	mu     sync.Mutex // guards what follows
 	life   *life      // nil while it is gone
-	past   member.Acts
+	past   member.Status
 	starts int
 	heed   heed
 	stance Stance // as last told, but for epoch and time, which are those of the last look
@@ -80,7 +80,7 @@
 	}
 	h.starts++
 	l := &life{
-		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/cluster.Heartbeats),
+		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/cluster.HeartbeatsPerLease),
 		started: make(chan struct{}), halt: make(chan struct{}), number: h.starts,
 	}
 	h.life, h.heed = l, heed{}
@@ -127,7 +127,7 @@
 	if l.member == nil {
 		return
 	}
-	a := l.member.Acts()
+	a := l.member.Status()
 	s := Stance{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
 	if h.fault == Unheeding {
 		s = h.heed.act(s)
@@ -239,11 +239,11 @@
 	h.past.Lost += a.Lost
 }
 
-func (l *life) figures() (a member.Acts) {
+func (l *life) figures() (a member.Status) {
 	select {
 	case <-l.started:
 		if l.member != nil {
-			return l.member.Acts()
+			return l.member.Status()
 		}
 	default:
 	}
--- a/internal/lab/emulated/start.go
+++ b/internal/lab/emulated/start.go
@@ -83,8 +83,8 @@
 	return t
 }
 
-func (s *Start) terms() cluster.Terms {
-	t := cluster.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
+func (s *Start) terms() cluster.Params {
+	t := cluster.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
 	if s.Copies > 0 {
 		t.Holdings = clusterparams.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	}
@@ -112,28 +112,28 @@
 	switch {
 	case s.Crew == "":
 		return errors.New("crew: missing; allowed: the crew's name")
-	case s.Lease < clusterparams.LeastLease || s.Lease > clusterparams.MostLease:
-		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, clusterparams.LeastLease, clusterparams.MostLease)
-	case s.Drift < 0 || s.Drift > clusterparams.MostDrift:
-		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, clusterparams.MostDrift)
+	case s.Lease < clusterparams.MinLease || s.Lease > clusterparams.MaxLease:
+		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, clusterparams.MinLease, clusterparams.MaxLease)
+	case s.Drift < 0 || s.Drift > clusterparams.MaxDrift:
+		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, clusterparams.MaxDrift)
 	case s.Slack < 0:
 		return fmt.Errorf("slack_ns: %v; allowed: 0 and more", s.Slack)
-	case t.Wait() > s.ContradictAtMost:
-		return fmt.Errorf("contradict_at_most_ns: %v; allowed: %v and more, which lease, drift and slack add up to", s.ContradictAtMost, t.Wait())
-	case s.Copies < 0 || s.Copies > clusterparams.MostCopies:
-		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, clusterparams.MostCopies)
-	case s.Copies > 0 && (s.Keep < max(clusterparams.LeastKeep, orderWindow) || s.Keep > clusterparams.MostKeep):
-		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(clusterparams.LeastKeep, orderWindow), clusterparams.MostKeep)
-	case s.Copies > 0 && (s.LostAfter < clusterparams.LeastLost || s.LostAfter > clusterparams.MostLostAfter):
-		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.LeastLost, clusterparams.MostLostAfter)
+	case t.LessorWait() > s.ContradictAtMost:
+		return fmt.Errorf("contradict_at_most_ns: %v; allowed: %v and more, which lease, drift and slack add up to", s.ContradictAtMost, t.LessorWait())
+	case s.Copies < 0 || s.Copies > clusterparams.MaxCopies:
+		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, clusterparams.MaxCopies)
+	case s.Copies > 0 && (s.Keep < max(clusterparams.MinKeep, orderWindow) || s.Keep > clusterparams.MaxKeep):
+		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(clusterparams.MinKeep, orderWindow), clusterparams.MaxKeep)
+	case s.Copies > 0 && (s.LostAfter < clusterparams.MinLostAfter || s.LostAfter > clusterparams.MaxLostAfter):
+		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter)
 	case s.RegionDelay < 0 || s.RegionDelay > longestDelay:
 		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, longestDelay)
 	case s.OrderTakes < 0 || s.OrderTakes > longestOrder:
 		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.OrderTakes, longestOrder)
-	case len(s.Keepers) == 0 || len(s.Keepers) > clusterparams.MostKeepers:
-		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), clusterparams.MostKeepers)
-	case len(s.Members) == 0 || len(s.Members) > clusterparams.MostMembers:
-		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MostMembers)
+	case len(s.Keepers) == 0 || len(s.Keepers) > clusterparams.MaxVoters:
+		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), clusterparams.MaxVoters)
+	case len(s.Members) == 0 || len(s.Members) > clusterparams.MaxMembers:
+		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MaxMembers)
 	}
 	if err := s.checkRate(s.Orders); err != nil {
 		return err
--- a/internal/lab/emulated/true_test.go
+++ b/internal/lab/emulated/true_test.go
@@ -65,7 +65,7 @@
 	orders  float64
 	procs   map[string]*exec.Cmd
 	listens map[string]string // for callers, of real sidecars
-	lines   map[string]*peerrpc.Line
+	lines   map[string]*peerrpc.Client
 	end     *httptest.Server
 	hollow  *exec.Cmd
 	tell    io.WriteCloser
@@ -168,7 +168,7 @@
 	for i, s := range sides {
 		first[i] = s.cost(was[i])
 	}
-	time.Sleep(max(trueLeast, trueBeats*lease/cluster.Heartbeats)) // measured for so long
+	time.Sleep(max(trueLeast, trueBeats*lease/cluster.HeartbeatsPerLease)) // measured for so long
 	took := time.Since(began)
 	for i, s := range sides {
 		costs[i] = s.cost(was[i]).since(first[i], took)
@@ -186,7 +186,7 @@
 func newSide(t *testing.T, bin string, lease time.Duration, copies int, orders float64, real bool) *side {
 	t.Helper()
 	s := &side{t: t, real: real, dir: t.TempDir(), bin: bin, orders: orders,
-		procs: map[string]*exec.Cmd{}, listens: map[string]string{}, lines: map[string]*peerrpc.Line{}}
+		procs: map[string]*exec.Cmd{}, listens: map[string]string{}, lines: map[string]*peerrpc.Client{}}
 	s.start = Start{
 		Crew: "true", Lease: lease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: lease + lease/10 + time.Second,
 		FixedClasses: []string{LookClass}, Copies: copies, Keep: 2 * time.Minute, LostAfter: 10 * time.Second, OrderTakes: trueTakes, Seed: 1,
@@ -203,7 +203,7 @@
 	}))
 	for _, k := range s.start.Keepers {
 		s.startReal(k)
-		s.lines[k.Name] = peerrpc.NewLine(env.Real{}, s.start.Crew, "test", k.Address)
+		s.lines[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Crew, "test", k.Address)
 	}
 	if !real {
 		s.startHollow() // to begin anew, each at its own time
@@ -214,7 +214,7 @@
 	dice := rand.New(rand.NewPCG(s.start.Seed, 0))
 	due := time.Now()
 	for i, m := range s.start.Members {
-		due = due.Add(time.Duration(dice.Int64N(4*int64(lease)/cluster.Heartbeats) / int64(*trueMembers))) // half of that is the mean
+		due = due.Add(time.Duration(dice.Int64N(4*int64(lease)/cluster.HeartbeatsPerLease) / int64(*trueMembers))) // half of that is the mean
 		time.Sleep(time.Until(due))
 		if real {
 			s.startReal(m)
@@ -387,7 +387,7 @@
 		if now != last || !now.whole {
 			last, since = now, time.Now()
 		}
-		if time.Since(since) > max(3*time.Second, 4*s.start.Lease/cluster.Heartbeats) {
+		if time.Since(since) > max(3*time.Second, 4*s.start.Lease/cluster.HeartbeatsPerLease) {
 			return now
 		}
 	}
@@ -467,8 +467,8 @@
 		return sum
 	}
 	for _, m := range s.start.Members {
-		line := peerrpc.NewLine(env.Real{}, s.start.Crew, "test", m.Address)
-		var a member.Acts
+		line := peerrpc.NewClient(env.Real{}, s.start.Crew, "test", m.Address)
+		var a member.Status
 		if err := line.Call("acting", struct{}{}, &a, trueTimeouts); err != nil {
 			s.t.Fatal(err)
 		}
--- a/internal/lab/harness/crew.go
+++ b/internal/lab/harness/crew.go
@@ -111,7 +111,7 @@
 	dir     string
 	starts  int
 	proc    *process
-	line    *peerrpc.Line
+	line    *peerrpc.Client
 
 	mu   sync.Mutex
 	up   bool // it runs, and is not stopped
@@ -142,7 +142,7 @@
 	lostID   uint64                   // the lost folder's
 	struck   time.Duration            // when the leader was killed or stopped; 0 once another one leads
 	pending  map[uint64]time.Duration // versions on their way, and when they were proposed
-	lastAt   map[string]member.Acts
+	lastAt   map[string]member.Status
 	cautious map[string]time.Duration
 	asked    atomic.Int64
 	served   atomic.Int64
@@ -181,7 +181,7 @@
 	r := &crewRig{
 		scene: scene, opts: opts, seed: seed, dir: dir, hosts: newHosts(), began: time.Now(), relays: map[[2]string]*relay{},
 		book: consistency.New(consistency.Conf{AtMost: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
-		lastAt: map[string]member.Acts{}, cautious: map[string]time.Duration{},
+		lastAt: map[string]member.Status{}, cautious: map[string]time.Duration{},
 		rec: CrewRecord{Name: scene.Name, Seed: seed, Processes: scene.Keepers + scene.Members, Leaders: map[uint64]string{},
 			RSSMB: map[string]float64{}, CPU: map[string]float64{},
 			AtMost: millis(scene.ContradictAtMost)},
@@ -262,7 +262,7 @@
 		if p.address, err = r.hosts.address(p.host); err != nil {
 			return err
 		}
-		p.line = peerrpc.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
+		p.line = peerrpc.NewClient(env.Real{}, r.scene.Name, "lab", p.address)
 		r.procs = append(r.procs, p)
 	}
 	first := r.procs[:len(r.procs)-twins]
@@ -302,7 +302,7 @@
 	for {
 		ready := 0
 		for _, p := range first {
-			var a member.Acts
+			var a member.Status
 			if p.line.Call("acting", struct{}{}, &a, pollTime) == nil && !a.Cautious {
 				ready++
 			}
@@ -317,7 +317,7 @@
 			if err := r.procs[0].line.Call("status", struct{}{}, &st, pollTime); err != nil {
 				return err
 			}
-			r.folders = st.Ledger.Keepers
+			r.folders = st.Ledger.Voters
 			if r.opts.Dir != "" && r.opts.Progress != nil { // for who tries commands on them
 				for _, p := range first {
 					r.opts.Progress(fmt.Sprintf("%s: zone %s, callers at %s, process %d, files in %s", p.name, r.zone(p), p.listen, p.proc.cmd.Process.Pid, p.dir))
@@ -455,7 +455,7 @@
 			r.mu.Unlock()
 			continue
 		}
-		var a member.Acts
+		var a member.Status
 		asked := r.now()
 		if !p.isUp() || p.line.Call("acting", struct{}{}, &a, pollTime) != nil {
 			continue
@@ -503,7 +503,7 @@
 		return
 	}
 	r.book.Leads(r.now(), s.Term, s.Leader)
-	if s.Leader == s.Name && r.losing != "" && s.Ledger.Keepers[r.losing] != r.lostID {
+	if s.Leader == s.Name && r.losing != "" && s.Ledger.Voters[r.losing] != r.lostID {
 		r.losing = "" // its new folder has the lost one's place
 	}
 	if r.rec.Leaders[s.Term] = s.Leader; s.Term >= r.lastTerm {
@@ -833,7 +833,7 @@
 	if r.losing != "" {
 		return false
 	}
-	r.losing, r.lostID = p.name, st.Ledger.Keepers[p.name]
+	r.losing, r.lostID = p.name, st.Ledger.Voters[p.name]
 	return true
 }
 
@@ -862,7 +862,7 @@
 
 // propose proposes a version at whichever keeper leads, until it is told or refused.
 func (r *crewRig) propose(ctx context.Context, s scenario.CrewStep) {
-	id := voter.Draw()
+	id := voter.NewID()
 	limit := time.Now().Add(r.scene.Duration)
 	for i := 0; ctx.Err() == nil && time.Now().Before(limit); i++ {
 		p := r.procs[i%r.scene.Keepers]
@@ -873,7 +873,7 @@
 		}
 		doc := st.Ledger.Active.Doc
 		effect := decide.Safe
-		for e, word := range versions.EffectWords {
+		for e, word := range versions.EffectNames {
 			if word == s.Effect {
 				effect = e
 			}
@@ -890,7 +890,7 @@
 			doc.Banned = []string{s.Ban}
 		}
 		r.mu.Lock()
-		next := st.Ledger.Last + 1
+		next := st.Ledger.LastNumber + 1
 		// Before anybody can act on it. A keeper that was cut off may still think that it leads, and name a number that has
 		// been told: that one stands.
 		if next <= r.lastTold {
@@ -901,7 +901,7 @@
 		r.book.Version(next, consistency.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 		r.mu.Unlock()
 		began := r.now()
-		var told voter.Proposed
+		var told voter.ProposeResult
 		proposal := cluster.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
 		var err error
 		if s.Dies && i == 0 {
@@ -924,8 +924,8 @@
 }
 
 // sayAndDie proposes as somebody who is gone before any answer; whether the proposal counts then shows at the keepers alone.
-func (r *crewRig) sayAndDie(p *crewProc, proposal cluster.Proposal, told *voter.Proposed) error {
-	proposer := peerrpc.NewLine(env.Real{}, r.scene.Name, "lab", p.address)
+func (r *crewRig) sayAndDie(p *crewProc, proposal cluster.Proposal, told *voter.ProposeResult) error {
+	proposer := peerrpc.NewClient(env.Real{}, r.scene.Name, "lab", p.address)
 	err := proposer.Call("propose", proposal, nil, hangUpAfter)
 	proposer.Close()
 	r.note("a proposer has died: %v", err)
@@ -973,15 +973,15 @@
 				continue
 			}
 			led = true
-			for name, id := range st.Ledger.Keepers {
+			for name, id := range st.Ledger.Voters {
 				if id != r.folders[name] {
 					r.rec.Replaced = append(r.rec.Replaced, name)
 				}
 			}
-			for _, round := range st.Ledger.Rounds() {
+			for _, round := range st.Ledger.VersionRecords() {
 				present[round.Number] = true
 				if round.State == cluster.Refused {
-					r.rec.Versions = append(r.rec.Versions, CrewVersion{Number: round.Number, State: "refused", Why: round.Why})
+					r.rec.Versions = append(r.rec.Versions, CrewVersion{Number: round.Number, State: "refused", Why: round.Reason})
 				}
 			}
 		}
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -82,7 +82,7 @@
 			"bounds": map[string]any{"cancel": true, "max_attempts": leastAttempts, "connect_timeout": 300.0, "conn_idle": 5000.0, "most_held": 500},
 			"rules": map[string]any{"answer_slack": 50.0, "ask_every": 5000.0, "cold": 1000.0, "cold_from": 0.5, "drain_grace": 300.0,
 				"fall_multiple": 50.0, "overload_for": 5000.0},
-			"profiles": []any{class(loadClass, "repeatable"), class(probedClass, versions.EffectWords[f.Effect]), map[string]any{
+			"profiles": []any{class(loadClass, "repeatable"), class(probedClass, versions.EffectNames[f.Effect]), map[string]any{
 				"name": orderClass, "effect": "by_key", "group": "all", "window": millis(orderWindow), "aim": 300.0, "deadline": crewDeadlineMS, "worth": 1.0,
 			}},
 		},
--- a/internal/lab/harness/orders.go
+++ b/internal/lab/harness/orders.go
@@ -252,7 +252,7 @@
 			continue
 		}
 		// Who holds no lease was started a moment ago: the replicas that the ledger still has for the process before are empty.
-		var a member.Acts
+		var a member.Status
 		if !well || p.line.Call("acting", struct{}{}, &a, pollTime) != nil || a.Cautious {
 			return false
 		}
@@ -269,7 +269,7 @@
 	for _, s := range st.Placement.Shards {
 		ready := 0
 		for _, replica := range s.Replicas {
-			if replica.Ready && st.In[replica.Name] == replica.In && replica.Token != away {
+			if replica.Ready && st.JoinEpochs[replica.Name] == replica.JoinEpoch && replica.Token != away {
 				ready++
 			}
 		}
--- a/internal/lab/scale/acts.go
+++ b/internal/lab/scale/acts.go
@@ -279,7 +279,7 @@
 
 // proposeOne proposes a version at whichever keeper leads, until it is told.
 func (r *run) proposeOne(ctx context.Context, due time.Duration, doc versions.Document) (number uint64, ok bool) {
-	proposal := cluster.Proposal{ID: voter.Draw(), Author: "lab", Doc: doc}
+	proposal := cluster.Proposal{ID: voter.NewID(), Author: "lab", Doc: doc}
 	limit := time.Now().Add(r.s.Duration + lastVersion)
 	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposePause) { //nolint:errcheck // the loop looks
 		r.mu.Lock()
@@ -289,7 +289,7 @@
 		if leader == nil {
 			continue
 		}
-		var told voter.Proposed
+		var told voter.ProposeResult
 		err := leader.line.Call("propose", proposal, &told, proposeTime)
 		switch {
 		case err == nil && told.Number > 0:
@@ -305,8 +305,8 @@
 				r.told(round.Number, due)
 				return round.Number, true
 			}
-			if slices.Contains(s.Ledger.Turned, proposal.ID) {
-				proposal.ID = voter.Draw()
+			if slices.Contains(s.Ledger.RejectedProposals, proposal.ID) {
+				proposal.ID = voter.NewID()
 			}
 		}
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -45,7 +45,7 @@
 	address string // of its part in the crew
 	dir     string
 	relays  map[string]*harness.Relay // to keepers, by name
-	line    *peerrpc.Line             // to a keeper
+	line    *peerrpc.Client           // to a keeper
 
 	mu     sync.Mutex // guards what follows
 	proc   *harness.Process
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -597,7 +597,7 @@
 			ran := j.upFor(name, samples[0].At, samples[len(samples)-1].At).Seconds()
 			renewals, up = renewals+made, up+ran
 			if ran > j.s.Lease.Seconds() { // else its start is most of it
-				one := made / ran * (j.s.Lease / cluster.Heartbeats).Seconds()
+				one := made / ran * (j.s.Lease / cluster.HeartbeatsPerLease).Seconds()
 				if rates = append(rates, one); one > mostRenewals {
 					mostRenewals, renewalsWho = one, name
 				}
@@ -616,7 +616,7 @@
 		j.add("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
 		j.add("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesWho)
 		j.least("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
-			renewals/up*(j.s.Lease/cluster.Heartbeats).Seconds(), l.LeastRenewals, "")
+			renewals/up*(j.s.Lease/cluster.HeartbeatsPerLease).Seconds(), l.LeastRenewals, "")
 		j.add("renewals_most", "  of any", "", mostRenewals, l.MostRenewals, renewalsWho)
 		j.add("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsWho)
 		j.add("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", keeperBytes/renewals, 0, "")
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -410,7 +410,7 @@
 			return err
 		}
 		if p.Kind == KeeperProcess {
-			c.line = peerrpc.NewLine(env.Real{}, r.s.Name, "lab", c.address)
+			c.line = peerrpc.NewClient(env.Real{}, r.s.Name, "lab", c.address)
 			r.keepers = append(r.keepers, c)
 		}
 	}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -165,15 +165,15 @@
 	t.Need("name", "a text")
 	s := &Scenario{
 		Name: t.Text("name", "scale"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
-		Keepers: t.Int("keepers", 3, 1, clusterparams.MostKeepers), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
+		Keepers: t.Int("keepers", 3, 1, clusterparams.MaxVoters), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
 		Plain: t.Int("plain", 0, 0, mostReal), Hollow: t.Int("hollow", 60, 0, mostHollow), EachProcess: t.Int("each_process", 50, 1, 500),
 		RegionDelay: t.Duration("region_delay", 0, 0, time.Second),
 		KeeperZones: t.Texts("keeper_zones"), MemberZones: t.Texts("member_zones"),
-		Lease: t.Duration("lease", 2*time.Second, clusterparams.LeastLease, clusterparams.MostLease), Drift: t.Float("drift", 0.01, 0, clusterparams.MostDrift),
+		Lease: t.Duration("lease", 2*time.Second, clusterparams.MinLease, clusterparams.MaxLease), Drift: t.Float("drift", 0.01, 0, clusterparams.MaxDrift),
 		Slack:            t.Duration("slack", 200*time.Millisecond, 0, 10*time.Second),
 		ContradictAtMost: t.Duration("contradict_at_most", 2500*time.Millisecond, 200*time.Millisecond, 5*time.Minute),
-		Copies:           t.Int("copies", 0, 0, clusterparams.MostCopies), Keep: t.Duration("keep", 10*time.Minute, clusterparams.LeastKeep, clusterparams.MostKeep),
-		LostAfter: t.Duration("lost_after", 30*time.Second, clusterparams.LeastLost, clusterparams.MostLostAfter),
+		Copies:           t.Int("copies", 0, 0, clusterparams.MaxCopies), Keep: t.Duration("keep", 10*time.Minute, clusterparams.MinKeep, clusterparams.MaxKeep),
+		LostAfter: t.Duration("lost_after", 30*time.Second, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
 		Orders:    t.Float("orders", 0, 0, 100), OrderTakes: t.Duration("order_takes", 20*time.Millisecond, 0, 10*time.Second),
 		Duration: t.Duration("duration", 20*time.Second, time.Second, mostDuration),
 		Changes:  t.Float("changes", 0, 0, 100), Banned: t.Int("banned", 4, 0, 1000), SpeedUp: t.Float("speed_up", 1, 0, 100_000),
@@ -215,21 +215,21 @@
 	if s.Copies > len(s.zones()) {
 		t.Fail("copies", fmt.Sprint(s.Copies), fmt.Sprintf("as many as there are zones, %d", len(s.zones())))
 	}
-	if least := s.terms().Wait(); s.ContradictAtMost < least {
+	if least := s.terms().LessorWait(); s.ContradictAtMost < least {
 		t.Fail("contradict_at_most", s.ContradictAtMost.String(),
 			fmt.Sprintf("lease x (1 + drift) / (1 - drift) + slack, %v, or more", least.Round(time.Millisecond)))
 	}
 	if s.Orders > 0 && s.Copies == 0 {
 		t.Fail("orders", fmt.Sprint(s.Orders), "0, or copies of 1 or more")
 	}
-	if all := s.Keepers + s.Real + s.Hollow; all > clusterparams.MostMembers {
-		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", clusterparams.MostMembers))
+	if all := s.Keepers + s.Real + s.Hollow; all > clusterparams.MaxMembers {
+		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", clusterparams.MaxMembers))
 	}
 }
 
 // terms are those that the processes are started with.
-func (s *Scenario) terms() clusterparams.Terms {
-	return clusterparams.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
+func (s *Scenario) terms() clusterparams.Params {
+	return clusterparams.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
 }
 
 func (s *Scenario) decodeRegions(t *tomlread.Table) {
--- a/internal/lab/scenario/crew.go
+++ b/internal/lab/scenario/crew.go
@@ -106,7 +106,7 @@
 		Duration:         t.Duration("duration", 10*time.Second, time.Second, mostCrewTime),
 		Rate:             t.Float("rate", 40, 1, 1000), Random: t.Int("random", 0, 0, mostCrewSteps),
 		Proposals: t.Int("proposals", 0, 0, mostCrewSteps),
-		Orders:    t.Float("orders", 0, 0, 1000), Copies: t.Int("copies", 0, 0, clusterparams.MostCopies), Zones: t.Int("zones", 3, 1, mostCrew),
+		Orders:    t.Float("orders", 0, 0, 1000), Copies: t.Int("copies", 0, 0, clusterparams.MaxCopies), Zones: t.Int("zones", 3, 1, mostCrew),
 	}
 	if c.Keepers+c.Members > mostCrew {
 		t.Fail("members", fmt.Sprintf("%d keepers and %d members", c.Keepers, c.Members), fmt.Sprintf("up to %d processes", mostCrew))
--- a/internal/operator/crew.go
+++ b/internal/operator/crew.go
@@ -14,7 +14,7 @@
 	Name    string
 	Address string // where peers reach this process
 	Data    string // folder, of a keeper alone
-	Terms   clusterparams.Terms
+	Terms   clusterparams.Params
 	// ContradictAtMost is how long two members may act on rules that contradict each other.
 	ContradictAtMost time.Duration
 	Keepers          map[string]string // addresses by the names of their sidecars
@@ -56,8 +56,8 @@
 func decodeHoldings(t *tomlread.Table, c *Crew) {
 	t.Need("class", "[[holdings.class]] with name and when_alone, one for each class whose requests are held")
 	c.Terms.Holdings = clusterparams.Holdings{
-		Copies: t.Int("copies", defaultCopies, 1, clusterparams.MostCopies), Keep: t.Duration("keep", defaultKeep, clusterparams.LeastKeep, clusterparams.MostKeep),
-		LostAfter: t.Duration("lost_after", defaultLostAfter, clusterparams.LeastLost, clusterparams.MostLostAfter),
+		Copies: t.Int("copies", defaultCopies, 1, clusterparams.MaxCopies), Keep: t.Duration("keep", defaultKeep, clusterparams.MinKeep, clusterparams.MaxKeep),
+		LostAfter: t.Duration("lost_after", defaultLostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
 	}
 	c.Holdings = Holdings{
 		Classes: map[string]WhenAlone{}, MostEntries: t.Int("most_entries", defaultEntries, leastEntries, mostEntries),
@@ -90,15 +90,15 @@
 	t.Need("keeper", "[[crew.keeper]] with name and address, one to seven of them; three or five in different zones")
 	c := &Crew{
 		Name: t.Text("name", ""), Address: addressIn(t, "address"), Data: t.Text("data", ""),
-		Terms: clusterparams.Terms{
-			Lease: t.Duration("lease", defaultLease, clusterparams.LeastLease, clusterparams.MostLease),
-			Drift: t.Float("drift", defaultDrift, 0, clusterparams.MostDrift),
+		Terms: clusterparams.Params{
+			Lease: t.Duration("lease", defaultLease, clusterparams.MinLease, clusterparams.MaxLease),
+			Drift: t.Float("drift", defaultDrift, 0, clusterparams.MaxDrift),
 			Slack: t.Duration("slack", defaultSlack, 0, mostSlack), FixedClasses: t.Texts("fixed_classes"),
 		},
-		ContradictAtMost: t.Duration("contradict_at_most", defaultContradict, clusterparams.LeastLease, mostContradict),
+		ContradictAtMost: t.Duration("contradict_at_most", defaultContradict, clusterparams.MinLease, mostContradict),
 		Keepers:          map[string]string{},
 	}
-	if wait := c.Terms.Wait(); wait > c.ContradictAtMost {
+	if wait := c.Terms.LessorWait(); wait > c.ContradictAtMost {
 		// The line of what an operator would change first.
 		key := "contradict_at_most"
 		if !t.Has(key) {
@@ -108,7 +108,7 @@
 			"lease x (1 + drift) / (1 - drift) + slack up to contradict_at_most")
 	}
 	c.Ways = map[string]string{}
-	for _, w := range t.Tables("way", clusterparams.MostMembers) {
+	for _, w := range t.Tables("way", clusterparams.MaxMembers) {
 		w.Need("name", "the name of a member")
 		w.Need("address", "where this process reaches it")
 		name := w.Text("name", "")
@@ -118,7 +118,7 @@
 		c.Ways[name] = addressIn(w, "address")
 	}
 	addresses := map[string]bool{}
-	for _, k := range t.Tables("keeper", clusterparams.MostKeepers) {
+	for _, k := range t.Tables("keeper", clusterparams.MaxVoters) {
 		k.Need("name", "the name of the keeper's sidecar")
 		k.Need("address", "its crew.address")
 		name, address := k.Text("name", ""), addressIn(k, "address")
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -39,9 +39,9 @@
 
 // Message is what goes over the wire: whose it is, and what it says.
 type Message struct {
-	Crew string          `cbor:"1,keyasint"` // another crew's is refused
-	From string          `cbor:"2,keyasint"`
-	Body cbor.RawMessage `cbor:"3,keyasint"`
+	Cluster string          `cbor:"1,keyasint"` // another crew's is refused
+	From    string          `cbor:"2,keyasint"`
+	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
 // ErrRefused is that a peer understood a message and did not take it.
@@ -133,8 +133,8 @@
 		ctx.Error(fmt.Sprintf("%s: malformed: %v", kind, err), fasthttp.StatusBadRequest)
 		return
 	}
-	if m.Crew != s.crew {
-		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Crew, s.crew), fasthttp.StatusForbidden)
+	if m.Cluster != s.crew {
+		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.crew), fasthttp.StatusForbidden)
 		return
 	}
 	answer, err := do(m.From, m.Body)
@@ -151,9 +151,9 @@
 	ctx.SetBody(text)
 }
 
-// Line calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
+// Client calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
 // goroutine; they wait for one another.
-type Line struct {
+type Client struct {
 	world      env.Env
 	crew, from string
 	address    string
@@ -162,22 +162,22 @@
 	link *httpwire.Link
 }
 
-// NewLine returns one that is not connected.
-func NewLine(world env.Env, crew, from, address string) *Line {
-	return &Line{world: world, crew: crew, from: from, address: address}
+// NewClient returns one that is not connected.
+func NewClient(world env.Env, crew, from, address string) *Client {
+	return &Client{world: world, crew: crew, from: from, address: address}
 }
 
 // Address is where it calls.
-func (l *Line) Address() string { return l.address }
+func (l *Client) Address() string { return l.address }
 
 // Close ends its connection.
-func (l *Line) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop()
 }
 
-func (l *Line) drop() {
+func (l *Client) drop() {
 	if l.link != nil {
 		l.link.Close()
 		l.link = nil
@@ -186,7 +186,7 @@
 
 // Call says one thing and reads the answer into a value, within a time. An error that is ErrRefused came from the peer;
 // after any other one nobody knows whether the peer has heard it.
-func (l *Line) Call(kind string, body, answer any, within time.Duration) error {
+func (l *Client) Call(kind string, body, answer any, within time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.call(kind, body, answer, within)
@@ -196,7 +196,7 @@
 	return err
 }
 
-func (l *Line) call(kind string, body, answer any, within time.Duration) error {
+func (l *Client) call(kind string, body, answer any, within time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return err
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -36,7 +36,7 @@
 // What is said is heard, refusals are told from losses, and a connection that broke is made anew.
 func TestCall(t *testing.T) {
 	s := serve(t, "c")
-	l := NewLine(env.Real{}, "c", "me", s.Address())
+	l := NewClient(env.Real{}, "c", "me", s.Address())
 	defer l.Close()
 	var answer string
 	for range 2 {
@@ -56,12 +56,12 @@
 	if err := l.Call("echo", "again", &answer, within); err != nil || answer != "me:again" {
 		t.Errorf("after a broken connection: %q, %v", answer, err)
 	}
-	other := NewLine(env.Real{}, "other", "me", s.Address())
+	other := NewClient(env.Real{}, "other", "me", s.Address())
 	defer other.Close()
 	if err := other.Call("echo", "x", nil, within); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "for the crew") {
 		t.Errorf("another crew's: %v", err)
 	}
-	nobody := NewLine(env.Real{}, "c", "me", "127.0.0.1:9")
+	nobody := NewClient(env.Real{}, "c", "me", "127.0.0.1:9")
 	if err := nobody.Call("echo", "x", nil, within); err == nil || errors.Is(err, ErrRefused) {
 		t.Errorf("nobody there: %v", err)
 	}
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer silentPeer.Close()
-	l := NewLine(env.Real{}, "c", "me", silentPeer.Addr().String())
+	l := NewClient(env.Real{}, "c", "me", silentPeer.Addr().String())
 	defer l.Close()
 	began := time.Now()
 	if err := l.Call("echo", "x", nil, 100*time.Millisecond); err == nil || time.Since(began) > within {
--- a/internal/sim/clustersim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -104,11 +104,11 @@
 // leave ends a process in order: it says so, and is gone a moment later.
 func (r *run) leave() {
 	p := r.anybody()
-	said := p.holder.Ask()
+	said := p.holder.NextRenewal()
 	said.Leaving = true
-	call(p, p.seeker.First(), "renew", said, 500*time.Millisecond, func(q *process, said cluster.Renewal, reply func(voter.Renewed)) {
+	call(p, p.seeker.FirstVoter(), "renew", said, 500*time.Millisecond, func(q *process, said cluster.Renewal, reply func(voter.RenewResult)) {
 		q.keep(func(c *voter.Core) { c.Renew(said, reply) })
-	}, func(voter.Renewed, bool) {})
+	}, func(voter.RenewResult, bool) {})
 	// It asks for nothing any more: the word that it leaves is its last.
 	p.leaving = true
 	r.w.after(50*time.Millisecond, "exit", p.id, func() {
--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -152,12 +152,12 @@
 
 // propose has a client propose, with the same id to one keeper after another until one tells how it went.
 func (r *run) propose(d versions.Document, done func(number uint64, err error)) {
-	p := cluster.Proposal{ID: voter.Draw(), Parent: r.active(), Author: client, Doc: d}
+	p := cluster.Proposal{ID: voter.NewID(), Parent: r.active(), Author: client, Doc: d}
 	from, c := r.w.now, r.procs[client]
 	who := fmt.Sprintf("client %d", r.next.count)
 	keepers := slices.Clone(r.names[:r.conf.Keepers])
 	type answer struct {
-		Told voter.Proposed
+		Told voter.ProposeResult
 		Why  string
 	}
 	tries := 0
@@ -173,11 +173,11 @@
 		to := keepers[0]
 		call(c, to, "propose", p, proposeTime, func(q *process, p cluster.Proposal, reply func(answer)) {
 			q.keep(func(k *voter.Core) {
-				if _, leads := k.Leads(); leads && r.bug == TellsEarly {
+				if _, leads := k.IsLeader(); leads && r.bug == TellsEarly {
 					l, _ := k.Ledger()
-					reply(answer{Told: voter.Proposed{Number: l.Last + 1}})
+					reply(answer{Told: voter.ProposeResult{Number: l.LastNumber + 1}})
 				}
-				k.Propose(p, func(told voter.Proposed, err error) {
+				k.Propose(p, func(told voter.ProposeResult, err error) {
 					a := answer{Told: told}
 					if err != nil {
 						a.Why = err.Error()
@@ -192,7 +192,7 @@
 				r.history.add(who, from, r.w.now, asking{true, p.Parent}, told{number: a.Told.Number})
 				done(a.Told.Number, nil)
 				return
-			case ok && a.Why != "" && !counted && a.Why != voter.ErrNoWord.Error():
+			case ok && a.Why != "" && !counted && a.Why != voter.ErrUnknownOutcome.Error():
 				done(0, fmt.Errorf("%s", a.Why)) // it does not count
 				return
 			case ok && a.Told.Leader != "":
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -39,10 +39,10 @@
 	// pauseNext is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
 	pauseNext time.Duration
 
-	holder  *cluster.Holder
-	seeker  *cluster.Seeker
+	holder  *cluster.LeaseHolder
+	seeker  *cluster.LeaseRenewer
 	store   *holdings.Store // nil where nothing is held
-	me      holdings.Who
+	me      holdings.Incarnation
 	learnt  holdings.View   // by the store, last
 	viewed  holdings.View   // as it was last looked at
 	before  *holdings.Delta // the one before, for a planted bug
@@ -113,7 +113,7 @@
 
 // open opens the keeper's folder and begins.
 func (p *process) open() {
-	conf := voter.Conf{Crew: "sim", Name: p.name, Keepers: p.r.keepers, Terms: p.r.conf.Terms}
+	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.keepers, Params: p.r.conf.Terms}
 	p.guarded(func() (err error) {
 		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.fresh(p) }, p)
 		if err == nil {
@@ -145,14 +145,14 @@
 		}
 	}()
 	if err = do(); err == nil {
-		err = p.core.Settle()
+		err = p.core.ProcessReady()
 	}
 	return err
 }
 
 func (p *process) fail(err error) {
 	if p.core != nil {
-		p.core.End()
+		p.core.FailWaiting()
 	}
 	p.core, p.failed = nil, err
 	p.r.stopped(p, err)
@@ -185,8 +185,8 @@
 
 const mostWaits = 256
 
-// Say is keeper.Ways'.
-func (p *process) Say(to string, m *raftpb.Message) bool {
+// Send is keeper.Ways'.
+func (p *process) Send(to string, m *raftpb.Message) bool {
 	l := p.lines[to]
 	if l == nil {
 		l = &line{}
@@ -200,7 +200,7 @@
 		// The planted bug: each of the others is taken for having said yes.
 		yes := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
 		p.r.w.after(leastWay, "forged", p.id, func() {
-			p.do(func() { p.keep(func(c *voter.Core) { c.Take(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
+			p.do(func() { p.keep(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
 		})
 	}
 	if !l.busy {
@@ -235,7 +235,7 @@
 		}
 		q.keep(func(c *voter.Core) {
 			why := ""
-			if err := c.Take(p.name, messages); err != nil {
+			if err := c.HandleMessages(p.name, messages); err != nil {
 				why = err.Error()
 			}
 			reply(why)
@@ -243,7 +243,7 @@
 	}, func(why string, ok bool) {
 		for _, m := range batch {
 			if m.GetType() == raftpb.MsgSnap {
-				p.keep(func(c *voter.Core) { c.Reported(m.GetTo(), ok && why == "") })
+				p.keep(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && why == "") })
 			}
 		}
 		if ok || p.r.bug != FallsSilent {
@@ -252,19 +252,19 @@
 	})
 }
 
-// Ask is keeper.Ways'.
-func (p *process) Ask(to string, mine voter.Word) {
-	call(p, to, "form", mine, peerTime, func(q *process, theirs voter.Word, reply func(voter.Word)) {
+// Announce is keeper.Ways'.
+func (p *process) Announce(to string, mine voter.Announcement) {
+	call(p, to, "form", mine, peerTime, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
 		q.keep(func(c *voter.Core) {
-			c.Hear(theirs)
-			reply(c.Word())
+			c.HandleAnnouncement(theirs)
+			reply(c.Announcement())
 		})
-	}, func(theirs voter.Word, ok bool) {
+	}, func(theirs voter.Announcement, ok bool) {
 		if p.r.bug == TrustsOldFolder {
-			theirs.Term, theirs.End, theirs.Seen = 0, voter.Word{}.End, nil
+			theirs.Term, theirs.End, theirs.Seen = 0, voter.Announcement{}.End, nil
 		}
 		if ok {
-			p.keep(func(c *voter.Core) { c.Hear(theirs) })
+			p.keep(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
 		}
 	})
 }
@@ -272,48 +272,48 @@
 // heartbeat asks for the lease, and again with the next heartbeat.
 func (p *process) heartbeat() {
 	if !p.leaving {
-		p.seeker.Heartbeat()
+		p.seeker.StartHeartbeat()
 		p.ask()
 	}
 }
 
 func (p *process) ask() {
 	if p.store != nil {
-		p.holder.Filled = p.store.Filled()
+		p.holder.CaughtUp = p.store.CaughtUp()
 	}
-	to, r := p.seeker.Question(p.Boot())
+	to, r := p.seeker.NextRequest(p.Boot())
 	asked := p.r.w.now
 	p.r.said[saying{r.Token, r.Prepared, r.Epoch}] = true
 	if long := p.pauseNext; long > 0 {
 		p.pauseNext = 0
 		p.r.pause(p, long)
 	}
-	answered := func(a voter.Renewed) {
+	answered := func(a voter.RenewResult) {
 		if p.leaving {
 			return
 		}
 		if p.r.bug == CountsFromAnswer {
-			p.seeker.Question(p.Boot())
+			p.seeker.NextRequest(p.Boot())
 		}
 		p.r.tamper(p, a.Grant)
-		differed := p.holder.Differed()
-		next := p.seeker.Answer(p.Boot(), a.Grant, a.Leader)
-		if p.holder.Differed() != differed {
+		differed := p.holder.ViewErr()
+		next := p.seeker.HandleResponse(p.Boot(), a.Grant, a.Leader)
+		if p.holder.ViewErr() != differed {
 			p.r.result.Deltas["differed"]++
 		}
 		if p.why = "no answer"; a.Grant != nil {
-			p.why = a.Grant.Why
+			p.why = a.Grant.Reason
 			p.r.heard(p, asked, a.Grant, next.Err)
 		}
 		p.learn()
 		p.r.judge(p)
-		if next.Ask {
+		if next.RenewNow {
 			p.ask()
 			return
 		}
-		p.later(p.r.conf.Terms.Lease/cluster.Heartbeats, "heartbeat", p.heartbeat)
+		p.later(p.r.conf.Terms.Lease/cluster.HeartbeatsPerLease, "heartbeat", p.heartbeat)
 	}
-	call(p, to, "renew", r, p.r.conf.Terms.Lease/cluster.CallPart, func(q *process, r cluster.Renewal, reply func(voter.Renewed)) {
+	call(p, to, "renew", r, p.r.conf.Terms.Lease/cluster.CallTimeoutPart, func(q *process, r cluster.Renewal, reply func(voter.RenewResult)) {
 		q.keep(func(c *voter.Core) {
 			if l, _ := c.Ledger(); q.r.bug == AnyEpoch {
 				r.Epoch = l.Epoch
@@ -321,19 +321,19 @@
 			if l, _ := c.Ledger(); q.r.bug == WrongBase && l.Epoch > 0 && r.HasMembership > 0 {
 				r.HasMembership = max(r.HasMembership, l.Epoch-1)
 			}
-			c.Renew(r, func(a voter.Renewed) {
+			c.Renew(r, func(a voter.RenewResult) {
 				if l, _ := c.Ledger(); a.Grant != nil {
 					q.r.agreeOn(q, l)
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *voter.Core) { c.Told(&r) }) }) })
+					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
 				}
 			})
 		})
-	}, func(a voter.Renewed, ok bool) {
+	}, func(a voter.RenewResult, ok bool) {
 		if !ok {
-			a = voter.Renewed{}
+			a = voter.RenewResult{}
 		}
 		answered(a)
 	})
@@ -344,9 +344,9 @@
 	if p.store == nil {
 		return
 	}
-	if me, view := p.holder.Me(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.me || !view.Is(&p.learnt)) {
+	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.me || !view.Is(&p.learnt)) {
 		p.me, p.learnt = me, view
-		p.store.Learn(p.Boot(), me, view.Placement, view.Members)
+		p.store.ApplyView(p.Boot(), me, view.Placement, view.Members)
 	}
 }
 
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -21,7 +21,7 @@
 // Conf is what a run plays.
 type Conf struct {
 	Keepers, Members int // members that are no keepers: each keeper is a member too
-	Terms            cluster.Terms
+	Terms            cluster.Params
 	Duration         time.Duration // of faults; then all is mended
 	// FaultEvery is how far apart faults begin, about, in the middle one of three kinds of days; 0 for none.
 	FaultEvery time.Duration
@@ -34,7 +34,7 @@
 
 // Usual is the crew that CI plays.
 func Usual() Conf {
-	return Conf{Keepers: 5, Members: 25, Terms: cluster.Terms{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
+	return Conf{Keepers: 5, Members: 25, Terms: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
 		Duration: 20 * time.Second, FaultEvery: 700 * time.Millisecond, ProposeEvery: time.Second}
 }
 
@@ -235,7 +235,7 @@
 	if old := r.ids[p.name]; old != 0 && r.bug == KeepsOldID {
 		return old
 	}
-	r.ids[p.name] = voter.Draw()
+	r.ids[p.name] = voter.NewID()
 	return r.ids[p.name]
 }
 
@@ -260,14 +260,14 @@
 	if r.bug == SlowClock && strings.HasPrefix(name, "m") {
 		p.rate = 0.6
 	}
-	own := versions.Own(&decide.Settings{Limits: decide.Limits{MaxAttempts: versions.MostAttempts}, Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
-	self := cluster.Member{Name: name, Token: voter.Draw(), Address: name + ":1"}
+	own := versions.FromSettings(&decide.Settings{Limits: decide.Limits{MaxAttempts: versions.AttemptsLimit}, Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
+	self := cluster.Member{Name: name, Token: voter.NewID(), Address: name + ":1"}
 	if r.conf.Terms.Holdings.Copies > 0 {
 		self.Zone = fmt.Sprint(slices.Index(r.names, name) % 3)
 		p.store = holdings.NewStore(r.conf.Terms.Holdings, 1<<10)
 	}
-	p.holder = cluster.NewHolder(self, r.conf.Terms, own, 0)
-	p.seeker = cluster.NewSeeker(p.holder, slices.Sorted(maps.Keys(r.keepers)))
+	p.holder = cluster.NewLeaseHolder(self, r.conf.Terms, own, 0)
+	p.seeker = cluster.NewLeaseRenewer(p.holder, slices.Sorted(maps.Keys(r.keepers)))
 	return p
 }
 
@@ -330,7 +330,7 @@
 		return
 	}
 	r.judgeView(p)
-	x := p.holder.Acting(p.Boot())
+	x := p.holder.Effective(p.Boot())
 	if r.bug == DropsBans && x.Cautious {
 		x.Rules.Banned = nil
 	}
@@ -348,7 +348,7 @@
 		if q == p || q.paused {
 			continue
 		}
-		y := q.holder.Acting(q.Boot())
+		y := q.holder.Effective(q.Boot())
 		if y.Cautious {
 			continue
 		}
@@ -363,7 +363,7 @@
 
 // judgeKeeper looks at what a keeper that has settled holds.
 func (r *run) judgeKeeper(p *process) {
-	if term, leads := p.core.Leads(); leads {
+	if term, leads := p.core.IsLeader(); leads {
 		if other := r.leaders[term]; other != "" && other != p.name {
 			r.broken(TwoLeaders, "%s and %s lead in term %d", other, p.name, term)
 		}
@@ -379,7 +379,7 @@
 	if applied >= r.doubt[p.name] {
 		delete(r.doubt, p.name) // entries that nobody has applied yet may still show that it was set back
 	}
-	for _, round := range []*cluster.Round{&l.Active, l.Next} {
+	for _, round := range []*cluster.VersionRecord{&l.Active, l.Next} {
 		if round != nil && round.Number > 0 {
 			r.banned[round.Number] = round.Doc.Banned
 		}
@@ -393,11 +393,11 @@
 		}
 	}
 	sum := fnv.New64a()
-	fmt.Fprint(sum, l.Epoch, l.Members, l.Active, l.Last, l.Keepers, l.Former, l.Turned, len(l.History))
+	fmt.Fprint(sum, l.Epoch, l.Members, l.Active, l.LastNumber, l.Voters, l.ReplacedVoters, l.RejectedProposals, len(l.History))
 	if l.Next != nil {
 		fmt.Fprint(sum, *l.Next)
 	}
-	says := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.Last, sum.Sum64())
+	says := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.LastNumber, sum.Sum64())
 	if other, known := r.agreed[applied]; known && other != says {
 		r.broken(Differ, "after entry %d %s holds %s, and another held %s", applied, p.id, says, other)
 	}
@@ -407,7 +407,7 @@
 // heard books what a member was told.
 func (r *run) heard(p *process, asked time.Duration, g *cluster.Grant, err error) {
 	// A few members' words are enough for the order of events; they come eight times a lease.
-	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.Again {
+	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.RetryNow {
 		return
 	}
 	read := told{active: g.Active.Number}
@@ -425,7 +425,7 @@
 		if p.core == nil || p.paused {
 			continue
 		}
-		if term, leads := p.core.Leads(); leads && term >= newest {
+		if term, leads := p.core.IsLeader(); leads && term >= newest {
 			best, newest = p, term
 		}
 	}
@@ -444,7 +444,7 @@
 		if r.w.now < 3*time.Second || p.paused {
 			continue
 		}
-		if r.samples++; p.holder.Acting(p.Boot()).Cautious {
+		if r.samples++; p.holder.Effective(p.Boot()).Cautious {
 			r.cautious++
 		}
 	}
@@ -491,7 +491,7 @@
 		return false
 	}
 	for _, p := range up {
-		s := p.holder.Acting(p.Boot())
+		s := p.holder.Effective(p.Boot())
 		if s.Cautious || s.Active < version || s.Next != 0 {
 			return false
 		}
@@ -515,15 +515,15 @@
 func (r *run) describe() string {
 	var out []string
 	for _, p := range r.all() {
-		s := p.holder.Acting(p.Boot())
+		s := p.holder.Effective(p.Boot())
 		text := fmt.Sprintf("%s on %d+%d", p.id, s.Active, s.Next)
 		if s.Cautious {
 			text += fmt.Sprintf(" cautious (%s)", p.why)
 		}
 		if p.core != nil {
 			l, applied := p.core.Ledger()
-			term, leads := p.core.Leads()
-			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, keepers %v)", applied, r.highest, leads, term, l.Keepers)
+			term, leads := p.core.IsLeader()
+			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, keepers %v)", applied, r.highest, leads, term, l.Voters)
 		} else if p.failed != nil {
 			text += fmt.Sprintf(" (%v)", p.failed)
 		}
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -85,14 +85,14 @@
 		return
 	}
 	faulty := d
-	faulty.In, faulty.Gone, faulty.Shards = slices.Clone(d.In), slices.Clone(d.Gone), slices.Clone(d.Shards)
+	faulty.Joined, faulty.Gone, faulty.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 	switch r.bug {
 	case LeavesOut:
 		switch {
 		case len(d.Gone) > 0:
 			faulty.Gone = faulty.Gone[1:]
-		case len(d.In) > 0:
-			faulty.In = faulty.In[1:]
+		case len(d.Joined) > 0:
+			faulty.Joined = faulty.Joined[1:]
 		case len(d.Shards) > 0:
 			faulty.Shards = faulty.Shards[1:]
 		}
@@ -100,13 +100,13 @@
 		if before == nil || before.SinceEpoch == 0 || d.SinceEpoch == 0 {
 			return
 		}
-		for _, m := range before.In {
+		for _, m := range before.Joined {
 			if d.SinceEpoch == d.Epoch {
 				break // it changes no members
 			}
 			same := func(name string) bool { return name == m.Name }
 			faulty.Gone = slices.DeleteFunc(faulty.Gone, same)
-			faulty.In = append(slices.DeleteFunc(faulty.In, func(other holdings.Member) bool { return same(other.Name) }), m)
+			faulty.Joined = append(slices.DeleteFunc(faulty.Joined, func(other holdings.Member) bool { return same(other.Name) }), m)
 		}
 		for _, s := range before.Shards {
 			if d.SinceNumber == d.Number {
@@ -124,11 +124,11 @@
 			return
 		}
 		faulty.Gone = nil
-		faulty.In = slices.DeleteFunc(faulty.In, func(m holdings.Member) bool { return m.In < d.Epoch })
+		faulty.Joined = slices.DeleteFunc(faulty.Joined, func(m holdings.Member) bool { return m.JoinEpoch < d.Epoch })
 		faulty.Shards = faulty.Shards[len(faulty.Shards)/2:]
 	}
 	if r.opts.Forged {
-		faulty.Sum = leadsTo(p.holder.View(), &faulty).Sum()
+		faulty.Checksum = leadsTo(p.holder.View(), &faulty).Checksum()
 	}
 	g.Delta = must(cbor.Marshal(faulty))
 	r.result.Deltas["tampered"]++
@@ -146,7 +146,7 @@
 	for _, name := range d.Gone {
 		delete(in, name)
 	}
-	for _, m := range d.In {
+	for _, m := range d.Joined {
 		in[m.Name] = m
 	}
 	for _, m := range in { // in any order: sorted below
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -10,10 +10,10 @@
 	"heathgap/internal/tomlread"
 )
 
-// EffectWords and GroupWords are the words of files, the same as in the settings.
+// EffectNames and GroupNames are the words of files, the same as in the settings.
 var (
-	EffectWords = map[decide.Effect]string{decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once"}
-	GroupWords  = map[decide.Group]string{decide.GroupAll: "all", decide.GroupZone: "zone", decide.GroupCell: "cell"}
+	EffectNames = map[decide.Effect]string{decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once"}
+	GroupNames  = map[decide.Group]string{decide.GroupAll: "all", decide.GroupZone: "zone", decide.GroupCell: "cell"}
 )
 
 // keyOf finds the key of a word.
@@ -39,7 +39,7 @@
 func decode(file *tomlread.Doc) (doc Document, note string, err error) {
 	root := file.Root
 	note = root.Text("note", "")
-	doc.MaxAttempts = root.Int("max_attempts", 0, 1, MostAttempts)
+	doc.MaxAttempts = root.Int("max_attempts", 0, 1, AttemptsLimit)
 	// Only false says something: where copies are barred, no version may bring them in.
 	if root.Has("second_copies") && root.Bool("second_copies", false) {
 		root.Fail("second_copies", "true", "false, or no key: each sidecar's own setting holds then")
@@ -50,18 +50,18 @@
 		root.Fail("banned", "a name twice", "each name once")
 	}
 	doc.Classes = map[string]Class{}
-	for _, t := range root.Tables("class", MostClasses) {
+	for _, t := range root.Tables("class", MaxClasses) {
 		t.Need("name", "the name of a class")
 		t.Need("effect", "repeatable, by_key, once")
 		name := t.Text("name", "")
 		if _, twice := doc.Classes[name]; twice {
 			t.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c := Class{Effect: keyOf(EffectWords, t.Word("effect", "once", slices.Sorted(maps.Values(EffectWords))...))}
+		c := Class{Effect: keyOf(EffectNames, t.Word("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
 		if c.Effect == decide.Keyed {
 			t.Need("window", `a time such as "800ms"`)
-			c.Group = keyOf(GroupWords, t.Word("group", "all", "all", "zone", "cell"))
-			c.Window = t.Duration("window", time.Second, 0, MostWindow)
+			c.Group = keyOf(GroupNames, t.Word("group", "all", "all", "zone", "cell"))
+			c.Window = t.Duration("window", time.Second, 0, MaxWindow)
 		}
 		doc.Classes[name] = c
 	}
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -18,12 +18,12 @@
 
 // Bounds of a document: every member keeps two of them, and the keepers their history.
 const (
-	MostClasses  = 64
-	MostBanned   = 1024     // as many as a sidecar keeps bans by hand
-	MostText     = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
-	MostAttempts = 16
-	MostWindow   = time.Hour
-	mostName     = 256
+	MaxClasses    = 64
+	MaxBanned     = 1024     // as many as a sidecar keeps bans by hand
+	MaxBytes      = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
+	AttemptsLimit = 16
+	MaxWindow     = time.Hour
+	mostName      = 256
 )
 
 // Class is what a document says of a class of requests: all of it, or the class is not
@@ -93,8 +93,8 @@
 // Check turns down a document that breaks a bound or contradicts itself. Its error begins
 // with the key.
 func (d *Document) Check() error {
-	if len(d.Classes) > MostClasses {
-		return fmt.Errorf("class: %d of them; allowed: up to %d", len(d.Classes), MostClasses)
+	if len(d.Classes) > MaxClasses {
+		return fmt.Errorf("class: %d of them; allowed: up to %d", len(d.Classes), MaxClasses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		c := d.Classes[name]
@@ -106,25 +106,25 @@
 			return fmt.Errorf("%s: %d; allowed: repeatable, by_key, once", key("effect"), c.Effect)
 		case c.Group > decide.GroupCell:
 			return fmt.Errorf("%s: %d; allowed: all, zone, cell", key("group"), c.Group)
-		case c.Window < 0 || c.Window > MostWindow:
-			return fmt.Errorf("%s: %v; allowed: 0s to %v", key("window"), c.Window, MostWindow)
+		case c.Window < 0 || c.Window > MaxWindow:
+			return fmt.Errorf("%s: %v; allowed: 0s to %v", key("window"), c.Window, MaxWindow)
 		case c.Effect != decide.Keyed && (c.Group != decide.GroupAll || c.Window != 0):
 			return fmt.Errorf("%s: group and window belong to effect by_key alone", key("effect"))
 		}
 	}
-	if d.MaxAttempts < 0 || d.MaxAttempts > MostAttempts {
-		return fmt.Errorf("max_attempts: %d; allowed: 1 to %d", d.MaxAttempts, MostAttempts)
+	if d.MaxAttempts < 0 || d.MaxAttempts > AttemptsLimit {
+		return fmt.Errorf("max_attempts: %d; allowed: 1 to %d", d.MaxAttempts, AttemptsLimit)
 	}
-	if len(d.Banned) > MostBanned {
-		return fmt.Errorf("banned: %d names; allowed: up to %d", len(d.Banned), MostBanned)
+	if len(d.Banned) > MaxBanned {
+		return fmt.Errorf("banned: %d names; allowed: up to %d", len(d.Banned), MaxBanned)
 	}
 	for i, name := range d.Banned {
 		if name == "" || len(name) > mostName || i > 0 && name <= d.Banned[i-1] {
 			return fmt.Errorf("banned[%d]: %.40q; allowed: names of 1 to %d bytes, sorted, each once", i, name, mostName)
 		}
 	}
-	if size := len(d.encoded()); size > MostText {
-		return fmt.Errorf("document: %d bytes; allowed: up to %d", size, MostText)
+	if size := len(d.encoded()); size > MaxBytes {
+		return fmt.Errorf("document: %d bytes; allowed: up to %d", size, MaxBytes)
 	}
 	return nil
 }
@@ -138,8 +138,8 @@
 	Banned       map[string]bool
 }
 
-// Own are the rules of a sidecar's own settings. They are not shared with them.
-func Own(set *decide.Settings) Rules {
+// FromSettings are the rules of a sidecar's own settings. They are not shared with them.
+func FromSettings(set *decide.Settings) Rules {
 	r := Rules{
 		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), SecondCopies: set.Limits.Hedging,
 		Banned: map[string]bool{},
@@ -150,9 +150,9 @@
 	return r
 }
 
-// Over returns the rules with a document laid over them. connect is the time that a
+// With returns the rules with a document laid over them. connect is the time that a
 // connection may take: a sidecar judges a repeat that much before its last byte has come.
-func (r Rules) Over(d *Document, connect time.Duration) Rules {
+func (r Rules) With(d *Document, connect time.Duration) Rules {
 	out := r.clone()
 	for name, c := range d.Classes {
 		if _, known := out.Classes[name]; known {
@@ -274,15 +274,15 @@
 			return fmt.Errorf("class.%s.effect: callers send this class without keys; allowed: repeatable, once", name)
 		}
 	}
-	if key, ok := r.Allows(r.Over(to, 0)); !ok {
+	if key, ok := r.Allows(r.With(to, 0)); !ok {
 		return fmt.Errorf("%s: looser than this sidecar's own file; change that first", key)
 	}
-	_, err := r.Over(from, 0).Stricter(r.Over(to, 0))
+	_, err := r.With(from, 0).Stricter(r.With(to, 0))
 	return err
 }
 
-// Ruling is what the module is told to act on.
-func (r Rules) Ruling() *decide.DynamicSettings {
+// DynamicSettings is what the module is told to act on.
+func (r Rules) DynamicSettings() *decide.DynamicSettings {
 	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.SecondCopies, Classes: map[string]decide.DynamicClass{}}
 	for name, c := range r.Classes {
 		out.Classes[name] = decide.DynamicClass{Effect: c.Effect, Group: c.Group, Window: c.Window}
@@ -327,7 +327,7 @@
 	case !there:
 		return "each sidecar's own"
 	case c.Effect == decide.Keyed:
-		return fmt.Sprintf("%s/%s/%v", EffectWords[c.Effect], GroupWords[c.Group], c.Window)
+		return fmt.Sprintf("%s/%s/%v", EffectNames[c.Effect], GroupNames[c.Group], c.Window)
 	}
-	return EffectWords[c.Effect]
+	return EffectNames[c.Effect]
 }
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -83,7 +83,7 @@
 }
 
 func TestFits(t *testing.T) {
-	own := Own(&decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe},
+	own := FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe},
 		{Name: "pay", Effect: decide.Keyed, Group: decide.GroupAll, Window: time.Second}}})
 	doc := func(name string, c Class) *Document { return &Document{Classes: map[string]Class{name: c}} }
 	zone, cell := Class{decide.Keyed, decide.GroupZone, 1}, Class{decide.Keyed, decide.GroupCell, 1}
@@ -129,11 +129,11 @@
 		t.Error("other documents, equal hashes")
 	}
 	long := Document{}
-	for i := range MostBanned {
+	for i := range MaxBanned {
 		long.Banned = append(long.Banned, fmt.Sprintf("%0*d", mostName, i))
 	}
 	if err := long.Check(); err == nil || !strings.HasPrefix(err.Error(), "document: ") {
-		t.Errorf("a document of %d names of %d bytes: %v", MostBanned, mostName, err)
+		t.Errorf("a document of %d names of %d bytes: %v", MaxBanned, mostName, err)
 	}
 	for text, want := range map[string]string{
 		"max_attempts = 0":                             "v.toml:1: max_attempts",
