--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -73,29 +73,29 @@
 }
 
 func newCopies(m *Member, conf *config.Config) (*copies, error) {
-	c := &copies{m: m, classes: map[string]heldClass{}, body: m.conf.Holdings.MostBody, lines: map[string]*lines{}, told: map[holdings.Kind]time.Time{}}
+	c := &copies{m: m, classes: map[string]heldClass{}, body: m.conf.Holdings.MaxBody, lines: map[string]*lines{}, told: map[holdings.Kind]time.Time{}}
 	for name, alone := range m.conf.Holdings.Classes {
 		i := slices.IndexFunc(conf.Settings.Classes, func(k decide.Class) bool { return k.Name == name })
 		if i < 0 || conf.Settings.Classes[i].Effect != decide.Keyed {
 			return nil, fmt.Errorf("holdings.class: %q; allowed: a class of the settings whose effect is by_key", name)
 		}
 		class := conf.Settings.Classes[i]
-		if keep := m.conf.Terms.Holdings.Keep; class.Window > keep {
+		if keep := m.conf.Params.Holdings.Keep; class.Window > keep {
 			return nil, fmt.Errorf("holdings.keep: %v, under the %v for which endpoints drop repeats of class %q; allowed: at least that", keep, class.Window, name)
 		}
 		c.classes[name] = heldClass{class, alone}
 	}
-	if m.conf.Terms.Holdings.Copies > 1 && conf.Settings.Zone == "" {
+	if m.conf.Params.Holdings.Copies > 1 && conf.Settings.Zone == "" {
 		return nil, errors.New("holdings.copies: this sidecar's settings name no zone, and copies stand in different ones; set settings.az")
 	}
 	var b [8]byte
 	rand.Read(b[:]) //nolint:errcheck // it does not fail
 	c.claims.Store(binary.BigEndian.Uint64(b[:]))
-	c.store = holdings.NewStore(m.conf.Terms.Holdings, m.conf.Holdings.MostEntries)
+	c.store = holdings.NewStore(m.conf.Params.Holdings, m.conf.Holdings.MaxEntries)
 	return c, nil
 }
 
-func (c *copies) now() cluster.BootTime { return c.m.world.Boot() }
+func (c *copies) now() cluster.BootTime { return c.m.world.BootTime() }
 
 // learn takes what a renewal brought. The member's lock is held.
 func (c *copies) learn(h *cluster.LeaseHolder) {
@@ -111,7 +111,7 @@
 		c.me, c.view = me, view
 		c.address = map[holdings.Incarnation]string{}
 		for _, m := range view.Members {
-			c.address[m.Incarnation] = cmp.Or(c.m.conf.Ways[m.Name], c.m.conf.Keepers[m.Name], m.Address)
+			c.address[m.Incarnation] = cmp.Or(c.m.conf.Routes[m.Name], c.m.conf.Voters[m.Name], m.Address)
 		}
 		c.store.ApplyView(c.now(), me, view.Placement, view.Members)
 		c.dropLines()
@@ -410,7 +410,7 @@
 	var bound time.Duration
 	if answer.Kind == holdings.AnswerUnknown {
 		left := until.Sub(c.m.world.Now())
-		if !holdings.MayRepeat(&class.Class, answer.Age, left, c.m.conf.Terms.Drift) {
+		if !holdings.MayRepeat(&class.Class, answer.Age, left, c.m.conf.Params.Drift) {
 			return c.refuse(&a, answer)
 		}
 		bound = left
@@ -430,7 +430,7 @@
 		return c.refuse(&a, answer)
 	}
 	c.alone.Add(1)
-	if class.alone == operator.GoOn {
+	if class.alone == operator.ProceedAlone {
 		return pipeline.ClaimResult{}
 	}
 	if answer.Kind == holdings.AnswerNone && a.Op == holdings.OpClaim { // else it was out before
@@ -510,7 +510,7 @@
 		return answer
 	}
 	h.c.alone.Add(1)
-	if h.class.alone == operator.GoOn && got.Kind != holdings.AnswerFenced {
+	if h.class.alone == operator.ProceedAlone && got.Kind != holdings.AnswerFenced {
 		return answer
 	}
 	if answer.Stream != nil {
@@ -529,9 +529,9 @@
 		value int64
 		kind  byte
 	}{
-		{"held_entries", int64(entries), metrics.Present}, {"held_bytes", int64(bytes), metrics.Present},
-		{"held_claims", c.open.Load(), metrics.Counts}, {"held_known", c.was.Load(), metrics.Counts},
-		{"held_refused", c.refused.Load(), metrics.Counts}, {"held_alone", c.alone.Load(), metrics.Counts},
+		{"held_entries", int64(entries), metrics.Gauge}, {"held_bytes", int64(bytes), metrics.Gauge},
+		{"held_claims", c.open.Load(), metrics.Counter}, {"held_known", c.was.Load(), metrics.Counter},
+		{"held_refused", c.refused.Load(), metrics.Counter}, {"held_alone", c.alone.Load(), metrics.Counter},
 	} {
 		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -35,7 +35,7 @@
 
 // Member is a sidecar's part in a crew.
 type Member struct {
-	conf   operator.Crew
+	conf   operator.Cluster
 	world  env.Env
 	log    zerolog.Logger
 	server *peerrpc.Server
@@ -66,17 +66,17 @@
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
-func Start(table operator.Crew, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
+func Start(table operator.Cluster, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
 	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
 		conf: table, world: world, log: log, lines: map[string]*peerrpc.Client{},
-		holder: cluster.NewLeaseHolder(self, table.Terms, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
+		holder: cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
 		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
 	}
-	m.publish(world.Boot())
+	m.publish(world.BootTime())
 	var err error
-	if table.Terms.Holdings.Copies > 0 {
+	if table.Params.Holdings.Copies > 0 {
 		if m.copies, err = newCopies(m, conf); err != nil {
 			return nil, err
 		}
@@ -85,13 +85,13 @@
 		return nil, err
 	}
 	handlers := map[string]peerrpc.Handler{"acting": m.tellActing}
-	if _, is := table.Keepers[conf.Name]; is {
-		if table.Data == "" {
+	if _, is := table.Voters[conf.Name]; is {
+		if table.DataDir == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
 		m.keeper, err = voter.Open(voter.Conf{
-			Cluster: table.Name, Name: conf.Name, Voters: table.Keepers, Params: table.Terms, DataDir: table.Data,
+			Cluster: table.Name, Name: conf.Name, Voters: table.Voters, Params: table.Params, DataDir: table.DataDir,
 		}, world, log)
 		if err != nil {
 			m.server.Close()
@@ -100,10 +100,10 @@
 		maps.Copy(handlers, m.keeper.Handlers())
 		world.Go("keeper", m.keeper.Run)
 	}
-	for _, name := range slices.Sorted(maps.Keys(table.Keepers)) {
-		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Keepers[name])
+	for _, name := range slices.Sorted(maps.Keys(table.Voters)) {
+		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
 	}
-	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
+	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
 	if m.copies != nil {
 		maps.Copy(handlers, m.copies.handlers())
 		world.Go("holdings", m.copies.run)
@@ -112,7 +112,7 @@
 	world.Go("lease", m.run)
 	// Guards against a process that sends to what was banned while it was away. Keepers that can't be heard delay a start
 	// by a lease at most.
-	timer := world.NewTimer(table.Terms.Lease)
+	timer := world.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
 	case <-m.heard:
@@ -126,7 +126,7 @@
 // acts.
 func (m *Member) Effective() *pipeline.EffectiveRules {
 	a := m.acting.Load()
-	if now := m.world.Boot(); now >= a.until && !a.Cautious {
+	if now := m.world.BootTime(); now >= a.until && !a.Cautious {
 		return &m.publish(now).EffectiveRules
 	}
 	return &a.EffectiveRules
@@ -166,7 +166,7 @@
 // run keeps the lease until Stop.
 func (m *Member) run() {
 	defer close(m.ended)
-	heartbeat := m.conf.Terms.Lease / cluster.HeartbeatsPerLease
+	heartbeat := m.conf.Params.Lease / cluster.HeartbeatsPerLease
 	timer := m.world.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -191,15 +191,15 @@
 	if m.copies != nil {
 		m.holder.CaughtUp, m.holder.Unreachable = m.copies.says()
 	}
-	name, r := m.seeker.NextRequest(m.world.Boot())
+	name, r := m.seeker.NextRequest(m.world.BootTime())
 	m.mu.Unlock()
 	var reply voter.RenewResult
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/cluster.CallTimeoutPart); err != nil {
+	if err := m.lines[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
 		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.seeker.HandleResponse(m.world.Boot(), reply.Grant, reply.Leader)
+	next := m.seeker.HandleResponse(m.world.BootTime(), reply.Grant, reply.Leader)
 	if next.Done {
 		m.renewals.Add(1)
 	}
@@ -213,7 +213,7 @@
 	case !next.Done:
 		return next.RenewNow
 	}
-	m.publishLocked(m.world.Boot())
+	m.publishLocked(m.world.BootTime())
 	if m.copies != nil {
 		m.copies.learn(m.holder)
 	}
@@ -279,7 +279,7 @@
 func (m *Member) acts(a *acted) Status {
 	return Status{
 		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.stance.Active, Next: a.stance.Next, Epoch: a.stance.Epoch,
-		LeaseMS:  int((a.until - m.world.Boot()).Milliseconds()),
+		LeaseMS:  int((a.until - m.world.BootTime()).Milliseconds()),
 		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.lost.Load(),
 	}
 }
@@ -300,12 +300,12 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, metrics.Present}, {"crew_version", int64(a.stance.Active), metrics.Present},
-		{"crew_next", int64(a.stance.Next), metrics.Present}, {"crew_epoch", int64(a.stance.Epoch), metrics.Present},
-		{"crew_lease_ms", max(0, (a.until - m.world.Boot()).Milliseconds()), metrics.Present},
-		{"crew_banned", int64(len(a.Banned)), metrics.Present}, {"crew_leads", leads, metrics.Present},
-		{"crew_renewals", m.renewals.Load(), metrics.Counts}, {"crew_refused", m.refused.Load(), metrics.Counts},
-		{"crew_unheard", m.lost.Load(), metrics.Counts},
+		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.stance.Active), metrics.Gauge},
+		{"crew_next", int64(a.stance.Next), metrics.Gauge}, {"crew_epoch", int64(a.stance.Epoch), metrics.Gauge},
+		{"crew_lease_ms", max(0, (a.until - m.world.BootTime()).Milliseconds()), metrics.Gauge},
+		{"crew_banned", int64(len(a.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
+		{"crew_renewals", m.renewals.Load(), metrics.Counter}, {"crew_refused", m.refused.Load(), metrics.Counter},
+		{"crew_unheard", m.lost.Load(), metrics.Counter},
 	} {
 		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
--- a/internal/cluster/member/process.go
+++ b/internal/cluster/member/process.go
@@ -17,7 +17,7 @@
 // Process runs a sidecar as a member of the crew that its operator's file names, and returns the process's exit code.
 func Process() int {
 	file, err := operator.FromEnv(os.Getenv)
-	if err == nil && file.Crew == nil {
+	if err == nil && file.Cluster == nil {
 		err = fmt.Errorf("%s: no table [crew]; bin/heathgap serves without one", os.Getenv(operator.EnvFile))
 	}
 	if err != nil {
@@ -28,11 +28,11 @@
 	// A limit on the size of files is a write that fails, as a full disk is: the keeper takes no further part, the sidecar
 	// goes on.
 	signal.Ignore(syscall.SIGXFSZ)
-	return lifecycle.Main(lifecycle.Options{Operator: file, Cluster: Joiner(*file.Crew)})
+	return lifecycle.Main(lifecycle.Options{Operator: file, Cluster: Joiner(*file.Cluster)})
 }
 
 // Joiner makes sidecars members of the crew that a table names.
-func Joiner(table operator.Crew) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
+func Joiner(table operator.Cluster) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
 	return func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
 		m, err := Start(table, conf, world, log)
 		if err != nil {
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -46,7 +46,7 @@
 // Clock is a keeper's view of time; env.Env has it.
 type Clock interface {
 	Now() time.Time
-	Boot() time.Duration
+	BootTime() time.Duration
 }
 
 // Transport are how a keeper speaks to the others. Calls return at once, and may lose what they are given.
@@ -279,7 +279,7 @@
 	if rd := k.reading; rd != nil && rd.index > 0 && k.applied >= rd.index {
 		k.reading = nil
 		for _, w := range rd.batch {
-			grant := k.granter.Renew(k.clock.Boot(), k.ledger, &w.r)
+			grant := k.granter.Renew(k.clock.BootTime(), k.ledger, &w.r)
 			w.reply(RenewResult{Grant: &grant})
 		}
 	} else if rd != nil && now.After(rd.until) {
@@ -297,7 +297,7 @@
 	// Guards against conclusions from a ledger that lacks what the leaders before have agreed on: the leader's own
 	// first entry is behind all of that.
 	if k.mark == 0 && k.applied > 0 && k.caughtUp() {
-		if due := k.granter.Due(k.clock.Boot(), k.ledger); len(due) > 0 {
+		if due := k.granter.Due(k.clock.BootTime(), k.ledger); len(due) > 0 {
 			k.propose(due[0])
 		}
 	}
@@ -467,7 +467,7 @@
 // LeaseAnswerSent hears that a lease's answer has been handed to the network.
 func (k *Core) LeaseAnswerSent(r *cluster.Renewal) {
 	if k.granter != nil {
-		k.granter.AnswerSent(k.clock.Boot(), r)
+		k.granter.AnswerSent(k.clock.BootTime(), r)
 	}
 }
 
@@ -538,7 +538,7 @@
 	if k.granter != nil {
 		s.Leases = map[string]int{}
 		for name := range k.ledger.Members {
-			s.Leases[name] = int((k.granter.LeaseEnd(k.clock.Boot(), k.ledger, name) - k.clock.Boot()).Milliseconds())
+			s.Leases[name] = int((k.granter.LeaseEnd(k.clock.BootTime(), k.ledger, name) - k.clock.BootTime()).Milliseconds())
 		}
 	}
 	return s
--- a/internal/command/crew.go
+++ b/internal/command/crew.go
@@ -45,7 +45,7 @@
 
 // crewTalk is a conversation with the keepers of a crew.
 type crewTalk struct {
-	table *operator.Crew
+	table *operator.Cluster
 	lines map[string]*peerrpc.Client
 }
 
@@ -54,12 +54,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if file.Crew == nil {
+	if file.Cluster == nil {
 		return nil, fmt.Errorf("%s: no table [crew]", a.Operator)
 	}
-	t := &crewTalk{table: file.Crew, lines: map[string]*peerrpc.Client{}}
-	for name, address := range file.Crew.Keepers {
-		t.lines[name] = peerrpc.NewClient(env.Real{}, file.Crew.Name, "cli", address)
+	t := &crewTalk{table: file.Cluster, lines: map[string]*peerrpc.Client{}}
+	for name, address := range file.Cluster.Voters {
+		t.lines[name] = peerrpc.NewClient(env.Real{}, file.Cluster.Name, "cli", address)
 	}
 	return t, nil
 }
--- a/internal/command/heathgap.go
+++ b/internal/command/heathgap.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		if file.Crew != nil {
+		if file.Cluster != nil {
 			program = "heathgap-crew"
 		}
 		env = append(env, operator.EnvFile+"="+c.Operator)
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -73,10 +73,10 @@
 	t, s, err := a.led()
 	switch {
 	case err != nil:
-	case t.table.Terms.Holdings.Copies == 0:
+	case t.table.Params.Holdings.Copies == 0:
 		err = fmt.Errorf("%s: %w", a.Operator, errNothingHeld)
 	case s.Ledger.Placement == nil:
-		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.table.Terms.Holdings.Copies)
+		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.table.Params.Holdings.Copies)
 	}
 	return t, s, err
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	st := statusOf(&s, t.table.Terms.Holdings.Copies)
+	st := statusOf(&s, t.table.Params.Holdings.Copies)
 	if c.JSON {
 		return writeJSON(o, st)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -63,7 +63,7 @@
 	Discovery string
 	Console   string // where operators connect; empty for no console
 	Seed      uint64
-	Known     *httpwire.List // the list as last known; nil without one
+	KnownList *httpwire.List // the list as last known; nil without one
 	Settings  decide.Settings
 	Transport settings.Transport
 	Classes   map[string]decide.Class
@@ -74,7 +74,7 @@
 	CallerConns    int           // of them, or of fewer that the process may hold, connections of callers
 	EndpointConns  int           // connections to endpoints
 	ConnectTimeout time.Duration // for a connection to an endpoint
-	IdleFor        time.Duration // a connection to an endpoint may stand idle for so long
+	IdleTimeout    time.Duration // a connection to an endpoint may stand idle for so long
 }
 
 // Load reads the configuration that the environment names, for a start.
@@ -180,9 +180,9 @@
 	return keys
 }
 
-// Foreign tells whether settings that name these classes are another installation's: there are some, and none of them is
+// IsForeign tells whether settings that name these classes are another installation's: there are some, and none of them is
 // one of c's. Guards against what belongs to one customer and is met where another's is expected.
-func (c *Config) Foreign(classes []string) bool {
+func (c *Config) IsForeign(classes []string) bool {
 	for _, name := range classes {
 		if _, ours := c.Classes[name]; ours {
 			return false
@@ -245,8 +245,8 @@
 	c.CallerConns = min(int(float64(sockets)*callerShare), sockets-kept-c.EndpointConns)
 }
 
-// Within keeps to fewer descriptors than are configured, where the process may hold no more, and tells whether it may not.
-func (c *Config) Within(descriptors uint64) bool {
+// LimitSockets keeps to fewer descriptors than are configured, where the process may hold no more, and tells whether it may not.
+func (c *Config) LimitSockets(descriptors uint64) bool {
 	if descriptors >= uint64(c.Sockets) {
 		return false
 	}
@@ -262,7 +262,7 @@
 	if err != nil {
 		return err
 	}
-	c.Known = &list
+	c.KnownList = &list
 	return nil
 }
 
@@ -289,7 +289,7 @@
 	if c.ConnectTimeout < 0 || idle < 0 {
 		return errors.New("bounds.connect_timeout, bounds.conn_idle: below 0")
 	}
-	c.IdleFor = time.Duration(float64(idle) * idleShare)
+	c.IdleTimeout = time.Duration(float64(idle) * idleShare)
 	c.shortenWindows()
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,15 +27,15 @@
 	if c.Name != "n3" || c.Listen != "127.0.0.1:7070" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 {
 		t.Errorf("head: %+v", c)
 	}
-	if c.ConnectTimeout != 75*time.Millisecond || c.IdleFor >= 10*time.Second || c.Transport.MaxPending != 50 {
-		t.Errorf("connections: %v %v %d", c.ConnectTimeout, c.IdleFor, c.Transport.MaxPending)
+	if c.ConnectTimeout != 75*time.Millisecond || c.IdleTimeout >= 10*time.Second || c.Transport.MaxPending != 50 {
+		t.Errorf("connections: %v %v %d", c.ConnectTimeout, c.IdleTimeout, c.Transport.MaxPending)
 	}
 	if c.HeapBytes >= 100<<20 || c.CallerConns+c.EndpointConns >= 1000 {
 		t.Errorf("nothing is in reserve: %d bytes, %d+%d connections", c.HeapBytes, c.CallerConns, c.EndpointConns)
 	}
-	e := c.Known.Endpoints[0]
-	if c.Known.Index != 41 || e.Name != "s-1" || e.Weight != 1.5 || e.Since != 7*time.Millisecond {
-		t.Errorf("known: %+v", c.Known)
+	e := c.KnownList.Endpoints[0]
+	if c.KnownList.Index != 41 || e.Name != "s-1" || e.Weight != 1.5 || e.Since != 7*time.Millisecond {
+		t.Errorf("known: %+v", c.KnownList)
 	}
 	if w := c.Settings.Classes[0].Window; w != 3925*time.Millisecond {
 		t.Errorf("window %v: a repeat may need 75 ms more until its last byte has come", w)
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.CallerConns == 0 || c.EndpointConns == 0 || c.HeapBytes == 0 || c.ConnectTimeout == 0 || c.IdleFor == 0 {
+	if c.CallerConns == 0 || c.EndpointConns == 0 || c.HeapBytes == 0 || c.ConnectTimeout == 0 || c.IdleTimeout == 0 {
 		t.Errorf("no default: %+v", c)
 	}
 }
@@ -190,7 +190,7 @@
 		}
 	}
 	few := Config{Sockets: 1024}
-	if few.Within(1024) || !few.Within(64) || few.CallerConns+few.EndpointConns+keptSockets > 64 || few.Sockets != 1024 {
+	if few.LimitSockets(1024) || !few.LimitSockets(64) || few.CallerConns+few.EndpointConns+keptSockets > 64 || few.Sockets != 1024 {
 		t.Errorf("within 64: %+v", few)
 	}
 }
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -16,9 +16,9 @@
 type Env interface {
 	// Now is the present time, monotonic within a process.
 	Now() time.Time
-	// Boot is the time since some moment before the process's start; unlike Now's it goes on while the machine is
+	// BootTime is the time since some moment before the process's start; unlike Now's it goes on while the machine is
 	// suspended. A lease is counted by it.
-	Boot() time.Duration
+	BootTime() time.Duration
 	// NewTimer returns a timer that fires once, as time.NewTimer does.
 	NewTimer(d time.Duration) Timer
 	// AfterFunc calls f in a goroutine of its own after a time.
@@ -31,8 +31,8 @@
 	Listen(address string) (net.Listener, error)
 	// Go runs f in a goroutine of its own; the name says what for.
 	Go(name string, f func())
-	// Chance draws a time from 0 up to, but not including, d, which is above 0.
-	Chance(d time.Duration) time.Duration
+	// RandomDuration draws a time from 0 up to, but not including, d, which is above 0.
+	RandomDuration(d time.Duration) time.Duration
 }
 
 // Timer is a time.Timer. After Stop or Reset no stale time is received.
@@ -48,8 +48,8 @@
 // Now is time.Now.
 func (Real) Now() time.Time { return time.Now() }
 
-// Boot is CLOCK_BOOTTIME. Where the kernel has none (Linux before 2.6.39) there is nothing to count a lease by.
-func (Real) Boot() time.Duration {
+// BootTime is CLOCK_BOOTTIME. Where the kernel has none (Linux before 2.6.39) there is nothing to count a lease by.
+func (Real) BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err)
@@ -88,5 +88,5 @@
 // Go starts a goroutine.
 func (Real) Go(_ string, f func()) { go f() }
 
-// Chance draws from the process's source.
-func (Real) Chance(d time.Duration) time.Duration { return rand.N(d) }
+// RandomDuration draws from the process's source.
+func (Real) RandomDuration(d time.Duration) time.Duration { return rand.N(d) }
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -111,7 +111,7 @@
 		Address: o.Text("address"),
 		Zone:    o.Text("zone"),
 		Cell:    int(o.Integer("group")),
-		State:   jsonread.Word(o, "status", states),
+		State:   jsonread.Enum(o, "status", states),
 		Weight:  1,
 		Since:   time.Duration(o.Integer("since_ms")) * time.Millisecond,
 	}
--- a/internal/jsonread/jsonread.go
+++ b/internal/jsonread/jsonread.go
@@ -138,8 +138,8 @@
 	return all
 }
 
-// Word translates a name by a table; an absent name is the table's zero value.
-func Word[T any](o Object, key string, table map[string]T) (t T) {
+// Enum translates a name by a table; an absent name is the table's zero value.
+func Enum[T any](o Object, key string, table map[string]T) (t T) {
 	name := o.Text(key)
 	if name == "" {
 		return t
--- a/internal/lab/emulated/hollow_test.go
+++ b/internal/lab/emulated/hollow_test.go
@@ -214,7 +214,7 @@
 		dir := t.TempDir()
 		starting.Go(func() {
 			table := c.start.table(k)
-			table.Data = dir
+			table.DataDir = dir
 			conf, err := conf(k)
 			if err != nil {
 				t.Error(err)
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -137,7 +137,7 @@
 
 // tell books a stance, and says it if it is another one. The lock is held, so that nothing of a life is said after its end.
 func (h *hollow) tell(s Stance) {
-	s.At, s.Member = (env.Real{}).Boot(), h.place.Name
+	s.At, s.Member = (env.Real{}).BootTime(), h.place.Name
 	before := h.stance
 	h.stance = s
 	if before.Member != "" && before.Active == s.Active && before.Next == s.Next && before.Cautious == s.Cautious && before.Gone == s.Gone {
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -317,7 +317,7 @@
 
 // sample tells what the process, and these members of it, have cost.
 func (p *process) sample(members []*hollow) (*Sampled, error) {
-	s := &Sampled{At: (env.Real{}).Boot(), Members: map[string]Spent{}}
+	s := &Sampled{At: (env.Real{}).BootTime(), Members: map[string]Spent{}}
 	for _, h := range members {
 		s.Members[h.place.Name] = h.sample()
 	}
--- a/internal/lab/emulated/start.go
+++ b/internal/lab/emulated/start.go
@@ -68,16 +68,16 @@
 }
 
 // table is the [crew] of a member.
-func (s *Start) table(p Place) operator.Crew {
-	t := operator.Crew{
-		Name: s.Crew, Address: p.Address, Terms: s.terms(), ContradictAtMost: s.ContradictAtMost, Keepers: map[string]string{}, Ways: map[string]string{},
+func (s *Start) table(p Place) operator.Cluster {
+	t := operator.Cluster{
+		Name: s.Crew, Address: p.Address, Params: s.terms(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
 	}
 	for _, k := range s.Keepers {
-		t.Keepers[k.Name] = k.Address
+		t.Voters[k.Name] = k.Address
 	}
 	if s.Copies > 0 {
 		t.Holdings = operator.Holdings{
-			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MostEntries: mostEntries, MostBody: mostBody,
+			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MaxEntries: mostEntries, MaxBody: mostBody,
 		}
 	}
 	return t
--- a/internal/lab/emulated/world.go
+++ b/internal/lab/emulated/world.go
@@ -64,12 +64,12 @@
 // member there holds none, and has nothing to wait for.
 const afterlife = time.Hour
 
-// Boot is env.Env's.
-func (w *world) Boot() time.Duration {
+// BootTime is env.Env's.
+func (w *world) BootTime() time.Duration {
 	if w.over.Load() {
-		return w.Real.Boot() + afterlife
+		return w.Real.BootTime() + afterlife
 	}
-	return w.Real.Boot()
+	return w.Real.BootTime()
 }
 
 // NewTimer is env.Env's.
--- a/internal/lab/emulated/world_test.go
+++ b/internal/lab/emulated/world_test.go
@@ -279,7 +279,7 @@
 	if _, err := near.Listen(free(t)); !errors.Is(err, errOver) {
 		t.Error(err)
 	}
-	if near.Boot() < (env.Real{}).Boot()+afterlife/2 {
+	if near.BootTime() < (env.Real{}).BootTime()+afterlife/2 {
 		t.Error("a lease may still hold")
 	}
 }
--- a/internal/lab/harness/crew_test.go
+++ b/internal/lab/harness/crew_test.go
@@ -55,9 +55,9 @@
 	began time.Duration
 }
 
-// Boot is env.Env's.
-func (c otherClock) Boot() time.Duration {
-	return c.began + time.Duration(float64(c.Env.Boot()-c.began)*c.rate)
+// BootTime is env.Env's.
+func (c otherClock) BootTime() time.Duration {
+	return c.began + time.Duration(float64(c.Env.BootTime()-c.began)*c.rate)
 }
 
 // sleeper's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
@@ -70,11 +70,11 @@
 // sleepGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
 const sleepGap = 300 * time.Millisecond
 
-// Boot is env.Env's.
-func (s *sleeper) Boot() time.Duration {
+// BootTime is env.Env's.
+func (s *sleeper) BootTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.Env.Boot()
+	now := s.Env.BootTime()
 	if now-s.last > sleepGap {
 		s.lost += now - s.last
 	}
@@ -84,7 +84,7 @@
 
 func (s *sleeper) stayAwake() {
 	for range time.Tick(sleepGap / 10) {
-		s.Boot()
+		s.BootTime()
 	}
 }
 
@@ -167,7 +167,7 @@
 	case bug == olderBuild:
 		return olderWorld{world}
 	case bug == bugSleeps && name == "m2":
-		s := &sleeper{Env: world, last: world.Boot()}
+		s := &sleeper{Env: world, last: world.BootTime()}
 		go s.stayAwake()
 		return s
 	case bug == bugSlow && name == "m2":
@@ -177,7 +177,7 @@
 	case bug == clocksOff:
 		rate = 1 - drift
 	}
-	return otherClock{world, rate, world.Boot()}
+	return otherClock{world, rate, world.BootTime()}
 }
 
 // buggyMember is a member with a bug round it.
@@ -208,13 +208,13 @@
 // memberMain runs a member with a bug.
 func memberMain(bug string) int {
 	file, err := operator.FromEnv(os.Getenv)
-	if err != nil || file.Crew == nil || bug == bugNone {
+	if err != nil || file.Cluster == nil || bug == bugNone {
 		return member.Process()
 	}
-	join := member.Joiner(*file.Crew)
+	join := member.Joiner(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
 		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
-			m, err := join(conf, clockOf(world, bug, conf.Name, file.Crew.Terms.Drift), log)
+			m, err := join(conf, clockOf(world, bug, conf.Name, file.Cluster.Params.Drift), log)
 			return &buggyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -33,7 +33,7 @@
 	mostJSONLine = 64 << 20
 )
 
-func boot() time.Duration { return env.Real{}.Boot() }
+func boot() time.Duration { return env.Real{}.BootTime() }
 
 // sidecar is a real process, over all its starts: a keeper, a member under load, or one without a crew.
 type sidecar struct {
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -191,7 +191,7 @@
 		p.Need("fault", "unheeding, hasty, forgetful")
 		one := Planted{
 			Who:   p.Text("who", "h1"),
-			Fault: emulated.Fault(p.Word("fault", string(emulated.Unheeding), string(emulated.Unheeding), string(emulated.Hasty), string(emulated.Forgetful))),
+			Fault: emulated.Fault(p.Enum("fault", string(emulated.Unheeding), string(emulated.Unheeding), string(emulated.Hasty), string(emulated.Forgetful))),
 		}
 		if p.Has("who") && !slices.Contains(s.hollowNames(), one.Who) {
 			p.Fail("who", fmt.Sprintf("%q", one.Who), fmt.Sprintf("a hollow member, h1 to h%d", s.Hollow))
@@ -271,7 +271,7 @@
 	for _, d := range t.Tables("step", mostSteps) {
 		d.Need("do", strings.Join(doings, ", "))
 		step := Step{
-			At: d.Duration("at", 0, 0, mostDuration), Do: d.Word("do", Burst, doings...), Who: d.Text("who", ""),
+			At: d.Duration("at", 0, 0, mostDuration), Do: d.Enum("do", Burst, doings...), Who: d.Text("who", ""),
 			Share: d.Float("share", 0, 0, 1), Count: d.Int("count", 0, 0, mostCounted), For: d.Duration("for", 0, 0, mostDuration),
 			Away: d.Duration("away", 0, 0, mostDuration), Killed: d.Bool("killed", false), Leader: d.Bool("leader", false),
 			By: d.Duration("by", 200*time.Millisecond, time.Millisecond, 10*time.Second),
--- a/internal/lab/scenario/crew.go
+++ b/internal/lab/scenario/crew.go
@@ -120,8 +120,8 @@
 	for _, s := range t.Tables("step", mostCrewSteps) {
 		s.Need("do", "propose, kill, term, stop, cut, wipe, reset, full, setback, restart, twin, older, delay")
 		step := CrewStep{
-			At: s.Duration("at", 0, 0, mostCrewTime), Do: s.Word("do", "propose", append([]string{"propose", "restart", "twin", "older", "delay"}, CrewFaults...)...),
-			Who: s.Text("who", "leader"), Way: s.Word("way", "both", CrewWays...), For: s.Duration("for", time.Second, 0, mostCrewTime),
+			At: s.Duration("at", 0, 0, mostCrewTime), Do: s.Enum("do", "propose", append([]string{"propose", "restart", "twin", "older", "delay"}, CrewFaults...)...),
+			Who: s.Text("who", "leader"), Way: s.Enum("way", "both", CrewWays...), For: s.Duration("for", time.Second, 0, mostCrewTime),
 			Effect: s.Text("effect", ""), Ban: s.Text("ban", ""), Dies: s.Bool("dies", false),
 			With: s.Text("with", ""), By: s.Duration("by", 100*time.Millisecond, 0, time.Minute),
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -242,8 +242,8 @@
 		t.Need("work", "a time with its unit")
 		c := Class{
 			Name:      t.Text("name", ""),
-			Effect:    effects[t.Word("effect", "safe", "safe", "keyed", "unsafe")],
-			Group:     t.Word("group", "all", "all", "zone", "cell"),
+			Effect:    effects[t.Enum("effect", "safe", "safe", "keyed", "unsafe")],
+			Group:     t.Enum("group", "all", "all", "zone", "cell"),
 			Window:    t.Duration("window", 0, 0, hour),
 			Aim:       t.Duration("aim", 500*time.Millisecond, time.Millisecond, time.Minute),
 			Deadline:  t.Duration("deadline", 2*time.Second, time.Millisecond, time.Minute),
@@ -295,7 +295,7 @@
 			Connections: t.Int("connections", 0, 0, 65536),
 			Handshake:   t.Duration("handshake", 0, 0, time.Second),
 			Body:        t.Int("body", 200, 0, 1<<20),
-			ListBy:      t.Word("list_by", "subscribe", "subscribe", "push"),
+			ListBy:      t.Enum("list_by", "subscribe", "subscribe", "push"),
 		}
 		tier.Station = decodeStation(t, s.Rules)
 		if len(tier.Zones) == 0 {
@@ -341,7 +341,7 @@
 func (s *Scenario) decodeLoad(t *tomlread.Table) {
 	const mostOfCapacity = 20
 	l := &s.Load
-	l.Shape = load.Shape(t.Word("shape", "steady", "steady", "ramp", "surge", "wander"))
+	l.Shape = load.Shape(t.Enum("shape", "steady", "steady", "ramp", "surge", "wander"))
 	l.Low = t.Float("low", 0.5, 0, 1)
 	l.Period = t.Duration("period", 10*time.Second, time.Second, hour)
 	if t.Has("of_capacity") {
@@ -408,7 +408,7 @@
 	t.Need("kind", "a kind of fault")
 	t.Need("at", "a time with its unit")
 	f := Fault{
-		Kind:   Kind(t.Word("kind", "", kinds...)),
+		Kind:   Kind(t.Enum("kind", "", kinds...)),
 		At:     t.Duration("at", 0, 0, s.Duration),
 		Share:  1,
 		Of:     1,
--- a/internal/lifecycle/probe_test.go
+++ b/internal/lifecycle/probe_test.go
@@ -94,10 +94,10 @@
 		}
 	}
 	c := s.Counters()
-	if c.Shadow == nil || c.Shadow.Watched != 40 || c.Shadow.Probes == 0 {
+	if c.Shadow == nil || c.Shadow.Followed != 40 || c.Shadow.Probes == 0 {
 		t.Fatalf("watched: %+v, want 40 requests and probes that would have been sent", c.Shadow)
 	}
-	if c.Shadow.Alike+c.Shadow.SentElsewhere == 0 || c.Probed != 0 {
+	if c.Shadow.Same+c.Shadow.SentElsewhere == 0 || c.Probed != 0 {
 		t.Errorf("%+v, and %d probes sent", c.Shadow, c.Probed)
 	}
 }
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -27,7 +27,7 @@
 // and the path of an operator's file where there is one.
 func Process() int {
 	file, err := operator.FromEnv(os.Getenv)
-	if err == nil && file.Crew != nil {
+	if err == nil && file.Cluster != nil {
 		err = fmt.Errorf("%s: it has a table [crew]: bin/heathgap serve --operator starts bin/heathgap-crew with it", os.Getenv(operator.EnvFile))
 	}
 	if err != nil {
@@ -55,7 +55,7 @@
 		return 1
 	}
 	log = log.With().Str("sidecar", conf.Name).Logger()
-	if most := descriptors(); conf.Within(most) {
+	if most := descriptors(); conf.LimitSockets(most) {
 		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", most).Msg("the process may hold fewer descriptors than limits.sockets")
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
@@ -124,7 +124,7 @@
 		s.log.Error().Err(err).Msg("bad configuration, the old one stays")
 		return
 	}
-	if classes := next.ClassNames(); s.conf.Foreign(classes) {
+	if classes := next.ClassNames(); s.conf.IsForeign(classes) {
 		// Guards against another installation's file in this one's place: its discovery's endpoints are not ours.
 		s.log.Error().Strs("classes", classes).Msg("another installation's configuration, the old one stays")
 		return
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if set := opts.Operator.Watch.Settings; set != nil {
+	if set := opts.Operator.Shadow.Settings; set != nil {
 		// A seed of its own: the deciding one's random numbers stay as they are.
 		if balancer, err = shadow.New(balancer, *set, ^conf.Seed); err != nil {
 			return nil, fmt.Errorf("watch: %w", err)
--- a/internal/metrics/listcalls.go
+++ b/internal/metrics/listcalls.go
@@ -14,10 +14,10 @@
 	ListAnswered     ListCallEnd = iota
 	ListRefused                  // answered with a status other than 200
 	ListMalformed                // answered with what is no list
-	ListSilent                   // no answer in time, or one that stood still
+	ListTimedOut                 // no answer in time, or one that stood still
 	ListBroken                   // its connection ended before a whole answer
 	ListNotConnected             // there was no connection
-	ListCalledOff                // this sidecar ended it: a reload, its own end, another call that was answered first
+	ListCanceled                 // this sidecar ended it: a reload, its own end, another call that was answered first
 	listCallEnds
 )
 
@@ -44,7 +44,7 @@
 // append writes the counts as figures, a line each.
 func (c *ListCalls) append(text []byte) []byte {
 	for end := range c {
-		text = Append(text, "list_calls."+listCallEndNames[end], c[end].Load(), Counts)
+		text = Append(text, "list_calls."+listCallEndNames[end], c[end].Load(), Counter)
 	}
 	return text
 }
--- a/internal/metrics/figures.go
+++ b/internal/metrics/metrics.go
@@ -13,10 +13,10 @@
 
 // The ends.
 const (
-	Served  End = iota
-	Refused     // answered 429 or 503: trying again is harmless
-	Failed      // any other answer, or one that broke off half way
-	Left        // its caller went before its answer
+	Served     End = iota
+	Refused        // answered 429 or 503: trying again is harmless
+	Failed         // any other answer, or one that broke off half way
+	CallerLeft     // its caller went before its answer
 	ends
 )
 
@@ -26,24 +26,24 @@
 // prefix stands before each figure's name.
 const prefix = "sidecar."
 
-// Board is all figures of one process, from 0 at its start. Any goroutine may count
+// Set is all figures of one process, from 0 at its start. Any goroutine may count
 // and read.
-type Board struct {
+type Set struct {
 	names   []string // of classes, sorted
 	classes map[string]*[ends]atomic.Int64
 
-	Tries   atomic.Int64 // attempts written whole to endpoints
-	Active  atomic.Int64 // requests taken whose answer is not written to its end
-	Pool    atomic.Int64 // endpoints in the list
-	Ejected atomic.Int64 // of them those that are avoided now
+	Attempts atomic.Int64 // attempts written whole to endpoints
+	Active   atomic.Int64 // requests taken whose answer is not written to its end
+	Pool     atomic.Int64 // endpoints in the list
+	Ejected  atomic.Int64 // of them those that are avoided now
 
 	ListCalls   ListCalls    // calls to discovery
-	ListUnheard atomic.Int64 // milliseconds for which discovery may have had news that have not come; 0 while none are missed
+	ListStaleMS atomic.Int64 // milliseconds for which discovery may have had news that have not come; 0 while none are missed
 }
 
 // New returns a board for classes with these names.
-func New(classes []string) *Board {
-	b := &Board{names: slices.Sorted(slices.Values(classes)), classes: map[string]*[ends]atomic.Int64{}}
+func New(classes []string) *Set {
+	b := &Set{names: slices.Sorted(slices.Values(classes)), classes: map[string]*[ends]atomic.Int64{}}
 	for _, name := range classes {
 		b.classes[name] = new([ends]atomic.Int64)
 	}
@@ -52,14 +52,14 @@
 
 // Count books the end of a request. A class that the board does not know is passed
 // over: no request of one is ever taken.
-func (b *Board) Count(class string, end End) {
+func (b *Set) Count(class string, end End) {
 	if c := b.classes[class]; c != nil {
 		c[end].Add(1)
 	}
 }
 
-// Sum is how many requests of all classes have ended so.
-func (b *Board) Sum(end End) int {
+// Total is how many requests of all classes have ended so.
+func (b *Set) Total(end End) int {
 	n := int64(0)
 	for _, c := range b.classes {
 		n += c[end].Load()
@@ -69,24 +69,24 @@
 
 // Append writes all figures, a line each: counts as name:value|c, present values as
 // name:value|g.
-func (b *Board) Append(text []byte) []byte {
+func (b *Set) Append(text []byte) []byte {
 	for _, class := range b.names {
 		for end, name := range endNames {
-			text = Append(text, name+"."+class, b.classes[class][end].Load(), Counts)
+			text = Append(text, name+"."+class, b.classes[class][end].Load(), Counter)
 		}
 	}
-	text = Append(text, "tries", b.Tries.Load(), Counts)
-	text = Append(text, "active", b.Active.Load(), Present)
-	text = Append(text, "pool_size", b.Pool.Load(), Present)
-	text = Append(text, "pool_ejected", b.Ejected.Load(), Present)
+	text = Append(text, "tries", b.Attempts.Load(), Counter)
+	text = Append(text, "active", b.Active.Load(), Gauge)
+	text = Append(text, "pool_size", b.Pool.Load(), Gauge)
+	text = Append(text, "pool_ejected", b.Ejected.Load(), Gauge)
 	text = b.ListCalls.append(text)
-	return Append(text, "list_unheard_ms", b.ListUnheard.Load(), Present)
+	return Append(text, "list_unheard_ms", b.ListStaleMS.Load(), Gauge)
 }
 
 // The kinds of figures.
 const (
-	Counts  = 'c' // from 0 at the process's start
-	Present = 'g'
+	Counter = 'c' // from 0 at the process's start
+	Gauge   = 'g'
 )
 
 // Append writes one figure's line.
--- a/internal/operator/crew.go
+++ b/internal/operator/crew.go
@@ -9,17 +9,17 @@
 	"heathgap/internal/tomlread"
 )
 
-// Crew is the table [crew]: which crew a sidecar is in, and on which terms.
-type Crew struct {
+// Cluster is the table [crew]: which crew a sidecar is in, and on which terms.
+type Cluster struct {
 	Name    string
 	Address string // where peers reach this process
-	Data    string // folder, of a keeper alone
-	Terms   clusterparams.Params
+	DataDir string // folder, of a keeper alone
+	Params  clusterparams.Params
 	// ContradictAtMost is how long two members may act on rules that contradict each other.
 	ContradictAtMost time.Duration
-	Keepers          map[string]string // addresses by the names of their sidecars
-	// Ways are addresses by members' names, where this process reaches one by another address than that one's own.
-	Ways     map[string]string
+	Voters           map[string]string // addresses by the names of their sidecars
+	// Routes are addresses by members' names, where this process reaches one by another address than that one's own.
+	Routes   map[string]string
 	Holdings Holdings
 }
 
@@ -28,15 +28,15 @@
 
 // The ways.
 const (
-	RefuseAlone WhenAlone = iota // it is refused, with a time to return
-	GoOn                         // it goes on, and nothing is promised
+	RefuseAlone  WhenAlone = iota // it is refused, with a time to return
+	ProceedAlone                  // it goes on, and nothing is promised
 )
 
 // Holdings is the table [holdings]: what the sidecars of the crew hold for one another. Its terms stand among the crew's.
 type Holdings struct {
-	Classes     map[string]WhenAlone // whose requests are held
-	MostEntries int
-	MostBody    int // bytes of an answer that is kept
+	Classes    map[string]WhenAlone // whose requests are held
+	MaxEntries int
+	MaxBody    int // bytes of an answer that is kept
 }
 
 // Defaults and bounds of holdings.
@@ -53,15 +53,15 @@
 )
 
 // decodeHoldings reads [holdings] into a crew's table.
-func decodeHoldings(t *tomlread.Table, c *Crew) {
+func decodeHoldings(t *tomlread.Table, c *Cluster) {
 	t.Need("class", "[[holdings.class]] with name and when_alone, one for each class whose requests are held")
-	c.Terms.Holdings = clusterparams.Holdings{
+	c.Params.Holdings = clusterparams.Holdings{
 		Copies: t.Int("copies", defaultCopies, 1, clusterparams.MaxCopies), Keep: t.Duration("keep", defaultKeep, clusterparams.MinKeep, clusterparams.MaxKeep),
 		LostAfter: t.Duration("lost_after", defaultLostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
 	}
 	c.Holdings = Holdings{
-		Classes: map[string]WhenAlone{}, MostEntries: t.Int("most_entries", defaultEntries, leastEntries, mostEntries),
-		MostBody: t.Int("most_body", defaultBody, 0, mostBody),
+		Classes: map[string]WhenAlone{}, MaxEntries: t.Int("most_entries", defaultEntries, leastEntries, mostEntries),
+		MaxBody: t.Int("most_body", defaultBody, 0, mostBody),
 	}
 	for _, k := range t.Tables("class", mostHeld) {
 		k.Need("name", "the name of a keyed class")
@@ -69,7 +69,7 @@
 		if _, twice := c.Holdings.Classes[name]; twice {
 			k.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c.Holdings.Classes[name] = map[string]WhenAlone{"refuse": RefuseAlone, "go_on": GoOn}[k.Word("when_alone", "refuse", "refuse", "go_on")]
+		c.Holdings.Classes[name] = map[string]WhenAlone{"refuse": RefuseAlone, "go_on": ProceedAlone}[k.Enum("when_alone", "refuse", "refuse", "go_on")]
 	}
 }
 
@@ -84,21 +84,21 @@
 )
 
 // decodeCrew reads [crew].
-func decodeCrew(t *tomlread.Table) *Crew {
+func decodeCrew(t *tomlread.Table) *Cluster {
 	t.Need("name", "the crew's name, the same in all its sidecars")
 	t.Need("address", "an address with a port, of this process alone")
 	t.Need("keeper", "[[crew.keeper]] with name and address, one to seven of them; three or five in different zones")
-	c := &Crew{
-		Name: t.Text("name", ""), Address: addressIn(t, "address"), Data: t.Text("data", ""),
-		Terms: clusterparams.Params{
+	c := &Cluster{
+		Name: t.Text("name", ""), Address: addressIn(t, "address"), DataDir: t.Text("data", ""),
+		Params: clusterparams.Params{
 			Lease: t.Duration("lease", defaultLease, clusterparams.MinLease, clusterparams.MaxLease),
 			Drift: t.Float("drift", defaultDrift, 0, clusterparams.MaxDrift),
 			Slack: t.Duration("slack", defaultSlack, 0, mostSlack), FixedClasses: t.Texts("fixed_classes"),
 		},
 		ContradictAtMost: t.Duration("contradict_at_most", defaultContradict, clusterparams.MinLease, mostContradict),
-		Keepers:          map[string]string{},
+		Voters:           map[string]string{},
 	}
-	if wait := c.Terms.LessorWait(); wait > c.ContradictAtMost {
+	if wait := c.Params.LessorWait(); wait > c.ContradictAtMost {
 		// The line of what an operator would change first.
 		key := "contradict_at_most"
 		if !t.Has(key) {
@@ -107,25 +107,25 @@
 		t.Fail(key, fmt.Sprintf("lease, drift and slack add up to %v, contradict_at_most is %v", wait, c.ContradictAtMost),
 			"lease x (1 + drift) / (1 - drift) + slack up to contradict_at_most")
 	}
-	c.Ways = map[string]string{}
+	c.Routes = map[string]string{}
 	for _, w := range t.Tables("way", clusterparams.MaxMembers) {
 		w.Need("name", "the name of a member")
 		w.Need("address", "where this process reaches it")
 		name := w.Text("name", "")
-		if c.Ways[name] != "" {
+		if c.Routes[name] != "" {
 			w.Fail("name", fmt.Sprintf("%q, a second time", name), "each name once")
 		}
-		c.Ways[name] = addressIn(w, "address")
+		c.Routes[name] = addressIn(w, "address")
 	}
 	addresses := map[string]bool{}
 	for _, k := range t.Tables("keeper", clusterparams.MaxVoters) {
 		k.Need("name", "the name of the keeper's sidecar")
 		k.Need("address", "its crew.address")
 		name, address := k.Text("name", ""), addressIn(k, "address")
-		if c.Keepers[name] != "" || addresses[address] {
+		if c.Voters[name] != "" || addresses[address] {
 			k.Fail("name", fmt.Sprintf("%q at %q, a second time", name, address), "each name and address once")
 		}
-		c.Keepers[name], addresses[address] = address, true
+		c.Voters[name], addresses[address] = address, true
 	}
 	return c
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -24,13 +24,13 @@
 
 // File is the operator's file.
 type File struct {
-	Log   Log
-	Watch Watch
-	Crew  *Crew // nil for a sidecar in no crew
+	Log     Log
+	Shadow  Shadow
+	Cluster *Cluster // nil for a sidecar in no crew
 }
 
-// Watch is the table [watch].
-type Watch struct {
+// Shadow is the table [watch].
+type Shadow struct {
 	// Settings are those that the sidecar watches beside the ones that it decides by; nil when it watches none.
 	Settings *decide.Settings
 }
@@ -78,7 +78,7 @@
 func decode(doc *tomlread.Doc) (File, error) {
 	f := Default()
 	log := doc.Root.Table("log")
-	f.Log.Level = levels[log.Word("level", "info", "info", "warn", "error")]
+	f.Log.Level = levels[log.Enum("level", "info", "info", "warn", "error")]
 	f.Log.ConnectionEnded = log.Int("connection_ended_every", everyLine, everyLine, rarest)
 	watch := doc.Root.Table("watch")
 	if path := watch.Text("settings", ""); path != "" {
@@ -86,18 +86,18 @@
 		if err != nil {
 			watch.Fail("settings", fmt.Sprintf("%q: %v", path, err), "the path of a JSON file that holds a settings object")
 		}
-		f.Watch.Settings = set
+		f.Shadow.Settings = set
 	}
 	doc.Root.Skip("crew", "holdings") // tables that may stand there
 	if doc.Root.Has("crew") {
-		f.Crew = decodeCrew(doc.Root.Table("crew"))
+		f.Cluster = decodeCrew(doc.Root.Table("crew"))
 	}
 	switch {
 	case !doc.Root.Has("holdings"):
-	case f.Crew == nil:
+	case f.Cluster == nil:
 		doc.Root.Fail("holdings", "a table, and none [crew]", "[holdings] beside [crew]: a crew's sidecars hold for one another")
 	default:
-		decodeHoldings(doc.Root.Table("holdings"), f.Crew)
+		decodeHoldings(doc.Root.Table("holdings"), f.Cluster)
 	}
 	if err := doc.Err(); err != nil {
 		return File{}, err
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -73,11 +73,11 @@
 		}
 	}
 	f, err := load(t, shown)
-	if err != nil || f.Crew == nil || len(f.Crew.Keepers) != 1 || f.Crew.Terms.Lease != defaultLease || f.Crew.ContradictAtMost != defaultContradict ||
-		f.Crew.Terms.Slack != defaultSlack || f.Crew.Terms.Drift != defaultDrift || len(f.Crew.Holdings.Classes) != 1 ||
-		f.Crew.Terms.Holdings != (clusterparams.Holdings{Copies: defaultCopies, Keep: defaultKeep, LostAfter: defaultLostAfter}) ||
-		f.Crew.Holdings.MostEntries != defaultEntries || f.Crew.Holdings.MostBody != defaultBody {
-		t.Fatalf("%+v, %v of\n%s", f.Crew, err, shown)
+	if err != nil || f.Cluster == nil || len(f.Cluster.Voters) != 1 || f.Cluster.Params.Lease != defaultLease || f.Cluster.ContradictAtMost != defaultContradict ||
+		f.Cluster.Params.Slack != defaultSlack || f.Cluster.Params.Drift != defaultDrift || len(f.Cluster.Holdings.Classes) != 1 ||
+		f.Cluster.Params.Holdings != (clusterparams.Holdings{Copies: defaultCopies, Keep: defaultKeep, LostAfter: defaultLostAfter}) ||
+		f.Cluster.Holdings.MaxEntries != defaultEntries || f.Cluster.Holdings.MaxBody != defaultBody {
+		t.Fatalf("%+v, %v of\n%s", f.Cluster, err, shown)
 	}
 	const keeper = "\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n"
 	const good = "[crew]\nname = \"c\"\naddress = \"127.0.0.1:9\"\n"
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/crossing_test.go
@@ -233,7 +233,7 @@
 		e := testEngine(t)
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
 		e.conf.Settings.MustPoll = true // nothing is asked here
-		e.conf.Known = listOf("s", door.Address, decide.Active)
+		e.conf.KnownList = listOf("s", door.Address, decide.Active)
 		e.room = httpwire.NewMemoryBudget(1 << 20)
 		claims := &slowClaims{asked: make(chan struct{}, 1), goOn: make(chan struct{}), ended: make(chan httpwire.Answer, 1)}
 		e.SetHoldings(claims)
@@ -387,7 +387,7 @@
 	s.conf.Settings.MustPoll = true // nothing is asked here
 	known := listOf("s0", s.doors[0].Address, decide.Active)
 	known.Endpoints = append(known.Endpoints, listOf("s1", s.doors[1].Address, decide.Active).Endpoints...)
-	s.conf.Known = known
+	s.conf.KnownList = known
 	for i, change := range s.update(known) {
 		s.endpoints[i] = change.ID
 	}
--- a/internal/pipeline/crowd_test.go
+++ b/internal/pipeline/crowd_test.go
@@ -40,8 +40,8 @@
 	refused int
 }
 
-// Chance is env.Env's.
-func (d *inTurn) Chance(most time.Duration) time.Duration {
+// RandomDuration is env.Env's.
+func (d *inTurn) RandomDuration(most time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(d.draws.Int64N(int64(most)))
@@ -156,8 +156,8 @@
 				Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
 				Number:  n, Peers: count, MustPoll: true, Rules: decide.Rules{DrainGrace: time.Second},
 			},
-			ConnectTimeout: time.Second, EndpointConns: 10, IdleFor: time.Minute,
-			Known: &httpwire.List{Index: 1},
+			ConnectTimeout: time.Second, EndpointConns: 10, IdleTimeout: time.Minute,
+			KnownList: &httpwire.List{Index: 1},
 		}
 		balancer, err := decide.New(conf.Settings, uint64(n))
 		if err != nil {
@@ -180,7 +180,7 @@
 func unheard(fleet []*Engine) int {
 	n := 0
 	for _, e := range fleet {
-		if e.board.ListUnheard.Load() > 0 {
+		if e.board.ListStaleMS.Load() > 0 {
 			n++
 		}
 	}
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -75,13 +75,13 @@
 		e.startWatch()
 		return
 	}
-	e.world.AfterFunc(e.world.Chance(spread), func() { e.post(rewatch{}) })
+	e.world.AfterFunc(e.world.RandomDuration(spread), func() { e.post(rewatch{}) })
 }
 
 // startList takes over the list as last known, and watches where the module
 // expects changes to come by themselves.
 func (e *Engine) startList() {
-	known, from := e.conf.Known, e.watch.address
+	known, from := e.conf.KnownList, e.watch.address
 	if e.legacy != nil {
 		known, from = e.legacy.list(known, from), e.legacy.From
 	}
@@ -178,7 +178,7 @@
 			case silent && !known && w.times.hedge > 0:
 				fresh = freshCalls // another fetch is out
 			}
-			if fresh++; stood && lost(err) && fresh <= freshCalls && w.pause(e.world, e.world.Chance(freshSpread)) {
+			if fresh++; stood && lost(err) && fresh <= freshCalls && w.pause(e.world, e.world.RandomDuration(freshSpread)) {
 				continue
 			}
 			e.post(listFailed{w, nextWithin(e.world.Now().Sub(since), w.answered), since, w.answered})
@@ -348,7 +348,7 @@
 	}
 	e.backoff = min(max(backoffLeast, 2*e.backoff), backoffMost)
 	least, spread := decide.ListRetryDelay(min(e.backoff, f.within/2), e.conf.Settings.Peers, f.refused)
-	e.world.AfterFunc(least+e.world.Chance(spread), func() { e.post(rewatch{}) })
+	e.world.AfterFunc(least+e.world.RandomDuration(spread), func() { e.post(rewatch{}) })
 }
 
 // rewatch begins a new watch after a pause.
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -54,16 +54,16 @@
 	world        env.Env
 	clock        state.Clock
 	events       chan event
-	urgent       chan event     // of operators: looked at before all others, however many wait
-	board        *metrics.Board // read at any time
-	listed       atomic.Bool    // there has been a list
-	goingOn      atomic.Int64   // long answers of another process that are on their way here
-	goneOn       atomic.Int64   // long answers of another process that ended here
-	serving      atomic.Bool    // callers are accepted
-	stopped      chan struct{}  // closed when Run has returned
-	unready      atomic.Bool    // the process is stopping: callers should look elsewhere
-	draining     atomic.Bool    // each answer is the last on its connection
-	malformed    atomic.Int64   // requests answered 400: a flood of them must not fill the queue
+	urgent       chan event    // of operators: looked at before all others, however many wait
+	board        *metrics.Set  // read at any time
+	listed       atomic.Bool   // there has been a list
+	goingOn      atomic.Int64  // long answers of another process that are on their way here
+	goneOn       atomic.Int64  // long answers of another process that ended here
+	serving      atomic.Bool   // callers are accepted
+	stopped      chan struct{} // closed when Run has returned
+	unready      atomic.Bool   // the process is stopping: callers should look elsewhere
+	draining     atomic.Bool   // each answer is the last on its connection
+	malformed    atomic.Int64  // requests answered 400: a flood of them must not fill the queue
 	balancer     Decider
 	requests     *state.Requests
 	endpoints    *state.Endpoints
@@ -117,7 +117,7 @@
 	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / lateShare)
 	e.board = metrics.New(names)
 	e.room = httpwire.NewMemoryBudget(conf.AnswerBytes)
-	e.pool = state.NewPool(conf.EndpointConns, conf.IdleFor, e.linkEnded)
+	e.pool = state.NewPool(conf.EndpointConns, conf.IdleTimeout, e.linkEnded)
 	e.watch = newWatch(conf.Discovery, usualTimes(conf.Settings.Peers, conf.Settings.Rules.DrainGrace))
 	return e
 }
@@ -260,10 +260,10 @@
 func (e *Engine) snapshot() Snapshot {
 	counters := e.counters
 	counters.Malformed, counters.HandedOver = int(e.malformed.Load()), int(e.goneOn.Load())
-	counters.Served, counters.Failed = e.board.Sum(metrics.Served), e.board.Sum(metrics.Failed)
-	counters.Refused, counters.Left = e.board.Sum(metrics.Refused)-counters.OverLimit, e.board.Sum(metrics.Left)
+	counters.Served, counters.Failed = e.board.Total(metrics.Served), e.board.Total(metrics.Failed)
+	counters.Refused, counters.Left = e.board.Total(metrics.Refused)-counters.OverLimit, e.board.Total(metrics.CallerLeft)
 	var watched *shadow.Counts
-	if w, ok := e.balancer.(*shadow.Watch); ok {
+	if w, ok := e.balancer.(*shadow.Comparison); ok {
 		counts := w.Counts()
 		watched = &counts
 	}
--- a/internal/pipeline/legacy_test.go
+++ b/internal/pipeline/legacy_test.go
@@ -21,9 +21,9 @@
 	var log strings.Builder
 	e.log = zerolog.New(&log)
 	e.conf.Classes = map[string]decide.Class{"look": {}}
-	e.conf.Known = listOf("own", "127.0.0.1:1", decide.Active)
-	e.conf.Known.Endpoints = append(e.conf.Known.Endpoints, listOf("both", "127.0.0.1:2", decide.Active).Endpoints...)
-	e.conf.Known.Index = 5
+	e.conf.KnownList = listOf("own", "127.0.0.1:1", decide.Active)
+	e.conf.KnownList.Endpoints = append(e.conf.KnownList.Endpoints, listOf("both", "127.0.0.1:2", decide.Active).Endpoints...)
+	e.conf.KnownList.Index = 5
 	e.watch = newWatch(door.Address, quick)
 	if left.From == "here" {
 		left.From = door.Address
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -41,13 +41,13 @@
 	case err == nil:
 		return metrics.ListAnswered
 	case calledOff || errors.Is(err, context.Canceled):
-		return metrics.ListCalledOff
+		return metrics.ListCanceled
 	case !connected:
 		return metrics.ListNotConnected
 	case errors.As(err, &status):
 		return metrics.ListRefused
 	case errors.Is(err, errSilent):
-		return metrics.ListSilent
+		return metrics.ListTimedOut
 	case lost(err):
 		return metrics.ListBroken
 	}
@@ -59,7 +59,7 @@
 	end := listCallEnd(err, w.link != nil, w.ended.Err() != nil)
 	e.board.ListCalls.Count(end)
 	line := e.log.Info()
-	if err != nil && end != metrics.ListCalledOff {
+	if err != nil && end != metrics.ListCanceled {
 		line = e.log.Warn()
 	}
 	line = line.Str("discovery", w.address).Int64("call", call.number).Str("kind", string(call.kind)).
@@ -124,7 +124,7 @@
 	if e.unheard.since > 0 { // 0 is for none
 		unheard = max(time.Millisecond, e.clock.Now()-e.unheard.since)
 	}
-	e.board.ListUnheard.Store(unheard.Milliseconds())
+	e.board.ListStaleMS.Store(unheard.Milliseconds())
 	if unheard > 0 && e.clock.Now() >= e.unheard.told && !e.unheard.stale {
 		e.unheard.stale = true
 		e.log.Warn().Int64("version", e.index).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", unheard.Milliseconds()).
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -52,7 +52,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		<-module.at
-		if unheard := e.board.ListUnheard.Load(); unheard != 0 {
+		if unheard := e.board.ListStaleMS.Load(); unheard != 0 {
 			t.Errorf("%d ms unheard of behind an answer", unheard)
 		}
 		figures := string(e.board.Append(nil))
@@ -102,8 +102,8 @@
 // Guards against calls that are counted as something else: what an end means decides what staff look at.
 func TestEndsOfListCalls(t *testing.T) {
 	for fate, want := range map[fate]metrics.ListCallEnd{
-		refused: metrics.ListNotConnected, deaf: metrics.ListNotConnected, silent: metrics.ListSilent, overrun: metrics.ListRefused,
-		broken: metrics.ListMalformed, stalled: metrics.ListSilent, reset: metrics.ListBroken,
+		refused: metrics.ListNotConnected, deaf: metrics.ListNotConnected, silent: metrics.ListTimedOut, overrun: metrics.ListRefused,
+		broken: metrics.ListMalformed, stalled: metrics.ListTimedOut, reset: metrics.ListBroken,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
@@ -139,7 +139,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := &doomed{address: "discovery", fate: silent, calls: 0}
 		e, _ := toldEngine(t, d, d.address, true, true, 1)
-		e.conf.Known.Index = 8 // nothing is newer
+		e.conf.KnownList.Index = 8 // nothing is newer
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		for _, c := range []struct {
@@ -147,7 +147,7 @@
 			unheard bool
 		}{{2 * sweepEvery, true}, {turnMost + sweepEvery, false}, {toldAfterAsked + sweepEvery, false}} {
 			time.Sleep(c.at - 2*time.Millisecond)
-			if ms := e.board.ListUnheard.Load(); (ms > 0) != c.unheard {
+			if ms := e.board.ListStaleMS.Load(); (ms > 0) != c.unheard {
 				t.Errorf("%v behind the start, or the last look: %d ms unheard of, want any: %v", c.at, ms, c.unheard)
 			}
 		}
@@ -200,7 +200,7 @@
 					d.calls = 1
 				}
 				e, module := toldEngine(t, d, d.address, true, c.asks, 1)
-				e.conf.Known.Index = c.known
+				e.conf.KnownList.Index = c.known
 				noted := &noting{Decider: module, begun: time.Now()}
 				e.balancer = noted
 				ctx, stop := context.WithCancel(context.Background())
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -134,7 +134,7 @@
 	}
 	// Guards against a list, bans and a version that outlive the customer whose they were, where a name and an address
 	// are used again.
-	if e.conf.Foreign(l.Of) {
+	if e.conf.IsForeign(l.Of) {
 		e.log.Warn().Strs("its_classes", l.Of).Msg("the predecessor served other classes, nothing that it knew is taken over")
 		return nil
 	}
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -14,7 +14,7 @@
 // ends are what verdicts count as.
 var ends = [...]metrics.End{
 	httpwire.Served: metrics.Served, httpwire.Refused: metrics.Refused, httpwire.Failed: metrics.Failed,
-	httpwire.Abandoned: metrics.Left,
+	httpwire.Abandoned: metrics.CallerLeft,
 }
 
 // relay gives a request its final answer, unless it has had one.
@@ -94,9 +94,9 @@
 	case p.how == httpwire.AnswerBrokenOff:
 		ended, end = httpwire.ReasonBroken, metrics.Failed
 	case p.how == httpwire.AnswerHandedOver:
-		ended, end = httpwire.ReasonHandedOver, metrics.Left // it counts where it ends
+		ended, end = httpwire.ReasonHandedOver, metrics.CallerLeft // it counts where it ends
 	case p.how == httpwire.AnswerCallerGone:
-		ended, end = httpwire.ReasonCallerLeft, metrics.Left
+		ended, end = httpwire.ReasonCallerLeft, metrics.CallerLeft
 	case p.reply.Close:
 		ended = httpwire.ReasonPeerClose
 	}
@@ -132,7 +132,7 @@
 	e.goingOn.Add(1)
 	e.world.Go("go on", func() {
 		defer e.goingOn.Add(-1)
-		end := metrics.Left
+		end := metrics.CallerLeft
 		switch httpwire.ResumeAnswer(over, caller, endpoint, e.world) {
 		case httpwire.AnswerComplete:
 			end = metrics.Served
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -124,7 +124,7 @@
 		done.outcome, done.ended = decide.ConnectFailed, httpwire.ReasonNotWritten
 		return
 	}
-	e.board.Tries.Add(1)
+	e.board.Attempts.Add(1)
 	reply, err := link.Receive(e.room, e.world)
 	if err != nil {
 		done.outcome, done.ended = decide.Reset, httpwire.ReasonBroken
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	conf := &config.Config{
 		Settings:       decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}}},
-		ConnectTimeout: 10 * time.Second, EndpointConns: 10, IdleFor: time.Minute,
+		ConnectTimeout: 10 * time.Second, EndpointConns: 10, IdleTimeout: time.Minute,
 	}
 	balancer, err := decide.New(conf.Settings, conf.Seed)
 	if err != nil {
--- a/internal/pipeline/told_test.go
+++ b/internal/pipeline/told_test.go
@@ -59,8 +59,8 @@
 	since          time.Time // discovery has the change and can be reached
 }
 
-// Chance is env.Env's: as long as can be.
-func (d *doomed) Chance(most time.Duration) time.Duration { return most - 1 }
+// RandomDuration is env.Env's: as long as can be.
+func (d *doomed) RandomDuration(most time.Duration) time.Duration { return most - 1 }
 
 // meet books a call and tells whether it is doomed.
 func (d *doomed) meet() bool {
@@ -194,10 +194,10 @@
 			Classes:  []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
 			MustPoll: asks, Rules: decide.Rules{DrainGrace: time.Second},
 		},
-		ConnectTimeout: time.Second, EndpointConns: 10, IdleFor: time.Minute, Seed: seed,
+		ConnectTimeout: time.Second, EndpointConns: 10, IdleTimeout: time.Minute, Seed: seed,
 	}
 	if known {
-		conf.Known = &httpwire.List{Index: 7}
+		conf.KnownList = &httpwire.List{Index: 7}
 	}
 	balancer, err := decide.New(conf.Settings, seed)
 	if err != nil {
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -269,8 +269,8 @@
 // AfterFunc is env.Env's.
 func (w *timed) AfterFunc(d time.Duration, _ func()) { w.set = append(w.set, d) }
 
-// Chance is env.Env's.
-func (w *timed) Chance(most time.Duration) time.Duration { return most }
+// RandomDuration is env.Env's.
+func (w *timed) RandomDuration(most time.Duration) time.Duration { return most }
 
 // Guards against a large fleet with pushed lists that keeps its discovery overrun: refused calls are made again later.
 func TestRefusedCallsForPushedListsComeAgainByTheFleet(t *testing.T) {
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -41,7 +41,7 @@
 	dial, message, limit := w.times.dial, httpwire.EncodeFetch(), w.times.fetch
 	w.last.kind = listFetch
 	if w.known {
-		wait := w.times.wait + world.Chance(w.times.spread)
+		wait := w.times.wait + world.RandomDuration(w.times.spread)
 		limit = wait + w.times.overdue
 		w.last.kind = listWatch
 		if fresh {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -95,7 +95,7 @@
 }
 
 func decodeReport(o jsonread.Object, r *decide.Report) {
-	r.Mode = jsonread.Word(o, "how", hows)
+	r.Mode = jsonread.Enum(o, "how", hows)
 	for i, v := range o.Array("fields") {
 		name, err := v.StringBytes()
 		if err != nil {
@@ -123,8 +123,8 @@
 		Deadline:  o.Duration("deadline"),
 		Worth:     o.Float("worth"),
 		LateShare: o.Float("late_share"),
-		Effect:    jsonread.Word(o, "effect", effects),
-		Group:     jsonread.Word(o, "group", groups),
+		Effect:    jsonread.Enum(o, "effect", effects),
+		Group:     jsonread.Enum(o, "group", groups),
 		Window:    o.Duration("window"),
 		Stream:    o.Boolean("stream"),
 	}
--- a/internal/shadow/watching.go
+++ b/internal/shadow/watching.go
@@ -22,28 +22,28 @@
 
 // Counts are differences, by what the watching settings would have done where the deciding ones did something else.
 type Counts struct {
-	Watched       int // requests that were followed
-	Unwatched     int // that came while too many were
-	Alike         int // steps at which both did the same
+	Followed      int // requests that were followed
+	NotFollowed   int // that came while too many were
+	Same          int // steps at which both did the same
 	SentElsewhere int // sent to another endpoint
 	Sent          int // sent, where the deciding settings held, refused or failed it
 	Retried       int // sent again, where the deciding settings did not
 	Held          int // held, where the deciding settings sent or ended it
 	Refused       int
 	Failed        int
-	CalledOff     int // an attempt called off, where the deciding settings let it run
+	Canceled      int // an attempt called off, where the deciding settings let it run
 	Probes        int // probes that would have been sent
 }
 
 // MarshalZerologObject writes the counts into a log line.
 func (c Counts) MarshalZerologObject(e *zerolog.Event) {
-	e.Int("watched", c.Watched).Int("unwatched", c.Unwatched).Int("alike", c.Alike).
+	e.Int("watched", c.Followed).Int("unwatched", c.NotFollowed).Int("alike", c.Same).
 		Int("sent_elsewhere", c.SentElsewhere).Int("sent", c.Sent).Int("retried", c.Retried).Int("held", c.Held).
-		Int("refused", c.Refused).Int("failed", c.Failed).Int("called_off", c.CalledOff).Int("probes", c.Probes)
+		Int("refused", c.Refused).Int("failed", c.Failed).Int("called_off", c.Canceled).Int("probes", c.Probes)
 }
 
-// Watch is a decider that is watched. One goroutine owns it, as it would own the deciding one.
-type Watch struct {
+// Comparison is a decider that is watched. One goroutine owns it, as it would own the deciding one.
+type Comparison struct {
 	deciding Decider
 	watching *decide.Balancer
 	counts   Counts
@@ -66,19 +66,19 @@
 }
 
 // New watches what set would decide beside a decider. It fails where set cannot be acted on.
-func New(deciding Decider, set decide.Settings, seed uint64) (*Watch, error) {
+func New(deciding Decider, set decide.Settings, seed uint64) (*Comparison, error) {
 	watching, err := decide.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &Watch{
+	return &Comparison{
 		deciding: deciding, watching: watching,
 		views: map[decide.RequestID]*view{}, inFlight: map[decide.EndpointID]int{},
 	}, nil
 }
 
 // Avoided is the deciding one's, where it tells.
-func (w *Watch) Avoided() int {
+func (w *Comparison) Avoided() int {
 	if d, ok := w.deciding.(interface{ Avoided() int }); ok {
 		return d.Avoided()
 	}
@@ -86,11 +86,11 @@
 }
 
 // Counts returns what has been counted so far.
-func (w *Watch) Counts() Counts { return w.counts }
+func (w *Comparison) Counts() Counts { return w.counts }
 
 // Handle has the deciding one handle the event, and then looks at what the watching one would have done. What it
 // returns is the deciding one's alone.
-func (w *Watch) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
+func (w *Comparison) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	before := len(actions)
 	actions = w.deciding.Handle(now, ev, actions)
 	w.real = append(w.real[:0], actions[before:]...)
@@ -100,15 +100,15 @@
 }
 
 // follow tells the watching balancer of the event, as far as it concerns it, and compares.
-func (w *Watch) follow(now decide.Time, ev *decide.Event) {
+func (w *Comparison) follow(now decide.Time, ev *decide.Event) {
 	switch ev.Kind {
 	case decide.TimerDue, decide.ProbeFinished: // the deciding one's own
 	case decide.Arrived:
 		if len(w.views) >= mostWatched {
-			w.counts.Unwatched++
+			w.counts.NotFollowed++
 			break
 		}
-		w.counts.Watched++
+		w.counts.Followed++
 		w.views[ev.Request] = &view{}
 		w.tell(now, ev)
 	case decide.Finished, decide.StreamBegan, decide.BodyReceived, decide.ClientLeft:
@@ -129,7 +129,7 @@
 // end books how far the requests of this event have come for real, and ends the views of those that are done. The
 // watching balancer has had its own attempts out until here, as it would have: after a difference they end with an
 // outcome that teaches nothing.
-func (w *Watch) end(now decide.Time, ev *decide.Event) {
+func (w *Comparison) end(now decide.Time, ev *decide.Event) {
 	for _, r := range w.done {
 		if v := w.views[r.Request]; v != nil {
 			if r.Kind == decide.Send {
@@ -156,7 +156,7 @@
 	w.look(now)
 }
 
-func (w *Watch) close(now decide.Time, id decide.RequestID, v *view) {
+func (w *Comparison) close(now decide.Time, id decide.RequestID, v *view) {
 	if !v.over || v.out > 0 {
 		return
 	}
@@ -172,13 +172,13 @@
 
 // tell gives the watching balancer an event and looks at what it decides on it. Its probes are answered here:
 // nobody is asked, so an endpoint's answer is what this sidecar itself has out there.
-func (w *Watch) tell(now decide.Time, ev *decide.Event) {
+func (w *Comparison) tell(now decide.Time, ev *decide.Event) {
 	w.actions = w.watching.Handle(now, ev, w.actions)
 	w.look(now)
 }
 
 // look goes through what the watching balancer has decided, what it decides meanwhile included.
-func (w *Watch) look(now decide.Time) {
+func (w *Comparison) look(now decide.Time) {
 	for i := 0; i < len(w.actions); i++ {
 		a := w.actions[i]
 		switch a.Kind {
@@ -199,7 +199,7 @@
 }
 
 // compare looks for an action on a request among the deciding one's of this event, and takes it from there.
-func (w *Watch) compare(a decide.Action) {
+func (w *Comparison) compare(a decide.Action) {
 	v := w.views[a.Request]
 	if v == nil {
 		return
@@ -218,14 +218,14 @@
 			break
 		}
 		w.real[i].Kind = decide.SetTimer // matched
-		w.counts.Alike++
+		w.counts.Same++
 		return
 	}
 	w.differ(v, a)
 }
 
 // compareRest finds what the deciding one did and the watching one did not.
-func (w *Watch) compareRest() {
+func (w *Comparison) compareRest() {
 	for _, r := range w.real {
 		if v := w.views[r.Request]; v != nil && !v.differed && ofRequest(r) && r.Kind != decide.Cancel {
 			w.differ(v, decide.Action{Kind: decide.SetTimer, Request: r.Request})
@@ -242,7 +242,7 @@
 }
 
 // differ counts a difference by what the watching balancer did (SetTimer: nothing).
-func (w *Watch) differ(v *view, a decide.Action) {
+func (w *Comparison) differ(v *view, a decide.Action) {
 	v.differed = true
 	sent := false // by the deciding one, at this event
 	for _, r := range w.done {
@@ -260,13 +260,13 @@
 	case a.Kind == decide.Fail:
 		w.counts.Failed++
 	case a.Kind == decide.Cancel:
-		w.counts.CalledOff++
+		w.counts.Canceled++
 	default:
 		w.counts.Held++
 	}
 }
 
 // settle tells the watching balancer of an end; look goes through what it decides on that.
-func (w *Watch) settle(now decide.Time, ev decide.Event) {
+func (w *Comparison) settle(now decide.Time, ev decide.Event) {
 	w.actions = w.watching.Handle(now, &ev, w.actions)
 }
--- a/internal/shadow/watching_test.go
+++ b/internal/shadow/watching_test.go
@@ -118,7 +118,7 @@
 			t.Fatalf("seed %d: other actions with a watch than without", seed)
 		}
 		c := w.Counts()
-		if c.Watched == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
+		if c.Followed == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
 			t.Errorf("seed %d: nothing was seen: %+v", seed, c)
 		}
 		if len(w.views) > 300 || len(w.inFlight) > 6 {
@@ -135,10 +135,10 @@
 	}
 	day(w, 3)
 	c := w.Counts()
-	if c.Alike < 1000 {
-		t.Errorf("%d steps were alike, of more than a thousand", c.Alike)
+	if c.Same < 1000 {
+		t.Errorf("%d steps were alike, of more than a thousand", c.Same)
 	}
-	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.CalledOff; n > 0 {
+	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.Canceled; n > 0 {
 		t.Errorf("differences between equals: %+v", c)
 	}
 }
@@ -155,17 +155,17 @@
 		"retried": {
 			func(real, _ *decide.Settings) { real.Limits.MaxAttempts = 1 },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Retried: 1},
+			Counts{Followed: 1, Same: 1, Retried: 1},
 		},
 		"refused": {
 			func(_, watched *decide.Settings) { watched.Limits.MaxAttempts = 1 },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Refused: 1},
+			Counts{Followed: 1, Same: 1, Refused: 1},
 		},
 		"failed": {
 			func(_, watched *decide.Settings) { watched.Classes[0].Effect = decide.Unsafe },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Failed: 1},
+			Counts{Followed: 1, Same: 1, Failed: 1},
 		},
 	} {
 		real, watched := settings(), settings()
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -58,10 +58,10 @@
 }
 
 // Now is keeper.Clock's.
-func (p *process) Now() time.Time { return time.Unix(0, 0).Add(p.Boot()) }
+func (p *process) Now() time.Time { return time.Unix(0, 0).Add(p.BootTime()) }
 
-// Boot is keeper.Clock's, by this machine's clock.
-func (p *process) Boot() time.Duration {
+// BootTime is keeper.Clock's, by this machine's clock.
+func (p *process) BootTime() time.Duration {
 	true := p.r.w.now
 	if p.r.bug == ClockStops {
 		true -= p.lost
@@ -281,7 +281,7 @@
 	if p.store != nil {
 		p.holder.CaughtUp = p.store.CaughtUp()
 	}
-	to, r := p.seeker.NextRequest(p.Boot())
+	to, r := p.seeker.NextRequest(p.BootTime())
 	asked := p.r.w.now
 	p.r.said[saying{r.Token, r.Prepared, r.Epoch}] = true
 	if long := p.pauseNext; long > 0 {
@@ -293,11 +293,11 @@
 			return
 		}
 		if p.r.bug == CountsFromAnswer {
-			p.seeker.NextRequest(p.Boot())
+			p.seeker.NextRequest(p.BootTime())
 		}
 		p.r.tamper(p, a.Grant)
 		differed := p.holder.ViewErr()
-		next := p.seeker.HandleResponse(p.Boot(), a.Grant, a.Leader)
+		next := p.seeker.HandleResponse(p.BootTime(), a.Grant, a.Leader)
 		if p.holder.ViewErr() != differed {
 			p.r.result.Deltas["differed"]++
 		}
@@ -346,7 +346,7 @@
 	}
 	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.me || !view.Is(&p.learnt)) {
 		p.me, p.learnt = me, view
-		p.store.ApplyView(p.Boot(), me, view.Placement, view.Members)
+		p.store.ApplyView(p.BootTime(), me, view.Placement, view.Members)
 	}
 }
 
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -330,7 +330,7 @@
 		return
 	}
 	r.judgeView(p)
-	x := p.holder.Effective(p.Boot())
+	x := p.holder.Effective(p.BootTime())
 	if r.bug == DropsBans && x.Cautious {
 		x.Rules.Banned = nil
 	}
@@ -348,7 +348,7 @@
 		if q == p || q.paused {
 			continue
 		}
-		y := q.holder.Effective(q.Boot())
+		y := q.holder.Effective(q.BootTime())
 		if y.Cautious {
 			continue
 		}
@@ -444,7 +444,7 @@
 		if r.w.now < 3*time.Second || p.paused {
 			continue
 		}
-		if r.samples++; p.holder.Effective(p.Boot()).Cautious {
+		if r.samples++; p.holder.Effective(p.BootTime()).Cautious {
 			r.cautious++
 		}
 	}
@@ -491,7 +491,7 @@
 		return false
 	}
 	for _, p := range up {
-		s := p.holder.Effective(p.Boot())
+		s := p.holder.Effective(p.BootTime())
 		if s.Cautious || s.Active < version || s.Next != 0 {
 			return false
 		}
@@ -515,7 +515,7 @@
 func (r *run) describe() string {
 	var out []string
 	for _, p := range r.all() {
-		s := p.holder.Effective(p.Boot())
+		s := p.holder.Effective(p.BootTime())
 		text := fmt.Sprintf("%s on %d+%d", p.id, s.Active, s.Next)
 		if s.Cautious {
 			text += fmt.Sprintf(" cautious (%s)", p.why)
--- a/internal/sim/proc.go
+++ b/internal/sim/proc.go
@@ -52,8 +52,8 @@
 // Now is env.Env's.
 func (p *Proc) Now() time.Time { return time.Now() }
 
-// Boot is env.Env's: machines are not suspended here.
-func (p *Proc) Boot() time.Duration { return p.w.now() }
+// BootTime is env.Env's: machines are not suspended here.
+func (p *Proc) BootTime() time.Duration { return p.w.now() }
 
 // Go is env.Env's: the goroutine begins when the scheduler says so.
 func (p *Proc) Go(name string, f func()) {
@@ -81,8 +81,8 @@
 		func() time.Time { return until })
 }
 
-// Chance is env.Env's.
-func (p *Proc) Chance(d time.Duration) time.Duration {
+// RandomDuration is env.Env's.
+func (p *Proc) RandomDuration(d time.Duration) time.Duration {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	return time.Duration(p.dice.Int64N(int64(d)))
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -274,8 +274,8 @@
 	return s
 }
 
-// Word reads one of a few words.
-func (t *Table) Word(key, byDefault string, words ...string) string {
+// Enum reads one of a few words.
+func (t *Table) Enum(key, byDefault string, words ...string) string {
 	v, there := t.take(key)
 	if !there {
 		return byDefault
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -57,10 +57,10 @@
 		if _, twice := doc.Classes[name]; twice {
 			t.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c := Class{Effect: keyOf(EffectNames, t.Word("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
+		c := Class{Effect: keyOf(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
 		if c.Effect == decide.Keyed {
 			t.Need("window", `a time such as "800ms"`)
-			c.Group = keyOf(GroupNames, t.Word("group", "all", "all", "zone", "cell"))
+			c.Group = keyOf(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
 			c.Window = t.Duration("window", time.Second, 0, MaxWindow)
 		}
 		doc.Classes[name] = c
