--- a/internal/httpwire/crossing_test.go
+++ b/internal/httpwire/crossing_test.go
@@ -40,7 +40,7 @@
 				c, peer := accepted(t)
 				left := make(chan struct{})
 				c.Watch(func() { close(left) })
-				peer.Say(strings.Repeat("x", ahead))
+				peer.Send(strings.Repeat("x", ahead))
 				end(peer)
 				select {
 				case <-left:
@@ -58,7 +58,7 @@
 	c, peer := accepted(t)
 	left := make(chan struct{})
 	c.Watch(func() { close(left) })
-	peer.Say(strings.Repeat("x", maxPipelined+1))
+	peer.Send(strings.Repeat("x", maxPipelined+1))
 	<-left
 	c.Unwatch()
 	if len(c.pipelined) > maxPipelinedKept || !c.Closing() {
@@ -74,7 +74,7 @@
 		fmt.Fprintf(&want, "%d,", i)
 	}
 	c.Watch(func() { t.Error("it has not left") })
-	peer.Say(want.String())
+	peer.Send(want.String())
 	for kept := 0; kept < want.Len(); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
 		kept = len(c.pipelined)
@@ -93,7 +93,7 @@
 	for _, unread := range []int{1, 5000} {
 		c, peer := accepted(t)
 		c.MarkPending()
-		peer.Say(strings.Repeat("x", unread))
+		peer.Send(strings.Repeat("x", unread))
 		if _, err := io.WriteString(c, "answer"); err != nil {
 			t.Fatal(err)
 		}
@@ -103,10 +103,10 @@
 			c.Close()
 			close(closed)
 		}()
-		if text, err := peer.End(); text != "answer" || err != nil {
+		if text, err := peer.ReadToEnd(); text != "answer" || err != nil {
 			t.Errorf("%d unread: %q, %v", unread, text, err)
 		}
-		peer.Say("crossing") // it has read the end: the sidecar has ended its side, and reads on
+		peer.Send("crossing") // it has read the end: the sidecar has ended its side, and reads on
 		select {
 		case <-closed:
 			t.Errorf("%d unread: closed before its caller", unread)
@@ -129,7 +129,7 @@
 		c.Close()
 		close(closed)
 	}()
-	if text, err := peer.End(); text != "" || err != nil {
+	if text, err := peer.ReadToEnd(); text != "" || err != nil {
 		t.Fatalf("%q, %v", text, err)
 	}
 	if c.closeIdle(ReasonShutdown) {
@@ -151,7 +151,7 @@
 	c, peer := accepted(t)
 	c.owner.lingering.Store(leastLingering)
 	c.Close()
-	if _, err := peer.End(); err != nil {
+	if _, err := peer.ReadToEnd(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
 	if c.owner.lingering.Load() != leastLingering {
@@ -222,7 +222,7 @@
 	}
 	close(held.second)
 	for i, peer := range peers {
-		if text, err := peer.End(); text != "hello" || err != nil {
+		if text, err := peer.ReadToEnd(); text != "hello" || err != nil {
 			t.Errorf("caller %d: %q, %v", i, text, err)
 		}
 		peer.Close()
@@ -249,7 +249,7 @@
 		c.Close()
 		close(closed)
 	}()
-	if _, err := peer.End(); err != nil { // it is being read out
+	if _, err := peer.ReadToEnd(); err != nil { // it is being read out
 		t.Fatal(err)
 	}
 	for begin := time.Now(); !c.cutLinger(); time.Sleep(time.Millisecond) {
@@ -277,7 +277,7 @@
 		for _, ahead := range []int{0, 1, 300, maxPipelinedKept + 1, 40 << 10} {
 			c, peer := accepted(t)
 			c.MarkPending()
-			peer.Say(strings.Repeat("x", ahead))
+			peer.Send(strings.Repeat("x", ahead))
 			if end != nil {
 				end(peer)
 			}
@@ -305,7 +305,7 @@
 	c, peer := accepted(t)
 	left := make(chan struct{})
 	c.Watch(func() { close(left) })
-	peer.Say(strings.Repeat("x", maxPipelined+1))
+	peer.Send(strings.Repeat("x", maxPipelined+1))
 	<-left
 	if !c.Disconnected() {
 		t.Error("it counts as there")
--- a/internal/lab/consistency/accord.go
+++ b/internal/lab/consistency/consistency.go
@@ -11,28 +11,28 @@
 
 // Conf holds the figures of the rules.
 type Conf struct {
-	AtMost time.Duration // members may contradict each other for so long
+	MaxContradiction time.Duration // members may contradict each other for so long
 	// Margin is for sockets and goroutines of who watches: what it saw may have happened that much before.
 	Margin time.Duration
 }
 
-// Forbids is what a version forbids, of what endpoints can see.
-type Forbids struct {
+// Forbidden is what a version forbids, of what endpoints can see.
+type Forbidden struct {
 	Resend bool     // of the probed class
 	Banned []string // endpoints that get nothing
 }
 
-// Saying is what a process said that it acts on, at a moment between the question and the answer.
-type Saying struct {
-	At       time.Duration // it was asked
-	Heard    time.Duration // and had answered; At where it is 0
-	Cautious bool
-	Active   uint64
-	Next     uint64 // acted on as well; 0 for none
+// StatusReport is what a process said that it acts on, at a moment between the question and the answer.
+type StatusReport struct {
+	At         time.Duration // it was asked
+	AnsweredAt time.Duration // and had answered; At where it is 0
+	Cautious   bool
+	Active     uint64
+	Next       uint64 // acted on as well; 0 for none
 }
 
-// Act is something that an endpoint saw a process do.
-type Act struct {
+// Action is something that an endpoint saw a process do.
+type Action struct {
 	At       time.Duration
 	Process  string
 	Endpoint string
@@ -40,8 +40,8 @@
 	What     string
 }
 
-// Break is one case of a broken rule.
-type Break struct {
+// Violation is one case of a broken rule.
+type Violation struct {
 	Rule string
 	At   time.Duration
 	What string
@@ -63,57 +63,59 @@
 // lease that a rig plays.
 const closely = 200 * time.Millisecond
 
-// Book is the account of a run.
-type Book struct {
+// Checker is the account of a run.
+type Checker struct {
 	conf     Conf
-	forbids  map[uint64]Forbids
-	said     map[string][]Saying
+	forbids  map[uint64]Forbidden
+	said     map[string][]StatusReport
 	names    []string
-	acts     []Act
+	acts     []Action
 	leaders  map[uint64]string
 	told     []uint64
-	breaks   []Break
+	breaks   []Violation
 	starts   map[string][]time.Duration // of a process: what it said before counts no more
 	recorded int
 }
 
 // New returns an empty book.
-func New(conf Conf) *Book {
-	return &Book{conf: conf, forbids: map[uint64]Forbids{}, said: map[string][]Saying{}, leaders: map[uint64]string{},
+func New(conf Conf) *Checker {
+	return &Checker{conf: conf, forbids: map[uint64]Forbidden{}, said: map[string][]StatusReport{}, leaders: map[uint64]string{},
 		starts: map[string][]time.Duration{}}
 }
 
-// Version books what a version forbids. Version 0 forbids nothing.
-func (b *Book) Version(number uint64, f Forbids) { b.forbids[number] = f }
+// RecordVersion books what a version forbids. RecordVersion 0 forbids nothing.
+func (b *Checker) RecordVersion(number uint64, f Forbidden) { b.forbids[number] = f }
 
-// Told books that somebody was told that a version is agreed on.
-func (b *Book) Told(number uint64) { b.told = append(b.told, number) }
+// RecordAgreed books that somebody was told that a version is agreed on.
+func (b *Checker) RecordAgreed(number uint64) { b.told = append(b.told, number) }
 
-// Started books a start of a process.
-func (b *Book) Started(at time.Duration, name string) { b.starts[name] = append(b.starts[name], at) }
+// RecordStart books a start of a process.
+func (b *Checker) RecordStart(at time.Duration, name string) {
+	b.starts[name] = append(b.starts[name], at)
+}
 
-// Says books what a process said.
-func (b *Book) Says(name string, s Saying) {
+// RecordStatus books what a process said.
+func (b *Checker) RecordStatus(name string, s StatusReport) {
 	if _, known := b.said[name]; !known {
 		b.names = append(b.names, name)
 	}
 	said := b.said[name]
-	s.Heard = max(s.Heard, s.At)
+	s.AnsweredAt = max(s.AnsweredAt, s.At)
 	if n := len(said); n > 0 && s.Active < said[n-1].Active && !b.startedBetween(name, said[n-1].At, s.At) {
 		b.broken(GoesBack, s.At, "%s acts on version %d after version %d", name, s.Active, said[n-1].Active)
 	}
 	b.said[name] = append(said, s)
 }
 
-func (b *Book) startedBetween(name string, from, to time.Duration) bool {
+func (b *Checker) startedBetween(name string, from, to time.Duration) bool {
 	return slices.ContainsFunc(b.starts[name], func(at time.Duration) bool { return at >= from && at <= to })
 }
 
-// Did books an act.
-func (b *Book) Did(a Act) { b.acts = append(b.acts, a) }
+// RecordAction books an act.
+func (b *Checker) RecordAction(a Action) { b.acts = append(b.acts, a) }
 
-// Leads books that a process is said to lead in a term.
-func (b *Book) Leads(at time.Duration, term uint64, name string) {
+// RecordLeader books that a process is said to lead in a term.
+func (b *Checker) RecordLeader(at time.Duration, term uint64, name string) {
 	if name == "" || term == 0 {
 		return
 	}
@@ -123,27 +125,27 @@
 	b.leaders[term] = name
 }
 
-func (b *Book) broken(rule string, at time.Duration, format string, args ...any) {
+func (b *Checker) broken(rule string, at time.Duration, format string, args ...any) {
 	if b.recorded++; len(b.breaks) < mostBreaks {
-		b.breaks = append(b.breaks, Break{rule, at, fmt.Sprintf(format, args...)})
+		b.breaks = append(b.breaks, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
 // forbidden tells whether a version that a process vouches for forbids an act.
-func (b *Book) forbidden(s *Saying, a *Act) bool {
+func (b *Checker) forbidden(s *StatusReport, a *Action) bool {
 	if s.Cautious {
 		return false // it vouches for nothing: it only does less itself
 	}
 	return b.forbids[s.Active].hold(a) || b.forbids[s.Next].hold(a)
 }
 
-func (f Forbids) hold(a *Act) bool {
+func (f Forbidden) hold(a *Action) bool {
 	return a.Resend && f.Resend || !a.Resend && slices.Contains(f.Banned, a.Endpoint)
 }
 
 // barred tells whether a process, by its own word, must not do an act: cautious, it sends nothing again, and keeps the bans
 // that it has heard of.
-func (b *Book) barred(s *Saying, a *Act) bool {
+func (b *Checker) barred(s *StatusReport, a *Action) bool {
 	if s.Cautious {
 		return a.Resend || b.forbids[s.Active].hold(a)
 	}
@@ -152,9 +154,9 @@
 
 // since tells from when on what a process says has met a condition that it still meets past a time: its first word of an
 // unbroken stretch. ok is false when it did not meet it then.
-func (b *Book) since(name string, at time.Duration, meets func(s *Saying) bool) (from time.Duration, ok bool) {
+func (b *Checker) since(name string, at time.Duration, meets func(s *StatusReport) bool) (from time.Duration, ok bool) {
 	said := b.said[name]
-	next, _ := slices.BinarySearchFunc(said, at, func(s Saying, at time.Duration) int { return cmp.Compare(s.At, at) })
+	next, _ := slices.BinarySearchFunc(said, at, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
 	if next == len(said) || next == 0 || !meets(&said[next]) || !meets(&said[next-1]) ||
 		b.startedBetween(name, said[next-1].At, said[next].At) {
 		return 0, false
@@ -163,15 +165,15 @@
 	for i > 0 && meets(&said[i-1]) && !b.startedBetween(name, said[i-1].At, said[i].At) {
 		i--
 	}
-	return said[i].Heard, said[i].Heard <= at
+	return said[i].AnsweredAt, said[i].AnsweredAt <= at
 }
 
 // allowedFrom tells from when on the process of an act allowed it for sure, by its own word: its first such word of the
 // stretch in which it acted, and the act itself where that stretch shows only after it. It is 0 where neither the word
 // before the act nor the one after it allows it.
-func (b *Book) allowedFrom(a *Act) time.Duration {
+func (b *Checker) allowedFrom(a *Action) time.Duration {
 	said := b.said[a.Process]
-	i, _ := slices.BinarySearchFunc(said, a.At, func(s Saying, at time.Duration) int { return cmp.Compare(s.At, at) })
+	i, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
 	if i == len(said) || b.barred(&said[i], a) {
 		i-- // a lease may have ended in between
 	}
@@ -181,39 +183,39 @@
 	for i > 0 && !b.barred(&said[i-1], a) && !b.startedBetween(a.Process, said[i-1].At, said[i].At) {
 		i--
 	}
-	return min(said[i].Heard, a.At)
+	return min(said[i].AnsweredAt, a.At)
 }
 
 // settled tells whether a process said the same before an act and after it, in words that follow each other closely: else
 // it may have been allowed in between.
-func (b *Book) settled(a *Act) bool {
+func (b *Checker) settled(a *Action) bool {
 	said := b.said[a.Process]
-	i, _ := slices.BinarySearchFunc(said, a.At, func(s Saying, at time.Duration) int { return cmp.Compare(s.At, at) })
+	i, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
 	if i == 0 || i == len(said) {
 		return false
 	}
 	x, y := said[i-1], said[i]
-	return x.Cautious == y.Cautious && x.Active == y.Active && x.Next == y.Next && y.At-x.Heard <= closely
+	return x.Cautious == y.Cautious && x.Active == y.Active && x.Next == y.Next && y.At-x.AnsweredAt <= closely
 }
 
 // Report is what a run came to.
 type Report struct {
-	Breaks []Break
-	Broken int // in all; the first are in Breaks
+	Violations    []Violation
+	NumViolations int // in all; the first are in Breaks
 	// Longest is the longest that an act went on which others held forbidden.
 	Longest time.Duration
-	Acts    int // that were judged
-	// Against counts acts that some member held forbidden, also for a time that is allowed.
-	Against int
+	Actions int // that were judged
+	// AgainstOthers counts acts that some member held forbidden, also for a time that is allowed.
+	AgainstOthers int
 	// Unaware counts requests to banned endpoints by processes that were cut off before the ban.
 	Unaware int
 }
 
 // unaware tells whether a process sent to a banned endpoint that was cut off before it heard of the ban: it can't know, and
 // goes on serving. What it had heard before still binds it.
-func (b *Book) unaware(a *Act) bool {
+func (b *Checker) unaware(a *Action) bool {
 	said := b.said[a.Process]
-	next, _ := slices.BinarySearchFunc(said, a.At, func(s Saying, at time.Duration) int { return cmp.Compare(s.At, at) })
+	next, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
 	if a.Resend || next == len(said) || next == 0 && !said[0].Cautious {
 		return false
 	}
@@ -226,15 +228,15 @@
 }
 
 // Close judges the run. present tells which versions the crew still has in the end, by number.
-func (b *Book) Close(present map[uint64]bool) Report {
-	r := Report{Acts: len(b.acts)}
+func (b *Checker) Close(present map[uint64]bool) Report {
+	r := Report{Actions: len(b.acts)}
 	for i := range b.acts {
 		a := &b.acts[i]
 		if b.unaware(a) {
 			r.Unaware++
 			continue
 		}
-		if from, ok := b.since(a.Process, a.At, func(s *Saying) bool { return b.barred(s, a) }); ok && a.At-from > b.conf.Margin && b.settled(a) {
+		if from, ok := b.since(a.Process, a.At, func(s *StatusReport) bool { return b.barred(s, a) }); ok && a.At-from > b.conf.Margin && b.settled(a) {
 			b.broken(AgainstSelf, a.At, "%s did %s %v after it had said that it does not", a.Process, a.What, a.At-from)
 		}
 		// Two contradict each other from when the one allows what the other forbids. What a process says of itself can
@@ -242,18 +244,18 @@
 		allowed := b.allowedFrom(a)
 		against := false
 		for _, name := range b.names {
-			from, ok := b.since(name, a.At, func(s *Saying) bool { return b.forbidden(s, a) })
+			from, ok := b.since(name, a.At, func(s *StatusReport) bool { return b.forbidden(s, a) })
 			if !ok || name == a.Process {
 				continue
 			}
 			against = true
 			long := a.At - max(from, allowed)
-			if r.Longest = max(r.Longest, long); long > b.conf.AtMost+b.conf.Margin {
+			if r.Longest = max(r.Longest, long); long > b.conf.MaxContradiction+b.conf.Margin {
 				b.broken(Contradicts, a.At, "%s did %s, %s has held that forbidden for %v", a.Process, a.What, name, long)
 			}
 		}
 		if against {
-			r.Against++
+			r.AgainstOthers++
 		}
 	}
 	b.checkApart()
@@ -262,27 +264,27 @@
 			b.broken(LostVersion, 0, "version %d was told and is gone", number)
 		}
 	}
-	r.Breaks, r.Broken = b.breaks, b.recorded
+	r.Violations, r.NumViolations = b.breaks, b.recorded
 	return r
 }
 
 // checkApart looks for members that vouch for versions that are no neighbours: one that others had left behind for good
 // longer ago than is allowed.
-func (b *Book) checkApart() {
+func (b *Checker) checkApart() {
 	var all []struct {
-		Saying
+		StatusReport
 		name string
 	}
 	for _, name := range b.names {
 		for _, s := range b.said[name] {
 			all = append(all, struct {
-				Saying
+				StatusReport
 				name string
 			}{s, name})
 		}
 	}
 	slices.SortStableFunc(all, func(x, y struct {
-		Saying
+		StatusReport
 		name string
 	}) int {
 		return cmp.Compare(x.At, y.At)
@@ -297,7 +299,7 @@
 			highest = s.Active
 			first[highest] = s.At
 		}
-		if at, ok := first[highest]; ok && s.Active < highest && s.Next != highest && s.At-at > b.conf.AtMost+b.conf.Margin {
+		if at, ok := first[highest]; ok && s.Active < highest && s.Next != highest && s.At-at > b.conf.MaxContradiction+b.conf.Margin {
 			b.broken(FarApart, s.At, "%s acts on version %d, %v after version %d alone was acted on", s.name, s.Active, s.At-at, highest)
 			return
 		}
--- a/internal/lab/emulated/control.go
+++ b/internal/lab/emulated/control.go
@@ -7,7 +7,7 @@
 
 // Start is the first line that a process of hollow members is told.
 type Start struct {
-	Crew             string        `json:"crew"`
+	Cluster          string        `json:"crew"`
 	Lease            time.Duration `json:"lease_ns"`
 	Drift            float64       `json:"drift"`
 	Slack            time.Duration `json:"slack_ns"`
@@ -16,22 +16,22 @@
 	Copies           int           `json:"copies"` // 0 for no holdings
 	Keep             time.Duration `json:"keep_ns,omitempty"`
 	LostAfter        time.Duration `json:"lost_after_ns,omitempty"`
-	Keepers          []Place       `json:"keepers"`
-	Members          []Place       `json:"members"` // of this process
+	Voters           []Peer        `json:"keepers"`
+	Members          []Peer        `json:"members"` // of this process
 	// Regions are those of all addresses of the run, by address: what goes between two regions comes RegionDelay later each
 	// way, and waits while the regions are cut.
 	Regions     map[string]string `json:"regions,omitempty"`
 	RegionDelay time.Duration     `json:"region_delay_ns,omitempty"`
-	// Orders are keyed requests a second and member: a claim, and its outcome when OrderTakes has passed.
-	Orders     float64       `json:"orders,omitempty"`
-	OrderTakes time.Duration `json:"order_takes_ns,omitempty"`
-	Seed       uint64        `json:"seed"`
-	// Planted are members with a planted fault, by name.
-	Planted map[string]Fault `json:"planted,omitempty"`
+	// KeyedRate are keyed requests a second and member: a claim, and its outcome when OrderTakes has passed.
+	KeyedRate     float64       `json:"orders,omitempty"`
+	KeyedDuration time.Duration `json:"order_takes_ns,omitempty"`
+	Seed          uint64        `json:"seed"`
+	// Faults are members with a planted fault, by name.
+	Faults map[string]Fault `json:"planted,omitempty"`
 }
 
-// Place is a process of the crew.
-type Place struct {
+// Peer is a process of the crew.
+type Peer struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone,omitempty"`
 	Region  string `json:"region,omitempty"`
@@ -43,9 +43,9 @@
 
 // The planted faults.
 const (
-	Unheeding Fault = "unheeding" // it says that it acts on a version and goes on with the one before
-	Hasty     Fault = "hasty"     // it asks for its lease at twice the rate
-	Forgetful Fault = "forgetful" // it always says that it has neither table nor members, so that it is sent both each time
+	IgnoresVersions Fault = "unheeding" // it says that it acts on a version and goes on with the one before
+	RenewsTooOften  Fault = "hasty"     // it asks for its lease at twice the rate
+	LosesState      Fault = "forgetful" // it always says that it has neither table nor members, so that it is sent both each time
 )
 
 // Command is each further line. Its answer is a Line with the same id.
@@ -61,27 +61,27 @@
 
 // The commands.
 const (
-	Kill   = "kill"   // the member is gone in this moment, with what it held, and says nothing
-	Leave  = "leave"  // the member ends in order, as at a SIGTERM
-	Begin  = "begin"  // a member that is gone starts as a new process of its name
-	Cut    = "cut"    // nothing goes between two regions, and connections stand still
-	Mend   = "mend"   // it goes again
-	Order  = "order"  // so many keyed requests a second and member from now on
-	Sample = "sample" // tell what each member acts on and what it has cost so far
-	End    = "end"    // all members are gone, and the process ends
+	Kill      = "kill"   // the member is gone in this moment, with what it held, and says nothing
+	Leave     = "leave"  // the member ends in order, as at a SIGTERM
+	Restart   = "begin"  // a member that is gone starts as a new process of its name
+	Partition = "cut"    // nothing goes between two regions, and connections stand still
+	Heal      = "mend"   // it goes again
+	Order     = "order"  // so many keyed requests a second and member from now on
+	Sample    = "sample" // tell what each member acts on and what it has cost so far
+	End       = "end"    // all members are gone, and the process ends
 )
 
-// Line is what a process says: an event, the answer to a command, or that all members have started.
-type Line struct {
-	Ready  bool     `json:"ready,omitempty"` // to Start: all members listen and have begun
-	ID     int      `json:"id,omitempty"`
-	Error  string   `json:"error,omitempty"`
-	Event  *Stance  `json:"event,omitempty"` // a member's stance has changed
-	Sample *Sampled `json:"sample,omitempty"`
+// Output is what a process says: an event, the answer to a command, or that all members have started.
+type Output struct {
+	Ready  bool         `json:"ready,omitempty"` // to Start: all members listen and have begun
+	ID     int          `json:"id,omitempty"`
+	Error  string       `json:"error,omitempty"`
+	Event  *MemberState `json:"event,omitempty"` // a member's stance has changed
+	Sample *Usage       `json:"sample,omitempty"`
 }
 
-// Stance is what a member acts on from a time on. Times are of CLOCK_BOOTTIME, the same in all processes of a machine.
-type Stance struct {
+// MemberState is what a member acts on from a time on. Times are of CLOCK_BOOTTIME, the same in all processes of a machine.
+type MemberState struct {
 	At       time.Duration `json:"at_ns"`
 	Member   string        `json:"member"`
 	Active   uint64        `json:"active"`
@@ -91,29 +91,29 @@
 	Gone     bool          `json:"gone,omitempty"` // it was killed, or has left
 }
 
-// Sampled is what the process and its members have cost since their start.
-type Sampled struct {
-	At          time.Duration    `json:"at_ns"`
-	CPU         time.Duration    `json:"cpu_ns"` // of the process, user and system
-	RSSBytes    int64            `json:"rss_bytes"`
-	Goroutines  int              `json:"goroutines"`
-	Descriptors int              `json:"descriptors"`
-	Members     map[string]Spent `json:"members"`
+// Usage is what the process and its members have cost since their start.
+type Usage struct {
+	At          time.Duration          `json:"at_ns"`
+	CPU         time.Duration          `json:"cpu_ns"` // of the process, user and system
+	RSSBytes    int64                  `json:"rss_bytes"`
+	Goroutines  int                    `json:"goroutines"`
+	Descriptors int                    `json:"descriptors"`
+	Members     map[string]MemberUsage `json:"members"`
 	// Lag is by how much the process's own timers came late at most since the last sample: a run whose load lags is void.
 	Lag time.Duration `json:"lag_ns"`
 }
 
-// Spent is what one member has cost. Bytes are counted at its sockets, heads included.
-type Spent struct {
-	Stance   Stance `json:"stance"`
-	In       int64  `json:"in"`
-	Out      int64  `json:"out"`
-	ToKeeper int64  `json:"to_keepers"`   // of Out, to keepers
-	OfKeeper int64  `json:"from_keepers"` // of In, from keepers
-	Renewals int64  `json:"renewals"`
-	Refused  int64  `json:"refused"`
-	Unheard  int64  `json:"unheard"`
-	Asked    int64  `json:"asked"`  // keyed requests
-	Denied   int64  `json:"denied"` // keyed requests that were refused
-	Conns    int    `json:"conns"`
+// MemberUsage is what one member has cost. Bytes are counted at its sockets, heads included.
+type MemberUsage struct {
+	State         MemberState `json:"stance"`
+	In            int64       `json:"in"`
+	Out           int64       `json:"out"`
+	ToVoters      int64       `json:"to_keepers"`   // of Out, to keepers
+	FromVoters    int64       `json:"from_keepers"` // of In, from keepers
+	Renewals      int64       `json:"renewals"`
+	Refused       int64       `json:"refused"`
+	Unheard       int64       `json:"unheard"`
+	KeyedRequests int64       `json:"asked"`  // keyed requests
+	KeyedRefused  int64       `json:"denied"` // keyed requests that were refused
+	Conns         int         `json:"conns"`
 }
--- a/internal/lab/emulated/hollow_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -62,8 +62,8 @@
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	events  []Stance
-	answers map[int]Line
+	events  []MemberState
+	answers map[int]Output
 	ready   bool
 	failed  string // a line with an error and no id
 	id      int
@@ -74,7 +74,7 @@
 	t.Helper()
 	inRead, inWrite := io.Pipe()
 	outRead, outWrite := io.Pipe()
-	p := &told{t: t, in: json.NewEncoder(inWrite), close: func() { inWrite.Close() }, ended: make(chan error, 1), answers: map[int]Line{}}
+	p := &told{t: t, in: json.NewEncoder(inWrite), close: func() { inWrite.Close() }, ended: make(chan error, 1), answers: map[int]Output{}}
 	p.changed = sync.NewCond(&p.mu)
 	go func() {
 		err := Run(inRead, outWrite, zerolog.Nop())
@@ -88,7 +88,7 @@
 		lines := bufio.NewScanner(outRead)
 		lines.Buffer(nil, mostLine)
 		for lines.Scan() {
-			var l Line
+			var l Output
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 				t.Error(err)
 			}
@@ -103,7 +103,7 @@
 	return p
 }
 
-func (p *told) hear(l Line) {
+func (p *told) hear(l Output) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -136,7 +136,7 @@
 }
 
 // say gives a command and returns the answer.
-func (p *told) say(c Command) Line {
+func (p *told) say(c Command) Output {
 	p.t.Helper()
 	p.mu.Lock()
 	p.id++
@@ -152,7 +152,7 @@
 }
 
 // good is say, of a command that is carried out.
-func (p *told) good(c Command) Line {
+func (p *told) good(c Command) Output {
 	p.t.Helper()
 	l := p.say(c)
 	if l.Error != "" {
@@ -161,14 +161,14 @@
 	return l
 }
 
-func (p *told) sample() *Sampled {
+func (p *told) sample() *Usage {
 	p.t.Helper()
 	return p.good(Command{Do: Sample}).Sample
 }
 
 // last returns each member's last event; the lock is held.
-func (p *told) last() map[string]Stance {
-	out := map[string]Stance{}
+func (p *told) last() map[string]MemberState {
+	out := map[string]MemberState{}
 	for _, e := range p.events {
 		out[e.Member] = e
 	}
@@ -176,7 +176,7 @@
 }
 
 // awaitAll waits until the last event of each member holds.
-func (p *told) awaitAll(what string, n int, holds func(Stance) bool) {
+func (p *told) awaitAll(what string, n int, holds func(MemberState) bool) {
 	p.t.Helper()
 	p.await(what, func() bool {
 		good := 0
@@ -200,17 +200,17 @@
 func form(t *testing.T, keepers, members, copies int) *theCrew {
 	t.Helper()
 	c := &theCrew{t: t, start: Start{
-		Crew: "hollow", Lease: testLease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: 2500 * time.Millisecond,
+		Cluster: "hollow", Lease: testLease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: 2500 * time.Millisecond,
 		FixedClasses: []string{LookClass}, Copies: copies, Keep: time.Minute, LostAfter: 5 * time.Second, Seed: 1,
 	}}
 	for i := range keepers {
-		c.start.Keepers = append(c.start.Keepers, Place{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
+		c.start.Voters = append(c.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
 	}
 	for i := range members {
-		c.start.Members = append(c.start.Members, Place{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
+		c.start.Members = append(c.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
 	}
 	var starting sync.WaitGroup
-	for _, k := range c.start.Keepers {
+	for _, k := range c.start.Voters {
 		dir := t.TempDir()
 		starting.Go(func() {
 			table := c.start.table(k)
@@ -227,7 +227,7 @@
 			}
 			t.Cleanup(m.Stop)
 		})
-		c.lines = append(c.lines, peerrpc.NewClient(env.Real{}, c.start.Crew, "test", k.Address))
+		c.lines = append(c.lines, peerrpc.NewClient(env.Real{}, c.start.Cluster, "test", k.Address))
 	}
 	starting.Wait()
 	if t.Failed() {
@@ -245,7 +245,7 @@
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
 		for i, line := range c.lines {
 			var s voter.Status
-			if line.Call("status", struct{}{}, &s, time.Second) == nil && s.Leader == c.start.Keepers[i].Name && s.Ledger != nil {
+			if line.Call("status", struct{}{}, &s, time.Second) == nil && s.Leader == c.start.Voters[i].Name && s.Ledger != nil {
 				return s.Ledger
 			}
 		}
@@ -324,12 +324,12 @@
 	const members = 20
 	c := form(t, 3, members, 0)
 	p := run(t, c.start)
-	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	p.await("ready", func() bool { return p.ready })
 	number := c.propose(versions.Document{MaxAttempts: 1})
-	p.awaitAll("the version", members, func(s Stance) bool { return s.Active == number && s.Next == 0 && !s.Cautious })
+	p.awaitAll("the version", members, func(s MemberState) bool { return s.Active == number && s.Next == 0 && !s.Cautious })
 	p.mu.Lock()
-	both, before := map[string]bool{}, map[string]Stance{}
+	both, before := map[string]bool{}, map[string]MemberState{}
 	for _, e := range p.events {
 		if e.Active == 0 && e.Next == number {
 			both[e.Member] = true
@@ -348,7 +348,7 @@
 		t.Errorf("%+v", s)
 	}
 	for name, m := range s.Members {
-		if m.Renewals == 0 || m.Conns == 0 || m.ToKeeper == 0 || m.OfKeeper == 0 || m.In < m.OfKeeper || m.Out < m.ToKeeper || m.Stance.Active != number {
+		if m.Renewals == 0 || m.Conns == 0 || m.ToVoters == 0 || m.FromVoters == 0 || m.In < m.FromVoters || m.Out < m.ToVoters || m.State.Active != number {
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
@@ -367,7 +367,7 @@
 	t.Parallel()
 	c := form(t, 3, 6, 0)
 	p := run(t, c.start)
-	p.awaitAll("leases", 6, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", 6, func(s MemberState) bool { return !s.Cautious })
 	before := c.ledger().Members["m1"]
 	renewals := p.sample().Members["m1"].Renewals
 	struck := time.Now()
@@ -376,7 +376,7 @@
 		t.Error("it still listens")
 	}
 	p.await("its end", func() bool { return p.last()["m1"].Gone })
-	if s := p.sample().Members["m1"]; s.Conns != 0 || !s.Stance.Gone || s.Renewals < renewals {
+	if s := p.sample().Members["m1"]; s.Conns != 0 || !s.State.Gone || s.Renewals < renewals {
 		t.Errorf("%+v", s)
 	}
 	c.awaitLedger("it is counted out", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 })
@@ -387,12 +387,12 @@
 	if l := p.say(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it is gone") {
 		t.Errorf("%+v", l)
 	}
-	p.good(Command{Do: Begin, Members: []string{"m1"}})
-	p.awaitAll("its lease", 6, func(s Stance) bool { return !s.Cautious && !s.Gone })
+	p.good(Command{Do: Restart, Members: []string{"m1"}})
+	p.awaitAll("its lease", 6, func(s MemberState) bool { return !s.Cautious && !s.Gone })
 	if now := c.ledger().Members["m1"]; now.Token == before.Token || now.Address != before.Address {
 		t.Errorf("%+v after %+v", now, before)
 	}
-	if l := p.say(Command{Do: Begin, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it runs already") {
+	if l := p.say(Command{Do: Restart, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it runs already") {
 		t.Errorf("%+v", l)
 	}
 }
@@ -403,15 +403,15 @@
 	c := form(t, 3, 6, 0)
 	c.start.RegionDelay = 5 * time.Millisecond
 	c.start.Regions = map[string]string{}
-	for _, k := range c.start.Keepers {
+	for _, k := range c.start.Voters {
 		c.start.Regions[k.Address] = "north"
 	}
 	for i, m := range c.start.Members {
 		c.start.Regions[m.Address] = []string{"north", "south"}[i%2]
 	}
 	p := run(t, c.start)
-	p.awaitAll("leases", 6, func(s Stance) bool { return !s.Cautious })
-	p.good(Command{Do: Cut, Regions: [2]string{"south", "north"}})
+	p.awaitAll("leases", 6, func(s MemberState) bool { return !s.Cautious })
+	p.good(Command{Do: Partition, Regions: [2]string{"south", "north"}})
 	south := func(name string) bool { return name == "m2" || name == "m4" || name == "m6" }
 	p.await("the south is cautious", func() bool {
 		n := 0
@@ -428,11 +428,11 @@
 			t.Errorf("%s is in", name)
 		}
 	}
-	p.good(Command{Do: Mend, Regions: [2]string{"north", "south"}})
-	p.awaitAll("leases again", 6, func(s Stance) bool { return !s.Cautious })
+	p.good(Command{Do: Heal, Regions: [2]string{"north", "south"}})
+	p.awaitAll("leases again", 6, func(s MemberState) bool { return !s.Cautious })
 	c.awaitLedger("all are in", func(l *cluster.Ledger) bool { return len(l.Members) == 9 })
 	for _, bad := range []Command{
-		{Do: Cut, Regions: [2]string{"north", "west"}}, {Do: Cut}, {Do: Mend, Regions: [2]string{"north", "north"}}, {Do: Sample, Members: []string{"m9"}},
+		{Do: Partition, Regions: [2]string{"north", "west"}}, {Do: Partition}, {Do: Heal, Regions: [2]string{"north", "north"}}, {Do: Sample, Members: []string{"m9"}},
 		{Do: Order, Orders: 1}, {Do: Order, Orders: -1},
 	} {
 		if l := p.say(bad); l.Error == "" || strings.Contains(l.Error, "\n") {
@@ -461,20 +461,20 @@
 		}
 		return voter.RenewResult{}, nil // neither a lease nor who leads
 	}})
-	start := Start{Crew: "hollow", Lease: 400 * time.Millisecond, ContradictAtMost: time.Second, Copies: 2, Keep: time.Minute, LostAfter: time.Second,
-		Keepers: []Place{{Name: "k1", Address: s.Address()}}}
+	start := Start{Cluster: "hollow", Lease: 400 * time.Millisecond, ContradictAtMost: time.Second, Copies: 2, Keep: time.Minute, LostAfter: time.Second,
+		Voters: []Peer{{Name: "k1", Address: s.Address()}}}
 	const members = 5
 	for i := range members {
-		start.Members = append(start.Members, Place{Name: fmt.Sprintf("m%d", i), Zone: zone(i), Address: free(t)})
+		start.Members = append(start.Members, Peer{Name: fmt.Sprintf("m%d", i), Zone: zone(i), Address: free(t)})
 	}
 	p := run(t, start)
 	p.await("ready", func() bool { return p.ready })
 	for limit := time.Now().Add(testWait); asked.Load() < 100 && time.Now().Before(limit); time.Sleep(testPause) {
 	}
 	p.good(Command{Do: Leave}) // the last word of each is answered
-	n, sum := asked.Load(), Spent{}
+	n, sum := asked.Load(), MemberUsage{}
 	for _, m := range p.sample().Members {
-		sum.In, sum.Out, sum.ToKeeper, sum.OfKeeper = sum.In+m.In, sum.Out+m.Out, sum.ToKeeper+m.ToKeeper, sum.OfKeeper+m.OfKeeper
+		sum.In, sum.Out, sum.ToVoters, sum.FromVoters = sum.In+m.In, sum.Out+m.Out, sum.ToVoters+m.ToVoters, sum.FromVoters+m.FromVoters
 		sum.Unheard += m.Unheard
 	}
 	if size := s.BytesIn.Load() / max(1, n); n < 100 || size < 10 || size > 90 {
@@ -482,11 +482,11 @@
 	}
 	request := int64(len("POST /crew/1/renew HTTP/1.1\r\nHost: " + s.Address() + "\r\nContent-Length: 12\r\n\r\n"))
 	answer := int64(len("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
-	if want := s.BytesIn.Load() + n*request; sum.ToKeeper != want || sum.Out != want {
-		t.Errorf("%d bytes out, %d to keepers, want %d", sum.Out, sum.ToKeeper, want)
+	if want := s.BytesIn.Load() + n*request; sum.ToVoters != want || sum.Out != want {
+		t.Errorf("%d bytes out, %d to keepers, want %d", sum.Out, sum.ToVoters, want)
 	}
-	if want := s.BytesOut.Load() + n*answer; sum.OfKeeper != want || sum.In != want {
-		t.Errorf("%d bytes in, %d of keepers, want %d", sum.In, sum.OfKeeper, want)
+	if want := s.BytesOut.Load() + n*answer; sum.FromVoters != want || sum.In != want {
+		t.Errorf("%d bytes in, %d of keepers, want %d", sum.In, sum.FromVoters, want)
 	}
 	if sum.Unheard == 0 {
 		t.Error("nobody led, and no member has counted it")
@@ -494,8 +494,8 @@
 	if leaving.Load() != members {
 		t.Errorf("%d of %d members have said that they leave", leaving.Load(), members)
 	}
-	p.good(Command{Do: Begin})
-	p.awaitAll("they are back", members, func(s Stance) bool { return !s.Gone })
+	p.good(Command{Do: Restart})
+	p.awaitAll("they are back", members, func(s MemberState) bool { return !s.Gone })
 	p.good(Command{Do: Kill})
 	p.good(Command{Do: End})
 	<-p.ended // what was left of them has ended
@@ -522,21 +522,21 @@
 	t.Parallel()
 	const members = 9
 	c := form(t, 3, members, 2)
-	c.start.OrderTakes = 10 * time.Millisecond
+	c.start.KeyedDuration = 10 * time.Millisecond
 	p := run(t, c.start)
-	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	if seatsOf(c.awaitWhole(), "m1") == 0 {
 		t.Fatal("m1 has no seats, and this test shows nothing")
 	}
 	idle := p.sample().Members
-	if idle["m1"].Asked != 0 {
+	if idle["m1"].KeyedRequests != 0 {
 		t.Errorf("%+v", idle["m1"])
 	}
 	p.good(Command{Do: Order, Orders: 20})
 	for limit := time.Now().Add(testWait); ; time.Sleep(testPause) {
 		least := int64(1 << 60)
 		for _, m := range p.sample().Members {
-			least = min(least, m.Asked-m.Denied)
+			least = min(least, m.KeyedRequests-m.KeyedRefused)
 		}
 		if least >= 10 { // some are refused on a machine that is busy beyond their time
 			break
@@ -558,21 +558,21 @@
 		t.Error("it still listens")
 	}
 	now := p.sample().Members
-	asked, carried, out, in := now["m1"].Asked, int64(0), int64(0), int64(0)
+	asked, carried, out, in := now["m1"].KeyedRequests, int64(0), int64(0), int64(0)
 	for name, m := range now {
-		carried += m.Asked - m.Denied
-		out += m.Out - m.ToKeeper - idle[name].Out + idle[name].ToKeeper
-		in += m.In - m.OfKeeper - idle[name].In + idle[name].OfKeeper
+		carried += m.KeyedRequests - m.KeyedRefused
+		out += m.Out - m.ToVoters - idle[name].Out + idle[name].ToVoters
+		in += m.In - m.FromVoters - idle[name].In + idle[name].FromVoters
 	}
 	// A claim and an outcome go to a primary and from there to a copy, each of some 100 bytes and its head; most of them are
 	// members, not keepers.
 	if least := carried * 100; out < least || in < least {
 		t.Errorf("%d bytes out and %d in, of %d orders: they have not gone to others", out, in, carried)
 	}
-	if p.good(Command{Do: Begin, Members: []string{"m1"}}); p.sample().Members["m1"].Asked != asked {
+	if p.good(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != asked {
 		t.Error("it has begun with orders, that were to end")
 	}
-	p.awaitAll("its lease", members, func(s Stance) bool { return !s.Cautious && !s.Gone })
+	p.awaitAll("its lease", members, func(s MemberState) bool { return !s.Cautious && !s.Gone })
 }
 
 // Each planted fault shows.
@@ -580,9 +580,9 @@
 	t.Parallel()
 	const members = 8
 	c := form(t, 3, members, 2)
-	c.start.Planted = map[string]Fault{"m1": Unheeding, "m2": Hasty, "m3": Forgetful}
+	c.start.Faults = map[string]Fault{"m1": IgnoresVersions, "m2": RenewsTooOften, "m3": LosesState}
 	p := run(t, c.start)
-	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	number := c.propose(versions.Document{MaxAttempts: 1})
 	c.awaitLedger("the version is active", func(l *cluster.Ledger) bool { return l.Active.Number == number })
 	p.await("all others act on it", func() bool {
@@ -614,7 +614,7 @@
 	for {
 		now := p.sample().Members
 		since := func(name string) (renewals, heard float64) {
-			return float64(now[name].Renewals - first[name].Renewals), float64(now[name].OfKeeper - first[name].OfKeeper)
+			return float64(now[name].Renewals - first[name].Renewals), float64(now[name].FromVoters - first[name].FromVoters)
 		}
 		honest, told := since("m4")
 		if honest < beats {
@@ -639,31 +639,31 @@
 func TestBadStart(t *testing.T) {
 	good := func() Start {
 		return Start{
-			Crew: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Keepers: []Place{{Name: "k1", Address: "127.0.0.1:9"}},
-			Members: []Place{{Name: "m1", Zone: "a", Address: free(t)}, {Name: "m2", Zone: "b", Address: free(t)}},
+			Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
+			Members: []Peer{{Name: "m1", Zone: "a", Address: free(t)}, {Name: "m2", Zone: "b", Address: free(t)}},
 		}
 	}
 	for want, spoil := range map[string]func(*Start){
-		"keepers: 0":                   func(s *Start) { s.Keepers = nil },
+		"keepers: 0":                   func(s *Start) { s.Voters = nil },
 		"members: 0":                   func(s *Start) { s.Members = nil },
 		"members[1].address: \"\", of": func(s *Start) { s.Members[1].Address = "" },
 		"members[0].name: missing":     func(s *Start) { s.Members[0].Name = "" },
 		"members[1]: m1 at":            func(s *Start) { s.Members[1].Name = "m1" },
 		"members[0]: k1 at":            func(s *Start) { s.Members[0].Name = "k1" },
-		"planted.m1: \"sleepy\"":       func(s *Start) { s.Planted = map[string]Fault{"m1": "sleepy"} },
-		"planted.m7: no member":        func(s *Start) { s.Planted = map[string]Fault{"m7": Hasty} },
-		"planted.m1: forgetful":        func(s *Start) { s.Planted = map[string]Fault{"m1": Forgetful} },
+		"planted.m1: \"sleepy\"":       func(s *Start) { s.Faults = map[string]Fault{"m1": "sleepy"} },
+		"planted.m7: no member":        func(s *Start) { s.Faults = map[string]Fault{"m7": RenewsTooOften} },
+		"planted.m1: forgetful":        func(s *Start) { s.Faults = map[string]Fault{"m1": LosesState} },
 		"lease_ns: 1ns":                func(s *Start) { s.Lease = 1 },
 		"contradict_at_most_ns: 1s":    func(s *Start) { s.ContradictAtMost, s.Slack = time.Second, time.Millisecond },
 		"copies: 9":                    func(s *Start) { s.Copies = 9 },
 		"keep_ns: 0s":                  func(s *Start) { s.Copies = 2 },
 		"lost_after_ns: 0s":            func(s *Start) { s.Copies, s.Keep = 2, time.Minute },
-		"orders: 1; allowed: with":     func(s *Start) { s.Orders = 1 },
-		"orders: -1":                   func(s *Start) { s.Orders = -1 },
+		"orders: 1; allowed: with":     func(s *Start) { s.KeyedRate = 1 },
+		"orders: -1":                   func(s *Start) { s.KeyedRate = -1 },
 		"members[1].zone: missing":     func(s *Start) { s.Copies, s.Keep, s.LostAfter, s.Members[1].Zone = 2, time.Minute, time.Second, "" },
-		"crew: missing":                func(s *Start) { s.Crew = "" },
+		"crew: missing":                func(s *Start) { s.Cluster = "" },
 		"region_delay_ns: -1ns":        func(s *Start) { s.RegionDelay = -1 },
-		"order_takes_ns: -1ns":         func(s *Start) { s.OrderTakes = -1 },
+		"order_takes_ns: -1ns":         func(s *Start) { s.KeyedDuration = -1 },
 		"drift: 1;":                    func(s *Start) { s.Drift = 1 },
 		"slack_ns: -1ns":               func(s *Start) { s.Slack = -1 },
 		"m2: crew.address: listen tcp": func(s *Start) { s.Members[1].Address = "192.0.2.1:9" }, // not this machine's
@@ -710,8 +710,8 @@
 		`command 1: do: "sleep"; allowed: kill, `: Command{ID: 1, Do: "sleep"},
 		"command: json: unknown field":            map[string]any{"id": 1, "do": "kill", "who": "m1"},
 	} {
-		s := Start{Crew: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Keepers: []Place{{Name: "k1", Address: "127.0.0.1:9"}},
-			Members: []Place{{Name: "m1", Address: free(t)}}}
+		s := Start{Cluster: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
+			Members: []Peer{{Name: "m1", Address: free(t)}}}
 		p := run(t, s)
 		p.await("ready", func() bool { return p.ready })
 		if err := p.in.Encode(command); err != nil {
@@ -729,8 +729,8 @@
 
 // The end of standard input is the members' end, and no fault.
 func TestEndOfInput(t *testing.T) {
-	s := Start{Crew: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Keepers: []Place{{Name: "k1", Address: "127.0.0.1:9"}},
-		Members: []Place{{Name: "m1", Address: free(t)}}}
+	s := Start{Cluster: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
+		Members: []Peer{{Name: "m1", Address: free(t)}}}
 	p := run(t, s)
 	p.await("ready", func() bool { return p.ready })
 	p.close()
--- a/internal/lab/emulated/far.go
+++ b/internal/lab/emulated/far.go
@@ -258,7 +258,7 @@
 
 // Write is net.Conn's. It returns when the bytes are on their way.
 func (c *farConn) Write(b []byte) (int, error) {
-	if c.world.fault == Forgetful && c.keeper {
+	if c.world.fault == LosesState && c.keeper {
 		return forgotten(b, c.write)
 	}
 	return c.write(b)
--- a/internal/lab/emulated/faults.go
+++ b/internal/lab/emulated/faults.go
@@ -58,7 +58,7 @@
 	version uint64
 }
 
-func (h *heed) act(s Stance) Stance {
+func (h *heed) act(s MemberState) MemberState {
 	if !h.leased && !s.Cautious {
 		h.leased, h.version = true, s.Active
 	}
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -32,7 +32,7 @@
 // hollow is one member over all its starts.
 type hollow struct {
 	process *process
-	place   Place
+	place   Peer
 	fault   Fault
 	spent   traffic
 	asked   atomic.Int64
@@ -44,7 +44,7 @@
 	past   member.Status
 	starts int
 	heed   heed
-	stance Stance // as last told, but for epoch and time, which are those of the last look
+	stance MemberState // as last told, but for epoch and time, which are those of the last look
 }
 
 // life is one start of a member.
@@ -84,7 +84,7 @@
 		started: make(chan struct{}), halt: make(chan struct{}), number: h.starts,
 	}
 	h.life, h.heed = l, heed{}
-	h.tell(Stance{Cautious: true})
+	h.tell(MemberState{Cautious: true})
 	wait := time.Duration(h.dice(l, "start").Int64N(int64(startSpread)))
 	go func() {
 		defer close(l.started)
@@ -128,22 +128,22 @@
 		return
 	}
 	a := l.member.Status()
-	s := Stance{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
-	if h.fault == Unheeding {
+	s := MemberState{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
+	if h.fault == IgnoresVersions {
 		s = h.heed.act(s)
 	}
 	h.tell(s)
 }
 
 // tell books a stance, and says it if it is another one. The lock is held, so that nothing of a life is said after its end.
-func (h *hollow) tell(s Stance) {
+func (h *hollow) tell(s MemberState) {
 	s.At, s.Member = (env.Real{}).BootTime(), h.place.Name
 	before := h.stance
 	h.stance = s
 	if before.Member != "" && before.Active == s.Active && before.Next == s.Next && before.Cautious == s.Cautious && before.Gone == s.Gone {
 		return
 	}
-	h.process.say(Line{Event: &s})
+	h.process.say(Output{Event: &s})
 }
 
 // gone books the end of a life. The lock is held.
@@ -251,12 +251,12 @@
 }
 
 // sample is what it has cost.
-func (h *hollow) sample() Spent {
+func (h *hollow) sample() MemberUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Spent{
-		In: h.spent.in.Load(), Out: h.spent.out.Load(), ToKeeper: h.spent.toKeeper.Load(), OfKeeper: h.spent.ofKeeper.Load(),
-		Renewals: h.past.Renewals, Refused: h.past.Refused, Unheard: h.past.Lost, Asked: h.asked.Load(), Denied: h.denied.Load(),
+	s := MemberUsage{
+		In: h.spent.in.Load(), Out: h.spent.out.Load(), ToVoters: h.spent.toKeeper.Load(), FromVoters: h.spent.ofKeeper.Load(),
+		Renewals: h.past.Renewals, Refused: h.past.Refused, Unheard: h.past.Lost, KeyedRequests: h.asked.Load(), KeyedRefused: h.denied.Load(),
 	}
 	if h.life != nil {
 		if !h.life.left {
@@ -268,7 +268,7 @@
 		s.Unheard += a.Lost
 		s.Conns = h.life.world.open()
 	}
-	s.Stance = h.stance
+	s.State = h.stance
 	return s
 }
 
@@ -362,6 +362,6 @@
 		opened.Claim.End(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
 		return false
 	}
-	time.Sleep(p.start.OrderTakes)
+	time.Sleep(p.start.KeyedDuration)
 	return opened.Claim.End(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
 }
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -61,7 +61,7 @@
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, 0, 64<<10), mostLine)
 	if err := p.run(lines); err != nil {
-		p.say(Line{Error: err.Error()})
+		p.say(Output{Error: err.Error()})
 		return err
 	}
 	return nil
@@ -83,12 +83,12 @@
 	for _, r := range regions {
 		p.regions[r] = r != ""
 	}
-	for _, k := range p.start.Keepers {
+	for _, k := range p.start.Voters {
 		p.keepers[k.Address] = true
 	}
 	for _, place := range p.start.Members {
-		h := &hollow{process: p, place: place, fault: p.start.Planted[place.Name]}
-		h.setRate(p.start.Orders)
+		h := &hollow{process: p, place: place, fault: p.start.Faults[place.Name]}
+		h.setRate(p.start.KeyedRate)
 		p.members, p.byName[place.Name] = append(p.members, h), h
 	}
 	defer p.end()
@@ -97,7 +97,7 @@
 	}
 	go p.watch()
 	go p.clock()
-	p.say(Line{Ready: true})
+	p.say(Output{Ready: true})
 	for lines.Scan() {
 		var c Command
 		if err := decode(lines.Bytes(), &c); err != nil {
@@ -122,7 +122,7 @@
 }
 
 // say writes a line. Whoever leads the process reads them all: else it stands still.
-func (p *process) say(l Line) {
+func (p *process) say(l Output) {
 	p.saying.Lock()
 	defer p.saying.Unlock()
 	p.out.Encode(l) //nolint:errcheck // nobody is there to be told; the end of standard input ends it
@@ -199,7 +199,7 @@
 // An error ends the process: who says what it does not know can't be heeded.
 func (p *process) do(c *Command) (over bool, err error) {
 	answer := func(err error) {
-		l := Line{ID: c.ID}
+		l := Output{ID: c.ID}
 		if err != nil {
 			l.Error = fmt.Sprintf("%s: %v", c.Do, err)
 		}
@@ -221,10 +221,10 @@
 		answer(brief(faults))
 	case Leave:
 		go func() { answer(each(members, (*hollow).leave)) }()
-	case Begin:
+	case Restart:
 		go func() { answer(p.begin(members)) }()
-	case Cut, Mend:
-		answer(p.cut(c.Regions, c.Do == Cut))
+	case Partition, Heal:
+		answer(p.cut(c.Regions, c.Do == Partition))
 	case Order:
 		if err := p.start.checkRate(c.Orders); err != nil {
 			answer(err)
@@ -240,13 +240,13 @@
 			answer(err)
 			break
 		}
-		p.say(Line{ID: c.ID, Sample: s})
+		p.say(Output{ID: c.ID, Sample: s})
 	case End:
 		answer(nil)
 		return true, nil
 	default:
 		return true, fmt.Errorf("command %d: do: %q; allowed: %s", c.ID, c.Do,
-			strings.Join([]string{Kill, Leave, Begin, Cut, Mend, Order, Sample, End}, ", "))
+			strings.Join([]string{Kill, Leave, Restart, Partition, Heal, Order, Sample, End}, ", "))
 	}
 	return false, nil
 }
@@ -316,8 +316,8 @@
 }
 
 // sample tells what the process, and these members of it, have cost.
-func (p *process) sample(members []*hollow) (*Sampled, error) {
-	s := &Sampled{At: (env.Real{}).BootTime(), Members: map[string]Spent{}}
+func (p *process) sample(members []*hollow) (*Usage, error) {
+	s := &Usage{At: (env.Real{}).BootTime(), Members: map[string]MemberUsage{}}
 	for _, h := range members {
 		s.Members[h.place.Name] = h.sample()
 	}
@@ -328,7 +328,7 @@
 }
 
 // measure fills in what the process takes of the machine.
-func (s *Sampled) measure() error {
+func (s *Usage) measure() error {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 		return fmt.Errorf("getrusage: %w", err)
--- a/internal/lab/emulated/start.go
+++ b/internal/lab/emulated/start.go
@@ -57,7 +57,7 @@
 
 // conf is the configuration of a member: what a real sidecar reads from its file. Nothing listens for callers, and there is no
 // discovery.
-func conf(p Place) (*config.Config, error) {
+func conf(p Peer) (*config.Config, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": p.Name, "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
 	})
@@ -68,11 +68,11 @@
 }
 
 // table is the [crew] of a member.
-func (s *Start) table(p Place) operator.Cluster {
+func (s *Start) table(p Peer) operator.Cluster {
 	t := operator.Cluster{
-		Name: s.Crew, Address: p.Address, Params: s.terms(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
+		Name: s.Cluster, Address: p.Address, Params: s.terms(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
 	}
-	for _, k := range s.Keepers {
+	for _, k := range s.Voters {
 		t.Voters[k.Name] = k.Address
 	}
 	if s.Copies > 0 {
@@ -92,7 +92,7 @@
 }
 
 // regionOf is where an address stands; empty where nobody says.
-func (s *Start) region(p Place) string { return cmp.Or(s.Regions[p.Address], p.Region) }
+func (s *Start) region(p Peer) string { return cmp.Or(s.Regions[p.Address], p.Region) }
 
 // regions are those of all addresses that are known.
 func (s *Start) regions() map[string]string {
@@ -100,7 +100,7 @@
 	if all == nil {
 		all = map[string]string{}
 	}
-	for _, p := range slices.Concat(s.Keepers, s.Members) {
+	for _, p := range slices.Concat(s.Voters, s.Members) {
 		all[p.Address] = s.region(p)
 	}
 	return all
@@ -110,7 +110,7 @@
 func (s *Start) check() error {
 	t := s.terms()
 	switch {
-	case s.Crew == "":
+	case s.Cluster == "":
 		return errors.New("crew: missing; allowed: the crew's name")
 	case s.Lease < clusterparams.MinLease || s.Lease > clusterparams.MaxLease:
 		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, clusterparams.MinLease, clusterparams.MaxLease)
@@ -128,21 +128,21 @@
 		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter)
 	case s.RegionDelay < 0 || s.RegionDelay > longestDelay:
 		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, longestDelay)
-	case s.OrderTakes < 0 || s.OrderTakes > longestOrder:
-		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.OrderTakes, longestOrder)
-	case len(s.Keepers) == 0 || len(s.Keepers) > clusterparams.MaxVoters:
-		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), clusterparams.MaxVoters)
+	case s.KeyedDuration < 0 || s.KeyedDuration > longestOrder:
+		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.KeyedDuration, longestOrder)
+	case len(s.Voters) == 0 || len(s.Voters) > clusterparams.MaxVoters:
+		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Voters), clusterparams.MaxVoters)
 	case len(s.Members) == 0 || len(s.Members) > clusterparams.MaxMembers:
 		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MaxMembers)
 	}
-	if err := s.checkRate(s.Orders); err != nil {
+	if err := s.checkRate(s.KeyedRate); err != nil {
 		return err
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
-	for i, p := range slices.Concat(s.Keepers, s.Members) {
+	for i, p := range slices.Concat(s.Voters, s.Members) {
 		where := fmt.Sprintf("keepers[%d]", i)
-		if i >= len(s.Keepers) {
-			where = fmt.Sprintf("members[%d]", i-len(s.Keepers))
+		if i >= len(s.Voters) {
+			where = fmt.Sprintf("members[%d]", i-len(s.Voters))
 		}
 		_, port, err := net.SplitHostPort(p.Address)
 		switch {
@@ -152,19 +152,19 @@
 			return fmt.Errorf("%s.address: %q, of %s; allowed: an address with a port", where, p.Address, p.Name)
 		case names[p.Name] || addresses[p.Address]:
 			return fmt.Errorf("%s: %s at %s, a second time; allowed: each name and address once", where, p.Name, p.Address)
-		case s.Copies > 1 && p.Zone == "" && i >= len(s.Keepers):
+		case s.Copies > 1 && p.Zone == "" && i >= len(s.Voters):
 			return fmt.Errorf("%s.zone: missing, of %s; copies stand in different ones", where, p.Name)
 		}
 		names[p.Name], addresses[p.Address] = true, true
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Planted)) {
-		fault := s.Planted[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Faults)) {
+		fault := s.Faults[name]
 		switch {
-		case fault != Unheeding && fault != Hasty && fault != Forgetful:
-			return fmt.Errorf("planted.%s: %q; allowed: %s, %s, %s", name, fault, Unheeding, Hasty, Forgetful)
-		case !slices.ContainsFunc(s.Members, func(p Place) bool { return p.Name == name }):
+		case fault != IgnoresVersions && fault != RenewsTooOften && fault != LosesState:
+			return fmt.Errorf("planted.%s: %q; allowed: %s, %s, %s", name, fault, IgnoresVersions, RenewsTooOften, LosesState)
+		case !slices.ContainsFunc(s.Members, func(p Peer) bool { return p.Name == name }):
 			return fmt.Errorf("planted.%s: no member of this process", name)
-		case fault == Forgetful && s.Copies == 0:
+		case fault == LosesState && s.Copies == 0:
 			return fmt.Errorf("planted.%s: %s; allowed: with copies, for without there is no table", name, fault)
 		}
 	}
--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -21,7 +21,7 @@
 // Reset is env.Timer's.
 func (t *timer) Reset(d time.Duration) {
 	if d == t.world.beat {
-		if t.world.fault == Hasty {
+		if t.world.fault == RenewsTooOften {
 			d /= 2
 		}
 		if t.alarm == nil {
--- a/internal/lab/emulated/true_test.go
+++ b/internal/lab/emulated/true_test.go
@@ -188,26 +188,26 @@
 	s := &side{t: t, real: real, dir: t.TempDir(), bin: bin, orders: orders,
 		procs: map[string]*exec.Cmd{}, listens: map[string]string{}, lines: map[string]*peerrpc.Client{}}
 	s.start = Start{
-		Crew: "true", Lease: lease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: lease + lease/10 + time.Second,
-		FixedClasses: []string{LookClass}, Copies: copies, Keep: 2 * time.Minute, LostAfter: 10 * time.Second, OrderTakes: trueTakes, Seed: 1,
+		Cluster: "true", Lease: lease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: lease + lease/10 + time.Second,
+		FixedClasses: []string{LookClass}, Copies: copies, Keep: 2 * time.Minute, LostAfter: 10 * time.Second, KeyedDuration: trueTakes, Seed: 1,
 	}
 	for i := range trueKeepers {
-		s.start.Keepers = append(s.start.Keepers, Place{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
+		s.start.Voters = append(s.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
 	}
 	for i := range *trueMembers {
-		s.start.Members = append(s.start.Members, Place{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
+		s.start.Members = append(s.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
 	}
 	s.end = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(trueTakes)
 		w.Write([]byte("done")) //nolint:errcheck // its client shows
 	}))
-	for _, k := range s.start.Keepers {
+	for _, k := range s.start.Voters {
 		s.startReal(k)
-		s.lines[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Crew, "test", k.Address)
+		s.lines[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", k.Address)
 	}
 	if !real {
 		s.startHollow() // to begin anew, each at its own time
-		s.await(Command{ID: 3, Do: Leave}, func(l Line) bool { return l.ID == 3 })
+		s.await(Command{ID: 3, Do: Leave}, func(l Output) bool { return l.ID == 3 })
 	}
 	// Members come up at drawn times over two beats, the same for both sides: what a leader answers together costs it less, and who
 	// comes up together asks together for long.
@@ -221,7 +221,7 @@
 			continue
 		}
 		// Its answer is read on the way to the next one that is waited for.
-		if err := json.NewEncoder(s.tell).Encode(Command{ID: 10 + i, Do: Begin, Members: []string{m.Name}}); err != nil {
+		if err := json.NewEncoder(s.tell).Encode(Command{ID: 10 + i, Do: Restart, Members: []string{m.Name}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -257,7 +257,7 @@
 }
 
 // startReal starts a sidecar as a process.
-func (s *side) startReal(p Place) {
+func (s *side) startReal(p Peer) {
 	s.t.Helper()
 	dir := filepath.Join(s.dir, p.Name)
 	if err := os.MkdirAll(filepath.Join(dir, "data"), 0o700); err != nil {
@@ -274,11 +274,11 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "[crew]\nname = %q\naddress = %q\nlease = %q\ndrift = %v\nslack = %q\ncontradict_at_most = %q\nfixed_classes = [%q]\n",
-		s.start.Crew, p.Address, s.start.Lease, s.start.Drift, s.start.Slack, s.start.ContradictAtMost, LookClass)
+		s.start.Cluster, p.Address, s.start.Lease, s.start.Drift, s.start.Slack, s.start.ContradictAtMost, LookClass)
 	if strings.HasPrefix(p.Name, "k") {
 		fmt.Fprintf(&b, "data = %q\n", filepath.Join(dir, "data"))
 	}
-	for _, k := range s.start.Keepers {
+	for _, k := range s.start.Voters {
 		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 	}
 	if s.start.Copies > 0 {
@@ -324,17 +324,17 @@
 	}
 	s.tell, s.hears = in, bufio.NewScanner(out)
 	s.hears.Buffer(nil, mostLine)
-	s.await(s.start, func(l Line) bool { return l.Ready })
+	s.await(s.start, func(l Output) bool { return l.Ready })
 }
 
 // await tells the hollow process something and returns the answer.
-func (s *side) await(told any, is func(Line) bool) Line {
+func (s *side) await(told any, is func(Output) bool) Output {
 	s.t.Helper()
 	if err := json.NewEncoder(s.tell).Encode(told); err != nil {
 		s.t.Fatal(err)
 	}
 	for s.hears.Scan() {
-		var l Line
+		var l Output
 		if err := json.Unmarshal(s.hears.Bytes(), &l); err != nil || l.Error != "" {
 			s.t.Fatal(err, l.Error)
 		}
@@ -343,11 +343,11 @@
 		}
 	}
 	s.t.Fatal("the hollow process has ended")
-	return Line{}
+	return Output{}
 }
 
-func (s *side) sample() *Sampled {
-	return s.await(Command{ID: 1, Do: Sample}, func(l Line) bool { return l.Sample != nil }).Sample
+func (s *side) sample() *Usage {
+	return s.await(Command{ID: 1, Do: Sample}, func(l Output) bool { return l.Sample != nil }).Sample
 }
 
 // state asks who leads, and what it knows.
@@ -401,7 +401,7 @@
 		return func() {}
 	}
 	if !s.real {
-		s.await(Command{ID: 2, Do: Order, Orders: s.orders}, func(l Line) bool { return l.ID == 2 })
+		s.await(Command{ID: 2, Do: Order, Orders: s.orders}, func(l Output) bool { return l.ID == 2 })
 		return func() {}
 	}
 	halt := make(chan struct{})
@@ -452,7 +452,7 @@
 		return s.asked.Load(), s.denied.Load()
 	}
 	for _, m := range s.sample().Members {
-		asked, denied = asked+m.Asked, denied+m.Denied
+		asked, denied = asked+m.KeyedRequests, denied+m.KeyedRefused
 	}
 	return asked, denied
 }
@@ -467,7 +467,7 @@
 		return sum
 	}
 	for _, m := range s.start.Members {
-		line := peerrpc.NewClient(env.Real{}, s.start.Crew, "test", m.Address)
+		line := peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", m.Address)
 		var a member.Status
 		if err := line.Call("acting", struct{}{}, &a, trueTimeouts); err != nil {
 			s.t.Fatal(err)
--- a/internal/lab/emulated/world.go
+++ b/internal/lab/emulated/world.go
@@ -204,7 +204,7 @@
 
 // Write is net.Conn's.
 func (c *conn) Write(b []byte) (int, error) {
-	if c.world.fault == Forgetful && c.keeper {
+	if c.world.fault == LosesState && c.keeper {
 		return forgotten(b, c.write)
 	}
 	return c.write(b)
--- a/internal/lab/emulated/world_test.go
+++ b/internal/lab/emulated/world_test.go
@@ -297,9 +297,9 @@
 	}
 	const members = 40 // above the threads that a test has already and may use anew
 	before := threads()
-	s := Start{Crew: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Keepers: []Place{{Name: "k1", Address: "127.0.0.1:9"}}}
+	s := Start{Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}}}
 	for i := range members {
-		s.Members = append(s.Members, Place{Name: fmt.Sprintf("m%d", i), Address: free(t)})
+		s.Members = append(s.Members, Peer{Name: fmt.Sprintf("m%d", i), Address: free(t)})
 	}
 	p := run(t, s)
 	p.await("ready", func() bool { return p.ready })
@@ -338,7 +338,7 @@
 	before := timers()
 	c := form(t, 3, members, 0)
 	p := run(t, c.start)
-	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	await(before + members)
 	p.good(Command{Do: Kill, Members: []string{"m1"}})
 	p.good(Command{Do: Leave, Members: []string{"m2"}})
@@ -359,7 +359,7 @@
 			t.Errorf("after %v, want %v", took, d)
 		}
 	}
-	w.fault = Hasty
+	w.fault = RenewsTooOften
 	least := time.Duration(1 << 62)
 	for range 20 {
 		began := time.Now()
--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// Set changes lines, all in one version.
-func (d *Discovery) Set(lines ...Line) {
+// SetLines changes lines, all in one version.
+func (d *Discovery) SetLines(lines ...Line) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
@@ -85,9 +85,9 @@
 		d.former[l.Name] = append(d.former[l.Name], versionedLine{l, d.index})
 	}
 	now := d.book.Now()
-	d.book.Do(func(b *oracle.Book) {
+	d.book.Do(func(b *oracle.Checker) {
 		for _, l := range lines {
-			b.Listed(now, d.index, l.Name, l.Status == Serving)
+			b.ListPublished(now, d.index, l.Name, l.Status == Serving)
 		}
 	})
 	d.wake()
@@ -98,26 +98,26 @@
 	d.news = make(chan struct{})
 }
 
-// Down has calls fail from now on, or not; those that wait fail at once.
-func (d *Discovery) Down(down bool) {
+// SetDown has calls fail from now on, or not; those that wait fail at once.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.book.Do(func(b *oracle.Book) { b.ListUp(d.book.Now(), !down) })
+	d.book.Do(func(b *oracle.Checker) { b.SetDiscoveryUp(d.book.Now(), !down) })
 	d.wake()
 }
 
-// Crowd has each call that begins from now on refused after a time, as by a discovery with too many callers, and watches that
+// SetOverloaded has each call that begins from now on refused after a time, as by a discovery with too many callers, and watches that
 // wait go on waiting; 0 ends it. Discovery counts as reachable meanwhile.
-func (d *Discovery) Crowd(patience time.Duration) {
+func (d *Discovery) SetOverloaded(patience time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.crowded = patience
 	d.wake()
 }
 
-// Lag delays each answer from now on.
-func (d *Discovery) Lag(lag time.Duration) {
+// SetLag delays each answer from now on.
+func (d *Discovery) SetLag(lag time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = lag
@@ -130,8 +130,8 @@
 	return d.answer(0)
 }
 
-// LastTold is the whole list as a sidecar was told it last: what the platform hands it at its next start.
-func (d *Discovery) LastTold(sidecar string) List {
+// LastDelivered is the whole list as a sidecar was told it last: what the platform hands it at its next start.
+func (d *Discovery) LastDelivered(sidecar string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	version, known := d.told[sidecar]
@@ -163,8 +163,8 @@
 	return list
 }
 
-// For opens the address of one sidecar.
-func (d *Discovery) For(sidecar, host string) (address string, err error) {
+// OpenFor opens the address of one sidecar.
+func (d *Discovery) OpenFor(sidecar, host string) (address string, err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return "", err
@@ -194,8 +194,8 @@
 // serve answers one call: at once for the whole list, and when there is news, or
 // after the time that it asks for, for a watch.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request, sidecar string) {
-	d.book.Do(func(b *oracle.Book) { b.Calls(sidecar) })
-	defer func() { d.book.Do(func(b *oracle.Book) { b.Called(d.book.Now(), sidecar) }) }()
+	d.book.Do(func(b *oracle.Checker) { b.ListCallBegun(sidecar) })
+	defer func() { d.book.Do(func(b *oracle.Checker) { b.ListCallEnded(d.book.Now(), sidecar) }) }()
 	if r.URL.Path != "/discovery/hosts" {
 		w.WriteHeader(http.StatusNotFound)
 		return
@@ -209,7 +209,7 @@
 		return
 	}
 	if wait := min(time.Duration(ms)*time.Millisecond, mostWait); after > 0 {
-		d.book.Do(func(b *oracle.Book) { b.Stands(sidecar, d.book.Now()+wait) })
+		d.book.Do(func(b *oracle.Checker) { b.WatchAccepted(sidecar, d.book.Now()+wait) })
 		if !d.waitNews(r, after, wait) {
 			return
 		}
@@ -281,5 +281,5 @@
 	d.mu.Lock()
 	d.told[sidecar] = max(d.told[sidecar], list.Index)
 	d.mu.Unlock()
-	d.book.Do(func(b *oracle.Book) { b.Told(d.book.Now(), sidecar, list.Index) })
+	d.book.Do(func(b *oracle.Checker) { b.ListDelivered(d.book.Now(), sidecar, list.Index) })
 }
--- a/internal/lab/fake/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -27,14 +27,14 @@
 
 // The troubles. Those of one endpoint replace each other.
 const (
-	Well    Trouble = ""
-	Errors  Trouble = "errors"  // answers 500 at once to a share of requests
-	Hang    Trouble = "hang"    // takes requests and never answers
-	Silent  Trouble = "silent"  // its machine is cut off: nothing is read or written
-	Refuses Trouble = "refuses" // turns all away at once
-	Half    Trouble = "half"    // ends the connection within an answer
-	Garbage Trouble = "garbage" // answers with what is no HTTP
-	Surplus Trouble = "surplus" // sends more than its answer
+	NoTrouble       Trouble = ""
+	Errors          Trouble = "errors"  // answers 500 at once to a share of requests
+	Hang            Trouble = "hang"    // takes requests and never answers
+	Silent          Trouble = "silent"  // its machine is cut off: nothing is read or written
+	Refuses         Trouble = "refuses" // turns all away at once
+	TruncatedAnswer Trouble = "half"    // ends the connection within an answer
+	Garbage         Trouble = "garbage" // answers with what is no HTTP
+	ExtraBytes      Trouble = "surplus" // sends more than its answer
 )
 
 // Call makes one call of the next tier for a request, until the time that the request
@@ -45,7 +45,7 @@
 type EndpointConf struct {
 	Name        string
 	Address     string // with port 0 for any
-	Station     servermodel.Conf
+	ServerModel servermodel.Conf
 	Cold        bool
 	Connections int           // at once; more are turned away; 0 for no limit
 	Handshake   time.Duration // work that a new connection costs
@@ -61,7 +61,7 @@
 type ClassConf struct {
 	Effect decide.Effect
 	Work   time.Duration // mean; drawn anew for each request
-	Keys   *Keys         // of the endpoint's group; nil for classes that are not keyed
+	Keys   *KeyMemory    // of the endpoint's group; nil for classes that are not keyed
 }
 
 // Endpoint is one process of a tier.
@@ -74,7 +74,7 @@
 	die      context.CancelFunc
 
 	mu      sync.Mutex
-	station *servermodel.Station
+	station *servermodel.Server
 	timer   *time.Timer
 	trouble Trouble
 	share   float64 // of requests that Errors strikes
@@ -88,7 +88,7 @@
 
 // StartEndpoint starts one. Its address may be that of one that has just died.
 func StartEndpoint(conf EndpointConf, book *oracle.Shared) (*Endpoint, error) {
-	s, err := servermodel.New(conf.Station, book.Now(), conf.Cold)
+	s, err := servermodel.New(conf.ServerModel, book.Now(), conf.Cold)
 	if err != nil {
 		return nil, err
 	}
@@ -136,8 +136,8 @@
 	conn.Close()
 }
 
-// Misbehave changes its trouble; the share is that of requests that Errors strikes.
-func (e *Endpoint) Misbehave(trouble Trouble, share float64) {
+// SetTrouble changes its trouble; the share is that of requests that Errors strikes.
+func (e *Endpoint) SetTrouble(trouble Trouble, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.heal()
@@ -164,9 +164,9 @@
 	e.change(func(now time.Duration) { e.station.Pause(now, paused) })
 }
 
-// Slow sets the part of its speed that is left.
-func (e *Endpoint) Slow(part float64) {
-	e.change(func(now time.Duration) { e.station.Slow(now, part) })
+// SetSpeed sets the part of its speed that is left.
+func (e *Endpoint) SetSpeed(part float64) {
+	e.change(func(now time.Duration) { e.station.SetSpeed(now, part) })
 }
 
 func (e *Endpoint) change(do func(now time.Duration)) {
@@ -184,7 +184,7 @@
 func (e *Endpoint) finishDue(now time.Duration) {
 	done, fell := e.station.Due(now)
 	if fell {
-		e.book.Do(func(b *oracle.Book) { b.Fell(now, e.conf.Name) })
+		e.book.Do(func(b *oracle.Checker) { b.EndpointOverloaded(now, e.conf.Name) })
 	}
 	for _, j := range done {
 		var err error
@@ -379,8 +379,8 @@
 
 // arrived books an attempt; false if no client sent it.
 func (e *Endpoint) arrived(m message, runs, repeat bool) (known bool) {
-	e.book.Do(func(b *oracle.Book) {
-		known = b.Arrived(oracle.Arrival{
+	e.book.Do(func(b *oracle.Checker) {
+		known = b.AttemptArrived(oracle.Arrival{
 			ID: m.id, Endpoint: e.conf.Name, First: m.first, Whole: m.whole, Runs: runs, Repeat: repeat,
 		})
 	})
@@ -400,7 +400,7 @@
 	if !e.wait(first.done, gone) {
 		return false
 	}
-	return e.write(conn, Well, m, " repeat")
+	return e.write(conn, NoTrouble, m, " repeat")
 }
 
 // wait waits for something; false if the peer goes or the endpoint dies first.
@@ -429,7 +429,7 @@
 	if fresh {
 		j.Work += e.conf.Handshake
 	}
-	taken := e.station.Arrive(now, &j.Job) == servermodel.Taken
+	taken := e.station.Arrive(now, &j.Job) == servermodel.Accepted
 	e.arm(now)
 	return j, taken
 }
@@ -496,13 +496,13 @@
 	}
 	text := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 	switch trouble {
-	case Half:
+	case TruncatedAnswer:
 		write(conn, text[:len(text)-len(body)/2])
 		return false
 	case Garbage:
 		write(conn, "what do you mean\r\n\r\n")
 		return false
-	case Surplus:
+	case ExtraBytes:
 		text += "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	}
 	return write(conn, text)
--- a/internal/lab/fake/standin_test.go
+++ b/internal/lab/fake/fake_test.go
@@ -23,16 +23,16 @@
 )
 
 func newBook() *oracle.Shared {
-	return oracle.Share(oracle.New(oracle.Conf{Margin: time.Minute}), oracle.NewService(nil, 0))
+	return oracle.NewShared(oracle.New(oracle.Conf{Margin: time.Minute}), oracle.NewService(nil, 0))
 }
 
 func newEndpoint(t *testing.T, book *oracle.Shared, change func(*EndpointConf)) *Endpoint {
 	t.Helper()
 	conf := EndpointConf{
-		Name: "e", Address: "127.0.0.1:0", Station: servermodel.Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 4},
+		Name: "e", Address: "127.0.0.1:0", ServerModel: servermodel.Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 4},
 		BodyBytes: 100, Classes: map[string]ClassConf{
 			"look": {Effect: decide.Safe, Work: ms},
-			"pay":  {Effect: decide.Keyed, Work: ms, Keys: NewKeys(time.Minute)},
+			"pay":  {Effect: decide.Keyed, Work: ms, Keys: NewKeyMemory(time.Minute)},
 			"burn": {Effect: decide.Unsafe, Work: ms},
 		},
 	}
@@ -66,9 +66,9 @@
 
 // ask books a request and sends it.
 func (c *client) ask(book *oracle.Shared, class, id, key string, effect decide.Effect) {
-	book.Do(func(b *oracle.Book) {
-		b.Asking(oracle.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Until: time.Hour})
-		b.Written(id)
+	book.Do(func(b *oracle.Checker) {
+		b.RequestBegun(oracle.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Deadline: time.Hour})
+		b.RequestWritten(id)
 	})
 	method := "GET"
 	if effect != decide.Safe {
@@ -92,9 +92,9 @@
 }
 
 func tally(book *oracle.Shared) (arrivals, runs, off int) {
-	book.Do(func(b *oracle.Book) {
+	book.Do(func(b *oracle.Checker) {
 		if t := b.Close().Sidecars["s"]; t != nil {
-			arrivals, runs, off = t.Arrivals, t.Runs, t.TurnedOff
+			arrivals, runs, off = t.Arrivals, t.Runs, t.Rejected
 		}
 	})
 	return arrivals, runs, off
@@ -123,16 +123,16 @@
 		body   string
 		runs   int
 	}{
-		Errors:  {500, "", 1},
-		Refuses: {503, "turned away", 0},
-		Half:    {0, "", 1},
-		Garbage: {0, "", 1},
-		Surplus: {200, "1 e\n", 1},
+		Errors:          {500, "", 1},
+		Refuses:         {503, "turned away", 0},
+		TruncatedAnswer: {0, "", 1},
+		Garbage:         {0, "", 1},
+		ExtraBytes:      {200, "1 e\n", 1},
 	} {
 		t.Run(string(trouble), func(t *testing.T) {
 			book := newBook()
 			e := newEndpoint(t, book, nil)
-			e.Misbehave(trouble, 1)
+			e.SetTrouble(trouble, 1)
 			conn := dial(t, e)
 			conn.ask(book, "look", "1", "", decide.Safe)
 			status, body, err := conn.answer()
@@ -142,7 +142,7 @@
 			if _, runs, _ := tally(book); runs != c.runs {
 				t.Errorf("%d runs are booked, want %d", runs, c.runs)
 			}
-			if trouble == Surplus {
+			if trouble == ExtraBytes {
 				if _, _, err := conn.answer(); err != nil {
 					t.Errorf("no surplus answer: %v", err)
 				}
@@ -160,14 +160,14 @@
 	if status, _, err := c.answer(); status != 200 {
 		t.Fatal(status, err)
 	}
-	e.Misbehave(Silent, 1)
+	e.SetTrouble(Silent, 1)
 	c.ask(book, "look", "2", "", decide.Safe)
 	c.SetReadDeadline(time.Now().Add(50 * ms))
 	if _, err := c.in.Peek(1); err == nil {
 		t.Error("a silent machine answered")
 	}
 	c.SetReadDeadline(time.Now().Add(patience))
-	e.Misbehave(Well, 0)
+	e.SetTrouble(NoTrouble, 0)
 	if _, _, err := c.answer(); err == nil {
 		t.Error("a connection of before the silence still answers")
 	}
@@ -186,7 +186,7 @@
 func TestHangAndKill(t *testing.T) {
 	book := newBook()
 	e := newEndpoint(t, book, nil)
-	e.Misbehave(Hang, 1)
+	e.SetTrouble(Hang, 1)
 	c := dial(t, e)
 	c.ask(book, "burn", "1", "", decide.Unsafe)
 	eventually(t, "it runs", func() bool { _, runs, _ := tally(book); return runs == 1 })
@@ -219,7 +219,7 @@
 func TestBounds(t *testing.T) {
 	book := newBook()
 	e := newEndpoint(t, book, func(c *EndpointConf) {
-		c.Connections, c.Station = 2, servermodel.Conf{Cores: 1, Speed: 0.001, Slots: 1, Queue: 0}
+		c.Connections, c.ServerModel = 2, servermodel.Conf{Cores: 1, Speed: 0.001, Slots: 1, Queue: 0}
 	})
 	first := dial(t, e)
 	first.ask(book, "burn", "1", "", decide.Unsafe)
@@ -245,7 +245,7 @@
 // comes to; a repeat is answered when the first run has ended.
 func TestKeysAcrossAGroup(t *testing.T) {
 	book := newBook()
-	keys := NewKeys(time.Minute)
+	keys := NewKeyMemory(time.Minute)
 	share := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
 	a, b := newEndpoint(t, book, share), newEndpoint(t, book, share)
 	first, second := dial(t, a), dial(t, b)
@@ -257,9 +257,9 @@
 	if status, body, err := second.answer(); status != 200 || !strings.HasPrefix(body, "2 e repeat\n") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *oracle.Book) {
-		if a := b.Close(); a.Broken() > 0 || a.Repeats > 0 {
-			t.Errorf("%v", a.Breaks)
+	book.Do(func(b *oracle.Checker) {
+		if a := b.Close(); a.NumViolations() > 0 || a.Repeats > 0 {
+			t.Errorf("%v", a.Violations)
 		}
 	})
 }
@@ -267,10 +267,10 @@
 // A run that failed has had its effect: a repeat elsewhere in the group has none.
 func TestFailedRunsAreKnown(t *testing.T) {
 	book := newBook()
-	keys := NewKeys(time.Minute)
+	keys := NewKeyMemory(time.Minute)
 	share := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
 	a, b := newEndpoint(t, book, share), newEndpoint(t, book, share)
-	a.Misbehave(Errors, 1)
+	a.SetTrouble(Errors, 1)
 	first, second := dial(t, a), dial(t, b)
 	first.ask(book, "pay", "1", "k", decide.Keyed)
 	if status, _, err := first.answer(); status != 500 {
@@ -280,16 +280,16 @@
 	if status, body, err := second.answer(); status != 200 || !strings.Contains(body, "repeat") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *oracle.Book) {
-		if a := b.Close(); a.Broken() > 0 {
-			t.Errorf("%v", a.Breaks)
+	book.Do(func(b *oracle.Checker) {
+		if a := b.Close(); a.NumViolations() > 0 {
+			t.Errorf("%v", a.Violations)
 		}
 	})
 }
 
 // The edge of the window: a repeat on it has no effect, one past it does.
 func TestKeysAtTheEdge(t *testing.T) {
-	k := NewKeys(time.Second)
+	k := NewKeyMemory(time.Second)
 	if first, own := k.See(0, "k"); first != nil || own == nil {
 		t.Fatal("a new key is a repeat")
 	}
@@ -356,8 +356,8 @@
 	t.Cleanup(d.Close)
 	a := Line{Name: "a", Address: "127.0.0.1:1", Status: Serving, Weight: 1}
 	b := Line{Name: "b", Address: "127.0.0.1:2", Status: Serving, Weight: 1}
-	d.Set(a, b)
-	address, err := d.For("s", "127.0.0.1")
+	d.SetLines(a, b)
+	address, err := d.OpenFor("s", "127.0.0.1")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -370,7 +370,7 @@
 		got <- list
 	}()
 	a.Status = Draining
-	d.Set(a)
+	d.SetLines(a)
 	if list := <-got; list.Whole || len(list.Endpoints) != 1 || list.Endpoints[0].Status != Draining {
 		t.Errorf("the change: %+v", list)
 	}
@@ -378,20 +378,20 @@
 		t.Errorf("nothing new: %d, %+v", status, list)
 	}
 	a.Status = Deleted
-	d.Set(a)
+	d.SetLines(a)
 	if _, list := fetch(t, address, ""); len(list.Endpoints) != 1 {
 		t.Errorf("the whole list names what is gone: %+v", list)
 	}
-	d.Down(true)
+	d.SetDown(true)
 	if status, _ := fetch(t, address, "?after=3&wait_ms=20000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
 	// What was told holds from then on: a later send to it is held against the sidecar.
-	book.Do(func(b *oracle.Book) {
-		b.Asking(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Until: time.Hour})
-		b.Written("1")
-		b.Arrived(oracle.Arrival{ID: "1", Endpoint: "a", First: book.Now() + 2*time.Minute, Runs: true})
-		if n := b.Close().Rules[oracle.Drained]; n != 1 {
+	book.Do(func(b *oracle.Checker) {
+		b.RequestBegun(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Deadline: time.Hour})
+		b.RequestWritten("1")
+		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", First: book.Now() + 2*time.Minute, Runs: true})
+		if n := b.Close().Rules[oracle.SentToDrained]; n != 1 {
 			t.Errorf("%d sends past the drain are booked, want 1", n)
 		}
 	})
--- a/internal/lab/fake/keys.go
+++ b/internal/lab/fake/keys.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Keys is the memory of keys that a group of endpoints shares: within the window
+// KeyMemory is the memory of keys that a group of endpoints shares: within the window
 // after a key was first seen, a request under it has no effect of its own.
-type Keys struct {
+type KeyMemory struct {
 	window time.Duration
 	mu     sync.Mutex
 	seen   map[string]*seenKey
@@ -22,14 +22,14 @@
 	once sync.Once
 }
 
-// NewKeys returns an empty memory.
-func NewKeys(window time.Duration) *Keys {
-	return &Keys{window: window, seen: map[string]*seenKey{}}
+// NewKeyMemory returns an empty memory.
+func NewKeyMemory(window time.Duration) *KeyMemory {
+	return &KeyMemory{window: window, seen: map[string]*seenKey{}}
 }
 
 // See takes a key that has come. It returns the run that it repeats, or nil and
 // a run of its own, to be ended by its endpoint.
-func (k *Keys) See(now time.Duration, key string) (first, own *seenKey) {
+func (k *KeyMemory) See(now time.Duration, key string) (first, own *seenKey) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for len(k.order) > 0 && now-k.order[0].at > k.window {
@@ -48,7 +48,7 @@
 }
 
 // Forget takes back a run that was turned away after all.
-func (k *Keys) Forget(own *seenKey) {
+func (k *KeyMemory) Forget(own *seenKey) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.seen[own.key] == own {
--- a/internal/lab/faultproxy/liar.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Liar passes connections on.
-type Liar struct {
+// Proxy passes connections on.
+type Proxy struct {
 	listener net.Listener
 	to       string
 	every    int // of so many answers one is written twice
@@ -25,21 +25,21 @@
 }
 
 // Start starts one before a sidecar.
-func Start(listen, to string, every int) (*Liar, error) {
+func Start(listen, to string, every int) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Liar{listener: listener, to: to, every: every, conns: map[net.Conn]struct{}{}}
+	l := &Proxy{listener: listener, to: to, every: every, conns: map[net.Conn]struct{}{}}
 	go l.accept()
 	return l, nil
 }
 
 // Address is where clients connect.
-func (l *Liar) Address() string { return l.listener.Addr().String() }
+func (l *Proxy) Address() string { return l.listener.Addr().String() }
 
 // Close ends it and its connections, and returns how many answers it doubled.
-func (l *Liar) Close() int {
+func (l *Proxy) Close() int {
 	l.listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	return l.Doubled
 }
 
-func (l *Liar) accept() {
+func (l *Proxy) accept() {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
@@ -60,13 +60,13 @@
 	}
 }
 
-func (l *Liar) keep(c net.Conn) {
+func (l *Proxy) keep(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 }
 
-func (l *Liar) drop(c net.Conn) {
+func (l *Proxy) drop(c net.Conn) {
 	c.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +76,7 @@
 const patience = 30 * time.Second // for each message: nothing waits for ever
 
 // serve passes requests of one connection on, one after the other.
-func (l *Liar) serve(conn net.Conn) {
+func (l *Proxy) serve(conn net.Conn) {
 	defer l.drop(conn)
 	out, err := net.DialTimeout("tcp", l.to, patience)
 	if err != nil {
@@ -118,7 +118,7 @@
 }
 
 // twice tells whether the next answer is written twice.
-func (l *Liar) twice() bool {
+func (l *Proxy) twice() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers++
--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -33,8 +33,8 @@
 // Quadratic fits y = a + b x + c x². It needs three different x.
 func Quadratic(x, y []float64) (Curve, error) { return polynomial(x, y, 2) }
 
-// Freedom is how many points there are beyond those that the curve must go through: below 1 its error is unknown.
-func (c Curve) Freedom() int { return c.Points - len(c.Coefficients) }
+// DegreesOfFreedom is how many points there are beyond those that the curve must go through: below 1 its error is unknown.
+func (c Curve) DegreesOfFreedom() int { return c.Points - len(c.Coefficients) }
 
 // Predict is the curve's y at an x.
 func (c Curve) Predict(x float64) float64 {
@@ -45,8 +45,8 @@
 	return y
 }
 
-// Miss is how far a measured y is off the prediction, as a part of the prediction: 0.1 is a tenth more than predicted.
-func (c Curve) Miss(x, measured float64) float64 {
+// RelativeError is how far a measured y is off the prediction, as a part of the prediction: 0.1 is a tenth more than predicted.
+func (c Curve) RelativeError(x, measured float64) float64 {
 	predicted := c.Predict(x)
 	if predicted == measured {
 		return 0
@@ -67,11 +67,11 @@
 		default:
 			fmt.Fprintf(&b, " %+.4g x^%d", k, power)
 		}
-		if c.Freedom() > 0 {
+		if c.DegreesOfFreedom() > 0 {
 			fmt.Fprintf(&b, " (±%.2g)", c.Errors[power])
 		}
 	}
-	if c.Freedom() > 0 {
+	if c.DegreesOfFreedom() > 0 {
 		fmt.Fprintf(&b, ", residual %.3g over %d points", c.Residual, c.Points)
 	} else {
 		fmt.Fprintf(&b, ", through all of %d points: its error is unknown", c.Points)
@@ -142,7 +142,7 @@
 		off += d * d
 		spread += (y[i] - mean) * (y[i] - mean)
 	}
-	if free := c.Freedom(); free > 0 {
+	if free := c.DegreesOfFreedom(); free > 0 {
 		c.Residual = math.Sqrt(off / float64(free))
 	}
 	c.R2 = 1
--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -69,7 +69,7 @@
 	if c.R2 < 0.99 || c.R2 >= 1 {
 		t.Errorf("explained: %v; want nearly all", c.R2)
 	}
-	if got := c.Miss(10, 1.1*c.Predict(10)); !near(got, 0.1) {
+	if got := c.RelativeError(10, 1.1*c.Predict(10)); !near(got, 0.1) {
 		t.Errorf("a tenth more than predicted is a miss of %v", got)
 	}
 }
--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -17,61 +17,61 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// MostDeep bounds a chain: a tier is a sidecar's process and its stand-ins.
-const MostDeep = 32
+// MaxDepth bounds a chain: a tier is a sidecar's process and its stand-ins.
+const MaxDepth = 32
 
 // ChainConf is a chain of services, each of which calls the next through a sidecar.
 type ChainConf struct {
-	Deep      int // tiers of services, and sidecars before them
-	Endpoints int // of each tier
-	Rate      float64
-	For       time.Duration
-	Deadline  time.Duration // that requests have at the front
-	Peers     int           // that each sidecar is told of
-	Own       bool          // the settings say that each caller has a sidecar of its own (family mesh)
-	Straight  bool          // every other request goes along a chain without sidecars
-	Trouble   fake.Trouble
-	Share     float64 // of the last tier's requests that Errors strikes
-	Seed      uint64
+	Depth         int // tiers of services, and sidecars before them
+	Endpoints     int // of each tier
+	Rate          float64
+	For           time.Duration
+	Deadline      time.Duration // that requests have at the front
+	Peers         int           // that each sidecar is told of
+	PerCaller     bool          // the settings say that each caller has a sidecar of its own (family mesh)
+	CompareDirect bool          // every other request goes along a chain without sidecars
+	Trouble       fake.Trouble
+	Share         float64 // of the last tier's requests that Errors strikes
+	Seed          uint64
 }
 
 // Chain is what was seen of one.
 type Chain struct {
-	Front    [2]Way // straight, and through the sidecars
-	Tiers    []ChainTier
-	Lag      float64        // ms, the load's own at the 99th percentile
-	Seconds  float64        // how long the sidecars stood under load
-	Breaks   int            // of the four rules
-	Said     []oracle.Break // the first of them
-	Balanced error          // what of the book does not add up
+	Front         [2]PathStats // straight, and through the sidecars
+	Tiers         []ChainTier
+	Lag           float64            // ms, the load's own at the 99th percentile
+	Seconds       float64            // how long the sidecars stood under load
+	NumViolations int                // of the four rules
+	Violations    []oracle.Violation // the first of them
+	BalanceErr    error              // what of the book does not add up
 }
 
-// Way is one way along the chain.
-type Way struct {
+// PathStats is one way along the chain.
+type PathStats struct {
 	Requests, Served int
 	P50, P99         float64 // ms of what was served, from when a request was due
 }
 
 // ChainTier is one tier: its sidecar and the services behind it.
 type ChainTier struct {
-	Asked    int // requests asked of its sidecar
-	Attempts int // that came to its services
-	Served   int // answers that its sidecar gave
-	Refused  int
-	Failed   int
-	Left     int            // its caller went, or had no answer in its time
-	Outcomes map[string]int // of attempts, as the sidecar counts them
-	Budget   Budget         // of its sidecar's retries
-	P50, P99 float64        // ms of calls that were served, as the caller before it saw them; of tier 1 as Front
-	LeftP50  float64        // ms of the deadline left as it was asked
-	LeftMin  float64
-	CPU      float64 // microseconds of its sidecar's processor for a request that it was asked
-	RSSMB    float64
-	FDs      int
+	Requests     int // requests asked of its sidecar
+	Attempts     int // that came to its services
+	Served       int // answers that its sidecar gave
+	Refused      int
+	Failed       int
+	CallerLeft   int            // its caller went, or had no answer in its time
+	Outcomes     map[string]int // of attempts, as the sidecar counts them
+	Budget       Budget         // of its sidecar's retries
+	P50, P99     float64        // ms of calls that were served, as the caller before it saw them; of tier 1 as Front
+	RemainingP50 float64        // ms of the deadline left as it was asked
+	RemainingMin float64
+	CPU          float64 // microseconds of its sidecar's processor for a request that it was asked
+	RSSMB        float64
+	FDs          int
 }
 
 // Retries are attempts beyond the first of each request that was sent. What was refused unsent hides some of them.
-func (t ChainTier) Retries() int { return max(0, t.Attempts-t.Asked) }
+func (t ChainTier) Retries() int { return max(0, t.Attempts-t.Requests) }
 
 // chainScene is one tier; a chain has so many alike.
 const chainScene = `
@@ -105,7 +105,7 @@
 	one := s.Tiers[0]
 	one.Endpoints, one.Calls = c.Endpoints, 0
 	s.Tiers = nil
-	for n := range c.Deep {
+	for n := range c.Depth {
 		one.Name = fmt.Sprintf("t%d", n+1)
 		s.Tiers = append(s.Tiers, one)
 	}
@@ -158,15 +158,15 @@
 	for range c.scene.Tiers {
 		c.lists = append(c.lists, fake.NewDiscovery(c.book))
 	}
-	c.links = make([]*link, c.conf.Deep)
-	for n := c.conf.Deep - 1; n >= 0; n-- {
+	c.links = make([]*link, c.conf.Depth)
+	for n := c.conf.Depth - 1; n >= 0; n-- {
 		l := &link{list: c.lists[n], direct: &front{}, took: newLatencies(), used: newLatencies()}
 		c.links[n] = l
 		if err := c.startServices(n, l); err != nil {
 			return err
 		}
 		l.sidecar = &sidecar{
-			rig: c.rig, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, own: c.conf.Own, zone: "a",
+			rig: c.rig, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, own: c.conf.PerCaller, zone: "a",
 		}
 		if err := l.sidecar.settle(); err != nil {
 			return err
@@ -176,10 +176,10 @@
 		if err != nil {
 			return err
 		}
-		only := &load.Only{}
+		only := &load.SingleTarget{}
 		only.Set(target)
 		l.through = load.NewClient(c.book, only, c.grace())
-		if c.conf.Straight {
+		if c.conf.CompareDirect {
 			l.straight = load.NewClient(c.book, l.direct, c.grace())
 		}
 	}
@@ -189,7 +189,7 @@
 // startServices starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
 func (c *chain) startServices(n int, l *link) error {
 	ways := 1
-	if c.conf.Straight {
+	if c.conf.CompareDirect {
 		ways = 2
 	}
 	for i := range ways * c.conf.Endpoints {
@@ -200,11 +200,11 @@
 		}
 		t := c.scene.Tiers[n]
 		conf := fake.EndpointConf{
-			Name: fmt.Sprintf("%s-%d", t.Name, i), Address: host + ":0", Station: t.Station,
+			Name: fmt.Sprintf("%s-%d", t.Name, i), Address: host + ":0", ServerModel: t.ServerModel,
 			IdleFor: c.scene.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
 			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scene.Classes[0].Work}},
 		}
-		if n+1 < c.conf.Deep {
+		if n+1 < c.conf.Depth {
 			next := c.links[n+1]
 			client := next.through
 			if straight {
@@ -224,7 +224,7 @@
 			l.direct.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
-		l.list.Set(fake.Line{
+		l.list.SetLines(fake.Line{
 			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: fake.Serving, Weight: 1,
 		})
 	}
@@ -234,10 +234,10 @@
 // call makes a service's call of the next tier, with what is left of its own request's time, and fails when it fails.
 func (c *chain) call(ctx context.Context, to *link, client *load.Client, until time.Duration) bool {
 	began := c.book.Now()
-	result := client.Send(ctx, load.Ask{
-		ID: fmt.Sprintf("c%x", c.calls.Add(1)), Class: "look", Tier: 1, Effect: decide.Safe, Until: until,
+	result := client.Send(ctx, load.Request{
+		ID: fmt.Sprintf("c%x", c.calls.Add(1)), Class: "look", Tier: 1, Effect: decide.Safe, Deadline: until,
 	})
-	served := result.How == load.Answered && result.Verdict == oracle.Served
+	served := result.Ending == load.Answered && result.Verdict == oracle.Served
 	if client == to.through {
 		to.mu.Lock()
 		defer to.mu.Unlock()
@@ -269,11 +269,11 @@
 
 // play sends the load, with the trouble in place from the start, and takes the figures.
 func (c *chain) play(ctx context.Context) (*Chain, error) {
-	last := c.links[c.conf.Deep-1]
+	last := c.links[c.conf.Depth-1]
 	for _, e := range last.endpoints {
-		e.Misbehave(c.conf.Trouble, c.conf.Share)
+		e.SetTrouble(c.conf.Trouble, c.conf.Share)
 	}
-	before := make([]time.Duration, c.conf.Deep)
+	before := make([]time.Duration, c.conf.Depth)
 	for n, l := range c.links {
 		var err error
 		if before[n], err = l.sidecar.proc.ran(); err != nil {
@@ -281,7 +281,7 @@
 		}
 	}
 	ways := []*load.Client{c.links[0].through}
-	if c.conf.Straight {
+	if c.conf.CompareDirect {
 		ways = append(ways, c.links[0].straight)
 	}
 	var mu sync.Mutex
@@ -305,15 +305,15 @@
 			if client != c.links[0].through {
 				way = 0
 			}
-			result := client.Send(ctx, load.Ask{
-				ID: fmt.Sprintf("f%d", a.Number), Class: "look", Effect: decide.Safe, Until: base + a.At + c.conf.Deadline,
+			result := client.Send(ctx, load.Request{
+				ID: fmt.Sprintf("f%d", a.Number), Class: "look", Effect: decide.Safe, Deadline: base + a.At + c.conf.Deadline,
 			})
 			end := c.book.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(lag, late)
 			out.Front[way].Requests++
-			if result.How == load.Answered && result.Verdict == oracle.Served {
+			if result.Ending == load.Answered && result.Verdict == oracle.Served {
 				out.Front[way].Served++
 				observe(took[way], end)
 			}
@@ -336,7 +336,7 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	ran := make([]time.Duration, c.conf.Deep)
+	ran := make([]time.Duration, c.conf.Depth)
 	for n, l := range c.links {
 		after, err := l.sidecar.proc.ran()
 		if err != nil {
@@ -344,7 +344,7 @@
 		}
 		ran[n] = after - before[n]
 	}
-	var account oracle.Account
+	var account oracle.Report
 	for n, l := range c.links {
 		said := l.sidecar.close(true)
 		if n == 0 {
@@ -353,8 +353,8 @@
 		}
 		l.mu.Lock()
 		t := ChainTier{
-			P50: quantile(l.took, 50), P99: quantile(l.took, 99), LeftP50: millis(c.conf.Deadline) - quantile(l.used, 50),
-			LeftMin: millis(c.conf.Deadline) - quantile(l.used, 100), RSSMB: said.RSSMB, FDs: said.FDs,
+			P50: quantile(l.took, 50), P99: quantile(l.took, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.used, 50),
+			RemainingMin: millis(c.conf.Deadline) - quantile(l.used, 100), RSSMB: said.RSSMB, FDs: said.FDs,
 		}
 		l.mu.Unlock()
 		if said.Counters != nil {
@@ -362,17 +362,17 @@
 		}
 		out.Tiers = append(out.Tiers, t)
 	}
-	c.book.Do(func(b *oracle.Book) { account = b.Close() })
-	out.Breaks, out.Said, out.Balanced = account.Broken(), account.Breaks, account.Balance()
+	c.book.Do(func(b *oracle.Checker) { account = b.Close() })
+	out.NumViolations, out.Violations, out.BalanceErr = account.NumViolations(), account.Violations, account.Balance()
 	for n := range out.Tiers {
 		t, tally := &out.Tiers[n], account.Sidecars[c.links[n].sidecar.name]
 		if tally == nil { // nothing was asked of it
 			tally = &oracle.Tally{}
 		}
-		t.Asked, t.Attempts, t.Left = tally.Asked, tally.Arrivals, tally.Left+tally.Cut
+		t.Requests, t.Attempts, t.CallerLeft = tally.Requests, tally.Arrivals, tally.ClientLeft+tally.Interrupted
 		t.Served, t.Refused, t.Failed = tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed]
-		t.CPU = ratio(int(ran[n].Microseconds()), t.Asked)
-		t.Budget = NewBudget(c.conf.Own, c.conf.Peers, t.Outcomes["served"], out.Seconds)
+		t.CPU = ratio(int(ran[n].Microseconds()), t.Requests)
+		t.Budget = NewBudget(c.conf.PerCaller, c.conf.Peers, t.Outcomes["served"], out.Seconds)
 	}
 	return nil
 }
--- a/internal/lab/harness/crew.go
+++ b/internal/lab/harness/cluster.go
@@ -53,42 +53,42 @@
 	crewLostAfter  = 10 * time.Second
 )
 
-// CrewOptions are those of a run.
-type CrewOptions struct {
+// ClusterOptions are those of a run.
+type ClusterOptions struct {
 	Program  func() *exec.Cmd // a command that runs one member
 	LogDir   string           // for the processes' logs; empty for none
 	Dir      string           // for their files; empty for one of the run's own, which ends with it
 	Progress func(line string)
-	// Older is a command that runs one member of an older build, for the step of that name; nil for none.
-	Older func() *exec.Cmd
+	// OlderProgram is a command that runs one member of an older build, for the step of that name; nil for none.
+	OlderProgram func() *exec.Cmd
 	// Separate starts the processes without a crew, each with its own rules: what the crew prevents shows so.
 	Separate bool
 }
 
-// CrewRecord is what a run came to.
-type CrewRecord struct {
-	Name      string   `json:"name"`
-	Seed      uint64   `json:"seed"`
-	Processes int      `json:"processes"`
-	Steps     []string `json:"steps"` // as they were played
-	Broken    int      `json:"broken"`
-	Breaks    []string `json:"breaks,omitempty"`
+// ClusterRecord is what a run came to.
+type ClusterRecord struct {
+	Name          string   `json:"name"`
+	Seed          uint64   `json:"seed"`
+	Processes     int      `json:"processes"`
+	Steps         []string `json:"steps"` // as they were played
+	NumViolations int      `json:"broken"`
+	Violations    []string `json:"breaks,omitempty"`
 	// Contradicted is the longest that an act went on which another member held forbidden.
-	Contradicted float64            `json:"contradicted_ms"`
-	AtMost       float64            `json:"contradict_at_most_ms"`
-	Acts         int                `json:"acts"`
-	Against      int                `json:"acts_against"`
-	Asked        int                `json:"asked"`
-	Served       int                `json:"served"`
-	Versions     []CrewVersion      `json:"versions,omitempty"`
-	Leaders      map[uint64]string  `json:"leaders,omitempty"`   // by term
-	Replaced     []string           `json:"replaced,omitempty"`  // keepers whose folder was lost
-	LeaderMS     []float64          `json:"leader_ms,omitempty"` // from each strike on a leader until another one was heard of
-	CautiousMS   map[string]float64 `json:"cautious_ms,omitempty"`
-	WholeMS      []float64          `json:"whole_ms,omitempty"` // from each lost process until all it held had its copies elsewhere
-	Orders       *OrderRecord       `json:"orders,omitempty"`
-	RSSMB        map[string]float64 `json:"rss_mb"` // of the last start
-	CPU          map[string]float64 `json:"cpu_s"`  // of the last start
+	Contradicted     float64            `json:"contradicted_ms"`
+	MaxContradiction float64            `json:"contradict_at_most_ms"`
+	Acts             int                `json:"acts"`
+	Against          int                `json:"acts_against"`
+	Requests         int                `json:"asked"`
+	Served           int                `json:"served"`
+	Versions         []CrewVersion      `json:"versions,omitempty"`
+	Leaders          map[uint64]string  `json:"leaders,omitempty"`   // by term
+	Replaced         []string           `json:"replaced,omitempty"`  // keepers whose folder was lost
+	LeaderMS         []float64          `json:"leader_ms,omitempty"` // from each strike on a leader until another one was heard of
+	CautiousMS       map[string]float64 `json:"cautious_ms,omitempty"`
+	WholeMS          []float64          `json:"whole_ms,omitempty"` // from each lost process until all it held had its copies elsewhere
+	Orders           *OrderRecord       `json:"orders,omitempty"`
+	RSSMB            map[string]float64 `json:"rss_mb"` // of the last start
+	CPU              map[string]float64 `json:"cpu_s"`  // of the last start
 }
 
 // CrewVersion is how one proposal went.
@@ -120,8 +120,8 @@
 
 // crewRig is a run.
 type crewRig struct {
-	scene *scenario.Crew
-	opts  CrewOptions
+	scene *scenario.Cluster
+	opts  ClusterOptions
 	seed  uint64
 	dir   string
 	hosts *hosts
@@ -133,8 +133,8 @@
 	ends    []*crewEndpoint
 
 	mu       sync.Mutex // guards book and what follows
-	book     *consistency.Book
-	rec      CrewRecord
+	book     *consistency.Checker
+	rec      ClusterRecord
 	leader   string // as last said
 	lastTerm uint64
 	lastTold uint64
@@ -169,8 +169,8 @@
 	}
 }
 
-// RunCrew plays a crew's scenario.
-func RunCrew(ctx context.Context, scene *scenario.Crew, seed uint64, opts CrewOptions) (*CrewRecord, error) {
+// RunCluster plays a crew's scenario.
+func RunCluster(ctx context.Context, scene *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
 	dir, err := opts.Dir, error(nil)
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "heathgap-crew-"); err != nil {
@@ -180,13 +180,13 @@
 	}
 	r := &crewRig{
 		scene: scene, opts: opts, seed: seed, dir: dir, hosts: newHosts(), began: time.Now(), relays: map[[2]string]*relay{},
-		book: consistency.New(consistency.Conf{AtMost: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
+		book: consistency.New(consistency.Conf{MaxContradiction: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
 		lastAt: map[string]member.Status{}, cautious: map[string]time.Duration{},
-		rec: CrewRecord{Name: scene.Name, Seed: seed, Processes: scene.Keepers + scene.Members, Leaders: map[uint64]string{},
+		rec: ClusterRecord{Name: scene.Name, Seed: seed, Processes: scene.Voters + scene.Members, Leaders: map[uint64]string{},
 			RSSMB: map[string]float64{}, CPU: map[string]float64{},
-			AtMost: millis(scene.ContradictAtMost)},
+			MaxContradiction: millis(scene.ContradictAtMost)},
 	}
-	r.book.Version(0, consistency.Forbids{})
+	r.book.RecordVersion(0, consistency.Forbidden{})
 	r.orders = newOrders(r)
 	defer r.close()
 	if err := r.start(ctx); err != nil {
@@ -204,7 +204,7 @@
 	ordered := make(chan struct{})
 	go func() {
 		defer close(ordered)
-		if r.scene.Orders > 0 {
+		if r.scene.KeyedRate > 0 {
 			r.orders.run(ordering)
 		}
 	}()
@@ -220,7 +220,7 @@
 		return nil, err
 	}
 	r.judge()
-	if r.scene.Orders > 0 {
+	if r.scene.KeyedRate > 0 {
 		r.orders.close(&r.rec)
 	}
 	return &r.rec, nil
@@ -236,7 +236,7 @@
 		r.ends = append(r.ends, e)
 	}
 	var names []string
-	for i := range r.scene.Keepers {
+	for i := range r.scene.Voters {
 		names = append(names, fmt.Sprintf("k%d", i+1))
 	}
 	for i := range r.scene.Members {
@@ -268,7 +268,7 @@
 	first := r.procs[:len(r.procs)-twins]
 	reached := first // by each of the others: the keepers, and all where they hold something for one another
 	if r.scene.Copies == 0 {
-		reached = first[:r.scene.Keepers]
+		reached = first[:r.scene.Voters]
 	}
 	for _, p := range r.procs {
 		for _, k := range reached {
@@ -308,7 +308,7 @@
 			}
 		}
 		if ready == len(first) {
-			for _, p := range r.procs[:r.scene.Keepers] { // for who is set back later
+			for _, p := range r.procs[:r.scene.Voters] { // for who is set back later
 				if err := os.CopyFS(filepath.Join(p.dir, "copy"), os.DirFS(filepath.Join(p.dir, "data"))); err != nil {
 					return err
 				}
@@ -335,18 +335,18 @@
 
 // operatorFile is what a process is told of the crew.
 func (r *crewRig) operatorFile(p *crewProc) string {
-	f := CrewFile{
+	f := ClusterFile{
 		Name: r.scene.Name, Address: p.address, Data: filepath.Join(p.dir, "data"), Lease: r.scene.Lease, Drift: r.scene.Drift, Slack: r.scene.Slack,
 		ContradictAtMost: r.scene.ContradictAtMost, Copies: r.scene.Copies, Keep: crewKeep, LostAfter: crewLostAfter,
 	}
-	for _, k := range r.procs[:r.scene.Keepers] {
+	for _, k := range r.procs[:r.scene.Voters] {
 		address := k.address
 		if way := r.relays[[2]string{p.name, k.name}]; way != nil {
 			address = way.address()
 		}
-		f.Keepers = append(f.Keepers, NamedAddress{k.name, address})
+		f.Voters = append(f.Voters, NamedAddress{k.name, address})
 	}
-	for _, q := range r.procs[r.scene.Keepers:] {
+	for _, q := range r.procs[r.scene.Voters:] {
 		if way := r.relays[[2]string{p.name, q.name}]; way != nil {
 			f.Ways = append(f.Ways, NamedAddress{q.name, way.address()})
 		}
@@ -390,7 +390,7 @@
 	}
 	cmd := r.opts.Program()
 	if p.older {
-		cmd = r.opts.Older()
+		cmd = r.opts.OlderProgram()
 	}
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
@@ -403,7 +403,7 @@
 		logPath = filepath.Join(r.opts.LogDir, p.name+".log")
 	}
 	r.mu.Lock()
-	r.book.Started(r.now(), p.name)
+	r.book.RecordStart(r.now(), p.name)
 	r.mu.Unlock()
 	if p.proc, err = startProcess(cmd, p.name, confPath, logPath); err != nil {
 		return err
@@ -451,7 +451,7 @@
 	for ; ctx.Err() == nil; time.Sleep(pollCrew) {
 		if r.opts.Separate {
 			r.mu.Lock()
-			r.book.Says(p.name, consistency.Saying{At: r.now(), Active: p.other.Load()})
+			r.book.RecordStatus(p.name, consistency.StatusReport{At: r.now(), Active: p.other.Load()})
 			r.mu.Unlock()
 			continue
 		}
@@ -461,7 +461,7 @@
 			continue
 		}
 		r.mu.Lock()
-		r.book.Says(p.name, consistency.Saying{At: asked, Heard: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
+		r.book.RecordStatus(p.name, consistency.StatusReport{At: asked, AnsweredAt: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
 		if a.Cautious {
 			r.cautious[p.name] += pollCrew
 		}
@@ -502,7 +502,7 @@
 	if s.Leader == "" {
 		return
 	}
-	r.book.Leads(r.now(), s.Term, s.Leader)
+	r.book.RecordLeader(r.now(), s.Term, s.Leader)
 	if s.Leader == s.Name && r.losing != "" && s.Ledger.Voters[r.losing] != r.lostID {
 		r.losing = "" // its new folder has the lost one's place
 	}
@@ -583,7 +583,7 @@
 	case "leader":
 		who = leader
 	case "follower":
-		for _, p := range r.procs[:r.scene.Keepers] {
+		for _, p := range r.procs[:r.scene.Voters] {
 			if p.name != leader && p.isUp() {
 				who = p.name
 				break
@@ -602,7 +602,7 @@
 func (r *crewRig) play(ctx context.Context) error {
 	steps := slices.Clone(r.scene.Steps)
 	steps = append(steps, r.draw()...)
-	slices.SortStableFunc(steps, func(a, b scenario.CrewStep) int { return int(a.At - b.At) })
+	slices.SortStableFunc(steps, func(a, b scenario.ClusterStep) int { return int(a.At - b.At) })
 	begin := r.now()
 	var ends sync.WaitGroup
 	defer ends.Wait()
@@ -627,22 +627,22 @@
 }
 
 // draw draws the steps that follow from the seed.
-func (r *crewRig) draw() []scenario.CrewStep {
+func (r *crewRig) draw() []scenario.ClusterStep {
 	dice := rand.New(rand.NewPCG(r.seed, 0xc4e3))
-	var steps []scenario.CrewStep
+	var steps []scenario.ClusterStep
 	span := r.scene.Duration - 2*r.scene.Lease
 	for range r.scene.Random {
 		at := time.Duration(dice.Int64N(int64(span)))
 		who := []string{"leader", "follower", r.procs[dice.IntN(len(r.procs))].name}[dice.IntN(3)]
-		do := scenario.CrewFaults[dice.IntN(len(scenario.CrewFaults))]
-		steps = append(steps, scenario.CrewStep{
-			Drawn: true, At: at, Do: do, Who: who, Way: scenario.CrewWays[dice.IntN(len(scenario.CrewWays))],
+		do := scenario.ClusterFaults[dice.IntN(len(scenario.ClusterFaults))]
+		steps = append(steps, scenario.ClusterStep{
+			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[dice.IntN(len(scenario.CutDirections))],
 			For: r.scene.Lease/2 + time.Duration(dice.Int64N(int64(2*r.scene.Lease))),
 		})
 	}
 	for i := range r.scene.Proposals {
 		at := time.Duration(i+1) * span / time.Duration(r.scene.Proposals+1)
-		s := scenario.CrewStep{At: at, Do: "propose", Effect: "once"}
+		s := scenario.ClusterStep{At: at, Do: "propose", Effect: "once"}
 		if i%2 == 1 {
 			s.Effect, s.Ban = "repeatable", r.ends[dice.IntN(len(r.ends))].name
 		}
@@ -652,7 +652,7 @@
 }
 
 // strike plays one step; what it began ends after its time.
-func (r *crewRig) strike(ctx context.Context, s scenario.CrewStep, ends *sync.WaitGroup) error {
+func (r *crewRig) strike(ctx context.Context, s scenario.ClusterStep, ends *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
 		return nil // there is nobody to propose it to
 	}
@@ -660,7 +660,7 @@
 		ends.Go(func() { r.propose(ctx, s) })
 		return nil
 	}
-	if s.Do == "older" && r.opts.Older == nil {
+	if s.Do == "older" && r.opts.OlderProgram == nil {
 		return errors.New(`step "older": no program of an older build is named`)
 	}
 	if s.Do == "twin" {
@@ -668,7 +668,7 @@
 	}
 	if s.Who == "keepers" || s.Who == "all" {
 		for i, p := range r.procs {
-			if one := s; s.Who == "all" || i < r.scene.Keepers {
+			if one := s; s.Who == "all" || i < r.scene.Voters {
 				one.Who = p.name
 				if err := r.strike(ctx, one, ends); err != nil {
 					return err
@@ -688,7 +688,7 @@
 	if (s.Do == "wipe" || s.Do == "setback") && strings.HasPrefix(p.name, "k") && !r.mayLose(p) {
 		s.Do = "kill" // what is promised survives the loss of one folder at a time
 	}
-	r.note("%s %s %s %s %v", s.Do, p.name, s.With, s.Way, s.For)
+	r.note("%s %s %s %s %v", s.Do, p.name, s.With, s.Direction, s.For)
 	r.mu.Lock()
 	if p.name == r.leader && (s.Do == "kill" || s.Do == "stop" && s.For > time.Second) {
 		r.struck = r.now()
@@ -709,8 +709,8 @@
 	back := func() {
 		if err := r.startProc(ctx, p); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
-			r.rec.Breaks = append(r.rec.Breaks, "does not come back: "+err.Error())
-			r.rec.Broken++
+			r.rec.Violations = append(r.rec.Violations, "does not come back: "+err.Error())
+			r.rec.NumViolations++
 			r.mu.Unlock()
 		}
 		r.note("%s is back", p.name)
@@ -779,16 +779,16 @@
 			r.note("%s goes on", p.name)
 		})
 	case "delay":
-		r.ways(p, s.With, s.Way, func(w *relay, way int) { w.slow(way, s.By) })
+		r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.slow(way, s.By) })
 		later(func() {
-			r.ways(p, s.With, s.Way, func(w *relay, way int) { w.slow(way, -s.By) })
+			r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.slow(way, -s.By) })
 			r.note("%s is as fast as before", p.name)
 		})
 	case "cut":
 		r.cuts.Add(1)
-		r.ways(p, s.With, s.Way, func(w *relay, way int) { w.set(way, true) })
+		r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.set(way, true) })
 		later(func() {
-			r.ways(p, s.With, s.Way, func(w *relay, way int) { w.set(way, false) })
+			r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.set(way, false) })
 			r.cuts.Add(-1)
 			r.note("%s is whole again", p.name)
 		})
@@ -814,7 +814,7 @@
 		p.proc.end(syscall.SIGKILL)
 		p.proc.wait(killTime)
 		r.mu.Lock()
-		r.book.Version(1, consistency.Forbids{Resend: true})
+		r.book.RecordVersion(1, consistency.Forbidden{Resend: true})
 		r.mu.Unlock()
 		p.other.Store(1)
 		return r.startAs(ctx, p, decide.Unsafe)
@@ -861,11 +861,11 @@
 }
 
 // propose proposes a version at whichever keeper leads, until it is told or refused.
-func (r *crewRig) propose(ctx context.Context, s scenario.CrewStep) {
+func (r *crewRig) propose(ctx context.Context, s scenario.ClusterStep) {
 	id := voter.NewID()
 	limit := time.Now().Add(r.scene.Duration)
 	for i := 0; ctx.Err() == nil && time.Now().Before(limit); i++ {
-		p := r.procs[i%r.scene.Keepers]
+		p := r.procs[i%r.scene.Voters]
 		var st voter.Status
 		if !p.isUp() || p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil || st.Leader != p.name {
 			time.Sleep(pollCrew)
@@ -898,21 +898,21 @@
 			time.Sleep(pollCrew)
 			continue
 		}
-		r.book.Version(next, consistency.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+		r.book.RecordVersion(next, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 		r.mu.Unlock()
 		began := r.now()
 		var told voter.ProposeResult
 		proposal := cluster.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
 		var err error
-		if s.Dies && i == 0 {
+		if s.ProposerDies && i == 0 {
 			err = r.sayAndDie(p, proposal, &told)
 		} else {
 			err = p.line.Call("propose", proposal, &told, proposeTime)
 		}
 		if err == nil && told.Number > 0 {
 			r.mu.Lock()
-			r.book.Version(told.Number, consistency.Forbids{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
-			r.book.Told(told.Number)
+			r.book.RecordVersion(told.Number, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+			r.book.RecordAgreed(told.Number)
 			r.lastTold = max(r.lastTold, told.Number)
 			r.pending[told.Number] = began
 			r.mu.Unlock()
@@ -967,7 +967,7 @@
 		if try > 0 {
 			time.Sleep(pollTime)
 		}
-		for _, k := range r.procs[:r.scene.Keepers] {
+		for _, k := range r.procs[:r.scene.Voters] {
 			var st voter.Status
 			if led || k.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Leader != k.name || st.Ledger == nil {
 				continue
@@ -989,26 +989,26 @@
 	behind := r.behind()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rec.Breaks = append(r.rec.Breaks, behind...)
-	r.rec.Broken += len(behind)
+	r.rec.Violations = append(r.rec.Violations, behind...)
+	r.rec.NumViolations += len(behind)
 	if !led && !r.opts.Separate {
-		r.rec.Breaks = append(r.rec.Breaks, fmt.Sprintf("no keeper leads %v after the last fault", leaderTime))
-		r.rec.Broken++
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no keeper leads %v after the last fault", leaderTime))
+		r.rec.NumViolations++
 	}
 	for number, since := range r.pending {
-		r.rec.Breaks = append(r.rec.Breaks, fmt.Sprintf("version %d, told at %v, is not acted on by all", number, since))
-		r.rec.Broken++
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, told at %v, is not acted on by all", number, since))
+		r.rec.NumViolations++
 	}
 	if !led {
 		present = nil // what the crew holds is not known
 	}
 	report := r.book.Close(present)
-	for _, b := range report.Breaks {
-		r.rec.Breaks = append(r.rec.Breaks, fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What))
+	for _, b := range report.Violations {
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What))
 	}
-	r.rec.Broken += report.Broken
-	r.rec.Contradicted, r.rec.Acts, r.rec.Against = millis(report.Longest), report.Acts, report.Against
-	r.rec.Asked, r.rec.Served = int(r.asked.Load()), int(r.served.Load())
+	r.rec.NumViolations += report.NumViolations
+	r.rec.Contradicted, r.rec.Acts, r.rec.Against = millis(report.Longest), report.Actions, report.AgainstOthers
+	r.rec.Requests, r.rec.Served = int(r.asked.Load()), int(r.served.Load())
 	for _, p := range r.procs {
 		if p.proc == nil {
 			continue
@@ -1032,14 +1032,14 @@
 		names = nil
 		most := uint64(0)
 		applied := map[string]uint64{}
-		for _, k := range r.procs[:r.scene.Keepers] {
+		for _, k := range r.procs[:r.scene.Voters] {
 			var st voter.Status
 			if k.line.Call("status", struct{}{}, &st, pollTime) == nil {
 				applied[k.name] = st.Applied
 				most = max(most, st.Applied)
 			}
 		}
-		for _, k := range r.procs[:r.scene.Keepers] {
+		for _, k := range r.procs[:r.scene.Voters] {
 			if applied[k.name] < most {
 				names = append(names, fmt.Sprintf("%s has applied %d entries of %d", k.name, applied[k.name], most))
 			}
@@ -1100,9 +1100,9 @@
 		again := probed && r.seen(id)
 		r.mu.Lock()
 		if again {
-			r.book.Did(consistency.Act{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
+			r.book.RecordAction(consistency.Action{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
 		}
-		r.book.Did(consistency.Act{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
+		r.book.RecordAction(consistency.Action{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
 		r.mu.Unlock()
 		if !probed {
 			w.Write([]byte("good\n")) //nolint:errcheck // its client shows
--- a/internal/lab/harness/crew_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -219,16 +219,16 @@
 		}})
 }
 
-func crewScene(t *testing.T, text string) *scenario.Crew {
+func crewScene(t *testing.T, text string) *scenario.Cluster {
 	t.Helper()
-	s, err := scenario.ParseCrew(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
+	s, err := scenario.ParseCluster(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func playCrew(t *testing.T, s *scenario.Crew, bug string, opts CrewOptions) *CrewRecord {
+func playCrew(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
 	t.Helper()
 	opts.LogDir = t.TempDir()
 	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // kept for who looks into a failure
@@ -245,12 +245,12 @@
 		}
 		return cmd
 	}
-	opts.Older = func() *exec.Cmd {
+	opts.OlderProgram = func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), asMember+"="+olderBuild)
 		return cmd
 	}
-	r, err := RunCrew(t.Context(), s, s.Seed, opts)
+	r, err := RunCluster(t.Context(), s, s.Seed, opts)
 	if err != nil {
 		t.Fatalf("%v; logs of its processes: HEATHGAP_TEST_LOGS=DIR go test ./internal/lab/harness -run '%s'", err, t.Name())
 	}
@@ -276,8 +276,8 @@
 // rules that contradict another's for longer than is promised, and the version is not lost; with clocks as far off as they may be.
 func TestCrew(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, CrewOptions{})
-	for _, b := range r.Breaks {
+	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	if len(r.Versions) != 1 || r.Versions[0].State != "active" {
@@ -289,8 +289,8 @@
 	if r.CautiousMS["m2"] < 1000 {
 		t.Errorf("cut off for 4 s, cautious for %v ms", r.CautiousMS["m2"])
 	}
-	if float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("served %d of %d", r.Served, r.Asked)
+	if float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
@@ -342,12 +342,12 @@
 do = "wipe"
 who = "follower"
 for = "300ms"
-`), bugNone, CrewOptions{})
-	for _, b := range r.Breaks {
+`), bugNone, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
-	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Asked)
+	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
 	}
 }
 
@@ -377,8 +377,8 @@
 do = "kill"
 who = "m2"
 for = "4s"
-`), bugNone, CrewOptions{})
-	for _, b := range r.Breaks {
+`), bugNone, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	if len(r.Versions) != 1 || r.Versions[0].State != "active" || r.Versions[0].ActiveMS > 3000 {
@@ -387,8 +387,8 @@
 	if r.CautiousMS["m1"] < 1500 || r.CautiousMS["m2'"] < 2000 || r.CautiousMS["m2'"] > 5500 {
 		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has gone", r.CautiousMS)
 	}
-	if float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("served %d of %d", r.Served, r.Asked)
+	if float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
@@ -408,17 +408,17 @@
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, c.scene), bug, CrewOptions{})
-			if !strings.Contains(strings.Join(r.Breaks, "\n"), c.rule+" at") {
-				t.Errorf("not found as %q: %q", c.rule, r.Breaks)
+			r := playCrew(t, crewScene(t, c.scene), bug, ClusterOptions{})
+			if !strings.Contains(strings.Join(r.Violations, "\n"), c.rule+" at") {
+				t.Errorf("not found as %q: %q", c.rule, r.Violations)
 			}
 		})
 	}
 	for name, scene := range map[string]string{"sound, cut off": bannedThenCut, "sound, stopped": stopAndPropose} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := playCrew(t, crewScene(t, scene), bugNone, CrewOptions{}); r.Broken > 0 || len(r.Versions) != 1 {
-				t.Errorf("versions %+v, breaks %q", r.Versions, r.Breaks)
+			if r := playCrew(t, crewScene(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
+				t.Errorf("versions %+v, breaks %q", r.Versions, r.Violations)
 			}
 		})
 	}
@@ -428,8 +428,8 @@
 func TestCrewWithout(t *testing.T) {
 	t.Parallel()
 	s := crewScene(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
-	r := playCrew(t, s, bugNone, CrewOptions{Separate: true})
-	if r.Contradicted < 2*r.AtMost {
-		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.AtMost)
+	r := playCrew(t, s, bugNone, ClusterOptions{Separate: true})
+	if r.Contradicted < 2*r.MaxContradiction {
+		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.MaxContradiction)
 	}
 }
--- a/internal/lab/harness/discovery_test.go
+++ b/internal/lab/harness/discovery_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Load.Rate, s.Load.Habits.Churn, s.MostLag = rate, churn, 5*time.Second
+	s.Load.Rate, s.Load.Behavior.Churn, s.MaxLag = rate, churn, 5*time.Second
 	r := play(t, s, policy.Module)
 	for rule, n := range r.Rules {
 		if n > 0 {
@@ -48,7 +48,7 @@
 	if r.Service < served {
 		t.Errorf("service %.3f, want %.3f", r.Service, served)
 	}
-	if drained := r.Rules[oracle.Drained]; drained > 0 {
-		t.Logf("the first: %v", r.Breaks[:min(3, len(r.Breaks))])
+	if drained := r.Rules[oracle.SentToDrained]; drained > 0 {
+		t.Logf("the first: %v", r.Violations[:min(3, len(r.Violations))])
 	}
 }
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/files.go
@@ -21,14 +21,14 @@
 // NamedAddress is an address of somebody.
 type NamedAddress struct{ Name, Address string }
 
-// CrewFile is what a process is told of its crew, as an operator's file.
-type CrewFile struct {
+// ClusterFile is what a process is told of its crew, as an operator's file.
+type ClusterFile struct {
 	Name, Address, Data string
 	Lease               time.Duration
 	Drift               float64
 	Slack               time.Duration
 	ContradictAtMost    time.Duration
-	Keepers             []NamedAddress
+	Voters              []NamedAddress
 	Ways                []NamedAddress // to members by another address than their own
 	Copies              int            // 0 for no holdings
 	Keep                time.Duration
@@ -36,12 +36,12 @@
 }
 
 // Text is the file.
-func (f *CrewFile) Text() string {
+func (f *ClusterFile) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[crew]\nname = %q\naddress = %q\ndata = %q\nlease = %q\ndrift = %v\nslack = %q\ncontradict_at_most = %q\n",
 		f.Name, f.Address, f.Data, f.Lease, f.Drift, f.Slack, f.ContradictAtMost)
 	fmt.Fprintf(&b, "fixed_classes = [%q]\n", loadClass)
-	for _, k := range f.Keepers {
+	for _, k := range f.Voters {
 		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 	}
 	for _, w := range f.Ways {
--- a/internal/lab/harness/fleet.go
+++ b/internal/lab/harness/fleet.go
@@ -21,7 +21,7 @@
 	place int
 	conf  scenario.Tier
 	list  *fake.Discovery
-	keys  map[keyScope]*fake.Keys
+	keys  map[keyScope]*fake.KeyMemory
 
 	mu    sync.Mutex
 	slots []*slot
@@ -36,7 +36,7 @@
 	number  int
 	host    string
 	sidecar *sidecar // by which it calls the next tier; nil for the last
-	only    *load.Only
+	only    *load.SingleTarget
 	client  *load.Client
 
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 
 func newTier(r *rig, place int) *tier {
 	return &tier{
-		rig: r, place: place, conf: r.scene.Tiers[place], list: r.lists[place], keys: map[keyScope]*fake.Keys{},
+		rig: r, place: place, conf: r.scene.Tiers[place], list: r.lists[place], keys: map[keyScope]*fake.KeyMemory{},
 	}
 }
 
@@ -83,7 +83,7 @@
 		if err := s.sidecar.settle(); err != nil {
 			return nil, err
 		}
-		s.only = &load.Only{}
+		s.only = &load.SingleTarget{}
 		s.client = load.NewClient(t.rig.book, s.only, t.rig.grace())
 		t.rig.addSidecar(s.sidecar)
 	}
@@ -105,7 +105,7 @@
 func (s *slot) group() int { return 1 + s.number%s.tier.conf.Groups }
 
 // keysOf is the memory of keys that an endpoint shares with others of its scope.
-func (s *slot) keysOf(c scenario.Class) *fake.Keys {
+func (s *slot) keysOf(c scenario.Class) *fake.KeyMemory {
 	if c.Effect != decide.Keyed {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.keys[scope] == nil {
-		t.keys[scope] = fake.NewKeys(c.Window)
+		t.keys[scope] = fake.NewKeyMemory(c.Window)
 	}
 	return t.keys[scope]
 }
@@ -129,7 +129,7 @@
 func (s *slot) start(ctx context.Context, again, cold bool) error {
 	line, err := s.startUnlisted(ctx, again, cold)
 	if err == nil {
-		s.tier.list.Set(line)
+		s.tier.list.SetLines(line)
 	}
 	return err
 }
@@ -176,7 +176,7 @@
 	for _, n := range step.Slots {
 		s := t.at(n)
 		switch {
-		case !step.Back:
+		case !step.Revert:
 			s.kill()
 		case s.present() == nil: // else another fault has brought one back
 			line, err := s.startUnlisted(ctx, true, true)
@@ -188,9 +188,9 @@
 		}
 	}
 	if len(lines) > 0 {
-		t.list.Set(lines...)
+		t.list.SetLines(lines...)
 	}
-	if !step.Back && step.Fault.Listed > 0 {
+	if !step.Revert && step.Fault.Listed > 0 {
 		time.AfterFunc(step.Fault.Listed, func() { t.listGone(step.Slots) })
 	}
 	return errors.Join(errs...)
@@ -209,7 +209,7 @@
 		s.mu.Unlock()
 	}
 	if len(lines) > 0 {
-		t.list.Set(lines...)
+		t.list.SetLines(lines...)
 	}
 }
 
@@ -227,7 +227,7 @@
 func (s *slot) endpointConf(name, address string, cold bool) fake.EndpointConf {
 	t, scene := s.tier, s.tier.rig.scene
 	conf := fake.EndpointConf{
-		Name: name, Address: address, Station: t.conf.Station, Cold: cold, Connections: t.conf.Connections,
+		Name: name, Address: address, ServerModel: t.conf.ServerModel, Cold: cold, Connections: t.conf.Connections,
 		Handshake: t.conf.Handshake, IdleFor: scene.Limits.ConnIdle, BodyBytes: t.conf.Body,
 		Seed: t.rig.seed<<16 + uint64(t.place<<12+s.number), Classes: map[string]fake.ClassConf{},
 	}
@@ -251,11 +251,11 @@
 	if class.Effect == decide.Keyed && key == "" {
 		key = fmt.Sprintf("call%x", n)
 	}
-	result := s.client.Send(ctx, load.Ask{
+	result := s.client.Send(ctx, load.Request{
 		ID: fmt.Sprintf("call%x", n), Class: class.Name, Key: key, Tier: s.tier.place + 1,
-		Effect: class.Effect, Until: until,
+		Effect: class.Effect, Deadline: until,
 	})
-	return result.How == load.Answered && result.Verdict == oracle.Served
+	return result.Ending == load.Answered && result.Verdict == oracle.Served
 }
 
 // kill ends the endpoint, and its sidecar with it.
@@ -279,7 +279,7 @@
 	s.line.Status = status
 	line := s.line
 	s.mu.Unlock()
-	s.tier.list.Set(line)
+	s.tier.list.SetLines(line)
 }
 
 // present is the endpoint that stands there, if there is one.
@@ -302,19 +302,19 @@
 	}
 	switch step.Kind {
 	case scenario.Pause:
-		e.Pause(!step.Back)
+		e.Pause(!step.Revert)
 	case scenario.Slow:
 		part := step.Fault.Factor
-		if step.Back {
+		if step.Revert {
 			part = 1
 		}
-		e.Slow(part)
+		e.SetSpeed(part)
 	default:
 		trouble := troubles[step.Kind]
-		if step.Back {
-			trouble = fake.Well
+		if step.Revert {
+			trouble = fake.NoTrouble
 		}
-		e.Misbehave(trouble, step.Fault.Of)
+		e.SetTrouble(trouble, step.Fault.Of)
 	}
 	return nil
 }
@@ -322,18 +322,18 @@
 // troubles are the faults that are an endpoint's own behaviour.
 var troubles = map[scenario.Kind]fake.Trouble{
 	scenario.Errors: fake.Errors, scenario.Hang: fake.Hang, scenario.Silent: fake.Silent,
-	scenario.Refuse: fake.Refuses, scenario.Half: fake.Half, scenario.Garbage: fake.Garbage,
-	scenario.Surplus: fake.Surplus,
+	scenario.Refuse: fake.Refuses, scenario.TruncatedAnswer: fake.TruncatedAnswer, scenario.Garbage: fake.Garbage,
+	scenario.ExtraBytes: fake.ExtraBytes,
 }
 
 func (s *slot) comeAndGo(ctx context.Context, step scenario.Step) error {
 	switch {
 	case step.Kind == scenario.Add:
 		return s.start(ctx, false, true)
-	case !step.Back && (step.Kind == scenario.Drain || step.Kind == scenario.Release):
+	case !step.Revert && (step.Kind == scenario.Drain || step.Kind == scenario.Release):
 		s.list(fake.Draining)
 		return nil
-	case !step.Back:
+	case !step.Revert:
 		s.kill()
 		return nil
 	}
--- a/internal/lab/harness/rig.go
+++ b/internal/lab/harness/harness.go
@@ -80,9 +80,9 @@
 
 // share opens the book.
 func (r *rig) share(service *oracle.Service) {
-	r.book = oracle.Share(oracle.New(oracle.Conf{
+	r.book = oracle.NewShared(oracle.New(oracle.Conf{
 		AnswerSlack: r.scene.Rules.AnswerSlack, DrainGrace: r.scene.Rules.DrainGrace,
-		AskEvery: r.scene.Rules.AskEvery, ToldAfter: r.scene.Rules.ToldAfter, Margin: r.scene.Margin,
+		AskEvery: r.scene.Rules.AskEvery, DeliveredAfter: r.scene.Rules.DeliveredAfter, Margin: r.scene.Margin,
 	}), service)
 }
 
@@ -173,7 +173,7 @@
 func (r *rig) play(ctx context.Context, service *oracle.Service) (*record.Record, error) {
 	began := time.Now()
 	driver := &load.Driver{
-		Plan: r.scene.Plan(), Seed: r.seed, Habits: r.scene.Load.Habits, Book: r.book, Base: r.base,
+		Plan: r.scene.Plan(), Seed: r.seed, Behavior: r.scene.Load.Behavior, Checker: r.book, Base: r.base,
 		Client: load.NewClient(r.book, r.front, r.grace()),
 	}
 	for _, c := range r.scene.Classes {
@@ -183,9 +183,9 @@
 	var wait sync.WaitGroup
 	wait.Go(func() { r.runTimeline(side) })
 	wait.Go(func() { r.look(side) })
-	var rude load.Rude
-	if r.scene.Load.Rude > 0 {
-		wait.Go(func() { rude = load.BeRude(side, r.front, r.scene.Load.Rude, r.seed) })
+	var rude load.MalformedCounts
+	if r.scene.Load.MalformedRate > 0 {
+		wait.Go(func() { rude = load.SendMalformed(side, r.front, r.scene.Load.MalformedRate, r.seed) })
 	}
 	driver.Run(ctx)
 	stopSide()
@@ -234,21 +234,21 @@
 func (r *rig) strike(ctx context.Context, step scenario.Step) error {
 	switch step.Kind {
 	case scenario.DiscoveryDown:
-		r.lists[step.Tier].Down(!step.Back)
+		r.lists[step.Tier].SetDown(!step.Revert)
 		return nil
 	case scenario.DiscoveryLag:
 		lag := step.Fault.Lag
-		if step.Back {
+		if step.Revert {
 			lag = 0
 		}
-		r.lists[step.Tier].Lag(lag)
+		r.lists[step.Tier].SetLag(lag)
 		return nil
-	case scenario.DiscoveryCrowd:
+	case scenario.DiscoveryOverload:
 		patience := step.Fault.Lag
-		if step.Back {
+		if step.Revert {
 			patience = 0
 		}
-		r.lists[step.Tier].Crowd(patience)
+		r.lists[step.Tier].SetOverloaded(patience)
 		return nil
 	case scenario.SidecarKill, scenario.SidecarRestart:
 		return r.strikeSidecars(ctx, step)
@@ -277,7 +277,7 @@
 	for i, n := range step.Slots {
 		wait.Go(func() {
 			s := r.first[n]
-			if step.Back {
+			if step.Revert {
 				// It waits for the one before it to have ended: both need the address.
 				errs[i] = r.join(ctx, s)
 				return
@@ -311,16 +311,16 @@
 		}
 		now := r.book.Now()
 		broken := 0
-		r.book.Do(func(b *oracle.Book) {
-			b.Fold(now)
+		r.book.Do(func(b *oracle.Checker) {
+			b.Prune(now)
 			a := b.Close()
-			broken = a.Broken()
+			broken = a.NumViolations()
 		})
 		if r.opts.Progress != nil {
 			r.book.Service(func(s *oracle.Service) {
 				f := s.All()
 				r.opts.Progress(fmt.Sprintf("%4.0f of %.0f s  asked %d  served %d  service %.3f  rules broken %d",
-					(now - r.base).Seconds(), r.scene.Duration.Seconds(), f.Asked, f.Served, f.Service, broken))
+					(now - r.base).Seconds(), r.scene.Duration.Seconds(), f.Requests, f.Served, f.Service, broken))
 			})
 		}
 	}
@@ -330,42 +330,42 @@
 func (r *rig) close(service *oracle.Service, driver *load.Driver) *record.Record {
 	rec := &record.Record{
 		Version: record.Version, Scenario: r.scene.Name, About: r.scene.About, Policy: r.opts.Policy,
-		Seed: r.seed, Timeline: r.scene.Hash(r.seed), Void: []string{}, Books: []string{}, Machine: thisMachine(),
+		Seed: r.seed, Timeline: r.scene.Hash(r.seed), Void: []string{}, Mismatches: []string{}, Machine: thisMachine(),
 		Service: service.All().Service, All: service.All(), Classes: service.Classes(), Tenants: service.Tenants(),
 		Series: service.Series(), Faults: r.played,
 	}
-	var account oracle.Account
+	var account oracle.Report
 	for _, s := range r.all() {
 		rec.Sidecars = append(rec.Sidecars, s.close(true))
 	}
-	r.book.Do(func(b *oracle.Book) { account = b.Close() })
-	for i := range account.Breaks {
-		account.Breaks[i].At -= r.base
+	r.book.Do(func(b *oracle.Checker) { account = b.Close() })
+	for i := range account.Violations {
+		account.Violations[i].At -= r.base
 	}
-	rec.Rules, rec.Breaks, rec.ClientRepeats = account.Rules, account.Breaks, account.Repeats
+	rec.Rules, rec.Violations, rec.ClientRepeats = account.Rules, account.Violations, account.Repeats
 	if err := account.Balance(); err != nil {
-		rec.Books = append(rec.Books, err.Error())
+		rec.Mismatches = append(rec.Mismatches, err.Error())
 	}
 	asked, arrivals, wanted := 0, 0, 0
 	for i := range rec.Sidecars {
 		s := &rec.Sidecars[i]
-		s.Book = account.Sidecars[s.Name]
-		if s.Book == nil {
-			s.Book = &oracle.Tally{}
+		s.Tally = account.Sidecars[s.Name]
+		if s.Tally == nil {
+			s.Tally = &oracle.Tally{}
 		}
 		if s.Tier == 0 {
-			asked += s.Book.Asked
-			arrivals += s.Book.Arrivals
+			asked += s.Tally.Requests
+			arrivals += s.Tally.Arrivals
 		}
 		// Counters of a sidecar that has started more than once are its last start's.
 		if s.Counters != nil && s.Starts == 1 {
-			rec.Books = append(rec.Books, record.Compare(s.Name, s.Counters, s.Book)...)
+			rec.Mismatches = append(rec.Mismatches, record.Compare(s.Name, s.Counters, s.Tally)...)
 		} else if s.Counters == nil && s.Starts == 1 && !s.Crashed {
-			rec.Books = append(rec.Books, s.Name+": no counters were told")
+			rec.Mismatches = append(rec.Mismatches, s.Name+": no counters were told")
 		}
 	}
 	for _, second := range service.Series() {
-		wanted += second.Asked
+		wanted += second.Requests
 	}
 	rec.AttemptsPerRequest, rec.AttemptsPerWant = ratio(arrivals, asked), ratio(arrivals, wanted)
 	r.judgeLoad(rec, driver)
@@ -376,8 +376,8 @@
 func (r *rig) judgeLoad(rec *record.Record, driver *load.Driver) {
 	lag := driver.Lag(99)
 	rec.LateSendsP99, rec.LateSendsMax = millis(lag), millis(driver.Lag(100))
-	if lag > r.scene.MostLag {
-		r.spoil("the load lagged by %v at the 99th percentile, and may by %v", lag, r.scene.MostLag)
+	if lag > r.scene.MaxLag {
+		r.spoil("the load lagged by %v at the 99th percentile, and may by %v", lag, r.scene.MaxLag)
 	}
 	if driver.Overrun() {
 		r.spoil("more requests were open than the lab can hold")
--- a/internal/lab/harness/rig_test.go
+++ b/internal/lab/harness/harness_test.go
@@ -129,8 +129,8 @@
 			t.Parallel()
 			s := scene(t, c.more)
 			r := play(t, s, policy.Module)
-			if !r.Good() || r.Service < c.service || r.All.Asked < 800 {
-				t.Errorf("service %.3f of %d; broken %v; books %q; void %q", r.Service, r.All.Asked, r.Breaks, r.Books, r.Void)
+			if !r.Passed() || r.Service < c.service || r.All.Requests < 800 {
+				t.Errorf("service %.3f of %d; broken %v; books %q; void %q", r.Service, r.All.Requests, r.Violations, r.Mismatches, r.Void)
 			}
 			if r.Timeline != s.Hash(s.Seed) {
 				t.Error("another timeline than the seed's")
@@ -146,10 +146,10 @@
 		more string
 		rule oracle.Rule
 	}{
-		"lie-drop":      {"", oracle.Lost},
-		"lie-double":    {"", oracle.Doubled},
-		"lie-drain":     {drain, oracle.Drained},
-		"lie-push-over": {arrival, oracle.PushedOver},
+		"lie-drop":      {"", oracle.LostRequest},
+		"lie-double":    {"", oracle.DuplicateEffect},
+		"lie-drain":     {drain, oracle.SentToDrained},
+		"lie-push-over": {arrival, oracle.OverloadedCold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -159,7 +159,7 @@
 	}
 	t.Run("answers twice", func(t *testing.T) {
 		t.Parallel()
-		var liars []*faultproxy.Liar
+		var liars []*faultproxy.Proxy
 		var mu sync.Mutex
 		s := scene(t, "")
 		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarOf(policy.Module), Before: func(to string) (string, error) {
@@ -194,7 +194,7 @@
 		}
 	}
 	if t.Failed() {
-		t.Logf("breaks: %v", r.Breaks[:min(5, len(r.Breaks))])
+		t.Logf("breaks: %v", r.Violations[:min(5, len(r.Violations))])
 	}
 }
 
@@ -208,13 +208,13 @@
 		t.Fatal(err)
 	}
 	r := play(t, s, policy.Module)
-	if !r.Good() || r.Service < 0.9 {
-		t.Fatalf("service %.3f, broken %v, books %q, void %q", r.Service, r.Breaks, r.Books, r.Void)
+	if !r.Passed() || r.Service < 0.9 {
+		t.Fatalf("service %.3f, broken %v, books %q, void %q", r.Service, r.Violations, r.Mismatches, r.Void)
 	}
 	calls := 0
 	for _, sc := range r.Sidecars {
 		if sc.Tier == 1 {
-			calls += sc.Book.Asked
+			calls += sc.Tally.Requests
 		}
 	}
 	if calls < 2*r.All.Served {
@@ -240,11 +240,11 @@
 			r := play(t, s, policy.Module)
 			cuts, starts := 0, 0
 			for _, sc := range r.Sidecars {
-				cuts += sc.Book.Cut
+				cuts += sc.Tally.Interrupted
 				starts += sc.Starts
 			}
-			if !r.Good() || starts != 3 || (cuts > 0) != cut {
-				t.Errorf("broken %v, books %q, void %q, %d starts, %d cut", r.Breaks, r.Books, r.Void, starts, cuts)
+			if !r.Passed() || starts != 3 || (cuts > 0) != cut {
+				t.Errorf("broken %v, books %q, void %q, %d starts, %d cut", r.Violations, r.Mismatches, r.Void, starts, cuts)
 			}
 		})
 	}
@@ -265,7 +265,7 @@
 		},
 		Progress: func(string) { cancel() },
 	})
-	if err != nil || !r.Partial || r.Good() {
+	if err != nil || !r.Partial || r.Passed() {
 		t.Fatalf("%v, %+v; want a partial record", err, r)
 	}
 	for _, cmd := range cmds {
@@ -273,8 +273,8 @@
 			t.Errorf("process %d is left: %v", cmd.Process.Pid, err)
 		}
 	}
-	if len(r.Books) > 0 {
-		t.Errorf("the books of what was played differ: %q", r.Books)
+	if len(r.Mismatches) > 0 {
+		t.Errorf("the books of what was played differ: %q", r.Mismatches)
 	}
 }
 
@@ -305,9 +305,9 @@
 func TestLateLoadIsVoid(t *testing.T) {
 	t.Parallel()
 	s := scene(t, "")
-	s.Duration, s.MostLag = time.Second, 1
+	s.Duration, s.MaxLag = time.Second, 1
 	r := play(t, s, policy.Module)
-	if r.Good() || len(r.Void) != 1 || !strings.Contains(r.Void[0], "lagged") {
+	if r.Passed() || len(r.Void) != 1 || !strings.Contains(r.Void[0], "lagged") {
 		t.Errorf("void: %q", r.Void)
 	}
 }
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -24,30 +24,30 @@
 	Apart     bool          // in a version each, one after the other at once
 	Changes   int           // how often that happens
 	Sidecars  int           // real ones that watch
-	Hollow    int           // watchers beside them that speak the protocol and keep nothing but the version
+	Emulated  int           // watchers beside them that speak the protocol and keep nothing but the version
 	Peers     int           // that sidecars are told of: their waits are longer the more there are
 	Idle      time.Duration // looked at without changes; 0 for not
 }
 
 // Lists is what was seen.
 type Lists struct {
-	Real, Hollow Wire          // while changes came, of one watcher
-	Idle         Wire          // of one sidecar, while none came
-	IdleFor      time.Duration // that it was looked at
-	Whole        Wire          // of one call for the whole list
-	CPU          float64       // microseconds of a sidecar's processor for a change
-	IdleCPU      float64       // of a second without any
-	LabCPU       float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
-	ToldP50      float64       // ms from a change until the last watcher has it
-	ToldMax      float64
+	Real, Emulated Wire          // while changes came, of one watcher
+	Idle           Wire          // of one sidecar, while none came
+	IdleFor        time.Duration // that it was looked at
+	Whole          Wire          // of one call for the whole list
+	CPU            float64       // microseconds of a sidecar's processor for a change
+	IdleCPU        float64       // of a second without any
+	LabCPU         float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
+	DeliveryP50    float64       // ms from a change until the last watcher has it
+	DeliveryMax    float64
 }
 
 // Wire is what went over the wire, in what TCP carries.
 type Wire struct {
-	Calls, Answers  float64 // messages of the sidecar, and of the agent
-	Asked, Told     float64 // their bytes
-	LinesOfAnAnswer float64
-	Wholes          float64 // of the answers, those that were whole lists
+	Calls, Answers            float64 // messages of the sidecar, and of the agent
+	RequestBytes, AnswerBytes float64 // their bytes
+	LinesPerAnswer            float64
+	FullLists                 float64 // of the answers, those that were whole lists
 }
 
 // counts are a watcher's, since it began.
@@ -70,9 +70,9 @@
 			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, things))
 		}
 	}
-	w := Wire{Calls: d[0], Answers: d[1], Asked: d[2], Told: d[3], Wholes: d[5]}
+	w := Wire{Calls: d[0], Answers: d[1], RequestBytes: d[2], AnswerBytes: d[3], FullLists: d[5]}
 	if d[1] > 0 {
-		w.LinesOfAnAnswer = d[4] / d[1]
+		w.LinesPerAnswer = d[4] / d[1]
 	}
 	return w
 }
@@ -177,12 +177,12 @@
 			return err
 		}
 	}
-	for n := range l.conf.Hollow {
+	for n := range l.conf.Emulated {
 		host, err := l.hosts.take()
 		if err != nil {
 			return err
 		}
-		address, err := l.list.For(fmt.Sprintf("h%d", n), host)
+		address, err := l.list.OpenFor(fmt.Sprintf("h%d", n), host)
 		if err != nil {
 			return err
 		}
@@ -202,7 +202,7 @@
 
 // set makes one version.
 func (l *lists) set(lines ...fake.Line) {
-	l.list.Set(lines...)
+	l.list.SetLines(lines...)
 	l.version++
 }
 
@@ -282,10 +282,10 @@
 		return nil, err
 	}
 	changes := float64(l.conf.Changes)
-	out.Real, out.Hollow = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
+	out.Real, out.Emulated = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
 	out.CPU = float64((after - cpu).Microseconds()) / changes / float64(max(1, l.conf.Sidecars))
-	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Hollow)
-	out.ToldP50, out.ToldMax = quantile(told, 50), quantile(told, 100)
+	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
+	out.DeliveryP50, out.DeliveryMax = quantile(told, 50), quantile(told, 100)
 	if l.conf.Idle <= 0 {
 		return out, nil
 	}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return Wire{}, err
 	}
-	address, err := l.list.For("whole", host)
+	address, err := l.list.OpenFor("whole", host)
 	if err != nil {
 		return Wire{}, err
 	}
--- a/internal/lab/harness/orders.go
+++ b/internal/lab/harness/orders.go
@@ -112,7 +112,7 @@
 // run places orders at an even pace until the context ends, and waits for those under way.
 func (o *orders) run(ctx context.Context) {
 	dice := rand.New(rand.NewPCG(o.r.seed, 0x0d5))
-	pace := time.NewTicker(time.Duration(float64(time.Second) / o.r.scene.Orders))
+	pace := time.NewTicker(time.Duration(float64(time.Second) / o.r.scene.KeyedRate))
 	defer pace.Stop()
 	var under sync.WaitGroup
 	defer under.Wait()
@@ -212,7 +212,7 @@
 }
 
 // close books what came of the orders.
-func (o *orders) close(rec *CrewRecord) {
+func (o *orders) close(rec *ClusterRecord) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	slices.Sort(o.latency)
@@ -221,11 +221,11 @@
 	}
 	if !o.history.fits() {
 		o.breaks = append(o.breaks, NoOrder+" at the end: the history of some key fits no order of events")
-		rec.Broken++
+		rec.NumViolations++
 	}
 	rec.Orders = &o.rec
-	rec.Breaks = append(rec.Breaks, o.breaks...)
-	rec.Broken += o.rec.Doubled + o.rec.TwoWays + o.rec.Forgotten
+	rec.Violations = append(rec.Violations, o.breaks...)
+	rec.NumViolations += o.rec.Doubled + o.rec.TwoWays + o.rec.Forgotten
 }
 
 // awaitWhole books how long it takes from now on until all that a process held has its copies elsewhere.
@@ -263,7 +263,7 @@
 // whole tells whether each shard has all of its copies, by the leader's word, none of them at a process that is away: a token.
 func (r *crewRig) whole(away uint64) bool {
 	st := r.ledger()
-	if st == nil || st.Placement == nil || away == 0 && len(st.Members) < r.scene.Keepers+r.scene.Members {
+	if st == nil || st.Placement == nil || away == 0 && len(st.Members) < r.scene.Voters+r.scene.Members {
 		return false
 	}
 	for _, s := range st.Placement.Shards {
@@ -282,7 +282,7 @@
 
 // ledger is the leader's; nil where none says that it leads.
 func (r *crewRig) ledger() *cluster.Ledger {
-	for _, k := range r.procs[:r.scene.Keepers] {
+	for _, k := range r.procs[:r.scene.Voters] {
 		var st voter.Status
 		if k.line.Call("status", struct{}{}, &st, pollTime) == nil && st.Leader == k.name {
 			return st.Ledger
--- a/internal/lab/harness/orders_test.go
+++ b/internal/lab/harness/orders_test.go
@@ -16,8 +16,8 @@
 // effect happens twice, no key has two answers, and each answer that was told is told again.
 func TestOrders(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, ordersLost), bugNone, CrewOptions{})
-	for _, b := range r.Breaks {
+	r := playCrew(t, crewScene(t, ordersLost), bugNone, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	o := r.Orders
@@ -32,25 +32,25 @@
 // The process that has an outcome copied dies before its client can have heard it.
 func TestOrdersOwnerDiesAtTheEnd(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), diesThen, CrewOptions{})
-	if r.Broken > 0 || r.Orders.Failed == 0 || float64(r.Orders.Served) < 0.98*float64(r.Orders.Keys) {
-		t.Errorf("%+v, breaks %q; some tries were to fail", r.Orders, r.Breaks)
+	r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), diesThen, ClusterOptions{})
+	if r.NumViolations > 0 || r.Orders.Failed == 0 || float64(r.Orders.Served) < 0.98*float64(r.Orders.Keys) {
+		t.Errorf("%+v, breaks %q; some tries were to fail", r.Orders, r.Violations)
 	}
 }
 
 // A process that is told to end gives its seats to others before it goes: hardly any request is refused for it.
 func TestOrdersThroughACleanEnd(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, CrewOptions{})
-	if o := r.Orders; r.Broken > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
-		t.Errorf("%+v, breaks %q", o, r.Breaks)
+	r := playCrew(t, crewScene(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, ClusterOptions{})
+	if o := r.Orders; r.NumViolations > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
+		t.Errorf("%+v, breaks %q", o, r.Violations)
 	}
 }
 
 // Without copies the same clients have effects twice, and two answers to one key: what copies are for.
 func TestOrdersWithoutCopies(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, ordersQuiet), bugNone, CrewOptions{})
+	r := playCrew(t, crewScene(t, ordersQuiet), bugNone, ClusterOptions{})
 	if r.Orders.Doubled < 10 || r.Orders.TwoWays < 10 {
 		t.Errorf("%+v", r.Orders)
 	}
@@ -61,9 +61,9 @@
 	for bug, rule := range map[string]string{bugTellsEarly: Forgotten, bugNoClaim: Doubled} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), bug, CrewOptions{})
-			if !strings.Contains(strings.Join(r.Breaks, "\n"), rule+" at") {
-				t.Errorf("not found as %q: %+v, %q", rule, r.Orders, r.Breaks)
+			r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), bug, ClusterOptions{})
+			if !strings.Contains(strings.Join(r.Violations, "\n"), rule+" at") {
+				t.Errorf("not found as %q: %+v, %q", rule, r.Orders, r.Violations)
 			}
 		})
 	}
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -29,7 +29,7 @@
 	Peers     int    // instances that the sidecar is told of: the more there are, the fewer of the endpoints it uses
 	Classes   int    // in the settings; requests are of all in turn
 	Stages    int    // tiers that the settings name; the sidecar sends to the first
-	Own       bool   // the settings say that each caller has a sidecar of its own (family mesh)
+	PerCaller bool   // the settings say that each caller has a sidecar of its own (family mesh)
 	Seed      uint64 // of the arrivals
 }
 
@@ -165,7 +165,7 @@
 	if err := r.tiers[0].start(ctx); err != nil {
 		return err
 	}
-	s := &sidecar{rig: r, name: "s0", peers: conf.Peers, own: conf.Own, zone: "a"}
+	s := &sidecar{rig: r, name: "s0", peers: conf.Peers, own: conf.PerCaller, zone: "a"}
 	if err := s.settle(); err != nil {
 		return err
 	}
@@ -197,14 +197,14 @@
 		wait.Go(func() {
 			late := r.book.Now() - base - a.At
 			way := a.Number % len(clients)
-			result := clients[way].Send(ctx, load.Ask{
-				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Until: base + a.At + r.scene.Classes[0].Deadline,
+			result := clients[way].Send(ctx, load.Request{
+				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scene.Classes[0].Deadline,
 			})
 			end := r.book.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(m.lag, late)
-			if result.How != load.Answered || result.Verdict != oracle.Served {
+			if result.Ending != load.Answered || result.Verdict != oracle.Served {
 				m.failed++
 				return
 			}
@@ -215,8 +215,8 @@
 	return m
 }
 
-// Here is the machine that figures are taken on.
-func Here() record.Machine { return thisMachine() }
+// ThisMachine is the machine that figures are taken on.
+func ThisMachine() record.Machine { return thisMachine() }
 
 // timerSlack is by how much the runtime's timers may be late: where the process waits in epoll meanwhile, that counts
 // whole milliseconds. The load of scenarios waits in the same way.
--- a/internal/lab/harness/parts.go
+++ b/internal/lab/harness/parts.go
@@ -37,16 +37,16 @@
 	return &Process{p}, nil
 }
 
-// WaitUp waits until it answers at an address.
-func (p *Process) WaitUp(ctx context.Context, address string) error {
+// WaitReady waits until it answers at an address.
+func (p *Process) WaitReady(ctx context.Context, address string) error {
 	return waitUp(ctx, address, p.process)
 }
 
 // Pid is its number.
 func (p *Process) Pid() int { return p.process.cmd.Process.Pid }
 
-// End tells it to end with a signal.
-func (p *Process) End(s os.Signal) { p.process.end(s) }
+// Signal tells it to end with a signal.
+func (p *Process) Signal(s os.Signal) { p.process.end(s) }
 
 // Wait waits until it is gone; false after the time.
 func (p *Process) Wait(most time.Duration) bool { return p.process.wait(most) }
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	s.list, err = s.rig.lists[s.tier].For(s.name, at)
+	s.list, err = s.rig.lists[s.tier].OpenFor(s.name, at)
 	return err
 }
 
@@ -90,7 +90,7 @@
 	}
 	s.starts++
 	s.random++
-	known := s.rig.lists[s.tier].LastTold(s.name)
+	known := s.rig.lists[s.tier].LastDelivered(s.name)
 	path := filepath.Join(s.rig.dir, s.name+".json")
 	text, err := json.Marshal(s.config(known))
 	if err != nil {
@@ -103,7 +103,7 @@
 	if s.rig.opts.LogDir != "" {
 		logPath = filepath.Join(s.rig.opts.LogDir, s.name+".log")
 	}
-	s.rig.book.Do(func(b *oracle.Book) { b.Started(s.rig.book.Now(), s.name, known.Index) })
+	s.rig.book.Do(func(b *oracle.Checker) { b.SidecarStarted(s.rig.book.Now(), s.name, known.Index) })
 	if s.proc, err = startProcess(s.rig.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
--- a/internal/lab/harness/slopes_test.go
+++ b/internal/lab/harness/slopes_test.go
@@ -62,18 +62,18 @@
 // A chain of three with about 20 requests: all go through all tiers, once while it is well. Where the last tier fails all,
 // each tier's attempts fail as the next tier's answers do, and no more are sent than the budgets fund.
 func TestChain(t *testing.T) {
-	conf := ChainConf{Deep: 3, Endpoints: 2, Rate: 20, For: time.Second, Deadline: 10 * time.Second, Peers: 10, Own: true, Seed: 1}
+	conf := ChainConf{Depth: 3, Endpoints: 2, Rate: 20, For: time.Second, Deadline: 10 * time.Second, Peers: 10, PerCaller: true, Seed: 1}
 	opts := Options{Sidecar: sidecarOf(policy.Module)}
 	t.Run("well", func(t *testing.T) {
 		t.Parallel()
 		conf := conf
-		conf.Straight, conf.Rate = true, 40
+		conf.CompareDirect, conf.Rate = true, 40
 		m, err := MeasureChain(context.Background(), conf, opts)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Breaks > 0 || m.Balanced != nil {
-			t.Errorf("rules broken %d; the book: %v", m.Breaks, m.Balanced)
+		if m.NumViolations > 0 || m.BalanceErr != nil {
+			t.Errorf("rules broken %d; the book: %v", m.NumViolations, m.BalanceErr)
 		}
 		for way, w := range m.Front {
 			if w.Requests < 10 || w.Served != w.Requests {
@@ -81,12 +81,12 @@
 			}
 		}
 		for n, tier := range m.Tiers {
-			if n > 0 && (tier.Asked != m.Tiers[n-1].Attempts || tier.LeftP50 >= m.Tiers[n-1].LeftP50 || tier.LeftP50 <= 0) {
+			if n > 0 && (tier.Requests != m.Tiers[n-1].Attempts || tier.RemainingP50 >= m.Tiers[n-1].RemainingP50 || tier.RemainingP50 <= 0) {
 				t.Errorf("tier %d: asked %d after %d attempts, %v ms left after %v; want one call an attempt, with less time",
-					n+1, tier.Asked, m.Tiers[n-1].Attempts, tier.LeftP50, m.Tiers[n-1].LeftP50)
+					n+1, tier.Requests, m.Tiers[n-1].Attempts, tier.RemainingP50, m.Tiers[n-1].RemainingP50)
 			}
 			// A copy of what a busy machine delays may be sent and called off.
-			if tier.Asked < m.Front[1].Requests || tier.Served == 0 || tier.Attempts < tier.Asked || tier.CPU <= 0 {
+			if tier.Requests < m.Front[1].Requests || tier.Served == 0 || tier.Attempts < tier.Requests || tier.CPU <= 0 {
 				t.Errorf("tier %d: %+v for %d requests", n+1, tier, m.Front[1].Requests)
 			}
 		}
@@ -99,8 +99,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Breaks > 0 || m.Balanced != nil || m.Front[1].Served > 0 {
-			t.Errorf("rules broken %d; the book: %v; served %d", m.Breaks, m.Balanced, m.Front[1].Served)
+		if m.NumViolations > 0 || m.BalanceErr != nil || m.Front[1].Served > 0 {
+			t.Errorf("rules broken %d; the book: %v; served %d", m.NumViolations, m.BalanceErr, m.Front[1].Served)
 		}
 		for n, tier := range m.Tiers {
 			if tier.Attempts == 0 || tier.Outcomes["server_error"] == 0 || tier.Served > 0 {
@@ -118,7 +118,7 @@
 	opts := Options{Sidecar: sidecarOf(policy.Module)}
 	for _, conf := range []CallConf{
 		{Endpoints: 2, Peers: 1, Classes: 1, Stages: 1},
-		{Endpoints: 6, Peers: 6, Classes: 3, Stages: 3, Own: true},
+		{Endpoints: 6, Peers: 6, Classes: 3, Stages: 3, PerCaller: true},
 	} {
 		conf.Rate, conf.For, conf.Seed = 30, time.Second, 1
 		m, err := MeasureCall(context.Background(), conf, opts)
@@ -138,18 +138,18 @@
 		{Endpoints: 20, AtOnce: 7, Changes: 4},
 		{Endpoints: 20, AtOnce: 7, Changes: 4, Apart: true},
 	} {
-		conf.Sidecars, conf.Hollow, conf.Peers = 2, 3, 13
+		conf.Sidecars, conf.Emulated, conf.Peers = 2, 3, 13
 		m, err := MeasureLists(context.Background(), conf, Options{Sidecar: sidecarOf(policy.Module)})
 		if err != nil {
 			t.Fatalf("%+v: %v", conf, err)
 		}
-		for who, w := range map[string]Wire{"sidecars": m.Real, "hollow watchers": m.Hollow} {
-			lines := w.LinesOfAnAnswer * w.Answers
-			if w.Wholes != 0 || w.Answers < 1 || w.Told <= 0 || w.Asked <= 0 || math.Abs(lines-float64(conf.AtOnce)) > 1e-6 {
+		for who, w := range map[string]Wire{"sidecars": m.Real, "hollow watchers": m.Emulated} {
+			lines := w.LinesPerAnswer * w.Answers
+			if w.FullLists != 0 || w.Answers < 1 || w.AnswerBytes <= 0 || w.RequestBytes <= 0 || math.Abs(lines-float64(conf.AtOnce)) > 1e-6 {
 				t.Errorf("%+v: %s: %+v: %v lines a change; want %d, and no whole list", conf, who, w, lines, conf.AtOnce)
 			}
 		}
-		if m.Whole.Wholes != 1 || m.Whole.LinesOfAnAnswer != float64(conf.Endpoints) || m.Whole.Told < m.Hollow.Told/m.Hollow.Answers {
+		if m.Whole.FullLists != 1 || m.Whole.LinesPerAnswer != float64(conf.Endpoints) || m.Whole.AnswerBytes < m.Emulated.AnswerBytes/m.Emulated.Answers {
 			t.Errorf("%+v: the whole list: %+v", conf, m.Whole)
 		}
 	}
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -32,14 +32,14 @@
 	Pick() *Target // nil if there is none
 }
 
-// Only is a front with one sidecar.
-type Only struct{ target atomic.Pointer[Target] }
+// SingleTarget is a front with one sidecar.
+type SingleTarget struct{ target atomic.Pointer[Target] }
 
 // Set puts a target in place.
-func (o *Only) Set(t *Target) { o.target.Store(t) }
+func (o *SingleTarget) Set(t *Target) { o.target.Store(t) }
 
 // Pick returns it.
-func (o *Only) Pick() *Target { return o.target.Load() }
+func (o *SingleTarget) Pick() *Target { return o.target.Load() }
 
 // Times of clients.
 const (
@@ -75,44 +75,44 @@
 	lastID string // of the request whose answer came last
 }
 
-// Ask is one request to be sent.
-type Ask struct {
+// Request is one request to be sent.
+type Request struct {
 	ID, Class, Tenant, Key string
 	Tier                   int
 	Effect                 decide.Effect
-	Until                  time.Duration // when its time is up
+	Deadline               time.Duration // when its time is up
 	Leave                  time.Duration // when the client leaves before that; 0 for never
 	Repeat                 bool
 	Body                   int  // bytes
 	Close                  bool // the connection ends with it
 }
 
-// How a try ended.
-type How uint8
+// Ending a try ended.
+type Ending uint8
 
 // The ends of a try.
 const (
-	Answered  How = iota
-	NoAnswer      // lost
-	Gone          // the client left
-	CutOff        // the lab stopped the sidecar
-	Unreached     // no sidecar took the connection
+	Answered       Ending = iota
+	NoAnswer              // lost
+	Gone                  // the client left
+	SidecarStopped        // the lab stopped the sidecar
+	Unreached             // no sidecar took the connection
 )
 
 // Result is what came of a try.
 type Result struct {
-	How        How
+	Ending     Ending
 	Verdict    oracle.Verdict
 	RetryAfter time.Duration
 }
 
 // Send sends a request once. If its connection ends as the request crosses that,
 // it is sent once more on a new one.
-func (c *Client) Send(ctx context.Context, a Ask) Result {
+func (c *Client) Send(ctx context.Context, a Request) Result {
 	for kept := true; ; kept = false {
 		conn := c.take(ctx, kept)
 		if conn == nil {
-			return Result{How: Unreached}
+			return Result{Ending: Unreached}
 		}
 		again, result := c.exchange(ctx, conn, a)
 		if !again {
@@ -123,21 +123,21 @@
 
 // exchange writes a request and reads its answer; again tells that nothing came of
 // it and that it may be sent on a new connection.
-func (c *Client) exchange(ctx context.Context, conn *conn, a Ask) (again bool, result Result) {
+func (c *Client) exchange(ctx context.Context, conn *conn, a Request) (again bool, result Result) {
 	used := conn.lastID != ""
-	c.book.Do(func(b *oracle.Book) {
-		b.Asking(oracle.Request{
-			ID: a.ID, Sidecar: conn.target.Name, Tier: a.Tier, Effect: a.Effect, Key: a.Key, Until: a.Until,
+	c.book.Do(func(b *oracle.Checker) {
+		b.RequestBegun(oracle.Request{
+			ID: a.ID, Sidecar: conn.target.Name, Tier: a.Tier, Effect: a.Effect, Key: a.Key, Deadline: a.Deadline,
 		})
 	})
 	conn.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := conn.Write(encode(&a, a.Until-c.book.Now())); err != nil {
+	if _, err := conn.Write(encode(&a, a.Deadline-c.book.Now())); err != nil {
 		conn.Close()
 		again := c.unwritten(a.ID)
-		return again && used, Result{How: Unreached}
+		return again && used, Result{Ending: Unreached}
 	}
-	c.book.Do(func(b *oracle.Book) { b.Written(a.ID) })
-	until, leaves := a.Until+c.grace, a.Leave > 0 && a.Leave < a.Until
+	c.book.Do(func(b *oracle.Checker) { b.RequestWritten(a.ID) })
+	until, leaves := a.Deadline+c.grace, a.Leave > 0 && a.Leave < a.Deadline
 	if leaves {
 		until = a.Leave
 	}
@@ -159,7 +159,7 @@
 }
 
 func (c *Client) unwritten(id string) (again bool) {
-	c.book.Do(func(b *oracle.Book) { again = b.Unwritten(id) })
+	c.book.Do(func(b *oracle.Checker) { again = b.RetractRequest(id) })
 	return again
 }
 
@@ -169,15 +169,15 @@
 	timeout := errors.Is(err, os.ErrDeadlineExceeded)
 	stopped := conn.target.Stopped.Load()
 	conn.Close()
-	result := Result{How: NoAnswer}
-	c.book.Do(func(b *oracle.Book) {
+	result := Result{Ending: NoAnswer}
+	c.book.Do(func(b *oracle.Checker) {
 		switch {
 		case stopped:
-			result.How = CutOff
-			b.Cut(now, id)
+			result.Ending = SidecarStopped
+			b.RequestInterrupted(now, id)
 		case timeout && leaves:
-			result.How = Gone
-			b.Left(now, id)
+			result.Ending = Gone
+			b.ClientLeft(now, id)
 		default:
 			b.Unanswered(now, id)
 		}
@@ -186,9 +186,9 @@
 }
 
 // answered books a whole answer and keeps the connection.
-func (c *Client) answered(conn *conn, a *Ask, answer *fasthttp.Response) Result {
+func (c *Client) answered(conn *conn, a *Request, answer *fasthttp.Response) Result {
 	now := c.book.Now()
-	result := Result{How: Answered, Verdict: verdictOf(answer.StatusCode())}
+	result := Result{Ending: Answered, Verdict: verdictOf(answer.StatusCode())}
 	if s, err := strconv.ParseFloat(string(answer.Header.Peek(fasthttp.HeaderRetryAfter)), 64); err == nil && s > 0 {
 		result.RetryAfter = time.Duration(s * float64(time.Second))
 	}
@@ -199,14 +199,14 @@
 		c.ServedBy(by)
 	}
 	surplus := conn.in.Buffered() > 0
-	c.book.Do(func(b *oracle.Book) {
+	c.book.Do(func(b *oracle.Checker) {
 		if foreign {
-			b.Foreign(now, a.ID)
+			b.ForeignAnswer(now, a.ID)
 		} else {
-			b.Answered(now, a.ID, result.Verdict)
+			b.AnswerReceived(now, a.ID, result.Verdict)
 		}
 		if surplus {
-			b.Surplus(now, a.ID)
+			b.ExtraBytes(now, a.ID)
 		}
 	})
 	if foreign {
@@ -283,7 +283,7 @@
 		return true
 	})
 	if surplus {
-		c.book.Do(func(b *oracle.Book) { b.Surplus(c.book.Now(), k.lastID) })
+		c.book.Do(func(b *oracle.Checker) { b.ExtraBytes(c.book.Now(), k.lastID) })
 	}
 	return err == nil && silent
 }
@@ -299,7 +299,7 @@
 }
 
 // encode writes a request, with what is left of its time.
-func encode(a *Ask, left time.Duration) []byte {
+func encode(a *Request, left time.Duration) []byte {
 	method := "POST"
 	if a.Effect == decide.Safe {
 		method = "GET"
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -48,8 +48,8 @@
 			}()
 		}
 	}()
-	book := oracle.Share(oracle.New(oracle.Conf{Margin: patience}), oracle.NewService(nil, 0))
-	only := &Only{}
+	book := oracle.NewShared(oracle.New(oracle.Conf{Margin: patience}), oracle.NewService(nil, 0))
+	only := &SingleTarget{}
 	only.Set(&Target{Name: "s", Address: listener.Addr().String()})
 	c := NewClient(book, only, 10*time.Millisecond)
 	t.Cleanup(c.Close)
@@ -64,11 +64,11 @@
 func served(conn net.Conn, _ int, id string) bool { serve(conn, id); return true }
 
 func (c *Client) askFor(id string, left time.Duration) Result {
-	return c.Send(context.Background(), Ask{ID: id, Class: "look", Effect: decide.Safe, Until: c.book.Now() + left})
+	return c.Send(context.Background(), Request{ID: id, Class: "look", Effect: decide.Safe, Deadline: c.book.Now() + left})
 }
 
-func account(c *Client) (a oracle.Account) {
-	c.book.Do(func(b *oracle.Book) { a = b.Close() })
+func account(c *Client) (a oracle.Report) {
+	c.book.Do(func(b *oracle.Checker) { a = b.Close() })
 	return a
 }
 
@@ -85,13 +85,13 @@
 		left    time.Duration
 		foreign bool
 	}{
-		"served":  {script: served, result: Result{How: Answered}, left: patience},
+		"served":  {script: served, result: Result{Ending: Answered}, left: patience},
 		"refused": {script: say("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, left: patience},
-		"failed":  {script: say("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{How: Answered, Verdict: oracle.Failed}, left: patience},
-		"half":    {script: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{How: NoAnswer}, lost: 1, left: patience},
-		"closed":  {script: say(""), result: Result{How: NoAnswer}, lost: 1, left: patience},
-		"mute":    {script: mute, result: Result{How: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
-		"foreign": {script: func(conn net.Conn, _ int, _ string) bool { serve(conn, "other"); return true }, result: Result{How: Answered, Verdict: oracle.Failed}, lost: 1, left: patience},
+		"failed":  {script: say("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{Ending: Answered, Verdict: oracle.Failed}, left: patience},
+		"half":    {script: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{Ending: NoAnswer}, lost: 1, left: patience},
+		"closed":  {script: say(""), result: Result{Ending: NoAnswer}, lost: 1, left: patience},
+		"mute":    {script: mute, result: Result{Ending: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
+		"foreign": {script: func(conn net.Conn, _ int, _ string) bool { serve(conn, "other"); return true }, result: Result{Ending: Answered, Verdict: oracle.Failed}, lost: 1, left: patience},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := scripted(t, c.script)
@@ -99,8 +99,8 @@
 				t.Errorf("got %+v, want %+v", got, c.result)
 			}
 			a := account(client)
-			if a.Rules[oracle.Lost] != c.lost || a.Broken() != c.lost || a.Balance() != nil {
-				t.Errorf("broken %v, balance %v", a.Breaks, a.Balance())
+			if a.Rules[oracle.LostRequest] != c.lost || a.NumViolations() != c.lost || a.Balance() != nil {
+				t.Errorf("broken %v, balance %v", a.Violations, a.Balance())
 			}
 		})
 	}
@@ -117,12 +117,12 @@
 	}
 	c := scripted(t, once, served)
 	for _, id := range []string{"1", "2"} {
-		if got := c.askFor(id, patience); got.How != Answered {
+		if got := c.askFor(id, patience); got.Ending != Answered {
 			t.Errorf("request %s: %+v", id, got)
 		}
 	}
-	if a := account(c); a.Broken() > 0 || a.Balance() != nil || a.Sidecars["s"].Asked != 2 {
-		t.Errorf("%v, %v, %+v", a.Breaks, a.Balance(), a.Sidecars["s"])
+	if a := account(c); a.NumViolations() > 0 || a.Balance() != nil || a.Sidecars["s"].Requests != 2 {
+		t.Errorf("%v, %v, %+v", a.Violations, a.Balance(), a.Sidecars["s"])
 	}
 }
 
@@ -143,11 +143,11 @@
 		}
 	}
 	time.Sleep(20 * time.Millisecond) // it is on its way over loopback
-	if got := c.askFor("2", patience); got.How != Answered {
+	if got := c.askFor("2", patience); got.Ending != Answered {
 		t.Errorf("the next request: %+v", got)
 	}
-	if a := account(c); a.Rules[oracle.AnsweredTwice] != 1 || a.Broken() != 1 {
-		t.Errorf("broken %v", a.Breaks)
+	if a := account(c); a.Rules[oracle.AnsweredTwice] != 1 || a.NumViolations() != 1 {
+		t.Errorf("broken %v", a.Violations)
 	}
 }
 
@@ -155,24 +155,24 @@
 func TestCut(t *testing.T) {
 	c := scripted(t, func(conn net.Conn, _ int, _ string) bool { return false })
 	c.front.Pick().Stopped.Store(true)
-	if got := c.askFor("1", patience); got.How != CutOff {
+	if got := c.askFor("1", patience); got.Ending != SidecarStopped {
 		t.Errorf("%+v", got)
 	}
-	if a := account(c); a.Broken() > 0 || a.Balance() != nil || a.Sidecars["s"].Cut != 1 {
-		t.Errorf("%v, %v", a.Breaks, a.Balance())
+	if a := account(c); a.NumViolations() > 0 || a.Balance() != nil || a.Sidecars["s"].Interrupted != 1 {
+		t.Errorf("%v, %v", a.Violations, a.Balance())
 	}
 }
 
 // Clients leave when they have lost patience, and do not ask again then.
 func TestLeaves(t *testing.T) {
 	c := scripted(t, func(net.Conn, int, string) bool { time.Sleep(patience); return false })
-	got := c.Send(context.Background(), Ask{ID: "1", Class: "look", Effect: decide.Safe,
-		Until: c.book.Now() + patience, Leave: c.book.Now() + 30*time.Millisecond})
-	if got.How != Gone {
+	got := c.Send(context.Background(), Request{ID: "1", Class: "look", Effect: decide.Safe,
+		Deadline: c.book.Now() + patience, Leave: c.book.Now() + 30*time.Millisecond})
+	if got.Ending != Gone {
 		t.Errorf("%+v", got)
 	}
-	if a := account(c); a.Broken() > 0 || a.Balance() != nil {
-		t.Errorf("%v, %v", a.Breaks, a.Balance())
+	if a := account(c); a.NumViolations() > 0 || a.Balance() != nil {
+		t.Errorf("%v, %v", a.Violations, a.Balance())
 	}
 }
 
@@ -199,12 +199,12 @@
 			client := scripted(t, c.script)
 			plan := &Plan{Rate: 1, Duration: time.Second, Classes: []Share{{"look", 1}}, Tenants: []Share{{"a", 1}}}
 			d := &Driver{
-				Plan: plan, Client: client, Book: client.book, Habits: Habits{Retries: 2, Backoff: time.Millisecond},
+				Plan: plan, Client: client, Checker: client.book, Behavior: ClientBehavior{Retries: 2, Backoff: time.Millisecond},
 				Classes: []Class{{"look", c.effect, patience}}, Base: client.book.Now(),
 			}
 			// One arrival by hand: how many a plan has is its seed's.
 			d.one(t, Arrival{Seed: 1})
-			if n := account(client).Sidecars["s"].Asked; n != c.tries {
+			if n := account(client).Sidecars["s"].Requests; n != c.tries {
 				t.Errorf("asked %d times, want %d", n, c.tries)
 			}
 		})
@@ -237,11 +237,11 @@
 			time.AfterFunc(patience, func() { conn.Close() })
 		}
 	}()
-	only := &Only{}
+	only := &SingleTarget{}
 	only.Set(&Target{Address: listener.Addr().String()})
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	r := BeRude(ctx, only, 200, 1)
+	r := SendMalformed(ctx, only, 200, 1)
 	if r.Sent < 4 || r.Refused == 0 || r.Closed == 0 || r.Sent != r.Refused+r.Closed || r.Answered+r.Silent != 0 {
 		t.Errorf("%+v", r)
 	}
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -15,8 +15,8 @@
 	"heathgap/internal/lab/oracle"
 )
 
-// Habits are how clients behave.
-type Habits struct {
+// ClientBehavior are how clients behave.
+type ClientBehavior struct {
 	Retries   int           // asks again so often at most
 	Backoff   time.Duration // before the first of them, doubled for each, give or take half
 	Impatient float64       // share of clients that leave early
@@ -38,13 +38,13 @@
 
 // Driver sends a plan's requests when they are due.
 type Driver struct {
-	Plan    *Plan
-	Seed    uint64
-	Classes []Class
-	Habits  Habits
-	Client  *Client
-	Book    *oracle.Shared
-	Base    time.Duration // on the book's clock: when the plan begins
+	Plan     *Plan
+	Seed     uint64
+	Classes  []Class
+	Behavior ClientBehavior
+	Client   *Client
+	Checker  *oracle.Shared
+	Base     time.Duration // on the book's clock: when the plan begins
 
 	open    atomic.Int64
 	overrun atomic.Bool
@@ -86,14 +86,14 @@
 // waitUntil waits for a time on the book's clock: by a timer until shortly before it,
 // and for the rest in the kernel, which is exact to some 50 us.
 func (d *Driver) waitUntil(ctx context.Context, at time.Duration) {
-	if pause := at - d.Book.Now() - timerSlack; pause > 0 {
+	if pause := at - d.Checker.Now() - timerSlack; pause > 0 {
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
 	}
-	if rest := at - d.Book.Now(); rest > 0 {
+	if rest := at - d.Checker.Now(); rest > 0 {
 		nap := unix.NsecToTimespec(int64(rest))
 		unix.Nanosleep(&nap, nil) //nolint:errcheck // woken early, the request is some microseconds early
 	}
@@ -114,7 +114,7 @@
 // want asks for one thing until it is served, the client's time is up, or it has
 // asked often enough.
 func (d *Driver) want(ctx context.Context, a Arrival) {
-	late := d.Book.Now() - d.Base - a.At
+	late := d.Checker.Now() - d.Base - a.At
 	d.mu.Lock()
 	d.lag.RecordValue(min(max(1, int64(late)), int64(time.Minute))) //nolint:errcheck // it is within bounds
 	d.mu.Unlock()
@@ -127,46 +127,46 @@
 		ask.Repeat = want.Tries > 0
 		want.Tries++
 		result := d.Client.Send(ctx, ask)
-		if result.How == Answered && result.Verdict == oracle.Served {
-			want.Served, want.Took = true, d.Book.Now()-d.Base-a.At
+		if result.Ending == Answered && result.Verdict == oracle.Served {
+			want.Served, want.Took = true, d.Checker.Now()-d.Base-a.At
 			break
 		}
 		if !d.pauseToRepeat(ctx, &ask, want.Tries, result, random) {
 			break
 		}
 	}
-	d.Book.Ended(want)
+	d.Checker.Ended(want)
 }
 
-func (d *Driver) ask(a Arrival, class Class, random *rand.Rand) Ask {
-	ask := Ask{
+func (d *Driver) ask(a Arrival, class Class, random *rand.Rand) Request {
+	ask := Request{
 		Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Effect: class.Effect,
-		Until: d.Base + a.At + class.Deadline, Close: random.Float64() < d.Habits.Churn, Body: d.Habits.Body,
+		Deadline: d.Base + a.At + class.Deadline, Close: random.Float64() < d.Behavior.Churn, Body: d.Behavior.Body,
 	}
 	if class.Effect == decide.Keyed {
 		ask.Key = fmt.Sprintf("k%x", a.Number)
 	}
-	if random.Float64() < d.Habits.Impatient {
-		ask.Leave = d.Base + a.At + time.Duration(d.Habits.LeaveAt*float64(class.Deadline))
+	if random.Float64() < d.Behavior.Impatient {
+		ask.Leave = d.Base + a.At + time.Duration(d.Behavior.LeaveAt*float64(class.Deadline))
 	}
 	return ask
 }
 
 // pauseToRepeat waits before a client asks again; false if it does not.
-func (d *Driver) pauseToRepeat(ctx context.Context, ask *Ask, tries int, r Result, random *rand.Rand) bool {
-	harmless := r.How == Unreached || r.How == Answered && r.Verdict == oracle.Refused
+func (d *Driver) pauseToRepeat(ctx context.Context, ask *Request, tries int, r Result, random *rand.Rand) bool {
+	harmless := r.Ending == Unreached || r.Ending == Answered && r.Verdict == oracle.Refused
 	switch {
-	case tries > d.Habits.Retries, r.How == Gone, r.How == Answered && r.Verdict == oracle.Malformed,
+	case tries > d.Behavior.Retries, r.Ending == Gone, r.Ending == Answered && r.Verdict == oracle.Malformed,
 		ask.Effect == decide.Unsafe && !harmless:
 		return false
 	}
-	pause := time.Duration(float64(d.Habits.Backoff<<min(tries-1, 10)) * (0.5 + random.Float64()))
+	pause := time.Duration(float64(d.Behavior.Backoff<<min(tries-1, 10)) * (0.5 + random.Float64()))
 	pause = max(pause, r.RetryAfter)
-	end := ask.Until
+	end := ask.Deadline
 	if ask.Leave > 0 {
 		end = ask.Leave
 	}
-	if d.Book.Now()+pause >= end {
+	if d.Checker.Now()+pause >= end {
 		return false
 	}
 	select {
--- a/internal/lab/load/rude.go
+++ b/internal/lab/load/rude.go
@@ -29,8 +29,8 @@
 	"",
 }
 
-// Rude counts what became of bad clients.
-type Rude struct {
+// MalformedCounts counts what became of bad clients.
+type MalformedCounts struct {
 	Sent     int `json:"sent"`
 	Refused  int `json:"answered_400"`
 	Closed   int `json:"closed"`
@@ -38,10 +38,10 @@
 	Answered int `json:"answered_otherwise"`
 }
 
-// BeRude sends bad requests at a rate until the context ends, and counts.
-func BeRude(ctx context.Context, front Front, perSecond float64, seed uint64) Rude {
+// SendMalformed sends bad requests at a rate until the context ends, and counts.
+func SendMalformed(ctx context.Context, front Front, perSecond float64, seed uint64) MalformedCounts {
 	var (
-		count Rude
+		count MalformedCounts
 		mu    sync.Mutex
 		wait  sync.WaitGroup
 	)
@@ -70,8 +70,8 @@
 }
 
 // rudeOnce sends one text and returns which count its end belongs to.
-func rudeOnce(address, text string) func(*Rude) *int {
-	closed := func(r *Rude) *int { return &r.Closed }
+func rudeOnce(address, text string) func(*MalformedCounts) *int {
+	closed := func(r *MalformedCounts) *int { return &r.Closed }
 	conn, err := net.DialTimeout("tcp", address, dialTime)
 	if err != nil {
 		return closed
@@ -85,7 +85,7 @@
 	in := bufio.NewReader(conn)
 	if _, err := in.Peek(1); err != nil {
 		if e, ok := err.(net.Error); ok && e.Timeout() {
-			return func(r *Rude) *int { return &r.Silent }
+			return func(r *MalformedCounts) *int { return &r.Silent }
 		}
 		return closed
 	}
@@ -93,7 +93,7 @@
 		return closed
 	}
 	if answer.StatusCode() == fasthttp.StatusBadRequest {
-		return func(r *Rude) *int { return &r.Refused }
+		return func(r *MalformedCounts) *int { return &r.Refused }
 	}
-	return func(r *Rude) *int { return &r.Answered }
+	return func(r *MalformedCounts) *int { return &r.Answered }
 }
--- a/internal/lab/oracle/notice.go
+++ b/internal/lab/oracle/notice.go
@@ -90,8 +90,8 @@
 		return at, knows
 	}
 	from := max(l.at, n.up)
-	if n.conf.ToldAfter > 0 {
-		after := from + n.conf.ToldAfter
+	if n.conf.DeliveredAfter > 0 {
+		after := from + n.conf.DeliveredAfter
 		if r.stands > 0 {
 			after = max(after, r.stands+watchSlack)
 		}
@@ -107,39 +107,39 @@
 	return at, knows
 }
 
-// Listed books that discovery has a new version of the list, in which an endpoint serves, or drains or is gone.
-func (b *Book) Listed(at time.Duration, version int64, endpoint string, serves bool) {
+// ListPublished books that discovery has a new version of the list, in which an endpoint serves, or drains or is gone.
+func (b *Checker) ListPublished(at time.Duration, version int64, endpoint string, serves bool) {
 	b.notices.listings[endpoint] = append(b.notices.listings[endpoint], listing{at, version, serves})
 }
 
-// Told books that discovery has written all that it had up to a version to a sidecar.
-func (b *Book) Told(at time.Duration, sidecar string, version int64) {
+// ListDelivered books that discovery has written all that it had up to a version to a sidecar.
+func (b *Checker) ListDelivered(at time.Duration, sidecar string, version int64) {
 	b.notices.reader(sidecar).tell(at, version)
 }
 
-// Calls books that a sidecar's call for the list begins, and Called that it ended, however it did.
-func (b *Book) Calls(sidecar string) { b.notices.reader(sidecar).open++ }
+// ListCallBegun books that a sidecar's call for the list begins, and Called that it ended, however it did.
+func (b *Checker) ListCallBegun(sidecar string) { b.notices.reader(sidecar).open++ }
 
-// Called is the counterpart of Calls.
-func (b *Book) Called(at time.Duration, sidecar string) {
+// ListCallEnded is the counterpart of Calls.
+func (b *Checker) ListCallEnded(at time.Duration, sidecar string) {
 	r := b.notices.reader(sidecar)
 	r.open, r.last, r.stands = max(0, r.open-1), max(r.last, at), 0
 }
 
-// Stands books that discovery has taken a sidecar's watch, which waits until then.
-func (b *Book) Stands(sidecar string, until time.Duration) {
+// WatchAccepted books that discovery has taken a sidecar's watch, which waits until then.
+func (b *Checker) WatchAccepted(sidecar string, until time.Duration) {
 	r := b.notices.reader(sidecar)
 	r.stands = max(r.stands, until)
 }
 
-// ListUp books that discovery can be reached from now on, or that it can't.
-func (b *Book) ListUp(at time.Duration, up bool) {
+// SetDiscoveryUp books that discovery can be reached from now on, or that it can't.
+func (b *Checker) SetDiscoveryUp(at time.Duration, up bool) {
 	if b.notices.up = at; !up {
 		b.notices.up = -1
 	}
 }
 
-// Started books that a sidecar has started with the list as it was in a version: what a former process was told is gone.
-func (b *Book) Started(at time.Duration, sidecar string, version int64) {
+// SidecarStarted books that a sidecar has started with the list as it was in a version: what a former process was told is gone.
+func (b *Checker) SidecarStarted(at time.Duration, sidecar string, version int64) {
 	b.notices.readers[sidecar] = &reader{last: at, told: []told{{at, version}}}
 }
--- a/internal/lab/oracle/truth.go
+++ b/internal/lab/oracle/oracle.go
@@ -20,22 +20,22 @@
 // The rules. The first three are parts of one: each request taken has exactly one
 // final answer, in time, and nothing is sent for it after that.
 const (
-	Lost          Rule = "lost"           // no whole answer in time, though the client was there
-	AnsweredTwice Rule = "answered_twice" // a second answer to one request
-	SentAfter     Rule = "sent_after"     // an attempt reached an endpoint after the final answer
-	Doubled       Rule = "doubled"        // an effect that may not happen twice did
-	Drained       Rule = "drained"        // new work for an endpoint that was told to drain
-	PushedOver    Rule = "pushed_over"    // a cold endpoint was pushed over
+	LostRequest     Rule = "lost"           // no whole answer in time, though the client was there
+	AnsweredTwice   Rule = "answered_twice" // a second answer to one request
+	SentAfterAnswer Rule = "sent_after"     // an attempt reached an endpoint after the final answer
+	DuplicateEffect Rule = "doubled"        // an effect that may not happen twice did
+	SentToDrained   Rule = "drained"        // new work for an endpoint that was told to drain
+	OverloadedCold  Rule = "pushed_over"    // a cold endpoint was pushed over
 )
 
 // Rules are all rules, in the order of a record.
-var Rules = []Rule{Lost, AnsweredTwice, SentAfter, Doubled, Drained, PushedOver}
+var Rules = []Rule{LostRequest, AnsweredTwice, SentAfterAnswer, DuplicateEffect, SentToDrained, OverloadedCold}
 
 // mostBreaks bounds the breaks that are kept with their words; all are counted.
 const mostBreaks = 100
 
-// Break is one case of a broken rule.
-type Break struct {
+// Violation is one case of a broken rule.
+type Violation struct {
 	Rule Rule          `json:"rule"`
 	At   time.Duration `json:"at_ns"`
 	What string        `json:"what"`
@@ -43,11 +43,11 @@
 
 // Conf holds the figures of the rules.
 type Conf struct {
-	AnswerSlack time.Duration // an answer may be so much later than the client's time
-	DrainGrace  time.Duration // sends to a draining endpoint end within it
-	AskEvery    time.Duration // a sidecar that has not asked for so long counts as told
-	ToldAfter   time.Duration // what discovery has counts as told after so long, whether or not it came; 0 for never
-	Margin      time.Duration // added to each limit in time: sockets and goroutines are late by some
+	AnswerSlack    time.Duration // an answer may be so much later than the client's time
+	DrainGrace     time.Duration // sends to a draining endpoint end within it
+	AskEvery       time.Duration // a sidecar that has not asked for so long counts as told
+	DeliveredAfter time.Duration // what discovery has counts as told after so long, whether or not it came; 0 for never
+	Margin         time.Duration // added to each limit in time: sockets and goroutines are late by some
 }
 
 // Verdict is a client's final answer.
@@ -64,23 +64,23 @@
 
 // Request is what a client asks of a sidecar, once.
 type Request struct {
-	ID      string
-	Sidecar string
-	Tier    int
-	Effect  decide.Effect
-	Key     string
-	Until   time.Duration // when the client's time is up
+	ID       string
+	Sidecar  string
+	Tier     int
+	Effect   decide.Effect
+	Key      string
+	Deadline time.Duration // when the client's time is up
 }
 
 // Tally counts what one sidecar was asked and what came of it.
 type Tally struct {
-	Asked     int           `json:"asked"` // written whole to it
-	Answers   [verdicts]int `json:"answers"`
-	Left      int           `json:"left"`       // its client went, or its time was up without an answer
-	Cut       int           `json:"cut"`        // ended with the sidecar, which the lab had stopped
-	Arrivals  int           `json:"arrivals"`   // attempts that came whole to endpoints
-	Runs      int           `json:"runs"`       // of them, those that ran
-	TurnedOff int           `json:"turned_off"` // of them, those turned away
+	Requests    int           `json:"asked"` // written whole to it
+	Answers     [verdicts]int `json:"answers"`
+	ClientLeft  int           `json:"left"`       // its client went, or its time was up without an answer
+	Interrupted int           `json:"cut"`        // ended with the sidecar, which the lab had stopped
+	Arrivals    int           `json:"arrivals"`   // attempts that came whole to endpoints
+	Runs        int           `json:"runs"`       // of them, those that ran
+	Rejected    int           `json:"turned_off"` // of them, those turned away
 }
 
 // request is one that is open, or ended lately enough that something of it may
@@ -96,36 +96,36 @@
 	runs     int           // with an effect of their own
 }
 
-// Book is the account.
-type Book struct {
+// Checker is the account.
+type Checker struct {
 	conf     Conf
 	requests map[string]*request
 	order    []*request // by when they were asked, for Fold
 	tallies  map[string]*Tally
 	notices  notices
 	counts   map[Rule]int
-	breaks   []Break
+	breaks   []Violation
 	unknown  int // attempts for requests that no client sent
 	keyed    map[string]int
 	repeats  int // effects that clients doubled themselves, by asking again under one key
 }
 
 // New returns an empty book.
-func New(conf Conf) *Book {
-	return &Book{
+func New(conf Conf) *Checker {
+	return &Checker{
 		conf: conf, requests: map[string]*request{}, tallies: map[string]*Tally{},
 		notices: newNotices(conf), counts: map[Rule]int{}, keyed: map[string]int{},
 	}
 }
 
-func (b *Book) broken(rule Rule, at time.Duration, format string, args ...any) {
+func (b *Checker) broken(rule Rule, at time.Duration, format string, args ...any) {
 	b.counts[rule]++
 	if len(b.breaks) < mostBreaks {
-		b.breaks = append(b.breaks, Break{rule, at, fmt.Sprintf(format, args...)})
+		b.breaks = append(b.breaks, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (b *Book) tally(sidecar string) *Tally {
+func (b *Checker) tally(sidecar string) *Tally {
 	t := b.tallies[sidecar]
 	if t == nil {
 		t = &Tally{}
@@ -134,39 +134,39 @@
 	return t
 }
 
-// Asking books a request that a client is about to write.
-func (b *Book) Asking(r Request) {
+// RequestBegun books a request that a client is about to write.
+func (b *Checker) RequestBegun(r Request) {
 	q := &request{Request: r, tally: b.tally(r.Sidecar)}
 	b.requests[r.ID] = q
 	b.order = append(b.order, q)
 }
 
-// Written books that a request was written whole.
-func (b *Book) Written(id string) {
+// RequestWritten books that a request was written whole.
+func (b *Checker) RequestWritten(id string) {
 	if q := b.requests[id]; q != nil && !q.written {
 		q.written = true
-		q.tally.Asked++
+		q.tally.Requests++
 	}
 }
 
-// Unwritten takes back a request that could not be written whole, or whose
+// RetractRequest takes back a request that could not be written whole, or whose
 // connection a sidecar closed as it crossed: true if no attempt for it has come to
 // an endpoint, so that the client may send it once more.
-func (b *Book) Unwritten(id string) bool {
+func (b *Checker) RetractRequest(id string) bool {
 	q := b.requests[id]
 	if q == nil || q.arrived {
 		return false
 	}
 	if q.written {
-		q.tally.Asked--
+		q.tally.Requests--
 	}
 	q.ended = true
 	delete(b.requests, id)
 	return true
 }
 
-// Answered books a whole answer.
-func (b *Book) Answered(at time.Duration, id string, v Verdict) {
+// AnswerReceived books a whole answer.
+func (b *Checker) AnswerReceived(at time.Duration, id string, v Verdict) {
 	q := b.requests[id]
 	if q == nil || q.answered {
 		b.broken(AnsweredTwice, at, "request %s: answered once more", id)
@@ -178,50 +178,50 @@
 	}
 	q.ended, q.endAt = true, at
 	q.tally.Answers[v]++
-	if late := at - q.Until - b.conf.AnswerSlack - b.conf.Margin; late > 0 {
-		b.broken(Lost, at, "request %s at %s: answered %v too late", id, q.Sidecar, late)
+	if late := at - q.Deadline - b.conf.AnswerSlack - b.conf.Margin; late > 0 {
+		b.broken(LostRequest, at, "request %s at %s: answered %v too late", id, q.Sidecar, late)
 	}
 }
 
-// Surplus books bytes behind a whole answer that belong to no request.
-func (b *Book) Surplus(at time.Duration, id string) {
+// ExtraBytes books bytes behind a whole answer that belong to no request.
+func (b *Checker) ExtraBytes(at time.Duration, id string) {
 	b.broken(AnsweredTwice, at, "request %s: more came behind its answer", id)
 }
 
-// Foreign books a whole answer that no endpoint made for the request.
-func (b *Book) Foreign(at time.Duration, id string) {
-	b.Answered(at, id, Failed)
-	b.broken(Lost, at, "request %s: served with what was made for another", id)
+// ForeignAnswer books a whole answer that no endpoint made for the request.
+func (b *Checker) ForeignAnswer(at time.Duration, id string) {
+	b.AnswerReceived(at, id, Failed)
+	b.broken(LostRequest, at, "request %s: served with what was made for another", id)
 }
 
 // Unanswered books that a connection ended without a whole answer, or that none
 // had come when the client's time and all slack was over.
-func (b *Book) Unanswered(at time.Duration, id string) {
+func (b *Checker) Unanswered(at time.Duration, id string) {
 	q := b.requests[id]
 	if q == nil || q.ended {
 		return
 	}
 	q.ended, q.endAt = true, at
-	q.tally.Left++
-	b.broken(Lost, at, "request %s at %s: no answer", id, q.Sidecar)
+	q.tally.ClientLeft++
+	b.broken(LostRequest, at, "request %s at %s: no answer", id, q.Sidecar)
 }
 
-// Left books that a client has gone by itself.
-func (b *Book) Left(at time.Duration, id string) {
+// ClientLeft books that a client has gone by itself.
+func (b *Checker) ClientLeft(at time.Duration, id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		q.endAt = q.Until + b.conf.AnswerSlack // its sidecar need not notice before
-		q.tally.Left++
+		q.endAt = q.Deadline + b.conf.AnswerSlack // its sidecar need not notice before
+		q.tally.ClientLeft++
 	}
 }
 
-// Cut books that a request ended with its sidecar, which the lab had stopped: a
+// RequestInterrupted books that a request ended with its sidecar, which the lab had stopped: a
 // loss for the client, and no broken rule.
-func (b *Book) Cut(at time.Duration, id string) {
+func (b *Checker) RequestInterrupted(at time.Duration, id string) {
 	if q := b.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		q.endAt = q.Until + b.conf.AnswerSlack
-		q.tally.Cut++
+		q.endAt = q.Deadline + b.conf.AnswerSlack
+		q.tally.Interrupted++
 	}
 }
 
@@ -235,8 +235,8 @@
 	Repeat   bool          // its key was known: it has no effect of its own
 }
 
-// Arrived books an attempt. It returns false for one that no client sent.
-func (b *Book) Arrived(a Arrival) bool {
+// AttemptArrived books an attempt. It returns false for one that no client sent.
+func (b *Checker) AttemptArrived(a Arrival) bool {
 	q := b.requests[a.ID]
 	if q == nil {
 		b.unknown++
@@ -245,15 +245,15 @@
 	q.arrived = true
 	q.tally.Arrivals++
 	b.checkDrained(q, a)
-	limit := q.Until + b.conf.AnswerSlack
+	limit := q.Deadline + b.conf.AnswerSlack
 	if q.ended {
 		limit = min(limit, q.endAt)
 	}
 	if late := a.First - limit - b.conf.Margin; late > 0 {
-		b.broken(SentAfter, a.First, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
+		b.broken(SentAfterAnswer, a.First, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
 	}
 	if !a.Runs {
-		q.tally.TurnedOff++
+		q.tally.Rejected++
 		return true
 	}
 	q.tally.Runs++
@@ -266,15 +266,15 @@
 
 // checkDoubled looks whether an effect has happened twice: by one request, or by
 // several that clients sent under one key, which is their own doing.
-func (b *Book) checkDoubled(q *request, a Arrival) {
+func (b *Checker) checkDoubled(q *request, a Arrival) {
 	switch q.Effect {
 	case decide.Unsafe:
 		if q.runs > 1 {
-			b.broken(Doubled, a.Whole, "request %s: ran once more, at %s", a.ID, a.Endpoint)
+			b.broken(DuplicateEffect, a.Whole, "request %s: ran once more, at %s", a.ID, a.Endpoint)
 		}
 	case decide.Keyed:
 		if q.runs > 1 {
-			b.broken(Doubled, a.Whole, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
+			b.broken(DuplicateEffect, a.Whole, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
 			return
 		}
 		b.keyed[q.Key]++
@@ -285,29 +285,29 @@
 }
 
 // checkDrained looks whether the sidecar counts as told that the endpoint drains, or is gone.
-func (b *Book) checkDrained(q *request, a Arrival) {
+func (b *Checker) checkDrained(q *request, a Arrival) {
 	at, bound := b.notices.boundSince(q.Sidecar, a.Endpoint, a.First)
 	if !bound {
 		return
 	}
 	if late := a.First - at - b.conf.DrainGrace - b.conf.Margin; late > 0 {
-		b.broken(Drained, a.First, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
+		b.broken(SentToDrained, a.First, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
 	}
 }
 
-// Fell books that a cold endpoint was pushed over.
-func (b *Book) Fell(at time.Duration, endpoint string) {
-	b.broken(PushedOver, at, "endpoint %s: sent too much for too long while it was cold", endpoint)
+// EndpointOverloaded books that a cold endpoint was pushed over.
+func (b *Checker) EndpointOverloaded(at time.Duration, endpoint string) {
+	b.broken(OverloadedCold, at, "endpoint %s: sent too much for too long while it was cold", endpoint)
 }
 
 // linger is how long a request is kept after its time: what is sent for it by then
 // is still held against it.
 const linger = 10 * time.Second
 
-// Fold forgets the requests of which nothing can come any more.
-func (b *Book) Fold(now time.Duration) {
+// Prune forgets the requests of which nothing can come any more.
+func (b *Checker) Prune(now time.Duration) {
 	n := 0
-	for n < len(b.order) && b.order[n].Until+linger < now {
+	for n < len(b.order) && b.order[n].Deadline+linger < now {
 		q := b.order[n]
 		if b.requests[q.ID] == q {
 			delete(b.requests, q.ID)
@@ -317,19 +317,19 @@
 	b.order = b.order[n:]
 }
 
-// Account is what the book says.
-type Account struct {
-	Rules    map[Rule]int      `json:"rules"`
-	Breaks   []Break           `json:"breaks"`   // the first hundred
-	Sidecars map[string]*Tally `json:"sidecars"` // what each was asked
-	Open     int               `json:"open"`     // requests without an end
-	Unknown  int               `json:"unknown"`  // attempts that no client sent
-	Repeats  int               `json:"repeats"`  // effects that clients doubled by their own repeats
+// Report is what the book says.
+type Report struct {
+	Rules      map[Rule]int      `json:"rules"`
+	Violations []Violation       `json:"breaks"`   // the first hundred
+	Sidecars   map[string]*Tally `json:"sidecars"` // what each was asked
+	Open       int               `json:"open"`     // requests without an end
+	Unknown    int               `json:"unknown"`  // attempts that no client sent
+	Repeats    int               `json:"repeats"`  // effects that clients doubled by their own repeats
 }
 
 // Close returns the account.
-func (b *Book) Close() Account {
-	a := Account{Rules: map[Rule]int{}, Breaks: b.breaks, Sidecars: b.tallies, Unknown: b.unknown, Repeats: b.repeats}
+func (b *Checker) Close() Report {
+	a := Report{Rules: map[Rule]int{}, Violations: b.breaks, Sidecars: b.tallies, Unknown: b.unknown, Repeats: b.repeats}
 	for _, rule := range Rules {
 		a.Rules[rule] = b.counts[rule]
 	}
@@ -341,8 +341,8 @@
 	return a
 }
 
-// Broken is how many rules were broken in all.
-func (a *Account) Broken() int {
+// NumViolations is how many rules were broken in all.
+func (a *Report) NumViolations() int {
 	n := 0
 	for _, count := range a.Rules {
 		n += count
@@ -352,14 +352,14 @@
 
 // Balance tells what of an account does not add up: each request written to a
 // sidecar has one end.
-func (a *Account) Balance() error {
+func (a *Report) Balance() error {
 	for name, t := range a.Sidecars {
-		ends := t.Left + t.Cut
+		ends := t.ClientLeft + t.Interrupted
 		for _, n := range t.Answers {
 			ends += n
 		}
-		if ends != t.Asked {
-			return fmt.Errorf("sidecar %s: asked %d, ended %d: %+v", name, t.Asked, ends, *t)
+		if ends != t.Requests {
+			return fmt.Errorf("sidecar %s: asked %d, ended %d: %+v", name, t.Requests, ends, *t)
 		}
 	}
 	if a.Open > 0 {
