--- a/internal/lab/oracle/service.go
+++ b/internal/lab/oracle/service.go
@@ -50,21 +50,21 @@
 
 // Second is one second of a run, by when requests were due.
 type Second struct {
-	Asked  int     `json:"asked"`
-	Served int     `json:"served"`
-	InTime int     `json:"in_time"`
-	Earned float64 `json:"earned"`
-	Wanted float64 `json:"wanted"`
+	Requests int     `json:"asked"`
+	Served   int     `json:"served"`
+	InTime   int     `json:"in_time"`
+	Earned   float64 `json:"earned"`
+	Wanted   float64 `json:"wanted"`
 }
 
-// Figures are those of a class or a tenant.
-type Figures struct {
-	Asked   int     `json:"asked"`
-	Served  int     `json:"served"`
-	InTime  int     `json:"in_time"` // within the class's aim
-	Service float64 `json:"service"` // worth earned over worth asked
-	P50     float64 `json:"p50_ms"`  // of what was served, from when it was due
-	P99     float64 `json:"p99_ms"`
+// Stats are those of a class or a tenant.
+type Stats struct {
+	Requests int     `json:"asked"`
+	Served   int     `json:"served"`
+	InTime   int     `json:"in_time"` // within the class's aim
+	Service  float64 `json:"service"` // worth earned over worth asked
+	P50      float64 `json:"p50_ms"`  // of what was served, from when it was due
+	P99      float64 `json:"p99_ms"`
 }
 
 // NewService returns an empty sum; worths are by class.
@@ -92,7 +92,7 @@
 		s.series = append(s.series, Second{})
 	}
 	at := &s.series[second]
-	at.Asked++
+	at.Requests++
 	at.Wanted += worth.Full
 	at.Earned += earned
 	if w.Served {
@@ -129,8 +129,8 @@
 	return g
 }
 
-func (g *group) figures() Figures {
-	f := Figures{Asked: g.asked, Served: g.served, InTime: g.inTime, Service: share(g.earned, g.wanted)}
+func (g *group) figures() Stats {
+	f := Stats{Requests: g.asked, Served: g.served, InTime: g.inTime, Service: share(g.earned, g.wanted)}
 	f.P50 = toMS(g.took.ValueAtQuantile(50))
 	f.P99 = toMS(g.took.ValueAtQuantile(99))
 	return f
@@ -146,13 +146,13 @@
 }
 
 // All are the figures of all requests.
-func (s *Service) All() Figures { return s.all.figures() }
+func (s *Service) All() Stats { return s.all.figures() }
 
 // Classes are the figures by class.
-func (s *Service) Classes() map[string]Figures { return figuresOf(s.classes) }
+func (s *Service) Classes() map[string]Stats { return figuresOf(s.classes) }
 
 // Tenants are the figures by tenant.
-func (s *Service) Tenants() map[string]Figures { return figuresOf(s.tenants) }
+func (s *Service) Tenants() map[string]Stats { return figuresOf(s.tenants) }
 
 // Series are the seconds of the run, those before the count begins included.
 func (s *Service) Series() []Second { return s.series }
@@ -160,8 +160,8 @@
 // Tries is how often sidecars were asked for what counts.
 func (s *Service) Tries() int { return s.tries }
 
-func figuresOf(groups map[string]*group) map[string]Figures {
-	out := map[string]Figures{}
+func figuresOf(groups map[string]*group) map[string]Stats {
+	out := map[string]Stats{}
 	for name, g := range groups {
 		out[name] = g.figures()
 	}
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -9,12 +9,12 @@
 type Shared struct {
 	mu      sync.Mutex
 	origin  time.Time
-	book    *Book
+	book    *Checker
 	service *Service
 }
 
-// Share guards a book and a service.
-func Share(b *Book, s *Service) *Shared {
+// NewShared guards a book and a service.
+func NewShared(b *Checker, s *Service) *Shared {
 	return &Shared{origin: time.Now(), book: b, service: s}
 }
 
@@ -25,7 +25,7 @@
 func (s *Shared) Began() time.Time { return s.origin }
 
 // Do books something.
-func (s *Shared) Do(entry func(b *Book)) {
+func (s *Shared) Do(entry func(b *Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry(s.book)
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -31,22 +31,22 @@
 	Void     []string  `json:"void"`    // why its figures count for nothing; empty for a good run
 	Machine  Machine   `json:"machine"`
 
-	Service            float64                   `json:"service"`
-	All                oracle.Figures            `json:"all"`
-	Classes            map[string]oracle.Figures `json:"classes"`
-	Tenants            map[string]oracle.Figures `json:"tenants"`
-	Rules              map[oracle.Rule]int       `json:"rules"`
-	Breaks             []oracle.Break            `json:"breaks"`
-	AttemptsPerRequest float64                   `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
-	AttemptsPerWant    float64                   `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
-	ClientRepeats      int                       `json:"client_repeats"`       // keyed effects that clients doubled themselves
-	Sidecars           []Sidecar                 `json:"sidecars"`
-	Books              []string                  `json:"books"` // where a sidecar's counters differ from the book
-	LateSendsP99       float64                   `json:"late_sends_ms_p99"`
-	LateSendsMax       float64                   `json:"late_sends_ms_max"`
-	BadClients         load.Rude                 `json:"bad_clients"`
-	Series             []oracle.Second           `json:"series"`
-	Faults             []string                  `json:"faults"` // as they were played
+	Service            float64                 `json:"service"`
+	All                oracle.Stats            `json:"all"`
+	Classes            map[string]oracle.Stats `json:"classes"`
+	Tenants            map[string]oracle.Stats `json:"tenants"`
+	Rules              map[oracle.Rule]int     `json:"rules"`
+	Violations         []oracle.Violation      `json:"breaks"`
+	AttemptsPerRequest float64                 `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
+	AttemptsPerWant    float64                 `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
+	ClientRepeats      int                     `json:"client_repeats"`       // keyed effects that clients doubled themselves
+	Sidecars           []Sidecar               `json:"sidecars"`
+	Mismatches         []string                `json:"books"` // where a sidecar's counters differ from the book
+	LateSendsP99       float64                 `json:"late_sends_ms_p99"`
+	LateSendsMax       float64                 `json:"late_sends_ms_max"`
+	BadClients         load.MalformedCounts    `json:"bad_clients"`
+	Series             []oracle.Second         `json:"series"`
+	Faults             []string                `json:"faults"` // as they were played
 }
 
 // Machine is where a run took place.
@@ -65,7 +65,7 @@
 	RSSMB    float64       `json:"rss_mb"`  // the most, resident
 	CPU      float64       `json:"cpu_s"`   // of its last start
 	FDs      int           `json:"fds"`     // the most
-	Book     *oracle.Tally `json:"book"`    // what it was asked, by the book
+	Tally    *oracle.Tally `json:"book"`    // what it was asked, by the book
 	Counters *Counters     `json:"counters"`
 }
 
@@ -93,11 +93,11 @@
 		}
 	}
 	answers := t.Answers
-	within("taken and turned away", c.Taken+c.TurnedAway, t.Asked, t.Asked)
+	within("taken and turned away", c.Taken+c.TurnedAway, t.Requests, t.Requests)
 	within("ends", c.Served+c.Refused+c.Failed+c.Left+c.Held, c.Taken, c.Taken)
-	within("served", c.Served, answers[oracle.Served], answers[oracle.Served]+t.Left)
-	within("refused", c.Refused+c.TurnedAway, answers[oracle.Refused], answers[oracle.Refused]+t.Left)
-	within("failed", c.Failed, answers[oracle.Failed], answers[oracle.Failed]+t.Left)
+	within("served", c.Served, answers[oracle.Served], answers[oracle.Served]+t.ClientLeft)
+	within("refused", c.Refused+c.TurnedAway, answers[oracle.Refused], answers[oracle.Refused]+t.ClientLeft)
+	within("failed", c.Failed, answers[oracle.Failed], answers[oracle.Failed]+t.ClientLeft)
 	unsure := c.Attempts["connect_failed"] + c.Attempts["timed_out"] + c.Attempts["canceled"] +
 		c.Attempts["reset"] + c.Attempts["not_sent"]
 	within("attempts", c.Sent, t.Arrivals, t.Arrivals+unsure)
@@ -105,8 +105,8 @@
 	return faults
 }
 
-// Broken is how many rules were broken in all.
-func (r *Record) Broken() int {
+// NumViolations is how many rules were broken in all.
+func (r *Record) NumViolations() int {
 	n := 0
 	for _, count := range r.Rules {
 		n += count
@@ -114,9 +114,9 @@
 	return n
 }
 
-// Good tells whether the run counts and nothing was broken.
-func (r *Record) Good() bool {
-	return r.Broken() == 0 && len(r.Void) == 0 && len(r.Books) == 0 && !r.Partial && !r.anyCrashed()
+// Passed tells whether the run counts and nothing was broken.
+func (r *Record) Passed() bool {
+	return r.NumViolations() == 0 && len(r.Void) == 0 && len(r.Mismatches) == 0 && !r.Partial && !r.anyCrashed()
 }
 
 func (r *Record) anyCrashed() bool {
--- a/internal/lab/record/record_test.go
+++ b/internal/lab/record/record_test.go
@@ -9,7 +9,7 @@
 // Guards against a comparison that takes any counters: each that is off by one is
 // noticed, and where a client left, the sidecar may have seen it either way.
 func TestCompare(t *testing.T) {
-	tally := oracle.Tally{Asked: 10, Arrivals: 9, Runs: 8}
+	tally := oracle.Tally{Requests: 10, Arrivals: 9, Runs: 8}
 	tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed] = 7, 2, 1
 	good := Counters{Taken: 9, TurnedAway: 1, Served: 7, Refused: 1, Failed: 1, Sent: 9, Attempts: map[string]int{"served": 7}}
 	if faults := Compare("s", &good, &tally); len(faults) > 0 {
@@ -30,7 +30,7 @@
 		}
 	}
 	left := tally
-	left.Asked, left.Left = 11, 1
+	left.Requests, left.ClientLeft = 11, 1
 	for name, change := range map[string]func(*Counters){
 		"seen to leave": func(c *Counters) { c.Taken++; c.Left++ },
 		"answered":      func(c *Counters) { c.Taken++; c.Served++ },
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -13,17 +13,17 @@
 	"heathgap/internal/lab/record"
 )
 
-// Sides are records by what they were made with, to be compared seed by seed.
-type Sides struct {
+// Comparison are records by what they were made with, to be compared seed by seed.
+type Comparison struct {
 	names   []string
 	records map[string][]*record.Record
 }
 
-// NewSides returns none.
-func NewSides() *Sides { return &Sides{records: map[string][]*record.Record{}} }
+// NewComparison returns none.
+func NewComparison() *Comparison { return &Comparison{records: map[string][]*record.Record{}} }
 
 // Add adds a record to a side.
-func (s *Sides) Add(side string, r *record.Record) {
+func (s *Comparison) Add(side string, r *record.Record) {
 	if s.records[side] == nil {
 		s.names = append(s.names, side)
 	}
@@ -32,7 +32,7 @@
 
 // Value reads one metric of a record.
 func Value(r *record.Record, metric string) (float64, error) {
-	groups := map[string]map[string]oracle.Figures{"class": r.Classes, "tenant": r.Tenants}
+	groups := map[string]map[string]oracle.Stats{"class": r.Classes, "tenant": r.Tenants}
 	if kind, name, ok := strings.Cut(metric, ":"); ok {
 		if f, there := groups[kind][name]; there {
 			return f.Service, nil
@@ -133,7 +133,7 @@
 
 // Print writes a table: each side, and how it lies beside the first. Void and
 // partial runs count for nothing; what is left must share scenario and seeds.
-func (s *Sides) Print(w io.Writer, metric string) error {
+func (s *Comparison) Print(w io.Writer, metric string) error {
 	if len(s.names) == 0 {
 		return fmt.Errorf("no records")
 	}
@@ -172,7 +172,7 @@
 	return nil
 }
 
-func (s *Sides) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
+func (s *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
 	var all, first, own []float64
 	for _, seed := range seedsOf(values[name]) {
 		v := values[name][seed]
@@ -183,7 +183,7 @@
 	}
 	broken := 0
 	for _, r := range s.records[name] {
-		broken += r.Broken()
+		broken += r.NumViolations()
 	}
 	if len(all) == 0 {
 		fmt.Fprintf(w, "%s\t0\t\t\t\t%d\n", name, broken)
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -49,7 +49,7 @@
 	}
 	return []picture{
 		{name: "requests", title: "Requests", unit: "a second", lines: []line{
-			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Asked) })},
+			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Requests) })},
 			{"served", orange, of(func(s oracle.Second) float64 { return float64(s.Served) })},
 			{"in time", green, of(func(s oracle.Second) float64 { return float64(s.InTime) })},
 		}},
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -51,10 +51,10 @@
 	fmt.Fprintf(w, "\n%s, decided by %s, seed %d, timeline %s\n%s\n\n", r.Scenario, r.Policy, r.Seed, r.Timeline, Line(r))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\tasked\tserved\tin time\tservice\tp50 ms\tp99 ms")
-	row := func(name string, f oracle.Figures) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\n", name, f.Asked, f.Served, f.InTime, f.Service, f.P50, f.P99)
+	row := func(name string, f oracle.Stats) {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%.3f\t%.1f\t%.1f\n", name, f.Requests, f.Served, f.InTime, f.Service, f.P50, f.P99)
 	}
-	for _, groups := range []map[string]oracle.Figures{r.Classes, r.Tenants} {
+	for _, groups := range []map[string]oracle.Stats{r.Classes, r.Tenants} {
 		for _, name := range slices.Sorted(maps.Keys(groups)) {
 			row(name, groups[name])
 		}
@@ -67,10 +67,10 @@
 			fmt.Fprintf(w, "sidecar %s ENDED BY ITSELF\n", s.Name)
 		}
 	}
-	for _, b := range r.Breaks[:min(10, len(r.Breaks))] {
+	for _, b := range r.Violations[:min(10, len(r.Violations))] {
 		fmt.Fprintf(w, "broken: %s at %v: %s\n", b.Rule, b.At, b.What)
 	}
-	for _, line := range r.Books {
+	for _, line := range r.Mismatches {
 		fmt.Fprintln(w, "books differ:", line)
 	}
 	if r.Partial {
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -14,10 +14,10 @@
 func someRecord(policy string, seed uint64, service float64) *record.Record {
 	return &record.Record{
 		Version: record.Version, Scenario: "calm", Policy: policy, Seed: seed, Service: service,
-		Classes: map[string]oracle.Figures{"look": {Asked: 3, Service: 0.5}}, Tenants: map[string]oracle.Figures{},
-		Rules: map[oracle.Rule]int{oracle.Lost: 2}, Series: []oracle.Second{{Asked: 3, Wanted: 3, Earned: 1}, {}},
-		Breaks:   []oracle.Break{{Rule: oracle.Lost, What: "request <1>: no answer"}},
-		Sidecars: []record.Sidecar{{Name: "s0", Starts: 1, Book: &oracle.Tally{Asked: 3}}},
+		Classes: map[string]oracle.Stats{"look": {Requests: 3, Service: 0.5}}, Tenants: map[string]oracle.Stats{},
+		Rules: map[oracle.Rule]int{oracle.LostRequest: 2}, Series: []oracle.Second{{Requests: 3, Wanted: 3, Earned: 1}, {}},
+		Violations: []oracle.Violation{{Rule: oracle.LostRequest, What: "request <1>: no answer"}},
+		Sidecars:   []record.Sidecar{{Name: "s0", Starts: 1, Tally: &oracle.Tally{Requests: 3}}},
 	}
 }
 
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	back, err := record.Load(filepath.Join(dir, "record.json"))
-	if err != nil || back.Seed != 7 || back.Service != 0.25 || back.Rules[oracle.Lost] != 2 {
+	if err != nil || back.Seed != 7 || back.Service != 0.25 || back.Rules[oracle.LostRequest] != 2 {
 		t.Errorf("read back %+v, %v", back, err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, "report.html"))
@@ -79,7 +79,7 @@
 
 // Sides are paired by seed; what is void counts for nothing.
 func TestCompare(t *testing.T) {
-	s := NewSides()
+	s := NewComparison()
 	for seed, service := range []float64{0.5, 0.6, 0.7} {
 		s.Add("heathgap", someRecord("heathgap", uint64(seed), service))
 		s.Add("random", someRecord("random", uint64(seed), service-0.1))
--- a/internal/lab/scale/acts.go
+++ b/internal/lab/scale/acts.go
@@ -132,7 +132,7 @@
 	at := boot()
 	var err error
 	if h := r.herdOf[members[0]]; h != nil {
-		_, err = h.do(emulated.Command{Do: emulated.Begin, Members: members}, commandTime)
+		_, err = h.do(emulated.Command{Do: emulated.Restart, Members: members}, commandTime)
 	} else {
 		err = r.sidecars[members[0]].start(ctx)
 	}
@@ -188,9 +188,9 @@
 				b.relay.Cut(cut)
 			}
 		}
-		do := emulated.Mend
+		do := emulated.Heal
 		if cut {
-			do = emulated.Cut
+			do = emulated.Partition
 		}
 		var all sync.WaitGroup
 		for _, h := range r.herds {
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/fleet.go
@@ -114,8 +114,8 @@
 	c.mu.Lock()
 	c.proc = proc
 	c.mu.Unlock()
-	if err := proc.WaitUp(ctx, c.listen); err != nil {
-		proc.End(syscall.SIGKILL)
+	if err := proc.WaitReady(ctx, c.listen); err != nil {
+		proc.Signal(syscall.SIGKILL)
 		proc.Wait(killTime)
 		return fmt.Errorf("%s: %w: %s", c.name, err, proc.LastLine())
 	}
@@ -127,14 +127,14 @@
 
 func (c *sidecar) operatorFile(data string) string {
 	s := c.run.s
-	f := harness.CrewFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
+	f := harness.ClusterFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
 		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	for _, k := range c.run.keepers {
 		address := k.address
 		if way := c.relays[k.name]; way != nil {
 			address = way.Address()
 		}
-		f.Keepers = append(f.Keepers, harness.NamedAddress{Name: k.name, Address: address})
+		f.Voters = append(f.Voters, harness.NamedAddress{Name: k.name, Address: address})
 	}
 	return f.Text()
 }
@@ -177,7 +177,7 @@
 	c.up = false
 	c.mu.Unlock()
 	if proc != nil {
-		proc.End(syscall.SIGKILL)
+		proc.Signal(syscall.SIGKILL)
 		proc.Wait(killTime)
 	}
 	if c.line != nil {
@@ -192,7 +192,7 @@
 type herd struct {
 	run     *run
 	name    string
-	members []emulated.Place
+	members []emulated.Peer
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	ready   chan struct{} // closed when all members listen
@@ -201,15 +201,15 @@
 	writing sync.Mutex // guards in
 	mu      sync.Mutex // guards what follows
 	next    int
-	waiting map[int]chan emulated.Line
+	waiting map[int]chan emulated.Output
 	fault   string // what it said is wrong with it
 	ended   bool   // it was told to end
 }
 
 // startHerd starts a process and tells it what to start.
 func (r *run) startHerd(name string, start emulated.Start) (*herd, error) {
-	h := &herd{run: r, name: name, members: start.Members, cmd: r.opts.Hollow(), ready: make(chan struct{}), exited: make(chan struct{}),
-		waiting: map[int]chan emulated.Line{}}
+	h := &herd{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
+		waiting: map[int]chan emulated.Output{}}
 	// As a sidecar of the rig: an interrupt from a terminal is the lab's, and if the lab itself is killed, it dies with it.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var err error
@@ -245,7 +245,7 @@
 	lines := bufio.NewScanner(out)
 	lines.Buffer(make([]byte, 0, 64<<10), mostJSONLine)
 	for lines.Scan() {
-		var l emulated.Line
+		var l emulated.Output
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 			h.fail(fmt.Sprintf("malformed: %v", err))
 			continue
@@ -294,8 +294,8 @@
 }
 
 // do has it do a command, and waits for the answer.
-func (h *herd) do(c emulated.Command, within time.Duration) (emulated.Line, error) {
-	answer := make(chan emulated.Line, 1)
+func (h *herd) do(c emulated.Command, within time.Duration) (emulated.Output, error) {
+	answer := make(chan emulated.Output, 1)
 	h.mu.Lock()
 	h.next++
 	c.ID = h.next
@@ -305,7 +305,7 @@
 	err := json.NewEncoder(h.in).Encode(c)
 	h.writing.Unlock()
 	if err != nil {
-		return emulated.Line{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
+		return emulated.Output{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
 	}
 	timer := time.NewTimer(within)
 	defer timer.Stop()
@@ -316,12 +316,12 @@
 		}
 		return l, nil
 	case <-h.exited:
-		return emulated.Line{}, fmt.Errorf("%s: it has ended", h.name)
+		return emulated.Output{}, fmt.Errorf("%s: it has ended", h.name)
 	case <-timer.C:
 		h.mu.Lock()
 		delete(h.waiting, c.ID)
 		h.mu.Unlock()
-		return emulated.Line{}, fmt.Errorf("%s: %s: no answer after %v", h.name, c.Do, within)
+		return emulated.Output{}, fmt.Errorf("%s: %s: no answer after %v", h.name, c.Do, within)
 	}
 }
 
--- a/internal/lab/scale/growth.go
+++ b/internal/lab/scale/growth.go
@@ -22,8 +22,8 @@
 	OffSquare float64   `json:"square_off_percent,omitempty"`
 }
 
-// Grow fits each figure through runs at several sizes. of is the run at the predicted size; nil for none.
-func Grow(runs []*Record, of *Record) ([]Growth, error) {
+// FitGrowth fits each figure through runs at several sizes. of is the run at the predicted size; nil for none.
+func FitGrowth(runs []*Record, of *Record) ([]Growth, error) {
 	var out []Growth
 	for _, key := range fitted {
 		var g Growth
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -28,10 +28,10 @@
 		!near(c.Predict(580), 2+58+0.003*580*580) {
 		t.Errorf("a square: %+v %v", c, err)
 	}
-	if c.Freedom() != 1 {
+	if c.DegreesOfFreedom() != 1 {
 		t.Error("four points, and three parts: that is no curve through all of any points")
 	}
-	if c, err = fit.Quadratic(n[:3], square[:3]); err != nil || c.Freedom() != 0 {
+	if c, err = fit.Quadratic(n[:3], square[:3]); err != nil || c.DegreesOfFreedom() != 0 {
 		t.Errorf("three points and three parts: %+v %v", c, err)
 	}
 	// A line through a square is off, and says so.
@@ -52,7 +52,7 @@
 	at := func(size int, cpu float64) *Record {
 		return &Record{Size: size, Figures: []Figure{{Key: "leader_cpu_mean", What: "the leader", Value: cpu}, {Key: "in_force_p99", Not: true}}}
 	}
-	grown, err := Grow([]*Record{at(60, 7), at(120, 13), at(240, 25)}, at(580, 118))
+	grown, err := FitGrowth([]*Record{at(60, 7), at(120, 13), at(240, 25)}, at(580, 118))
 	if err != nil || len(grown) != 1 {
 		t.Fatalf("%+v %v", grown, err)
 	}
@@ -61,11 +61,11 @@
 		t.Errorf("%+v", g)
 	}
 	var text strings.Builder
-	if TextOf(&text, grown); !strings.Contains(text.String(), "predicted at 580: 59") || !strings.Contains(text.String(), "(-50.0 %)") ||
+	if WriteGrowth(&text, grown); !strings.Contains(text.String(), "predicted at 580: 59") || !strings.Contains(text.String(), "(-50.0 %)") ||
 		!strings.Contains(text.String(), "measured 118") || !strings.Contains(text.String(), "through all of 3 points") {
 		t.Error(text.String())
 	}
-	if _, err := Grow([]*Record{at(60, 7), at(120, 13)}, nil); err == nil {
+	if _, err := FitGrowth([]*Record{at(60, 7), at(120, 13)}, nil); err == nil {
 		t.Error("a square through two sizes")
 	}
 }
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -15,17 +15,17 @@
 // Observed is what was seen of a run: all that Judge rests on. Times are of CLOCK_BOOTTIME.
 type Observed struct {
 	Plan         *Plan
-	Began, Ended time.Duration                // of what counts: all held a lease before
-	Stances      map[string][]emulated.Stance // by member, in the order of their times
-	Downs        map[string][]Span            // by member: it did not run
+	Began, Ended time.Duration                     // of what counts: all held a lease before
+	Stances      map[string][]emulated.MemberState // by member, in the order of their times
+	Downs        map[string][]Span                 // by member: it did not run
 	Cuts         []CutSpan
 	Versions     []Told
 	Left         int // versions that were to be proposed, and were not by the end
 	Leaders      []Led
-	Samples      map[string][]emulated.Sampled // by hollow process, in the order of their times
-	Usage        map[string][]Usage            // by keeper, real sidecar and plain one, likewise
-	Late         map[string]time.Duration      // by how much the run's own load was late, at most
-	Asked        int                           // requests of the real sidecars' load
+	Samples      map[string][]emulated.Usage // by hollow process, in the order of their times
+	Usage        map[string][]Usage          // by keeper, real sidecar and plain one, likewise
+	Late         map[string]time.Duration    // by how much the run's own load was late, at most
+	Asked        int                         // requests of the real sidecars' load
 	Served       int
 	Broken       []string // what must not be, such as a process that ended by itself
 	Partial      bool     // it was interrupted
@@ -159,8 +159,8 @@
 	LeaderCPU float64 `json:"leader_cpu_percent"`
 }
 
-// Good tells whether the run counts and held to its limits.
-func (r *Record) Good() bool {
+// Passed tells whether the run counts and held to its limits.
+func (r *Record) Passed() bool {
 	return len(r.Void) == 0 && !r.Partial && len(r.Broken) == 0 && !slices.ContainsFunc(r.Figures, func(f Figure) bool { return f.Violated })
 }
 
@@ -237,14 +237,14 @@
 	times = slices.Compact(times)
 	var out []piece
 	next := 0
-	last := emulated.Stance{Cautious: true}
+	last := emulated.MemberState{Cautious: true}
 	for i, from := range times {
 		for ; next < len(o.Stances[name]) && o.Stances[name][next].At <= from; next++ {
 			last = o.Stances[name][next]
 		}
 		for _, d := range o.Downs[name] {
 			if d.To == from && last.At < from { // a new process has no lease
-				last = emulated.Stance{At: from, Cautious: true, Active: last.Active}
+				last = emulated.MemberState{At: from, Cautious: true, Active: last.Active}
 			}
 		}
 		if from < o.Began || from >= o.Ended || i+1 == len(times) {
@@ -576,24 +576,24 @@
 			descriptors, goroutines = max(descriptors, one.Descriptors), max(goroutines, one.Goroutines)
 		}
 		for name := range samples[len(samples)-1].Members {
-			of := func(read func(emulated.Spent) int64) func(i int) float64 {
+			of := func(read func(emulated.MemberUsage) int64) func(i int) float64 {
 				return func(i int) float64 { return float64(read(samples[i].Members[name])) }
 			}
-			points := rising(len(samples), at, of(func(s emulated.Spent) int64 { return s.In + s.Out }), same)
+			points := rising(len(samples), at, of(func(s emulated.MemberUsage) int64 { return s.In + s.Out }), same)
 			most, mean := worst(points)
 			members++
 			bytes += mean
 			if most > bytesWorst {
 				bytesWorst, bytesWho = most, name
 			}
-			last := func(read func(emulated.Spent) int64) float64 {
+			last := func(read func(emulated.MemberUsage) int64) float64 {
 				p := rising(len(samples), at, of(read), same)
 				return p[len(p)-1].value
 			}
-			made := last(func(s emulated.Spent) int64 { return s.Renewals })
-			refused += last(func(s emulated.Spent) int64 { return s.Refused })
-			asked += last(func(s emulated.Spent) int64 { return s.Asked })
-			denied += last(func(s emulated.Spent) int64 { return s.Denied })
+			made := last(func(s emulated.MemberUsage) int64 { return s.Renewals })
+			refused += last(func(s emulated.MemberUsage) int64 { return s.Refused })
+			asked += last(func(s emulated.MemberUsage) int64 { return s.KeyedRequests })
+			denied += last(func(s emulated.MemberUsage) int64 { return s.KeyedRefused })
 			ran := j.upFor(name, samples[0].At, samples[len(samples)-1].At).Seconds()
 			renewals, up = renewals+made, up+ran
 			if ran > j.s.Lease.Seconds() { // else its start is most of it
@@ -602,7 +602,7 @@
 					mostRenewals, renewalsWho = one, name
 				}
 			}
-			said := last(func(s emulated.Spent) int64 { return s.ToKeeper + s.OfKeeper })
+			said := last(func(s emulated.MemberUsage) int64 { return s.ToVoters + s.FromVoters })
 			if keeperBytes += said; made > 0 && said/made > eachBytes {
 				eachBytes, eachWho = said/made, name
 			}
@@ -642,7 +642,7 @@
 	return sum
 }
 
-func (j *judge) within(all []emulated.Sampled) (out []emulated.Sampled) {
+func (j *judge) within(all []emulated.Usage) (out []emulated.Usage) {
 	for _, s := range all {
 		if s.At >= j.o.Began && s.At <= j.o.Ended {
 			out = append(out, s)
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -37,7 +37,7 @@
 // seen is a run of 30 s in which all went well: two versions, told at 5 and 15 s, in force a second later. Its begin is at 1,000 s.
 type seen struct {
 	*Observed
-	spent map[string]emulated.Spent // of each hollow member, in a second
+	spent map[string]emulated.MemberUsage // of each hollow member, in a second
 	cpu   map[string]time.Duration
 }
 
@@ -48,9 +48,9 @@
 func wellGone(t *testing.T) *seen {
 	t.Helper()
 	s := parse(t, judged)
-	o := &seen{Observed: &Observed{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), Stances: map[string][]emulated.Stance{}, Downs: map[string][]Span{},
-		Samples: map[string][]emulated.Sampled{}, Usage: map[string][]Usage{}, Late: map[string]time.Duration{"this process": 30 * time.Millisecond},
-		Leaders: []Led{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.Spent{}, cpu: map[string]time.Duration{}}
+	o := &seen{Observed: &Observed{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{},
+		Samples: map[string][]emulated.Usage{}, Usage: map[string][]Usage{}, Late: map[string]time.Duration{"this process": 30 * time.Millisecond},
+		Leaders: []Led{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.MemberUsage{}, cpu: map[string]time.Duration{}}
 	o.Versions = []Told{{Number: 1, Due: at(4.9), Told: at(5)}, {Number: 2, Due: at(15), Told: at(15)}}
 	for name := range o.Plan.Places {
 		o.acts(name, -3, 0, 0)
@@ -59,7 +59,7 @@
 		o.acts(name, 15.6, 1, 2)
 		o.acts(name, 16, 2, 0)
 		if strings.HasPrefix(name, "h") {
-			o.spent[name] = emulated.Spent{In: 4000, Out: 3000, ToKeeper: 1600, OfKeeper: 1200, Renewals: 4, Asked: 1}
+			o.spent[name] = emulated.MemberUsage{In: 4000, Out: 3000, ToVoters: 1600, FromVoters: 1200, Renewals: 4, KeyedRequests: 1}
 		}
 	}
 	for _, name := range []string{"k1", "k2", "k3", "m1", "p1"} {
@@ -72,13 +72,13 @@
 
 // acts adds a stance.
 func (o *seen) acts(name string, seconds float64, active, next uint64) {
-	o.Stances[name] = append(o.Stances[name], emulated.Stance{At: at(seconds), Member: name, Active: active, Next: next})
+	o.Stances[name] = append(o.Stances[name], emulated.MemberState{At: at(seconds), Member: name, Active: active, Next: next})
 }
 
 // becomes has a member be something from a time on, in place of what was there.
-func (o *seen) becomes(name string, seconds float64, s emulated.Stance) {
+func (o *seen) becomes(name string, seconds float64, s emulated.MemberState) {
 	s.At, s.Member = at(seconds), name
-	o.Stances[name] = append(slices.DeleteFunc(o.Stances[name], func(old emulated.Stance) bool { return old.At >= s.At }), s)
+	o.Stances[name] = append(slices.DeleteFunc(o.Stances[name], func(old emulated.MemberState) bool { return old.At >= s.At }), s)
 }
 
 // judge adds the costs, each second, and judges.
@@ -94,11 +94,11 @@
 				o.Usage[p.Name] = append(o.Usage[p.Name], u)
 				continue
 			}
-			s := emulated.Sampled{At: at(float64(second)), CPU: time.Duration(second) * o.cpu[p.Name], RSSBytes: 30 << 20, Members: map[string]emulated.Spent{}}
+			s := emulated.Usage{At: at(float64(second)), CPU: time.Duration(second) * o.cpu[p.Name], RSSBytes: 30 << 20, Members: map[string]emulated.MemberUsage{}}
 			for _, m := range p.Members {
 				one, n := o.spent[m], int64(second)
-				s.Members[m] = emulated.Spent{In: n * one.In, Out: n * one.Out, ToKeeper: n * one.ToKeeper, OfKeeper: n * one.OfKeeper,
-					Renewals: n * one.Renewals, Asked: n * one.Asked, Denied: n * one.Denied}
+				s.Members[m] = emulated.MemberUsage{In: n * one.In, Out: n * one.Out, ToVoters: n * one.ToVoters, FromVoters: n * one.FromVoters,
+					Renewals: n * one.Renewals, KeyedRequests: n * one.KeyedRequests, KeyedRefused: n * one.KeyedRefused}
 			}
 			o.Samples[p.Name] = append(o.Samples[p.Name], s)
 		}
@@ -117,7 +117,7 @@
 
 func TestJudgeOfWhatWentWell(t *testing.T) {
 	r := wellGone(t).judge()
-	if !r.Good() {
+	if !r.Passed() {
 		t.Fatalf("%v, void %v, broken %v", violated(r), r.Void, r.Broken)
 	}
 	for key, want := range map[string]float64{
@@ -138,7 +138,7 @@
 		t.Errorf("%d seconds, the tenth %+v", len(r.Series), r.Series[10])
 	}
 	var text strings.Builder
-	if r.Text(&text); !strings.Contains(text.String(), "all limits hold") {
+	if r.WriteText(&text); !strings.Contains(text.String(), "all limits hold") {
 		t.Error(text.String())
 	}
 	for name, p := range r.plots() {
@@ -156,17 +156,17 @@
 		who   string
 	}{
 		"a member that does not heed": {func(o *seen) {
-			o.becomes("h3", 15.6, emulated.Stance{Active: 1})
+			o.becomes("h3", 15.6, emulated.MemberState{Active: 1})
 		}, []string{"contradicted", "in_force_never"}, "h3"},
 		"a member that heeds late": {func(o *seen) {
-			o.becomes("h3", 15.6, emulated.Stance{Active: 1, Next: 2})
+			o.becomes("h3", 15.6, emulated.MemberState{Active: 1, Next: 2})
 			o.acts("h3", 19.1, 2, 0)
 		}, []string{"in_force_most", "in_force_p99"}, "h3"},
 		"a member that asks at twice the rate": {func(o *seen) {
-			o.spent["h2"] = emulated.Spent{In: 8000, Out: 6000, ToKeeper: 3200, OfKeeper: 2400, Renewals: 8, Asked: 1}
+			o.spent["h2"] = emulated.MemberUsage{In: 8000, Out: 6000, ToVoters: 3200, FromVoters: 2400, Renewals: 8, KeyedRequests: 1}
 		}, []string{"renewals_above", "renewals_most"}, "h2"},
 		"a member that is sent all each time": {func(o *seen) {
-			o.spent["h5"] = emulated.Spent{In: 40000, Out: 3000, ToKeeper: 1600, OfKeeper: 37200, Renewals: 4, Asked: 1}
+			o.spent["h5"] = emulated.MemberUsage{In: 40000, Out: 3000, ToVoters: 1600, FromVoters: 37200, Renewals: 4, KeyedRequests: 1}
 		}, []string{"member_bytes_worst", "renewal_bytes"}, "h5"},
 		"a leader whose answers are 200 ms late": {func(o *seen) {
 			for m, one := range o.spent {
@@ -184,25 +184,25 @@
 		"a leader that costs too much": {func(o *seen) { o.cpu["k1"] = 600 * time.Millisecond }, []string{"keeper_cpu_worst"}, "k1"},
 		"requests that are refused": {func(o *seen) {
 			one := o.spent["h1"]
-			one.Denied = 1
+			one.KeyedRefused = 1
 			o.spent["h1"] = one
 		}, []string{"refusals"}, ""},
 		"a member without a lease": {func(o *seen) {
-			o.becomes("h4", 20, emulated.Stance{Active: 2, Cautious: true})
+			o.becomes("h4", 20, emulated.MemberState{Active: 2, Cautious: true})
 			o.acts("h4", 23.5, 2, 0)
 		}, []string{"cautious_most"}, "h4"},
 		"a member that is never heard of again as leased": {func(o *seen) {
-			o.becomes("h4", 14, emulated.Stance{Active: 1, Cautious: true})
+			o.becomes("h4", 14, emulated.MemberState{Active: 1, Cautious: true})
 		}, []string{"cautious_most"}, "h4"},
 		"a version that is refused": {func(o *seen) {
 			o.Versions[1].Refused = "h1: looser than its own"
 			for m := range o.Stances {
-				o.becomes(m, 15.6, emulated.Stance{Active: 1})
+				o.becomes(m, 15.6, emulated.MemberState{Active: 1})
 			}
 		}, []string{"versions_refused"}, "h1: looser than its own"},
 		"a version that nobody could propose": {func(o *seen) { o.Left = 1 }, []string{"versions_left"}, ""},
 		"memory": {func(o *seen) {
-			o.Samples["hollow1"] = []emulated.Sampled{{At: at(0), RSSBytes: 100 << 20}}
+			o.Samples["hollow1"] = []emulated.Usage{{At: at(0), RSSBytes: 100 << 20}}
 		}, []string{"member_mb"}, "hollow1"},
 		"nothing measured of the keepers": {func(o *seen) {
 			for _, name := range []string{"k1", "k2", "k3"} {
@@ -218,14 +218,14 @@
 			r := o.judge()
 			got := violated(r)
 			slices.Sort(got)
-			if !slices.Equal(got, c.want) || r.Good() {
+			if !slices.Equal(got, c.want) || r.Passed() {
 				t.Errorf("caught by %v, not by %v", got, c.want)
 			}
 			if who := r.Figure(c.want[0]).Who; c.who != "" && who != c.who {
 				t.Errorf("%s names %q", c.want[0], who)
 			}
 			var text strings.Builder
-			if r.Text(&text); !strings.Contains(text.String(), "\n! ") || strings.Contains(text.String(), "all limits hold") {
+			if r.WriteText(&text); !strings.Contains(text.String(), "\n! ") || strings.Contains(text.String(), "all limits hold") {
 				t.Error(text.String())
 			}
 		})
@@ -234,30 +234,30 @@
 
 // Who is lost, or comes back, holds up a version only by what it acts on.
 func TestJudgeOfWhoIsLost(t *testing.T) {
-	cautious := emulated.Stance{Active: 1, Cautious: true}
+	cautious := emulated.MemberState{Active: 1, Cautious: true}
 	for name, c := range map[string]struct {
 		plant   func(o *seen)
 		inForce float64
 		never   float64
 	}{
 		"killed before it acts on it": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.Stance{Active: 1, Gone: true})
+			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downs["h1"] = []Span{{at(15.2), never}}
 		}, 1000, 0},
 		"killed, and back without having acted on the older": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.Stance{Active: 1, Gone: true})
+			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downs["h1"] = []Span{{at(15.2), at(18)}}
-			o.Stances["h1"] = append(o.Stances["h1"], emulated.Stance{At: at(18.01), Member: "h1", Cautious: true})
+			o.Stances["h1"] = append(o.Stances["h1"], emulated.MemberState{At: at(18.01), Member: "h1", Cautious: true})
 			o.acts("h1", 18.5, 2, 0)
 		}, 1000, 0},
 		"killed, and back on the older": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.Stance{Active: 1, Gone: true})
+			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downs["h1"] = []Span{{at(15.2), at(15.5)}}
 			o.acts("h1", 15.8, 1, 0)
 			o.acts("h1", 17, 2, 0)
 		}, 2000, 0},
 		"back on the older, and there it stays": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.Stance{Active: 1, Gone: true})
+			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downs["h1"] = []Span{{at(15.2), at(18)}}
 			o.acts("h1", 18.5, 1, 0)
 		}, 1000, 1},
@@ -294,19 +294,19 @@
 		for name, place := range o.Plan.Places {
 			if strings.HasPrefix(name, "k") && len(o.Stances[name]) == 0 {
 				for _, st := range o.Stances["k1"] {
-					o.Stances[name] = append(o.Stances[name], emulated.Stance{At: st.At, Member: name, Active: st.Active, Next: st.Next})
+					o.Stances[name] = append(o.Stances[name], emulated.MemberState{At: st.At, Member: name, Active: st.Active, Next: st.Next})
 				}
 				o.cpu[name] = time.Millisecond
 			}
 			if place.Region == "south" {
-				o.becomes(name, 15.5, emulated.Stance{Active: 1, Cautious: true}) // its lease has ended
+				o.becomes(name, 15.5, emulated.MemberState{Active: 1, Cautious: true}) // its lease has ended
 				o.acts(name, 24.4, 2, 0)
 			}
 		}
 		return o
 	}
 	r := build().judge()
-	if !r.Good() {
+	if !r.Passed() {
 		t.Errorf("%v", violated(r))
 	}
 	for key, want := range map[string]float64{
@@ -327,7 +327,7 @@
 	}
 	// The majority's side is held to its lease.
 	o := build()
-	o.becomes("h1", 15.5, emulated.Stance{Active: 1, Cautious: true})
+	o.becomes("h1", 15.5, emulated.MemberState{Active: 1, Cautious: true})
 	o.acts("h1", 24.4, 2, 0)
 	if o.Plan.Places["h1"].Region != "north" {
 		t.Fatal(o.Plan.Places["h1"])
@@ -343,7 +343,7 @@
 			south1 = name
 		}
 	}
-	o.becomes(south1, 15.5, emulated.Stance{Active: 1})
+	o.becomes(south1, 15.5, emulated.MemberState{Active: 1})
 	o.acts(south1, 24.4, 2, 0)
 	r = o.judge()
 	if f := r.Figure("contradicted"); !f.Violated || f.Who != south1 || f.Value < 8399 || f.Value > 8401 {
@@ -361,8 +361,8 @@
 		plant(o)
 		r := o.judge()
 		var text strings.Builder
-		r.Text(&text)
-		if r.Good() || strings.Contains(text.String(), "all limits hold") {
+		r.WriteText(&text)
+		if r.Passed() || strings.Contains(text.String(), "all limits hold") {
 			t.Errorf("%s: it counts\n%s", name, text.String())
 		}
 		if len(violated(r)) > 0 {
@@ -409,7 +409,7 @@
 	a, b := wellGone(t).judge(), wellGone(t)
 	b.cpu["k1"] = 600 * time.Millisecond
 	var text strings.Builder
-	Spread(&text, []*Record{a, b.judge()})
+	WriteSpread(&text, []*Record{a, b.judge()})
 	for _, want := range []string{"2 runs", "20.0         20.0         60.0 %  (limit 50, violated in 1)"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is not in:\n%s", want, text.String())
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -12,8 +12,8 @@
 	"heathgap/internal/lab/report"
 )
 
-// Text writes a record for people: each figure beside its limit.
-func (r *Record) Text(o io.Writer) {
+// WriteText writes a record for people: each figure beside its limit.
+func (r *Record) WriteText(o io.Writer) {
 	fmt.Fprintf(o, "%s, seed %d: %d sidecars (%d keepers, %d real, %d hollow), %.1f s, "+
 		"on %d cores with %d MB (%s), load average %s before and %s after\n",
 		r.Scenario, r.Seed, r.Size, r.Keepers, r.Real, r.Hollow, r.Seconds, r.Machine.Cores, r.Machine.MemoryMB, r.Machine.Go,
@@ -54,7 +54,7 @@
 		fmt.Fprintln(o, "PARTIAL: it was interrupted")
 	}
 	switch {
-	case r.Good():
+	case r.Passed():
 		fmt.Fprintln(o, "all limits hold")
 	case len(r.Void) == 0 && !r.Partial:
 		fmt.Fprintln(o, "NOT GOOD: violated limits are marked with !")
@@ -159,8 +159,8 @@
 	}
 }
 
-// Spread writes the minimum, median and maximum of each figure over several runs.
-func Spread(o io.Writer, runs []*Record) {
+// WriteSpread writes the minimum, median and maximum of each figure over several runs.
+func WriteSpread(o io.Writer, runs []*Record) {
 	fmt.Fprintf(o, "%d runs: minimum, median, maximum\n", len(runs))
 	for _, first := range runs[0].Figures {
 		var values []float64
@@ -191,8 +191,8 @@
 	}
 }
 
-// TextOf writes how figures grow.
-func TextOf(o io.Writer, grown []Growth) {
+// WriteGrowth writes how figures grow.
+func WriteGrowth(o io.Writer, grown []Growth) {
 	for _, g := range grown {
 		fmt.Fprintf(o, "%s (%s): %s\n", g.Key, g.Unit, strings.TrimSpace(g.What))
 		for i, n := range g.Sizes {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -50,7 +50,7 @@
 type Options struct {
 	Member   func() *exec.Cmd // a command that runs a sidecar as a member of a crew
 	Plain    func() *exec.Cmd // likewise without a crew
-	Hollow   func() *exec.Cmd // a command that runs a process of hollow members
+	Emulated func() *exec.Cmd // a command that runs a process of hollow members
 	LogDir   string           // for the processes' logs; empty for none
 	Progress func(line string)
 
@@ -81,7 +81,7 @@
 
 	mu       sync.Mutex // guards what follows
 	obs      Observed
-	last     map[string]emulated.Stance // of each member
+	last     map[string]emulated.MemberState // of each member
 	leader   string
 	term     uint64
 	active   uint64
@@ -139,9 +139,9 @@
 	defer os.RemoveAll(dir)
 	r := &run{
 		s: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, herdOf: map[string]*herd{},
-		fronts: map[string]*harness.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]emulated.Stance{}, refused: map[uint64]string{},
+		fronts: map[string]*harness.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]emulated.MemberState{}, refused: map[uint64]string{},
 	}
-	r.obs = Observed{Plan: plan, Stances: map[string][]emulated.Stance{}, Downs: map[string][]Span{}, Samples: map[string][]emulated.Sampled{},
+	r.obs = Observed{Plan: plan, Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{}, Samples: map[string][]emulated.Usage{},
 		Usage: map[string][]Usage{}, Late: map[string]time.Duration{}}
 	defer r.close()
 	started := time.Now()
@@ -162,7 +162,7 @@
 	}
 	slices.SortStableFunc(o.Leaders, func(a, b Led) int { return int(a.At - b.At) })
 	for _, stances := range o.Stances {
-		slices.SortStableFunc(stances, func(a, b emulated.Stance) int { return int(a.At - b.At) })
+		slices.SortStableFunc(stances, func(a, b emulated.MemberState) int { return int(a.At - b.At) })
 	}
 	return r, nil
 }
@@ -234,7 +234,7 @@
 }
 
 // stance books what a member acts on.
-func (r *run) stance(s emulated.Stance) {
+func (r *run) stance(s emulated.MemberState) {
 	r.mu.Lock()
 	r.obs.Stances[s.Member] = append(r.obs.Stances[s.Member], s)
 	r.last[s.Member] = s
@@ -267,7 +267,7 @@
 	}
 	at := boot() - time.Since(line.Time)
 	if line.Message == lineStance {
-		r.stance(emulated.Stance{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
+		r.stance(emulated.MemberState{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
 		return
 	}
 	r.mu.Lock()
@@ -462,14 +462,14 @@
 // startHerds starts the hollow processes one after another: each comes in before the next is started.
 func (r *run) startHerds(ctx context.Context) error {
 	start := emulated.Start{
-		Crew: r.s.Name, Lease: r.s.Lease, Drift: r.s.Drift, Slack: r.s.Slack, ContradictAtMost: r.s.ContradictAtMost,
+		Cluster: r.s.Name, Lease: r.s.Lease, Drift: r.s.Drift, Slack: r.s.Slack, ContradictAtMost: r.s.ContradictAtMost,
 		FixedClasses: []string{harness.LoadClass}, Copies: r.s.Copies, Keep: r.s.Keep, LostAfter: r.s.LostAfter,
-		Regions: map[string]string{}, RegionDelay: r.s.RegionDelay, Orders: r.s.Orders, OrderTakes: r.s.OrderTakes, Seed: r.plan.Seed,
+		Regions: map[string]string{}, RegionDelay: r.s.RegionDelay, KeyedRate: r.s.Orders, KeyedDuration: r.s.OrderTakes, Seed: r.plan.Seed,
 	}
-	place := func(name, address string) emulated.Place {
+	place := func(name, address string) emulated.Peer {
 		at := r.plan.Places[name]
 		start.Regions[address] = at.Region
-		return emulated.Place{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
+		return emulated.Peer{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
 	}
 	for _, c := range r.sidecars {
 		if c.kind != PlainProcess {
@@ -481,9 +481,9 @@
 		if front := r.fronts[k.name]; front != nil {
 			address = front.Address()
 		}
-		start.Keepers = append(start.Keepers, place(k.name, address))
+		start.Voters = append(start.Voters, place(k.name, address))
 	}
-	groups := map[string][]emulated.Place{}
+	groups := map[string][]emulated.Peer{}
 	var names []string
 	for _, p := range r.plan.Processes {
 		if p.Kind != HollowProcess {
@@ -504,13 +504,13 @@
 	}
 	for i, name := range names {
 		one := start
-		one.Members, one.Planted = groups[name], map[string]emulated.Fault{}
+		one.Members, one.Faults = groups[name], map[string]emulated.Fault{}
 		var members []string
 		for _, m := range one.Members {
 			members = append(members, m.Name)
 			for _, p := range r.s.Planted {
 				if p.Who == m.Name {
-					one.Planted[p.Who] = p.Fault
+					one.Faults[p.Who] = p.Fault
 				}
 			}
 		}
@@ -818,9 +818,9 @@
 	c.run.mu.Lock()
 	c.run.noLeader(c.name, from)
 	c.run.mu.Unlock()
-	proc.End(s)
+	proc.Signal(s)
 	if !proc.Wait(most) {
-		proc.End(syscall.SIGKILL)
+		proc.Signal(syscall.SIGKILL)
 		proc.Wait(killTime)
 	}
 	if s != syscall.SIGKILL {
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -45,7 +45,7 @@
 			return cmd
 		}
 	}
-	return Options{Member: as("member"), Plain: as("plain"), Hollow: as("hollow"), LogDir: t.TempDir(),
+	return Options{Member: as("member"), Plain: as("plain"), Emulated: as("hollow"), LogDir: t.TempDir(),
 		Progress: func(line string) { t.Log(line) }}
 }
 
@@ -105,7 +105,7 @@
 			t.Errorf("%s: broken %v, void %v", name, rec.Broken, rec.Void)
 		}
 		var text strings.Builder
-		rec.Text(&text)
+		rec.WriteText(&text)
 		t.Logf("%s: %s", name, text.String())
 		return rec
 	}
@@ -132,7 +132,7 @@
 	sound.Plan.Scene.Limits.LeastRenewals = 0
 	sound.Versions = nil // judged over the whole run
 	rec := judged("the others", sound)
-	if !rec.Good() {
+	if !rec.Passed() {
 		t.Errorf("the others violate %v", violated(rec))
 	}
 	for _, key := range []string{"renewals_above", "renewal_bytes", "renewals_mean", "keeper_cpu_worst", "real_cpu_mean"} {
@@ -168,7 +168,7 @@
 	out := o
 	plan, scene := *o.Plan, *o.Plan.Scene
 	plan.Scene = &scene
-	out.Plan, plan.Places, out.Samples = &plan, maps.Clone(plan.Places), map[string][]emulated.Sampled{}
+	out.Plan, plan.Places, out.Samples = &plan, maps.Clone(plan.Places), map[string][]emulated.Usage{}
 	for _, name := range names {
 		delete(plan.Places, name)
 	}
@@ -202,8 +202,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !r.Partial || r.Good() {
-		t.Errorf("partial %v, good %v", r.Partial, r.Good())
+	if !r.Partial || r.Passed() {
+		t.Errorf("partial %v, good %v", r.Partial, r.Passed())
 	}
 	if len(pids) != 4 {
 		t.Errorf("started %v", pids)
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -191,7 +191,7 @@
 		p.Need("fault", "unheeding, hasty, forgetful")
 		one := Planted{
 			Who:   p.Text("who", "h1"),
-			Fault: emulated.Fault(p.Enum("fault", string(emulated.Unheeding), string(emulated.Unheeding), string(emulated.Hasty), string(emulated.Forgetful))),
+			Fault: emulated.Fault(p.Enum("fault", string(emulated.IgnoresVersions), string(emulated.IgnoresVersions), string(emulated.RenewsTooOften), string(emulated.LosesState))),
 		}
 		if p.Has("who") && !slices.Contains(s.hollowNames(), one.Who) {
 			p.Fail("who", fmt.Sprintf("%q", one.Who), fmt.Sprintf("a hollow member, h1 to h%d", s.Hollow))
@@ -374,9 +374,9 @@
 // Size is how many sidecars the crew has, keepers too.
 func (s *Scenario) Size() int { return s.Keepers + s.Real + s.Hollow }
 
-// Sized returns the scenario with so many sidecars, by more or fewer hollow ones, and without limits. Counts of steps stay, and
+// WithSize returns the scenario with so many sidecars, by more or fewer hollow ones, and without limits. Counts of steps stay, and
 // are of fewer where there are no more.
-func (s *Scenario) Sized(size int) (*Scenario, error) {
+func (s *Scenario) WithSize(size int) (*Scenario, error) {
 	out := *s
 	if out.Hollow = size - s.Keepers - s.Real; out.Hollow < 1 || out.Hollow > mostHollow {
 		return nil, fmt.Errorf("%d sidecars, of which %d are real; allowed: %d to %d", size, s.Keepers+s.Real,
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -133,11 +133,11 @@
 	if s.Size() != 63 || s.Lease != 2*time.Second || len(s.zones()) != 3 || s.MostLag != 250*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
-	sized, err := s.Sized(120)
+	sized, err := s.WithSize(120)
 	if err != nil || sized.Hollow != 117 || sized.Size() != 120 || s.Hollow != 60 {
 		t.Errorf("%d hollow ones, before %d: %v", sized.Hollow, s.Hollow, err)
 	}
-	if _, err := s.Sized(3); err == nil {
+	if _, err := s.WithSize(3); err == nil {
 		t.Error("3 sidecars, and 3 of them keepers")
 	}
 }
--- a/internal/lab/scenario/crew_test.go
+++ b/internal/lab/scenario/cluster_test.go
@@ -13,12 +13,12 @@
 		t.Fatalf("%q, %v", paths, err)
 	}
 	for _, path := range paths {
-		if _, err := LoadCrew(path); err != nil {
+		if _, err := LoadCluster(path); err != nil {
 			t.Error(err)
 		}
 	}
 	for who, good := range map[string]bool{"leader": true, "all": true, "k3": true, "m2": true, "k4": false, "m0": false, "m3": false, "m1x": false, "nobody": false} {
-		_, err := ParseCrew("f.toml", []byte("name = \"x\"\n[[step]]\ndo = \"kill\"\nwho = \""+who+"\"\n"))
+		_, err := ParseCluster("f.toml", []byte("name = \"x\"\n[[step]]\ndo = \"kill\"\nwho = \""+who+"\"\n"))
 		if (err == nil) != good || err != nil && !strings.Contains(err.Error(), "k1 to k3, m1 to m2") {
 			t.Errorf("%s: %v", who, err)
 		}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -14,9 +14,9 @@
 	"heathgap/internal/tomlread"
 )
 
-// MostRate bounds the load, in requests a second: beyond it this lab has not been
+// MaxRate bounds the load, in requests a second: beyond it this lab has not been
 // shown to keep its own lag small (docs/results.md).
-const MostRate = 6000
+const MaxRate = 6000
 
 // Bounds that keep a run within one machine's descriptors and ports.
 const (
@@ -44,14 +44,14 @@
 	Load     Load
 	Faults   []Fault
 	Margin   time.Duration // of the book's limits in time
-	MostLag  time.Duration // a run whose own p99 lag is above it is void
+	MaxLag   time.Duration // a run whose own p99 lag is above it is void
 	Notice   time.Duration // until the front notices that a sidecar has died
 }
 
 // Rules are the figures of the rules, as sidecars are told them.
 type Rules struct {
-	AnswerSlack, AskEvery, ToldAfter, Cold, DrainGrace, OverloadFor time.Duration
-	ColdFrom, FallMultiple                                          float64
+	AnswerSlack, AskEvery, DeliveredAfter, Cold, DrainGrace, OverloadFor time.Duration
+	ColdFrom, FallMultiple                                               float64
 }
 
 // Limits are those of sidecars.
@@ -68,7 +68,7 @@
 	Sidecars    int // of the first tier; those of others belong to the endpoints before them
 	Zones       []string
 	Groups      int // endpoints are dealt out over so many groups of keys
-	Station     servermodel.Conf
+	ServerModel servermodel.Conf
 	WorkScale   float64 // of the classes' work
 	Connections int
 	Handshake   time.Duration
@@ -100,12 +100,12 @@
 
 // Load is what clients do.
 type Load struct {
-	Rate   float64
-	Shape  load.Shape
-	Low    float64
-	Period time.Duration
-	Habits load.Habits
-	Rude   float64 // bad clients a second
+	Rate          float64
+	Shape         load.Shape
+	Low           float64
+	Period        time.Duration
+	Behavior      load.ClientBehavior
+	MalformedRate float64 // bad clients a second
 }
 
 // Kind is a kind of fault.
@@ -113,33 +113,33 @@
 
 // The kinds.
 const (
-	Crash          Kind = "crash"           // endpoints die, and return after For at the same address
-	Replace        Kind = "replace"         // endpoints die, and others come after For under new names
-	Pause          Kind = "pause"           // endpoints stop working
-	Slow           Kind = "slow"            // endpoints work at Factor of their speed
-	Errors         Kind = "errors"          // endpoints fail Share of their requests at once
-	Hang           Kind = "hang"            // endpoints take requests and never answer
-	Silent         Kind = "silent"          // endpoints' machines are cut off
-	Refuse         Kind = "refuse"          // endpoints turn all away
-	Half           Kind = "half"            // endpoints break off within answers
-	Garbage        Kind = "garbage"         // endpoints answer with nonsense
-	Surplus        Kind = "surplus"         // endpoints send more than their answers
-	Drain          Kind = "drain"           // endpoints drain, and leave after For
-	Release        Kind = "release"         // the tier is replaced, Share of it at a time, each drained for For
-	Add            Kind = "add"             // Count cold endpoints join
-	SidecarKill    Kind = "sidecar_kill"    // sidecars are killed and start again after For
-	SidecarRestart Kind = "sidecar_restart" // sidecars get SIGTERM, end, and start again after For
-	DiscoveryDown  Kind = "discovery_down"
-	DiscoveryLag   Kind = "discovery_lag"     // Lag before each answer
-	DiscoveryCrowd Kind = "discovery_crowded" // each new call is refused after Lag: there are too many callers
-	Flood          Kind = "flood"             // Factor times the requests of Tenant, or of all
+	Crash             Kind = "crash"           // endpoints die, and return after For at the same address
+	Replace           Kind = "replace"         // endpoints die, and others come after For under new names
+	Pause             Kind = "pause"           // endpoints stop working
+	Slow              Kind = "slow"            // endpoints work at Factor of their speed
+	Errors            Kind = "errors"          // endpoints fail Share of their requests at once
+	Hang              Kind = "hang"            // endpoints take requests and never answer
+	Silent            Kind = "silent"          // endpoints' machines are cut off
+	Refuse            Kind = "refuse"          // endpoints turn all away
+	TruncatedAnswer   Kind = "half"            // endpoints break off within answers
+	Garbage           Kind = "garbage"         // endpoints answer with nonsense
+	ExtraBytes        Kind = "surplus"         // endpoints send more than their answers
+	Drain             Kind = "drain"           // endpoints drain, and leave after For
+	Release           Kind = "release"         // the tier is replaced, Share of it at a time, each drained for For
+	Add               Kind = "add"             // Count cold endpoints join
+	SidecarKill       Kind = "sidecar_kill"    // sidecars are killed and start again after For
+	SidecarRestart    Kind = "sidecar_restart" // sidecars get SIGTERM, end, and start again after For
+	DiscoveryDown     Kind = "discovery_down"
+	DiscoveryLag      Kind = "discovery_lag"     // Lag before each answer
+	DiscoveryOverload Kind = "discovery_crowded" // each new call is refused after Lag: there are too many callers
+	Flood             Kind = "flood"             // Factor times the requests of Tenant, or of all
 )
 
 var kinds = []string{
 	string(Crash), string(Replace), string(Pause), string(Slow), string(Errors), string(Hang), string(Silent),
-	string(Refuse), string(Half), string(Garbage), string(Surplus), string(Drain), string(Release), string(Add),
+	string(Refuse), string(TruncatedAnswer), string(Garbage), string(ExtraBytes), string(Drain), string(Release), string(Add),
 	string(SidecarKill), string(SidecarRestart), string(DiscoveryDown), string(DiscoveryLag),
-	string(DiscoveryCrowd), string(Flood),
+	string(DiscoveryOverload), string(Flood),
 }
 
 // Fault is one entry of the timeline.
@@ -186,7 +186,7 @@
 	s.Duration = root.Duration("duration", time.Second, time.Second, longest)
 	s.Warmup = root.Duration("warmup", 0, 0, s.Duration)
 	s.Margin = root.Duration("margin", 50*time.Millisecond, 0, time.Minute)
-	s.MostLag = root.Duration("most_lag", 10*time.Millisecond, time.Millisecond, time.Minute)
+	s.MaxLag = root.Duration("most_lag", 10*time.Millisecond, time.Millisecond, time.Minute)
 	s.Notice = root.Duration("notice", 2*time.Second, 0, time.Minute)
 	s.Rules = decodeRules(root.Table("rules"))
 	s.Limits = decodeLimits(root.Table("limits"))
@@ -207,14 +207,14 @@
 
 func decodeRules(t *tomlread.Table) Rules {
 	return Rules{
-		AnswerSlack:  t.Duration("answer_slack", 20*time.Millisecond, 0, time.Second),
-		AskEvery:     t.Duration("ask_every", 10*time.Second, time.Second, hour),
-		ToldAfter:    t.Duration("told_after", 6*time.Second, 0, hour),
-		Cold:         t.Duration("cold", 8*time.Second, 0, hour),
-		DrainGrace:   t.Duration("drain_grace", time.Second, 0, time.Minute),
-		OverloadFor:  t.Duration("overload_for", 3*time.Second, 0, hour),
-		ColdFrom:     t.Float("cold_from", 0.3, 0.01, 1),
-		FallMultiple: t.Float("fall_multiple", 3, 1, 100),
+		AnswerSlack:    t.Duration("answer_slack", 20*time.Millisecond, 0, time.Second),
+		AskEvery:       t.Duration("ask_every", 10*time.Second, time.Second, hour),
+		DeliveredAfter: t.Duration("told_after", 6*time.Second, 0, hour),
+		Cold:           t.Duration("cold", 8*time.Second, 0, hour),
+		DrainGrace:     t.Duration("drain_grace", time.Second, 0, time.Minute),
+		OverloadFor:    t.Duration("overload_for", 3*time.Second, 0, hour),
+		ColdFrom:       t.Float("cold_from", 0.3, 0.01, 1),
+		FallMultiple:   t.Float("fall_multiple", 3, 1, 100),
 	}
 }
 
@@ -297,7 +297,7 @@
 			Body:        t.Int("body", 200, 0, 1<<20),
 			ListBy:      t.Enum("list_by", "subscribe", "subscribe", "push"),
 		}
-		tier.Station = decodeStation(t, s.Rules)
+		tier.ServerModel = decodeStation(t, s.Rules)
 		if len(tier.Zones) == 0 {
 			tier.Zones = []string{"a"}
 		}
@@ -351,18 +351,18 @@
 		}
 		l.Rate = t.Float("of_capacity", 0.5, 0.001, mostOfCapacity) * s.Capacity()
 	} else {
-		t.Need("rate", fmt.Sprintf("requests a second up to %d, or of_capacity", MostRate))
+		t.Need("rate", fmt.Sprintf("requests a second up to %d, or of_capacity", MaxRate))
 		l.Rate = t.Float("rate", 1, 0.1, 1e9)
 	}
-	if l.Rate > MostRate {
+	if l.Rate > MaxRate {
 		key := "rate"
 		if t.Has("of_capacity") {
 			key = "of_capacity"
 		}
-		t.Fail(key, fmt.Sprintf("%.0f requests a second", l.Rate), fmt.Sprintf("up to %d: more than the lab can make", MostRate))
+		t.Fail(key, fmt.Sprintf("%.0f requests a second", l.Rate), fmt.Sprintf("up to %d: more than the lab can make", MaxRate))
 	}
-	l.Rude = t.Float("rude", 0, 0, 200)
-	l.Habits = load.Habits{
+	l.MalformedRate = t.Float("rude", 0, 0, 200)
+	l.Behavior = load.ClientBehavior{
 		Retries:   t.Int("retries", 0, 0, 20),
 		Backoff:   t.Duration("backoff", 50*time.Millisecond, 0, time.Minute),
 		Impatient: t.Float("impatient", 0, 0, 1),
@@ -387,7 +387,7 @@
 	if work == 0 {
 		return 0
 	}
-	return float64(t.Endpoints) * t.Station.Cores * t.Station.Speed / (work / shares * t.WorkScale)
+	return float64(t.Endpoints) * t.ServerModel.Cores * t.ServerModel.Speed / (work / shares * t.WorkScale)
 }
 
 // takes says which keys a kind of fault has, beside kind and at.
@@ -396,12 +396,12 @@
 	Pause: {"for", "tier", "share", "count"}, Slow: {"for", "tier", "share", "count", "factor"},
 	Errors: {"for", "tier", "share", "count", "of_requests"}, Hang: {"for", "tier", "share", "count"},
 	Silent: {"for", "tier", "share", "count"}, Refuse: {"for", "tier", "share", "count"},
-	Half: {"for", "tier", "share", "count"}, Garbage: {"for", "tier", "share", "count"},
-	Surplus: {"for", "tier", "share", "count"}, Drain: {"for", "tier", "share", "count"},
+	TruncatedAnswer: {"for", "tier", "share", "count"}, Garbage: {"for", "tier", "share", "count"},
+	ExtraBytes: {"for", "tier", "share", "count"}, Drain: {"for", "tier", "share", "count"},
 	Release: {"for", "tier", "share", "count"}, Add: {"tier", "count"},
 	SidecarKill: {"for", "share", "count"}, SidecarRestart: {"for", "share", "count"},
 	DiscoveryDown: {"for", "tier"}, DiscoveryLag: {"for", "tier", "lag"},
-	DiscoveryCrowd: {"for", "tier", "lag"}, Flood: {"for", "tenant", "factor"},
+	DiscoveryOverload: {"for", "tier", "lag"}, Flood: {"for", "tenant", "factor"},
 }
 
 func (s *Scenario) decodeFault(t *tomlread.Table) Fault {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -133,7 +133,7 @@
 		switch {
 		case step.Kind == Crash && len(step.Slots) != 4:
 			t.Errorf("%v, want half of 8", step)
-		case step.Kind == Release && !step.Back:
+		case step.Kind == Release && !step.Revert:
 			released = append(released, step.Slots...)
 		case step.Kind == Add:
 			added = append(added, step.Slots...)
@@ -211,7 +211,7 @@
 		if err != nil {
 			return
 		}
-		if s.Load.Rate > MostRate || len(s.Tiers) == 0 || len(s.Classes) == 0 {
+		if s.Load.Rate > MaxRate || len(s.Tiers) == 0 || len(s.Classes) == 0 {
 			t.Fatalf("taken: %+v", s)
 		}
 		for _, step := range s.Timeline(1) {
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -12,18 +12,18 @@
 // Step is one thing that the lab does at a time. All that is drawn has been drawn:
 // the same scenario and seed make the same steps.
 type Step struct {
-	At    time.Duration
-	Kind  Kind
-	Back  bool // the fault ends
-	Tier  int
-	Slots []int // endpoints of the tier, or sidecars, by their place
-	Fault Fault
+	At     time.Duration
+	Kind   Kind
+	Revert bool // the fault ends
+	Tier   int
+	Slots  []int // endpoints of the tier, or sidecars, by their place
+	Fault  Fault
 }
 
 // String is the step as a line of the record.
 func (s Step) String() string {
 	word := "begins"
-	if s.Back {
+	if s.Revert {
 		word = "ends"
 	}
 	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, word, s.Tier, s.Slots)
@@ -56,7 +56,7 @@
 			}
 			begin := Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: draw(random, of, f), Fault: f}
 			end := begin
-			end.At, end.Back = f.At+f.For, true
+			end.At, end.Revert = f.At+f.For, true
 			steps = append(steps, begin, end)
 		}
 	}
@@ -90,7 +90,7 @@
 		slices.Sort(slots)
 		steps = append(steps,
 			Step{At: at, Kind: Release, Tier: f.Tier, Slots: slots, Fault: f},
-			Step{At: at + f.For, Kind: Release, Back: true, Tier: f.Tier, Slots: slots, Fault: f})
+			Step{At: at + f.For, Kind: Release, Revert: true, Tier: f.Tier, Slots: slots, Fault: f})
 		at += f.For
 	}
 	return steps
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -73,8 +73,8 @@
 	return len(e.seen)
 }
 
-// Seen returns a request that has come, and its body.
-func (e *Endpoint) Seen(n int) (*http.Request, string) {
+// Request returns a request that has come, and its body.
+func (e *Endpoint) Request(n int) (*http.Request, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.seen[n], e.bodies[n]
@@ -83,9 +83,9 @@
 // Line is the endpoint as discovery lists it.
 func (e *Endpoint) Line() map[string]any { return Line(e.Name, e.Address) }
 
-// Mute never answers; it returns when the sidecar ends the connection, and tells so
+// NeverAnswer never answers; it returns when the sidecar ends the connection, and tells so
 // to a channel that is not nil.
-func Mute(ended chan<- struct{}) http.HandlerFunc {
+func NeverAnswer(ended chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
 		if ended != nil {
@@ -167,20 +167,20 @@
 	d.news = make(chan struct{})
 }
 
-// Tell has it answer with a text, as of a version.
-func (d *Discovery) Tell(index int, text []byte) { d.set(func() { d.index, d.list = index, text }) }
+// SetText has it answer with a text, as of a version.
+func (d *Discovery) SetText(index int, text []byte) { d.set(func() { d.index, d.list = index, text }) }
 
 // Publish has it answer with a whole list.
 func (d *Discovery) Publish(t testing.TB, index int, lines ...map[string]any) {
 	t.Helper()
-	d.Tell(index, encode(t, WholeList(index, lines...)))
+	d.SetText(index, encode(t, WholeList(index, lines...)))
 }
 
-// Down has it answer 503 from now on, or not.
-func (d *Discovery) Down(down bool) { d.set(func() { d.down = down }) }
+// SetDown has it answer 503 from now on, or not.
+func (d *Discovery) SetDown(down bool) { d.set(func() { d.down = down }) }
 
-// Broken has it answer with a text whatever it is asked; none for no such text.
-func (d *Discovery) Broken(text string) { d.set(func() { d.broken = text }) }
+// SetBroken has it answer with a text whatever it is asked; none for no such text.
+func (d *Discovery) SetBroken(text string) { d.set(func() { d.broken = text }) }
 
 // ServeHTTP is http.Handler's.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -208,11 +208,11 @@
 	}
 }
 
-// Called is how many calls have come.
-func (d *Discovery) Called() int { return len(d.Asked()) }
+// NumCalls is how many calls have come.
+func (d *Discovery) NumCalls() int { return len(d.Queries()) }
 
-// Asked returns the queries of all calls.
-func (d *Discovery) Asked() []string {
+// Queries returns the queries of all calls.
+func (d *Discovery) Queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.asked...)
@@ -242,9 +242,9 @@
 	return listener.Addr().String()
 }
 
-// DeafAddress is an address of loopback at which connections never come up: its
+// UnreachableAddress is an address of loopback at which connections never come up: its
 // queue holds one, and that is taken.
-func DeafAddress(t testing.TB) string {
+func UnreachableAddress(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
 	if err != nil {
--- a/internal/lab/scripted/steps.go
+++ b/internal/lab/scripted/steps.go
@@ -18,22 +18,22 @@
 // stepTime bounds each step: far more than any should take.
 const stepTime = 20 * time.Second
 
-// Door is an address at which the test takes connections one by one.
-type Door struct {
+// Listener is an address at which the test takes connections one by one.
+type Listener struct {
 	Address string
 	t       testing.TB
 	conns   chan *net.TCPConn
 }
 
-// OpenDoor opens one on loopback; it ends with the test.
-func OpenDoor(t testing.TB) *Door {
+// Listen opens one on loopback; it ends with the test.
+func Listen(t testing.TB) *Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const waiting = 64 // connections that the test has not taken yet
-	d := &Door{Address: listener.Addr().String(), t: t, conns: make(chan *net.TCPConn, waiting)}
+	d := &Listener{Address: listener.Addr().String(), t: t, conns: make(chan *net.TCPConn, waiting)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -47,8 +47,8 @@
 	return d
 }
 
-// Next is the next connection that comes.
-func (d *Door) Next() *Peer {
+// Accept is the next connection that comes.
+func (d *Listener) Accept() *Peer {
 	d.t.Helper()
 	select {
 	case conn := <-d.conns:
@@ -59,8 +59,8 @@
 	}
 }
 
-// Came tells whether a connection has come that was not taken.
-func (d *Door) Came() bool { return len(d.conns) > 0 }
+// HasPending tells whether a connection has come that was not taken.
+func (d *Listener) HasPending() bool { return len(d.conns) > 0 }
 
 // Peer is one side of a connection whose other side is under test.
 type Peer struct {
@@ -85,8 +85,8 @@
 	return &Peer{TCPConn: conn, t: t, r: bufio.NewReader(conn)}
 }
 
-// Request reads one request whole.
-func (p *Peer) Request() *http.Request {
+// ReadRequest reads one request whole.
+func (p *Peer) ReadRequest() *http.Request {
 	p.t.Helper()
 	r, err := http.ReadRequest(p.r)
 	if err == nil {
@@ -100,8 +100,8 @@
 	return r
 }
 
-// Answer reads one answer whole and returns its status and body; an answer that breaks off has status 0.
-func (p *Peer) Answer() (int, string) {
+// ReadAnswer reads one answer whole and returns its status and body; an answer that breaks off has status 0.
+func (p *Peer) ReadAnswer() (int, string) {
 	m, err := http.ReadResponse(p.r, nil)
 	if err != nil {
 		return 0, ""
@@ -113,8 +113,8 @@
 	return m.StatusCode, string(body)
 }
 
-// Say writes a text.
-func (p *Peer) Say(text string) {
+// Send writes a text.
+func (p *Peer) Send(text string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p.TCPConn, text); err != nil {
 		p.t.Fatalf("writing: %v", err)
@@ -129,8 +129,8 @@
 	}
 }
 
-// End reads to the end of the connection and returns what came; the error is nil if it ended in order.
-func (p *Peer) End() (string, error) {
+// ReadToEnd reads to the end of the connection and returns what came; the error is nil if it ended in order.
+func (p *Peer) ReadToEnd() (string, error) {
 	text, err := io.ReadAll(p.r)
 	return string(text), err
 }
--- a/internal/lab/servermodel/station.go
+++ b/internal/lab/servermodel/server.go
@@ -51,8 +51,8 @@
 
 // The outcomes of Arrive.
 const (
-	Taken Outcome = iota
-	TurnedAway
+	Accepted Outcome = iota
+	Rejected
 )
 
 const (
@@ -61,8 +61,8 @@
 	coldStep   = 20 * time.Millisecond // how often the speed of a cold one is brought up
 )
 
-// Station is one endpoint at work. Times are any that only grow.
-type Station struct {
+// Server is one endpoint at work. Times are any that only grow.
+type Server struct {
 	conf    Conf
 	now     time.Duration
 	since   time.Duration // its start
@@ -80,20 +80,20 @@
 }
 
 // New returns a station that starts now, cold or warm.
-func New(conf Conf, now time.Duration, cold bool) (*Station, error) {
+func New(conf Conf, now time.Duration, cold bool) (*Server, error) {
 	if err := conf.check(); err != nil {
 		return nil, err
 	}
-	return &Station{
+	return &Server{
 		conf: conf, now: now, since: now, demandAt: now, cold: cold && conf.ColdFor > 0, slow: 1, pushedFrom: -1,
 	}, nil
 }
 
 // Held is how many jobs run or wait.
-func (s *Station) Held() int { return len(s.running) + len(s.queue) }
+func (s *Server) Held() int { return len(s.running) + len(s.queue) }
 
 // Share is the part of its capacity that it has by now.
-func (s *Station) Share() float64 {
+func (s *Server) Share() float64 {
 	if !s.cold {
 		return 1
 	}
@@ -102,7 +102,7 @@
 }
 
 // rate is the work that each running job gets in a second, in seconds.
-func (s *Station) rate() float64 {
+func (s *Server) rate() float64 {
 	n := len(s.running)
 	if n == 0 || s.paused {
 		return 0
@@ -115,7 +115,7 @@
 }
 
 // advance brings it to the present.
-func (s *Station) advance(now time.Duration) {
+func (s *Server) advance(now time.Duration) {
 	if now <= s.now {
 		return
 	}
@@ -136,7 +136,7 @@
 }
 
 // Arrive gives it a job.
-func (s *Station) Arrive(now time.Duration, j *Job) Outcome {
+func (s *Server) Arrive(now time.Duration, j *Job) Outcome {
 	s.advance(now)
 	s.demand[0] += j.Work.Seconds()
 	s.watchPush()
@@ -148,13 +148,13 @@
 		j.queued = true
 		s.queue = append(s.queue, j)
 	default:
-		return TurnedAway
+		return Rejected
 	}
-	return Taken
+	return Accepted
 }
 
 // watchPush notices since when a cold one is sent too much.
-func (s *Station) watchPush() {
+func (s *Server) watchPush() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
 	}
@@ -170,13 +170,13 @@
 	}
 }
 
-func (s *Station) start(j *Job) {
+func (s *Server) start(j *Job) {
 	j.queued = false
 	j.finish = s.done + j.Work.Seconds()
 	heap.Push(&s.running, j)
 }
 
-func (s *Station) fill() {
+func (s *Server) fill() {
 	for len(s.queue) > 0 && len(s.running) < s.conf.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
@@ -185,7 +185,7 @@
 }
 
 // Cancel takes a job back; false if it was done, or never taken.
-func (s *Station) Cancel(now time.Duration, j *Job) bool {
+func (s *Server) Cancel(now time.Duration, j *Job) bool {
 	s.advance(now)
 	if j.queued {
 		for i, q := range s.queue {
@@ -207,7 +207,7 @@
 // Due returns the jobs that are done by now. One that falls over hands back all
 // that it held, with fell set: none of it is done. It is as cold as at its start
 // then.
-func (s *Station) Due(now time.Duration) (jobs []*Job, fell bool) {
+func (s *Server) Due(now time.Duration) (jobs []*Job, fell bool) {
 	for {
 		next := s.finishAt()
 		if next > now {
@@ -231,7 +231,7 @@
 }
 
 // Clear takes all jobs away: the process has died.
-func (s *Station) Clear() []*Job {
+func (s *Server) Clear() []*Job {
 	lost := append([]*Job(s.running), s.queue...)
 	for _, j := range lost {
 		j.place, j.queued = -1, false
@@ -241,13 +241,13 @@
 }
 
 // Pause stops or resumes all work.
-func (s *Station) Pause(now time.Duration, paused bool) {
+func (s *Server) Pause(now time.Duration, paused bool) {
 	s.advance(now)
 	s.paused = paused
 }
 
-// Slow sets the part of its speed that is left.
-func (s *Station) Slow(now time.Duration, part float64) {
+// SetSpeed sets the part of its speed that is left.
+func (s *Server) SetSpeed(now time.Duration, part float64) {
 	s.advance(now)
 	s.slow = part
 }
@@ -255,7 +255,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // finishAt is when the first running job is done at the present rate.
-func (s *Station) finishAt() time.Duration {
+func (s *Server) finishAt() time.Duration {
 	rate := s.rate()
 	if len(s.running) == 0 || rate <= 0 {
 		return never
@@ -268,7 +268,7 @@
 }
 
 // Next is when Due must be called; ok is false when nothing is to come.
-func (s *Station) Next() (at time.Duration, ok bool) {
+func (s *Server) Next() (at time.Duration, ok bool) {
 	at = s.finishAt()
 	if s.cold && (len(s.running) > 0 || s.pushedFrom >= 0) {
 		at = min(at, s.now+coldStep)
--- a/internal/lab/servermodel/station_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func newStation(t testing.TB, c Conf, cold bool) *Station {
+func newStation(t testing.TB, c Conf, cold bool) *Server {
 	t.Helper()
 	s, err := New(c, 0, cold)
 	if err != nil {
@@ -19,7 +19,7 @@
 }
 
 // drain runs a station until nothing is to come and returns when each job ended.
-func drain(s *Station) map[*Job]time.Duration {
+func drain(s *Server) map[*Job]time.Duration {
 	ended := map[*Job]time.Duration{}
 	for {
 		at, ok := s.Next()
@@ -38,9 +38,9 @@
 	jobs := make([]*Job, 6)
 	for i := range jobs {
 		jobs[i] = &Job{Work: 10 * ms}
-		want := Taken
+		want := Accepted
 		if i == 5 {
-			want = TurnedAway
+			want = Rejected
 		}
 		if got := s.Arrive(0, jobs[i]); got != want {
 			t.Fatalf("job %d: %v", i, got)
@@ -60,11 +60,11 @@
 	s.Arrive(0, j)
 	s.Pause(2*ms, true)
 	s.Pause(100*ms, false)
-	s.Slow(100*ms, 0.5)
+	s.SetSpeed(100*ms, 0.5)
 	if ended := drain(s)[j].Round(ms / 10); ended != 116*ms {
 		t.Errorf("ended at %v, want 116ms: 2 at full speed, a pause, 16 at half", ended)
 	}
-	s.Slow(200*ms, 1)
+	s.SetSpeed(200*ms, 1)
 	held := []*Job{{Work: 10 * ms}, {Work: 10 * ms}, {Work: 10 * ms}}
 	for _, h := range held {
 		s.Arrive(200*ms, h)
@@ -78,7 +78,7 @@
 func TestColdStart(t *testing.T) {
 	conf := Conf{Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: 0.25, ColdFor: 4 * time.Second,
 		FallMultiple: 2, FallFor: time.Second}
-	push := func(load float64, long time.Duration) *Station {
+	push := func(load float64, long time.Duration) *Server {
 		s := newStation(t, conf, true)
 		for now := time.Duration(0); now < long; now += 10 * ms {
 			s.Due(now)
@@ -127,7 +127,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0, 1:
 				j := &Job{Work: time.Duration(rapid.IntRange(0, int(50*ms)).Draw(t, "work"))}
-				if s.Arrive(now, j) == Taken {
+				if s.Arrive(now, j) == Accepted {
 					open[j] = true
 				}
 				given = append(given, j)
--- a/internal/labcommand/crew.go
+++ b/internal/labcommand/crew.go
@@ -30,7 +30,7 @@
 
 // Run plays; its exit code tells whether all held.
 func (c *labCrew) Run(o *command.Out) error {
-	s, err := scenario.LoadCrew(c.File)
+	s, err := scenario.LoadCluster(c.File)
 	if err != nil {
 		return err
 	}
@@ -55,9 +55,9 @@
 	if c.Hold > 0 {
 		s.Steps, s.Random, s.Proposals, s.Duration = nil, 0, 0, c.Hold
 	}
-	opts := harness.CrewOptions{Program: func() *exec.Cmd { return exec.Command(program) }, LogDir: c.Logs, Dir: c.Dir, Separate: c.Without}
+	opts := harness.ClusterOptions{Program: func() *exec.Cmd { return exec.Command(program) }, LogDir: c.Logs, Dir: c.Dir, Separate: c.Without}
 	if c.Older != "" {
-		opts.Older = func() *exec.Cmd { return exec.Command(c.Older) }
+		opts.OlderProgram = func() *exec.Cmd { return exec.Command(c.Older) }
 	}
 	if !c.Quiet && !c.JSON {
 		opts.Progress = func(line string) { fmt.Fprintln(o, line) }
@@ -69,11 +69,11 @@
 		first = *c.Seed
 	}
 	for seed := first; seed < first+uint64(max(1, c.Seeds)); seed++ {
-		r, err := harness.RunCrew(ctx, s, seed, opts)
+		r, err := harness.RunCluster(ctx, s, seed, opts)
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		good = good && r.Broken == 0
+		good = good && r.NumViolations == 0
 		if c.JSON {
 			if err := json.NewEncoder(o).Encode(r); err != nil {
 				return err
@@ -81,8 +81,8 @@
 			continue
 		}
 		fmt.Fprintf(o, "seed %d: %d processes, %d leaders, %d versions, contradicted %.0f ms at most (allowed %.0f), served %d of %d, broken %d\n",
-			seed, r.Processes, len(r.Leaders), len(r.Versions), r.Contradicted, r.AtMost, r.Served, r.Asked, r.Broken)
-		for _, b := range r.Breaks {
+			seed, r.Processes, len(r.Leaders), len(r.Versions), r.Contradicted, r.MaxContradiction, r.Served, r.Requests, r.NumViolations)
+		for _, b := range r.Violations {
 			fmt.Fprintln(o, "broken:", b)
 		}
 	}
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -145,7 +145,7 @@
 	} else {
 		report.Text(o, r)
 	}
-	if !r.Good() {
+	if !r.Passed() {
 		return errNotGood
 	}
 	return nil
@@ -159,7 +159,7 @@
 
 // Run compares the sides of records.
 func (c *labCompare) Run(o *command.Out) error {
-	sides := report.NewSides()
+	sides := report.NewComparison()
 	for _, path := range c.Files {
 		r, err := record.Load(path)
 		if err != nil {
@@ -212,7 +212,7 @@
 	ctx, stop := interruptible()
 	defer stop()
 	g.Quiet = true
-	sides := report.NewSides()
+	sides := report.NewComparison()
 	for n := range seeds {
 		for _, c := range cases {
 			seed := c.scene.Seed + uint64(n)
@@ -278,8 +278,8 @@
 
 // Run measures once.
 func (c *labOverhead) Run(o *command.Out) error {
-	if c.Rate <= 0 || c.Rate > scenario.MostRate {
-		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MostRate)
+	if c.Rate <= 0 || c.Rate > scenario.MaxRate {
+		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MaxRate)
 	}
 	opts, err := c.measuring()
 	if err != nil {
--- a/internal/labcommand/heathlab_test.go
+++ b/internal/labcommand/heathlab_test.go
@@ -64,7 +64,7 @@
 			t.Fatalf("%v: %s", err, text)
 		}
 		r, err := record.Load(filepath.Join(out, "one", "5", "record.json"))
-		if err != nil || r.Seed != 5 || !r.Good() || r.Service < 0.9 || len(r.Sidecars) != 2 || r.Sidecars[0].RSSMB == 0 {
+		if err != nil || r.Seed != 5 || !r.Passed() || r.Service < 0.9 || len(r.Sidecars) != 2 || r.Sidecars[0].RSSMB == 0 {
 			t.Errorf("%v: %+v", err, r)
 		}
 		if text, err = lab("compare", filepath.Join(out, "one", "5", "record.json")); err != nil || !strings.Contains(text, "heathgap") {
--- a/internal/labcommand/scale.go
+++ b/internal/labcommand/scale.go
@@ -42,10 +42,10 @@
 		c.Program = beside("heathgap-crew")
 	}
 	opts := scale.Options{
-		Member: func() *exec.Cmd { return exec.Command(c.Program) },
-		Plain:  func() *exec.Cmd { return exec.Command(beside("heathgap")) },
-		Hollow: func() *exec.Cmd { return exec.Command(self, "hollow") },
-		LogDir: c.Logs,
+		Member:   func() *exec.Cmd { return exec.Command(c.Program) },
+		Plain:    func() *exec.Cmd { return exec.Command(beside("heathgap")) },
+		Emulated: func() *exec.Cmd { return exec.Command(self, "hollow") },
+		LogDir:   c.Logs,
 	}
 	if !c.Quiet {
 		opts.Progress = func(line string) { fmt.Fprintln(os.Stderr, line) }
@@ -64,13 +64,13 @@
 		if err != nil {
 			return err
 		}
-		runs, good = append(runs, r), good && r.Good()
+		runs, good = append(runs, r), good && r.Passed()
 		if r.Partial {
 			break
 		}
 	}
 	if len(runs) > 1 && !c.JSON {
-		scale.Spread(o, runs)
+		scale.WriteSpread(o, runs)
 	}
 	if !good {
 		return errNotGood
@@ -108,7 +108,7 @@
 	if c.JSON {
 		return r, json.NewEncoder(o).Encode(r)
 	}
-	r.Text(o)
+	r.WriteText(o)
 	return r, nil
 }
 
@@ -121,7 +121,7 @@
 		sizes = append(sizes[:len(sizes):len(sizes)], c.Predict)
 	}
 	for i, size := range sizes {
-		sized, err := s.Sized(size)
+		sized, err := s.WithSize(size)
 		if err != nil {
 			return fmt.Errorf("--sizes: %w", err)
 		}
@@ -138,13 +138,13 @@
 			runs = append(runs, r)
 		}
 	}
-	grown, err := scale.Grow(runs, predicted)
+	grown, err := scale.FitGrowth(runs, predicted)
 	if err != nil {
 		return fmt.Errorf("--sizes: %w; three different ones at least", err)
 	}
 	if c.JSON {
 		return json.NewEncoder(o).Encode(map[string]any{"growth": grown})
 	}
-	scale.TextOf(o, grown)
+	scale.WriteGrowth(o, grown)
 	return nil
 }
--- a/internal/labcommand/slopes.go
+++ b/internal/labcommand/slopes.go
@@ -109,7 +109,7 @@
 
 // here begins a report: a figure counts for nothing without its machine.
 func here(o *command.Out, format string, args ...any) {
-	m := harness.Here()
+	m := harness.ThisMachine()
 	fmt.Fprintf(o, format+"\n", args...)
 	fmt.Fprintf(o, "machine: %d cores, %d MB, %s; load average %s\n", m.Cores, m.MemoryMB, m.Go, loadAverage())
 }
@@ -179,7 +179,7 @@
 	}
 	at := sizes[largest]
 	return fmt.Sprintf("line without the largest: %v; at %v it says %.4g, the run %.4g (%+.1f %%)",
-		line, at, line.Predict(at), medians[largest], 100*line.Miss(at, medians[largest]))
+		line, at, line.Predict(at), medians[largest], 100*line.RelativeError(at, medians[largest]))
 }
 
 type labCall struct {
@@ -196,14 +196,14 @@
 // sizes is the flag that has several values, and a conf for each.
 func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.CallConf, err error) {
 	if err := cmp.Or(
-		c.check(), rates(scenario.MostRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
+		c.check(), rates(scenario.MaxRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
 		within("peers", 0, mostPeers, c.Peers...), within("classes", 1, mostClasses, c.Classes...),
 		within("stages", 1, mostStages, c.Stages...),
 	); err != nil {
 		return "", nil, nil, err
 	}
 	base := harness.CallConf{
-		Rate: c.Rate[0], For: c.For, Endpoints: c.Endpoints[0], Peers: c.Peers[0], Classes: c.Classes[0], Stages: c.Stages[0], Own: c.Own,
+		Rate: c.Rate[0], For: c.For, Endpoints: c.Endpoints[0], Peers: c.Peers[0], Classes: c.Classes[0], Stages: c.Stages[0], PerCaller: c.Own,
 	}
 	flags := []struct {
 		name string
@@ -306,7 +306,7 @@
 	name, text, shared := strings.Cut(word, ":")
 	f := failure{name: word, share: 1}
 	switch trouble := fake.Trouble(name); trouble {
-	case fake.Hang, fake.Refuses, fake.Silent, fake.Half, fake.Garbage:
+	case fake.Hang, fake.Refuses, fake.Silent, fake.TruncatedAnswer, fake.Garbage:
 		f.trouble = trouble
 	case fake.Errors:
 		f.trouble = trouble
@@ -331,7 +331,7 @@
 
 func (c *labChain) failures() ([]failure, error) {
 	if err := cmp.Or(
-		c.check(), within("deep", 1, harness.MostDeep, c.Deep...), rates(scenario.MostRate, c.Rate),
+		c.check(), within("deep", 1, harness.MaxDepth, c.Deep...), rates(scenario.MaxRate, c.Rate),
 		within("endpoints", 1, mostOfATier, c.Endpoints), within("deadline", 10*time.Millisecond, mostDeadline, c.Deadline),
 		within("peers", 1, mostPeers, c.Peers),
 	); err != nil {
@@ -380,7 +380,7 @@
 		"attempts at the last tier for a request at the front", "us of all sidecars' processors for a request at the front",
 		"ms of the deadline that the last tier's sidecar was told, p50", "the load's own lag p99, ms",
 	}
-	well := f.trouble == fake.Well
+	well := f.trouble == fake.NoTrouble
 	figures := make([]*figure, len(names))
 	for i, name := range names {
 		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: well && (i < 2 || i == 8 || i == 9)}
@@ -390,7 +390,7 @@
 		for i, deep := range c.Deep {
 			sizes[i] = float64(deep)
 			conf := harness.ChainConf{
-				Deep: deep, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, Own: c.Own, Straight: well,
+				Depth: deep, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, PerCaller: c.Own, CompareDirect: well,
 				Trouble: f.trouble, Share: f.share, Seed: uint64(run + 1),
 			}
 			if well {
@@ -404,22 +404,22 @@
 			front, last := m.Front[1], m.Tiers[deep-1]
 			cpu := 0.0
 			for _, t := range m.Tiers {
-				cpu += t.CPU * float64(t.Asked)
+				cpu += t.CPU * float64(t.Requests)
 			}
 			requests := float64(max(1, front.Requests))
 			for k, v := range []float64{
 				front.P50 - m.Front[0].P50, front.P99 - m.Front[0].P99, front.P50, front.P99, m.Front[0].P50, m.Front[0].P99,
-				100 * float64(front.Served) / requests, float64(last.Attempts) / requests, cpu / requests, last.LeftP50, m.Lag,
+				100 * float64(front.Served) / requests, float64(last.Attempts) / requests, cpu / requests, last.RemainingP50, m.Lag,
 			} {
 				figures[k].runs[i] = append(figures[k].runs[i], v)
 			}
 			fmt.Fprintf(o, "run %d, deep %d: %d requests, %d served, rules broken %d, load average %s\n",
-				run+1, deep, front.Requests, front.Served, m.Breaks, loadAverage())
-			for _, b := range m.Said {
+				run+1, deep, front.Requests, front.Served, m.NumViolations, loadAverage())
+			for _, b := range m.Violations {
 				fmt.Fprintf(o, "  broken: %s at %v: %s\n", b.Rule, b.At.Round(time.Millisecond), b.What)
 			}
-			if m.Balanced != nil {
-				fmt.Fprintf(o, "  the book does not add up: %v\n", m.Balanced)
+			if m.BalanceErr != nil {
+				fmt.Fprintf(o, "  the book does not add up: %v\n", m.BalanceErr)
 			}
 			if run == c.Runs-1 && !c.Quiet {
 				printTiers(o, m)
@@ -440,9 +440,9 @@
 		"  p50   p99  left-p50 left-min  us/ask  MB fds  outcomes")
 	for n, t := range m.Tiers {
 		fmt.Fprintf(o, "  %4d %6d %9d %8.3f %10.3f %6.2f %7d %7d %6d %4d %8d %14.0f  %8.0f+%.0f+%.0f  %8.2f %.2f %9.1f %8.1f %7.0f %4.0f %3d  %s\n",
-			n+1, t.Asked, t.Attempts, float64(t.Attempts)/float64(max(1, t.Asked)), float64(t.Attempts)/requests, harness.Amplified(n+1),
-			t.Served, t.Refused, t.Failed, t.Left, t.Retries(), t.Budget.FromFloors(t.Retries()), t.Budget.Start, t.Budget.Floor, t.Budget.Served,
-			t.P50, t.P99, t.LeftP50, t.LeftMin, t.CPU, t.RSSMB, t.FDs, outcomes(t.Outcomes))
+			n+1, t.Requests, t.Attempts, float64(t.Attempts)/float64(max(1, t.Requests)), float64(t.Attempts)/requests, harness.Amplified(n+1),
+			t.Served, t.Refused, t.Failed, t.CallerLeft, t.Retries(), t.Budget.FromFloors(t.Retries()), t.Budget.Start, t.Budget.Floor, t.Budget.Served,
+			t.P50, t.P99, t.RemainingP50, t.RemainingMin, t.CPU, t.RSSMB, t.FDs, outcomes(t.Outcomes))
 	}
 }
 
@@ -519,20 +519,20 @@
 		for i, n := range endpoints {
 			sizes[i] = float64(n)
 			m, err := harness.MeasureLists(ctx, harness.ListsConf{
-				Endpoints: n, AtOnce: c.AtOnce, Apart: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Hollow: c.Hollow, Peers: c.Peers, Idle: c.Idle,
+				Endpoints: n, AtOnce: c.AtOnce, Apart: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Emulated: c.Hollow, Peers: c.Peers, Idle: c.Idle,
 			}, opts)
 			if err != nil {
 				return err
 			}
 			idle := max(1e-9, c.Idle.Seconds())
 			for k, v := range []float64{
-				m.CPU, m.Real.Calls, m.Real.Answers, m.Real.Asked, m.Real.Told, m.Real.LinesOfAnAnswer, m.Real.Wholes, m.Hollow.Told, m.LabCPU,
-				m.Whole.Told, m.ToldP50, m.ToldMax, m.Idle.Calls / idle, (m.Idle.Asked + m.Idle.Told) / idle, m.IdleCPU,
+				m.CPU, m.Real.Calls, m.Real.Answers, m.Real.RequestBytes, m.Real.AnswerBytes, m.Real.LinesPerAnswer, m.Real.FullLists, m.Emulated.AnswerBytes, m.LabCPU,
+				m.Whole.AnswerBytes, m.DeliveryP50, m.DeliveryMax, m.Idle.Calls / idle, (m.Idle.RequestBytes + m.Idle.AnswerBytes) / idle, m.IdleCPU,
 			}[:len(names)] {
 				figures[k].runs[i] = append(figures[k].runs[i], v)
 			}
 			if !c.Quiet {
-				fmt.Fprintf(o, "run %d, endpoints %d: %.0f us a change, %.0f bytes told; load average %s\n", run+1, n, m.CPU, m.Real.Told, loadAverage())
+				fmt.Fprintf(o, "run %d, endpoints %d: %.0f us a change, %.0f bytes told; load average %s\n", run+1, n, m.CPU, m.Real.AnswerBytes, loadAverage())
 			}
 		}
 	}
--- a/internal/lifecycle/crossing_test.go
+++ b/internal/lifecycle/crossing_test.go
@@ -39,9 +39,9 @@
 		func(p *scripted.Peer) { p.Close() },
 		func(p *scripted.Peer) { p.Reset() },
 		func(p *scripted.Peer) { p.CloseWrite() },
-		func(p *scripted.Peer) { p.Say(asked("/look/ahead", "")); p.Close() },
-		func(p *scripted.Peer) { p.Say(strings.Repeat("x", 40<<10)); p.Close() },
-		func(p *scripted.Peer) { p.Say(strings.Repeat(asked("/look/ahead", ""), 3)); p.Reset() },
+		func(p *scripted.Peer) { p.Send(asked("/look/ahead", "")); p.Close() },
+		func(p *scripted.Peer) { p.Send(strings.Repeat("x", 40<<10)); p.Close() },
+		func(p *scripted.Peer) { p.Send(strings.Repeat(asked("/look/ahead", ""), 3)); p.Reset() },
 	}
 	e := scripted.StartEndpoint(t, "e1", nil)
 	d := scripted.StartDiscovery(t)
@@ -50,7 +50,7 @@
 	var peers []*scripted.Peer
 	for range burst {
 		p := scripted.Connect(t, s.Address())
-		p.Say(asked("/look", ""))
+		p.Send(asked("/look", ""))
 		peers = append(peers, p)
 	}
 	eventually(t, "all are held", func() bool { return s.Counters().Pending == burst })
@@ -73,14 +73,14 @@
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	p := scripted.Connect(t, s.Address())
-	p.Say(asked("/look", ""))
-	if status, _ := p.Answer(); status != 200 {
+	p.Send(asked("/look", ""))
+	if status, _ := p.ReadAnswer(); status != 200 {
 		t.Fatalf("status %d", status)
 	}
 	stopped := make(chan struct{})
 	s.stopped = true
 	go func() { s.Stop(); close(stopped) }()
-	if text, err := p.End(); text != "" || err != nil { // the sidecar has ended its side
+	if text, err := p.ReadToEnd(); text != "" || err != nil { // the sidecar has ended its side
 		t.Fatalf("the end: %q, %v", text, err)
 	}
 	for range 3 { // a connection that is closed would answer the first with a reset, which the next would meet
@@ -98,15 +98,15 @@
 // What comes as a sidecar stops: requests written ahead behind the last answer, half a request whose rest trickles, a new
 // connection, a second SIGTERM's worth of nothing. The last answers are whole and end in order.
 func TestStopCrossedByRequests(t *testing.T) {
-	door := scripted.OpenDoor(t)
+	door := scripted.Listen(t)
 	d := scripted.StartDiscovery(t)
 	s := start(t, testConfig(d, scripted.Line("e1", door.Address)))
 	first := scripted.Connect(t, s.Address())
-	first.Say(asked("/look", ""))
-	out := door.Next()
-	out.Request()
+	first.Send(asked("/look", ""))
+	out := door.Accept()
+	out.ReadRequest()
 	half := scripted.Connect(t, s.Address())
-	half.Say("GET /look HTTP/1.1\r\nHost")
+	half.Send("GET /look HTTP/1.1\r\nHost")
 	s.stopped = true
 	s.stayFor = 10 * time.Millisecond
 	stopped := make(chan struct{})
@@ -119,13 +119,13 @@
 		}
 		return err != nil
 	})
-	first.Say(asked("/look", "") + asked("/look", "")) // behind the last answer
-	half.Say(":")                                      // one byte, and never the end
-	out.Say(scripted.OK("one"))
-	if status, body := first.Answer(); status != 200 || body != "one" {
+	first.Send(asked("/look", "") + asked("/look", "")) // behind the last answer
+	half.Send(":")                                      // one byte, and never the end
+	out.Send(scripted.OK("one"))
+	if status, body := first.ReadAnswer(); status != 200 || body != "one" {
 		t.Errorf("the last answer: %d %q", status, body)
 	}
-	if text, err := first.End(); text != "" || err != nil {
+	if text, err := first.ReadToEnd(); text != "" || err != nil {
 		t.Errorf("behind it: %q, %v", text, err)
 	}
 	first.Close()
@@ -133,8 +133,8 @@
 	if took := time.Since(begin); took > killAfter+time.Second { // the machine may be slow
 		t.Errorf("stopping took %v", took)
 	}
-	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || door.Came() {
-		t.Errorf("%+v, one more connection to the endpoint: %v", c, door.Came())
+	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || door.HasPending() {
+		t.Errorf("%+v, one more connection to the endpoint: %v", c, door.HasPending())
 	}
 }
 
@@ -187,27 +187,27 @@
 		"safe, ended":           {"/look", "", func(p *scripted.Peer) { p.Close() }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			door := scripted.OpenDoor(t)
+			door := scripted.Listen(t)
 			world := &held{stands: make(chan string, 1), goOn: make(chan struct{}), skipped: 1}
 			world.hold.Store(door.Address, true)
 			d := scripted.StartDiscovery(t)
 			s := startWith(t, testConfig(d, scripted.Line("e1", door.Address)), Options{Operator: operator.Default(), Env: world})
 			p := scripted.Connect(t, s.Address())
-			p.Say(asked("/look", ""))
-			e := door.Next()
-			e.Request()
-			e.Say(scripted.OK("first"))
-			if status, _ := p.Answer(); status != 200 {
+			p.Send(asked("/look", ""))
+			e := door.Accept()
+			e.ReadRequest()
+			e.Send(scripted.OK("first"))
+			if status, _ := p.ReadAnswer(); status != 200 {
 				t.Fatalf("the first: %d", status)
 			}
-			p.Say(asked(c.path, c.more))
+			p.Send(asked(c.path, c.more))
 			<-world.stands // the connection was looked at, and is taken
 			c.end(e)
 			second := scripted.StartEndpoint(t, "e2", nil)
 			d.Publish(t, 2, scripted.Line("e1", scripted.FreeAddress(t)), second.Line())
 			eventually(t, "the second is listed", func() bool { return s.Counters().Endpoints == 2 })
 			close(world.goOn)
-			if status, _ := p.Answer(); status != c.status {
+			if status, _ := p.ReadAnswer(); status != c.status {
 				t.Errorf("answered %d, want %d; %+v", status, c.status, s.Counters().Outcomes)
 			}
 			outcome := decide.Reset
@@ -227,22 +227,22 @@
 	for name, text := range map[string]string{
 		"half a line": "HTTP/1.", "a second answer": scripted.OK("another's"), "100": "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
-		door := scripted.OpenDoor(t)
+		door := scripted.Listen(t)
 		s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
 		p := scripted.Connect(t, s.Address())
-		p.Say(asked("/look", ""))
-		e := door.Next()
-		e.Request()
-		e.Say(scripted.OK("first"))
-		if _, body := p.Answer(); body != "first" {
+		p.Send(asked("/look", ""))
+		e := door.Accept()
+		e.ReadRequest()
+		e.Send(scripted.OK("first"))
+		if _, body := p.ReadAnswer(); body != "first" {
 			t.Fatalf("%s: %q", name, body)
 		}
-		e.Say(text) // on loopback it has come when it is written
-		p.Say(asked("/look", ""))
-		next := door.Next()
-		next.Request()
-		next.Say(scripted.OK("second"))
-		if status, body := p.Answer(); status != 200 || body != "second" {
+		e.Send(text) // on loopback it has come when it is written
+		p.Send(asked("/look", ""))
+		next := door.Accept()
+		next.ReadRequest()
+		next.Send(scripted.OK("second"))
+		if status, body := p.ReadAnswer(); status != 200 || body != "second" {
 			t.Errorf("%s: answered %d %q", name, status, body)
 		}
 	}
@@ -279,7 +279,7 @@
 // A process is told to stop in any moment of its life: twice, during a reload while discovery is down,
 // with discovery silent. It ends by itself, in order.
 func TestSIGTERMInAnyMoment(t *testing.T) {
-	silent := scripted.OpenDoor(t)
+	silent := scripted.Listen(t)
 	term := func(p *process) { p.Process.Signal(syscall.SIGTERM) } //nolint:errcheck // it may have ended
 	for name, crossing := range map[string]func(p *process){
 		"twice": func(p *process) {
@@ -312,7 +312,7 @@
 func TestReadyWithoutDiscovery(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	for name, address := range map[string]string{
-		"silent": scripted.OpenDoor(t).Address, "away": scripted.FreeAddress(t), "cut off": scripted.DeafAddress(t),
+		"silent": scripted.Listen(t).Address, "away": scripted.FreeAddress(t), "cut off": scripted.UnreachableAddress(t),
 	} {
 		begin := time.Now()
 		s := start(t, testConfig(&scripted.Discovery{Address: address}, e.Line()))
@@ -390,12 +390,12 @@
 		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "to its connection's end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			door := scripted.OpenDoor(t)
+			door := scripted.Listen(t)
 			s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
 			p := scripted.Connect(t, s.Address())
-			p.Say(asked("/look", ""))
-			e := door.Next()
-			e.Request()
+			p.Send(asked("/look", ""))
+			e := door.Accept()
+			e.ReadRequest()
 			ended := make(chan error, 1)
 			go func() {
 				_, err := io.WriteString(e, head)
--- a/internal/lifecycle/descriptors_test.go
+++ b/internal/lifecycle/descriptors_test.go
@@ -81,8 +81,8 @@
 			eventually(t, "READY", func() bool { return isYes(console) })
 			before := scripted.Connect(t, address)
 			served := func(by *scripted.Peer) string {
-				by.Say(asked("/look", ""))
-				if status, body := by.Answer(); status == 200 {
+				by.Send(asked("/look", ""))
+				if status, body := by.ReadAnswer(); status == 200 {
 					return body
 				}
 				return "nobody"
--- a/internal/lifecycle/process_test.go
+++ b/internal/lifecycle/process_test.go
@@ -136,7 +136,7 @@
 	conf["listen"] = address
 	p := launch(t, conf)
 	eventually(t, "ready", isReady(t, address))
-	eventually(t, "the first watch waits", func() bool { return first.Called() == 2 })
+	eventually(t, "the first watch waits", func() bool { return first.NumCalls() == 2 })
 	stop := make(chan struct{})
 	var wait sync.WaitGroup
 	wait.Go(func() {
@@ -172,8 +172,8 @@
 	}
 	reload(theirs)
 	eventually(t, "another customer's file is turned down", logged("another installation's configuration"))
-	if second.Called() > 0 || logged(`"message":"reloaded"`)() {
-		t.Errorf("it has moved to another customer's discovery: %d calls", second.Called())
+	if second.NumCalls() > 0 || logged(`"message":"reloaded"`)() {
+		t.Errorf("it has moved to another customer's discovery: %d calls", second.NumCalls())
 	}
 	conf["discovery"], conf["limits"] = second.Address, map[string]any{"memory_mb": 100}
 	text, err := json.Marshal(conf)
@@ -196,7 +196,7 @@
 	})
 	close(stop)
 	wait.Wait()
-	if asked := second.Asked(); asked[0] != "" || !strings.HasPrefix(asked[1], "after=3&") {
+	if asked := second.Queries(); asked[0] != "" || !strings.HasPrefix(asked[1], "after=3&") {
 		t.Errorf("the new discovery was asked %q, want the whole list and what follows version 3", asked)
 	}
 	p.Process.Signal(syscall.SIGTERM)
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -24,9 +24,9 @@
 
 // discoveries are those that are of no use, each in its way, by name; a restarted process has to serve without them.
 func discoveries(t *testing.T) map[string]string {
-	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.OpenDoor(t)
-	crowded.Down(true)
-	broken.Broken("{")
+	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.Listen(t)
+	crowded.SetDown(true)
+	broken.SetBroken("{")
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
 	t.Cleanup(func() { close(ended); wait.Wait() })
@@ -40,8 +40,8 @@
 				return
 			case <-tick.C:
 			}
-			for slow.Came() {
-				c := slow.Next()
+			for slow.HasPending() {
+				c := slow.Accept()
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{") //nolint:errcheck // it may be given up
 				conns = append(conns, c)
 			}
@@ -51,8 +51,8 @@
 		}
 	})
 	return map[string]string{
-		"silent": scripted.OpenDoor(t).Address, "slow": slow.Address, "crowded": crowded.Address, "faulty": broken.Address,
-		"away": scripted.FreeAddress(t), "cut off": scripted.DeafAddress(t),
+		"silent": scripted.Listen(t).Address, "slow": slow.Address, "crowded": crowded.Address, "faulty": broken.Address,
+		"away": scripted.FreeAddress(t), "cut off": scripted.UnreachableAddress(t),
 	}
 }
 
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -30,7 +30,7 @@
 	if status, body := do(t, r); status != 200 || body != "e1" {
 		t.Fatalf("answer: %d %q, want 200 of e1", status, body)
 	}
-	got, sent := e.Seen(0)
+	got, sent := e.Request(0)
 	if got.Method != "POST" || got.RequestURI != "/pay/out?sid=a%2Fb&x=1" || sent != "some body" {
 		t.Errorf("passed on: %s %s with %q", got.Method, got.RequestURI, sent)
 	}
@@ -172,7 +172,7 @@
 // Guards against a caller whose time is longer than any of its class: it would be
 // held, and its timers with it, for as long as it likes.
 func TestTimeBeyondTheClass(t *testing.T) {
-	e := scripted.StartEndpoint(t, "mute", scripted.Mute(nil))
+	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
 	r.Header.Set("X-Remaining", "3000")
@@ -228,7 +228,7 @@
 // An endpoint whose process has died, or whose machine has vanished, is no reason
 // to fail: nothing has run.
 func TestVanishedEndpointIsPassedOver(t *testing.T) {
-	for name, address := range map[string]string{"refused": scripted.FreeAddress(t), "out of reach": scripted.DeafAddress(t)} {
+	for name, address := range map[string]string{"refused": scripted.FreeAddress(t), "out of reach": scripted.UnreachableAddress(t)} {
 		t.Run(name, func(t *testing.T) {
 			e := scripted.StartEndpoint(t, "e1", nil)
 			conf := testConfig(scripted.StartDiscovery(t), scripted.Line("dead", address), e.Line())
@@ -253,7 +253,7 @@
 // up an attempt while its connection stays at work.
 func TestSilentEndpointIsGivenUpInTime(t *testing.T) {
 	ended := make(chan struct{}, 8)
-	e := scripted.StartEndpoint(t, "mute", scripted.Mute(ended))
+	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(ended))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodPost, "/burn", "x")
 	r.Header.Set("X-Remaining", "0.3")
@@ -276,7 +276,7 @@
 // Guards against callers that leave unseen while their request is held: fasthttp
 // does not look.
 func TestCallerThatLeavesIsSeen(t *testing.T) {
-	e := scripted.StartEndpoint(t, "mute", scripted.Mute(nil))
+	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	conn, err := net.Dial("tcp", s.Address())
 	if err != nil {
@@ -319,11 +319,11 @@
 // failed calls are made again.
 func TestDiscoveryOutage(t *testing.T) {
 	for name, breakIt := range map[string]func(*scripted.Discovery){
-		"down":         func(d *scripted.Discovery) { d.Down(true) },
-		"no JSON":      func(d *scripted.Discovery) { d.Broken("{") },
-		"no list":      func(d *scripted.Discovery) { d.Broken(`{"index":5}`) },
-		"wrong types":  func(d *scripted.Discovery) { d.Broken(`{"index":5,"snapshot":true,"endpoints":[{"name":7}]}`) },
-		"unknown word": func(d *scripted.Discovery) { d.Broken(`{"index":5,"endpoints":[{"name":"a","status":"ODD"}]}`) },
+		"down":         func(d *scripted.Discovery) { d.SetDown(true) },
+		"no JSON":      func(d *scripted.Discovery) { d.SetBroken("{") },
+		"no list":      func(d *scripted.Discovery) { d.SetBroken(`{"index":5}`) },
+		"wrong types":  func(d *scripted.Discovery) { d.SetBroken(`{"index":5,"snapshot":true,"endpoints":[{"name":7}]}`) },
+		"unknown word": func(d *scripted.Discovery) { d.SetBroken(`{"index":5,"endpoints":[{"name":"a","status":"ODD"}]}`) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -338,8 +338,8 @@
 			if !strings.Contains(s.log.String(), `"side":"discovery"`) {
 				t.Errorf("no line on discovery:\n%s", s.log)
 			}
-			d.Down(false)
-			d.Broken("")
+			d.SetDown(false)
+			d.SetBroken("")
 			d.Publish(t, 7, newer.Line())
 			eventually(t, "the new list", func() bool {
 				_, body := get(t, s.Address(), "/look")
@@ -354,16 +354,16 @@
 	a, b := scripted.StartEndpoint(t, "a", nil), scripted.StartEndpoint(t, "b", nil)
 	d := scripted.StartDiscovery(t)
 	s := start(t, testConfig(d, a.Line()))
-	eventually(t, "a watch", func() bool { return d.Called() == 1 })
-	first := d.Asked()[0]
+	eventually(t, "a watch", func() bool { return d.NumCalls() == 1 })
+	first := d.Queries()[0]
 	if !strings.HasPrefix(first, "after=1&wait_ms=") {
 		t.Errorf("the first watch asks for %q, want what is newer than the list as known", first)
 	}
 	gone := a.Line()
 	gone["status"] = "DELETED"
-	d.Tell(2, scripted.Changes(t, 2, gone, b.Line()))
+	d.SetText(2, scripted.Changes(t, 2, gone, b.Line()))
 	eventually(t, "the change and the next watch", func() bool {
-		return s.Counters().Lists == 1 && d.Called() == 2
+		return s.Counters().Lists == 1 && d.NumCalls() == 2
 	})
 	for range 10 {
 		if _, body := get(t, s.Address(), "/look"); body != "b" {
@@ -377,12 +377,12 @@
 func TestWatchesUnasked(t *testing.T) {
 	a, b := scripted.StartEndpoint(t, "a", nil), scripted.StartEndpoint(t, "b", nil)
 	d := scripted.StartDiscovery(t)
-	d.Down(true)
+	d.SetDown(true)
 	conf := testConfig(d, a.Line())
 	conf["settings"].(map[string]any)["membership_mode"] = "automatic"
 	s := start(t, conf)
 	eventually(t, "a call fails", func() bool { return s.Counters().ListFailures > 0 })
-	d.Down(false)
+	d.SetDown(false)
 	d.Publish(t, 2, b.Line())
 	eventually(t, "the list", func() bool { return s.Counters().Lists > 0 })
 	if _, body := get(t, s.Address(), "/look"); body != "b" {
@@ -495,7 +495,7 @@
 // Guards against connections to endpoints beyond the bound, and against callers
 // beyond theirs that hold requests: they are refused, at once.
 func TestBusyConnectionsStayInBounds(t *testing.T) {
-	e := scripted.StartEndpoint(t, "mute", scripted.Mute(nil))
+	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
 	conf["limits"].(map[string]any)["sockets"] = 64
 	s := start(t, conf)
@@ -642,7 +642,7 @@
 // Guards against requests that are still held when the platform kills what has
 // not stopped: they are lost, where a failure would have been an answer.
 func TestStopFailsWhatCannotEnd(t *testing.T) {
-	e := scripted.StartEndpoint(t, "mute", scripted.Mute(nil))
+	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
 	setDeadlines(conf, 60000)
 	s := start(t, conf)
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/crossing_test.go
@@ -34,12 +34,12 @@
 }
 
 // lateEngine is an engine whose connections come up at a barrier, and an endpoint's address.
-func lateEngine(t *testing.T) (*Engine, *barrier, *scripted.Door) {
+func lateEngine(t *testing.T) (*Engine, *barrier, *scripted.Listener) {
 	t.Helper()
 	e := testEngine(t)
 	world := &barrier{begun: make(chan struct{}, 1), goOn: make(chan struct{})}
 	e.world, e.room = world, httpwire.NewMemoryBudget(1<<20)
-	return e, world, scripted.OpenDoor(t)
+	return e, world, scripted.Listen(t)
 }
 
 func listOf(name, address string, state decide.EndpointState) *httpwire.List {
@@ -71,11 +71,11 @@
 			<-world.begun
 			e.update(listOf("s", to.Address, c.news))
 			close(world.goOn)
-			peer := door.Next()
+			peer := door.Accept()
 			if c.outcome == decide.Served {
-				peer.Request()
+				peer.ReadRequest()
 			}
-			peer.Say(scripted.OK("x"))
+			peer.Send(scripted.OK("x"))
 			next(t, e)
 			if e.counters.Outcomes[c.outcome] != 1 {
 				t.Errorf("outcomes %v", e.counters.Outcomes)
@@ -84,7 +84,7 @@
 				return
 			}
 			e.pool.DropAll(r.Attempts[0].Endpoint, httpwire.ReasonUnlisted)
-			if text, _ := peer.End(); text != "" {
+			if text, _ := peer.ReadToEnd(); text != "" {
 				t.Errorf("written %q", text)
 			}
 		})
@@ -114,11 +114,11 @@
 			e.send(r, action)
 			<-world.begun
 			close(world.goOn)
-			peer := door.Next()
+			peer := door.Accept()
 			if c.outcome == decide.Served {
-				peer.Request()
+				peer.ReadRequest()
 			}
-			peer.Say(scripted.OK("x"))
+			peer.Send(scripted.OK("x"))
 			next(t, e)
 			if e.counters.Outcomes[c.outcome] != 1 {
 				t.Errorf("outcomes %v", e.counters.Outcomes)
@@ -127,7 +127,7 @@
 				return
 			}
 			e.pool.DropAll(r.Attempts[0].Endpoint, httpwire.ReasonUnlisted)
-			if text, _ := peer.End(); text != "" {
+			if text, _ := peer.ReadToEnd(); text != "" {
 				t.Errorf("written %q", text)
 			}
 		})
@@ -168,11 +168,11 @@
 				time.Sleep(time.Millisecond)
 			}
 			close(world.goOn)
-			peer := door.Next()
+			peer := door.Accept()
 			if c.written {
-				peer.Request()
+				peer.ReadRequest()
 			}
-			peer.Say(scripted.OK("x"))
+			peer.Send(scripted.OK("x"))
 			next(t, e)
 			want := decide.ConnectFailed
 			if c.written {
@@ -229,7 +229,7 @@
 // is sent.
 func TestCallerThatLeavesWhileItsKeyIsClaimed(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
-		door := scripted.OpenDoor(t)
+		door := scripted.Listen(t)
 		e := testEngine(t)
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
 		e.conf.Settings.MustPoll = true // nothing is asked here
@@ -249,7 +249,7 @@
 		go server.Serve(callers) //nolint:errcheck // it ends with the listener
 
 		peer := scripted.Connect(t, listener.Addr().String())
-		peer.Say("GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 5\r\n\r\n")
+		peer.Send("GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 5\r\n\r\n")
 		<-claims.asked
 		if leaves {
 			peer.Close()
@@ -257,13 +257,13 @@
 		}
 		close(claims.goOn)
 		if !leaves {
-			to := door.Next()
-			to.Request()
-			to.Say(scripted.OK("x"))
+			to := door.Accept()
+			to.ReadRequest()
+			to.Send(scripted.OK("x"))
 		}
 		want := map[bool]httpwire.Verdict{true: httpwire.Abandoned, false: httpwire.Served}[leaves]
-		if answer := <-claims.ended; answer.Verdict != want || answer.MayHaveRun == leaves || door.Came() {
-			t.Errorf("leaves %v: %+v, sent on %v", leaves, answer, door.Came())
+		if answer := <-claims.ended; answer.Verdict != want || answer.MayHaveRun == leaves || door.HasPending() {
+			t.Errorf("leaves %v: %+v, sent on %v", leaves, answer, door.HasPending())
 		}
 		callers.CloseNow() //nolint:errcheck // it listens no more
 		stop()
@@ -368,7 +368,7 @@
 type staged struct {
 	*Engine
 	world     *stage
-	doors     [2]*scripted.Door
+	doors     [2]*scripted.Listener
 	endpoints [2]decide.EndpointID
 	address   string
 	stop      context.CancelFunc
@@ -377,7 +377,7 @@
 // startStaged starts one; set is called before the engine runs.
 func startStaged(t *testing.T, set func(s *staged)) *staged {
 	t.Helper()
-	s := &staged{Engine: testEngine(t), doors: [2]*scripted.Door{scripted.OpenDoor(t), scripted.OpenDoor(t)}}
+	s := &staged{Engine: testEngine(t), doors: [2]*scripted.Listener{scripted.Listen(t), scripted.Listen(t)}}
 	s.world = &stage{at: newStep(), watch: make(chan struct{}), watched: make(chan struct{}, 1), up: map[string]int{}, wrote: map[string]int{}}
 	s.Engine.world, s.room = s.world, httpwire.NewMemoryBudget(1<<20)
 	s.conf.Classes = map[string]decide.Class{
@@ -421,7 +421,7 @@
 	up := s.world.up[s.doors[i].Address]
 	s.world.mu.Unlock()
 	for range up {
-		peer := s.doors[i].Next()
+		peer := s.doors[i].Accept()
 		const short = 20 * time.Millisecond         // what was written has come: on loopback a write brings it
 		peer.SetReadDeadline(time.Now().Add(short)) //nolint:errcheck // the read that meets it fails
 		b := make([]byte, 64)
@@ -523,10 +523,10 @@
 		"ends":              func(p *scripted.Peer, _ string) { p.Close() },
 		"half-ends":         func(p *scripted.Peer, _ string) { p.CloseWrite() }, //nolint:errcheck // the test sees it
 		"resets":            func(p *scripted.Peer, _ string) { p.Reset() },
-		"ends behind bytes": func(p *scripted.Peer, ahead string) { p.Say(ahead); p.Close() },
-		"ends behind many":  func(p *scripted.Peer, ahead string) { p.Say(strings.Repeat(ahead, 400)); p.Close() },
+		"ends behind bytes": func(p *scripted.Peer, ahead string) { p.Send(ahead); p.Close() },
+		"ends behind many":  func(p *scripted.Peer, ahead string) { p.Send(strings.Repeat(ahead, 400)); p.Close() },
 		"stays":             nil,
-		"stays with bytes":  func(p *scripted.Peer, ahead string) { p.Say(ahead[:2]) },
+		"stays with bytes":  func(p *scripted.Peer, ahead string) { p.Send(ahead[:2]) },
 	}
 	for at, c := range steps {
 		for way, leave := range ways {
@@ -540,13 +540,13 @@
 						close(s.world.watch)
 					}
 					peer := scripted.Connect(t, s.address)
-					peer.Say(ask(c.body))
+					peer.Send(ask(c.body))
 					var first *scripted.Peer
 					if c.first {
-						first = s.doors[0].Next()
-						first.Request()
+						first = s.doors[0].Accept()
+						first.ReadRequest()
 						if strings.HasPrefix(at, "a retry") {
-							first.Say("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
+							first.Send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					}
 					<-s.world.at.reached
@@ -568,15 +568,15 @@
 							if leave != nil { // two bytes of it came ahead
 								rest = rest[2:]
 							}
-							peer.Say(rest)
+							peer.Send(rest)
 						}
-						to := s.doors[1].Next()
-						to.Request()
-						to.Say(scripted.OK("x"))
+						to := s.doors[1].Accept()
+						to.ReadRequest()
+						to.Send(scripted.OK("x"))
 						if !watched {
 							close(s.world.watch)
 						}
-						if status, _ := peer.Answer(); status != 200 {
+						if status, _ := peer.ReadAnswer(); status != 200 {
 							t.Errorf("answered %d", status)
 						}
 						if first != nil {
@@ -627,25 +627,25 @@
 			})
 		})
 		peer := scripted.Connect(t, s.address)
-		peer.Say(ask(long) + strings.Repeat("x", 100))
+		peer.Send(ask(long) + strings.Repeat("x", 100))
 		<-s.world.at.reached // some of it is on its way
-		peer.Say(strings.Repeat("x", long-httpwire.MaxBuffered-1-100))
+		peer.Send(strings.Repeat("x", long-httpwire.MaxBuffered-1-100))
 		leave(peer)
 		close(s.world.at.goOn)
-		to := s.doors[0].Next()
+		to := s.doors[0].Accept()
 		if !leaves {
-			to.Request()
-			to.Say(scripted.OK("x"))
-			if status, _ := peer.Answer(); status != 200 {
+			to.ReadRequest()
+			to.Send(scripted.OK("x"))
+			if status, _ := peer.ReadAnswer(); status != 200 {
 				t.Errorf("answered %d", status)
 			}
 			s.end()
 			continue
 		}
-		if text, _ := to.End(); !strings.HasPrefix(text, "POST") || len(text) >= long {
+		if text, _ := to.ReadToEnd(); !strings.HasPrefix(text, "POST") || len(text) >= long {
 			t.Errorf("%d bytes came to the endpoint, want a part of the body", len(text))
 		}
-		if status, _ := peer.Answer(); status == 200 {
+		if status, _ := peer.ReadAnswer(); status == 200 {
 			t.Errorf("answered %d", status)
 		}
 		if c := s.Snapshot(); c.Left != 1 || c.Outcomes[decide.ConnectFailed] != 1 {
@@ -664,9 +664,9 @@
 		s.balancer = heldBack(s, decide.Arrived, func(*decide.Event) []decide.Action { return nil })
 	})
 	peer := scripted.Connect(t, s.address)
-	peer.Say(ask(long))
+	peer.Send(ask(long))
 	<-s.world.at.reached
-	peer.Say(strings.Repeat("x", long-httpwire.MaxBuffered-1))
+	peer.Send(strings.Repeat("x", long-httpwire.MaxBuffered-1))
 	peer.Close()
 	close(s.world.at.goOn)
 	for s.Snapshot().Left != 1 {
@@ -676,7 +676,7 @@
 	if s.world.writes(s.doors[1].Address) == 0 {
 		return // its end was seen before the first byte
 	}
-	if text, _ := s.doors[1].Next().End(); len(text) >= long {
+	if text, _ := s.doors[1].Accept().ReadToEnd(); len(text) >= long {
 		t.Errorf("%d bytes came to the endpoint: its whole request", len(text))
 	}
 }
--- a/internal/pipeline/legacy_test.go
+++ b/internal/pipeline/legacy_test.go
@@ -14,9 +14,9 @@
 )
 
 // successor returns an engine whose discovery is at a door, that begins with what a predecessor left.
-func successor(t *testing.T, left Handover) (*Engine, *scripted.Door, *strings.Builder) {
+func successor(t *testing.T, left Handover) (*Engine, *scripted.Listener, *strings.Builder) {
 	t.Helper()
-	door := scripted.OpenDoor(t)
+	door := scripted.Listen(t)
 	e := testEngine(t)
 	var log strings.Builder
 	e.log = zerolog.New(&log)
@@ -70,7 +70,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, door, log := successor(t, c.left)
-			if asked := door.Next().Request().URL.RawQuery; asked != c.asked {
+			if asked := door.Accept().ReadRequest().URL.RawQuery; asked != c.asked {
 				t.Errorf("asked %q, want %q", asked, c.asked)
 			}
 			var names []string
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -26,9 +26,9 @@
 }
 
 // watchAt returns an engine that has begun to watch at a door, with version 7 known, and its first call there.
-func watchAt(t *testing.T, times callTimes) (*Engine, *scripted.Door, *scripted.Peer) {
+func watchAt(t *testing.T, times callTimes) (*Engine, *scripted.Listener, *scripted.Peer) {
 	t.Helper()
-	door := scripted.OpenDoor(t)
+	door := scripted.Listen(t)
 	e := testEngine(t)
 	e.watch = newWatch(door.Address, times)
 	e.watch.known, e.watch.index = true, 7
@@ -37,8 +37,8 @@
 		close(e.stopped)
 	})
 	e.startWatch()
-	first := door.Next()
-	if asked := first.Request().URL.RawQuery; !strings.HasPrefix(asked, "after=7&") {
+	first := door.Accept()
+	if asked := first.ReadRequest().URL.RawQuery; !strings.HasPrefix(asked, "after=7&") {
 		t.Fatalf("asked %q", asked)
 	}
 	return e, door, first
@@ -65,30 +65,30 @@
 	half := scripted.OK(drained)
 	for name, lose := range map[string]func(*scripted.Peer){
 		"silent":             func(*scripted.Peer) {},
-		"half a head":        func(p *scripted.Peer) { p.Say(half[:12]) },
-		"half a list":        func(p *scripted.Peer) { p.Say(half[:len(half)-20]) },
+		"half a head":        func(p *scripted.Peer) { p.Send(half[:12]) },
+		"half a list":        func(p *scripted.Peer) { p.Send(half[:len(half)-20]) },
 		"reset":              func(p *scripted.Peer) { p.Reset() },
 		"ended":              func(p *scripted.Peer) { p.Close() },
-		"reset in a list":    func(p *scripted.Peer) { p.Say(half[:len(half)-20]); p.Reset() },
-		"an earlier version": func(p *scripted.Peer) { p.Say(scripted.OK(`{"index":3,"snapshot":false,"endpoints":[]}`)) },
+		"reset in a list":    func(p *scripted.Peer) { p.Send(half[:len(half)-20]); p.Reset() },
+		"an earlier version": func(p *scripted.Peer) { p.Send(scripted.OK(`{"index":3,"snapshot":false,"endpoints":[]}`)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, door, first := watchAt(t, quick)
 			lose(first)
-			fresh := door.Next()
+			fresh := door.Accept()
 			want := "after=7&wait_ms=1"
 			if name == "an earlier version" {
 				want = "" // the whole list: versions have begun anew
 			}
-			if asked := fresh.Request().URL.RawQuery; asked != want {
+			if asked := fresh.ReadRequest().URL.RawQuery; asked != want {
 				t.Errorf("asked %q, want %q", asked, want)
 			}
-			fresh.Say(scripted.OK(drained))
+			fresh.Send(scripted.OK(drained))
 			next(t, e)
 			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.index != 8 {
 				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.index)
 			}
-			if asked := fresh.Request().URL.RawQuery; asked != "after=8&wait_ms=100" {
+			if asked := fresh.ReadRequest().URL.RawQuery; asked != "after=8&wait_ms=100" {
 				t.Errorf("after it came %q, want the watch to go on", asked)
 			}
 		})
@@ -97,7 +97,7 @@
 
 // Guards against a fresh call that is given up because its connection does not come up: there is one more.
 func TestFreshCallWhoseConnectionDoesNotComeUp(t *testing.T) {
-	door := scripted.OpenDoor(t)
+	door := scripted.Listen(t)
 	e := testEngine(t)
 	e.watch = newWatch(door.Address, quick)
 	e.watch.known, e.watch.index = true, 7
@@ -108,12 +108,12 @@
 		close(e.stopped)
 	}()
 	e.startWatch()
-	first := door.Next()
-	first.Request() // it stands: a reset before that is a dial that fails
+	first := door.Accept()
+	first.ReadRequest() // it stands: a reset before that is a dial that fails
 	first.Reset()
-	fresh := door.Next()
-	fresh.Request()
-	fresh.Say(scripted.OK(drained))
+	fresh := door.Accept()
+	fresh.ReadRequest()
+	fresh.Send(scripted.OK(drained))
 	next(t, e)
 	if e.counters.Lists != 1 || e.counters.ListFailures != 0 || dials != 3 {
 		t.Errorf("%d lists, %d failures after %d connections", e.counters.Lists, e.counters.ListFailures, dials)
@@ -139,20 +139,20 @@
 func TestFreshCallsAreBounded(t *testing.T) {
 	e, door, _ := watchAt(t, quick)
 	for range freshCalls {
-		door.Next().Request()
+		door.Accept().ReadRequest()
 	}
 	next(t, e)
-	if e.counters.ListFailures != 1 || e.watch.running || door.Came() {
-		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFailures, e.watch.running, door.Came())
+	if e.counters.ListFailures != 1 || e.watch.running || door.HasPending() {
+		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFailures, e.watch.running, door.HasPending())
 	}
 	for name, answer := range map[string]string{
 		"overrun": "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "broken": scripted.OK(`{"index":`),
 	} {
 		e, door, first := watchAt(t, quick)
-		first.Say(answer)
+		first.Send(answer)
 		next(t, e)
-		if e.counters.ListFailures != 1 || door.Came() {
-			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFailures, door.Came())
+		if e.counters.ListFailures != 1 || door.HasPending() {
+			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFailures, door.HasPending())
 		}
 	}
 }
@@ -187,7 +187,7 @@
 			e.ends = zerolog.New(&log)
 			e.takeList(listOf("s", "127.0.0.1:1", decide.Active), decide.ListReplaced)
 			before := e.endpoints.List()
-			first.Say(answer)
+			first.Send(answer)
 			next(t, e)
 			if now := e.endpoints.List(); !reflect.DeepEqual(now, before) || e.counters.Lists != 0 || e.counters.ListFailures != 1 {
 				t.Errorf("%+v in force, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFailures)
@@ -196,8 +196,8 @@
 				!strings.Contains(log.String(), `"reason":"broken"`) || !strings.Contains(log.String(), `"error":"answer: `) {
 				t.Errorf("the log has %d lines: %s", lines, &log)
 			}
-			if e.watch.known != true || e.watch.index != 7 || door.Came() {
-				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.index, e.watch.known, door.Came())
+			if e.watch.known != true || e.watch.index != 7 || door.HasPending() {
+				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.index, e.watch.known, door.HasPending())
 			}
 		})
 	}
@@ -219,16 +219,16 @@
 // the whole list at once, and what the old one says then is nothing.
 func TestNewDiscoveryWhileACallIsOut(t *testing.T) {
 	e, _, first := watchAt(t, quick)
-	second := scripted.OpenDoor(t)
+	second := scripted.Listen(t)
 	moved{second.Address}.handle(e)
-	call := second.Next()
-	if asked := call.Request().URL.RawQuery; asked != "" {
+	call := second.Accept()
+	if asked := call.ReadRequest().URL.RawQuery; asked != "" {
 		t.Errorf("asked %q, want the whole list", asked)
 	}
-	if text, err := first.End(); text != "" || err != nil && !strings.Contains(err.Error(), "reset") {
+	if text, err := first.ReadToEnd(); text != "" || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("the former call goes on: %q, %v", text, err)
 	}
-	call.Say(scripted.OK(`{"index":3,"snapshot":true,"endpoints":[]}`))
+	call.Send(scripted.OK(`{"index":3,"snapshot":true,"endpoints":[]}`))
 	for e.counters.Lists == 0 {
 		next(t, e)
 	}
--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -128,19 +128,19 @@
 	hint  uint64   // a seed that found it and got small: tried first, so that CI is quick
 }{
 	"sends again by itself when a used connection breaks": {
-		Options{Bug: func(p *Proc) { p.resend = true }}, []string{string(oracle.Doubled), string(oracle.SentAfter)}, 141},
+		Options{Bug: func(p *Proc) { p.resend = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
 	"does not look at the window": {
-		Options{Decider: unlooked(ignoresWindows)}, []string{string(oracle.Doubled)}, 905},
+		Options{Decider: unlooked(ignoresWindows)}, []string{string(oracle.DuplicateEffect)}, 905},
 	"takes what is unsafe for safe": {
 		Options{Decider: round(func(conf *config.Config, _ *buggy) {
 			for i := range conf.Settings.Classes {
 				conf.Settings.Classes[i].Effect = decide.Safe
 			}
-		})}, []string{string(oracle.Doubled)}, 4},
+		})}, []string{string(oracle.DuplicateEffect)}, 4},
 	"ignores drains": {
-		Options{Decider: unlooked(ignoresDrains)}, []string{string(oracle.Drained)}, 0},
+		Options{Decider: unlooked(ignoresDrains)}, []string{string(oracle.SentToDrained)}, 0},
 	"takes cold endpoints for warm": {
-		Options{Decider: lines(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.PushedOver)}, 2707},
+		Options{Decider: lines(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.OverloadedCold)}, 2707},
 	"answers once more when an attempt is called off": {
 		Options{Bug: func(p *Proc) { p.doubleOnCancel = true }}, []string{string(oracle.AnsweredTwice)}, 2},
 	"forgets attempts whose dial failed": {
@@ -161,7 +161,7 @@
 				}
 				return true
 			}
-		}))}, []string{string(oracle.Drained)}, 0},
+		}))}, []string{string(oracle.SentToDrained)}, 0},
 	"waits for its time-out a second too long": {
 		Options{Decider: round(func(_ *config.Config, b *buggy) {
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
@@ -170,7 +170,7 @@
 				}
 				return ev.Kind != decide.TimerDue
 			}
-		})}, []string{string(oracle.Lost)}, 195},
+		})}, []string{string(oracle.LostRequest)}, 195},
 	"in one order of two events alone: forgets a request that comes in the instant of an answer": {
 		Options{Decider: round(func(_ *config.Config, b *buggy) {
 			var answered decide.Time
@@ -180,7 +180,7 @@
 				}
 				return ev.Kind != decide.Arrived || now != answered
 			}
-		})}, []string{string(oracle.Lost)}, 38},
+		})}, []string{string(oracle.LostRequest)}, 38},
 }
 
 // seedsToTry are the hint, unless the search is to be from scratch, and all others.
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -103,7 +103,7 @@
 	s       *simulation
 	name    string
 	address string
-	station *servermodel.Station
+	station *servermodel.Server
 	inboxes map[*conn]*inbox
 	busy    map[*conn]*task
 	conns   []*conn
@@ -194,7 +194,7 @@
 	class, known := e.s.classes[q.class]
 	e.s.seen[q.id] = true
 	arrived := func(runs, repeat bool) {
-		e.s.book.Arrived(oracle.Arrival{ID: q.id, Endpoint: e.name, First: q.first, Whole: q.whole, Runs: runs, Repeat: repeat})
+		e.s.book.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, First: q.first, Whole: q.whole, Runs: runs, Repeat: repeat})
 	}
 	if !known || e.trouble == Refuse {
 		arrived(false, false)
@@ -225,7 +225,7 @@
 	t.Data = t
 	t.Work = time.Duration(e.s.dice(e.name, q.id).ExpFloat64() * float64(e.s.work))
 	e.due()
-	if e.station.Arrive(e.s.now(), &t.Job) == servermodel.TurnedAway {
+	if e.station.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
 		if own != nil {
 			delete(e.s.keys.seen, q.key)
 		}
@@ -247,7 +247,7 @@
 func (e *endpoint) due() {
 	done, fell := e.station.Due(e.s.now())
 	if fell {
-		e.s.book.Fell(e.s.now(), e.name)
+		e.s.book.EndpointOverloaded(e.s.now(), e.name)
 	}
 	for _, j := range done {
 		t := j.Data.(*task)
@@ -376,7 +376,7 @@
 		d.names = append(d.names, l.Name)
 	}
 	d.lines[l.Name], d.changed[l.Name] = l, d.index
-	d.s.book.Listed(d.s.now(), d.index, l.Name, l.Status == "SERVING")
+	d.s.book.ListPublished(d.s.now(), d.index, l.Name, l.Status == "SERVING")
 	if l.Status != "SERVING" {
 		for _, sc := range d.s.sidecars {
 			if sc.proc.dialing[l.Address] > 0 {
@@ -411,13 +411,13 @@
 		panic(err) // it holds nothing that can't be written
 	}
 	c.peerWrite("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + string(text))
-	d.s.book.Told(d.s.now()+spikeLatency*2, c.proc.name(), d.index)
-	d.s.book.Called(d.s.now(), c.proc.name())
+	d.s.book.ListDelivered(d.s.now()+spikeLatency*2, c.proc.name(), d.index)
+	d.s.book.ListCallEnded(d.s.now(), c.proc.name())
 }
 
 func (d *discovery) setDown(down bool) {
 	d.down = down
-	d.s.book.ListUp(d.s.now(), !down)
+	d.s.book.SetDiscoveryUp(d.s.now(), !down)
 	if !down {
 		return
 	}
@@ -425,7 +425,7 @@
 	d.waiting = nil
 	for _, w := range waiting {
 		d.s.w.off(w.end)
-		d.s.book.Called(d.s.now(), w.c.proc.name())
+		d.s.book.ListCallEnded(d.s.now(), w.c.proc.name())
 		w.c.peerClose(true)
 		delete(d.inboxes, w.c)
 	}
@@ -446,7 +446,7 @@
 	d.waiting = slices.DeleteFunc(d.waiting, func(w *watcher) bool {
 		if w.c == c {
 			d.s.w.off(w.end)
-			d.s.book.Called(d.s.now(), c.proc.name())
+			d.s.book.ListCallEnded(d.s.now(), c.proc.name())
 		}
 		return w.c == c
 	})
@@ -460,7 +460,7 @@
 	}
 	whole, _ := in.add(d.s.now(), b)
 	for _, q := range whole {
-		d.s.book.Calls(c.proc.name())
+		d.s.book.ListCallBegun(c.proc.name())
 		d.call(c, q)
 	}
 }
@@ -468,7 +468,7 @@
 func (d *discovery) call(c *conn, q request) {
 	if d.down {
 		c.peerWrite("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
-		d.s.book.Called(d.s.now(), c.proc.name())
+		d.s.book.ListCallEnded(d.s.now(), c.proc.name())
 		return
 	}
 	var after, ms int64
@@ -477,7 +477,7 @@
 		d.tell(c, after)
 		return
 	}
-	d.s.book.Stands(c.proc.name(), d.s.now()+time.Duration(ms)*time.Millisecond)
+	d.s.book.WatchAccepted(c.proc.name(), d.s.now()+time.Duration(ms)*time.Millisecond)
 	w := &watcher{c: c, after: after}
 	w.end = d.s.w.after(c.id+"/watch", time.Duration(ms)*time.Millisecond, func() {
 		d.waiting = slices.DeleteFunc(d.waiting, func(o *watcher) bool { return o == w })
@@ -518,8 +518,8 @@
 	class := k.s.classes[a.Class]
 	k.out = k.s.now()
 	until := k.out + class.Deadline
-	k.s.book.Asking(oracle.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Until: until + spikeLatency*2})
-	k.s.book.Written(a.ID)
+	k.s.book.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Deadline: until + spikeLatency*2})
+	k.s.book.RequestWritten(a.ID)
 	k.s.asking[k] = true
 	method, more := "GET", ""
 	if class.Effect != decide.Safe {
@@ -543,7 +543,7 @@
 
 func (k *client) timeUp(leaves bool) {
 	if leaves {
-		k.s.book.Left(k.s.now(), k.ask.ID)
+		k.s.book.ClientLeft(k.s.now(), k.ask.ID)
 	} else {
 		k.s.book.Unanswered(k.s.now(), k.ask.ID)
 	}
@@ -576,8 +576,8 @@
 	a := k.ask
 	switch {
 	case c.proc.dead:
-		k.s.book.Cut(k.s.now(), a.ID)
-	case k.uses > 0 && len(k.buf) == 0 && k.s.book.Unwritten(a.ID):
+		k.s.book.RequestInterrupted(k.s.now(), a.ID)
+	case k.uses > 0 && len(k.buf) == 0 && k.s.book.RetractRequest(a.ID):
 		// It ended as the request crossed that: once more, on a new connection.
 		k.s.w.off(k.limit)
 		k.ask = nil
@@ -596,7 +596,7 @@
 		return
 	}
 	if k.ask == nil {
-		k.s.book.Surplus(k.s.now(), k.c.id)
+		k.s.book.ExtraBytes(k.s.now(), k.c.id)
 		k.gone = true
 		k.c.peerClose(true)
 		return
@@ -623,12 +623,12 @@
 		verdict = oracle.Refused
 	}
 	if body := string(m.Body()); verdict == oracle.Served && !(strings.HasPrefix(body, a.ID+" ") && strings.HasSuffix(body, "\n")) {
-		k.s.book.Foreign(now, a.ID)
+		k.s.book.ForeignAnswer(now, a.ID)
 	} else {
-		k.s.book.Answered(now, a.ID, verdict)
+		k.s.book.AnswerReceived(now, a.ID, verdict)
 	}
 	if len(k.buf) > 0 {
-		k.s.book.Surplus(now, a.ID)
+		k.s.book.ExtraBytes(now, a.ID)
 	}
 	k.s.verdicts[verdict]++
 	delete(k.s.asking, k)
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -79,7 +79,7 @@
 	w         *World
 	script    Script
 	opts      Options
-	book      *oracle.Book
+	book      *oracle.Checker
 	classes   map[string]decide.Class
 	keys      *keyMemory
 	work      time.Duration
@@ -126,7 +126,7 @@
 	s := &simulation{
 		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, work: script.Work,
 		book: oracle.New(oracle.Conf{
-			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: askEvery, ToldAfter: toldAfter, Margin: margin,
+			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: askEvery, DeliveredAfter: toldAfter, Margin: margin,
 		}),
 		keys: &keyMemory{window: script.Window, seen: map[string]*keyRun{}}, routes: map[string]peer{},
 		classes: map[string]decide.Class{
@@ -137,7 +137,7 @@
 	}
 	s.list = newDiscovery(s)
 	s.routes["discovery:1"], s.routes["discovery:2"] = s.list, s.list
-	s.book.ListUp(0, true)
+	s.book.SetDiscoveryUp(0, true)
 	for n := range script.Endpoints {
 		s.startEndpoint(n, "", false)
 	}
@@ -192,8 +192,8 @@
 // checkAll looks after each step whether all rules hold and the books add up.
 func (s *simulation) checkAll() error {
 	account := s.book.Close()
-	if len(account.Breaks) > 0 {
-		b := account.Breaks[0]
+	if len(account.Violations) > 0 {
+		b := account.Violations[0]
 		return &Failure{Rule: string(b.Rule), Step: s.w.steps, At: s.now(), What: b.What}
 	}
 	for _, sc := range s.sidecars {
@@ -250,7 +250,7 @@
 func (s *simulation) start(sc *sidecar) {
 	sc.starts++
 	id := fmt.Sprintf("%s.%d", sc.name, sc.starts)
-	s.book.Started(s.now(), sc.name, 0)
+	s.book.SidecarStarted(s.now(), sc.name, 0)
 	proc := s.w.newProc(id, sc.name+":7070", s.script.Seed, func(address string) peer {
 		if p := s.routes[address]; p != nil {
 			if e, ok := p.(*endpoint); ok && e.dead {
