--- a/decide/asking.go
+++ b/decide/asking.go
@@ -46,9 +46,9 @@
 	return fleetSpread(peers)
 }
 
-// ListRetryDelay is how long an instance with so many peers waits at the least, and how much longer by chance,
-// behind a failed call for the list: as long as its backoff each, or by the number of peers where discovery
-// has refused the call and they can overrun it.
+// ListRetryDelay is how long an instance with so many peers waits at the least, and how much longer by
+// chance, behind a failed call for the list: as long as its backoff each, or by the number of peers where
+// discovery has refused the call and they can overrun it.
 func ListRetryDelay(backoff time.Duration, peers int, refused bool) (least, spread time.Duration) {
 	if !refused || !mayOverrun(peers) {
 		return backoff, backoff
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -420,7 +420,7 @@
 	switch answer.Kind {
 	case holdings.AnswerOK:
 		c.open.Add(1)
-		return pipeline.ClaimResult{Claim: &claim{c, class, a}, Within: bound}
+		return pipeline.ClaimResult{Claim: &claim{c, class, a}, AttemptsWithin: bound}
 	case holdings.AnswerFinished:
 		c.was.Add(1)
 		return pipeline.ClaimResult{Answer: kept(answer.Outcome)}
@@ -488,8 +488,8 @@
 	return h.c.me == h.ask.Owner
 }
 
-// End is pipeline.Hold's.
-func (h *claim) End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+// Finish is pipeline.Hold's.
+func (h *claim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	a := h.ask
 	switch {
 	case answer.Verdict == httpwire.Served:
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -284,8 +284,8 @@
 	}
 }
 
-// Figures is lifecycle.Crew's.
-func (m *Member) Figures(text []byte) []byte {
+// Metrics is lifecycle.Crew's.
+func (m *Member) Metrics(text []byte) []byte {
 	m.Effective()
 	a := m.acting.Load()
 	cautious, leads := int64(0), int64(0)
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -511,14 +511,14 @@
 
 // Status is what a keeper knows.
 type Status struct {
-	Name    string          `cbor:"1,keyasint"`
-	Leader  string          `cbor:"2,keyasint,omitempty"` // name
-	Term    uint64          `cbor:"3,keyasint"`
-	Applied uint64          `cbor:"4,keyasint"`
-	Ledger  *cluster.Ledger `cbor:"5,keyasint"`
-	Forming []string        `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
-	Leases  map[string]int  `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
-	Dropped int64           `cbor:"8,keyasint,omitempty"`
+	Name          string          `cbor:"1,keyasint"`
+	Leader        string          `cbor:"2,keyasint,omitempty"` // name
+	Term          uint64          `cbor:"3,keyasint"`
+	Applied       uint64          `cbor:"4,keyasint"`
+	Ledger        *cluster.Ledger `cbor:"5,keyasint"`
+	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
+	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
+	Dropped       int64           `cbor:"8,keyasint,omitempty"`
 }
 
 // Status tells what it knows.
@@ -527,7 +527,7 @@
 	if k.node == nil {
 		for _, name := range slices.Sorted(maps.Keys(k.conf.Voters)) {
 			if _, there := k.heard[name]; !there && name != k.conf.Name {
-				s.Forming = append(s.Forming, name)
+				s.MissingVoters = append(s.MissingVoters, name)
 			}
 		}
 	} else {
--- a/internal/command/crew.go
+++ b/internal/command/crew.go
@@ -113,10 +113,10 @@
 }
 
 func formingOf(s *voter.Status) string {
-	if len(s.Forming) == 0 {
+	if len(s.MissingVoters) == 0 {
 		return ""
 	}
-	return fmt.Sprintf("the crew is not formed, %s has not heard of %v", s.Name, s.Forming)
+	return fmt.Sprintf("the crew is not formed, %s has not heard of %v", s.Name, s.MissingVoters)
 }
 
 func writeJSON(o *Out, v any) error {
@@ -140,7 +140,7 @@
 	if c.JSON {
 		return writeJSON(o, map[string]any{"crew": t.table.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
 			"members": len(s.Ledger.Members), "version": s.Ledger.Active.Number, "hash": s.Ledger.Active.Hash.String(), "next": next,
-			"keepers": slices.Sorted(maps.Keys(s.Ledger.Voters)), "forming": s.Forming})
+			"keepers": slices.Sorted(maps.Keys(s.Ledger.Voters)), "forming": s.MissingVoters})
 	}
 	leader := s.Leader
 	if leader == "" {
--- a/internal/holdings/entry.go
+++ b/internal/holdings/entry.go
@@ -8,9 +8,9 @@
 	"heathgap/decide"
 )
 
-// Boot is a moment on a machine's clock that goes on while it is suspended. Moments of two machines are never compared: what is
+// BootTime is a moment on a machine's clock that goes on while it is suspended. Moments of two machines are never compared: what is
 // said of times are ages.
-type Boot = time.Duration
+type BootTime = time.Duration
 
 // Bounds of an entry.
 const (
--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -43,7 +43,7 @@
 var orders = decide.Class{Effect: decide.Keyed, Window: 5 * time.Second}
 
 type modelEvent struct {
-	at Boot
+	at BootTime
 	n  int
 	do func()
 }
@@ -73,7 +73,7 @@
 	inbox      []func()
 	store      *Store
 	me         Incarnation
-	leased     Boot
+	leased     BootTime
 	view       View // what it was told of members and placement
 	distrusts  bool // a delta could not be taken: it names nothing
 }
@@ -81,24 +81,24 @@
 type model struct {
 	t         *testing.T
 	dice      *rand.Rand
-	now       Boot
+	now       BootTime
 	queue     modelQueue
 	n         int
 	bug       string
-	terms     Terms
+	terms     Params
 	all       []*sidecar
 	epoch     uint64
 	in        map[string]Member
-	until     map[string]Boot
+	until     map[string]BootTime
 	filled    map[string][]CaughtUp
 	unheard   map[string][]Incarnation
 	ways      map[[2]string]bool // that are cut
 	placement *Placement
 	history   History
-	dead      [NumShards]Boot
+	dead      [NumShards]BootTime
 	calm      bool // machines are lost and leave, and nothing else happens: often enough within what is promised
 	effects   map[string]int
-	first     map[string]Boot // when each key came to an endpoint
+	first     map[string]BootTime // when each key came to an endpoint
 	told      map[string]string
 	claims    uint64
 	broken    string
@@ -368,7 +368,7 @@
 }
 
 // ask says an owner's word to the primary that it knows of, until it has an answer that counts, or its time is over.
-func (m *model) ask(s *sidecar, a *Command, until Boot, done func(Answer)) {
+func (m *model) ask(s *sidecar, a *Command, until BootTime, done func(Answer)) {
 	token := s.token
 	again := func(last Answer) {
 		m.after(50*time.Millisecond, func() {
@@ -425,7 +425,7 @@
 	m.claim(s, a, until, next)
 }
 
-func (m *model) claim(s *sidecar, a *Command, until Boot, next func()) {
+func (m *model) claim(s *sidecar, a *Command, until BootTime, next func()) {
 	token, key, owner := s.token, a.Key.Text, a.Owner
 	_, before := m.told[key] // an answer may come long after it was given
 	m.ask(s, a, until, func(got Answer) {
@@ -532,8 +532,8 @@
 }
 
 func playModel(t *testing.T, seed uint64, bug string) (string, map[string]int) {
-	m := &model{t: t, dice: rand.New(rand.NewPCG(seed, 0x401d)), bug: bug, terms: Terms{Copies: 2, Keep: time.Minute, LostAfter: 2 * modelTime},
-		in: map[string]Member{}, until: map[string]Boot{}, filled: map[string][]CaughtUp{}, unheard: map[string][]Incarnation{}, ways: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, first: map[string]Boot{}, told: map[string]string{},
+	m := &model{t: t, dice: rand.New(rand.NewPCG(seed, 0x401d)), bug: bug, terms: Params{Copies: 2, Keep: time.Minute, LostAfter: 2 * modelTime},
+		in: map[string]Member{}, until: map[string]BootTime{}, filled: map[string][]CaughtUp{}, unheard: map[string][]Incarnation{}, ways: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, first: map[string]BootTime{}, told: map[string]string{},
 		counts: map[string]int{}, calm: seed%2 == 1}
 	if m.calm {
 		m.terms.LostAfter = 3 * time.Second
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -23,8 +23,8 @@
 	NumShards = 64
 )
 
-// Terms are what all members of a crew must be started with alike.
-type Terms = clusterparams.Holdings
+// Params are what all members of a crew must be started with alike.
+type Params = clusterparams.Holdings
 
 // Incarnation is one incarnation of a sidecar in the crew: who was counted out and came in again is another.
 type Incarnation struct {
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -31,14 +31,14 @@
 // has it; a replica says yes to no configuration that is older than one that it has heard of.
 type Store struct {
 	me        Incarnation
-	terms     Terms
+	terms     Params
 	most      int // entries of a shard
 	placement *Placement
 	members   map[Incarnation]Member
-	leased    Boot // until then this sidecar may act as a primary
+	leased    BootTime // until then this sidecar may act as a primary
 	shards    [NumShards]*shard
 	out       map[Incarnation]*outbox
-	sweep     Boot
+	sweep     BootTime
 	next      int    // the shard that is swept then
 	alone     []item // entries that wait for nobody's word
 
@@ -53,14 +53,14 @@
 	held   map[Key]*held
 	count  uint64 // of revisions, under the present configuration
 	lost   uint64 // Lost as last heard of, and when: until a keep later an unknown key may have been held
-	lostAt Boot
+	lostAt BootTime
 	left   map[Incarnation]int // entries that replicas which are not ready still lack
 }
 
 // held is an entry with what its primary does about it.
 type held struct {
 	Entry
-	since, changed Boot
+	since, changed BootTime
 	under          uint64               // the configuration under which it was said last
 	settled        uint64               // the configuration under which all replicas have it
 	waits          map[Incarnation]bool // replicas whose word is missing
@@ -80,7 +80,7 @@
 	fill  []item
 	busy  bool
 	// failing is since when nothing was answered, 0 while things are, and failed when that was last so.
-	failing, failed Boot
+	failing, failed BootTime
 }
 
 // item is an entry that a replica is to have.
@@ -112,7 +112,7 @@
 }
 
 // NewStore returns one that knows nothing. most bounds its entries.
-func NewStore(terms Terms, most int) *Store {
+func NewStore(terms Params, most int) *Store {
 	r := &Store{terms: terms, most: max(1, most/NumShards), members: map[Incarnation]Member{}, out: map[Incarnation]*outbox{}}
 	for i := range r.shards {
 		r.shards[i] = &shard{number: i, held: map[Key]*held{}}
@@ -121,7 +121,7 @@
 }
 
 // ApplyView takes the ledger's placement and members, as a renewal brought them. me is this sidecar's present incarnation in the crew.
-func (r *Store) ApplyView(now Boot, me Incarnation, placement *Placement, members []Member) {
+func (r *Store) ApplyView(now BootTime, me Incarnation, placement *Placement, members []Member) {
 	moved := me != r.me
 	r.me, r.placement = me, placement
 	r.members = map[Incarnation]Member{}
@@ -139,10 +139,10 @@
 }
 
 // SetLease tells until when this sidecar may act as a primary.
-func (r *Store) SetLease(until Boot) { r.leased = until }
+func (r *Store) SetLease(until BootTime) { r.leased = until }
 
 // adopt takes a shard's replicas, if they are later than those known.
-func (r *Store) adopt(now Boot, s *shard, of Shard, anew bool) {
+func (r *Store) adopt(now BootTime, s *shard, of Shard, anew bool) {
 	if of.Lost > s.lost {
 		s.lost, s.lostAt = of.Lost, now
 	}
@@ -225,7 +225,7 @@
 
 // Handle answers an owner: at once, or when all replicas have what the answer rests on. An owner whose ask gets no answer says it
 // again.
-func (r *Store) Handle(now Boot, a *Command, reply func(Answer)) {
+func (r *Store) Handle(now BootTime, a *Command, reply func(Answer)) {
 	s := r.shards[a.Key.Shard()]
 	// Guards, with the owner, against a placement that is older than its incarnation: it would count as gone.
 	if _, in := r.members[a.Owner]; !in || !r.primary(s) || now >= r.leased {
@@ -246,7 +246,7 @@
 }
 
 // answer answers by what is held, when all replicas have that.
-func (r *Store) answer(now Boot, s *shard, h *held, o op) {
+func (r *Store) answer(now BootTime, s *shard, h *held, o op) {
 	a := o.ask
 	if len(s.Replicas) < r.terms.Copies {
 		o.reply(Answer{Kind: AnswerTooFewReplicas})
@@ -299,13 +299,13 @@
 }
 
 // runs tells whether an owner may still act on its claim: it is in the crew, and the time that it named is not over.
-func (r *Store) runs(now Boot, h *held) bool {
+func (r *Store) runs(now BootTime, h *held) bool {
 	_, in := r.members[h.Owner]
 	return in && h.State == Claimed && now < h.changed+h.Lifetime+AgeSlack
 }
 
 // first answers an ask for a key of which nothing is held.
-func (r *Store) first(now Boot, s *shard, h *held, o op) {
+func (r *Store) first(now BootTime, s *shard, h *held, o op) {
 	a := o.ask
 	if a.Op != OpClaim {
 		kind := AnswerFenced
@@ -336,7 +336,7 @@
 }
 
 // change changes an entry and answers yes when all replicas have it so.
-func (r *Store) change(now Boot, s *shard, h *held, o op, how func(e *Entry)) {
+func (r *Store) change(now BootTime, s *shard, h *held, o op, how func(e *Entry)) {
 	r.Bytes -= h.size()
 	how(&h.Entry)
 	r.Bytes += h.size()
@@ -361,7 +361,7 @@
 }
 
 // settle books that all replicas have an entry, and goes on with what waited for that.
-func (r *Store) settle(now Boot, s *shard, h *held) {
+func (r *Store) settle(now BootTime, s *shard, h *held) {
 	then, queue := h.then, h.queue
 	h.settled, h.waits, h.then, h.queue = s.Config, nil, nil, nil
 	for _, f := range then {
@@ -389,7 +389,7 @@
 }
 
 // NextBatch is what to say to a sidecar now; nil for nothing. Its answer goes to Said before the next.
-func (r *Store) NextBatch(now Boot, to Incarnation) *Batch {
+func (r *Store) NextBatch(now BootTime, to Incarnation) *Batch {
 	o := r.out[to]
 	if o == nil || o.busy {
 		return nil
@@ -437,7 +437,7 @@
 }
 
 // BatchDone takes what came of a batch: its answer, nil for none. What was not heard is to be said again.
-func (r *Store) BatchDone(now Boot, to Incarnation, b *Batch, answer *BatchReply) {
+func (r *Store) BatchDone(now BootTime, to Incarnation, b *Batch, answer *BatchReply) {
 	o := r.out[to]
 	if o == nil {
 		return // it is gone
@@ -493,7 +493,7 @@
 // HandleBatch takes what a primary says.
 //
 // nil is no answer: the word was for another incarnation than the present one.
-func (r *Store) HandleBatch(now Boot, b *Batch) *BatchReply {
+func (r *Store) HandleBatch(now BootTime, b *Batch) *BatchReply {
 	if b.To != r.me {
 		return nil
 	}
@@ -520,7 +520,7 @@
 }
 
 // keep takes one entry. The word of a later configuration stands, and the later one of a configuration.
-func (r *Store) keep(now Boot, s *shard, e *Entry) {
+func (r *Store) keep(now BootTime, s *shard, e *Entry) {
 	h := s.held[e.Key]
 	switch {
 	case h == nil:
@@ -558,7 +558,7 @@
 }
 
 // Peek is what this sidecar has of a key, whatever replica it has: for people, nothing may rest on it.
-func (r *Store) Peek(now Boot, key Key) (e Entry, has bool) {
+func (r *Store) Peek(now BootTime, key Key) (e Entry, has bool) {
 	h := r.shards[key.Shard()].held[key]
 	if h == nil {
 		return e, false
@@ -569,7 +569,7 @@
 }
 
 // Unreachable are the sidecars that have not answered for a while, and lately: who gives them replicas can give those to others.
-func (r *Store) Unreachable(now Boot) []Incarnation {
+func (r *Store) Unreachable(now BootTime) []Incarnation {
 	var out []Incarnation
 	for who, o := range r.out {
 		if o.failing > 0 && o.failed-o.failing >= unheardAfter && now-o.failed < unheardFor {
@@ -581,7 +581,7 @@
 }
 
 // Tick ends entries whose time is over, and goes on with what waits for nobody.
-func (r *Store) Tick(now Boot) {
+func (r *Store) Tick(now BootTime) {
 	r.settleAlone(now)
 	if now < r.sweep {
 		return
@@ -606,7 +606,7 @@
 
 // settleAlone goes on with entries for which no replica's word is missing: those of a shard with one replica. Nobody else could tell a
 // primary that was counted out that it is none any more: it looks at its lease.
-func (r *Store) settleAlone(now Boot) {
+func (r *Store) settleAlone(now BootTime) {
 	for len(r.alone) > 0 && now < r.leased {
 		it := r.alone[0]
 		r.alone = r.alone[1:]
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -359,9 +359,9 @@
 	}
 	left := func() time.Duration { return max(endTime, classDeadline-time.Since(began)+endTime) }
 	if !opened.Claim.MayWrite() {
-		opened.Claim.End(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
+		opened.Claim.Finish(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
 		return false
 	}
 	time.Sleep(p.start.KeyedDuration)
-	return opened.Claim.End(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
+	return opened.Claim.Finish(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
 }
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -80,19 +80,19 @@
 	Against          int                `json:"acts_against"`
 	Requests         int                `json:"asked"`
 	Served           int                `json:"served"`
-	Versions         []CrewVersion      `json:"versions,omitempty"`
+	Versions         []ClusterVersion   `json:"versions,omitempty"`
 	Leaders          map[uint64]string  `json:"leaders,omitempty"`   // by term
 	Replaced         []string           `json:"replaced,omitempty"`  // keepers whose folder was lost
 	LeaderMS         []float64          `json:"leader_ms,omitempty"` // from each strike on a leader until another one was heard of
 	CautiousMS       map[string]float64 `json:"cautious_ms,omitempty"`
 	WholeMS          []float64          `json:"whole_ms,omitempty"` // from each lost process until all it held had its copies elsewhere
-	Orders           *OrderRecord       `json:"orders,omitempty"`
+	Orders           *KeyedRecord       `json:"orders,omitempty"`
 	RSSMB            map[string]float64 `json:"rss_mb"` // of the last start
 	CPU              map[string]float64 `json:"cpu_s"`  // of the last start
 }
 
-// CrewVersion is how one proposal went.
-type CrewVersion struct {
+// ClusterVersion is how one proposal went.
+type ClusterVersion struct {
 	Number   uint64  `json:"number"`
 	State    string  `json:"state"`
 	Why      string  `json:"why,omitempty"`
@@ -485,7 +485,7 @@
 			all = all && (acts || !p.isUp() || heard && a.Cautious)
 		}
 		if all && one {
-			r.rec.Versions = append(r.rec.Versions, CrewVersion{Number: number, State: "active", ActiveMS: millis(now - since)})
+			r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: number, State: "active", ActiveMS: millis(now - since)})
 			delete(r.pending, number)
 		}
 	}
@@ -981,7 +981,7 @@
 			for _, round := range st.Ledger.VersionRecords() {
 				present[round.Number] = true
 				if round.State == cluster.Refused {
-					r.rec.Versions = append(r.rec.Versions, CrewVersion{Number: round.Number, State: "refused", Why: round.Reason})
+					r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: round.Number, State: "refused", Why: round.Reason})
 				}
 			}
 		}
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -134,17 +134,17 @@
 	of *buggyHoldings
 }
 
-// End is pipeline.Hold's.
-func (h *buggyHold) End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+// Finish is pipeline.Hold's.
+func (h *buggyHold) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	n := h.of.ends.Add(1)
 	if h.of.bug == bugTellsEarly {
-		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.End(answer, ran, within) })
+		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
 		if n == 2*deadlyEnd {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 		}
 		return answer
 	}
-	answer = h.Claim.End(answer, ran, within)
+	answer = h.Claim.Finish(answer, ran, within)
 	if n == deadlyEnd && h.of.bug == diesThen {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 	}
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -367,7 +367,7 @@
 	for _, second := range service.Series() {
 		wanted += second.Requests
 	}
-	rec.AttemptsPerRequest, rec.AttemptsPerWant = ratio(arrivals, asked), ratio(arrivals, wanted)
+	rec.AttemptsPerRequest, rec.AttemptsPerLogicalRequest = ratio(arrivals, asked), ratio(arrivals, wanted)
 	r.judgeLoad(rec, driver)
 	return rec
 }
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -17,8 +17,8 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// ListsConf is what is measured of a list's changes.
-type ListsConf struct {
+// ListTrafficConf is what is measured of a list's changes.
+type ListTrafficConf struct {
 	Endpoints int           // listed; nobody stands at them, since nothing is sent
 	AtOnce    int           // lines that change in one version
 	Apart     bool          // in a version each, one after the other at once
@@ -29,8 +29,8 @@
 	Idle      time.Duration // looked at without changes; 0 for not
 }
 
-// Lists is what was seen.
-type Lists struct {
+// ListTraffic is what was seen.
+type ListTraffic struct {
 	Real, Emulated Wire          // while changes came, of one watcher
 	Idle           Wire          // of one sidecar, while none came
 	IdleFor        time.Duration // that it was looked at
@@ -111,7 +111,7 @@
 // lists is the measurement at work.
 type lists struct {
 	*rig
-	conf    ListsConf
+	conf    ListTrafficConf
 	list    *fake.Discovery
 	version int64
 	real    []*counts
@@ -120,8 +120,8 @@
 	flip    bool // lines of the next change are gone, or back
 }
 
-// MeasureLists changes a list and looks what its watchers get.
-func MeasureLists(ctx context.Context, conf ListsConf, opts Options) (*Lists, error) {
+// MeasureListTraffic changes a list and looks what its watchers get.
+func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
 	scene, err := scenario.Parse("lists", []byte(listsScene))
 	if err != nil {
 		return nil, err
@@ -250,8 +250,8 @@
 	}
 }
 
-func (l *lists) measure(ctx context.Context) (*Lists, error) {
-	out := &Lists{IdleFor: l.conf.Idle}
+func (l *lists) measure(ctx context.Context) (*ListTraffic, error) {
+	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
 	if out.Whole, err = l.fetchWhole(ctx); err != nil {
 		return nil, err
--- a/internal/lab/harness/orders.go
+++ b/internal/lab/harness/orders.go
@@ -38,8 +38,8 @@
 	NoOrder   = "no_order"  // what happened to a key fits no order of events
 )
 
-// OrderRecord is what came of a run's orders.
-type OrderRecord struct {
+// KeyedRecord is what came of a run's orders.
+type KeyedRecord struct {
 	Keys      int     `json:"keys"`
 	Served    int     `json:"served"` // keys that had an answer in the end
 	Tries     int     `json:"tries"`
@@ -61,7 +61,7 @@
 
 	mu      sync.Mutex
 	keys    map[string]*orderAt
-	rec     OrderRecord
+	rec     KeyedRecord
 	breaks  []string
 	latency []time.Duration
 	history keyHistory
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -21,8 +21,8 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// CallConf is what a call is measured with.
-type CallConf struct {
+// OverheadConf is what a call is measured with.
+type OverheadConf struct {
 	Rate      float64 // requests a second by each of the two ways
 	For       time.Duration
 	Endpoints int    // listed, each a stand-in that takes calls
@@ -33,25 +33,25 @@
 	Seed      uint64 // of the arrivals
 }
 
-// Call is what a sidecar adds to a request, and takes for it.
-type Call struct {
-	Requests   int     // by each way
-	DirectP50  float64 // ms, from when a request was due
-	DirectP99  float64
-	SidecarP50 float64
-	SidecarP99 float64
-	CPU        float64 // microseconds of the sidecar's processor for a request, with what it takes while idle
-	RSSMB      float64 // most that the sidecar's process held
-	FDs        int     // descriptors of the sidecar's process at the end
-	Used       int     // endpoints that the sidecar's requests came to
-	Lag        float64 // ms, the load's own at the 99th percentile
+// Overhead is what a sidecar adds to a request, and takes for it.
+type Overhead struct {
+	Requests      int     // by each way
+	DirectP50     float64 // ms, from when a request was due
+	DirectP99     float64
+	SidecarP50    float64
+	SidecarP99    float64
+	CPU           float64 // microseconds of the sidecar's processor for a request, with what it takes while idle
+	RSSMB         float64 // most that the sidecar's process held
+	FDs           int     // descriptors of the sidecar's process at the end
+	EndpointsUsed int     // endpoints that the sidecar's requests came to
+	Lag           float64 // ms, the load's own at the 99th percentile
 }
 
 // AddedP50 and AddedP99 are differences of quantiles, in ms.
-func (c Call) AddedP50() float64 { return c.SidecarP50 - c.DirectP50 }
+func (c Overhead) AddedP50() float64 { return c.SidecarP50 - c.DirectP50 }
 
 // AddedP99 is that of the 99th.
-func (c Call) AddedP99() float64 { return c.SidecarP99 - c.DirectP99 }
+func (c Overhead) AddedP99() float64 { return c.SidecarP99 - c.DirectP99 }
 
 // callScene is a fleet in which nothing waits: what is measured is the way.
 const callScene = `
@@ -74,7 +74,7 @@
 `
 
 // scene is the scenario of a conf, beyond the bounds of files: there is one tier of plain stand-ins.
-func (c *CallConf) scene() (*scenario.Scenario, error) {
+func (c *OverheadConf) scene() (*scenario.Scenario, error) {
 	s, err := scenario.Parse("call", []byte(callScene))
 	if err != nil {
 		return nil, err
@@ -95,22 +95,22 @@
 	return s, nil
 }
 
-// MeasureCall sends every other request straight to an endpoint and the rest through one sidecar.
-func MeasureCall(ctx context.Context, conf CallConf, opts Options) (Call, error) {
+// MeasureOverhead sends every other request straight to an endpoint and the rest through one sidecar.
+func MeasureOverhead(ctx context.Context, conf OverheadConf, opts Options) (Overhead, error) {
 	scene, err := conf.scene()
 	if err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	dir, err := os.MkdirTemp("", "heathlab-")
 	if err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	defer os.RemoveAll(dir)
 	r := newRig(scene, 1, opts, dir)
 	r.share(oracle.NewService(nil, 0))
 	defer r.endAll()
 	if err := r.startCall(ctx, &conf); err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	direct := &front{}
 	for _, s := range r.tiers[0].slots {
@@ -124,11 +124,11 @@
 	proc := r.first[0].proc
 	before, err := proc.ran()
 	if err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	var mu sync.Mutex
 	used := map[string]bool{}
-	clients[1].ServedBy = func(endpoint string) {
+	clients[1].OnServed = func(endpoint string) {
 		mu.Lock()
 		defer mu.Unlock()
 		used[endpoint] = true
@@ -136,29 +136,29 @@
 	m := r.send(ctx, &conf, clients)
 	after, err := proc.ran()
 	if err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	n := int(m.took[1].TotalCount())
 	if m.failed > 0 || n == 0 {
-		return Call{}, fmt.Errorf("%d requests failed and %d were served: nothing to measure", m.failed, n)
+		return Overhead{}, fmt.Errorf("%d requests failed and %d were served: nothing to measure", m.failed, n)
 	}
 	u, err := proc.usage()
 	if err != nil {
-		return Call{}, err
+		return Overhead{}, err
 	}
 	if counters := proc.count(); counters != nil && counters.Sent < n {
-		return Call{}, fmt.Errorf("the sidecar sent %d attempts for %d requests: some did not go through it", counters.Sent, n)
+		return Overhead{}, fmt.Errorf("the sidecar sent %d attempts for %d requests: some did not go through it", counters.Sent, n)
 	}
-	return Call{
+	return Overhead{
 		Requests: n, DirectP50: quantile(m.took[0], 50), DirectP99: quantile(m.took[0], 99),
 		SidecarP50: quantile(m.took[1], 50), SidecarP99: quantile(m.took[1], 99),
-		CPU: float64((after - before).Microseconds()) / float64(n), RSSMB: u.rssMB, FDs: u.fds, Used: len(used),
+		CPU: float64((after - before).Microseconds()) / float64(n), RSSMB: u.rssMB, FDs: u.fds, EndpointsUsed: len(used),
 		Lag: quantile(m.lag, 99),
 	}, nil
 }
 
 // startCall starts the endpoints and the sidecar; tiers that settings only name have none.
-func (r *rig) startCall(ctx context.Context, conf *CallConf) error {
+func (r *rig) startCall(ctx context.Context, conf *OverheadConf) error {
 	r.lists = []*fake.Discovery{fake.NewDiscovery(r.book)}
 	r.tiers = []*tier{newTier(r, 0)}
 	r.tiers[0].conf.Calls = 0
@@ -182,7 +182,7 @@
 }
 
 // send sends them as they are due.
-func (r *rig) send(ctx context.Context, conf *CallConf, clients [2]*load.Client) *sent {
+func (r *rig) send(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *sent {
 	m := &sent{took: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
--- a/internal/lab/harness/parts.go
+++ b/internal/lab/harness/parts.go
@@ -82,20 +82,20 @@
 // Address is where it listens.
 func (r *Relay) Address() string { return r.relay.address() }
 
-// Cut has nothing pass either way, or pass again.
-func (r *Relay) Cut(cut bool) {
+// SetPartitioned has nothing pass either way, or pass again.
+func (r *Relay) SetPartitioned(cut bool) {
 	r.relay.set(there, cut)
 	r.relay.set(back, cut)
 }
 
-// Delay has what goes each way come so much later than before, or sooner where that is below 0.
-func (r *Relay) Delay(by time.Duration) {
+// SetDelay has what goes each way come so much later than before, or sooner where that is below 0.
+func (r *Relay) SetDelay(by time.Duration) {
 	r.relay.slow(there, by)
 	r.relay.slow(back, by)
 }
 
-// DelayAnswers is Delay of what comes back.
-func (r *Relay) DelayAnswers(by time.Duration) { r.relay.slow(back, by) }
+// SetAnswerDelay is Delay of what comes back.
+func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.slow(back, by) }
 
 // Close ends it with its connections.
 func (r *Relay) Close() { r.relay.close() }
--- a/internal/lab/harness/slopes_test.go
+++ b/internal/lab/harness/slopes_test.go
@@ -116,16 +116,16 @@
 // Two tiny sizes of what is measured of a call, one of them with several classes.
 func TestCall(t *testing.T) {
 	opts := Options{Sidecar: sidecarOf(policy.Module)}
-	for _, conf := range []CallConf{
+	for _, conf := range []OverheadConf{
 		{Endpoints: 2, Peers: 1, Classes: 1, Stages: 1},
 		{Endpoints: 6, Peers: 6, Classes: 3, Stages: 3, PerCaller: true},
 	} {
 		conf.Rate, conf.For, conf.Seed = 30, time.Second, 1
-		m, err := MeasureCall(context.Background(), conf, opts)
+		m, err := MeasureOverhead(context.Background(), conf, opts)
 		if err != nil {
 			t.Fatalf("%+v: %v", conf, err)
 		}
-		if m.Requests < 10 || m.Used < 1 || m.Used > conf.Endpoints || m.CPU <= 0 || m.RSSMB <= 0 || m.FDs <= 0 || m.DirectP50 <= 0 || m.SidecarP50 <= 0 {
+		if m.Requests < 10 || m.EndpointsUsed < 1 || m.EndpointsUsed > conf.Endpoints || m.CPU <= 0 || m.RSSMB <= 0 || m.FDs <= 0 || m.DirectP50 <= 0 || m.SidecarP50 <= 0 {
 			t.Errorf("%+v: %+v", conf, m)
 		}
 	}
@@ -133,13 +133,13 @@
 
 // What a change costs is counted at the wire: each watcher is told the lines that changed, once, and no whole list.
 func TestLists(t *testing.T) {
-	for _, conf := range []ListsConf{
+	for _, conf := range []ListTrafficConf{
 		{Endpoints: 20, AtOnce: 1, Changes: 6},
 		{Endpoints: 20, AtOnce: 7, Changes: 4},
 		{Endpoints: 20, AtOnce: 7, Changes: 4, Apart: true},
 	} {
 		conf.Sidecars, conf.Emulated, conf.Peers = 2, 3, 13
-		m, err := MeasureLists(context.Background(), conf, Options{Sidecar: sidecarOf(policy.Module)})
+		m, err := MeasureListTraffic(context.Background(), conf, Options{Sidecar: sidecarOf(policy.Module)})
 		if err != nil {
 			t.Fatalf("%+v: %v", conf, err)
 		}
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -55,7 +55,7 @@
 	front Front
 	grace time.Duration // waited past a request's time for its answer
 
-	ServedBy func(endpoint string) // is told of each served answer, if it is there; set before the first Send
+	OnServed func(endpoint string) // is told of each served answer, if it is there; set before the first Send
 
 	mu   sync.Mutex
 	idle []*conn
@@ -94,9 +94,9 @@
 const (
 	Answered       Ending = iota
 	NoAnswer              // lost
-	Gone                  // the client left
+	ClientLeft            // the client left
 	SidecarStopped        // the lab stopped the sidecar
-	Unreached             // no sidecar took the connection
+	NotConnected          // no sidecar took the connection
 )
 
 // Result is what came of a try.
@@ -112,7 +112,7 @@
 	for kept := true; ; kept = false {
 		conn := c.take(ctx, kept)
 		if conn == nil {
-			return Result{Ending: Unreached}
+			return Result{Ending: NotConnected}
 		}
 		again, result := c.exchange(ctx, conn, a)
 		if !again {
@@ -134,7 +134,7 @@
 	if _, err := conn.Write(encode(&a, a.Deadline-c.book.Now())); err != nil {
 		conn.Close()
 		again := c.unwritten(a.ID)
-		return again && used, Result{Ending: Unreached}
+		return again && used, Result{Ending: NotConnected}
 	}
 	c.book.Do(func(b *oracle.Checker) { b.RequestWritten(a.ID) })
 	until, leaves := a.Deadline+c.grace, a.Leave > 0 && a.Leave < a.Deadline
@@ -176,7 +176,7 @@
 			result.Ending = SidecarStopped
 			b.RequestInterrupted(now, id)
 		case timeout && leaves:
-			result.Ending = Gone
+			result.Ending = ClientLeft
 			b.ClientLeft(now, id)
 		default:
 			b.Unanswered(now, id)
@@ -193,10 +193,10 @@
 		result.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), a.ID+" ")
-	if c.ServedBy != nil && result.Verdict == oracle.Served && !foreign {
+	if c.OnServed != nil && result.Verdict == oracle.Served && !foreign {
 		_, by, _ := strings.Cut(string(answer.Body()), " ")
 		by, _, _ = strings.Cut(by, "\n")
-		c.ServedBy(by)
+		c.OnServed(by)
 	}
 	surplus := conn.in.Buffered() > 0
 	c.book.Do(func(b *oracle.Checker) {
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -168,7 +168,7 @@
 	c := scripted(t, func(net.Conn, int, string) bool { time.Sleep(patience); return false })
 	got := c.Send(context.Background(), Request{ID: "1", Class: "look", Effect: decide.Safe,
 		Deadline: c.book.Now() + patience, Leave: c.book.Now() + 30*time.Millisecond})
-	if got.Ending != Gone {
+	if got.Ending != ClientLeft {
 		t.Errorf("%+v", got)
 	}
 	if a := account(c); a.NumViolations() > 0 || a.Balance() != nil {
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -120,7 +120,7 @@
 	d.mu.Unlock()
 	class := d.Classes[a.Class]
 	random := rand.New(rand.NewPCG(a.Seed, 3))
-	want := oracle.Want{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
+	want := oracle.LogicalRequest{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
 	ask := d.ask(a, class, random)
 	for {
 		ask.ID = fmt.Sprintf("%x.%d", a.Number, want.Tries)
@@ -154,9 +154,9 @@
 
 // pauseToRepeat waits before a client asks again; false if it does not.
 func (d *Driver) pauseToRepeat(ctx context.Context, ask *Request, tries int, r Result, random *rand.Rand) bool {
-	harmless := r.Ending == Unreached || r.Ending == Answered && r.Verdict == oracle.Refused
+	harmless := r.Ending == NotConnected || r.Ending == Answered && r.Verdict == oracle.Refused
 	switch {
-	case tries > d.Behavior.Retries, r.Ending == Gone, r.Ending == Answered && r.Verdict == oracle.Malformed,
+	case tries > d.Behavior.Retries, r.Ending == ClientLeft, r.Ending == Answered && r.Verdict == oracle.Malformed,
 		ask.Effect == decide.Unsafe && !harmless:
 		return false
 	}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -227,12 +227,12 @@
 
 // Arrival is an attempt that came whole to an endpoint.
 type Arrival struct {
-	ID       string
-	Endpoint string
-	First    time.Duration // its first byte
-	Whole    time.Duration // its last byte
-	Runs     bool          // it was not turned away
-	Repeat   bool          // its key was known: it has no effect of its own
+	ID        string
+	Endpoint  string
+	FirstByte time.Duration // its first byte
+	LastByte  time.Duration // its last byte
+	Runs      bool          // it was not turned away
+	Repeat    bool          // its key was known: it has no effect of its own
 }
 
 // AttemptArrived books an attempt. It returns false for one that no client sent.
@@ -249,8 +249,8 @@
 	if q.ended {
 		limit = min(limit, q.endAt)
 	}
-	if late := a.First - limit - b.conf.Margin; late > 0 {
-		b.broken(SentAfterAnswer, a.First, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
+	if late := a.FirstByte - limit - b.conf.Margin; late > 0 {
+		b.broken(SentAfterAnswer, a.FirstByte, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
 	}
 	if !a.Runs {
 		q.tally.Rejected++
@@ -270,11 +270,11 @@
 	switch q.Effect {
 	case decide.Unsafe:
 		if q.runs > 1 {
-			b.broken(DuplicateEffect, a.Whole, "request %s: ran once more, at %s", a.ID, a.Endpoint)
+			b.broken(DuplicateEffect, a.LastByte, "request %s: ran once more, at %s", a.ID, a.Endpoint)
 		}
 	case decide.Keyed:
 		if q.runs > 1 {
-			b.broken(DuplicateEffect, a.Whole, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
+			b.broken(DuplicateEffect, a.LastByte, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
 			return
 		}
 		b.keyed[q.Key]++
@@ -286,12 +286,12 @@
 
 // checkDrained looks whether the sidecar counts as told that the endpoint drains, or is gone.
 func (b *Checker) checkDrained(q *request, a Arrival) {
-	at, bound := b.notices.boundSince(q.Sidecar, a.Endpoint, a.First)
+	at, bound := b.notices.boundSince(q.Sidecar, a.Endpoint, a.FirstByte)
 	if !bound {
 		return
 	}
-	if late := a.First - at - b.conf.DrainGrace - b.conf.Margin; late > 0 {
-		b.broken(SentToDrained, a.First, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
+	if late := a.FirstByte - at - b.conf.DrainGrace - b.conf.Margin; late > 0 {
+		b.broken(SentToDrained, a.FirstByte, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
 	}
 }
 
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -18,7 +18,7 @@
 }
 
 func arrive(b *Checker, id string, at time.Duration) {
-	b.AttemptArrived(Arrival{ID: id, Endpoint: "e", First: at, Whole: at + ms, Runs: true})
+	b.AttemptArrived(Arrival{ID: id, Endpoint: "e", FirstByte: at, LastByte: at + ms, Runs: true})
 }
 
 // unheard has a sidecar whose calls for the list bring nothing send to an endpoint that is gone since the start.
@@ -90,7 +90,7 @@
 		}, ""},
 		"unsafe again after it was turned away": {func(b *Checker) {
 			ask(b, "1", decide.Unsafe, "")
-			b.AttemptArrived(Arrival{ID: "1", Endpoint: "e", First: 10 * ms, Whole: 10 * ms})
+			b.AttemptArrived(Arrival{ID: "1", Endpoint: "e", FirstByte: 10 * ms, LastByte: 10 * ms})
 			arrive(b, "1", 20*ms)
 			b.AnswerReceived(30*ms, "1", Served)
 		}, ""},
@@ -103,7 +103,7 @@
 		"keyed twice within the window": {func(b *Checker) {
 			ask(b, "1", decide.Keyed, "k")
 			arrive(b, "1", 10*ms)
-			b.AttemptArrived(Arrival{ID: "1", Endpoint: "f", First: 20 * ms, Whole: 20 * ms, Runs: true, Repeat: true})
+			b.AttemptArrived(Arrival{ID: "1", Endpoint: "f", FirstByte: 20 * ms, LastByte: 20 * ms, Runs: true, Repeat: true})
 			b.AnswerReceived(30*ms, "1", Served)
 		}, ""},
 		"sent past the drain": {func(b *Checker) {
@@ -264,7 +264,7 @@
 
 func TestService(t *testing.T) {
 	s := NewService(map[string]Worth{"look": {Full: 2, Late: 0.5, Aim: 100 * ms, Deadline: time.Second}}, time.Second)
-	for _, w := range []Want{
+	for _, w := range []LogicalRequest{
 		{Due: 0, Served: true, Took: ms},                                // before the count begins
 		{Due: time.Second, Served: true, Took: 100 * ms, Tries: 1},      // in time
 		{Due: time.Second, Served: true, Took: 101 * ms, Tries: 2},      // late
--- a/internal/lab/oracle/service.go
+++ b/internal/lab/oracle/service.go
@@ -13,8 +13,8 @@
 	latencyFigs  = 3
 )
 
-// Want is what a client wanted, however often it had to ask for it.
-type Want struct {
+// LogicalRequest is what a client wanted, however often it had to ask for it.
+type LogicalRequest struct {
 	Class, Tenant string
 	Due           time.Duration // when it was to be asked, whenever that was
 	Took          time.Duration // from Due to the answer that served it
@@ -77,7 +77,7 @@
 }
 
 // Ended adds what a client wanted, once it is settled.
-func (s *Service) Ended(w Want) {
+func (s *Service) Ended(w LogicalRequest) {
 	worth := s.worth[w.Class]
 	earned := 0.0
 	inTime := w.Served && w.Took <= worth.Aim
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -32,7 +32,7 @@
 }
 
 // Ended adds what a client wanted.
-func (s *Shared) Ended(w Want) {
+func (s *Shared) Ended(w LogicalRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.service.Ended(w)
--- a/internal/lab/record/record.go
+++ b/internal/lab/record/record.go
@@ -31,22 +31,22 @@
 	Void     []string  `json:"void"`    // why its figures count for nothing; empty for a good run
 	Machine  Machine   `json:"machine"`
 
-	Service            float64                 `json:"service"`
-	All                oracle.Stats            `json:"all"`
-	Classes            map[string]oracle.Stats `json:"classes"`
-	Tenants            map[string]oracle.Stats `json:"tenants"`
-	Rules              map[oracle.Rule]int     `json:"rules"`
-	Violations         []oracle.Violation      `json:"breaks"`
-	AttemptsPerRequest float64                 `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
-	AttemptsPerWant    float64                 `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
-	ClientRepeats      int                     `json:"client_repeats"`       // keyed effects that clients doubled themselves
-	Sidecars           []Sidecar               `json:"sidecars"`
-	Mismatches         []string                `json:"books"` // where a sidecar's counters differ from the book
-	LateSendsP99       float64                 `json:"late_sends_ms_p99"`
-	LateSendsMax       float64                 `json:"late_sends_ms_max"`
-	BadClients         load.MalformedCounts    `json:"bad_clients"`
-	Series             []oracle.Second         `json:"series"`
-	Faults             []string                `json:"faults"` // as they were played
+	Service                   float64                 `json:"service"`
+	All                       oracle.Stats            `json:"all"`
+	Classes                   map[string]oracle.Stats `json:"classes"`
+	Tenants                   map[string]oracle.Stats `json:"tenants"`
+	Rules                     map[oracle.Rule]int     `json:"rules"`
+	Violations                []oracle.Violation      `json:"breaks"`
+	AttemptsPerRequest        float64                 `json:"attempts_per_request"` // at endpoints of the first tier, for what its sidecars were asked
+	AttemptsPerLogicalRequest float64                 `json:"attempts_per_want"`    // the same for what clients wanted, however often they asked
+	ClientRepeats             int                     `json:"client_repeats"`       // keyed effects that clients doubled themselves
+	Sidecars                  []Sidecar               `json:"sidecars"`
+	Mismatches                []string                `json:"books"` // where a sidecar's counters differ from the book
+	LateSendsP99              float64                 `json:"late_sends_ms_p99"`
+	LateSendsMax              float64                 `json:"late_sends_ms_max"`
+	BadClients                load.MalformedCounts    `json:"bad_clients"`
+	Series                    []oracle.Second         `json:"series"`
+	Faults                    []string                `json:"faults"` // as they were played
 }
 
 // Machine is where a run took place.
--- a/internal/lab/scale/acts.go
+++ b/internal/lab/scale/acts.go
@@ -185,7 +185,7 @@
 	set := func(cut bool) {
 		for _, b := range r.between {
 			if b.regions == a.Between || b.regions == [2]string{a.Between[1], a.Between[0]} {
-				b.relay.Cut(cut)
+				b.relay.SetPartitioned(cut)
 			}
 		}
 		do := emulated.Heal
@@ -204,7 +204,7 @@
 	}
 	r.mu.Lock()
 	place := len(r.obs.Cuts)
-	r.obs.Cuts = append(r.obs.Cuts, CutSpan{Span{boot(), never}, a.Between})
+	r.obs.Cuts = append(r.obs.Cuts, PartitionSpan{Span{boot(), never}, a.Between})
 	r.mu.Unlock()
 	set(true)
 	sleep(ctx, a.For) //nolint:errcheck // then it ends
@@ -219,11 +219,11 @@
 func (r *run) delayAnswers(keeper string, by time.Duration) {
 	for _, c := range r.sidecars {
 		if way := c.relays[keeper]; way != nil {
-			way.DelayAnswers(by)
+			way.SetAnswerDelay(by)
 		}
 	}
 	if front := r.fronts[keeper]; front != nil {
-		front.DelayAnswers(by)
+		front.SetAnswerDelay(by)
 	}
 }
 
@@ -317,5 +317,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.obs.Left--
-	r.obs.Versions = append(r.obs.Versions, Told{Number: number, Due: due, Told: boot()})
+	r.obs.Versions = append(r.obs.Versions, Notified{Number: number, Due: due, Told: boot()})
 }
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -18,10 +18,10 @@
 	Began, Ended time.Duration                     // of what counts: all held a lease before
 	Stances      map[string][]emulated.MemberState // by member, in the order of their times
 	Downs        map[string][]Span                 // by member: it did not run
-	Cuts         []CutSpan
-	Versions     []Told
+	Cuts         []PartitionSpan
+	Versions     []Notified
 	Left         int // versions that were to be proposed, and were not by the end
-	Leaders      []Led
+	Leaders      []Leadership
 	Samples      map[string][]emulated.Usage // by hollow process, in the order of their times
 	Usage        map[string][]Usage          // by keeper, real sidecar and plain one, likewise
 	Late         map[string]time.Duration    // by how much the run's own load was late, at most
@@ -36,22 +36,22 @@
 
 func (s Span) has(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// CutSpan is a cut between two regions.
-type CutSpan struct {
+// PartitionSpan is a cut between two regions.
+type PartitionSpan struct {
 	Span
 	Between [2]string
 }
 
-// Told is a version.
-type Told struct {
+// Notified is a version.
+type Notified struct {
 	Number  uint64
 	Due     time.Duration // somebody wanted it
 	Told    time.Duration // the leader said that it is proposed
 	Refused string        // why it was; empty if not
 }
 
-// Led is a keeper that has come to lead, or none ("").
-type Led struct {
+// Leadership is a keeper that has come to lead, or none ("").
+type Leadership struct {
 	At   time.Duration
 	Name string
 	Term uint64
@@ -396,7 +396,7 @@
 // inForce tells when a member came to act on a version, whether it is one that the version's time counts to, and whether it
 // did in the end. Those count that could be reached and held a lease when the version was told, and those that came (back) later
 // and acted on an older version still. Who is lost or cut off before it acts on it does not count.
-func (j *judge) inForce(name string, v Told) (at time.Duration, owed, does bool) {
+func (j *judge) inForce(name string, v Notified) (at time.Duration, owed, does bool) {
 	at = v.Told
 	open, done := false, false // of the present life: it counts, and it acts on the version
 	pieces := j.lives[name]
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/judge_test.go
@@ -50,8 +50,8 @@
 	s := parse(t, judged)
 	o := &seen{Observed: &Observed{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{},
 		Samples: map[string][]emulated.Usage{}, Usage: map[string][]Usage{}, Late: map[string]time.Duration{"this process": 30 * time.Millisecond},
-		Leaders: []Led{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.MemberUsage{}, cpu: map[string]time.Duration{}}
-	o.Versions = []Told{{Number: 1, Due: at(4.9), Told: at(5)}, {Number: 2, Due: at(15), Told: at(15)}}
+		Leaders: []Leadership{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.MemberUsage{}, cpu: map[string]time.Duration{}}
+	o.Versions = []Notified{{Number: 1, Due: at(4.9), Told: at(5)}, {Number: 2, Due: at(15), Told: at(15)}}
 	for name := range o.Plan.Places {
 		o.acts(name, -3, 0, 0)
 		o.acts(name, 5.6, 0, 1)
@@ -290,7 +290,7 @@
 	build := func() *seen {
 		o := wellGone(t)
 		o.Plan = NewPlan(s, 1)
-		o.Cuts = []CutSpan{{Span{at(14), at(24)}, [2]string{"north", "south"}}}
+		o.Cuts = []PartitionSpan{{Span{at(14), at(24)}, [2]string{"north", "south"}}}
 		for name, place := range o.Plan.Places {
 			if strings.HasPrefix(name, "k") && len(o.Stances[name]) == 0 {
 				for _, st := range o.Stances["k1"] {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -160,7 +160,7 @@
 	for i := range o.Versions {
 		o.Versions[i].Refused = r.refused[o.Versions[i].Number]
 	}
-	slices.SortStableFunc(o.Leaders, func(a, b Led) int { return int(a.At - b.At) })
+	slices.SortStableFunc(o.Leaders, func(a, b Leadership) int { return int(a.At - b.At) })
 	for _, stances := range o.Stances {
 		slices.SortStableFunc(stances, func(a, b emulated.MemberState) int { return int(a.At - b.At) })
 	}
@@ -274,7 +274,7 @@
 	defer r.mu.Unlock()
 	switch line.Message {
 	case lineLeads:
-		r.obs.Leaders = append(r.obs.Leaders, Led{At: at, Name: c.name, Term: line.Term})
+		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at, Name: c.name, Term: line.Term})
 		if line.Term > r.term {
 			r.leader, r.term = c.name, line.Term
 		}
@@ -291,7 +291,7 @@
 func (r *run) noLeader(name string, at time.Duration) {
 	if r.leader == name {
 		r.leader = ""
-		r.obs.Leaders = append(r.obs.Leaders, Led{At: at})
+		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at})
 	}
 }
 
@@ -425,7 +425,7 @@
 				return err
 			}
 			if c.relays[k.name] = way; from != to {
-				way.Delay(r.s.RegionDelay)
+				way.SetDelay(r.s.RegionDelay)
 				r.between = append(r.between, regional{[2]string{from, to}, way})
 			}
 		}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -53,7 +53,7 @@
 	MostLag  time.Duration // of the run's own load; a run beyond it is void
 
 	Steps   []Step
-	Planted []Planted
+	Planted []PlantedFault
 	Limits  Limits
 }
 
@@ -108,8 +108,8 @@
 	All         = "all"     // members and keepers
 )
 
-// Planted is a hollow member with a fault, so that a check can be seen to catch it.
-type Planted struct {
+// PlantedFault is a hollow member with a fault, so that a check can be seen to catch it.
+type PlantedFault struct {
 	Who   string
 	Fault emulated.Fault
 }
@@ -189,7 +189,7 @@
 	for _, p := range t.Tables("planted", mostHollow) {
 		p.Need("who", "a hollow member, such as h1")
 		p.Need("fault", "unheeding, hasty, forgetful")
-		one := Planted{
+		one := PlantedFault{
 			Who:   p.Text("who", "h1"),
 			Fault: emulated.Fault(p.Enum("fault", string(emulated.IgnoresVersions), string(emulated.IgnoresVersions), string(emulated.RenewsTooOften), string(emulated.LosesState))),
 		}
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -178,7 +178,7 @@
 
 func TestSet(t *testing.T) {
 	for key, value := range map[string]string{"load.rate": "300", "tier.0.endpoints": "4", "rules.cold": `"2s"`} {
-		text, err := Set([]byte(good), key, value)
+		text, err := SetKey([]byte(good), key, value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,16 +186,16 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	text, err := Set([]byte(good), "load.rate", "300")
+	text, err := SetKey([]byte(good), "load.rate", "300")
 	if err != nil || parse(t, string(text)).Load.Rate != 300 {
 		t.Errorf("the rate is not set: %v", err)
 	}
 	for _, key := range []string{"tier.7.endpoints", "name.first", "tier.0"} {
-		if _, err := Set([]byte(good), key, "1"); err == nil {
+		if _, err := SetKey([]byte(good), key, "1"); err == nil {
 			t.Errorf("%s: set", key)
 		}
 	}
-	if _, err := Set([]byte(good), "load.rate", "many"); err == nil {
+	if _, err := SetKey([]byte(good), "load.rate", "many"); err == nil {
 		t.Error("a value that is none was set")
 	}
 }
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/set.go
@@ -8,10 +8,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Set returns a scenario's text with one key changed. The key is dotted, with
+// SetKey returns a scenario's text with one key changed. The key is dotted, with
 // places in arrays as numbers (tier.0.cores); its value stands as in a file. Errors
 // of the result name lines of the changed text, which the library writes anew.
-func Set(text []byte, key, value string) ([]byte, error) {
+func SetKey(text []byte, key, value string) ([]byte, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
 		return nil, err
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -257,7 +257,7 @@
 	}
 	var cases []labCase
 	for _, value := range c.Values {
-		changed, err := scenario.Set(text, c.Key, value)
+		changed, err := scenario.SetKey(text, c.Key, value)
 		if err != nil {
 			return err
 		}
@@ -287,7 +287,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	m, err := harness.MeasureCall(ctx, harness.CallConf{
+	m, err := harness.MeasureOverhead(ctx, harness.OverheadConf{
 		Rate: c.Rate / 2, For: c.For, Endpoints: 4, Peers: 1, Classes: 1, Stages: 1, Seed: 1,
 	}, opts)
 	if err != nil {
--- a/internal/labcommand/slopes.go
+++ b/internal/labcommand/slopes.go
@@ -194,7 +194,7 @@
 }
 
 // sizes is the flag that has several values, and a conf for each.
-func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.CallConf, err error) {
+func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.OverheadConf, err error) {
 	if err := cmp.Or(
 		c.check(), rates(scenario.MaxRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
 		within("peers", 0, mostPeers, c.Peers...), within("classes", 1, mostClasses, c.Classes...),
@@ -202,19 +202,22 @@
 	); err != nil {
 		return "", nil, nil, err
 	}
-	base := harness.CallConf{
+	base := harness.OverheadConf{
 		Rate: c.Rate[0], For: c.For, Endpoints: c.Endpoints[0], Peers: c.Peers[0], Classes: c.Classes[0], Stages: c.Stages[0], PerCaller: c.Own,
 	}
 	flags := []struct {
 		name string
 		n    int
-		set  func(conf *harness.CallConf, i int) float64
+		set  func(conf *harness.OverheadConf, i int) float64
 	}{
-		{"rate", len(c.Rate), func(f *harness.CallConf, i int) float64 { f.Rate = c.Rate[i]; return f.Rate }},
-		{"endpoints", len(c.Endpoints), func(f *harness.CallConf, i int) float64 { f.Endpoints = c.Endpoints[i]; return float64(f.Endpoints) }},
-		{"peers", len(c.Peers), func(f *harness.CallConf, i int) float64 { f.Peers = c.Peers[i]; return float64(f.Peers) }},
-		{"classes", len(c.Classes), func(f *harness.CallConf, i int) float64 { f.Classes = c.Classes[i]; return float64(f.Classes) }},
-		{"stages", len(c.Stages), func(f *harness.CallConf, i int) float64 { f.Stages = c.Stages[i]; return float64(f.Stages) }},
+		{"rate", len(c.Rate), func(f *harness.OverheadConf, i int) float64 { f.Rate = c.Rate[i]; return f.Rate }},
+		{"endpoints", len(c.Endpoints), func(f *harness.OverheadConf, i int) float64 {
+			f.Endpoints = c.Endpoints[i]
+			return float64(f.Endpoints)
+		}},
+		{"peers", len(c.Peers), func(f *harness.OverheadConf, i int) float64 { f.Peers = c.Peers[i]; return float64(f.Peers) }},
+		{"classes", len(c.Classes), func(f *harness.OverheadConf, i int) float64 { f.Classes = c.Classes[i]; return float64(f.Classes) }},
+		{"stages", len(c.Stages), func(f *harness.OverheadConf, i int) float64 { f.Stages = c.Stages[i]; return float64(f.Stages) }},
 	}
 	chosen := flags[0]
 	for _, f := range flags {
@@ -262,13 +265,13 @@
 		for i, conf := range confs {
 			conf.Seed = uint64(run + 1)
 			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
-				func() (harness.Call, error) { return harness.MeasureCall(ctx, conf, opts) }, func(m harness.Call) float64 { return m.Lag })
+				func() (harness.Overhead, error) { return harness.MeasureOverhead(ctx, conf, opts) }, func(m harness.Overhead) float64 { return m.Lag })
 			if err != nil {
 				return err
 			}
 			for k, v := range []float64{
 				m.CPU, m.CPU * float64(m.Requests) / c.For.Seconds() / 1e4, m.AddedP50(), m.AddedP99(), m.DirectP50, m.DirectP99, m.RSSMB,
-				float64(m.FDs), float64(m.Used), float64(m.Requests), m.Lag,
+				float64(m.FDs), float64(m.EndpointsUsed), float64(m.Requests), m.Lag,
 			} {
 				figures[k].runs[i] = append(figures[k].runs[i], v)
 			}
@@ -518,7 +521,7 @@
 	for run := range c.Runs {
 		for i, n := range endpoints {
 			sizes[i] = float64(n)
-			m, err := harness.MeasureLists(ctx, harness.ListsConf{
+			m, err := harness.MeasureListTraffic(ctx, harness.ListTrafficConf{
 				Endpoints: n, AtOnce: c.AtOnce, Apart: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Emulated: c.Hollow, Peers: c.Peers, Idle: c.Idle,
 			}, opts)
 			if err != nil {
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -60,7 +60,7 @@
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
 	if conf.Console != "" { // READY is how the platform learns that a successor serves
-		opts.Meet = takeover.Path(os.TempDir(), conf.Name, conf.Listen)
+		opts.Meet = takeover.SocketPath(os.TempDir(), conf.Name, conf.Listen)
 	}
 	sidecar, err := Start(conf, log, opts)
 	if err != nil {
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -162,7 +162,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			path := takeover.Path(temp, "t0", address)
+			path := takeover.SocketPath(temp, "t0", address)
 			door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -87,8 +87,8 @@
 // Cluster is a sidecar's part in a crew: the rules on which its members agree.
 type Cluster interface {
 	pipeline.RulesSource
-	// Figures appends those of its part, a line each.
-	Figures(text []byte) []byte
+	// Metrics appends those of its part, a line each.
+	Metrics(text []byte) []byte
 	// Holdings are what its sidecars hold for one another; nil for nothing.
 	Holdings() pipeline.Holdings
 	// Leaving says that this process will stop, and may be given nothing more to hold.
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -210,7 +210,7 @@
 func (s *Sidecar) Metrics() []byte {
 	text := s.engine.Metrics()
 	if s.crew != nil {
-		text = s.crew.Figures(text)
+		text = s.crew.Metrics(text)
 	}
 	return text
 }
--- a/internal/lifecycle/upgrade_test.go
+++ b/internal/lifecycle/upgrade_test.go
@@ -183,7 +183,7 @@
 func TestStaleWayIn(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf, address := upgradable(t, scripted.StartDiscovery(t), e.Line())
-	path := takeover.Path(os.TempDir(), "t0", address)
+	path := takeover.SocketPath(os.TempDir(), "t0", address)
 	for _, torn := range []bool{false, true} {
 		if torn {
 			if err := os.WriteFile(path, []byte("{\"v"), 0o600); err != nil {
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/book.go
@@ -28,7 +28,7 @@
 	if !e.requests.Settle(a) {
 		return
 	}
-	a.Ran, a.Outcome, a.Took = !outcome.NeverRan(), outcome, e.clock.Now()-a.Sent
+	a.Ran, a.Outcome, a.Latency = !outcome.NeverRan(), outcome, e.clock.Now()-a.Sent
 	e.timeouts.Remove(a)
 	e.counters.Outcomes[outcome]++
 	r := a.Request
@@ -40,7 +40,7 @@
 	}
 	ev := decide.Event{
 		Kind: decide.Finished, Request: r.ID, Attempt: a.Number, Outcome: outcome,
-		Latency: a.Took, RequestDone: r.Done,
+		Latency: a.Latency, RequestDone: r.Done,
 	}
 	if a.Endpoint != nil {
 		ev.Endpoint = a.Endpoint.ID
--- a/internal/pipeline/hold.go
+++ b/internal/pipeline/claim.go
@@ -22,17 +22,17 @@
 
 // ClaimResult is what came of a claim. Answer is the request's answer where nothing is to be sent.
 type ClaimResult struct {
-	Claim  Claim // nil where nothing was promised, or nothing is to be sent
-	Answer *httpwire.Answer
-	Within time.Duration // all attempts have to have ended by then; 0 for no bound but the request's
+	Claim          Claim // nil where nothing was promised, or nothing is to be sent
+	Answer         *httpwire.Answer
+	AttemptsWithin time.Duration // all attempts have to have ended by then; 0 for no bound but the request's
 }
 
 // Claim is one claim.
 type Claim interface {
 	// MayWrite tells whether the claim still stands: it is looked at just before a first byte leaves. Any goroutine may ask.
 	MayWrite() bool
-	// End has it known how the request ended, within a time, and returns what its caller hears.
-	End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer
+	// Finish has it known how the request ended, within a time, and returns what its caller hears.
+	Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer
 }
 
 // SetHoldings has the engine hold keys. It is called before Run.
@@ -54,8 +54,8 @@
 		return nil, opened.Answer
 	}
 	left := message.Remaining - (e.clock.Now() - began)
-	if opened.Within > 0 {
-		left = min(left, opened.Within)
+	if opened.AttemptsWithin > 0 {
+		left = min(left, opened.AttemptsWithin)
 	}
 	if opened.Claim != nil {
 		left -= min(endTime, left/10)
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/crossing_test.go
@@ -219,7 +219,7 @@
 
 func (*slowClaims) MayWrite() bool { return true }
 
-func (h *slowClaims) End(answer httpwire.Answer, ran bool, _ time.Duration) httpwire.Answer {
+func (h *slowClaims) Finish(answer httpwire.Answer, ran bool, _ time.Duration) httpwire.Answer {
 	answer.MayHaveRun = ran
 	h.ended <- answer
 	return answer
--- a/internal/pipeline/requestlog.go
+++ b/internal/pipeline/requestlog.go
@@ -108,5 +108,5 @@
 		ev.Str("outcome", "out")
 		return
 	}
-	ev.Str("outcome", state.OutcomeName(a.Outcome)).Int64("took_ms", a.Took.Milliseconds())
+	ev.Str("outcome", state.OutcomeName(a.Outcome)).Int64("took_ms", a.Latency.Milliseconds())
 }
--- a/internal/pipeline/takein.go
+++ b/internal/pipeline/takein.go
@@ -117,7 +117,7 @@
 	w.admit(e, in)
 	answer = e.await(in)
 	if hold != nil {
-		answer = hold.End(answer, answer.MayHaveRun, max(endTime, in.deadline-e.clock.Now()+endTime))
+		answer = hold.Finish(answer, answer.MayHaveRun, max(endTime, in.deadline-e.clock.Now()+endTime))
 	}
 	return answer, true
 }
--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -235,7 +235,7 @@
 			}
 			if *keepBugs {
 				file := strings.NewReplacer(" ", "-", ":", "", ",", "").Replace(name)
-				kept := Kept{Why: "planted: " + name + ": " + fails(small).Error(), Script: small}
+				kept := SavedFailure{Why: "planted: " + name + ": " + fails(small).Error(), Script: small}
 				if err := kept.Save(filepath.Join(corpus, file+".json")); err != nil {
 					t.Error(err)
 				}
--- a/internal/sim/clustersim/sim_test.go
+++ b/internal/sim/clustersim/sim_test.go
@@ -125,7 +125,7 @@
 		t.Skip("run by another test")
 	}
 	for _, h := range hashes(t) {
-		fmt.Println(simtest.HashMark + h)
+		fmt.Println(simtest.HashPrefix + h)
 	}
 }
 
@@ -135,7 +135,7 @@
 	if seen := slices.Compact(slices.Sorted(slices.Values(want))); len(seen) != replaySeeds {
 		t.Errorf("%d seeds take %d ways", replaySeeds, len(seen))
 	}
-	simtest.SameElsewhere(t, "TestPrintHash", printHash, want)
+	simtest.SameInSubprocesses(t, "TestPrintHash", printHash, want)
 }
 
 // Each write of a keeper's disk meets each trouble in turn, until a run has none left to meet: what was told is there, and
--- a/internal/sim/replay_test.go
+++ b/internal/sim/replay_test.go
@@ -20,7 +20,7 @@
 		t.Skip("run by another test")
 	}
 	for seed := range uint64(replaySeeds) {
-		os.Stdout.WriteString(simtest.HashMark + strconv.FormatUint(play(t, Draw(seed), Options{}).Hash, 16) + "\n")
+		os.Stdout.WriteString(simtest.HashPrefix + strconv.FormatUint(play(t, Draw(seed), Options{}).Hash, 16) + "\n")
 	}
 }
 
@@ -38,7 +38,7 @@
 		}
 	}
 	runtime.GOMAXPROCS(before)
-	simtest.SameElsewhere(t, "TestPrintHash", printHash, want)
+	simtest.SameInSubprocesses(t, "TestPrintHash", printHash, want)
 }
 
 // Different seeds take different steps: a hash that never changes would show nothing.
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -91,15 +91,15 @@
 	return s, false
 }
 
-// Kept is a script that was kept because it once failed.
-type Kept struct {
+// SavedFailure is a script that was kept because it once failed.
+type SavedFailure struct {
 	Why    string // what it found
 	Script Script
 }
 
-// LoadKept reads one.
-func LoadKept(path string) (Kept, error) {
-	var k Kept
+// LoadSavedFailure reads one.
+func LoadSavedFailure(path string) (SavedFailure, error) {
+	var k SavedFailure
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return k, err
@@ -114,7 +114,7 @@
 }
 
 // Save writes one.
-func (k Kept) Save(path string) error {
+func (k SavedFailure) Save(path string) error {
 	text, err := json.MarshalIndent(k, "", " ")
 	if err != nil {
 		return err
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -146,7 +146,7 @@
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			kept, err := LoadKept(path)
+			kept, err := LoadSavedFailure(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -171,7 +171,7 @@
 	small := Shrink(script, fails)
 	last := fails(small)
 	path := filepath.Join(corpus, fmt.Sprintf("seed-%d.json", *shrinkSeed))
-	if err := (Kept{Why: last.Error(), Script: small}).Save(path); err != nil {
+	if err := (SavedFailure{Why: last.Error(), Script: small}).Save(path); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d of %d requests and %d of %d faults are left, in %s: %v", len(small.Asks), len(script.Asks),
@@ -185,7 +185,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadKept(path); err == nil {
+		if _, err := LoadSavedFailure(path); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/sim/simtest/simtest.go
+++ b/internal/sim/simtest/simtest.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// HashMark stands before each hash that a test's other process prints, on a line of its own.
-const HashMark = "hash "
+// HashPrefix stands before each hash that a test's other process prints, on a line of its own.
+const HashPrefix = "hash "
 
-// SameElsewhere runs a test of this program in processes of their own, with 1 processor and with 8, with a variable set that
+// SameInSubprocesses runs a test of this program in processes of their own, with 1 processor and with 8, with a variable set that
 // tells it to print hashes, and has the test fail unless they are those wanted.
-func SameElsewhere(t *testing.T, test, variable string, want []string) {
+func SameInSubprocesses(t *testing.T, test, variable string, want []string) {
 	t.Helper()
 	for _, processors := range []string{"1", "8"} {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+test+"$")
@@ -26,7 +26,7 @@
 		}
 		var got []string
 		for line := range strings.Lines(string(out)) {
-			if hash, ok := strings.CutPrefix(line, HashMark); ok {
+			if hash, ok := strings.CutPrefix(line, HashPrefix); ok {
 				got = append(got, strings.TrimSpace(hash))
 			}
 		}
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -41,7 +41,7 @@
 	Settled   bool           // it has its outcome
 	Ran       bool           // by that it may have run
 	Outcome   decide.Outcome // once it is settled
-	Took      decide.Time    // until then
+	Latency   decide.Time    // until then
 	// Generation is that of the rules by which it was decided on; 0 where there are none beside the settings.
 	Generation uint64
 	gate       atomic.Int32
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -103,8 +103,8 @@
 	return a, b, nil
 }
 
-// Path is where the processes of one sidecar meet, in a folder that they share.
-func Path(dir, name, listen string) string {
+// SocketPath is where the processes of one sidecar meet, in a folder that they share.
+func SocketPath(dir, name, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + listen))
 	return filepath.Join(dir, fmt.Sprintf("heathgap-%016x.sock", h.Sum64()))
