--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -147,11 +147,11 @@
 	}
 	if h.checked != h.next.Number {
 		h.checked, h.refusal = h.next.Number, ""
-		if err := h.own.Fits(&h.active.Doc, &h.next.Doc, h.terms.FixedClasses); err != nil {
+		if err := h.own.CheckTransition(&h.active.Doc, &h.next.Doc, h.terms.FixedClasses); err != nil {
 			h.refusal = err.Error()
 		}
 	}
-	both, err := now.Stricter(h.own.With(&h.next.Doc, h.connect))
+	both, err := now.Intersect(h.own.With(&h.next.Doc, h.connect))
 	if h.next.State == Prepared && err == nil {
 		h.rules, h.prepared = both, h.next.Number
 		return
--- a/internal/cluster/member/process.go
+++ b/internal/cluster/member/process.go
@@ -28,11 +28,11 @@
 	// A limit on the size of files is a write that fails, as a full disk is: the keeper takes no further part, the sidecar
 	// goes on.
 	signal.Ignore(syscall.SIGXFSZ)
-	return lifecycle.Main(lifecycle.Options{Operator: file, Cluster: Joiner(*file.Cluster)})
+	return lifecycle.Main(lifecycle.Options{Operator: file, Cluster: JoinFunc(*file.Cluster)})
 }
 
-// Joiner makes sidecars members of the crew that a table names.
-func Joiner(table operator.Cluster) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
+// JoinFunc makes sidecars members of the crew that a table names.
+func JoinFunc(table operator.Cluster) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
 	return func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
 		m, err := Start(table, conf, world, log)
 		if err != nil {
--- a/internal/lab/emulated/control.go
+++ b/internal/lab/emulated/control.go
@@ -112,7 +112,7 @@
 	FromVoters    int64       `json:"from_keepers"` // of In, from keepers
 	Renewals      int64       `json:"renewals"`
 	Refused       int64       `json:"refused"`
-	Unheard       int64       `json:"unheard"`
+	LostRenewals  int64       `json:"unheard"`
 	KeyedRequests int64       `json:"asked"`  // keyed requests
 	KeyedRefused  int64       `json:"denied"` // keyed requests that were refused
 	Conns         int         `json:"conns"`
--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -475,7 +475,7 @@
 	n, sum := asked.Load(), MemberUsage{}
 	for _, m := range p.sample().Members {
 		sum.In, sum.Out, sum.ToVoters, sum.FromVoters = sum.In+m.In, sum.Out+m.Out, sum.ToVoters+m.ToVoters, sum.FromVoters+m.FromVoters
-		sum.Unheard += m.Unheard
+		sum.LostRenewals += m.LostRenewals
 	}
 	if size := s.BytesIn.Load() / max(1, n); n < 100 || size < 10 || size > 90 {
 		t.Fatalf("%d messages of %d bytes; the heads counted on here have a length of two digits", n, size)
@@ -488,7 +488,7 @@
 	if want := s.BytesOut.Load() + n*answer; sum.FromVoters != want || sum.In != want {
 		t.Errorf("%d bytes in, %d of keepers, want %d", sum.In, sum.FromVoters, want)
 	}
-	if sum.Unheard == 0 {
+	if sum.LostRenewals == 0 {
 		t.Error("nobody led, and no member has counted it")
 	}
 	if leaving.Load() != members {
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -256,7 +256,7 @@
 	defer h.mu.Unlock()
 	s := MemberUsage{
 		In: h.spent.in.Load(), Out: h.spent.out.Load(), ToVoters: h.spent.toKeeper.Load(), FromVoters: h.spent.ofKeeper.Load(),
-		Renewals: h.past.Renewals, Refused: h.past.Refused, Unheard: h.past.Lost, KeyedRequests: h.asked.Load(), KeyedRefused: h.denied.Load(),
+		Renewals: h.past.Renewals, Refused: h.past.Refused, LostRenewals: h.past.Lost, KeyedRequests: h.asked.Load(), KeyedRefused: h.denied.Load(),
 	}
 	if h.life != nil {
 		if !h.life.left {
@@ -265,7 +265,7 @@
 		a := h.life.figures()
 		s.Renewals += a.Renewals
 		s.Refused += a.Refused
-		s.Unheard += a.Lost
+		s.LostRenewals += a.Lost
 		s.Conns = h.life.world.open()
 	}
 	s.State = h.stance
--- a/internal/lab/fake/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -381,7 +381,7 @@
 func (e *Endpoint) arrived(m message, runs, repeat bool) (known bool) {
 	e.book.Do(func(b *oracle.Checker) {
 		known = b.AttemptArrived(oracle.Arrival{
-			ID: m.id, Endpoint: e.conf.Name, FirstByte: m.first, LastByte: m.whole, Runs: runs, Repeat: repeat,
+			ID: m.id, Endpoint: e.conf.Name, FirstByte: m.first, LastByte: m.whole, Accepted: runs, Repeat: repeat,
 		})
 	})
 	return known
--- a/internal/lab/fake/fake_test.go
+++ b/internal/lab/fake/fake_test.go
@@ -390,7 +390,7 @@
 	book.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Deadline: time.Hour})
 		b.RequestWritten("1")
-		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", FirstByte: book.Now() + 2*time.Minute, Runs: true})
+		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", FirstByte: book.Now() + 2*time.Minute, Accepted: true})
 		if n := b.Close().Rules[oracle.SentToDrained]; n != 1 {
 			t.Errorf("%d sends past the drain are booked, want 1", n)
 		}
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -211,7 +211,7 @@
 	if err != nil || file.Cluster == nil || bug == bugNone {
 		return member.Process()
 	}
-	join := member.Joiner(*file.Cluster)
+	join := member.JoinFunc(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
 		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
 			m, err := join(conf, clockOf(world, bug, conf.Name, file.Cluster.Params.Drift), log)
--- a/internal/lab/harness/parts.go
+++ b/internal/lab/harness/parts.go
@@ -15,8 +15,8 @@
 // NewHosts returns a run's.
 func NewHosts() *Hosts { return &Hosts{newHosts()} }
 
-// Take returns a host that no other run has.
-func (h *Hosts) Take() (string, error) { return h.hosts.take() }
+// Acquire returns a host that no other run has.
+func (h *Hosts) Acquire() (string, error) { return h.hosts.take() }
 
 // Address returns an address of a host that was taken, which was not dealt out before.
 func (h *Hosts) Address(host string) (string, error) { return h.hosts.address(host) }
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -231,7 +231,7 @@
 	Endpoint  string
 	FirstByte time.Duration // its first byte
 	LastByte  time.Duration // its last byte
-	Runs      bool          // it was not turned away
+	Accepted  bool          // it was not turned away
 	Repeat    bool          // its key was known: it has no effect of its own
 }
 
@@ -252,7 +252,7 @@
 	if late := a.FirstByte - limit - b.conf.Margin; late > 0 {
 		b.broken(SentAfterAnswer, a.FirstByte, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
 	}
-	if !a.Runs {
+	if !a.Accepted {
 		q.tally.Rejected++
 		return true
 	}
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -18,7 +18,7 @@
 }
 
 func arrive(b *Checker, id string, at time.Duration) {
-	b.AttemptArrived(Arrival{ID: id, Endpoint: "e", FirstByte: at, LastByte: at + ms, Runs: true})
+	b.AttemptArrived(Arrival{ID: id, Endpoint: "e", FirstByte: at, LastByte: at + ms, Accepted: true})
 }
 
 // unheard has a sidecar whose calls for the list bring nothing send to an endpoint that is gone since the start.
@@ -103,7 +103,7 @@
 		"keyed twice within the window": {func(b *Checker) {
 			ask(b, "1", decide.Keyed, "k")
 			arrive(b, "1", 10*ms)
-			b.AttemptArrived(Arrival{ID: "1", Endpoint: "f", FirstByte: 20 * ms, LastByte: 20 * ms, Runs: true, Repeat: true})
+			b.AttemptArrived(Arrival{ID: "1", Endpoint: "f", FirstByte: 20 * ms, LastByte: 20 * ms, Accepted: true, Repeat: true})
 			b.AnswerReceived(30*ms, "1", Served)
 		}, ""},
 		"sent past the drain": {func(b *Checker) {
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -314,9 +314,9 @@
 	for _, whose := range slices.Sorted(maps.Keys(j.o.Late)) {
 		late := j.o.Late[whose]
 		j.rec.Boundary = append(j.rec.Boundary, fmt.Sprintf("%s: %v", whose, late.Round(time.Millisecond/10)))
-		if late > j.s.MostLag {
+		if late > j.s.MaxLag {
 			j.rec.Void = append(j.rec.Void, fmt.Sprintf("%s was late by %v; allowed: %v (most_lag). The machine is too busy, or the run too large for it",
-				whose, late.Round(time.Millisecond), j.s.MostLag))
+				whose, late.Round(time.Millisecond), j.s.MaxLag))
 		}
 	}
 }
@@ -616,8 +616,8 @@
 		j.add("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
 		j.add("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesWho)
 		j.least("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
-			renewals/up*(j.s.Lease/cluster.HeartbeatsPerLease).Seconds(), l.LeastRenewals, "")
-		j.add("renewals_most", "  of any", "", mostRenewals, l.MostRenewals, renewalsWho)
+			renewals/up*(j.s.Lease/cluster.HeartbeatsPerLease).Seconds(), l.MinRenewals, "")
+		j.add("renewals_most", "  of any", "", mostRenewals, l.MaxRenewals, renewalsWho)
 		j.add("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsWho)
 		j.add("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", keeperBytes/renewals, 0, "")
 		j.add("renewal_bytes", "  of any", "bytes", eachBytes, l.RenewalBytes, eachWho)
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -364,7 +364,7 @@
 }
 
 func (r *run) startEndpoint(name string) error {
-	host, err := r.hosts.Take()
+	host, err := r.hosts.Acquire()
 	if err != nil {
 		return err
 	}
@@ -400,7 +400,7 @@
 		c := &sidecar{run: r, name: p.Name, kind: p.Kind, dir: filepath.Join(r.dir, p.Name), relays: map[string]*harness.Relay{}}
 		r.sidecars[p.Name] = c
 		var err error
-		if c.host, err = r.hosts.Take(); err != nil {
+		if c.host, err = r.hosts.Acquire(); err != nil {
 			return err
 		}
 		if c.listen, err = r.hosts.Address(c.host); err != nil {
@@ -441,7 +441,7 @@
 }
 
 func (r *run) relayTo(k *sidecar) (*harness.Relay, error) {
-	host, err := r.hosts.Take()
+	host, err := r.hosts.Acquire()
 	if err != nil {
 		return nil, err
 	}
@@ -489,7 +489,7 @@
 		if p.Kind != HollowProcess {
 			continue
 		}
-		host, err := r.hosts.Take()
+		host, err := r.hosts.Acquire()
 		if err != nil {
 			return err
 		}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -129,7 +129,7 @@
 	}
 
 	sound := without(members, "h11", "h22", "h44")
-	sound.Plan.Scene.Limits.LeastRenewals = 0
+	sound.Plan.Scene.Limits.MinRenewals = 0
 	sound.Versions = nil // judged over the whole run
 	rec := judged("the others", sound)
 	if !rec.Passed() {
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -50,7 +50,7 @@
 	Banned   int           // endpoints that a version bans
 	SpeedUp  float64       // of the day's failures
 	Day      Day           // failures in 24 hours
-	MostLag  time.Duration // of the run's own load; a run beyond it is void
+	MaxLag   time.Duration // of the run's own load; a run beyond it is void
 
 	Steps   []Step
 	Planted []PlantedFault
@@ -125,8 +125,8 @@
 	Cautious    time.Duration // that a member which can be reached is cautious without a break
 	Refusals    float64       // percent of keyed requests that are refused
 	// Renewals are judged by their rate, as parts of one for each beat of the lease: what a keeper bears rests on it.
-	LeastRenewals float64 // of the mean
-	MostRenewals  float64 // of any member
+	MinRenewals float64 // of the mean
+	MaxRenewals float64 // of any member
 	// What follows does not depend on how busy the machine is.
 	AboveMedian  float64 // renewals of any member, as parts of the median of all
 	RenewalBytes float64 // to and from keepers for each renewal, of any member
@@ -177,7 +177,7 @@
 		Orders:    t.Float("orders", 0, 0, 100), OrderTakes: t.Duration("order_takes", 20*time.Millisecond, 0, 10*time.Second),
 		Duration: t.Duration("duration", 20*time.Second, time.Second, mostDuration),
 		Changes:  t.Float("changes", 0, 0, 100), Banned: t.Int("banned", 4, 0, 1000), SpeedUp: t.Float("speed_up", 1, 0, 100_000),
-		MostLag: t.Duration("most_lag", 250*time.Millisecond, time.Millisecond, 10*time.Second),
+		MaxLag: t.Duration("most_lag", 250*time.Millisecond, time.Millisecond, 10*time.Second),
 	}
 	day := t.Table("day")
 	s.Day = Day{
@@ -203,7 +203,7 @@
 		InForce: l.Duration("in_force", 0, 0, time.Hour), MemberCPU: l.Float("member_cpu", 0, 0, 100), MemberMB: l.Float("member_mb", 0, 0, 4096),
 		MemberBytes: l.Float("member_bytes", 0, 0, 1e9), KeeperCPU: l.Float("keeper_cpu", 0, 0, 1600), KeeperMB: l.Float("keeper_mb", 0, 0, 8192),
 		Cautious: l.Duration("cautious", 0, 0, time.Hour), Refusals: l.Float("refusals", 0, 0, 100),
-		LeastRenewals: l.Float("least_renewals", 0, 0, 1), MostRenewals: l.Float("most_renewals", 0, 0, 100),
+		MinRenewals: l.Float("least_renewals", 0, 0, 1), MaxRenewals: l.Float("most_renewals", 0, 0, 100),
 		AboveMedian: l.Float("above_median", 0, 0, 100), RenewalBytes: l.Float("renewal_bytes", 0, 0, 1e9),
 	}
 	s.checkTerms(t)
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Size() != 63 || s.Lease != 2*time.Second || len(s.zones()) != 3 || s.MostLag != 250*time.Millisecond {
+	if s.Size() != 63 || s.Lease != 2*time.Second || len(s.zones()) != 3 || s.MaxLag != 250*time.Millisecond {
 		t.Errorf("%+v", s)
 	}
 	sized, err := s.WithSize(120)
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -23,8 +23,8 @@
 
 // Bounds.
 const (
-	// MostMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
-	MostMessage = 16 << 20
+	// MaxMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
+	MaxMessage = 16 << 20
 	// mostConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
 	mostConns = 8192
 	readTime  = 5 * time.Second  // for a message, once its first byte has come
@@ -76,7 +76,7 @@
 	}
 	s := &Server{crew: crew, listener: l}
 	s.server = &fasthttp.Server{
-		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MostMessage, ReadTimeout: readTime,
+		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
 		WriteTimeout: readTime, IdleTimeout: idleTime, NoDefaultServerHeader: true, NoDefaultDate: true,
 		NoDefaultContentType: true, Logger: silent{}, CloseOnShutdown: true,
 		ConnState: func(_ net.Conn, state fasthttp.ConnState) {
@@ -221,7 +221,7 @@
 		return fmt.Errorf("%s: writing: %w", l.address, err)
 	}
 	var r fasthttp.Response
-	if err := r.ReadLimitBody(l.link.Reader(), MostMessage); err != nil {
+	if err := r.ReadLimitBody(l.link.Reader(), MaxMessage); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -122,7 +122,7 @@
 	w.reply <- Handover{
 		List: httpwire.List{Index: e.index, Whole: true, Endpoints: t.List()}, Seen: t.SeenHashes(), Banned: byHand,
 		From: e.watch.address, Of: e.conf.ClassNames(),
-		Lifted: t.Lifted(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
+		Lifted: t.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
 	}
 }
 
--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -109,12 +109,12 @@
 		module lifecycle.Decider
 		seed   uint64
 	}{"drains": {ignoresDrains, 0}, "windows": {ignoresWindows, 905}} {
-		if f := play(t, Draw(c.seed), Options{Decider: unlooked(c.module)}).Failure; f == nil {
+		if f := play(t, GenerateScript(c.seed), Options{Decider: unlooked(c.module)}).Failure; f == nil {
 			t.Errorf("%s: seed %d passes without the second look", name, c.seed)
 		}
 		const more = 10
 		for seed := range uint64(more) {
-			if f := play(t, Draw(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
+			if f := play(t, GenerateScript(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
 				t.Errorf("%s: seed %d: %v", name, c.seed+seed, f)
 			}
 		}
@@ -211,7 +211,7 @@
 				if found == shrinkMost {
 					break
 				}
-				failure := fails(Draw(seed))
+				failure := fails(GenerateScript(seed))
 				if failure == nil {
 					continue
 				}
@@ -221,7 +221,7 @@
 				if found++; found == 1 {
 					first = seed
 				}
-				if small = Shrink(Draw(seed), fails); len(small.Asks) < smallAsks {
+				if small = Shrink(GenerateScript(seed), fails); len(small.Asks) < smallAsks {
 					break
 				}
 			}
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -194,7 +194,7 @@
 	class, known := e.s.classes[q.class]
 	e.s.seen[q.id] = true
 	arrived := func(runs, repeat bool) {
-		e.s.book.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.first, LastByte: q.whole, Runs: runs, Repeat: repeat})
+		e.s.book.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.first, LastByte: q.whole, Accepted: runs, Repeat: repeat})
 	}
 	if !known || e.trouble == Refuse {
 		arrived(false, false)
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -90,8 +90,8 @@
 	return time.Duration(r.Int64N(int64(most/grid))) * grid
 }
 
-// Draw draws a script from a seed.
-func Draw(seed uint64) Script {
+// GenerateScript draws a script from a seed.
+func GenerateScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 12))
 	s := Script{
 		Seed: seed, Sidecars: 1 + r.IntN(mostSidecars), Duration: scriptTime,
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -92,7 +92,7 @@
 			t.Run(strconv.Itoa(worker), func(t *testing.T) {
 				t.Parallel()
 				for seed := worker; seed < n; seed += workers {
-					script := Draw(uint64(seed))
+					script := GenerateScript(uint64(seed))
 					r := play(t, script, opts)
 					mu.Lock()
 					total.add(uint64(seed), &script, r)
@@ -129,7 +129,7 @@
 
 func playOne(t *testing.T, seed uint64) {
 	opts := Options{Trace: simtest.Create(t, *traceFile), Log: simtest.Create(t, *logFile)}
-	r := play(t, Draw(seed), opts)
+	r := play(t, GenerateScript(seed), opts)
 	t.Logf("%+v", r)
 	if r.Failure != nil {
 		t.Errorf("seed %d: %v", seed, r.Failure)
@@ -163,7 +163,7 @@
 		t.Skip("asked for with -sim.shrink")
 	}
 	fails := func(s Script) *Failure { return play(t, s, Options{}).Failure }
-	script := Draw(uint64(*shrinkSeed))
+	script := GenerateScript(uint64(*shrinkSeed))
 	first := fails(script)
 	if first == nil {
 		t.Fatalf("seed %d does not fail", *shrinkSeed)
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -258,8 +258,8 @@
 	delete(t.byID, e.ID)
 }
 
-// Lifted returns the names whose bans have ended since a time, and forgets the others.
-func (t *Endpoints) Lifted(since decide.Time) []string {
+// LiftedBans returns the names whose bans have ended since a time, and forgets the others.
+func (t *Endpoints) LiftedBans(since decide.Time) []string {
 	maps.DeleteFunc(t.lifted, func(_ string, at decide.Time) bool { return at < since })
 	return slices.Sorted(maps.Keys(t.lifted))
 }
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -44,7 +44,7 @@
 	if root.Has("second_copies") && root.Bool("second_copies", false) {
 		root.Fail("second_copies", "true", "false, or no key: each sidecar's own setting holds then")
 	}
-	doc.NoSecondCopies = root.Has("second_copies")
+	doc.NoHedging = root.Has("second_copies")
 	doc.Banned = root.Texts("banned")
 	if slices.Sort(doc.Banned); len(slices.Compact(slices.Clone(doc.Banned))) != len(doc.Banned) {
 		root.Fail("banned", "a name twice", "each name once")
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -38,9 +38,9 @@
 type Document struct {
 	Classes     map[string]Class `cbor:"1,keyasint,omitempty"`
 	MaxAttempts int              `cbor:"2,keyasint,omitempty"` // 0: each sidecar's own
-	// NoSecondCopies bars two attempts of one request at once; without it the sidecar's own setting holds.
-	NoSecondCopies bool     `cbor:"3,keyasint,omitempty"`
-	Banned         []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
+	// NoHedging bars two attempts of one request at once; without it the sidecar's own setting holds.
+	NoHedging bool     `cbor:"3,keyasint,omitempty"`
+	Banned    []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
 }
 
 // encoding gives the same bytes for the same document, whatever a map's order.
@@ -132,16 +132,16 @@
 // Rules are all that a sidecar acts on of what versions may change: its own settings with
 // a document laid over them.
 type Rules struct {
-	Classes      map[string]Class // every class that the sidecar knows
-	MaxAttempts  int
-	SecondCopies bool
-	Banned       map[string]bool
+	Classes     map[string]Class // every class that the sidecar knows
+	MaxAttempts int
+	Hedging     bool
+	Banned      map[string]bool
 }
 
 // FromSettings are the rules of a sidecar's own settings. They are not shared with them.
 func FromSettings(set *decide.Settings) Rules {
 	r := Rules{
-		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), SecondCopies: set.Limits.Hedging,
+		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), Hedging: set.Limits.Hedging,
 		Banned: map[string]bool{},
 	}
 	for _, c := range set.Classes {
@@ -163,7 +163,7 @@
 	if d.MaxAttempts > 0 {
 		out.MaxAttempts = d.MaxAttempts
 	}
-	out.SecondCopies = out.SecondCopies && !d.NoSecondCopies
+	out.Hedging = out.Hedging && !d.NoHedging
 	for _, name := range d.Banned {
 		out.Banned[name] = true
 	}
@@ -175,7 +175,7 @@
 	return r
 }
 
-// Stricter returns the rules that allow only what both allow: what a sidecar acts on
+// Intersect returns the rules that allow only what both allow: what a sidecar acts on
 // between two versions. An error names the key that has no stricter side. Per key, the
 // stricter side is (docs/crew.md holds the same table):
 //
@@ -185,7 +185,7 @@
 //	max_attempts         the lower
 //	second_copies        not allowed
 //	banned               banned by either
-func (r Rules) Stricter(other Rules) (Rules, error) {
+func (r Rules) Intersect(other Rules) (Rules, error) {
 	out := r.clone()
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c, err := stricterClass(r.Classes[name], other.Classes[name])
@@ -195,7 +195,7 @@
 		out.Classes[name] = c
 	}
 	out.MaxAttempts = min(r.MaxAttempts, other.MaxAttempts)
-	out.SecondCopies = r.SecondCopies && other.SecondCopies
+	out.Hedging = r.Hedging && other.Hedging
 	maps.Copy(out.Banned, other.Banned)
 	return out, nil
 }
@@ -234,7 +234,7 @@
 	if other.MaxAttempts > r.MaxAttempts {
 		return "max_attempts", false
 	}
-	if other.SecondCopies && !r.SecondCopies {
+	if other.Hedging && !r.Hedging {
 		return "second_copies", false
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Banned)) {
@@ -255,13 +255,13 @@
 			out.Classes[name] = Class{Effect: decide.Unsafe}
 		}
 	}
-	out.SecondCopies = false
+	out.Hedging = false
 	return out
 }
 
-// Fits tells whether a sidecar with these own rules can take a document after another:
+// CheckTransition tells whether a sidecar with these own rules can take a document after another:
 // the check that each member makes of a proposal. Its error begins with the key.
-func (r Rules) Fits(from, to *Document, fixed []string) error {
+func (r Rules) CheckTransition(from, to *Document, fixed []string) error {
 	for _, name := range slices.Sorted(maps.Keys(to.Classes)) {
 		own, known := r.Classes[name]
 		switch {
@@ -277,13 +277,13 @@
 	if key, ok := r.Allows(r.With(to, 0)); !ok {
 		return fmt.Errorf("%s: looser than this sidecar's own file; change that first", key)
 	}
-	_, err := r.With(from, 0).Stricter(r.With(to, 0))
+	_, err := r.With(from, 0).Intersect(r.With(to, 0))
 	return err
 }
 
 // DynamicSettings is what the module is told to act on.
 func (r Rules) DynamicSettings() *decide.DynamicSettings {
-	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.SecondCopies, Classes: map[string]decide.DynamicClass{}}
+	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.Hedging, Classes: map[string]decide.DynamicClass{}}
 	for name, c := range r.Classes {
 		out.Classes[name] = decide.DynamicClass{Effect: c.Effect, Group: c.Group, Window: c.Window}
 	}
@@ -307,7 +307,7 @@
 		add("class."+name, show(from.Classes, name), show(to.Classes, name))
 	}
 	add("max_attempts", from.MaxAttempts, to.MaxAttempts)
-	add("second_copies", !from.NoSecondCopies, !to.NoSecondCopies)
+	add("second_copies", !from.NoHedging, !to.NoHedging)
 	for _, name := range from.Banned {
 		if !slices.Contains(to.Banned, name) {
 			lines = append(lines, "banned: -"+name)
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -26,7 +26,7 @@
 			r.Banned[name] = true
 		}
 	}
-	r.MaxAttempts, r.SecondCopies = rapid.IntRange(1, 3).Draw(rt, label), rapid.Bool().Draw(rt, label)
+	r.MaxAttempts, r.Hedging = rapid.IntRange(1, 3).Draw(rt, label), rapid.Bool().Draw(rt, label)
 	return r
 }
 
@@ -35,8 +35,8 @@
 func TestStricterIsAllowedByBoth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := drawRules(rt, "a"), drawRules(rt, "b")
-		both, err := a.Stricter(b)
-		back, errBack := b.Stricter(a)
+		both, err := a.Intersect(b)
+		back, errBack := b.Intersect(a)
 		if (err == nil) != (errBack == nil) {
 			rt.Fatalf("one way %v, the other %v", err, errBack)
 		}
@@ -68,7 +68,7 @@
 		"class.b.group":  func(r *Rules) { r.Classes["b"] = Class{decide.Keyed, decide.GroupAll, 1} },
 		"class.b.window": func(r *Rules) { r.Classes["b"] = Class{decide.Keyed, decide.GroupZone, 2} },
 		"max_attempts":   func(r *Rules) { r.MaxAttempts = 2 },
-		"second_copies":  func(r *Rules) { r.SecondCopies = true },
+		"second_copies":  func(r *Rules) { r.Hedging = true },
 		"banned.e":       func(r *Rules) { delete(r.Banned, "e") },
 	} {
 		loose := strict.clone()
@@ -97,11 +97,11 @@
 		"max_attempts: looser":      {&Document{}, &Document{MaxAttempts: 9}},
 		"class.pay.group: zone and": {doc("pay", zone), doc("pay", cell)},
 	} {
-		if err := own.Fits(c.from, c.to, nil); err == nil != (want == "") || err != nil && !strings.HasPrefix(err.Error(), want) {
+		if err := own.CheckTransition(c.from, c.to, nil); err == nil != (want == "") || err != nil && !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	if err := own.Fits(&Document{}, doc("pay", Class{Effect: decide.Unsafe}), []string{"pay"}); err == nil {
+	if err := own.CheckTransition(&Document{}, doc("pay", Class{Effect: decide.Unsafe}), []string{"pay"}); err == nil {
 		t.Error("a fixed class changes")
 	}
 }
@@ -118,7 +118,7 @@
 	}
 	doc, err := read("max_attempts = 2\nsecond_copies = false\nbanned = [\"s-2\", \"s-1\"]\n[[class]]\nname = \"pay\"\neffect = \"by_key\"\ngroup = \"zone\"\nwindow = \"1s\"\n")
 	if err != nil || doc.Classes["pay"] != (Class{decide.Keyed, decide.GroupZone, time.Second}) || !slices.Equal(doc.Banned, []string{"s-1", "s-2"}) ||
-		doc.MaxAttempts != 2 || !doc.NoSecondCopies {
+		doc.MaxAttempts != 2 || !doc.NoHedging {
 		t.Errorf("%+v, %v", doc, err)
 	}
 	other := doc
