--- a/internal/crew/member/member.go
+++ b/internal/cluster/member/member.go
@@ -14,13 +14,13 @@
 
 	"github.com/rs/zerolog"
 
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/config"
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/keeper"
 	"heathgap/internal/env"
-	"heathgap/internal/figures"
+	"heathgap/internal/metrics"
 	"heathgap/internal/operator"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 	"heathgap/internal/pipeline"
 	"heathgap/internal/versions"
 )
@@ -35,16 +35,16 @@
 
 // Member is a sidecar's part in a crew.
 type Member struct {
-	conf   operator.Crew
+	conf   operator.Cluster
 	world  env.Env
 	log    zerolog.Logger
-	server *peers.Server
-	keeper *keeper.Keeper         // nil where this sidecar is none
-	lines  map[string]*peers.Line // to keepers, by name
+	server *peerrpc.Server
+	keeper *voter.Voter               // nil where this sidecar is none
+	lines  map[string]*peerrpc.Client // to keepers, by name
 
 	mu         sync.Mutex
-	holder     *crew.Holder // guarded by mu, as the seeker is
-	seeker     *crew.Seeker
+	holder     *cluster.LeaseHolder // guarded by mu, as the seeker is
+	seeker     *cluster.LeaseRenewer
 	generation uint64
 	warned     string // the last reason that was logged; guarded by mu
 	differed   bool   // it was logged that changes of members and placement could not be taken; guarded by mu
@@ -60,38 +60,38 @@
 
 // acted is what is acted on until a time.
 type acted struct {
-	pipeline.Acting
-	stance crew.Stance
-	until  crew.Boot // of the lease; what stands here holds no longer
+	pipeline.EffectiveRules
+	stance cluster.EffectiveRules
+	until  cluster.BootTime // of the lease; what stands here holds no longer
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
-func Start(table operator.Crew, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
+func Start(table operator.Cluster, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
-	self := crew.Member{Name: conf.Name, Token: keeper.Draw(), Zone: conf.Settings.Zone, Address: table.Address}
+	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, world: world, log: log, lines: map[string]*peers.Line{},
-		holder: crew.NewHolder(self, table.Terms, versions.Own(&conf.Settings), conf.ConnectTimeout),
+		conf: table, world: world, log: log, lines: map[string]*peerrpc.Client{},
+		holder: cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
 		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
 	}
-	m.publish(world.Boot())
+	m.publish(world.BootTime())
 	var err error
-	if table.Terms.Holdings.Copies > 0 {
+	if table.Params.Holdings.Copies > 0 {
 		if m.copies, err = newCopies(m, conf); err != nil {
 			return nil, err
 		}
 	}
-	if m.server, err = peers.Listen(world, table.Address, table.Name); err != nil {
+	if m.server, err = peerrpc.Listen(world, table.Address, table.Name); err != nil {
 		return nil, err
 	}
-	handlers := map[string]peers.Handler{"acting": m.tellActing}
-	if _, is := table.Keepers[conf.Name]; is {
-		if table.Data == "" {
+	handlers := map[string]peerrpc.Handler{"acting": m.tellActing}
+	if _, is := table.Voters[conf.Name]; is {
+		if table.DataDir == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
-		m.keeper, err = keeper.Open(keeper.Conf{
-			Crew: table.Name, Name: conf.Name, Keepers: table.Keepers, Terms: table.Terms, Data: table.Data,
+		m.keeper, err = voter.Open(voter.Conf{
+			Cluster: table.Name, Name: conf.Name, Voters: table.Voters, Params: table.Params, DataDir: table.DataDir,
 		}, world, log)
 		if err != nil {
 			m.server.Close()
@@ -100,10 +100,10 @@
 		maps.Copy(handlers, m.keeper.Handlers())
 		world.Go("keeper", m.keeper.Run)
 	}
-	for _, name := range slices.Sorted(maps.Keys(table.Keepers)) {
-		m.lines[name] = peers.NewLine(world, table.Name, conf.Name, table.Keepers[name])
+	for _, name := range slices.Sorted(maps.Keys(table.Voters)) {
+		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
 	}
-	m.seeker = crew.NewSeeker(m.holder, slices.Sorted(maps.Keys(table.Keepers)))
+	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
 	if m.copies != nil {
 		maps.Copy(handlers, m.copies.handlers())
 		world.Go("holdings", m.copies.run)
@@ -112,7 +112,7 @@
 	world.Go("lease", m.run)
 	// Guards against a process that sends to what was banned while it was away. Keepers that can't be heard delay a start
 	// by a lease at most.
-	timer := world.NewTimer(table.Terms.Lease)
+	timer := world.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
 	case <-m.heard:
@@ -122,36 +122,36 @@
 	return m, nil
 }
 
-// Acting is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
+// Effective is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
 // acts.
-func (m *Member) Acting() *pipeline.Acting {
+func (m *Member) Effective() *pipeline.EffectiveRules {
 	a := m.acting.Load()
-	if now := m.world.Boot(); now >= a.until && !a.Cautious {
-		return &m.publish(now).Acting
+	if now := m.world.BootTime(); now >= a.until && !a.Cautious {
+		return &m.publish(now).EffectiveRules
 	}
-	return &a.Acting
+	return &a.EffectiveRules
 }
 
 // publish puts in force what the holder says, if it differs.
-func (m *Member) publish(now crew.Boot) *acted {
+func (m *Member) publish(now cluster.BootTime) *acted {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publishLocked(now)
 }
 
-func (m *Member) publishLocked(now crew.Boot) *acted {
-	stance := m.holder.Acting(now)
+func (m *Member) publishLocked(now cluster.BootTime) *acted {
+	stance := m.holder.Effective(now)
 	before := m.acting.Load()
 	if before != nil && before.Cautious == stance.Cautious && before.stance.Active == stance.Active &&
 		before.stance.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
 		next := *before // the same, for longer
-		next.until, next.stance.Epoch = m.holder.Ends(), stance.Epoch
+		next.until, next.stance.Epoch = m.holder.LeaseEnd(), stance.Epoch
 		m.acting.Store(&next)
 		return &next
 	}
 	m.generation++
-	next := &acted{stance: stance, until: m.holder.Ends(), Acting: pipeline.Acting{
-		Generation: m.generation, Ruling: stance.Rules.Ruling(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
+	next := &acted{stance: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
+		Generation: m.generation, Dynamic: stance.Rules.DynamicSettings(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
 	}}
 	m.acting.Store(next)
 	ev := m.log.Info()
@@ -166,7 +166,7 @@
 // run keeps the lease until Stop.
 func (m *Member) run() {
 	defer close(m.ended)
-	heartbeat := m.conf.Terms.Lease / crew.Heartbeats
+	heartbeat := m.conf.Params.Lease / cluster.HeartbeatsPerLease
 	timer := m.world.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -176,11 +176,11 @@
 		case <-timer.C():
 		}
 		m.mu.Lock()
-		m.seeker.Heartbeat()
+		m.seeker.StartHeartbeat()
 		m.mu.Unlock()
 		for m.ask() {
 		}
-		m.Acting() // an end of the lease is told when it comes, not with the next request
+		m.Effective() // an end of the lease is told when it comes, not with the next request
 		timer.Reset(heartbeat)
 	}
 }
@@ -189,35 +189,35 @@
 func (m *Member) ask() (again bool) {
 	m.mu.Lock()
 	if m.copies != nil {
-		m.holder.Filled, m.holder.Unheard = m.copies.says()
+		m.holder.CaughtUp, m.holder.Unreachable = m.copies.says()
 	}
-	name, r := m.seeker.Question(m.world.Boot())
+	name, r := m.seeker.NextRequest(m.world.BootTime())
 	m.mu.Unlock()
-	var reply keeper.Renewed
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Terms.Lease/crew.CallPart); err != nil {
-		reply = keeper.Renewed{}
+	var reply voter.RenewResult
+	if err := m.lines[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
+		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.seeker.Answer(m.world.Boot(), reply.Grant, reply.Leader)
-	if next.Over {
+	next := m.seeker.HandleResponse(m.world.BootTime(), reply.Grant, reply.Leader)
+	if next.Done {
 		m.renewals.Add(1)
 	}
 	switch {
-	case errors.Is(next.Err, crew.ErrNoLeader):
+	case errors.Is(next.Err, cluster.ErrNoLeader):
 		m.lost.Add(1)
 		return false
 	case next.Err != nil:
 		m.warn("the crew's word can't be taken", next.Err.Error())
 		return false
-	case !next.Over:
-		return next.Ask
+	case !next.Done:
+		return next.RenewNow
 	}
-	m.publishLocked(m.world.Boot())
+	m.publishLocked(m.world.BootTime())
 	if m.copies != nil {
 		m.copies.learn(m.holder)
 	}
-	if err := m.holder.Differed(); err != nil && !m.differed {
+	if err := m.holder.ViewErr(); err != nil && !m.differed {
 		m.differed = true // once for a process: what can't be taken is asked for whole
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
@@ -229,13 +229,13 @@
 	switch {
 	case reply.Grant.Granted:
 		m.warned = ""
-	case next.Why != "":
-		m.warn("the crew grants no lease", next.Why)
+	case next.Reason != "":
+		m.warn("the crew grants no lease", next.Reason)
 		fallthrough
 	default:
 		m.refused.Add(1)
 	}
-	return next.Ask
+	return next.RenewNow
 }
 
 // warn writes a line, but not the same one with each heartbeat.
@@ -246,8 +246,8 @@
 	}
 }
 
-// Acts is what a member says that it acts on.
-type Acts struct {
+// Status is what a member says that it acts on.
+type Status struct {
 	Name     string   `cbor:"1,keyasint"`
 	Cautious bool     `cbor:"2,keyasint"`
 	Active   uint64   `cbor:"3,keyasint"`
@@ -267,32 +267,32 @@
 	return acts, nil
 }
 
-// Acts tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
-func (m *Member) Acts() Acts { return m.acts(m.current()) }
+// Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
+func (m *Member) Status() Status { return m.acts(m.current()) }
 
 // current is what is acted on at this moment.
 func (m *Member) current() *acted {
-	m.Acting()
+	m.Effective()
 	return m.acting.Load()
 }
 
-func (m *Member) acts(a *acted) Acts {
-	return Acts{
+func (m *Member) acts(a *acted) Status {
+	return Status{
 		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.stance.Active, Next: a.stance.Next, Epoch: a.stance.Epoch,
-		LeaseMS:  int((a.until - m.world.Boot()).Milliseconds()),
+		LeaseMS:  int((a.until - m.world.BootTime()).Milliseconds()),
 		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.lost.Load(),
 	}
 }
 
-// Figures is lifecycle.Crew's.
-func (m *Member) Figures(text []byte) []byte {
-	m.Acting()
+// Metrics is lifecycle.Crew's.
+func (m *Member) Metrics(text []byte) []byte {
+	m.Effective()
 	a := m.acting.Load()
 	cautious, leads := int64(0), int64(0)
 	if a.Cautious {
 		cautious = 1
 	}
-	if m.keeper != nil && m.keeper.Leads() {
+	if m.keeper != nil && m.keeper.IsLeader() {
 		leads = 1
 	}
 	for _, f := range []struct {
@@ -300,14 +300,14 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, figures.Present}, {"crew_version", int64(a.stance.Active), figures.Present},
-		{"crew_next", int64(a.stance.Next), figures.Present}, {"crew_epoch", int64(a.stance.Epoch), figures.Present},
-		{"crew_lease_ms", max(0, (a.until - m.world.Boot()).Milliseconds()), figures.Present},
-		{"crew_banned", int64(len(a.Banned)), figures.Present}, {"crew_leads", leads, figures.Present},
-		{"crew_renewals", m.renewals.Load(), figures.Counts}, {"crew_refused", m.refused.Load(), figures.Counts},
-		{"crew_unheard", m.lost.Load(), figures.Counts},
+		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.stance.Active), metrics.Gauge},
+		{"crew_next", int64(a.stance.Next), metrics.Gauge}, {"crew_epoch", int64(a.stance.Epoch), metrics.Gauge},
+		{"crew_lease_ms", max(0, (a.until - m.world.BootTime()).Milliseconds()), metrics.Gauge},
+		{"crew_banned", int64(len(a.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
+		{"crew_renewals", m.renewals.Load(), metrics.Counter}, {"crew_refused", m.refused.Load(), metrics.Counter},
+		{"crew_unheard", m.lost.Load(), metrics.Counter},
 	} {
-		text = figures.Append(text, f.name, f.value, f.kind)
+		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
 	if m.copies != nil {
 		text = m.copies.figures(text)
@@ -327,14 +327,14 @@
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Moving = m.copies != nil
+	m.holder.Decommissioning = m.copies != nil
 }
 
 // leaveReplicas waits, not for long, until others have what this sidecar holds for them.
 func (m *Member) leaveReplicas() {
 	m.Leaving()
 	for limit := m.world.Now().Add(moveTime); m.world.Now().Before(limit); m.world.Sleep(tickHoldings) {
-		if m.copies.replicas() == 0 || m.Acting().Cautious {
+		if m.copies.replicas() == 0 || m.Effective().Cautious {
 			return
 		}
 	}
@@ -352,10 +352,10 @@
 		m.copies.stop()
 	}
 	m.mu.Lock()
-	r, first := m.holder.Ask(), m.seeker.First()
+	r, first := m.holder.NextRenewal(), m.seeker.FirstVoter()
 	m.mu.Unlock()
 	r.Leaving = true
-	var reply keeper.Renewed
+	var reply voter.RenewResult
 	m.lines[first].Call("renew", &r, &reply, leaveTime) //nolint:errcheck // else its lease's end says it
 	for _, l := range m.lines {
 		l.Close()
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -7,11 +7,11 @@
 	"text/tabwriter"
 	"time"
 
-	"heathgap/internal/crew/keeper"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster/member"
+	"heathgap/internal/cluster/voter"
 	"heathgap/internal/env"
 	"heathgap/internal/holdings"
-	"heathgap/internal/peers"
+	"heathgap/internal/peerrpc"
 )
 
 // holdingsCommands are `heathgap holdings ...`.
@@ -32,8 +32,8 @@
 	Seats   map[string]int `json:"seats"`   // by members
 }
 
-func statusOf(s *keeper.Status, copies int) heldStatus {
-	out := heldStatus{Copies: copies, Shards: holdings.Shards, Seats: map[string]int{}}
+func statusOf(s *voter.Status, copies int) heldStatus {
+	out := heldStatus{Copies: copies, Shards: holdings.NumShards, Seats: map[string]int{}}
 	for name := range s.Ledger.Members {
 		out.Seats[name] = 0
 	}
@@ -69,14 +69,14 @@
 var errNothingHeld = fmt.Errorf("no table [holdings]: this crew's sidecars hold nothing for one another")
 
 // held asks for the present placement of replicas.
-func (a *crewAt) held() (*crewTalk, keeper.Status, error) {
+func (a *crewAt) held() (*crewTalk, voter.Status, error) {
 	t, s, err := a.led()
 	switch {
 	case err != nil:
-	case t.table.Terms.Holdings.Copies == 0:
+	case t.table.Params.Holdings.Copies == 0:
 		err = fmt.Errorf("%s: %w", a.Operator, errNothingHeld)
 	case s.Ledger.Placement == nil:
-		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.table.Terms.Holdings.Copies)
+		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.table.Params.Holdings.Copies)
 	}
 	return t, s, err
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	st := statusOf(&s, t.table.Terms.Holdings.Copies)
+	st := statusOf(&s, t.table.Params.Holdings.Copies)
 	if c.JSON {
 		return writeJSON(o, st)
 	}
@@ -132,12 +132,12 @@
 	for _, replica := range shard.Replicas {
 		m := s.Ledger.Members[replica.Name]
 		one := heldCopy{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
-		line := peers.NewLine(env.Real{}, t.table.Name, "cli", m.Address)
-		var shown member.Shown
+		line := peerrpc.NewClient(env.Real{}, t.table.Name, "cli", m.Address)
+		var shown member.KeyState
 		switch err := line.Call("hold-show", key, &shown, crewCall); {
 		case err != nil:
 			one.Error = err.Error()
-		case !shown.Has:
+		case !shown.Found:
 			one.State = "nothing"
 		default:
 			one.State, one.Owner, one.Age = shown.Entry.State.String(), shown.Entry.Owner.Name, shown.Entry.Age
--- a/internal/lab/hollow/member.go
+++ b/internal/lab/emulated/member.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/crew/member"
+	"heathgap/internal/cluster"
+	"heathgap/internal/cluster/member"
 	"heathgap/internal/env"
 	"heathgap/internal/httpwire"
 )
@@ -32,7 +32,7 @@
 // hollow is one member over all its starts.
 type hollow struct {
 	process *process
-	place   Place
+	place   Peer
 	fault   Fault
 	spent   traffic
 	asked   atomic.Int64
@@ -41,10 +41,10 @@
 
 	mu     sync.Mutex // guards what follows
 	life   *life      // nil while it is gone
-	past   member.Acts
+	past   member.Status
 	starts int
 	heed   heed
-	stance Stance // as last told, but for epoch and time, which are those of the last look
+	stance MemberState // as last told, but for epoch and time, which are those of the last look
 }
 
 // life is one start of a member.
@@ -80,11 +80,11 @@
 	}
 	h.starts++
 	l := &life{
-		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/crew.Heartbeats),
+		world:   newWorld(h.process.ways, s.region(h.place), h.process.keepers, &h.spent, h.fault, s.Lease/cluster.HeartbeatsPerLease),
 		started: make(chan struct{}), halt: make(chan struct{}), number: h.starts,
 	}
 	h.life, h.heed = l, heed{}
-	h.tell(Stance{Cautious: true})
+	h.tell(MemberState{Cautious: true})
 	wait := time.Duration(h.dice(l, "start").Int64N(int64(startSpread)))
 	go func() {
 		defer close(l.started)
@@ -127,23 +127,23 @@
 	if l.member == nil {
 		return
 	}
-	a := l.member.Acts()
-	s := Stance{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
-	if h.fault == Unheeding {
+	a := l.member.Status()
+	s := MemberState{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
+	if h.fault == IgnoresVersions {
 		s = h.heed.act(s)
 	}
 	h.tell(s)
 }
 
 // tell books a stance, and says it if it is another one. The lock is held, so that nothing of a life is said after its end.
-func (h *hollow) tell(s Stance) {
-	s.At, s.Member = (env.Real{}).Boot(), h.place.Name
+func (h *hollow) tell(s MemberState) {
+	s.At, s.Member = (env.Real{}).BootTime(), h.place.Name
 	before := h.stance
 	h.stance = s
 	if before.Member != "" && before.Active == s.Active && before.Next == s.Next && before.Cautious == s.Cautious && before.Gone == s.Gone {
 		return
 	}
-	h.process.say(Line{Event: &s})
+	h.process.say(Output{Event: &s})
 }
 
 // gone books the end of a life. The lock is held.
@@ -239,11 +239,11 @@
 	h.past.Lost += a.Lost
 }
 
-func (l *life) figures() (a member.Acts) {
+func (l *life) figures() (a member.Status) {
 	select {
 	case <-l.started:
 		if l.member != nil {
-			return l.member.Acts()
+			return l.member.Status()
 		}
 	default:
 	}
@@ -251,12 +251,12 @@
 }
 
 // sample is what it has cost.
-func (h *hollow) sample() Spent {
+func (h *hollow) sample() MemberUsage {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Spent{
-		In: h.spent.in.Load(), Out: h.spent.out.Load(), ToKeeper: h.spent.toKeeper.Load(), OfKeeper: h.spent.ofKeeper.Load(),
-		Renewals: h.past.Renewals, Refused: h.past.Refused, Unheard: h.past.Lost, Asked: h.asked.Load(), Denied: h.denied.Load(),
+	s := MemberUsage{
+		In: h.spent.in.Load(), Out: h.spent.out.Load(), ToVoters: h.spent.toKeeper.Load(), FromVoters: h.spent.ofKeeper.Load(),
+		Renewals: h.past.Renewals, Refused: h.past.Refused, LostRenewals: h.past.Lost, KeyedRequests: h.asked.Load(), KeyedRefused: h.denied.Load(),
 	}
 	if h.life != nil {
 		if !h.life.left {
@@ -265,10 +265,10 @@
 		a := h.life.figures()
 		s.Renewals += a.Renewals
 		s.Refused += a.Refused
-		s.Unheard += a.Lost
+		s.LostRenewals += a.Lost
 		s.Conns = h.life.world.open()
 	}
-	s.Stance = h.stance
+	s.State = h.stance
 	return s
 }
 
@@ -353,15 +353,15 @@
 	request := &httpwire.Request{Class: OrderClass, Key: key, Remaining: classDeadline, Method: "POST", URI: "/" + OrderClass + "/x", Body: []byte(key)}
 	var print [16]byte
 	copy(print[:], key[max(0, len(key)-len(print)):]) // drawn, as the hash of a request would be
-	opened := m.Holdings().Open(request, print, request.Remaining)
-	if opened.Hold == nil || opened.Answer != nil {
+	opened := m.Holdings().Claim(request, print, request.Remaining)
+	if opened.Claim == nil || opened.Answer != nil {
 		return false
 	}
 	left := func() time.Duration { return max(endTime, classDeadline-time.Since(began)+endTime) }
-	if !opened.Hold.MayWrite() {
-		opened.Hold.End(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
+	if !opened.Claim.MayWrite() {
+		opened.Claim.Finish(httpwire.Answer{Verdict: httpwire.Refused}, false, left())
 		return false
 	}
-	time.Sleep(p.start.OrderTakes)
-	return opened.Hold.End(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
+	time.Sleep(p.start.KeyedDuration)
+	return opened.Claim.Finish(httpwire.Answer{Verdict: httpwire.Served, Body: []byte("done")}, true, left()).Verdict == httpwire.Served
 }
--- a/internal/lab/hollow/start.go
+++ b/internal/lab/emulated/start.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"cmp"
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
+	"heathgap/internal/cluster"
+	"heathgap/internal/clusterparams"
 	"heathgap/internal/config"
-	"heathgap/internal/crew"
 	"heathgap/internal/operator"
-	"heathgap/internal/terms"
 )
 
 // The classes of a hollow member's settings, as those of the crew's rig. Versions may name them, but for the fixed ones.
@@ -57,7 +57,7 @@
 
 // conf is the configuration of a member: what a real sidecar reads from its file. Nothing listens for callers, and there is no
 // discovery.
-func conf(p Place) (*config.Config, error) {
+func conf(p Peer) (*config.Config, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": p.Name, "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
 	})
@@ -68,31 +68,31 @@
 }
 
 // table is the [crew] of a member.
-func (s *Start) table(p Place) operator.Crew {
-	t := operator.Crew{
-		Name: s.Crew, Address: p.Address, Terms: s.terms(), ContradictAtMost: s.ContradictAtMost, Keepers: map[string]string{}, Ways: map[string]string{},
+func (s *Start) table(p Peer) operator.Cluster {
+	t := operator.Cluster{
+		Name: s.Cluster, Address: p.Address, Params: s.terms(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
 	}
-	for _, k := range s.Keepers {
-		t.Keepers[k.Name] = k.Address
+	for _, k := range s.Voters {
+		t.Voters[k.Name] = k.Address
 	}
 	if s.Copies > 0 {
 		t.Holdings = operator.Holdings{
-			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MostEntries: mostEntries, MostBody: mostBody,
+			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MaxEntries: mostEntries, MaxBody: mostBody,
 		}
 	}
 	return t
 }
 
-func (s *Start) terms() crew.Terms {
-	t := crew.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
+func (s *Start) terms() cluster.Params {
+	t := cluster.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
 	if s.Copies > 0 {
-		t.Holdings = terms.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
+		t.Holdings = clusterparams.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	}
 	return t
 }
 
 // regionOf is where an address stands; empty where nobody says.
-func (s *Start) region(p Place) string { return cmp.Or(s.Regions[p.Address], p.Region) }
+func (s *Start) region(p Peer) string { return cmp.Or(s.Regions[p.Address], p.Region) }
 
 // regions are those of all addresses that are known.
 func (s *Start) regions() map[string]string {
@@ -100,7 +100,7 @@
 	if all == nil {
 		all = map[string]string{}
 	}
-	for _, p := range slices.Concat(s.Keepers, s.Members) {
+	for _, p := range slices.Concat(s.Voters, s.Members) {
 		all[p.Address] = s.region(p)
 	}
 	return all
@@ -110,39 +110,39 @@
 func (s *Start) check() error {
 	t := s.terms()
 	switch {
-	case s.Crew == "":
+	case s.Cluster == "":
 		return errors.New("crew: missing; allowed: the crew's name")
-	case s.Lease < terms.LeastLease || s.Lease > terms.MostLease:
-		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, terms.LeastLease, terms.MostLease)
-	case s.Drift < 0 || s.Drift > terms.MostDrift:
-		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, terms.MostDrift)
+	case s.Lease < clusterparams.MinLease || s.Lease > clusterparams.MaxLease:
+		return fmt.Errorf("lease_ns: %v; allowed: %v to %v", s.Lease, clusterparams.MinLease, clusterparams.MaxLease)
+	case s.Drift < 0 || s.Drift > clusterparams.MaxDrift:
+		return fmt.Errorf("drift: %v; allowed: 0 to %v", s.Drift, clusterparams.MaxDrift)
 	case s.Slack < 0:
 		return fmt.Errorf("slack_ns: %v; allowed: 0 and more", s.Slack)
-	case t.Wait() > s.ContradictAtMost:
-		return fmt.Errorf("contradict_at_most_ns: %v; allowed: %v and more, which lease, drift and slack add up to", s.ContradictAtMost, t.Wait())
-	case s.Copies < 0 || s.Copies > terms.MostCopies:
-		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, terms.MostCopies)
-	case s.Copies > 0 && (s.Keep < max(terms.LeastKeep, orderWindow) || s.Keep > terms.MostKeep):
-		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(terms.LeastKeep, orderWindow), terms.MostKeep)
-	case s.Copies > 0 && (s.LostAfter < terms.LeastLost || s.LostAfter > terms.MostLostAfter):
-		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, terms.LeastLost, terms.MostLostAfter)
+	case t.LessorWait() > s.ContradictAtMost:
+		return fmt.Errorf("contradict_at_most_ns: %v; allowed: %v and more, which lease, drift and slack add up to", s.ContradictAtMost, t.LessorWait())
+	case s.Copies < 0 || s.Copies > clusterparams.MaxCopies:
+		return fmt.Errorf("copies: %d; allowed: 0 to %d", s.Copies, clusterparams.MaxCopies)
+	case s.Copies > 0 && (s.Keep < max(clusterparams.MinKeep, orderWindow) || s.Keep > clusterparams.MaxKeep):
+		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(clusterparams.MinKeep, orderWindow), clusterparams.MaxKeep)
+	case s.Copies > 0 && (s.LostAfter < clusterparams.MinLostAfter || s.LostAfter > clusterparams.MaxLostAfter):
+		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter)
 	case s.RegionDelay < 0 || s.RegionDelay > longestDelay:
 		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, longestDelay)
-	case s.OrderTakes < 0 || s.OrderTakes > longestOrder:
-		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.OrderTakes, longestOrder)
-	case len(s.Keepers) == 0 || len(s.Keepers) > terms.MostKeepers:
-		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Keepers), terms.MostKeepers)
-	case len(s.Members) == 0 || len(s.Members) > terms.MostMembers:
-		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), terms.MostMembers)
+	case s.KeyedDuration < 0 || s.KeyedDuration > longestOrder:
+		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.KeyedDuration, longestOrder)
+	case len(s.Voters) == 0 || len(s.Voters) > clusterparams.MaxVoters:
+		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Voters), clusterparams.MaxVoters)
+	case len(s.Members) == 0 || len(s.Members) > clusterparams.MaxMembers:
+		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MaxMembers)
 	}
-	if err := s.checkRate(s.Orders); err != nil {
+	if err := s.checkRate(s.KeyedRate); err != nil {
 		return err
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
-	for i, p := range slices.Concat(s.Keepers, s.Members) {
+	for i, p := range slices.Concat(s.Voters, s.Members) {
 		where := fmt.Sprintf("keepers[%d]", i)
-		if i >= len(s.Keepers) {
-			where = fmt.Sprintf("members[%d]", i-len(s.Keepers))
+		if i >= len(s.Voters) {
+			where = fmt.Sprintf("members[%d]", i-len(s.Voters))
 		}
 		_, port, err := net.SplitHostPort(p.Address)
 		switch {
@@ -152,19 +152,19 @@
 			return fmt.Errorf("%s.address: %q, of %s; allowed: an address with a port", where, p.Address, p.Name)
 		case names[p.Name] || addresses[p.Address]:
 			return fmt.Errorf("%s: %s at %s, a second time; allowed: each name and address once", where, p.Name, p.Address)
-		case s.Copies > 1 && p.Zone == "" && i >= len(s.Keepers):
+		case s.Copies > 1 && p.Zone == "" && i >= len(s.Voters):
 			return fmt.Errorf("%s.zone: missing, of %s; copies stand in different ones", where, p.Name)
 		}
 		names[p.Name], addresses[p.Address] = true, true
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Planted)) {
-		fault := s.Planted[name]
+	for _, name := range slices.Sorted(maps.Keys(s.Faults)) {
+		fault := s.Faults[name]
 		switch {
-		case fault != Unheeding && fault != Hasty && fault != Forgetful:
-			return fmt.Errorf("planted.%s: %q; allowed: %s, %s, %s", name, fault, Unheeding, Hasty, Forgetful)
-		case !slices.ContainsFunc(s.Members, func(p Place) bool { return p.Name == name }):
+		case fault != IgnoresVersions && fault != RenewsTooOften && fault != LosesState:
+			return fmt.Errorf("planted.%s: %q; allowed: %s, %s, %s", name, fault, IgnoresVersions, RenewsTooOften, LosesState)
+		case !slices.ContainsFunc(s.Members, func(p Peer) bool { return p.Name == name }):
 			return fmt.Errorf("planted.%s: no member of this process", name)
-		case fault == Forgetful && s.Copies == 0:
+		case fault == LosesState && s.Copies == 0:
 			return fmt.Errorf("planted.%s: %s; allowed: with copies, for without there is no table", name, fault)
 		}
 	}
--- a/internal/lab/hollow/world_test.go
+++ b/internal/lab/emulated/world_test.go
@@ -1,4 +1,4 @@
-package hollow
+package emulated
 
 import (
 	"bytes"
@@ -191,11 +191,11 @@
 				t.Fatal(err)
 			}
 			there := <-accepted
-			if !l.Fresh() {
+			if !l.Usable() {
 				t.Errorf("%s: not fresh", name)
 			}
 			end(there)
-			for limit := time.Now().Add(testWait); l.Fresh(); time.Sleep(testPause) {
+			for limit := time.Now().Add(testWait); l.Usable(); time.Sleep(testPause) {
 				if time.Now().After(limit) {
 					t.Fatalf("%s: fresh though %s", name, what)
 				}
@@ -279,13 +279,13 @@
 	if _, err := near.Listen(free(t)); !errors.Is(err, errOver) {
 		t.Error(err)
 	}
-	if near.Boot() < (env.Real{}).Boot()+afterlife/2 {
+	if near.BootTime() < (env.Real{}).BootTime()+afterlife/2 {
 		t.Error("a lease may still hold")
 	}
 }
 
 // A member's goroutine that asks for the lease has a thread of its own, so that the kernel wakes it by itself. Guards against
-// another name of that goroutine in internal/crew/member, by which hollow members would cost too little.
+// another name of that goroutine in internal/cluster/member, by which hollow members would cost too little.
 func TestLeaseHasAThread(t *testing.T) {
 	threads := func() int {
 		t.Helper()
@@ -297,9 +297,9 @@
 	}
 	const members = 40 // above the threads that a test has already and may use anew
 	before := threads()
-	s := Start{Crew: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Keepers: []Place{{Name: "k1", Address: "127.0.0.1:9"}}}
+	s := Start{Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}}}
 	for i := range members {
-		s.Members = append(s.Members, Place{Name: fmt.Sprintf("m%d", i), Address: free(t)})
+		s.Members = append(s.Members, Peer{Name: fmt.Sprintf("m%d", i), Address: free(t)})
 	}
 	p := run(t, s)
 	p.await("ready", func() bool { return p.ready })
@@ -311,7 +311,7 @@
 }
 
 // The timer between two questions for the lease is the kernel's own for each member, and ends with it. Guards against another time
-// there in internal/crew/member, by which hollow members would ask together.
+// there in internal/cluster/member, by which hollow members would ask together.
 func TestLeaseHasATimer(t *testing.T) {
 	timers := func() (n int) {
 		t.Helper()
@@ -338,7 +338,7 @@
 	before := timers()
 	c := form(t, 3, members, 0)
 	p := run(t, c.start)
-	p.awaitAll("leases", members, func(s Stance) bool { return !s.Cautious })
+	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	await(before + members)
 	p.good(Command{Do: Kill, Members: []string{"m1"}})
 	p.good(Command{Do: Leave, Members: []string{"m2"}})
@@ -359,7 +359,7 @@
 			t.Errorf("after %v, want %v", took, d)
 		}
 	}
-	w.fault = Hasty
+	w.fault = RenewsTooOften
 	least := time.Duration(1 << 62)
 	for range 20 {
 		began := time.Now()
--- a/internal/lab/rig/crew_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 
 	"github.com/rs/zerolog"
 
+	"heathgap/internal/cluster/member"
 	"heathgap/internal/config"
-	"heathgap/internal/crew/member"
 	"heathgap/internal/env"
 	"heathgap/internal/httpwire"
-	"heathgap/internal/lab/accord"
+	"heathgap/internal/lab/consistency"
 	"heathgap/internal/lab/scenario"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
@@ -55,9 +55,9 @@
 	began time.Duration
 }
 
-// Boot is env.Env's.
-func (c otherClock) Boot() time.Duration {
-	return c.began + time.Duration(float64(c.Env.Boot()-c.began)*c.rate)
+// BootTime is env.Env's.
+func (c otherClock) BootTime() time.Duration {
+	return c.began + time.Duration(float64(c.Env.BootTime()-c.began)*c.rate)
 }
 
 // sleeper's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
@@ -70,11 +70,11 @@
 // sleepGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
 const sleepGap = 300 * time.Millisecond
 
-// Boot is env.Env's.
-func (s *sleeper) Boot() time.Duration {
+// BootTime is env.Env's.
+func (s *sleeper) BootTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.Env.Boot()
+	now := s.Env.BootTime()
 	if now-s.last > sleepGap {
 		s.lost += now - s.last
 	}
@@ -84,7 +84,7 @@
 
 func (s *sleeper) stayAwake() {
 	for range time.Tick(sleepGap / 10) {
-		s.Boot()
+		s.BootTime()
 	}
 }
 
@@ -117,34 +117,34 @@
 // deadlyEnd is the outcome with which a process dies, the first ones having shown that it serves.
 const deadlyEnd = 20
 
-// Open is pipeline.Holdings'.
-func (b *buggyHoldings) Open(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.Opened {
+// Claim is pipeline.Holdings'.
+func (b *buggyHoldings) Claim(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
 	if b.bug == bugNoClaim {
-		return pipeline.Opened{}
+		return pipeline.ClaimResult{}
 	}
-	opened := b.Holdings.Open(m, print, within)
-	if opened.Hold != nil {
-		opened.Hold = &buggyHold{opened.Hold, b}
+	opened := b.Holdings.Claim(m, print, within)
+	if opened.Claim != nil {
+		opened.Claim = &buggyHold{opened.Claim, b}
 	}
 	return opened
 }
 
 type buggyHold struct {
-	pipeline.Hold
+	pipeline.Claim
 	of *buggyHoldings
 }
 
-// End is pipeline.Hold's.
-func (h *buggyHold) End(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+// Finish is pipeline.Hold's.
+func (h *buggyHold) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	n := h.of.ends.Add(1)
 	if h.of.bug == bugTellsEarly {
-		time.AfterFunc(orderWindow+time.Second, func() { h.Hold.End(answer, ran, within) })
+		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
 		if n == 2*deadlyEnd {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 		}
 		return answer
 	}
-	answer = h.Hold.End(answer, ran, within)
+	answer = h.Claim.Finish(answer, ran, within)
 	if n == deadlyEnd && h.of.bug == diesThen {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 	}
@@ -153,7 +153,7 @@
 
 // Holdings is lifecycle.Crew's.
 func (b *buggyMember) Holdings() pipeline.Holdings {
-	h := b.Crew.Holdings()
+	h := b.Cluster.Holdings()
 	if h == nil || b.name != "m1" {
 		return h
 	}
@@ -167,7 +167,7 @@
 	case bug == olderBuild:
 		return olderWorld{world}
 	case bug == bugSleeps && name == "m2":
-		s := &sleeper{Env: world, last: world.Boot()}
+		s := &sleeper{Env: world, last: world.BootTime()}
 		go s.stayAwake()
 		return s
 	case bug == bugSlow && name == "m2":
@@ -177,20 +177,20 @@
 	case bug == clocksOff:
 		rate = 1 - drift
 	}
-	return otherClock{world, rate, world.Boot()}
+	return otherClock{world, rate, world.BootTime()}
 }
 
 // buggyMember is a member with a bug round it.
 type buggyMember struct {
-	lifecycle.Crew
+	lifecycle.Cluster
 	bug  string
 	name string
-	last atomic.Pointer[pipeline.Acting]
+	last atomic.Pointer[pipeline.EffectiveRules]
 }
 
-// Acting is pipeline.Rules'.
-func (b *buggyMember) Acting() *pipeline.Acting {
-	a := b.Crew.Acting()
+// Effective is pipeline.Rules'.
+func (b *buggyMember) Effective() *pipeline.EffectiveRules {
+	a := b.Cluster.Effective()
 	last := b.last.Load()
 	switch {
 	case b.bug == bugForgets && a.Cautious:
@@ -208,27 +208,27 @@
 // memberMain runs a member with a bug.
 func memberMain(bug string) int {
 	file, err := operator.FromEnv(os.Getenv)
-	if err != nil || file.Crew == nil || bug == bugNone {
+	if err != nil || file.Cluster == nil || bug == bugNone {
 		return member.Process()
 	}
-	join := member.Joiner(*file.Crew)
+	join := member.JoinFunc(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
-		Crew: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Crew, error) {
-			m, err := join(conf, clockOf(world, bug, conf.Name, file.Crew.Terms.Drift), log)
-			return &buggyMember{Crew: m, bug: bug, name: conf.Name}, err
+		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
+			m, err := join(conf, clockOf(world, bug, conf.Name, file.Cluster.Params.Drift), log)
+			return &buggyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
 
-func crewScene(t *testing.T, text string) *scenario.Crew {
+func crewScene(t *testing.T, text string) *scenario.Cluster {
 	t.Helper()
-	s, err := scenario.ParseCrew(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
+	s, err := scenario.ParseCluster(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func playCrew(t *testing.T, s *scenario.Crew, bug string, opts CrewOptions) *CrewRecord {
+func playCrew(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
 	t.Helper()
 	opts.LogDir = t.TempDir()
 	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // kept for who looks into a failure
@@ -245,14 +245,14 @@
 		}
 		return cmd
 	}
-	opts.Older = func() *exec.Cmd {
+	opts.OlderProgram = func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), asMember+"="+olderBuild)
 		return cmd
 	}
-	r, err := RunCrew(t.Context(), s, s.Seed, opts)
+	r, err := RunCluster(t.Context(), s, s.Seed, opts)
 	if err != nil {
-		t.Fatalf("%v; logs of its processes: HEATHGAP_TEST_LOGS=DIR go test ./internal/lab/rig -run '%s'", err, t.Name())
+		t.Fatalf("%v; logs of its processes: HEATHGAP_TEST_LOGS=DIR go test ./internal/lab/harness -run '%s'", err, t.Name())
 	}
 	t.Logf("%+v", r)
 	return r
@@ -276,8 +276,8 @@
 // rules that contradict another's for longer than is promised, and the version is not lost; with clocks as far off as they may be.
 func TestCrew(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, CrewOptions{})
-	for _, b := range r.Breaks {
+	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	if len(r.Versions) != 1 || r.Versions[0].State != "active" {
@@ -289,8 +289,8 @@
 	if r.CautiousMS["m2"] < 1000 {
 		t.Errorf("cut off for 4 s, cautious for %v ms", r.CautiousMS["m2"])
 	}
-	if float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("served %d of %d", r.Served, r.Asked)
+	if float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
@@ -342,12 +342,12 @@
 do = "wipe"
 who = "follower"
 for = "300ms"
-`), bugNone, CrewOptions{})
-	for _, b := range r.Breaks {
+`), bugNone, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
-	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Asked)
+	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
 	}
 }
 
@@ -377,8 +377,8 @@
 do = "kill"
 who = "m2"
 for = "4s"
-`), bugNone, CrewOptions{})
-	for _, b := range r.Breaks {
+`), bugNone, ClusterOptions{})
+	for _, b := range r.Violations {
 		t.Error(b)
 	}
 	if len(r.Versions) != 1 || r.Versions[0].State != "active" || r.Versions[0].ActiveMS > 3000 {
@@ -387,8 +387,8 @@
 	if r.CautiousMS["m1"] < 1500 || r.CautiousMS["m2'"] < 2000 || r.CautiousMS["m2'"] > 5500 {
 		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has gone", r.CautiousMS)
 	}
-	if float64(r.Served) < 0.95*float64(r.Asked) {
-		t.Errorf("served %d of %d", r.Served, r.Asked)
+	if float64(r.Served) < 0.95*float64(r.Requests) {
+		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
@@ -400,25 +400,25 @@
 		"[[step]]\nat = \"810ms\"\ndo = \"stop\"\nwho = \"m2\"\nfor = \"3s\"\n" +
 		"[[step]]\nat = \"1s\"\ndo = \"propose\"\neffect = \"once\"\n"
 	for bug, c := range map[string]struct{ scene, rule string }{
-		bugGoesOn:  {cutAndPropose, accord.Contradicts},
-		bugSlow:    {cutAndPropose, accord.Contradicts},
-		bugSleeps:  {stopAndPropose, accord.Contradicts},
-		bugForgets: {bannedThenCut, accord.Contradicts},
-		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", accord.AgainstSelf},
+		bugGoesOn:  {cutAndPropose, consistency.Contradicts},
+		bugSlow:    {cutAndPropose, consistency.Contradicts},
+		bugSleeps:  {stopAndPropose, consistency.Contradicts},
+		bugForgets: {bannedThenCut, consistency.Contradicts},
+		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, c.scene), bug, CrewOptions{})
-			if !strings.Contains(strings.Join(r.Breaks, "\n"), c.rule+" at") {
-				t.Errorf("not found as %q: %q", c.rule, r.Breaks)
+			r := playCrew(t, crewScene(t, c.scene), bug, ClusterOptions{})
+			if !strings.Contains(strings.Join(r.Violations, "\n"), c.rule+" at") {
+				t.Errorf("not found as %q: %q", c.rule, r.Violations)
 			}
 		})
 	}
 	for name, scene := range map[string]string{"sound, cut off": bannedThenCut, "sound, stopped": stopAndPropose} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := playCrew(t, crewScene(t, scene), bugNone, CrewOptions{}); r.Broken > 0 || len(r.Versions) != 1 {
-				t.Errorf("versions %+v, breaks %q", r.Versions, r.Breaks)
+			if r := playCrew(t, crewScene(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
+				t.Errorf("versions %+v, breaks %q", r.Versions, r.Violations)
 			}
 		})
 	}
@@ -428,8 +428,8 @@
 func TestCrewWithout(t *testing.T) {
 	t.Parallel()
 	s := crewScene(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
-	r := playCrew(t, s, bugNone, CrewOptions{Separate: true})
-	if r.Contradicted < 2*r.AtMost {
-		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.AtMost)
+	r := playCrew(t, s, bugNone, ClusterOptions{Separate: true})
+	if r.Contradicted < 2*r.MaxContradiction {
+		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.MaxContradiction)
 	}
 }
--- a/internal/lab/rig/files.go
+++ b/internal/lab/harness/files.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"encoding/json"
@@ -21,14 +21,14 @@
 // NamedAddress is an address of somebody.
 type NamedAddress struct{ Name, Address string }
 
-// CrewFile is what a process is told of its crew, as an operator's file.
-type CrewFile struct {
+// ClusterFile is what a process is told of its crew, as an operator's file.
+type ClusterFile struct {
 	Name, Address, Data string
 	Lease               time.Duration
 	Drift               float64
 	Slack               time.Duration
 	ContradictAtMost    time.Duration
-	Keepers             []NamedAddress
+	Voters              []NamedAddress
 	Ways                []NamedAddress // to members by another address than their own
 	Copies              int            // 0 for no holdings
 	Keep                time.Duration
@@ -36,12 +36,12 @@
 }
 
 // Text is the file.
-func (f *CrewFile) Text() string {
+func (f *ClusterFile) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[crew]\nname = %q\naddress = %q\ndata = %q\nlease = %q\ndrift = %v\nslack = %q\ncontradict_at_most = %q\n",
 		f.Name, f.Address, f.Data, f.Lease, f.Drift, f.Slack, f.ContradictAtMost)
 	fmt.Fprintf(&b, "fixed_classes = [%q]\n", loadClass)
-	for _, k := range f.Keepers {
+	for _, k := range f.Voters {
 		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 	}
 	for _, w := range f.Ways {
@@ -82,7 +82,7 @@
 			"bounds": map[string]any{"cancel": true, "max_attempts": leastAttempts, "connect_timeout": 300.0, "conn_idle": 5000.0, "most_held": 500},
 			"rules": map[string]any{"answer_slack": 50.0, "ask_every": 5000.0, "cold": 1000.0, "cold_from": 0.5, "drain_grace": 300.0,
 				"fall_multiple": 50.0, "overload_for": 5000.0},
-			"profiles": []any{class(loadClass, "repeatable"), class(probedClass, versions.EffectWords[f.Effect]), map[string]any{
+			"profiles": []any{class(loadClass, "repeatable"), class(probedClass, versions.EffectNames[f.Effect]), map[string]any{
 				"name": orderClass, "effect": "by_key", "group": "all", "window": millis(orderWindow), "aim": 300.0, "deadline": crewDeadlineMS, "worth": 1.0,
 			}},
 		},
--- a/internal/lab/rig/lists.go
+++ b/internal/lab/harness/lists.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"bufio"
@@ -12,42 +12,42 @@
 	"time"
 
 	"heathgap/internal/httpwire"
+	"heathgap/internal/lab/fake"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
-// ListsConf is what is measured of a list's changes.
-type ListsConf struct {
+// ListTrafficConf is what is measured of a list's changes.
+type ListTrafficConf struct {
 	Endpoints int           // listed; nobody stands at them, since nothing is sent
 	AtOnce    int           // lines that change in one version
 	Apart     bool          // in a version each, one after the other at once
 	Changes   int           // how often that happens
 	Sidecars  int           // real ones that watch
-	Hollow    int           // watchers beside them that speak the protocol and keep nothing but the version
+	Emulated  int           // watchers beside them that speak the protocol and keep nothing but the version
 	Peers     int           // that sidecars are told of: their waits are longer the more there are
 	Idle      time.Duration // looked at without changes; 0 for not
 }
 
-// Lists is what was seen.
-type Lists struct {
-	Real, Hollow Wire          // while changes came, of one watcher
-	Idle         Wire          // of one sidecar, while none came
-	IdleFor      time.Duration // that it was looked at
-	Whole        Wire          // of one call for the whole list
-	CPU          float64       // microseconds of a sidecar's processor for a change
-	IdleCPU      float64       // of a second without any
-	LabCPU       float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
-	ToldP50      float64       // ms from a change until the last watcher has it
-	ToldMax      float64
+// ListTraffic is what was seen.
+type ListTraffic struct {
+	Real, Emulated Wire          // while changes came, of one watcher
+	Idle           Wire          // of one sidecar, while none came
+	IdleFor        time.Duration // that it was looked at
+	Whole          Wire          // of one call for the whole list
+	CPU            float64       // microseconds of a sidecar's processor for a change
+	IdleCPU        float64       // of a second without any
+	LabCPU         float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
+	DeliveryP50    float64       // ms from a change until the last watcher has it
+	DeliveryMax    float64
 }
 
 // Wire is what went over the wire, in what TCP carries.
 type Wire struct {
-	Calls, Answers  float64 // messages of the sidecar, and of the agent
-	Asked, Told     float64 // their bytes
-	LinesOfAnAnswer float64
-	Wholes          float64 // of the answers, those that were whole lists
+	Calls, Answers            float64 // messages of the sidecar, and of the agent
+	RequestBytes, AnswerBytes float64 // their bytes
+	LinesPerAnswer            float64
+	FullLists                 float64 // of the answers, those that were whole lists
 }
 
 // counts are a watcher's, since it began.
@@ -70,9 +70,9 @@
 			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, things))
 		}
 	}
-	w := Wire{Calls: d[0], Answers: d[1], Asked: d[2], Told: d[3], Wholes: d[5]}
+	w := Wire{Calls: d[0], Answers: d[1], RequestBytes: d[2], AnswerBytes: d[3], FullLists: d[5]}
 	if d[1] > 0 {
-		w.LinesOfAnAnswer = d[4] / d[1]
+		w.LinesPerAnswer = d[4] / d[1]
 	}
 	return w
 }
@@ -111,8 +111,8 @@
 // lists is the measurement at work.
 type lists struct {
 	*rig
-	conf    ListsConf
-	list    *standin.Discovery
+	conf    ListTrafficConf
+	list    *fake.Discovery
 	version int64
 	real    []*counts
 	hollow  []*counts
@@ -120,8 +120,8 @@
 	flip    bool // lines of the next change are gone, or back
 }
 
-// MeasureLists changes a list and looks what its watchers get.
-func MeasureLists(ctx context.Context, conf ListsConf, opts Options) (*Lists, error) {
+// MeasureListTraffic changes a list and looks what its watchers get.
+func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
 	scene, err := scenario.Parse("lists", []byte(listsScene))
 	if err != nil {
 		return nil, err
@@ -132,7 +132,7 @@
 	}
 	defer os.RemoveAll(dir)
 	l := &lists{rig: newRig(scene, 1, opts, dir), conf: conf}
-	l.share(truth.NewService(nil, 0))
+	l.share(oracle.NewService(nil, 0))
 	var watchers sync.WaitGroup
 	watching, stop := context.WithCancel(ctx)
 	defer watchers.Wait()
@@ -145,19 +145,19 @@
 }
 
 // line is one of the list; the same endpoint is gone and back.
-func line(n int, status string) standin.Line {
-	return standin.Line{
+func line(n int, status string) fake.Line {
+	return fake.Line{
 		Name: fmt.Sprintf("svc-%d.example.internal", n), Address: fmt.Sprintf("127.15.%d.%d:8080", n/250, 1+n%250), Zone: "zone-a", Type: "lab",
 		Group: 1, Status: status, Weight: 1, Since: 1_764_633_600_000 + int64(n),
 	}
 }
 
 func (l *lists) start(ctx context.Context, watchers *sync.WaitGroup) error {
-	l.list = standin.NewDiscovery(l.book)
-	l.lists = []*standin.Discovery{l.list}
-	all := make([]standin.Line, l.conf.Endpoints)
+	l.list = fake.NewDiscovery(l.book)
+	l.lists = []*fake.Discovery{l.list}
+	all := make([]fake.Line, l.conf.Endpoints)
 	for n := range all {
-		all[n] = line(n, standin.Serving)
+		all[n] = line(n, fake.Serving)
 	}
 	l.set(all...)
 	for n := range l.conf.Sidecars {
@@ -177,12 +177,12 @@
 			return err
 		}
 	}
-	for n := range l.conf.Hollow {
+	for n := range l.conf.Emulated {
 		host, err := l.hosts.take()
 		if err != nil {
 			return err
 		}
-		address, err := l.list.For(fmt.Sprintf("h%d", n), host)
+		address, err := l.list.OpenFor(fmt.Sprintf("h%d", n), host)
 		if err != nil {
 			return err
 		}
@@ -201,8 +201,8 @@
 }
 
 // set makes one version.
-func (l *lists) set(lines ...standin.Line) {
-	l.list.Set(lines...)
+func (l *lists) set(lines ...fake.Line) {
+	l.list.SetLines(lines...)
 	l.version++
 }
 
@@ -233,11 +233,11 @@
 // change has lines go, or those that went come back.
 func (l *lists) change() {
 	l.flip = !l.flip
-	status := standin.Serving
+	status := fake.Serving
 	if l.flip {
-		status = standin.Deleted
+		status = fake.Deleted
 	}
-	lines := make([]standin.Line, l.conf.AtOnce)
+	lines := make([]fake.Line, l.conf.AtOnce)
 	for n := range lines {
 		lines[n] = line(n, status)
 	}
@@ -250,8 +250,8 @@
 	}
 }
 
-func (l *lists) measure(ctx context.Context) (*Lists, error) {
-	out := &Lists{IdleFor: l.conf.Idle}
+func (l *lists) measure(ctx context.Context) (*ListTraffic, error) {
+	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
 	if out.Whole, err = l.fetchWhole(ctx); err != nil {
 		return nil, err
@@ -282,10 +282,10 @@
 		return nil, err
 	}
 	changes := float64(l.conf.Changes)
-	out.Real, out.Hollow = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
+	out.Real, out.Emulated = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
 	out.CPU = float64((after - cpu).Microseconds()) / changes / float64(max(1, l.conf.Sidecars))
-	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Hollow)
-	out.ToldP50, out.ToldMax = quantile(told, 50), quantile(told, 100)
+	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
+	out.DeliveryP50, out.DeliveryMax = quantile(told, 50), quantile(told, 100)
 	if l.conf.Idle <= 0 {
 		return out, nil
 	}
@@ -331,7 +331,7 @@
 	if err != nil {
 		return Wire{}, err
 	}
-	address, err := l.list.For("whole", host)
+	address, err := l.list.OpenFor("whole", host)
 	if err != nil {
 		return Wire{}, err
 	}
--- a/internal/lab/rig/parts.go
+++ b/internal/lab/harness/parts.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 // NewHosts returns a run's.
 func NewHosts() *Hosts { return &Hosts{newHosts()} }
 
-// Take returns a host that no other run has.
-func (h *Hosts) Take() (string, error) { return h.hosts.take() }
+// Acquire returns a host that no other run has.
+func (h *Hosts) Acquire() (string, error) { return h.hosts.take() }
 
 // Address returns an address of a host that was taken, which was not dealt out before.
 func (h *Hosts) Address(host string) (string, error) { return h.hosts.address(host) }
@@ -37,16 +37,16 @@
 	return &Process{p}, nil
 }
 
-// WaitUp waits until it answers at an address.
-func (p *Process) WaitUp(ctx context.Context, address string) error {
+// WaitReady waits until it answers at an address.
+func (p *Process) WaitReady(ctx context.Context, address string) error {
 	return waitUp(ctx, address, p.process)
 }
 
 // Pid is its number.
 func (p *Process) Pid() int { return p.process.cmd.Process.Pid }
 
-// End tells it to end with a signal.
-func (p *Process) End(s os.Signal) { p.process.end(s) }
+// Signal tells it to end with a signal.
+func (p *Process) Signal(s os.Signal) { p.process.end(s) }
 
 // Wait waits until it is gone; false after the time.
 func (p *Process) Wait(most time.Duration) bool { return p.process.wait(most) }
@@ -82,20 +82,20 @@
 // Address is where it listens.
 func (r *Relay) Address() string { return r.relay.address() }
 
-// Cut has nothing pass either way, or pass again.
-func (r *Relay) Cut(cut bool) {
+// SetPartitioned has nothing pass either way, or pass again.
+func (r *Relay) SetPartitioned(cut bool) {
 	r.relay.set(there, cut)
 	r.relay.set(back, cut)
 }
 
-// Delay has what goes each way come so much later than before, or sooner where that is below 0.
-func (r *Relay) Delay(by time.Duration) {
+// SetDelay has what goes each way come so much later than before, or sooner where that is below 0.
+func (r *Relay) SetDelay(by time.Duration) {
 	r.relay.slow(there, by)
 	r.relay.slow(back, by)
 }
 
-// DelayAnswers is Delay of what comes back.
-func (r *Relay) DelayAnswers(by time.Duration) { r.relay.slow(back, by) }
+// SetAnswerDelay is Delay of what comes back.
+func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.slow(back, by) }
 
 // Close ends it with its connections.
 func (r *Relay) Close() { r.relay.close() }
--- a/internal/lab/rig/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -1,4 +1,4 @@
-package rig
+package harness
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"time"
 
 	"heathgap/decide"
+	"heathgap/internal/lab/fake"
 	"heathgap/internal/lab/load"
+	"heathgap/internal/lab/oracle"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/scenario"
-	"heathgap/internal/lab/standin"
-	"heathgap/internal/lab/truth"
 )
 
 // startTries is how often a sidecar is started at other ports where one was taken
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	s.list, err = s.rig.lists[s.tier].For(s.name, at)
+	s.list, err = s.rig.lists[s.tier].OpenFor(s.name, at)
 	return err
 }
 
@@ -90,7 +90,7 @@
 	}
 	s.starts++
 	s.random++
-	known := s.rig.lists[s.tier].LastTold(s.name)
+	known := s.rig.lists[s.tier].LastDelivered(s.name)
 	path := filepath.Join(s.rig.dir, s.name+".json")
 	text, err := json.Marshal(s.config(known))
 	if err != nil {
@@ -103,7 +103,7 @@
 	if s.rig.opts.LogDir != "" {
 		logPath = filepath.Join(s.rig.opts.LogDir, s.name+".log")
 	}
-	s.rig.book.Do(func(b *truth.Book) { b.Started(s.rig.book.Now(), s.name, known.Index) })
+	s.rig.book.Do(func(b *oracle.Checker) { b.SidecarStarted(s.rig.book.Now(), s.name, known.Index) })
 	if s.proc, err = startProcess(s.rig.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 }
 
 // config is the sidecar's configuration, as the platform writes it.
-func (s *sidecar) config(known standin.List) map[string]any {
+func (s *sidecar) config(known fake.List) map[string]any {
 	scene := s.rig.scene
 	return map[string]any{
 		"name": s.name, "listen": s.address, "discovery": s.list,
@@ -270,9 +270,9 @@
 		"membership_mode": scene.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
 		"over_share_worth": 0.1,
 		"bounds": map[string]any{
-			"cancel": l.Cancel, "second_copies": l.SecondCopies, "retry_after": l.RetryAfter, "probing": false,
+			"cancel": l.Cancel, "second_copies": l.Hedging, "retry_after": l.RetryAfter, "probing": false,
 			"max_attempts": l.MaxAttempts, "max_retry_after": millis(l.MaxRetryAfter),
-			"connect_timeout": millis(l.ConnectTimeout), "conn_idle": millis(l.ConnIdle), "most_held": l.MostHeld,
+			"connect_timeout": millis(l.ConnectTimeout), "conn_idle": millis(l.ConnIdle), "most_held": l.MaxPending,
 		},
 		"rules": map[string]any{
 			"answer_slack": millis(r.AnswerSlack), "ask_every": millis(r.AskEvery), "cold": millis(r.Cold),
--- a/internal/lab/truth/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -1,4 +1,4 @@
-package truth
+package oracle
 
 import (
 	"sync"
@@ -9,12 +9,12 @@
 type Shared struct {
 	mu      sync.Mutex
 	origin  time.Time
-	book    *Book
+	book    *Checker
 	service *Service
 }
 
-// Share guards a book and a service.
-func Share(b *Book, s *Service) *Shared {
+// NewShared guards a book and a service.
+func NewShared(b *Checker, s *Service) *Shared {
 	return &Shared{origin: time.Now(), book: b, service: s}
 }
 
@@ -25,14 +25,14 @@
 func (s *Shared) Began() time.Time { return s.origin }
 
 // Do books something.
-func (s *Shared) Do(entry func(b *Book)) {
+func (s *Shared) Do(entry func(b *Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	entry(s.book)
 }
 
 // Ended adds what a client wanted.
-func (s *Shared) Ended(w Want) {
+func (s *Shared) Ended(w LogicalRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.service.Ended(w)
--- a/internal/lab/scale/judge.go
+++ b/internal/lab/scale/judge.go
@@ -8,21 +8,21 @@
 	"slices"
 	"time"
 
-	"heathgap/internal/crew"
-	"heathgap/internal/lab/hollow"
+	"heathgap/internal/cluster"
+	"heathgap/internal/lab/emulated"
 )
 
 // Observed is what was seen of a run: all that Judge rests on. Times are of CLOCK_BOOTTIME.
 type Observed struct {
 	Plan         *Plan
-	Began, Ended time.Duration              // of what counts: all held a lease before
-	Stances      map[string][]hollow.Stance // by member, in the order of their times
-	Downs        map[string][]Span          // by member: it did not run
-	Cuts         []CutSpan
-	Versions     []Told
+	Began, Ended time.Duration                     // of what counts: all held a lease before
+	Stances      map[string][]emulated.MemberState // by member, in the order of their times
+	Downs        map[string][]Span                 // by member: it did not run
+	Cuts         []PartitionSpan
+	Versions     []Notified
 	Left         int // versions that were to be proposed, and were not by the end
-	Leaders      []Led
-	Samples      map[string][]hollow.Sampled // by hollow process, in the order of their times
+	Leaders      []Leadership
+	Samples      map[string][]emulated.Usage // by hollow process, in the order of their times
 	Usage        map[string][]Usage          // by keeper, real sidecar and plain one, likewise
 	Late         map[string]time.Duration    // by how much the run's own load was late, at most
 	Asked        int                         // requests of the real sidecars' load
@@ -36,22 +36,22 @@
 
 func (s Span) has(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// CutSpan is a cut between two regions.
-type CutSpan struct {
+// PartitionSpan is a cut between two regions.
+type PartitionSpan struct {
 	Span
 	Between [2]string
 }
 
-// Told is a version.
-type Told struct {
+// Notified is a version.
+type Notified struct {
 	Number  uint64
 	Due     time.Duration // somebody wanted it
 	Told    time.Duration // the leader said that it is proposed
 	Refused string        // why it was; empty if not
 }
 
-// Led is a keeper that has come to lead, or none ("").
-type Led struct {
+// Leadership is a keeper that has come to lead, or none ("").
+type Leadership struct {
 	At   time.Duration
 	Name string
 	Term uint64
@@ -159,8 +159,8 @@
 	LeaderCPU float64 `json:"leader_cpu_percent"`
 }
 
-// Good tells whether the run counts and held to its limits.
-func (r *Record) Good() bool {
+// Passed tells whether the run counts and held to its limits.
+func (r *Record) Passed() bool {
 	return len(r.Void) == 0 && !r.Partial && len(r.Broken) == 0 && !slices.ContainsFunc(r.Figures, func(f Figure) bool { return f.Violated })
 }
 
@@ -237,14 +237,14 @@
 	times = slices.Compact(times)
 	var out []piece
 	next := 0
-	last := hollow.Stance{Cautious: true}
+	last := emulated.MemberState{Cautious: true}
 	for i, from := range times {
 		for ; next < len(o.Stances[name]) && o.Stances[name][next].At <= from; next++ {
 			last = o.Stances[name][next]
 		}
 		for _, d := range o.Downs[name] {
 			if d.To == from && last.At < from { // a new process has no lease
-				last = hollow.Stance{At: from, Cautious: true, Active: last.Active}
+				last = emulated.MemberState{At: from, Cautious: true, Active: last.Active}
 			}
 		}
 		if from < o.Began || from >= o.Ended || i+1 == len(times) {
@@ -314,9 +314,9 @@
 	for _, whose := range slices.Sorted(maps.Keys(j.o.Late)) {
 		late := j.o.Late[whose]
 		j.rec.Boundary = append(j.rec.Boundary, fmt.Sprintf("%s: %v", whose, late.Round(time.Millisecond/10)))
-		if late > j.s.MostLag {
+		if late > j.s.MaxLag {
 			j.rec.Void = append(j.rec.Void, fmt.Sprintf("%s was late by %v; allowed: %v (most_lag). The machine is too busy, or the run too large for it",
-				whose, late.Round(time.Millisecond), j.s.MostLag))
+				whose, late.Round(time.Millisecond), j.s.MaxLag))
 		}
 	}
 }
@@ -396,7 +396,7 @@
 // inForce tells when a member came to act on a version, whether it is one that the version's time counts to, and whether it
 // did in the end. Those count that could be reached and held a lease when the version was told, and those that came (back) later
 // and acted on an older version still. Who is lost or cut off before it acts on it does not count.
-func (j *judge) inForce(name string, v Told) (at time.Duration, owed, does bool) {
+func (j *judge) inForce(name string, v Notified) (at time.Duration, owed, does bool) {
 	at = v.Told
 	open, done := false, false // of the present life: it counts, and it acts on the version
 	pieces := j.lives[name]
@@ -576,33 +576,33 @@
 			descriptors, goroutines = max(descriptors, one.Descriptors), max(goroutines, one.Goroutines)
 		}
 		for name := range samples[len(samples)-1].Members {
-			of := func(read func(hollow.Spent) int64) func(i int) float64 {
+			of := func(read func(emulated.MemberUsage) int64) func(i int) float64 {
 				return func(i int) float64 { return float64(read(samples[i].Members[name])) }
 			}
-			points := rising(len(samples), at, of(func(s hollow.Spent) int64 { return s.In + s.Out }), same)
+			points := rising(len(samples), at, of(func(s emulated.MemberUsage) int64 { return s.In + s.Out }), same)
 			most, mean := worst(points)
 			members++
 			bytes += mean
 			if most > bytesWorst {
 				bytesWorst, bytesWho = most, name
 			}
-			last := func(read func(hollow.Spent) int64) float64 {
+			last := func(read func(emulated.MemberUsage) int64) float64 {
 				p := rising(len(samples), at, of(read), same)
 				return p[len(p)-1].value
 			}
-			made := last(func(s hollow.Spent) int64 { return s.Renewals })
-			refused += last(func(s hollow.Spent) int64 { return s.Refused })
-			asked += last(func(s hollow.Spent) int64 { return s.Asked })
-			denied += last(func(s hollow.Spent) int64 { return s.Denied })
+			made := last(func(s emulated.MemberUsage) int64 { return s.Renewals })
+			refused += last(func(s emulated.MemberUsage) int64 { return s.Refused })
+			asked += last(func(s emulated.MemberUsage) int64 { return s.KeyedRequests })
+			denied += last(func(s emulated.MemberUsage) int64 { return s.KeyedRefused })
 			ran := j.upFor(name, samples[0].At, samples[len(samples)-1].At).Seconds()
 			renewals, up = renewals+made, up+ran
 			if ran > j.s.Lease.Seconds() { // else its start is most of it
-				one := made / ran * (j.s.Lease / crew.Heartbeats).Seconds()
+				one := made / ran * (j.s.Lease / cluster.HeartbeatsPerLease).Seconds()
 				if rates = append(rates, one); one > mostRenewals {
 					mostRenewals, renewalsWho = one, name
 				}
 			}
-			said := last(func(s hollow.Spent) int64 { return s.ToKeeper + s.OfKeeper })
+			said := last(func(s emulated.MemberUsage) int64 { return s.ToVoters + s.FromVoters })
 			if keeperBytes += said; made > 0 && said/made > eachBytes {
 				eachBytes, eachWho = said/made, name
 			}
@@ -616,8 +616,8 @@
 		j.add("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
 		j.add("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesWho)
 		j.least("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
-			renewals/up*(j.s.Lease/crew.Heartbeats).Seconds(), l.LeastRenewals, "")
-		j.add("renewals_most", "  of any", "", mostRenewals, l.MostRenewals, renewalsWho)
+			renewals/up*(j.s.Lease/cluster.HeartbeatsPerLease).Seconds(), l.MinRenewals, "")
+		j.add("renewals_most", "  of any", "", mostRenewals, l.MaxRenewals, renewalsWho)
 		j.add("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsWho)
 		j.add("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", keeperBytes/renewals, 0, "")
 		j.add("renewal_bytes", "  of any", "bytes", eachBytes, l.RenewalBytes, eachWho)
@@ -642,7 +642,7 @@
 	return sum
 }
 
-func (j *judge) within(all []hollow.Sampled) (out []hollow.Sampled) {
+func (j *judge) within(all []emulated.Usage) (out []emulated.Usage) {
 	for _, s := range all {
 		if s.At >= j.o.Began && s.At <= j.o.Ended {
 			out = append(out, s)
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -1,5 +1,5 @@
 // Package scale plays a crew at the size that operators expect, and tells which of their limits hold: real keepers, a few real
-// sidecars under load, and hollow members (internal/lab/hollow) in place of all others, while versions are proposed and machines,
+// sidecars under load, and hollow members (internal/lab/emulated) in place of all others, while versions are proposed and machines,
 // racks, zones and the ways between regions fail.
 //
 // Scenario, plan and judge are pure. Run starts the processes, plays the plan and writes down what was seen; Judge makes the
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"heathgap/internal/lab/hollow"
-	"heathgap/internal/terms"
+	"heathgap/internal/clusterparams"
+	"heathgap/internal/lab/emulated"
 	"heathgap/internal/tomlread"
 )
 
@@ -50,10 +50,10 @@
 	Banned   int           // endpoints that a version bans
 	SpeedUp  float64       // of the day's failures
 	Day      Day           // failures in 24 hours
-	MostLag  time.Duration // of the run's own load; a run beyond it is void
+	MaxLag   time.Duration // of the run's own load; a run beyond it is void
 
 	Steps   []Step
-	Planted []Planted
+	Planted []PlantedFault
 	Limits  Limits
 }
 
@@ -108,10 +108,10 @@
 	All         = "all"     // members and keepers
 )
 
-// Planted is a hollow member with a fault, so that a check can be seen to catch it.
-type Planted struct {
+// PlantedFault is a hollow member with a fault, so that a check can be seen to catch it.
+type PlantedFault struct {
 	Who   string
-	Fault hollow.Fault
+	Fault emulated.Fault
 }
 
 // Limits are what the run is held to. A limit of 0 is none.
@@ -125,8 +125,8 @@
 	Cautious    time.Duration // that a member which can be reached is cautious without a break
 	Refusals    float64       // percent of keyed requests that are refused
 	// Renewals are judged by their rate, as parts of one for each beat of the lease: what a keeper bears rests on it.
-	LeastRenewals float64 // of the mean
-	MostRenewals  float64 // of any member
+	MinRenewals float64 // of the mean
+	MaxRenewals float64 // of any member
 	// What follows does not depend on how busy the machine is.
 	AboveMedian  float64 // renewals of any member, as parts of the median of all
 	RenewalBytes float64 // to and from keepers for each renewal, of any member
@@ -165,19 +165,19 @@
 	t.Need("name", "a text")
 	s := &Scenario{
 		Name: t.Text("name", "scale"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
-		Keepers: t.Int("keepers", 3, 1, terms.MostKeepers), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
+		Keepers: t.Int("keepers", 3, 1, clusterparams.MaxVoters), Real: t.Int("real", 0, 0, mostReal), Rate: t.Float("rate", 10, 0, 1000),
 		Plain: t.Int("plain", 0, 0, mostReal), Hollow: t.Int("hollow", 60, 0, mostHollow), EachProcess: t.Int("each_process", 50, 1, 500),
 		RegionDelay: t.Duration("region_delay", 0, 0, time.Second),
 		KeeperZones: t.Texts("keeper_zones"), MemberZones: t.Texts("member_zones"),
-		Lease: t.Duration("lease", 2*time.Second, terms.LeastLease, terms.MostLease), Drift: t.Float("drift", 0.01, 0, terms.MostDrift),
+		Lease: t.Duration("lease", 2*time.Second, clusterparams.MinLease, clusterparams.MaxLease), Drift: t.Float("drift", 0.01, 0, clusterparams.MaxDrift),
 		Slack:            t.Duration("slack", 200*time.Millisecond, 0, 10*time.Second),
 		ContradictAtMost: t.Duration("contradict_at_most", 2500*time.Millisecond, 200*time.Millisecond, 5*time.Minute),
-		Copies:           t.Int("copies", 0, 0, terms.MostCopies), Keep: t.Duration("keep", 10*time.Minute, terms.LeastKeep, terms.MostKeep),
-		LostAfter: t.Duration("lost_after", 30*time.Second, terms.LeastLost, terms.MostLostAfter),
+		Copies:           t.Int("copies", 0, 0, clusterparams.MaxCopies), Keep: t.Duration("keep", 10*time.Minute, clusterparams.MinKeep, clusterparams.MaxKeep),
+		LostAfter: t.Duration("lost_after", 30*time.Second, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
 		Orders:    t.Float("orders", 0, 0, 100), OrderTakes: t.Duration("order_takes", 20*time.Millisecond, 0, 10*time.Second),
 		Duration: t.Duration("duration", 20*time.Second, time.Second, mostDuration),
 		Changes:  t.Float("changes", 0, 0, 100), Banned: t.Int("banned", 4, 0, 1000), SpeedUp: t.Float("speed_up", 1, 0, 100_000),
-		MostLag: t.Duration("most_lag", 250*time.Millisecond, time.Millisecond, 10*time.Second),
+		MaxLag: t.Duration("most_lag", 250*time.Millisecond, time.Millisecond, 10*time.Second),
 	}
 	day := t.Table("day")
 	s.Day = Day{
@@ -189,9 +189,9 @@
 	for _, p := range t.Tables("planted", mostHollow) {
 		p.Need("who", "a hollow member, such as h1")
 		p.Need("fault", "unheeding, hasty, forgetful")
-		one := Planted{
+		one := PlantedFault{
 			Who:   p.Text("who", "h1"),
-			Fault: hollow.Fault(p.Word("fault", string(hollow.Unheeding), string(hollow.Unheeding), string(hollow.Hasty), string(hollow.Forgetful))),
+			Fault: emulated.Fault(p.Enum("fault", string(emulated.IgnoresVersions), string(emulated.IgnoresVersions), string(emulated.RenewsTooOften), string(emulated.LosesState))),
 		}
 		if p.Has("who") && !slices.Contains(s.hollowNames(), one.Who) {
 			p.Fail("who", fmt.Sprintf("%q", one.Who), fmt.Sprintf("a hollow member, h1 to h%d", s.Hollow))
@@ -203,7 +203,7 @@
 		InForce: l.Duration("in_force", 0, 0, time.Hour), MemberCPU: l.Float("member_cpu", 0, 0, 100), MemberMB: l.Float("member_mb", 0, 0, 4096),
 		MemberBytes: l.Float("member_bytes", 0, 0, 1e9), KeeperCPU: l.Float("keeper_cpu", 0, 0, 1600), KeeperMB: l.Float("keeper_mb", 0, 0, 8192),
 		Cautious: l.Duration("cautious", 0, 0, time.Hour), Refusals: l.Float("refusals", 0, 0, 100),
-		LeastRenewals: l.Float("least_renewals", 0, 0, 1), MostRenewals: l.Float("most_renewals", 0, 0, 100),
+		MinRenewals: l.Float("least_renewals", 0, 0, 1), MaxRenewals: l.Float("most_renewals", 0, 0, 100),
 		AboveMedian: l.Float("above_median", 0, 0, 100), RenewalBytes: l.Float("renewal_bytes", 0, 0, 1e9),
 	}
 	s.checkTerms(t)
@@ -215,21 +215,21 @@
 	if s.Copies > len(s.zones()) {
 		t.Fail("copies", fmt.Sprint(s.Copies), fmt.Sprintf("as many as there are zones, %d", len(s.zones())))
 	}
-	if least := s.terms().Wait(); s.ContradictAtMost < least {
+	if least := s.terms().LessorWait(); s.ContradictAtMost < least {
 		t.Fail("contradict_at_most", s.ContradictAtMost.String(),
 			fmt.Sprintf("lease x (1 + drift) / (1 - drift) + slack, %v, or more", least.Round(time.Millisecond)))
 	}
 	if s.Orders > 0 && s.Copies == 0 {
 		t.Fail("orders", fmt.Sprint(s.Orders), "0, or copies of 1 or more")
 	}
-	if all := s.Keepers + s.Real + s.Hollow; all > terms.MostMembers {
-		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", terms.MostMembers))
+	if all := s.Keepers + s.Real + s.Hollow; all > clusterparams.MaxMembers {
+		t.Fail("hollow", fmt.Sprintf("%d processes of the crew", all), fmt.Sprintf("up to %d", clusterparams.MaxMembers))
 	}
 }
 
 // terms are those that the processes are started with.
-func (s *Scenario) terms() terms.Terms {
-	return terms.Terms{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
+func (s *Scenario) terms() clusterparams.Params {
+	return clusterparams.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
 }
 
 func (s *Scenario) decodeRegions(t *tomlread.Table) {
@@ -271,7 +271,7 @@
 	for _, d := range t.Tables("step", mostSteps) {
 		d.Need("do", strings.Join(doings, ", "))
 		step := Step{
-			At: d.Duration("at", 0, 0, mostDuration), Do: d.Word("do", Burst, doings...), Who: d.Text("who", ""),
+			At: d.Duration("at", 0, 0, mostDuration), Do: d.Enum("do", Burst, doings...), Who: d.Text("who", ""),
 			Share: d.Float("share", 0, 0, 1), Count: d.Int("count", 0, 0, mostCounted), For: d.Duration("for", 0, 0, mostDuration),
 			Away: d.Duration("away", 0, 0, mostDuration), Killed: d.Bool("killed", false), Leader: d.Bool("leader", false),
 			By: d.Duration("by", 200*time.Millisecond, time.Millisecond, 10*time.Second),
@@ -374,9 +374,9 @@
 // Size is how many sidecars the crew has, keepers too.
 func (s *Scenario) Size() int { return s.Keepers + s.Real + s.Hollow }
 
-// Sized returns the scenario with so many sidecars, by more or fewer hollow ones, and without limits. Counts of steps stay, and
+// WithSize returns the scenario with so many sidecars, by more or fewer hollow ones, and without limits. Counts of steps stay, and
 // are of fewer where there are no more.
-func (s *Scenario) Sized(size int) (*Scenario, error) {
+func (s *Scenario) WithSize(size int) (*Scenario, error) {
 	out := *s
 	if out.Hollow = size - s.Keepers - s.Real; out.Hollow < 1 || out.Hollow > mostHollow {
 		return nil, fmt.Errorf("%d sidecars, of which %d are real; allowed: %d to %d", size, s.Keepers+s.Real,
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -133,7 +133,7 @@
 		switch {
 		case step.Kind == Crash && len(step.Slots) != 4:
 			t.Errorf("%v, want half of 8", step)
-		case step.Kind == Release && !step.Back:
+		case step.Kind == Release && !step.Revert:
 			released = append(released, step.Slots...)
 		case step.Kind == Add:
 			added = append(added, step.Slots...)
@@ -178,7 +178,7 @@
 
 func TestSet(t *testing.T) {
 	for key, value := range map[string]string{"load.rate": "300", "tier.0.endpoints": "4", "rules.cold": `"2s"`} {
-		text, err := Set([]byte(good), key, value)
+		text, err := SetKey([]byte(good), key, value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,16 +186,16 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	text, err := Set([]byte(good), "load.rate", "300")
+	text, err := SetKey([]byte(good), "load.rate", "300")
 	if err != nil || parse(t, string(text)).Load.Rate != 300 {
 		t.Errorf("the rate is not set: %v", err)
 	}
 	for _, key := range []string{"tier.7.endpoints", "name.first", "tier.0"} {
-		if _, err := Set([]byte(good), key, "1"); err == nil {
+		if _, err := SetKey([]byte(good), key, "1"); err == nil {
 			t.Errorf("%s: set", key)
 		}
 	}
-	if _, err := Set([]byte(good), "load.rate", "many"); err == nil {
+	if _, err := SetKey([]byte(good), "load.rate", "many"); err == nil {
 		t.Error("a value that is none was set")
 	}
 }
@@ -211,7 +211,7 @@
 		if err != nil {
 			return
 		}
-		if s.Load.Rate > MostRate || len(s.Tiers) == 0 || len(s.Classes) == 0 {
+		if s.Load.Rate > MaxRate || len(s.Tiers) == 0 || len(s.Classes) == 0 {
 			t.Fatalf("taken: %+v", s)
 		}
 		for _, step := range s.Timeline(1) {
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"heathgap/internal/command"
+	"heathgap/internal/lab/harness"
 	"heathgap/internal/lab/policy"
 	"heathgap/internal/lab/record"
 	"heathgap/internal/lab/report"
-	"heathgap/internal/lab/rig"
 	"heathgap/internal/lab/scenario"
 	"heathgap/internal/lifecycle"
 	"heathgap/internal/operator"
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	opts := rig.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
+	opts := harness.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
 	if name != policy.Module {
 		self, err := os.Executable()
 		if err != nil {
@@ -96,7 +96,7 @@
 		opts.Progress = func(line string) { fmt.Fprintln(o, line) }
 	}
 	debug.SetGCPercent(labGC)
-	return rig.Run(ctx, s, seed, opts)
+	return harness.Run(ctx, s, seed, opts)
 }
 
 // interruptible ends with an interrupt: what plays is then ended in order.
@@ -145,7 +145,7 @@
 	} else {
 		report.Text(o, r)
 	}
-	if !r.Good() {
+	if !r.Passed() {
 		return errNotGood
 	}
 	return nil
@@ -159,7 +159,7 @@
 
 // Run compares the sides of records.
 func (c *labCompare) Run(o *command.Out) error {
-	sides := report.NewSides()
+	sides := report.NewComparison()
 	for _, path := range c.Files {
 		r, err := record.Load(path)
 		if err != nil {
@@ -212,7 +212,7 @@
 	ctx, stop := interruptible()
 	defer stop()
 	g.Quiet = true
-	sides := report.NewSides()
+	sides := report.NewComparison()
 	for n := range seeds {
 		for _, c := range cases {
 			seed := c.scene.Seed + uint64(n)
@@ -257,7 +257,7 @@
 	}
 	var cases []labCase
 	for _, value := range c.Values {
-		changed, err := scenario.Set(text, c.Key, value)
+		changed, err := scenario.SetKey(text, c.Key, value)
 		if err != nil {
 			return err
 		}
@@ -278,8 +278,8 @@
 
 // Run measures once.
 func (c *labOverhead) Run(o *command.Out) error {
-	if c.Rate <= 0 || c.Rate > scenario.MostRate {
-		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MostRate)
+	if c.Rate <= 0 || c.Rate > scenario.MaxRate {
+		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MaxRate)
 	}
 	opts, err := c.measuring()
 	if err != nil {
@@ -287,7 +287,7 @@
 	}
 	ctx, stop := interruptible()
 	defer stop()
-	m, err := rig.MeasureCall(ctx, rig.CallConf{
+	m, err := harness.MeasureOverhead(ctx, harness.OverheadConf{
 		Rate: c.Rate / 2, For: c.For, Endpoints: 4, Peers: 1, Classes: 1, Stages: 1, Seed: 1,
 	}, opts)
 	if err != nil {
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -24,9 +24,9 @@
 
 // discoveries are those that are of no use, each in its way, by name; a restarted process has to serve without them.
 func discoveries(t *testing.T) map[string]string {
-	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.OpenDoor(t)
-	crowded.Down(true)
-	broken.Broken("{")
+	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.Listen(t)
+	crowded.SetDown(true)
+	broken.SetBroken("{")
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
 	t.Cleanup(func() { close(ended); wait.Wait() })
@@ -40,8 +40,8 @@
 				return
 			case <-tick.C:
 			}
-			for slow.Came() {
-				c := slow.Next()
+			for slow.HasPending() {
+				c := slow.Accept()
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{") //nolint:errcheck // it may be given up
 				conns = append(conns, c)
 			}
@@ -51,8 +51,8 @@
 		}
 	})
 	return map[string]string{
-		"silent": scripted.OpenDoor(t).Address, "slow": slow.Address, "crowded": crowded.Address, "faulty": broken.Address,
-		"away": scripted.FreeAddress(t), "cut off": scripted.DeafAddress(t),
+		"silent": scripted.Listen(t).Address, "slow": slow.Address, "crowded": crowded.Address, "faulty": broken.Address,
+		"away": scripted.FreeAddress(t), "cut off": scripted.UnreachableAddress(t),
 	}
 }
 
@@ -162,7 +162,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			path := takeover.Path(temp, "t0", address)
+			path := takeover.SocketPath(temp, "t0", address)
 			door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
@@ -216,7 +216,7 @@
 	if step < 3 {
 		return
 	}
-	if err := json.NewEncoder(conn).Encode(map[string]any{"version": 1, "state": pipeline.Legacy{From: "127.0.0.1:1"}}); err != nil {
+	if err := json.NewEncoder(conn).Encode(map[string]any{"version": 1, "state": pipeline.Handover{From: "127.0.0.1:1"}}); err != nil {
 		t.Error(err)
 	}
 	var word map[string]any
--- a/internal/peers/peers.go
+++ b/internal/peerrpc/peerrpc.go
@@ -1,6 +1,6 @@
-// Package peers is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
+// Package peerrpc is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
 // encryption and no sign-in: a crew's addresses are loopback, or a closed network of the operators.
-package peers
+package peerrpc
 
 import (
 	"bytes"
@@ -23,8 +23,8 @@
 
 // Bounds.
 const (
-	// MostMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
-	MostMessage = 16 << 20
+	// MaxMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
+	MaxMessage = 16 << 20
 	// mostConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
 	mostConns = 8192
 	readTime  = 5 * time.Second  // for a message, once its first byte has come
@@ -39,9 +39,9 @@
 
 // Message is what goes over the wire: whose it is, and what it says.
 type Message struct {
-	Crew string          `cbor:"1,keyasint"` // another crew's is refused
-	From string          `cbor:"2,keyasint"`
-	Body cbor.RawMessage `cbor:"3,keyasint"`
+	Cluster string          `cbor:"1,keyasint"` // another crew's is refused
+	From    string          `cbor:"2,keyasint"`
+	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
 // ErrRefused is that a peer understood a message and did not take it.
@@ -76,7 +76,7 @@
 	}
 	s := &Server{crew: crew, listener: l}
 	s.server = &fasthttp.Server{
-		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MostMessage, ReadTimeout: readTime,
+		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
 		WriteTimeout: readTime, IdleTimeout: idleTime, NoDefaultServerHeader: true, NoDefaultDate: true,
 		NoDefaultContentType: true, Logger: silent{}, CloseOnShutdown: true,
 		ConnState: func(_ net.Conn, state fasthttp.ConnState) {
@@ -133,8 +133,8 @@
 		ctx.Error(fmt.Sprintf("%s: malformed: %v", kind, err), fasthttp.StatusBadRequest)
 		return
 	}
-	if m.Crew != s.crew {
-		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Crew, s.crew), fasthttp.StatusForbidden)
+	if m.Cluster != s.crew {
+		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.crew), fasthttp.StatusForbidden)
 		return
 	}
 	answer, err := do(m.From, m.Body)
@@ -151,9 +151,9 @@
 	ctx.SetBody(text)
 }
 
-// Line calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
+// Client calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
 // goroutine; they wait for one another.
-type Line struct {
+type Client struct {
 	world      env.Env
 	crew, from string
 	address    string
@@ -162,22 +162,22 @@
 	link *httpwire.Link
 }
 
-// NewLine returns one that is not connected.
-func NewLine(world env.Env, crew, from, address string) *Line {
-	return &Line{world: world, crew: crew, from: from, address: address}
+// NewClient returns one that is not connected.
+func NewClient(world env.Env, crew, from, address string) *Client {
+	return &Client{world: world, crew: crew, from: from, address: address}
 }
 
 // Address is where it calls.
-func (l *Line) Address() string { return l.address }
+func (l *Client) Address() string { return l.address }
 
 // Close ends its connection.
-func (l *Line) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop()
 }
 
-func (l *Line) drop() {
+func (l *Client) drop() {
 	if l.link != nil {
 		l.link.Close()
 		l.link = nil
@@ -186,7 +186,7 @@
 
 // Call says one thing and reads the answer into a value, within a time. An error that is ErrRefused came from the peer;
 // after any other one nobody knows whether the peer has heard it.
-func (l *Line) Call(kind string, body, answer any, within time.Duration) error {
+func (l *Client) Call(kind string, body, answer any, within time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.call(kind, body, answer, within)
@@ -196,7 +196,7 @@
 	return err
 }
 
-func (l *Line) call(kind string, body, answer any, within time.Duration) error {
+func (l *Client) call(kind string, body, answer any, within time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return err
@@ -206,7 +206,7 @@
 		return err
 	}
 	until := l.world.Now().Add(within)
-	if l.link != nil && !l.link.Fresh() {
+	if l.link != nil && !l.link.Usable() {
 		l.drop()
 	}
 	if l.link == nil {
@@ -221,7 +221,7 @@
 		return fmt.Errorf("%s: writing: %w", l.address, err)
 	}
 	var r fasthttp.Response
-	if err := r.ReadLimitBody(l.link.Reader(), MostMessage); err != nil {
+	if err := r.ReadLimitBody(l.link.Reader(), MaxMessage); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"heathgap/decide"
-	"heathgap/internal/figures"
 	"heathgap/internal/httpwire"
+	"heathgap/internal/metrics"
 )
 
 // Each call to discovery has a number and one log line that says what was asked and how it ended; the counts by end stand
@@ -35,23 +35,23 @@
 }
 
 // listCallEnd reads how a call ended from its error.
-func listCallEnd(err error, connected, calledOff bool) figures.ListCallEnd {
+func listCallEnd(err error, connected, calledOff bool) metrics.ListCallEnd {
 	var status httpwire.StatusError
 	switch {
 	case err == nil:
-		return figures.ListAnswered
+		return metrics.ListAnswered
 	case calledOff || errors.Is(err, context.Canceled):
-		return figures.ListCalledOff
+		return metrics.ListCanceled
 	case !connected:
-		return figures.ListNotConnected
+		return metrics.ListNotConnected
 	case errors.As(err, &status):
-		return figures.ListRefused
+		return metrics.ListRefused
 	case errors.Is(err, errSilent):
-		return figures.ListSilent
+		return metrics.ListTimedOut
 	case lost(err):
-		return figures.ListBroken
+		return metrics.ListBroken
 	}
-	return figures.ListMalformed
+	return metrics.ListMalformed
 }
 
 // logListCall counts a call that has ended and writes its log line. The list is what it brought; nil if it failed.
@@ -59,7 +59,7 @@
 	end := listCallEnd(err, w.link != nil, w.ended.Err() != nil)
 	e.board.ListCalls.Count(end)
 	line := e.log.Info()
-	if err != nil && end != figures.ListCalledOff {
+	if err != nil && end != metrics.ListCanceled {
 		line = e.log.Warn()
 	}
 	line = line.Str("discovery", w.address).Int64("call", call.number).Str("kind", string(call.kind)).
@@ -85,7 +85,7 @@
 
 // toldAfter is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
 func (e *Engine) toldAfter() time.Duration {
-	if e.conf.Settings.MustAsk {
+	if e.conf.Settings.MustPoll {
 		return toldAfterAsked
 	}
 	return 0
@@ -103,7 +103,7 @@
 func (e *Engine) listMissed(since, told decide.Time) {
 	if e.unheard.since == 0 {
 		e.unheard = listUnheard{since: since, told: told}
-		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, Told: told})
+		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: told})
 	}
 	e.timeUnheard()
 }
@@ -124,7 +124,7 @@
 	if e.unheard.since > 0 { // 0 is for none
 		unheard = max(time.Millisecond, e.clock.Now()-e.unheard.since)
 	}
-	e.board.ListUnheard.Store(unheard.Milliseconds())
+	e.board.ListStaleMS.Store(unheard.Milliseconds())
 	if unheard > 0 && e.clock.Now() >= e.unheard.told && !e.unheard.stale {
 		e.unheard.stale = true
 		e.log.Warn().Int64("version", e.index).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", unheard.Milliseconds()).
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -41,7 +41,7 @@
 	dial, message, limit := w.times.dial, httpwire.EncodeFetch(), w.times.fetch
 	w.last.kind = listFetch
 	if w.known {
-		wait := w.times.wait + world.Chance(w.times.spread)
+		wait := w.times.wait + world.RandomDuration(w.times.spread)
 		limit = wait + w.times.overdue
 		w.last.kind = listWatch
 		if fresh {
@@ -73,7 +73,7 @@
 		return nil, false, fmt.Errorf("answer: %w", overdue(err))
 	}
 	w.heard, w.last.firstByte = true, world.Now()
-	if err := w.link.Await(world.Now().Add(w.times.rest)); err != nil {
+	if err := w.link.SetReadDeadline(world.Now().Add(w.times.rest)); err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
 	answer, keep, err := httpwire.DecodeListReply(w.link.Reader())
--- a/internal/watching/watching_test.go
+++ b/internal/shadow/shadow_test.go
@@ -1,4 +1,4 @@
-package watching
+package shadow
 
 import (
 	"math/rand/v2"
@@ -18,7 +18,7 @@
 			{Name: "look", Aim: 200 * ms, Deadline: time.Second, Worth: 1, LateShare: 0.5, Effect: decide.Safe},
 			{Name: "burn", Aim: 200 * ms, Deadline: time.Second, Worth: 3, LateShare: 0.5, Effect: decide.Unsafe},
 		},
-		Limits: decide.Limits{Cancel: true, MaxAttempts: 3, SecondCopies: true},
+		Limits: decide.Limits{Cancel: true, MaxAttempts: 3, Hedging: true},
 		Rules:  decide.Rules{ColdShare: 0.2, ColdTime: 10 * time.Second, DrainGrace: time.Second},
 	}
 }
@@ -26,8 +26,8 @@
 // newShape are settings under which endpoints are asked before a request goes.
 func newShape() decide.Settings {
 	set := settings()
-	set.Entry, set.Peers, set.Limits.Probing = decide.Own, 100, true
-	set.Report = decide.Report{How: decide.ToProbes, Fields: []decide.LoadField{decide.Outstanding}}
+	set.Entry, set.Peers, set.Limits.Probing = decide.PerCaller, 100, true
+	set.Report = decide.Report{Mode: decide.ReportWithProbes, Fields: []decide.LoadField{decide.Outstanding}}
 	return set
 }
 
@@ -90,7 +90,7 @@
 				over[o.id] = over[o.id] || outcome == decide.Served
 				handle(decide.Event{
 					Kind: decide.Finished, Request: o.id, Attempt: o.attempt, Endpoint: o.to, Outcome: outcome,
-					Latency: 100 * ms, Over: over[o.id],
+					Latency: 100 * ms, RequestDone: over[o.id],
 				})
 			}
 		}
@@ -118,7 +118,7 @@
 			t.Fatalf("seed %d: other actions with a watch than without", seed)
 		}
 		c := w.Counts()
-		if c.Watched == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
+		if c.Followed == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
 			t.Errorf("seed %d: nothing was seen: %+v", seed, c)
 		}
 		if len(w.views) > 300 || len(w.inFlight) > 6 {
@@ -135,10 +135,10 @@
 	}
 	day(w, 3)
 	c := w.Counts()
-	if c.Alike < 1000 {
-		t.Errorf("%d steps were alike, of more than a thousand", c.Alike)
+	if c.Same < 1000 {
+		t.Errorf("%d steps were alike, of more than a thousand", c.Same)
 	}
-	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.CalledOff; n > 0 {
+	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.Canceled; n > 0 {
 		t.Errorf("differences between equals: %+v", c)
 	}
 }
@@ -155,17 +155,17 @@
 		"retried": {
 			func(real, _ *decide.Settings) { real.Limits.MaxAttempts = 1 },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Retried: 1},
+			Counts{Followed: 1, Same: 1, Retried: 1},
 		},
 		"refused": {
 			func(_, watched *decide.Settings) { watched.Limits.MaxAttempts = 1 },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Refused: 1},
+			Counts{Followed: 1, Same: 1, Refused: 1},
 		},
 		"failed": {
 			func(_, watched *decide.Settings) { watched.Classes[0].Effect = decide.Unsafe },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
-			Counts{Watched: 1, Alike: 1, Failed: 1},
+			Counts{Followed: 1, Same: 1, Failed: 1},
 		},
 	} {
 		real, watched := settings(), settings()
@@ -193,7 +193,7 @@
 	for _, ev := range []decide.Event{
 		{Kind: decide.ListReplaced, Endpoints: []decide.Endpoint{{ID: 7, Zone: "z", Weight: 1}}},
 		{Kind: decide.Arrived, Request: 1, Class: "look", Grace: time.Second},
-		{Kind: decide.Finished, Request: 1, Outcome: decide.TimedOut, Latency: time.Second, Over: true},
+		{Kind: decide.Finished, Request: 1, Outcome: decide.TimedOut, Latency: time.Second, RequestDone: true},
 	} {
 		w.Handle(time.Hour, &ev, nil)
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -92,7 +92,7 @@
 			t.Run(strconv.Itoa(worker), func(t *testing.T) {
 				t.Parallel()
 				for seed := worker; seed < n; seed += workers {
-					script := Draw(uint64(seed))
+					script := GenerateScript(uint64(seed))
 					r := play(t, script, opts)
 					mu.Lock()
 					total.add(uint64(seed), &script, r)
@@ -129,7 +129,7 @@
 
 func playOne(t *testing.T, seed uint64) {
 	opts := Options{Trace: simtest.Create(t, *traceFile), Log: simtest.Create(t, *logFile)}
-	r := play(t, Draw(seed), opts)
+	r := play(t, GenerateScript(seed), opts)
 	t.Logf("%+v", r)
 	if r.Failure != nil {
 		t.Errorf("seed %d: %v", seed, r.Failure)
@@ -146,7 +146,7 @@
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			kept, err := LoadKept(path)
+			kept, err := LoadSavedFailure(path)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -163,7 +163,7 @@
 		t.Skip("asked for with -sim.shrink")
 	}
 	fails := func(s Script) *Failure { return play(t, s, Options{}).Failure }
-	script := Draw(uint64(*shrinkSeed))
+	script := GenerateScript(uint64(*shrinkSeed))
 	first := fails(script)
 	if first == nil {
 		t.Fatalf("seed %d does not fail", *shrinkSeed)
@@ -171,7 +171,7 @@
 	small := Shrink(script, fails)
 	last := fails(small)
 	path := filepath.Join(corpus, fmt.Sprintf("seed-%d.json", *shrinkSeed))
-	if err := (Kept{Why: last.Error(), Script: small}).Save(path); err != nil {
+	if err := (SavedFailure{Why: last.Error(), Script: small}).Save(path); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("%d of %d requests and %d of %d faults are left, in %s: %v", len(small.Asks), len(script.Asks),
@@ -185,7 +185,7 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := LoadKept(path); err == nil {
+		if _, err := LoadSavedFailure(path); err == nil {
 			t.Errorf("%s: taken", name)
 		}
 	}
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -18,12 +18,12 @@
 
 // Bounds of a document: every member keeps two of them, and the keepers their history.
 const (
-	MostClasses  = 64
-	MostBanned   = 1024     // as many as a sidecar keeps bans by hand
-	MostText     = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
-	MostAttempts = 16
-	MostWindow   = time.Hour
-	mostName     = 256
+	MaxClasses    = 64
+	MaxBanned     = 1024     // as many as a sidecar keeps bans by hand
+	MaxBytes      = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
+	AttemptsLimit = 16
+	MaxWindow     = time.Hour
+	mostName      = 256
 )
 
 // Class is what a document says of a class of requests: all of it, or the class is not
@@ -38,9 +38,9 @@
 type Document struct {
 	Classes     map[string]Class `cbor:"1,keyasint,omitempty"`
 	MaxAttempts int              `cbor:"2,keyasint,omitempty"` // 0: each sidecar's own
-	// NoSecondCopies bars two attempts of one request at once; without it the sidecar's own setting holds.
-	NoSecondCopies bool     `cbor:"3,keyasint,omitempty"`
-	Banned         []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
+	// NoHedging bars two attempts of one request at once; without it the sidecar's own setting holds.
+	NoHedging bool     `cbor:"3,keyasint,omitempty"`
+	Banned    []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
 }
 
 // encoding gives the same bytes for the same document, whatever a map's order.
@@ -93,8 +93,8 @@
 // Check turns down a document that breaks a bound or contradicts itself. Its error begins
 // with the key.
 func (d *Document) Check() error {
-	if len(d.Classes) > MostClasses {
-		return fmt.Errorf("class: %d of them; allowed: up to %d", len(d.Classes), MostClasses)
+	if len(d.Classes) > MaxClasses {
+		return fmt.Errorf("class: %d of them; allowed: up to %d", len(d.Classes), MaxClasses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
 		c := d.Classes[name]
@@ -106,25 +106,25 @@
 			return fmt.Errorf("%s: %d; allowed: repeatable, by_key, once", key("effect"), c.Effect)
 		case c.Group > decide.GroupCell:
 			return fmt.Errorf("%s: %d; allowed: all, zone, cell", key("group"), c.Group)
-		case c.Window < 0 || c.Window > MostWindow:
-			return fmt.Errorf("%s: %v; allowed: 0s to %v", key("window"), c.Window, MostWindow)
+		case c.Window < 0 || c.Window > MaxWindow:
+			return fmt.Errorf("%s: %v; allowed: 0s to %v", key("window"), c.Window, MaxWindow)
 		case c.Effect != decide.Keyed && (c.Group != decide.GroupAll || c.Window != 0):
 			return fmt.Errorf("%s: group and window belong to effect by_key alone", key("effect"))
 		}
 	}
-	if d.MaxAttempts < 0 || d.MaxAttempts > MostAttempts {
-		return fmt.Errorf("max_attempts: %d; allowed: 1 to %d", d.MaxAttempts, MostAttempts)
+	if d.MaxAttempts < 0 || d.MaxAttempts > AttemptsLimit {
+		return fmt.Errorf("max_attempts: %d; allowed: 1 to %d", d.MaxAttempts, AttemptsLimit)
 	}
-	if len(d.Banned) > MostBanned {
-		return fmt.Errorf("banned: %d names; allowed: up to %d", len(d.Banned), MostBanned)
+	if len(d.Banned) > MaxBanned {
+		return fmt.Errorf("banned: %d names; allowed: up to %d", len(d.Banned), MaxBanned)
 	}
 	for i, name := range d.Banned {
 		if name == "" || len(name) > mostName || i > 0 && name <= d.Banned[i-1] {
 			return fmt.Errorf("banned[%d]: %.40q; allowed: names of 1 to %d bytes, sorted, each once", i, name, mostName)
 		}
 	}
-	if size := len(d.encoded()); size > MostText {
-		return fmt.Errorf("document: %d bytes; allowed: up to %d", size, MostText)
+	if size := len(d.encoded()); size > MaxBytes {
+		return fmt.Errorf("document: %d bytes; allowed: up to %d", size, MaxBytes)
 	}
 	return nil
 }
@@ -132,16 +132,16 @@
 // Rules are all that a sidecar acts on of what versions may change: its own settings with
 // a document laid over them.
 type Rules struct {
-	Classes      map[string]Class // every class that the sidecar knows
-	MaxAttempts  int
-	SecondCopies bool
-	Banned       map[string]bool
+	Classes     map[string]Class // every class that the sidecar knows
+	MaxAttempts int
+	Hedging     bool
+	Banned      map[string]bool
 }
 
-// Own are the rules of a sidecar's own settings. They are not shared with them.
-func Own(set *decide.Settings) Rules {
+// FromSettings are the rules of a sidecar's own settings. They are not shared with them.
+func FromSettings(set *decide.Settings) Rules {
 	r := Rules{
-		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), SecondCopies: set.Limits.SecondCopies,
+		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), Hedging: set.Limits.Hedging,
 		Banned: map[string]bool{},
 	}
 	for _, c := range set.Classes {
@@ -150,9 +150,9 @@
 	return r
 }
 
-// Over returns the rules with a document laid over them. connect is the time that a
+// With returns the rules with a document laid over them. connect is the time that a
 // connection may take: a sidecar judges a repeat that much before its last byte has come.
-func (r Rules) Over(d *Document, connect time.Duration) Rules {
+func (r Rules) With(d *Document, connect time.Duration) Rules {
 	out := r.clone()
 	for name, c := range d.Classes {
 		if _, known := out.Classes[name]; known {
@@ -163,7 +163,7 @@
 	if d.MaxAttempts > 0 {
 		out.MaxAttempts = d.MaxAttempts
 	}
-	out.SecondCopies = out.SecondCopies && !d.NoSecondCopies
+	out.Hedging = out.Hedging && !d.NoHedging
 	for _, name := range d.Banned {
 		out.Banned[name] = true
 	}
@@ -175,7 +175,7 @@
 	return r
 }
 
-// Stricter returns the rules that allow only what both allow: what a sidecar acts on
+// Intersect returns the rules that allow only what both allow: what a sidecar acts on
 // between two versions. An error names the key that has no stricter side. Per key, the
 // stricter side is (docs/crew.md holds the same table):
 //
@@ -185,7 +185,7 @@
 //	max_attempts         the lower
 //	second_copies        not allowed
 //	banned               banned by either
-func (r Rules) Stricter(other Rules) (Rules, error) {
+func (r Rules) Intersect(other Rules) (Rules, error) {
 	out := r.clone()
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c, err := stricterClass(r.Classes[name], other.Classes[name])
@@ -195,7 +195,7 @@
 		out.Classes[name] = c
 	}
 	out.MaxAttempts = min(r.MaxAttempts, other.MaxAttempts)
-	out.SecondCopies = r.SecondCopies && other.SecondCopies
+	out.Hedging = r.Hedging && other.Hedging
 	maps.Copy(out.Banned, other.Banned)
 	return out, nil
 }
@@ -234,7 +234,7 @@
 	if other.MaxAttempts > r.MaxAttempts {
 		return "max_attempts", false
 	}
-	if other.SecondCopies && !r.SecondCopies {
+	if other.Hedging && !r.Hedging {
 		return "second_copies", false
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.Banned)) {
@@ -255,13 +255,13 @@
 			out.Classes[name] = Class{Effect: decide.Unsafe}
 		}
 	}
-	out.SecondCopies = false
+	out.Hedging = false
 	return out
 }
 
-// Fits tells whether a sidecar with these own rules can take a document after another:
+// CheckTransition tells whether a sidecar with these own rules can take a document after another:
 // the check that each member makes of a proposal. Its error begins with the key.
-func (r Rules) Fits(from, to *Document, fixed []string) error {
+func (r Rules) CheckTransition(from, to *Document, fixed []string) error {
 	for _, name := range slices.Sorted(maps.Keys(to.Classes)) {
 		own, known := r.Classes[name]
 		switch {
@@ -274,18 +274,18 @@
 			return fmt.Errorf("class.%s.effect: callers send this class without keys; allowed: repeatable, once", name)
 		}
 	}
-	if key, ok := r.Allows(r.Over(to, 0)); !ok {
+	if key, ok := r.Allows(r.With(to, 0)); !ok {
 		return fmt.Errorf("%s: looser than this sidecar's own file; change that first", key)
 	}
-	_, err := r.Over(from, 0).Stricter(r.Over(to, 0))
+	_, err := r.With(from, 0).Intersect(r.With(to, 0))
 	return err
 }
 
-// Ruling is what the module is told to act on.
-func (r Rules) Ruling() *decide.Ruling {
-	out := &decide.Ruling{MaxAttempts: r.MaxAttempts, SecondCopies: r.SecondCopies, Classes: map[string]decide.ClassRule{}}
+// DynamicSettings is what the module is told to act on.
+func (r Rules) DynamicSettings() *decide.DynamicSettings {
+	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.Hedging, Classes: map[string]decide.DynamicClass{}}
 	for name, c := range r.Classes {
-		out.Classes[name] = decide.ClassRule{Effect: c.Effect, Group: c.Group, Window: c.Window}
+		out.Classes[name] = decide.DynamicClass{Effect: c.Effect, Group: c.Group, Window: c.Window}
 	}
 	return out
 }
@@ -307,7 +307,7 @@
 		add("class."+name, show(from.Classes, name), show(to.Classes, name))
 	}
 	add("max_attempts", from.MaxAttempts, to.MaxAttempts)
-	add("second_copies", !from.NoSecondCopies, !to.NoSecondCopies)
+	add("second_copies", !from.NoHedging, !to.NoHedging)
 	for _, name := range from.Banned {
 		if !slices.Contains(to.Banned, name) {
 			lines = append(lines, "banned: -"+name)
@@ -327,7 +327,7 @@
 	case !there:
 		return "each sidecar's own"
 	case c.Effect == decide.Keyed:
-		return fmt.Sprintf("%s/%s/%v", EffectWords[c.Effect], GroupWords[c.Group], c.Window)
+		return fmt.Sprintf("%s/%s/%v", EffectNames[c.Effect], GroupNames[c.Group], c.Window)
 	}
-	return EffectWords[c.Effect]
+	return EffectNames[c.Effect]
 }
