--- a/decide/audit.go
+++ b/decide/audit.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Audit checks that what a balancer keeps adds up, and returns how many attempts it
-// takes to be out. It decides nothing; tests and simulations call it between events.
-func (b *Balancer) Audit() (out int, err error) {
+// Audit checks that the balancer's counts agree with each other, and returns how many attempts have no
+// outcome yet. It decides nothing; tests and simulations call it between events.
+func (b *Balancer) Audit() (unsettled int, err error) {
 	if t := b.bucket.tokens; t < 0 || t > floorBurst {
-		return 0, fmt.Errorf("bucket: %v tokens, beyond 0 to %v", t, floorBurst)
+		return 0, fmt.Errorf("retry budget: %v tokens, outside 0 to %v", t, floorBurst)
 	}
 	inFlight, counted := map[*endpoint]int{}, 0
-	for id, r := range b.held {
+	for id, r := range b.pending {
 		n := 0
 		for i := range r.attempts {
 			if a := &r.attempts[i]; !a.settled {
@@ -18,25 +18,27 @@
 				counted += a.counted
 			}
 		}
-		if n != r.out {
-			return 0, fmt.Errorf("request %d: %d attempts are out, and %d are counted", id, n, r.out)
+		if n != r.unsettled {
+			return 0, fmt.Errorf("request %d: %d attempts have no outcome, but %d are counted",
+				id, n, r.unsettled)
 		}
-		if r.over && n == 0 {
-			return 0, fmt.Errorf("request %d: it is over and held", id)
+		if r.done && n == 0 {
+			return 0, fmt.Errorf("request %d: it is done and has no attempt in flight, but is still kept", id)
 		}
-		out += n
+		unsettled += n
 	}
-	if counted != b.hold.out {
-		return 0, fmt.Errorf("%d attempts are in flight, and the hold counts %d", counted, b.hold.out)
+	if counted != b.admission.inFlight {
+		return 0, fmt.Errorf("%d attempts are in flight, but admission counts %d",
+			counted, b.admission.inFlight)
 	}
-	for _, e := range b.fleet.order {
+	for _, e := range b.endpoints.known {
 		if e.inFlight != inFlight[e] {
-			const text = "endpoint %d: %d attempts are out, and %d are counted"
-			return 0, fmt.Errorf(text, e.line.ID, inFlight[e], e.inFlight)
+			const text = "endpoint %d: %d attempts are in flight, but %d are counted"
+			return 0, fmt.Errorf(text, e.listed.ID, inFlight[e], e.inFlight)
 		}
 	}
-	return out, nil
+	return unsettled, nil
 }
 
-// Avoided is how many listed endpoints nothing new goes to: they drain, or are banned by hand.
-func (b *Balancer) Avoided() int { return len(b.fleet.order) - len(b.fleet.ready) }
+// Avoided returns how many known endpoints get no new work because they drain or are banned.
+func (b *Balancer) Avoided() int { return len(b.endpoints.known) - len(b.endpoints.ready) }
--- a/decide/ban_test.go
+++ b/decide/ban_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// sentTo sends so many safe requests, each served at once, and counts those to an endpoint.
-func (s *script) sentTo(id EndpointID, from RequestID, requests int) (n int) {
+// countSentTo sends so many safe requests, each served at once, and counts those to an endpoint.
+func (s *script) countSentTo(id EndpointID, from RequestID, requests int) (n int) {
 	s.t.Helper()
 	for i := range RequestID(requests) {
 		for _, a := range s.arrive(from+i, "read") {
@@ -25,7 +25,7 @@
 func TestBanByHand(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	id, other := two()[0].ID, two()[1].ID
-	if s.sentTo(id, 1, 20) == 0 {
+	if s.countSentTo(id, 1, 20) == 0 {
 		t.Fatal("it gets nothing before the ban")
 	}
 	for range 3 {
@@ -41,44 +41,44 @@
 		"it came back":  {Kind: ListReplaced, Endpoints: two()},
 	} {
 		s.event(e)
-		if n := s.sentTo(id, 1000, 20); n != 0 {
+		if n := s.countSentTo(id, 1000, 20); n != 0 {
 			t.Errorf("after %s: %d sent to what is banned", what, n)
 		}
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
 	s.event(Event{Kind: Unbanned, Endpoint: id})
-	if e := s.b.fleet.byID[id]; e.cold == 0 || s.b.capacity(e) > s.b.set.Rules.ColdShare+0.01 {
+	if e := s.b.endpoints.byID[id]; e.cold == 0 || s.b.capacity(e) > s.b.settings.Rules.ColdShare+0.01 {
 		t.Errorf("after the ban it is not cold: %+v", *e)
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
-	if e := s.b.fleet.byID[id]; e.cold == 0 {
+	if e := s.b.endpoints.byID[id]; e.cold == 0 {
 		t.Error("a list that tells its old start made it warm")
 	}
-	fresh := s.b.fleet.byID[id]
+	fresh := s.b.endpoints.byID[id]
 	for _, call := range []Event{
 		{Kind: Unbanned, Endpoint: id}, {Kind: Unbanned, Endpoint: other}, {Kind: Unbanned, Endpoint: 999},
 	} {
 		s.event(call)
 	}
-	if s.b.fleet.byID[id] != fresh || s.b.fleet.byID[other].cold != 0 {
+	if s.b.endpoints.byID[id] != fresh || s.b.endpoints.byID[other].cold != 0 {
 		t.Error("a call that ends no ban has made an endpoint new")
 	}
-	if n := s.sentTo(id, 2000, 200); n == 0 {
+	if n := s.countSentTo(id, 2000, 200); n == 0 {
 		t.Error("it gets nothing in the 5 s after the ban")
 	}
-	if s.after(s.b.set.Rules.ColdTime); s.sentTo(id, 3000, 40) < 5 {
+	if s.after(s.b.settings.Rules.ColdTime); s.countSentTo(id, 3000, 40) < 5 {
 		t.Error("it is not in full use after its cold time")
 	}
 }
 
 // Bans hold for what is not listed yet, and where nothing is left to send to.
-func TestBanOfAll(t *testing.T) {
+func TestBanOfUnlistedAndOfAllEndpoints(t *testing.T) {
 	s := start(t, testSettings())
 	for _, e := range two() {
 		s.event(Event{Kind: Banned, Endpoint: e.ID})
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
-	if n := s.sentTo(two()[0].ID, 1, 5) + s.sentTo(two()[1].ID, 100, 5); n != 0 {
+	if n := s.countSentTo(two()[0].ID, 1, 5) + s.countSentTo(two()[1].ID, 100, 5); n != 0 {
 		t.Errorf("%d sent to banned endpoints", n)
 	}
 	s.arrive(500, "read")
@@ -87,53 +87,53 @@
 			t.Errorf("%+v, want refusals that say when to come back", a)
 		}
 	}
-	if len(s.b.held) != 0 {
-		t.Errorf("%d requests are still held", len(s.b.held))
+	if len(s.b.pending) != 0 {
+		t.Errorf("%d requests are still held", len(s.b.pending))
 	}
 }
 
 // What has partly gone can't go twice, and its failure ends the request at once:
 // refused while it can't have run, failed where it may have.
-func TestWhatHasBegunIsNotSentAgain(t *testing.T) {
+func TestStartedStreamIsNotSentAgain(t *testing.T) {
 	for outcome, want := range map[Outcome]ActionKind{ConnectFailed: Refuse, Reset: Fail} {
 		s := start(t, testSettings(), two()...)
-		s.want(s.arrive(1, "once"), Send)
+		s.expect(s.arrive(1, "once"), Send)
 		s.event(Event{Kind: StreamBegan, Request: 1})
-		s.want(s.after(5*ms).finish(1, 0, outcome), want)
-		if len(s.b.held) != 0 {
+		s.expect(s.after(5*ms).finish(1, 0, outcome), want)
+		if len(s.b.pending) != 0 {
 			t.Errorf("outcome %d: the request is still held", outcome)
 		}
 	}
 }
 
 // An endpoint that breaks off its answers is worth less than one that ends them.
-func TestBrokenStreamsCount(t *testing.T) {
+func TestBrokenStreamLowersPayoff(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	id := two()[0].ID
-	s.sentTo(id, 1, 10)
-	before := s.b.fleet.byID[id].payoff
+	s.countSentTo(id, 1, 10)
+	before := s.b.endpoints.byID[id].payoff
 	s.event(Event{Kind: StreamBroke, Endpoint: id})
 	s.event(Event{Kind: StreamBroke, Endpoint: 999})
-	if after := s.b.fleet.byID[id].payoff; after >= before {
+	if after := s.b.endpoints.byID[id].payoff; after >= before {
 		t.Errorf("payoff %v after a broken answer, %v before", after, before)
 	}
 }
 
 // Guards against a tier that counts as full of bodies that still come: while its client
 // sends, an endpoint does nothing for a request, and its place goes to another.
-func TestPlaceWhileABodyComes(t *testing.T) {
+func TestRequestIsNotInFlightWhileItsBodyComes(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	last := s.fill("once")
-	s.want(s.arrive(last+1, "once"))
-	s.want(s.event(Event{Kind: StreamBegan, Request: 1}), Send)
+	s.expect(s.arrive(last+1, "once"))
+	s.expect(s.event(Event{Kind: StreamBegan, Request: 1}), Send)
 	if out, err := s.b.Audit(); err != nil || out != int(last)-1 {
 		t.Errorf("%d out, %v; want %d", out, err, last-1)
 	}
-	full := s.b.hold.out
+	full := s.b.admission.inFlight
 	s.event(Event{Kind: BodyReceived, Request: 1})
 	s.event(Event{Kind: BodyReceived, Request: 1})
-	if s.b.hold.out != full+1 {
-		t.Errorf("%d in flight when the body has come, want %d", s.b.hold.out, full+1)
+	if s.b.admission.inFlight != full+1 {
+		t.Errorf("%d in flight when the body has come, want %d", s.b.admission.inFlight, full+1)
 	}
 	s.after(5*ms).finish(1, 0, Served)
 	s.event(Event{Kind: BodyReceived, Request: 1})
--- a/decide/coldstart_test.go
+++ b/decide/coldstart_test.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	coldWarmUp = 6 * time.Second // before the first start: averages of the module settle over 3 s
-	coldPlayed = 8 * time.Second // after the last start at most: later capacity and bound have grown
-	probeCost  = 0.1             // requests that a probe counts for
-	rippled    = 0.3             // spread of work around its mean, as a part of it, both ways
-	coldTries  = 2               // tries of a client that is refused or fails
+	coldWarmUp       = 6 * time.Second // before the first start: averages of the module settle over 3 s
+	coldRunAfterJoin = 8 * time.Second // after the last start at most: later capacity and bound have grown
+	probeCost        = 0.1             // requests that a probe counts for
+	workSpread       = 0.3             // spread of work around its mean, as a part of it, both ways
+	maxClientTries   = 2               // tries of a client that is refused or fails
 )
 
 // coldCase is a fleet and a day, drawn from a seed within the figures of sites' files.
 type coldCase struct {
-	seed     uint64
-	actual   int // balancers
-	told     int // number of peers that they are told
-	set      Settings
-	warm     int           // endpoints that are there before and stay
-	cold     int           // that start cold, within joinTime
-	joinTime time.Duration // from the first to the last
-	each     float64       // requests of mean work that a warm endpoint of size 1 serves a second
-	cores    int
-	load     float64 // of what all endpoints serve once warm, before the burst
-	burstAt  time.Duration
-	restarts bool // seven in ten balancers start anew just then
-	replaces bool // each cold one takes the place of one that drains, else of one that was away
-	zones    int
-	loses    bool // one of two zones loses all that is warm in it just then
-	bad      int  // endpoints that answer half of their requests with errors, at once
+	seed            uint64
+	balancerCount   int // balancers
+	toldPeers       int // number of peers that they are told
+	set             Settings
+	warm            int           // endpoints that are there before and stay
+	cold            int           // that start cold, within joinTime
+	joinTime        time.Duration // from the first to the last
+	ratePerEndpoint float64       // requests of mean work that a warm endpoint of size 1 serves a second
+	cores           int
+	load            float64 // of what all endpoints serve once warm, before the burst
+	burstAt         time.Duration
+	restarts        bool // seven in ten balancers start anew just then
+	replaces        bool // each cold one takes the place of one that drains, else of one that was away
+	zones           int
+	zoneLost        bool // one of two zones loses all that is warm in it just then
+	failing         int  // endpoints that answer half of their requests with errors, at once
 }
 
-func drawCold(seed uint64, actual int, told int) coldCase {
+func generateCase(seed uint64, actual int, told int) coldCase {
 	r := rand.New(rand.NewPCG(seed, 77))
 	between := func(from, to float64) float64 { return from + (to-from)*r.Float64() }
-	c := coldCase{seed: seed, actual: actual, told: told}
+	c := coldCase{seed: seed, balancerCount: actual, toldPeers: told}
 	set := testSettings()
 	set.Classes = set.Classes[:1]
 	set.Classes[0].Aim, set.Classes[0].Deadline = 800*ms, 3*time.Second
@@ -75,11 +75,11 @@
 	}
 	c.warm = endpoints - c.cold
 	c.joinTime = time.Duration(between(0, 7) * float64(time.Second))
-	c.each, c.cores = math.Exp(between(math.Log(2), math.Log(25))), 2
+	c.ratePerEndpoint, c.cores = math.Exp(between(math.Log(2), math.Log(25))), 2
 	c.load = between(0.25, 0.66)
 	c.burstAt = time.Duration(between(-1, 4) * float64(time.Second))
-	c.restarts, c.replaces, c.bad = r.IntN(3) == 0, r.IntN(2) == 0, min(c.warm-1, r.IntN(2))
-	c.loses = c.zones == 2 && r.IntN(3) == 0
+	c.restarts, c.replaces, c.failing = r.IntN(3) == 0, r.IntN(2) == 0, min(c.warm-1, r.IntN(2))
+	c.zoneLost = c.zones == 2 && r.IntN(3) == 0
 	c.set = set
 	return c
 }
@@ -103,25 +103,25 @@
 
 // coldResult is what the observer saw.
 type coldResult struct {
-	worst  float64 // the fullest window of a cold endpoint's, as a part of what lets it fall
-	how    string
-	cold   int // sends to cold endpoints
-	served int
+	worst   float64 // the fullest window of a cold endpoint's, as a part of what lets it fall
+	details string
+	cold    int // sends to cold endpoints
+	served  int
 }
 
 type coldBalancer struct {
-	number int
-	life   int // counts its processes
-	part   float64
-	zone   string
-	b      *Balancer
-	held   map[RequestID]*coldRequest
+	number       int
+	generation   int // counts its processes
+	trafficShare float64
+	zone         string
+	b            *Balancer
+	requests     map[RequestID]*coldRequest
 }
 
 type coldRequest struct {
 	tries    int // of its client, this one included
 	deadline Time
-	over     bool
+	done     bool
 	attempts []coldAttempt
 }
 
@@ -132,13 +132,13 @@
 }
 
 type coldEndpoint struct {
-	line   Endpoint // its weight is the listed one: rough
-	size   float64  // the true one
-	isCold bool
-	bad    bool
-	free   []Time // when each core is done with what it has
-	dues   []Time // ends of what is in hand
-	sends  []coldSend
+	line       Endpoint // its weight is the listed one: rough
+	size       float64  // the true one
+	isCold     bool
+	bad        bool
+	coreFreeAt []Time // when each core is done with what it has
+	ends       []Time // ends of what is in hand
+	sends      []coldSend
 }
 
 type coldSend struct {
@@ -181,26 +181,26 @@
 	return f.set.Rules.ColdShare + (1-f.set.Rules.ColdShare)*age
 }
 
-// begin starts a balancer's process: it is told the list as it is.
-func (f *coldFleet) begin(k *coldBalancer) {
+// startBalancer starts a balancer's process: it is told the list as it is.
+func (f *coldFleet) startBalancer(k *coldBalancer) {
 	set := f.set
-	set.Number, set.Peers, set.Zone = k.number, f.told, k.zone
+	set.Number, set.Peers, set.Zone = k.number, f.toldPeers, k.zone
 	set.Classes = slices.Clone(set.Classes)
 	b, err := New(set, f.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	k.life++
-	k.b, k.held = b, map[RequestID]*coldRequest{}
-	f.give(k, Event{Kind: Start})
+	k.generation++
+	k.b, k.requests = b, map[RequestID]*coldRequest{}
+	f.deliver(k, Event{Kind: Start})
 	var lines []Endpoint
 	for _, e := range f.endpoints {
 		lines = append(lines, e.line)
 	}
-	f.give(k, Event{Kind: ListReplaced, Endpoints: lines})
+	f.deliver(k, Event{Kind: ListReplaced, Endpoints: lines})
 }
 
-func (f *coldFleet) give(k *coldBalancer, e Event) {
+func (f *coldFleet) deliver(k *coldBalancer, e Event) {
 	if f.fault != nil {
 		f.fault(f.now, k.b, &e)
 	}
@@ -209,12 +209,12 @@
 		case Send:
 			f.send(k, a)
 		case Refuse, Fail:
-			f.again(k, k.held[a.Request])
+			f.endTry(k, k.requests[a.Request])
 		case SetTimer:
-			life := k.life
+			life := k.generation
 			f.at(f.now+a.After, func() {
-				if k.life == life {
-					f.give(k, Event{Kind: TimerDue})
+				if k.generation == life {
+					f.deliver(k, Event{Kind: TimerDue})
 				}
 			})
 		case Cancel:
@@ -222,13 +222,13 @@
 		case Probe:
 			e := f.endpoint(a.Endpoint)
 			e.sends = append(e.sends, coldSend{f.now, probeCost, k.number})
-			e.dues = slices.DeleteFunc(e.dues, func(at Time) bool { return at <= f.now })
-			out := float64(len(e.dues))
+			e.ends = slices.DeleteFunc(e.ends, func(at Time) bool { return at <= f.now })
+			out := float64(len(e.ends))
 			load := Load{Outstanding: out, Utilization: min(1, out/float64(f.cores))}
-			life := k.life
+			life := k.generation
 			f.at(f.now+2*ms, func() {
-				if k.life == life {
-					f.give(k, Event{Kind: ProbeFinished, Endpoint: e.line.ID, Latency: 2 * ms, Load: load})
+				if k.generation == life {
+					f.deliver(k, Event{Kind: ProbeFinished, Endpoint: e.line.ID, Latency: 2 * ms, Load: load})
 				}
 			})
 		}
@@ -239,77 +239,77 @@
 
 // send lets an endpoint serve a request in turn, at the speed that it has then.
 func (f *coldFleet) send(k *coldBalancer, a Action) {
-	e, r, id := f.endpoint(a.Endpoint), k.held[a.Request], a.Request
+	e, r, id := f.endpoint(a.Endpoint), k.requests[a.Request], a.Request
 	attempt := len(r.attempts)
 	r.attempts = append(r.attempts, coldAttempt{to: e, sent: f.now})
-	work := 1 + rippled*(2*f.rng.Float64()-1)
+	work := 1 + workSpread*(2*f.rng.Float64()-1)
 	e.sends = append(e.sends, coldSend{f.now, work, k.number})
 	core := 0
-	for i := range e.free {
-		if e.free[i] < e.free[core] {
+	for i := range e.coreFreeAt {
+		if e.coreFreeAt[i] < e.coreFreeAt[core] {
 			core = i
 		}
 	}
-	speed := f.each * e.size * f.present(e, f.now) / float64(f.cores) // of a core
+	speed := f.ratePerEndpoint * e.size * f.present(e, f.now) / float64(f.cores) // of a core
 	done, outcome := f.now+5*ms, ServerError
 	if !e.bad || f.rng.IntN(2) == 0 {
-		done = max(f.now, e.free[core]) + time.Duration(work/speed*float64(time.Second))
-		e.free[core], outcome = done, Served
-		e.dues = append(e.dues, done)
+		done = max(f.now, e.coreFreeAt[core]) + time.Duration(work/speed*float64(time.Second))
+		e.coreFreeAt[core], outcome = done, Served
+		e.ends = append(e.ends, done)
 	}
-	life := k.life
+	life := k.generation
 	f.at(done, func() {
-		if k.life == life {
+		if k.generation == life {
 			f.finish(k, id, attempt, outcome)
 		}
 	})
 }
 
 func (f *coldFleet) finish(k *coldBalancer, id RequestID, attempt int, outcome Outcome) {
-	r := k.held[id]
+	r := k.requests[id]
 	if r == nil || r.attempts[attempt].settled {
 		return
 	}
 	a := &r.attempts[attempt]
 	a.settled = true
-	if outcome == Served && !r.over {
-		r.over = true
+	if outcome == Served && !r.done {
+		r.done = true
 		f.served++
 	}
-	f.give(k, Event{
+	f.deliver(k, Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.line.ID, Outcome: outcome,
-		Latency: f.now - a.sent, RequestDone: r.over,
+		Latency: f.now - a.sent, RequestDone: r.done,
 	})
 }
 
-// again ends a try; its client may come once more.
-func (f *coldFleet) again(k *coldBalancer, r *coldRequest) {
-	r.over = true
-	if r.tries < coldTries {
+// endTry ends a try; its client may come once more.
+func (f *coldFleet) endTry(k *coldBalancer, r *coldRequest) {
+	r.done = true
+	if r.tries < maxClientTries {
 		f.at(f.now+300*ms, func() { f.arrive(k, r.tries+1) })
 	}
 }
 
 func (f *coldFleet) arrive(k *coldBalancer, tries int) {
 	f.nextID++
-	id, life, grace := f.nextID, k.life, f.set.Classes[0].Deadline
+	id, life, grace := f.nextID, k.generation, f.set.Classes[0].Deadline
 	r := &coldRequest{tries: tries, deadline: f.now + grace}
-	k.held[id] = r
+	k.requests[id] = r
 	f.at(r.deadline, func() {
-		if k.life != life {
+		if k.generation != life {
 			return
 		}
 		for i := range r.attempts {
 			f.finish(k, id, i, TimedOut)
 		}
-		delete(k.held, id)
+		delete(k.requests, id)
 	})
-	f.give(k, Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: tries > 1})
+	f.deliver(k, Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: tries > 1})
 }
 
 // traffic brings a balancer's next request, at random times of its own.
 func (f *coldFleet) traffic(k *coldBalancer, end Time) {
-	rate := f.load * f.each * float64(f.warm+f.cold) * k.part
+	rate := f.load * f.ratePerEndpoint * float64(f.warm+f.cold) * k.trafficShare
 	if f.now >= time.Hour+coldWarmUp+f.burstAt {
 		rate *= 1.5
 		if f.zones == 2 { // the burst shifts traffic into one of two zones
@@ -327,7 +327,7 @@
 
 func (f *coldFleet) add(isCold, bad bool) *coldEndpoint {
 	id := EndpointID(len(f.endpoints) + 1)
-	e := &coldEndpoint{isCold: isCold, bad: bad, free: make([]Time, f.cores)}
+	e := &coldEndpoint{isCold: isCold, bad: bad, coreFreeAt: make([]Time, f.cores)}
 	e.size = 1 + float64(f.rng.IntN(2))/2
 	e.line = Endpoint{ID: id, Zone: []string{"a", "b"}[int(id)%f.zones], Cell: int(id)}
 	e.line.Weight = e.size * (0.85 + 0.3*f.rng.Float64())
@@ -335,30 +335,30 @@
 	return e
 }
 
-// tell tells all balancers of a change, one after another.
-func (f *coldFleet) tell(lines []Endpoint) {
+// broadcast tells all balancers of a change, one after another.
+func (f *coldFleet) broadcast(lines []Endpoint) {
 	for _, k := range f.balancers {
 		f.at(f.now+time.Duration(f.rng.IntN(500))*ms, func() {
-			f.give(k, Event{Kind: ListChanged, Endpoints: lines})
+			f.deliver(k, Event{Kind: ListChanged, Endpoints: lines})
 		})
 	}
 }
 
-// play lets a case pass, with a fault or without.
-func (c coldCase) play(fault coldFault) coldResult {
+// run lets a case pass, with a fault or without.
+func (c coldCase) run(fault coldFault) coldResult {
 	f := &coldFleet{coldCase: c, now: time.Hour, fault: fault}
-	f.rng = rand.New(rand.NewPCG(c.seed, uint64(c.actual)))
+	f.rng = rand.New(rand.NewPCG(c.seed, uint64(c.balancerCount)))
 	sum := 0.0
-	for n := range c.actual {
-		k := &coldBalancer{number: n, part: 1, zone: []string{"a", "b"}[n%c.zones]}
+	for n := range c.balancerCount {
+		k := &coldBalancer{number: n, trafficShare: 1, zone: []string{"a", "b"}[n%c.zones]}
 		if f.rng.IntN(6) == 0 {
-			k.part = 3 + 3*f.rng.Float64() // several times the mean
+			k.trafficShare = 3 + 3*f.rng.Float64() // several times the mean
 		}
-		sum += k.part
+		sum += k.trafficShare
 		f.balancers = append(f.balancers, k)
 	}
 	for i := range c.warm {
-		f.add(false, i < c.bad)
+		f.add(false, i < c.failing)
 	}
 	for range c.cold {
 		if c.replaces {
@@ -366,10 +366,10 @@
 		}
 	}
 	first := time.Hour + coldWarmUp
-	end := first + c.joinTime + min(coldPlayed, c.set.Rules.ColdTime)
+	end := first + c.joinTime + min(coldRunAfterJoin, c.set.Rules.ColdTime)
 	for _, k := range f.balancers {
-		k.part /= sum
-		f.begin(k)
+		k.trafficShare /= sum
+		f.startBalancer(k)
 		f.traffic(k, end)
 	}
 	for i := range c.cold {
@@ -382,17 +382,17 @@
 				old.line.State = max(old.line.State, Draining)
 				lines = append(lines, old.line)
 			}
-			f.tell(lines)
+			f.broadcast(lines)
 		})
 	}
 	if c.restarts {
 		for n, k := range f.balancers {
 			if n%10 < 7 {
-				f.at(first+c.burstAt+time.Duration(f.rng.IntN(2000))*ms, func() { f.begin(k) })
+				f.at(first+c.burstAt+time.Duration(f.rng.IntN(2000))*ms, func() { f.startBalancer(k) })
 			}
 		}
 	}
-	if c.loses {
+	if c.zoneLost {
 		f.at(first+c.burstAt, func() {
 			var lines []Endpoint
 			for _, e := range f.endpoints {
@@ -401,7 +401,7 @@
 					lines = append(lines, e.line)
 				}
 			}
-			f.tell(lines)
+			f.broadcast(lines)
 		})
 	}
 	for len(f.queue) > 0 && f.queue[0].at < end {
@@ -413,20 +413,20 @@
 	for _, e := range f.endpoints {
 		if e.isCold {
 			result.cold += len(e.sends)
-			if part, how := f.most(e); part > result.worst {
-				result.worst, result.how = part, how
+			if part, how := f.fullestWindow(e); part > result.worst {
+				result.worst, result.details = part, how
 			}
 		}
 	}
 	return result
 }
 
-// most is the fullest window of an endpoint's, as a part of what lets it fall. The settings allow N requests
+// fullestWindow is the fullest window of an endpoint's, as a part of what lets it fall. The settings allow N requests
 // of mean work: the multiple of its present capacity, here at the window's start, when it is least.
-func (f *coldFleet) most(e *coldEndpoint) (worst float64, how string) {
+func (f *coldFleet) fullestWindow(e *coldEndpoint) (worst float64, how string) {
 	rules := f.set.Rules
 	for i, first := range e.sends {
-		n := rules.FallMultiple * f.present(e, first.at) * f.each * e.size * rules.FallWindow.Seconds()
+		n := rules.FallMultiple * f.present(e, first.at) * f.ratePerEndpoint * e.size * rules.FallWindow.Seconds()
 		sum, senders := 0.0, map[int]bool{}
 		for _, s := range e.sends[i:] {
 			if s.at-first.at >= rules.FallWindow || s.at-e.line.Started >= rules.ColdTime {
@@ -446,13 +446,13 @@
 // The sizes, and the parts of the true number of peers that balancers are told: settings are written before a
 // fleet grows, and stay when most of it is gone.
 var (
-	coldSizes = []int{2, 6, 20, 30}
-	coldTold  = []float64{1, 0.5, 2}
+	coldSizes      = []int{2, 6, 20, 30}
+	coldToldShares = []float64{1, 0.5, 2}
 )
 
-func TestColdEndpointsBearTheSumOfAllBalancers(t *testing.T) {
+func TestColdEndpointsAreNotOverloadedByAllBalancers(t *testing.T) {
 	for _, size := range coldSizes {
-		for _, part := range coldTold {
+		for _, part := range coldToldShares {
 			told := int(float64(size) * part)
 			var worst []float64
 			cold := 0
@@ -460,12 +460,12 @@
 				if *coldSeed >= 0 {
 					seed = uint64(*coldSeed)
 				}
-				c := drawCold(seed, size, told)
-				got := c.play(nil)
+				c := generateCase(seed, size, told)
+				got := c.run(nil)
 				worst, cold = append(worst, got.worst), cold+got.cold
 				if got.worst > 1 {
 					t.Errorf("%d balancers told of %d, -cold.seed %d: %.2f of what lets it fall: %s; %+v",
-						size, told, seed, got.worst, got.how, c)
+						size, told, seed, got.worst, got.details, c)
 				}
 				if got.served == 0 {
 					t.Errorf("%d balancers told of %d, -cold.seed %d: nothing was served", size, told, seed)
@@ -488,9 +488,9 @@
 }
 
 // Each fault lets the sum pass the bound, though each balancer alone still sends a cold endpoint little.
-func TestColdFaultsAreFound(t *testing.T) {
+func TestInjectedColdStartFaultsAreFound(t *testing.T) {
 	cold := func(b *Balancer, do func(e *endpoint)) {
-		for _, e := range b.fleet.order {
+		for _, e := range b.endpoints.known {
 			if e.cold < 0 {
 				do(e)
 			}
@@ -505,7 +505,7 @@
 			granted := map[*endpoint]Time{}
 			return func(now Time, b *Balancer, _ *Event) {
 				cold(b, func(e *endpoint) {
-					if at, ok := granted[e]; !ok || now-at >= b.set.Rules.FallWindow {
+					if at, ok := granted[e]; !ok || now-at >= b.settings.Rules.FallWindow {
 						granted[e], e.credit = now, max(e.credit, 1)
 					}
 				})
@@ -534,15 +534,15 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := drawCold(fault.seed, fault.balancers, fault.balancers)
-			if sound := c.play(nil); sound.worst > 1 {
-				t.Fatalf("without the fault %.2f of what lets it fall: %s", sound.worst, sound.how)
+			c := generateCase(fault.seed, fault.balancers, fault.balancers)
+			if sound := c.run(nil); sound.worst > 1 {
+				t.Fatalf("without the fault %.2f of what lets it fall: %s", sound.worst, sound.details)
 			}
-			got := c.play(fault.plant())
+			got := c.run(fault.plant())
 			if got.worst <= 1 {
-				t.Errorf("not found: %.2f of what lets it fall: %s", got.worst, got.how)
+				t.Errorf("not found: %.2f of what lets it fall: %s", got.worst, got.details)
 			}
-			t.Logf("%.2f of what lets it fall: %s", got.worst, got.how)
+			t.Logf("%.2f of what lets it fall: %s", got.worst, got.details)
 		})
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -91,8 +91,8 @@
 
 func (s *script) tick() []Action { return s.event(Event{Kind: TimerDue}) }
 
-// want checks the kinds of the actions.
-func (s *script) want(got []Action, kinds ...ActionKind) []Action {
+// expect checks the kinds of the actions.
+func (s *script) expect(got []Action, kinds ...ActionKind) []Action {
 	s.t.Helper()
 	ok := len(got) == len(kinds)
 	for i := 0; ok && i < len(got); i++ {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestSettingsThatCannotBeActedOn(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		spoil func(*Settings)
@@ -139,9 +139,9 @@
 	}
 }
 
-// take spends a token as retry does.
-func take(k *bucket, c *class) bool {
-	funded := k.wait(k.filled, c) == 0
+// takeToken spends a token as retry does.
+func takeToken(k *bucket, c *class) bool {
+	funded := k.fundedIn(k.refilledAt, c) == 0
 	if funded {
 		k.tokens--
 	}
@@ -149,9 +149,9 @@
 }
 
 func TestBucket(t *testing.T) {
-	rich, poor := &class{}, &class{leaves: spareShare}
+	rich, poor := &class{}, &class{reserve: reserveShare}
 	k := bucket{tokens: 1, floor: floorRate, burst: floorBurst}
-	if !take(&k, rich) || take(&k, rich) {
+	if !takeToken(&k, rich) || takeToken(&k, rich) {
 		t.Fatal("one token must fund exactly one retry")
 	}
 	k.refill(time.Second)
@@ -162,15 +162,15 @@
 	if got := k.tokens; got != floorBurst {
 		t.Fatalf("an hour of the floor filled to %v, want the burst %v", got, floorBurst)
 	}
-	k.tokens = spareShare * floorBurst
-	if take(&k, poor) {
+	k.tokens = reserveShare * floorBurst
+	if takeToken(&k, poor) {
 		t.Fatal("the lowest worth must leave half the bucket")
 	}
-	if !take(&k, rich) {
+	if !takeToken(&k, rich) {
 		t.Fatal("others may use all of it")
 	}
 	k.tokens = 0
-	if got := k.wait(time.Hour, rich); got < 333*ms || got > 334*ms {
+	if got := k.fundedIn(time.Hour, rich); got < 333*ms || got > 334*ms {
 		t.Fatalf("an empty bucket funds a retry after %v, want a third of a second", got)
 	}
 }
@@ -178,7 +178,7 @@
 func TestServedAttemptsDepositATenth(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.arrive(1, "read")
-	s.b.bucket.tokens, s.b.bucket.filled = 5, s.now
+	s.b.bucket.tokens, s.b.bucket.refilledAt = 5, s.now
 	s.finish(1, 0, Served)
 	if got := s.b.bucket.tokens; got != 5+depositPerServed {
 		t.Fatalf("tokens after one served attempt: %v", got)
@@ -187,9 +187,9 @@
 
 func TestRetryGoesElsewhereForOneToken(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	first := s.want(s.arrive(1, "read"), Send)[0]
+	first := s.expect(s.arrive(1, "read"), Send)[0]
 	tokens := s.b.bucket.tokens
-	second := s.want(s.finish(1, 0, ServerError), Send)[0]
+	second := s.expect(s.finish(1, 0, ServerError), Send)[0]
 	if second.Endpoint == first.Endpoint {
 		t.Error("the retry went to the endpoint that has just failed")
 	}
@@ -201,36 +201,36 @@
 func TestUnfundedRetryWaitsForTheRefill(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.arrive(1, "read")
-	s.b.bucket.tokens, s.b.bucket.filled = 0, s.now
-	s.want(s.finish(1, 0, ServerError))
-	s.after(200 * ms).want(s.tick())
-	s.after(200*ms).want(s.tick(), Send)
+	s.b.bucket.tokens, s.b.bucket.refilledAt = 0, s.now
+	s.expect(s.finish(1, 0, ServerError))
+	s.after(200 * ms).expect(s.tick())
+	s.after(200*ms).expect(s.tick(), Send)
 }
 
 func TestRetryThatNoRefillCanFundEndsAtOnce(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.arrive(1, "read")
 	s.after(800 * ms)
-	s.b.bucket.tokens, s.b.bucket.filled = 0, s.now
-	s.want(s.finish(1, 0, ServerError), Refuse)
+	s.b.bucket.tokens, s.b.bucket.refilledAt = 0, s.now
+	s.expect(s.finish(1, 0, ServerError), Refuse)
 }
 
 func TestAttemptsAreLimited(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.arrive(1, "read")
 	for attempt := range 3 {
-		s.want(s.finish(1, attempt, Reset), Send)
+		s.expect(s.finish(1, attempt, Reset), Send)
 	}
-	s.want(s.finish(1, 3, Reset), Refuse)
+	s.expect(s.finish(1, 3, Reset), Refuse)
 }
 
 // Requests that fail wherever they go had emptied the bucket, turned every payoff against its endpoint, and by quick
 // answers raised the limit of a full tier. What fails at one endpoint only still counts against that one.
-func TestErrorsThatFollowTheRequest(t *testing.T) {
+func TestErrorsThatRepeatAtEveryEndpoint(t *testing.T) {
 	s := start(t, testSettings(), four()...)
 	sent := 0
 	for id := RequestID(1); id <= 200; id++ {
-		s.after(20*ms).want(s.arrive(id, "read"), Send)
+		s.after(20*ms).expect(s.arrive(id, "read"), Send)
 		for attempt := 0; ; attempt++ {
 			sent++
 			got := s.finish(id, attempt, ServerError)
@@ -245,29 +245,29 @@
 			}
 		}
 		good := id + 1000
-		s.want(s.arrive(good, "read"), Send)
+		s.expect(s.arrive(good, "read"), Send)
 		s.finish(good, 0, Served)
 	}
 	if sent > 280 {
 		t.Errorf("%d attempts for 200 requests that fail everywhere", sent)
 	}
-	for _, e := range s.b.fleet.ready {
+	for _, e := range s.b.endpoints.ready {
 		if s.b.payoff(e) < 0.6 {
-			t.Errorf("endpoint %d has payoff %.2f", e.line.ID, s.b.payoff(e))
+			t.Errorf("endpoint %d has payoff %.2f", e.listed.ID, s.b.payoff(e))
 		}
 	}
 	faulty, hits := start(t, testSettings(), four()...), 0
 	for id := RequestID(1); id <= 200; id++ {
-		got := faulty.after(20*ms).want(faulty.arrive(id, "read"), Send)
+		got := faulty.after(20*ms).expect(faulty.arrive(id, "read"), Send)
 		attempt := 0
 		for ; got[0].Endpoint == 1; attempt++ {
 			hits++
-			got = faulty.want(faulty.finish(id, attempt, ServerError), Send)
+			got = faulty.expect(faulty.finish(id, attempt, ServerError), Send)
 		}
 		faulty.finish(id, attempt, Served)
 	}
-	if hits > 35 || faulty.b.fleet.alike > 0.1 {
-		t.Errorf("the endpoint that fails alone got %d of 200; errors alike %.2f", hits, faulty.b.fleet.alike)
+	if hits > 35 || faulty.b.endpoints.errorsAlike > 0.1 {
+		t.Errorf("the endpoint that fails alone got %d of 200; errors alike %.2f", hits, faulty.b.endpoints.errorsAlike)
 	}
 }
 
@@ -275,15 +275,15 @@
 // queued with no timer left, and got no answer at all.
 func TestFailureAfterTheEndTimerIsAnswered(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	s.want(s.arrive(1, "read"), Send)
-	s.after(996 * ms).want(s.tick()) // the attempt is out: its own time-out will end it
+	s.expect(s.arrive(1, "read"), Send)
+	s.after(996 * ms).expect(s.tick()) // the attempt is out: its own time-out will end it
 	s.b.bucket.tokens = 30
-	s.b.fleet.ready[0].cold, s.b.fleet.ready[1].cold = -1, -1 // nothing can go at once
-	s.b.fleet.ready[0].started, s.b.fleet.ready[1].started = s.now, s.now
-	s.after(1*ms).want(s.finish(1, 0, Rejected), Refuse)
+	s.b.endpoints.ready[0].cold, s.b.endpoints.ready[1].cold = -1, -1 // nothing can go at once
+	s.b.endpoints.ready[0].started, s.b.endpoints.ready[1].started = s.now, s.now
+	s.after(1*ms).expect(s.finish(1, 0, Rejected), Refuse)
 }
 
-func TestEffects(t *testing.T) {
+func TestEffectsBoundRetries(t *testing.T) {
 	all := []EndpointID{1, 2, 3, 4}
 	for _, c := range []struct {
 		class   string
@@ -310,13 +310,13 @@
 	} {
 		s := start(t, testSettings(), four()...)
 		r := &request{class: s.b.classes[c.class], deadline: s.now + time.Second}
-		r.attempts = []attempt{{to: s.b.fleet.byID[1], sent: s.now, settled: true, ran: !c.outcome.NeverRan()}}
+		r.attempts = []attempt{{to: s.b.endpoints.byID[1], sentAt: s.now, settled: true, mayHaveRun: !c.outcome.NeverRan()}}
 		s.after(c.wait)
 		s.b.now = s.now
 		var got []EndpointID
-		for _, e := range s.b.fleet.ready {
+		for _, e := range s.b.endpoints.ready {
 			if s.b.mayTake(r, e) {
-				got = append(got, e.line.ID)
+				got = append(got, e.listed.ID)
 			}
 		}
 		if !slices.Equal(got, c.legal) {
@@ -328,7 +328,7 @@
 // Guards against answers that never come over a connection that fell silent: its
 // endpoint goes on serving others. Where the endpoint serves none either, where copies
 // are not allowed or no token is left, the request waits on.
-func TestCopyOfWhatIsMostLikelyLost(t *testing.T) {
+func TestHedgeOfOverdueAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		copies, overtaken, funded, want bool
 	}{
@@ -340,40 +340,40 @@
 		set := testSettings()
 		set.Limits.Hedging = c.copies
 		s := start(t, set, two()[:1]...)
-		s.want(s.arrive(1, "read"), Send)
-		s.want(s.after(50*ms).finish(1, 0, Served)) // usual: 50 ms
-		lost := s.want(s.arrive(2, "read"), Send)[0].Endpoint
+		s.expect(s.arrive(1, "read"), Send)
+		s.expect(s.after(50*ms).finish(1, 0, Served)) // usual: 50 ms
+		lost := s.expect(s.arrive(2, "read"), Send)[0].Endpoint
 		if s.after(60 * ms); c.overtaken {
-			s.want(s.arrive(3, "read"), Send)
-			s.want(s.after(50*ms).finish(3, 0, Served))
+			s.expect(s.arrive(3, "read"), Send)
+			s.expect(s.after(50*ms).finish(3, 0, Served))
 		}
-		s.want(s.event(Event{Kind: ListReplaced, Endpoints: two()}))
+		s.expect(s.event(Event{Kind: ListReplaced, Endpoints: two()}))
 		if !c.funded {
-			s.b.bucket.tokens, s.b.bucket.filled = 0, s.now+time.Hour
+			s.b.bucket.tokens, s.b.bucket.refilledAt = 0, s.now+time.Hour
 		}
 		s.now = time.Hour + 500*ms
 		got := s.tick()
 		if !c.want {
-			s.want(got)
+			s.expect(got)
 			continue
 		}
-		if copied := s.want(got, Send)[0]; copied.Request != 2 || copied.Endpoint == lost {
+		if copied := s.expect(got, Send)[0]; copied.Request != 2 || copied.Endpoint == lost {
 			t.Errorf("%s: %+v, want request 2 at the other endpoint", name, copied)
 		}
-		if stop := s.want(s.after(50*ms).finish(2, 1, Served), Cancel)[0]; stop.Request != 2 || stop.Attempt != 0 {
+		if stop := s.expect(s.after(50*ms).finish(2, 1, Served), Cancel)[0]; stop.Request != 2 || stop.Attempt != 0 {
 			t.Errorf("%s: %+v, want the lost attempt called off", name, stop)
 		}
 	}
 }
 
-func TestSecondCopiesOnlyWhereAllowed(t *testing.T) {
+func TestHedgingOnlyWhereAllowed(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		set := testSettings()
 		set.Limits.Hedging = allowed
 		s := start(t, set, two()...)
 		s.arrive(1, "read")
-		r := s.b.held[1]
-		if got := s.b.mayTake(r, s.b.fleet.ready[0]); got != allowed {
+		r := s.b.pending[1]
+		if got := s.b.mayTake(r, s.b.endpoints.ready[0]); got != allowed {
 			t.Errorf("a second copy while one is out: %v, want %v", got, allowed)
 		}
 	}
@@ -396,7 +396,7 @@
 		s := start(t, testSettings(), four()...)
 		s.arrive(1, c.class)
 		s.after(999 * ms)
-		got := s.want(s.finish(1, 0, c.outcome), c.want)[0]
+		got := s.expect(s.finish(1, 0, c.outcome), c.want)[0]
 		if got.Kind == Refuse && got.After <= 0 {
 			t.Errorf("%s after %d: a refusal without a time to come back", c.class, c.outcome)
 		}
@@ -407,44 +407,44 @@
 	s := start(t, testSettings(), two()...)
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, State: Draining}}})
 	for id := RequestID(1); id <= 10; id++ {
-		if got := s.want(s.arrive(id, "read"), Send)[0]; got.Endpoint != 2 {
+		if got := s.expect(s.arrive(id, "read"), Send)[0]; got.Endpoint != 2 {
 			t.Fatal("a draining endpoint was sent a request")
 		}
 		s.finish(id, 0, Served)
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: []Endpoint{{ID: 3, Zone: "here", Weight: 1}}})
 	for id := RequestID(11); id <= 20; id++ {
-		if got := s.want(s.arrive(id, "read"), Send)[0]; got.Endpoint != 3 {
+		if got := s.expect(s.arrive(id, "read"), Send)[0]; got.Endpoint != 3 {
 			t.Fatal("an endpoint that the whole list leaves out was sent a request")
 		}
 		s.finish(id, 0, Served)
 	}
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 3, State: Gone}}})
-	s.want(s.arrive(21, "read"))
+	s.expect(s.arrive(21, "read"))
 }
 
-func TestEmptyListHoldsRequests(t *testing.T) {
+func TestRequestsWaitWhileTheListIsEmpty(t *testing.T) {
 	s := start(t, testSettings())
-	s.want(s.arrive(1, "once"))
-	s.want(s.arrive(2, "once"))
-	s.after(100*ms).want(s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]}), Send, Send)
+	s.expect(s.arrive(1, "once"))
+	s.expect(s.arrive(2, "once"))
+	s.after(100*ms).expect(s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]}), Send, Send)
 	s.event(Event{Kind: ListReplaced})
-	s.want(s.arrive(3, "read"))
-	s.after(995*ms).want(s.tick(), Refuse)
+	s.expect(s.arrive(3, "read"))
+	s.after(995*ms).expect(s.tick(), Refuse)
 }
 
 func TestRestartIsANewColdProcess(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	old := s.b.fleet.byID[1]
-	old.payoff = payoffFloor
+	old := s.b.endpoints.byID[1]
+	old.payoff = minPayoff
 	s.arrive(1, "read")
 	s.arrive(2, "read")
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, Zone: "here", Cell: 1, Weight: 1, Started: s.now}}})
-	e := s.b.fleet.byID[1]
+	e := s.b.endpoints.byID[1]
 	if e == old || e.cold == 0 || e.inFlight != 0 {
 		t.Fatalf("after the restart: %+v, want a new cold endpoint with nothing in flight", *e)
 	}
-	if e.payoff == payoffFloor {
+	if e.payoff == minPayoff {
 		t.Error("the restarted process keeps the payoff of the old one")
 	}
 	s.finish(1, 0, Served)
@@ -456,7 +456,7 @@
 
 // A cold endpoint takes no more than its present part of what a warm one takes,
 // times the caution, however much comes.
-func TestColdEndpointIsNotPushedOver(t *testing.T) {
+func TestColdEndpointIsNotOverloaded(t *testing.T) {
 	const perSecond = 100
 	set := testSettings()
 	s := start(t, set, two()...)
@@ -480,7 +480,7 @@
 	from := set.Rules.ColdShare
 	for range 4 {
 		s.b.now = s.now
-		present := s.b.capacity(s.b.fleet.byID[1])
+		present := s.b.capacity(s.b.endpoints.byID[1])
 		got := run(set.Rules.FallWindow)
 		warm := float64(perSecond) / (1 + from) * set.Rules.FallWindow.Seconds()
 		if limit := set.Rules.FallMultiple * present * warm; float64(got) > limit {
@@ -492,7 +492,7 @@
 	}
 }
 
-func TestColdEndpointWithoutKnowledgeGetsATrickle(t *testing.T) {
+func TestColdEndpointsGetATrickleWithoutServedRate(t *testing.T) {
 	set := testSettings()
 	set.Peers = 10
 	s := start(t, set)
@@ -512,32 +512,32 @@
 
 func TestPickFollowsPayoffAndOwnLoad(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	for _, e := range s.b.fleet.ready {
-		e.known = true
+	for _, e := range s.b.endpoints.ready {
+		e.hasOutcome = true
 	}
-	s.b.fleet.byID[1].payoff = 0.2
-	if got := s.b.pick(&request{class: s.b.classes["read"]}); got.line.ID != 2 {
+	s.b.endpoints.byID[1].payoff = 0.2
+	if got := s.b.pick(&request{class: s.b.classes["read"]}); got.listed.ID != 2 {
 		t.Error("the lower payoff won")
 	}
-	s.b.fleet.byID[1].payoff, s.b.fleet.byID[1].touched = 0.6, s.now
-	s.b.fleet.byID[2].inFlight = 1
-	if got := s.b.pick(&request{class: s.b.classes["read"]}); got.line.ID != 1 {
+	s.b.endpoints.byID[1].payoff, s.b.endpoints.byID[1].payoffAt = 0.6, s.now
+	s.b.endpoints.byID[2].inFlight = 1
+	if got := s.b.pick(&request{class: s.b.classes["read"]}); got.listed.ID != 1 {
 		t.Error("payoff 0.6 with nothing in flight must beat payoff 1 with one")
 	}
 }
 
 func TestPayoffDriftsToTheMeanWhileUnpicked(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	e := s.b.fleet.byID[1]
-	other := s.b.fleet.byID[2]
-	other.payoff, other.known = 1, true
-	e.payoff, e.touched, e.known = 0, s.now, true
+	e := s.b.endpoints.byID[1]
+	other := s.b.endpoints.byID[2]
+	other.payoff, other.hasOutcome = 1, true
+	e.payoff, e.payoffAt, e.hasOutcome = 0, s.now, true
 	s.b.now = s.now
-	if got := s.b.payoff(e); got != payoffFloor {
-		t.Fatalf("payoff %v, want the floor %v", got, payoffFloor)
+	if got := s.b.payoff(e); got != minPayoff {
+		t.Fatalf("payoff %v, want the floor %v", got, minPayoff)
 	}
 	s.b.now = s.now + 3*driftTime
-	s.b.fleet.mean = 0
+	s.b.endpoints.meanPayoff = 0
 	if got := s.b.payoff(e); got < 0.4 {
 		t.Errorf("after three drift times the payoff is %v, want it near the mean", got)
 	}
@@ -546,7 +546,7 @@
 func TestPayoffOfOutcomes(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	r := &request{class: s.b.classes["read"], work: 1}
-	e := s.b.fleet.byID[1]
+	e := s.b.endpoints.byID[1]
 	pay := func(o Outcome, latency time.Duration) float64 {
 		e.payoff = 0.5
 		s.b.learn(r, &attempt{to: e}, &Event{Outcome: o, Latency: latency})
@@ -561,7 +561,7 @@
 	if got := pay(NotSent, 0); got != 0.5 {
 		t.Errorf("not sent: payoff %v, want it unchanged", got)
 	}
-	for range 3 * paceCount {
+	for range 3 * meanCount {
 		pay(Served, 20*ms)
 	}
 	if got := pay(Served, 100*ms); got >= 0.5 {
@@ -569,27 +569,27 @@
 	}
 }
 
-func TestListIsAskedForAgain(t *testing.T) {
+func TestListIsPolledAgainAfterFailure(t *testing.T) {
 	set := testSettings()
 	set.MustPoll = true
 	s := start(t, set, two()...)
-	asked := s.after(firstAskSpread).tick()
-	s.want(asked, WatchList)
+	asked := s.after(firstPollSpread).tick()
+	s.expect(asked, WatchList)
 	for range 4 {
-		s.want(s.event(Event{Kind: ListFailed}))
-		s.want(s.after(2*askBackoffMost).tick(), WatchList)
+		s.expect(s.event(Event{Kind: ListFailed}))
+		s.expect(s.after(2*maxPollBackoff).tick(), WatchList)
 	}
 	set.MustPoll = false
 	s = start(t, set, two()...)
-	s.want(s.after(firstAskSpread).tick())
+	s.expect(s.after(firstPollSpread).tick())
 }
 
 // Guards against a call that comes after its grace, and against calls that come ever faster or all together.
-func TestNextCallForTheListIsInTime(t *testing.T) {
+func TestNextPollIsWithinItsGrace(t *testing.T) {
 	set := testSettings()
 	set.MustPoll = true
 	for grace, least := range map[time.Duration]time.Duration{
-		0: askBackoff, 2500 * ms: askBackoff, 1400 * ms: 700 * ms, 200 * ms: 100 * ms,
+		0: minPollBackoff, 2500 * ms: minPollBackoff, 1400 * ms: 700 * ms, 200 * ms: 100 * ms,
 	} {
 		most := cmp.Or(grace, 2500*ms)
 		var firsts []time.Duration
@@ -600,7 +600,7 @@
 			}
 			now := time.Minute
 			b.Handle(now, &Event{Kind: Start}, nil)
-			now += firstAskSpread
+			now += firstPollSpread
 			b.Handle(now, &Event{Kind: TimerDue}, nil)
 			for failure := range 6 {
 				got := b.Handle(now, &Event{Kind: ListFailed, Grace: grace}, nil)
@@ -629,7 +629,7 @@
 // fill sends requests until the hold acts and returns the next free id.
 func (s *script) fill(class string) RequestID {
 	s.t.Helper()
-	s.b.fleet.served, s.b.fleet.servedAt = 300, s.now // the rate of service reaches what is held
+	s.b.endpoints.served, s.b.endpoints.servedAt = 300, s.now // the rate of service reaches what is held
 	for id := RequestID(1); id < 1000; id++ {
 		if len(s.arrive(id, class)) == 0 {
 			return id + 1
@@ -641,36 +641,36 @@
 
 // Free first attempts jam a tier that is full: they are held instead, and go as
 // soon as something is answered.
-func TestFullTierHoldsFirstAttempts(t *testing.T) {
+func TestFullTierQueuesFirstAttempts(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	next := s.fill("read")
-	got := s.want(s.finish(1, 0, Served), Send)[0]
+	got := s.expect(s.finish(1, 0, Served), Send)[0]
 	if got.Request != next-1 {
 		t.Errorf("request %d was sent, want the held one, %d", got.Request, next-1)
 	}
 }
 
-func TestLowerTiersDoNotHold(t *testing.T) {
+func TestLowerTiersDoNotQueue(t *testing.T) {
 	set := testSettings()
 	set.Front = false
 	s := start(t, set, two()...)
 	for id := RequestID(1); id <= 200; id++ {
-		s.want(s.arrive(id, "read"), Send)
+		s.expect(s.arrive(id, "read"), Send)
 	}
 }
 
-func TestHeldRequestsGoByWorth(t *testing.T) {
+func TestQueuedRequestsGoByWorth(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	next := s.fill("scan")
 	arrive := func(id RequestID, class, tenant string) {
-		s.want(s.event(Event{Kind: Arrived, Request: id, Class: class, Tenant: tenant, Grace: time.Second}))
+		s.expect(s.event(Event{Kind: Arrived, Request: id, Class: class, Tenant: tenant, Grace: time.Second}))
 	}
 	for i := range RequestID(2) {
 		arrive(next+i, "read", "small") // the second is over the tenant's share
 	}
 	arrive(next+2, "read", "big")
 	var got []RequestID
-	for _, r := range s.b.hold.queue {
+	for _, r := range s.b.admission.queue {
 		got = append(got, r.id)
 	}
 	if want := []RequestID{next, next + 2, next - 1, next + 1}; !slices.Equal(got, want) {
@@ -678,10 +678,10 @@
 	}
 }
 
-func TestHeldRequestThatCannotBeInTimeIsRefused(t *testing.T) {
+func TestQueuedRequestThatCannotBeInTimeIsRefused(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	next := s.fill("read")
-	got := s.want(s.after(200*ms).tick(), Refuse)[0]
+	got := s.expect(s.after(200*ms).tick(), Refuse)[0]
 	if got.Request != next-1 {
 		t.Errorf("request %d was refused, want %d", got.Request, next-1)
 	}
@@ -689,23 +689,23 @@
 
 func TestUnknownNames(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	s.want(s.event(Event{Kind: Arrived, Request: 1, Class: "what", Tenant: "who", Grace: time.Second}), Send)
-	s.want(s.finish(1, 0, ServerError), Fail)
-	s.want(s.finish(9, 0, Served))
-	s.want(s.event(Event{Kind: ClientLeft, Request: 9}))
-	s.want(s.finish(1, 0, Served))
+	s.expect(s.event(Event{Kind: Arrived, Request: 1, Class: "what", Tenant: "who", Grace: time.Second}), Send)
+	s.expect(s.finish(1, 0, ServerError), Fail)
+	s.expect(s.finish(9, 0, Served))
+	s.expect(s.event(Event{Kind: ClientLeft, Request: 9}))
+	s.expect(s.finish(1, 0, Served))
 }
 
 func TestOutcomesAfterTheEndStillSettle(t *testing.T) {
 	s := start(t, testSettings(), two()...)
-	to := s.want(s.arrive(1, "read"), Send)[0].Endpoint
-	s.want(s.event(Event{Kind: ClientLeft, Request: 1}))
-	if got := s.b.fleet.byID[to].inFlight; got != 1 {
+	to := s.expect(s.arrive(1, "read"), Send)[0].Endpoint
+	s.expect(s.event(Event{Kind: ClientLeft, Request: 1}))
+	if got := s.b.endpoints.byID[to].inFlight; got != 1 {
 		t.Fatalf("in flight after the client left: %d, want 1", got)
 	}
-	s.want(s.finish(1, 0, ServerError))
-	if got := s.b.fleet.byID[to].inFlight; got != 0 || s.b.hold.out != 0 || len(s.b.held) != 0 {
-		t.Errorf("in flight %d, out %d, held %d after the late outcome, want none", got, s.b.hold.out, len(s.b.held))
+	s.expect(s.finish(1, 0, ServerError))
+	if got := s.b.endpoints.byID[to].inFlight; got != 0 || s.b.admission.inFlight != 0 || len(s.b.pending) != 0 {
+		t.Errorf("in flight %d, out %d, held %d after the late outcome, want none", got, s.b.admission.inFlight, len(s.b.pending))
 	}
 }
 
@@ -713,8 +713,8 @@
 	s := start(t, testSettings(), two()...)
 	s.arrive(1, "read")
 	s.event(Event{Kind: StreamBegan, Request: 1})
-	s.want(s.after(2 * time.Second).tick())
-	s.want(s.event(Event{Kind: Finished, Request: 1, Outcome: Reset, RequestDone: true}))
+	s.expect(s.after(2 * time.Second).tick())
+	s.expect(s.event(Event{Kind: Finished, Request: 1, Outcome: Reset, RequestDone: true}))
 }
 
 func TestTimersComeInOrder(t *testing.T) {
@@ -753,7 +753,7 @@
 		set.Peers, set.Number = 2, number
 		s := start(t, set, four()...)
 		for id := RequestID(1); id <= 20; id++ {
-			to := s.want(s.arrive(id, "read"), Send)[0].Endpoint
+			to := s.expect(s.arrive(id, "read"), Send)[0].Endpoint
 			if owner, taken := owners[to]; taken && owner != number {
 				t.Fatalf("idle endpoint %d was the first choice of both peers", to)
 			}
@@ -771,11 +771,11 @@
 	set.Zone, set.Prices.CrossZone = "a", 0.01
 	s := start(t, set, four()...)
 	for id := RequestID(1); id <= 2; id++ {
-		if to := s.want(s.arrive(id, "read"), Send)[0].Endpoint; to%2 == 0 {
+		if to := s.expect(s.arrive(id, "read"), Send)[0].Endpoint; to%2 == 0 {
 			t.Errorf("endpoint %d of another zone was sent a request while the own zone was idle", to)
 		}
 	}
-	if to := s.want(s.arrive(3, "read"), Send)[0].Endpoint; to%2 != 0 {
+	if to := s.expect(s.arrive(3, "read"), Send)[0].Endpoint; to%2 != 0 {
 		t.Errorf("endpoint %d of the own zone was sent a second request while others were idle", to)
 	}
 }
@@ -784,9 +784,9 @@
 func TestCrowdedEndpointIsPassedOver(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.b.now = s.now
-	s.b.fleet.byID[1].inFlight = 1000
-	s.b.fleet.byID[1].payoff, s.b.fleet.byID[2].payoff = 1, payoffFloor
-	if got := s.b.candidates(&request{class: s.b.classes["read"]}); len(got) != 1 || got[0].line.ID != 2 {
+	s.b.endpoints.byID[1].inFlight = 1000
+	s.b.endpoints.byID[1].payoff, s.b.endpoints.byID[2].payoff = 1, minPayoff
+	if got := s.b.candidates(&request{class: s.b.classes["read"]}); len(got) != 1 || got[0].listed.ID != 2 {
 		t.Errorf("candidates are %d endpoints, want only the one with room", len(got))
 	}
 }
@@ -796,10 +796,10 @@
 	set := testSettings()
 	set.Classes[0].LateShare = 0.25
 	s := start(t, set, two()...)
-	s.want(s.arrive(1, "read"), Send)
-	s.want(s.arrive(2, "read"), Send)                                                       // two of a kind: this is a first try's grace
-	s.want(s.event(Event{Kind: Arrived, Request: 3, Class: "read", Grace: 600 * ms}), Send) // 400 ms are gone
-	if got, want := s.b.held[3].value, 0.25*s.b.held[2].value; got != want {
+	s.expect(s.arrive(1, "read"), Send)
+	s.expect(s.arrive(2, "read"), Send)                                                       // two of a kind: this is a first try's grace
+	s.expect(s.event(Event{Kind: Arrived, Request: 3, Class: "read", Grace: 600 * ms}), Send) // 400 ms are gone
+	if got, want := s.b.pending[3].value, 0.25*s.b.pending[2].value; got != want {
 		t.Errorf("a late repeat is worth %v, want %v", got, want)
 	}
 }
@@ -816,14 +816,14 @@
 		return s.event(Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: repeat})
 	}
 	for id := RequestID(1); id <= 3; id++ {
-		s.want(try(id, 500*ms, false), Send)
+		s.expect(try(id, 500*ms, false), Send)
 	}
-	s.want(try(4, 980*ms, false), Send)
+	s.expect(try(4, 980*ms, false), Send)
 	for id := RequestID(5); id <= 14; id++ {
-		s.want(try(id, 980*ms, true), Send) // marked repeats have no vote
+		s.expect(try(id, 980*ms, true), Send) // marked repeats have no vote
 	}
-	s.want(try(15, 500*ms, false), Send)
-	s.want(try(16, 500*ms, true), Send) // a middle try: how late it is cannot be told
+	s.expect(try(15, 500*ms, false), Send)
+	s.expect(try(16, 500*ms, true), Send) // a middle try: how late it is cannot be told
 }
 
 // many are endpoints of one zone and one cell.
@@ -840,7 +840,7 @@
 	set := testSettings()
 	set.Peers = 40
 	s := start(t, set, many(20)...)
-	before := s.b.hold.each
+	before := s.b.admission.perEndpoint
 	for id := RequestID(1); id <= 20; id++ {
 		s.arrive(id, "read")
 		s.after(time.Second).event(Event{
@@ -851,7 +851,7 @@
 			Kind: Finished, Request: id + 1000, Outcome: Served, Latency: 180 * ms, RequestDone: true,
 		})
 	}
-	if got := s.b.hold.each; got > 0.7*before {
+	if got := s.b.admission.perEndpoint; got > 0.7*before {
 		t.Errorf("after twenty slow seconds the limit is at %v of its start", got/before)
 	}
 }
@@ -867,14 +867,14 @@
 		s := start(t, set, many(endpoints)...)
 		met := map[EndpointID]bool{}
 		for id := RequestID(1); id <= 10; id++ {
-			to := s.want(s.arrive(id, "read"), Send)[0].Endpoint
+			to := s.expect(s.arrive(id, "read"), Send)[0].Endpoint
 			s.finish(id, 0, Served)
 			s.after(time.Second)
 			uses[to]++
 			met[to] = true
 		}
-		if len(met) > leastPart {
-			t.Fatalf("peer %d met %d endpoints one request at a time, want %d at most", number, len(met), leastPart)
+		if len(met) > minPickWidth {
+			t.Fatalf("peer %d met %d endpoints one request at a time, want %d at most", number, len(met), minPickWidth)
 		}
 	}
 	for id := EndpointID(1); id <= endpoints; id++ {
@@ -893,18 +893,18 @@
 		s.after(100 * ms).event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 9, State: Gone}}})
 	}
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 8, State: Gone}}}) // never heard of
-	if f := &s.b.fleet; len(f.order) != 2 || len(f.byID) != 2 || len(f.ready) != 2 {
-		t.Errorf("%d known, %d by id, %d ready, want 2 of each", len(f.order), len(f.byID), len(f.ready))
+	if f := &s.b.endpoints; len(f.known) != 2 || len(f.byID) != 2 || len(f.ready) != 2 {
+		t.Errorf("%d known, %d by id, %d ready, want 2 of each", len(f.known), len(f.byID), len(f.ready))
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: many(5000)})
-	s.want(s.arrive(1, "read"), Send)
+	s.expect(s.arrive(1, "read"), Send)
 	s.event(Event{Kind: ListReplaced})
-	if f := &s.b.fleet; len(f.order)+len(f.byID)+len(f.ready) != 0 {
-		t.Errorf("an empty list leaves %d endpoints", len(f.order))
+	if f := &s.b.endpoints; len(f.known)+len(f.byID)+len(f.ready) != 0 {
+		t.Errorf("an empty list leaves %d endpoints", len(f.known))
 	}
-	s.want(s.arrive(2, "read"))
+	s.expect(s.arrive(2, "read"))
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
-	s.want(s.after(waitStep).tick())
+	s.expect(s.after(recheckInterval).tick())
 }
 
 // A timer that comes a moment early finds nothing due, and must be set again: a
@@ -943,7 +943,7 @@
 		id := RequestID(0)
 		try := func() (toCold int) {
 			id++
-			if s.want(s.arrive(id, "read"), Send)[0].Endpoint == coldID {
+			if s.expect(s.arrive(id, "read"), Send)[0].Endpoint == coldID {
 				toCold = 1
 			}
 			s.finish(id, 0, Served)
@@ -956,7 +956,7 @@
 		s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{
 			{ID: coldID, Zone: "here", Weight: 1, Started: s.now},
 		}})
-		s.b.fleet.byID[coldID].credit = float64(number) / peers // as other seeds would have it
+		s.b.endpoints.byID[coldID].credit = float64(number) / peers // as other seeds would have it
 		for range 5 * seconds {
 			sent += try()
 		}
@@ -976,60 +976,60 @@
 
 // A list that is empty for a while must not leave a small instance with a debt for
 // what was out meanwhile.
-func TestEmptyListLeavesNoDebt(t *testing.T) {
+func TestEmptyListLeavesTheLimitUnchanged(t *testing.T) {
 	set := testSettings()
 	set.Peers = 40
 	s := start(t, set, many(20)...)
-	s.want(s.arrive(1, "read"), Send)
+	s.expect(s.arrive(1, "read"), Send)
 	s.event(Event{Kind: ListReplaced})
 	s.after(100 * ms).tick()
 	s.event(Event{Kind: ListReplaced, Endpoints: many(20)})
-	s.want(s.arrive(2, "read"), Send)
+	s.expect(s.arrive(2, "read"), Send)
 }
 
 // Where only draining binds, lists that wrongly call endpoints gone must not take them away, and what is truly gone
 // must cost one failed attempt: a list that forgot half of the tier had halved it.
-func TestGoneServesOn(t *testing.T) {
+func TestGoneEndpointServesOnWhereGoneDoesNotBind(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 9
 	set.Rules.GoneMayServe = true
 	s := start(t, set, two()...)
 	s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]})
-	s.want(s.arrive(1, "read"), Send)
-	if got := s.want(s.arrive(2, "read"), Send); got[0].Endpoint != 1 {
+	s.expect(s.arrive(1, "read"), Send)
+	if got := s.expect(s.arrive(2, "read"), Send); got[0].Endpoint != 1 {
 		t.Errorf("while one that is listed has room, %+v went to one told gone", got[0])
 	}
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, State: Gone}}})
 	for id := RequestID(3); id < 40; id++ { // both are told gone, and serve on
-		s.want(s.after(10*ms).arrive(id, "read"), Send)
+		s.expect(s.after(10*ms).arrive(id, "read"), Send)
 		s.finish(id, 0, Served)
 	}
-	got := s.want(s.arrive(50, "read"), Send)
+	got := s.expect(s.arrive(50, "read"), Send)
 	s.finish(50, 0, ConnectFailed)
 	for id := RequestID(51); id < 70; id++ {
-		if to := s.want(s.arrive(id, "read"), Send)[0].Endpoint; to == got[0].Endpoint {
+		if to := s.expect(s.arrive(id, "read"), Send)[0].Endpoint; to == got[0].Endpoint {
 			t.Fatalf("sent to %d, which is gone and has failed", to)
 		}
 		s.finish(id, 0, Served)
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Draining}}})
 	s.event(Event{Kind: ListReplaced})
-	s.want(s.arrive(80, "read"))
+	s.expect(s.arrive(80, "read"))
 	aged := start(t, set, two()...) // only changes come, and none names it again
 	aged.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, State: Gone}}})
 	aged.after(absentTime).event(Event{Kind: ListChanged})
-	if len(aged.b.fleet.byID) != 1 {
-		t.Errorf("%d endpoints are kept, want the one that is listed", len(aged.b.fleet.byID))
+	if len(aged.b.endpoints.byID) != 1 {
+		t.Errorf("%d endpoints are kept, want the one that is listed", len(aged.b.endpoints.byID))
 	}
 	plain := start(t, testSettings(), two()...)
 	plain.event(Event{Kind: ListReplaced})
-	plain.want(plain.arrive(1, "read"))
+	plain.expect(plain.arrive(1, "read"))
 }
 
 // Where much of the time is the same for all, light requests looked slow for their work: a full tier that let them
 // pass first saw its answers as slowed down, lowered its limit, and let still lighter ones pass.
-func TestTimeThatDoesNotGrowWithWork(t *testing.T) {
-	var p pace
+func TestLatencyThatGrowsLittleWithWork(t *testing.T) {
+	var p latencyModel
 	took := func(work float64) time.Duration {
 		return 300*ms + time.Duration(work*float64(100*ms))
 	}
@@ -1038,21 +1038,21 @@
 		p.observe(Time(n)*50*ms, work, took(work), true)
 	}
 	for _, work := range []float64{0.1, 1, 3} {
-		if got, want := p.usual(work), took(work); got < want*7/10 || got > want*13/10 {
+		if got, want := p.expected(work), took(work); got < want*7/10 || got > want*13/10 {
 			t.Errorf("with work %.1f an attempt usually takes %v, told %v", work, want, got)
 		}
 	}
-	before := p.log
+	before := p.mean
 	for n := range 100 {
 		p.observe(Time(400+n)*50*ms, 0.1, took(0.1), true)
 	}
-	if p.log > before+math.Log(holdStretch)/2 {
-		t.Errorf("light requests alone slow the pace from %.2f to %.2f", before, p.log)
+	if p.mean > before+math.Log(maxSlowdown)/2 {
+		t.Errorf("light requests alone slow the pace from %.2f to %.2f", before, p.mean)
 	}
 }
 
 // Among requests of one class the one that will hardly be in time had its place by age, and took it from those that will.
-func TestHeldByExpectedWorth(t *testing.T) {
+func TestQueueIsOrderedByExpectedWorth(t *testing.T) {
 	set := testSettings()
 	set.HintsWork = true
 	s := start(t, set, two()[:1]...)
@@ -1061,7 +1061,7 @@
 	}
 	for id := RequestID(1); id <= 60; id++ {
 		s.after(400 * ms)
-		s.want(work(id, 20*ms), Send)
+		s.expect(work(id, 20*ms), Send)
 		s.event(Event{Kind: Finished, Request: id, Outcome: Served, Latency: 40 * ms, RequestDone: true})
 	}
 	out := RequestID(100)
@@ -1080,13 +1080,13 @@
 
 // A class that drags at every endpoint held every place for seconds while it was worth most, and earned nothing; what
 // would have been served in time waited behind it.
-func TestClassThatDragsHoldsNotAllPlaces(t *testing.T) {
+func TestSlowClassDoesNotHoldAllSlots(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Worth = 8
 	s := start(t, set, two()[:1]...)
 	for id := RequestID(1); id <= 60; id++ {
 		class := []string{"read", "fleet"}[id%2]
-		s.after(100*ms).want(s.arrive(id, class), Send)
+		s.after(100*ms).expect(s.arrive(id, class), Send)
 		s.finish(id, 0, Served)
 	}
 	order := func(first RequestID) (class string) {
@@ -1097,7 +1097,7 @@
 		s.arrive(out+1, "read")
 		for id := first; id < out; id++ {
 			if got := s.finish(id, 0, Served); class == "" && len(got) == 1 && got[0].Kind == Send {
-				class = s.b.held[got[0].Request].class.Name
+				class = s.b.pending[got[0].Request].class.Name
 			}
 		}
 		s.finish(out, 0, Served)
@@ -1108,7 +1108,7 @@
 		t.Errorf("%q goes first, want the class worth most", got)
 	}
 	for id := RequestID(200); id < 240; id++ {
-		s.after(20*ms).want(s.arrive(id, "read"), Send)
+		s.after(20*ms).expect(s.arrive(id, "read"), Send)
 		s.event(Event{Kind: Finished, Request: id, Outcome: Reset, Latency: 2 * time.Second, RequestDone: true})
 	}
 	if got := order(300); got != "fleet" {
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -6,127 +6,142 @@
 	"time"
 )
 
-// The concurrency limit: first attempts are held back at a number out that moves with latency, worthiest
-// first.
+// The concurrency limit on first attempts. It moves with the latency of attempts; requests above it are
+// queued by their expected worth.
 
 const (
-	holdStretch = 1.35            // answers may take this many times their usual least
-	holdLeast   = 2.0             // attempts for each ready endpoint and tier that are always allowed
-	holdStart   = 3.0             // the same that an instance starts with
-	holdMost    = 6.0             // the same that it may rise to: a long overload would creep into the choke
-	holdFewest  = 4               // attempts from which on a limit is kept at every moment
-	holdPace    = 0.06            // part by which the limit moves in a second
-	stretchGain = 0.03            // weight of the newest outcome in the smoothed stretch
-	stretchTime = 3 * time.Second // or over which it is smoothed, where outcomes are few
-	holdBinds   = 0.8             // part of the limit that must be out for a quick answer to raise it
-	holdUneven  = 1.25            // times its even part of the limit that one endpoint may have out
+	maxSlowdown        = 1.35 // above this ratio of latency to its baseline the limit falls
+	minPerEndpoint     = 2.0  // lowest attempts in flight for each ready endpoint and tier
+	initialPerEndpoint = 3.0  // the same at the start of an instance
+	// The highest the same may become: without a bound, a long overload would raise the limit slowly until
+	// endpoints collapse.
+	maxPerEndpoint     = 6.0
+	minLimit           = 4               // this many attempts are always allowed
+	limitStepPerSecond = 0.06            // part of the limit by which it moves in a second
+	slowdownGain       = 0.03            // weight of the newest outcome in the smoothed slowdown
+	slowdownTime       = 3 * time.Second // its time constant, where outcomes are few
+	bindingShare       = 0.8             // the limit rises only if at least this part of it is in flight
+	crowdedFactor      = 1.25            // one endpoint may have this many times its even part of the limit
 )
 
-// hold keeps first attempts back at a limit, against the jam that free ones make (docs/design.md).
-type hold struct {
-	out     int        // attempts without an outcome
-	queue   []*request // held back, worthiest first, then oldest
-	each    float64    // attempts that may be out for every ready endpoint
-	at      Time       // of the newest outcome
-	stretch float64    // smoothed logarithm of an attempt's time over its class's least
-	turned  float64    // smoothed part of the requests that found no place in time
-	boundAt Time       // when an endpoint that was asked last had no place
+// admission queues first attempts that exceed the limit. Unlimited first attempts would overload a full tier
+// so that it serves too late (docs/design.md).
+type admission struct {
+	inFlight     int        // attempts that count as in flight; see setCounted
+	queue        []*request // queued requests, highest value first, then oldest
+	perEndpoint  float64    // limit on attempts in flight for each ready endpoint
+	updatedAt    Time       // time of the newest outcome that counts
+	slowdown     float64    // smoothed logarithm of an attempt's latency over its class's baseline
+	unplaced     float64    // smoothed part of the requests that found no slot in time
+	slotDeniedAt Time       // when a load report last left no slot for its request
 }
 
-// limit is how many attempts may be out: by endpoints, whose capacity stays while something slows them all.
-func (b *Balancer) limit() float64 { return b.hold.each * b.measured().warm }
+// limit is how many attempts may be in flight. It follows the number of ready endpoints, not how fast they
+// serve, which may be slowed for all of them by the same cause.
+func (b *Balancer) limit() float64 { return b.admission.perEndpoint * b.refreshed().capacity }
 
-// hasRoom tells whether a held request may go: to an endpoint that has told of a place, or within the limit.
+// hasRoom reports whether a queued request may be sent: an endpoint has a slot where probes decide, else the
+// limit is not reached.
 func (b *Balancer) hasRoom(r *request) bool {
-	if b.scouting() {
+	if b.probesFirst() {
 		return len(b.candidates(r)) > 0
 	}
-	return float64(b.hold.out+1) <= max(b.limit(), holdFewest)
+	return float64(b.admission.inFlight+1) <= max(b.limit(), minLimit)
 }
 
-// binds tells whether the limit keeps requests back: then quick answers raise it. An empty list has no limit.
-func (b *Balancer) binds() bool {
-	if b.scouting() {
-		return b.now-b.hold.boundAt < stretchTime
+// limitBinds reports whether the limit keeps requests back; only then may quick answers raise it. Where
+// probes decide, it binds for slowdownTime after a load report that left no slot. With an empty list there is
+// no limit.
+func (b *Balancer) limitBinds() bool {
+	if b.probesFirst() {
+		return b.now-b.admission.slotDeniedAt < slowdownTime
 	}
-	return b.limit() > 0 && float64(b.hold.out) >= holdBinds*b.limit()
+	return b.limit() > 0 && float64(b.admission.inFlight) >= bindingShare*b.limit()
 }
 
-// tierShare is this instance's part of one attempt in each tier that works on it.
-func (b *Balancer) tierShare() float64 { return float64(b.set.Depth+1) / float64(b.set.Peers) }
+// tierShare is this instance's part of one attempt in flight in each tier that works on a request.
+func (b *Balancer) tierShare() float64 {
+	return float64(b.settings.Depth+1) / float64(b.settings.Peers)
+}
 
-// adjust moves the limit: up while it binds and attempts take little more than their least, else down.
-func (b *Balancer) adjust(r *request, e *Event) {
-	told := e.Outcome == Served || e.Outcome == TimedOut || e.Outcome == Canceled
-	if r.class.pace.seen == 0 || len(b.fleet.ready) == 0 || !told {
-		return // quick errors and refusals say nothing of how slow a full tier is
+// adjustLimit moves the limit after an outcome: down if attempts take more than maxSlowdown times their
+// baseline, else up if the limit binds.
+func (b *Balancer) adjustLimit(r *request, e *Event) {
+	informative := e.Outcome == Served || e.Outcome == TimedOut || e.Outcome == Canceled
+	if r.class.latency.count == 0 || len(b.endpoints.ready) == 0 || !informative {
+		return // quick errors and refusals don't show how slow a full tier is
 	}
-	h := &b.hold
-	gain := max(stretchGain, 1-decay(b.now-h.at, stretchTime))
-	h.stretch += gain * (r.class.pace.took(r.work, e.Latency) - r.class.pace.least - h.stretch)
-	step := h.each * holdPace * min(1, (b.now-h.at).Seconds())
-	h.at = b.now
+	adm := &b.admission
+	gain := max(slowdownGain, 1-decay(b.now-adm.updatedAt, slowdownTime))
+	adm.slowdown += gain *
+		(r.class.latency.normalized(r.work, e.Latency) - r.class.latency.baseline - adm.slowdown)
+	step := adm.perEndpoint * limitStepPerSecond * min(1, (b.now-adm.updatedAt).Seconds())
+	adm.updatedAt = b.now
 	switch {
-	case h.stretch > math.Log(holdStretch):
-		h.each -= step
-	case b.binds():
-		h.each += step
+	case adm.slowdown > math.Log(maxSlowdown):
+		adm.perEndpoint -= step
+	case b.limitBinds():
+		adm.perEndpoint += step
 	}
-	h.each = max(holdLeast*b.tierShare(), min(holdMost*b.tierShare(), h.each))
+	adm.perEndpoint = max(minPerEndpoint*b.tierShare(), min(maxPerEndpoint*b.tierShare(), adm.perEndpoint))
 }
 
-// crowded tells whether an endpoint has its part of the limit out, by payoff: slow ones must not fill it.
+// crowded reports whether an endpoint has its part of the limit in flight. Its part follows its payoff, so
+// that slow endpoints don't fill the limit.
 func (b *Balancer) crowded(e *endpoint) bool {
-	even := max(holdFewest, b.limit()) / max(1, b.fleet.warm) * b.capacity(e)
-	return float64(e.inFlight) >= max(1, holdUneven*even*b.payoff(e)/b.measured().mean)
+	even := max(minLimit, b.limit()) / max(1, b.endpoints.capacity) * b.capacity(e)
+	return float64(e.inFlight) >= max(1, crowdedFactor*even*b.payoff(e)/b.refreshed().meanPayoff)
 }
 
-// admit sends a request at once unless the tier is full, or endpoints are to be asked first.
+// admit sends a request at once, or queues it if the tier is full or endpoints are to be probed first.
 func (b *Balancer) admit(r *request) {
-	h := &b.hold
-	if !b.set.Front || !b.scouting() && len(h.queue) == 0 && b.hasRoom(r) {
+	adm := &b.admission
+	if !b.settings.Front || !b.probesFirst() && len(adm.queue) == 0 && b.hasRoom(r) {
 		b.dispatch(r)
 		return
 	}
-	at := len(h.queue)
-	for at > 0 && h.queue[at-1].value < r.value {
+	at := len(adm.queue)
+	for at > 0 && adm.queue[at-1].value < r.value {
 		at--
 	}
-	h.queue = slices.Insert(h.queue, at, r)
-	b.timers.set(max(b.now, b.latest(r)), timerRequest, r.id)
-	r.asked, r.awaited, r.askAt = 0, 0, b.now
-	b.sendHeld()
-	b.ask()
+	adm.queue = slices.Insert(adm.queue, at, r)
+	b.timers.set(max(b.now, b.giveUpAt(r)), timerRequest, r.id)
+	r.probed, r.probesPending, r.nextProbeAt = 0, 0, b.now
+	b.sendQueued()
+	b.probeForQueued()
 }
 
-// latest is when a held request is given up: hardly in time. Scouted, it waits on while late answers earn.
-func (b *Balancer) latest(r *request) Time {
-	usual := r.class.pace.usual(r.work)
-	at := r.aimAt - usual
-	if b.scouting() {
-		at -= askSlack * usual
+// giveUpAt returns when a queued request is given up: when it can hardly meet its aim any more. Where probes
+// decide, late answers earn something and few requests find no slot, the request stays queued, at a lower
+// value, until it can hardly meet its deadline.
+func (b *Balancer) giveUpAt(r *request) Time {
+	expected := r.class.latency.expected(r.work)
+	at := r.aimAt - expected
+	if b.probesFirst() {
+		at -= probeSlack * expected
 	}
-	if b.scouting() && !r.late && b.now >= at && r.class.LateShare > 0 && b.hold.turned < turnedMost {
+	if b.probesFirst() && !r.late && b.now >= at && r.class.LateShare > 0 &&
+		b.admission.unplaced < maxUnplaced {
 		r.late, r.value = true, r.value*r.class.LateShare
-		b.timers.set(max(b.now+waitStep, r.deadline-usual), timerRequest, r.id)
+		b.timers.set(max(b.now+recheckInterval, r.deadline-expected), timerRequest, r.id)
 	}
 	if r.late {
-		return max(at, r.deadline-usual)
+		return max(at, r.deadline-expected)
 	}
 	return at
 }
 
-// sendHeld sends the held requests that have room, worthiest first.
-func (b *Balancer) sendHeld() {
-	queue := b.hold.queue
-	b.hold.queue = nil // what is sent may bring a retry into it
+// sendQueued sends the queued requests that may go now, highest value first.
+func (b *Balancer) sendQueued() {
+	queue := b.admission.queue
+	b.admission.queue = nil // dispatch may add a retry to it
 	kept := queue[:0]
 	for _, r := range queue {
-		if !r.over && b.hasRoom(r) {
+		if !r.done && b.hasRoom(r) {
 			b.dispatch(r)
-		} else if !r.over {
+		} else if !r.done {
 			kept = append(kept, r)
 		}
 	}
-	b.hold.queue = append(kept, b.hold.queue...)
+	b.admission.queue = append(kept, b.admission.queue...)
 }
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -8,168 +8,176 @@
 	"time"
 )
 
-// The list of endpoints: what is told of them, and bans by hand.
+// The list of endpoints: what discovery reports of them, and bans by the operator.
 
-const absentTime = time.Minute // an endpoint told gone that no longer binds is kept so long
+const absentTime = time.Minute // where Gone does not bind, an endpoint reported gone is kept this long
 
-// fleet is what the instance knows of the tier it sends to.
-type fleet struct {
-	byID     map[EndpointID]*endpoint
-	banned   map[EndpointID]bool // by hand, listed or not
-	order    []*endpoint         // everything listed, in the order first heard of
-	ready    []*endpoint         // what new work may go to, in this instance's own order
-	mean     float64             // mean payoff of the ready endpoints that have had an outcome
-	warm     float64             // ready endpoints, cold ones by their present capacity
-	size     float64             // the same by their listed weight
-	meanAt   Time
-	served   float64 // served attempts, forgotten over rateTime
-	servedAt Time
-	alike    float64     // smoothed part of second opinions on errors that are errors as well
-	busy     float64     // smoothed utilization, as endpoints report it
-	near     int         // the first of the ready ones: the own zone, or all where crossing is free
-	heard    []*endpoint // those that have answered a probe just now
-	part     int         // how many the pick draws among while they are idle
-	unheard  Time        // what discovery has had since then may not have come; 0 while it has
-	told     Time        // when that counts as told
-	scratch  []*endpoint
+// endpointSet is what the instance knows of the tier that it sends to.
+type endpointSet struct {
+	byID   map[EndpointID]*endpoint
+	banned map[EndpointID]bool // by the operator, whether listed or not
+	// Every endpoint that is listed or still kept, in the order of first appearance.
+	known            []*endpoint
+	ready            []*endpoint // endpoints that new work may go to, in this instance's own order
+	meanPayoff       float64     // of the ready endpoints that have had an outcome
+	capacity         float64     // ready endpoints; a cold one counts with its present capacity
+	weightedCapacity float64     // the same, each multiplied by its listed weight
+	refreshedAt      Time        // when these three were computed
+	served           float64     // number of served attempts, decaying over rateTime
+	servedAt         Time
+	errorsAlike      float64     // smoothed part of the retries after an error that ended in an error too
+	utilization      float64     // smoothed utilization from load reports
+	nearCount        int         // ready endpoints of the own zone, which are first; all if crossing is free
+	reported         []*endpoint // endpoints with a recent load report
+	pickWidth        int         // how many idle endpoints pick draws from
+	missedSince      Time        // changes of the list since then may have been missed; 0 for none
+	deliveredBy      Time        // when those changes count as delivered
+	scratch          []*endpoint // reused by candidates and probeTarget
 }
 
-// endpoint is one process. A restarted one is new: what was learned of the old does not speak for it.
+// endpoint is one process. After a restart it is a new endpoint, because what was learned of the old process
+// does not apply to the new one.
 type endpoint struct {
-	remote   float64 // price of crossing to its zone
-	state    EndpointState
-	weight   float64
-	started  Time
-	line     Endpoint // as it was listed last; started is later after a ban
-	inFlight int
-	payoff   float64 // smoothed: 1 if served within the aim, less when slower, 0 on failure
-	touched  Time    // when it was last picked or drifted
-	cold     int     // -1 while it may be cold, else 0
-	known    bool    // it has had an outcome
-	passed   Time    // when the newest of the attempts that it has served was sent
-	evidence evidence
-	absent   Time    // when it was told gone, where that does not bind; 0 while it is listed
-	credit   float64 // sends that the cold budget allows now
-	creditAt Time
-	scout    *request // the request for which it is being asked
-	heard    Time     // when it last answered a probe
-	load     Load     // what it told then
-	since    int      // sent to it since then
+	zoneCost     float64 // price of crossing to its zone; 0 in the own zone
+	state        EndpointState
+	weight       float64
+	started      Time     // start of its process, or the end of its ban
+	listed       Endpoint // as it was listed last
+	inFlight     int
+	payoff       float64 // smoothed: 1 if served within the aim, less when slower, 0 on failure
+	payoffAt     Time    // when payoff was last changed
+	cold         int     // -1 while it may be cold, else 0
+	hasOutcome   bool    // an attempt or a probe of it has ended
+	servedSentAt Time    // when the newest attempt that it has served was sent
+	evidence     evidence
+	absentSince  Time    // when it was reported gone, where that does not bind; else 0
+	credit       float64 // sends that the cold start rule allows now
+	creditAt     Time
+	probedFor    *request // the request for which a probe of it is in flight
+	reportedAt   Time     // when its newest load report came
+	load         Load     // the newest load report
+	sentSince    int      // attempts sent to it after that report
 }
 
-func (b *Balancer) listCame(e *Event) {
-	b.listAnswered()
-	f := &b.fleet
-	if e.Kind == ListRestored && b.set.MustPoll { // from before the start: it may be old
-		b.listMissed(0, 0)
+// handleList takes over a change of the endpoint list, or a full list.
+func (b *Balancer) handleList(e *Event) {
+	b.markListConfirmed()
+	set := &b.endpoints
+	if e.Kind == ListRestored && b.settings.MustPoll { // it was stored before the start and may be old
+		b.markListMissed(0, 0)
 	}
-	if e.Kind != ListChanged { // what a whole list no longer names is gone
-		for _, known := range f.order {
-			b.leave(known)
+	if e.Kind != ListChanged { // what a full list does not name is gone
+		for _, known := range set.known {
+			b.markGone(known)
 		}
 	}
 	for i := range e.Endpoints {
-		b.update(&e.Endpoints[i], e.Endpoints[i].Started)
+		b.updateEndpoint(&e.Endpoints[i], e.Endpoints[i].Started)
 	}
-	b.takeStock()
+	b.refreshReady()
 }
 
-// leave books that one was told gone. Where only draining binds it serves on, last, until it fails.
-func (b *Balancer) leave(e *endpoint) {
-	if b.set.Rules.GoneMayServe && e.state == Active {
-		e.absent = cmp.Or(e.absent, b.now)
+// markGone records that an endpoint was reported gone. Where only draining binds, it goes on serving, after
+// all others, until an attempt at it fails.
+func (b *Balancer) markGone(e *endpoint) {
+	if b.settings.Rules.GoneMayServe && e.state == Active {
+		e.absentSince = cmp.Or(e.absentSince, b.now)
 		return
 	}
 	e.state = Gone
 }
 
-// ban has an endpoint count as draining, whatever lists tell, until it ends: then it has just been restarted.
-func (b *Balancer) ban(id EndpointID, on bool) {
-	f := &b.fleet
-	if f.banned[id] == on {
+// setBanned bans an endpoint, or ends its ban. While banned it counts as draining, whatever the list reports.
+// After the ban it counts as just restarted.
+func (b *Balancer) setBanned(id EndpointID, on bool) {
+	set := &b.endpoints
+	if set.banned[id] == on {
 		return
 	}
-	if f.banned[id] = true; !on {
-		delete(f.banned, id)
-		if e := f.byID[id]; e != nil {
-			line := e.line
-			e.line.Started = -1 // so that it is a new one
-			b.update(&line, b.now)
+	if set.banned[id] = true; !on {
+		delete(set.banned, id)
+		if e := set.byID[id]; e != nil {
+			line := e.listed
+			e.listed.Started = -1 // so that updateEndpoint takes it for a new process
+			b.updateEndpoint(&line, b.now)
 		}
 	}
-	b.takeStock()
+	b.refreshReady()
 }
 
-// takeStock looks anew at what new work may go to, and sends what has waited for it.
-func (b *Balancer) takeStock() {
-	b.sortOut()
-	b.sendWaiting()
+// refreshReady computes anew which endpoints new work may go to, and tries the waiting requests again.
+func (b *Balancer) refreshReady() {
+	b.rebuildReady()
+	b.recheckWaiting()
 }
 
-// sortOut forgets what is gone.
-func (b *Balancer) sortOut() {
-	f := &b.fleet
+// rebuildReady removes endpoints that are gone and computes the list of ready ones.
+func (b *Balancer) rebuildReady() {
+	set := &b.endpoints
 	gone := func(e *endpoint) bool {
-		return e.state == Gone || e.absent > 0 && b.now-e.absent >= absentTime
+		return e.state == Gone || e.absentSince > 0 && b.now-e.absentSince >= absentTime
 	}
-	maps.DeleteFunc(f.byID, func(_ EndpointID, e *endpoint) bool { return gone(e) })
-	f.order = slices.DeleteFunc(f.order, gone)
-	f.ready = slices.DeleteFunc(append(f.ready[:0], f.order...), func(e *endpoint) bool {
-		return e.state != Active || f.banned[e.line.ID]
+	maps.DeleteFunc(set.byID, func(_ EndpointID, e *endpoint) bool { return gone(e) })
+	set.known = slices.DeleteFunc(set.known, gone)
+	set.ready = slices.DeleteFunc(append(set.ready[:0], set.known...), func(e *endpoint) bool {
+		return e.state != Active || set.banned[e.listed.ID]
 	})
-	f.mean = 0
-	b.measured()
-	b.shareOut()
+	set.meanPayoff = 0
+	b.refreshed()
+	b.orderReady()
 }
 
-// shareOut puts the ready ones in the own order: zone, cold ones, ids; peers begin apart (docs/design.md).
-func (b *Balancer) shareOut() {
-	f := &b.fleet
-	slices.SortFunc(f.ready, func(a, e *endpoint) int {
-		near, cold := cmp.Compare(a.remote, e.remote), cmp.Compare(a.cold, e.cold)
-		return cmp.Or(near, cold, cmp.Compare(a.line.ID, e.line.ID))
+// orderReady sorts the ready endpoints into this instance's own order: by zone, cold ones first, then by id.
+// Each peer begins at another offset, so that peers that can't see each other collide less (docs/design.md).
+func (b *Balancer) orderReady() {
+	set := &b.endpoints
+	slices.SortFunc(set.ready, func(a, e *endpoint) int {
+		near, cold := cmp.Compare(a.zoneCost, e.zoneCost), cmp.Compare(a.cold, e.cold)
+		return cmp.Or(near, cold, cmp.Compare(a.listed.ID, e.listed.ID))
 	})
-	f.near = len(f.ready)
-	if at := slices.IndexFunc(f.ready, func(e *endpoint) bool { return e.remote > 0 }); at >= 0 {
-		f.near = at
+	set.nearCount = len(set.ready)
+	if at := slices.IndexFunc(set.ready, func(e *endpoint) bool { return e.zoneCost > 0 }); at >= 0 {
+		set.nearCount = at
 	}
-	_, place := math.Modf(float64(b.set.Number) * math.Phi)
-	for from, to := 0, 0; from < len(f.ready); from = to {
-		first := f.ready[from]
-		for to < len(f.ready) && f.ready[to].remote == first.remote && f.ready[to].cold == first.cold {
+	_, offset := math.Modf(float64(b.settings.Number) * math.Phi)
+	for from, to := 0, 0; from < len(set.ready); from = to {
+		first := set.ready[from]
+		for to < len(set.ready) && set.ready[to].zoneCost == first.zoneCost &&
+			set.ready[to].cold == first.cold {
 			to++
 		}
-		group, at := f.ready[from:to], int(place*float64(to-from))
+		group, at := set.ready[from:to], int(offset*float64(to-from))
 		copy(group, slices.Concat(group[at:], group[:at]))
 	}
-	f.part = max(leastPart, len(f.ready)/b.set.Peers)
+	set.pickWidth = max(minPickWidth, len(set.ready)/b.settings.Peers)
 }
 
-// update takes over one line of the list. A changed start time is a new process: nothing in flight, and cold.
-func (b *Balancer) update(line *Endpoint, started Time) {
-	e := b.fleet.byID[line.ID]
+// updateEndpoint takes over one line of the list. A changed start time means a new process, which is cold and
+// has nothing in flight.
+func (b *Balancer) updateEndpoint(line *Endpoint, started Time) {
+	e := b.endpoints.byID[line.ID]
 	if e != nil && line.State == Gone {
-		b.leave(e)
+		b.markGone(e)
 		return
 	}
-	if e != nil && e.line.Started != line.Started {
+	if e != nil && e.listed.Started != line.Started {
 		e.state = Gone
 		e = nil
 	}
 	if e == nil {
-		e = &endpoint{payoff: b.measured().mean, touched: b.now, started: started}
-		if started > 0 && b.now-started < b.set.Rules.ColdTime {
+		e = &endpoint{payoff: b.refreshed().meanPayoff, payoffAt: b.now, started: started}
+		if started > 0 && b.now-started < b.settings.Rules.ColdTime {
 			e.cold = -1
 		}
-		e.credit, e.creditAt = b.rng.Float64(), b.now // peers must not all send their first at once
-		b.fleet.byID[line.ID] = e
-		b.fleet.order = append(b.fleet.order, e)
+		e.credit, e.creditAt = b.rng.Float64(), b.now // peers must not all send at once
+		b.endpoints.byID[line.ID] = e
+		b.endpoints.known = append(b.endpoints.known, e)
 	}
-	e.line, e.state, e.weight, e.absent = *line, line.State, 1, 0
-	if line.Zone != b.set.Zone {
-		e.remote = b.set.Prices.CrossZone
+	e.listed, e.state, e.weight, e.absentSince = *line, line.State, 1, 0
+	if line.Zone != b.settings.Zone {
+		e.zoneCost = b.settings.Prices.CrossZone
 	}
-	if b.set.WeightKnown && line.Weight > 0 {
+	if b.settings.WeightKnown && line.Weight > 0 {
 		e.weight = line.Weight
 	}
 }
--- a/decide/payoff.go
+++ b/decide/payoff.go
@@ -5,102 +5,109 @@
 	"time"
 )
 
-// What is learned of endpoints from the outcomes of attempts.
+// What the balancer learns about endpoints from the outcomes of attempts. The payoff of an endpoint is a
+// smoothed score of its attempts.
 
 const (
-	payoffFloor = 0.05             // least payoff: one out of favour still wins a pick now and then
-	payoffGain  = 0.15             // weight of the newest outcome in the smoothed payoff
-	alikeGain   = 0.1              // weight of the newest second opinion on an error
-	secondLeast = 0.1              // part of the errors on which one is asked for, at least
-	driftTime   = 8 * time.Second  // an unpicked endpoint goes this slowly towards the others' mean
-	meanAgeEach = time.Millisecond // how old the mean payoff may be, for each endpoint
+	minPayoff          = 0.05             // lower bound, so that a bad endpoint is still picked now and then
+	payoffGain         = 0.15             // weight of the newest outcome in the smoothed payoff
+	errorsAlikeGain    = 0.1              // weight of the newest retry after an error in errorsAlike
+	minErrorRetries    = 0.1              // at least this part of the errors is retried
+	driftTime          = 8 * time.Second  // time constant of an idle endpoint's drift to the mean payoff
+	meanAgePerEndpoint = time.Millisecond // the sums may be this old for each ready endpoint
 )
 
-// payoff is the endpoint's payoff after its drift towards the others' mean.
+// payoff returns an endpoint's payoff. While the endpoint has nothing in flight, its payoff drifts towards
+// the mean of the ready endpoints; an endpoint without an outcome has the mean.
 func (b *Balancer) payoff(e *endpoint) float64 {
-	if idle := b.now - e.touched; !e.known {
-		e.payoff = b.measured().mean
+	if idle := b.now - e.payoffAt; !e.hasOutcome {
+		e.payoff = b.refreshed().meanPayoff
 	} else if idle > 0 && e.inFlight == 0 {
-		e.payoff += (b.measured().mean - e.payoff) * (1 - decay(idle, driftTime))
-		e.touched = b.now
+		e.payoff += (b.refreshed().meanPayoff - e.payoff) * (1 - decay(idle, driftTime))
+		e.payoffAt = b.now
 	}
-	return max(payoffFloor, e.payoff)
+	return max(minPayoff, e.payoff)
 }
 
-// measured brings the fleet's sums up to date, to meanAgeEach for each endpoint at least.
-func (b *Balancer) measured() *fleet {
-	f := &b.fleet
-	if f.mean > 0 && b.now-f.meanAt < time.Duration(len(f.ready))*meanAgeEach {
-		return f
+// refreshed returns the endpoint set with its sums brought up to date. They may be as old as
+// meanAgePerEndpoint for each ready endpoint, which bounds what recomputing costs.
+func (b *Balancer) refreshed() *endpointSet {
+	set := &b.endpoints
+	if set.meanPayoff > 0 && b.now-set.refreshedAt < time.Duration(len(set.ready))*meanAgePerEndpoint {
+		return set
 	}
-	f.mean, f.warm, f.size, f.meanAt = 1, 0, 0, b.now
+	set.meanPayoff, set.capacity, set.weightedCapacity, set.refreshedAt = 1, 0, 0, b.now
 	sum, known, warmed := 0.0, 0, false
-	for _, e := range f.ready {
+	for _, e := range set.ready {
 		if e.cold < 0 && b.capacity(e) >= 1 {
 			e.cold, warmed = 0, true
 		}
-		f.warm += b.capacity(e)
-		f.size += b.capacity(e) * e.weight
-		if e.known {
-			sum += max(payoffFloor, e.payoff)
+		set.capacity += b.capacity(e)
+		set.weightedCapacity += b.capacity(e) * e.weight
+		if e.hasOutcome {
+			sum += max(minPayoff, e.payoff)
 			known++
 		}
 	}
 	if known > 0 {
-		f.mean = sum / float64(known)
+		set.meanPayoff = sum / float64(known)
 	}
 	if warmed {
-		b.shareOut()
+		b.orderReady()
 	}
-	return f
+	return set
 }
 
-// learn books an outcome with the bucket and the endpoint.
+// learn updates the retry budget, the endpoint, the class and the limit with the outcome of an attempt.
 func (b *Balancer) learn(r *request, a *attempt, e *Event) {
 	if e.Outcome == NotSent {
 		return
 	}
-	a.to.evidence.fail(b.now, e.Outcome)
-	got := 0.0
+	a.to.evidence.recordFailure(b.now, e.Outcome)
+	score := 0.0
 	if e.Outcome == Served {
 		b.bucket.refill(b.now)
 		b.bucket.add(depositPerServed)
-		b.fleet.served, b.fleet.servedAt = b.fleet.served*decay(b.now-b.fleet.servedAt, rateTime)+1, b.now
-		a.to.passed = max(a.to.passed, a.sent)
-		a.to.evidence.answer(b.now)
-		r.class.pace.observe(b.now, r.work, e.Latency, b.binds())
-		if b.scouting() { // a place was free: what is left of the time is work
-			r.class.pace.joint, r.class.pace.spread = 0, 0
+		b.endpoints.served, b.endpoints.servedAt =
+			b.endpoints.served*decay(b.now-b.endpoints.servedAt, rateTime)+1, b.now
+		a.to.servedSentAt = max(a.to.servedSentAt, a.sentAt)
+		a.to.evidence.recordAnswer(b.now)
+		r.class.latency.observe(b.now, r.work, e.Latency, b.limitBinds())
+		if b.probesFirst() { // the endpoint had a free slot: the time is all work, without queueing
+			r.class.latency.covariance, r.class.latency.workVariance = 0, 0
 		}
 	}
-	if e.Outcome == Served || e.Outcome == Canceled { // called off: at least so slow
-		got = min(1, float64(yardstick(r))/float64(max(e.Latency, 1)))
+	if e.Outcome == Served || e.Outcome == Canceled { // a canceled attempt took at least this long
+		score = min(1, float64(fullPayoffLatency(r))/float64(max(e.Latency, 1)))
 	}
 	weight := payoffGain
 	switch {
 	case r.errors > 0 && e.Outcome == Served:
-		b.fleet.alike -= alikeGain * b.fleet.alike
+		b.endpoints.errorsAlike -= errorsAlikeGain * b.endpoints.errorsAlike
 	case r.errors > 0 && e.Outcome == ServerError:
-		b.fleet.alike, weight = b.fleet.alike+alikeGain*(1-b.fleet.alike), 0
+		b.endpoints.errorsAlike, weight =
+			b.endpoints.errorsAlike+errorsAlikeGain*(1-b.endpoints.errorsAlike), 0
 	}
-	if e.Outcome == ServerError { // it is the endpoint's as far as second opinions lately differ
-		weight, r.errors = weight*(1-b.fleet.alike), r.errors+1
+	if e.Outcome == ServerError { // its fault as far as retries lately succeed
+		weight, r.errors = weight*(1-b.endpoints.errorsAlike), r.errors+1
 	}
-	a.to.payoff += weight * (got - a.to.payoff)
-	if held := r.class.pace.took(r.work, e.Latency) - r.class.pace.least; a.ran && r.class.pace.seen > 0 {
-		for _, t := range r.tolls {
-			t.held, t.at = (1-payoffGain)*t.now(b.now)+payoffGain*held, b.now
+	a.to.payoff += weight * (score - a.to.payoff)
+	if excess := r.class.latency.normalized(r.work, e.Latency) -
+		r.class.latency.baseline; a.mayHaveRun && r.class.latency.count > 0 {
+		for _, t := range r.excess {
+			t.log, t.updatedAt = (1-payoffGain)*t.current(b.now)+payoffGain*excess, b.now
 		}
 	}
-	a.to.touched, a.to.known = b.now, true
-	if a.to.absent > 0 && (e.Outcome == ConnectFailed || e.Outcome == TimedOut || e.Outcome == Reset) {
+	a.to.payoffAt, a.to.hasOutcome = b.now, true
+	if a.to.absentSince > 0 && (e.Outcome == ConnectFailed || e.Outcome == TimedOut || e.Outcome == Reset) {
 		a.to.state = Gone
-		b.sortOut()
+		b.rebuildReady()
 	}
-	b.adjust(r, e)
+	b.adjustLimit(r, e)
 }
 
-// yardstick earns the full payoff: the aim, or what served attempts take if less, as calls of lower tiers do.
-func yardstick(r *request) time.Duration {
-	return min(r.class.Aim, cmp.Or(r.class.pace.usual(r.work), r.class.Aim))
+// fullPayoffLatency is the longest latency that earns a full payoff: the aim, or the expected latency if it
+// is less, as it is for calls of lower tiers.
+func fullPayoffLatency(r *request) time.Duration {
+	return min(r.class.Aim, cmp.Or(r.class.latency.expected(r.work), r.class.Aim))
 }
--- a/decide/asking_test.go
+++ b/decide/polling_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pauses are the shortest and the longest ones of so many instances before their next call for the list, behind events of which the last sets it.
-func pauses(t *testing.T, peers int, events ...Event) (least, most time.Duration) {
+// pollDelays are the shortest and the longest ones of so many instances before their next call for the list, behind events of which the last sets it.
+func pollDelays(t *testing.T, peers int, events ...Event) (least, most time.Duration) {
 	t.Helper()
 	const seeds = 400
 	set := testSettings()
@@ -33,11 +33,11 @@
 }
 
 // Guards against a start of a large fleet that overruns its discovery, and against a list that is asked for too late to bind.
-func TestFirstCallsAreSpreadByTheFleet(t *testing.T) {
+func TestFirstPollsAreSpreadByNumberOfPeers(t *testing.T) {
 	for peers, want := range map[int]time.Duration{
-		1: firstAskSpread, 25: firstAskSpread, 50: 50 * askEach, 900: firstAskMost,
+		1: firstPollSpread, 25: firstPollSpread, 50: 50 * pollSpreadPerPeer, 900: maxFirstPollSpread,
 	} {
-		if _, most := pauses(t, peers, Event{Kind: Start}); most > want || most < want*9/10 {
+		if _, most := pollDelays(t, peers, Event{Kind: Start}); most > want || most < want*9/10 {
 			t.Errorf("%d instances: first calls within %v, want %v", peers, most, want)
 		}
 	}
@@ -45,7 +45,7 @@
 
 // Guards against a large fleet that keeps its discovery overrun (report 4547c5), and against a small one that hears late of a
 // discovery that is back: only a call that discovery refused is made again later, and only where peers are many.
-func TestRefusedCallsComeAgainByTheFleet(t *testing.T) {
+func TestRefusedPollsAreRetriedByNumberOfPeers(t *testing.T) {
 	refused := Event{Kind: ListFailed, Grace: 1400 * ms, Refused: true}
 	for _, c := range []struct {
 		peers       int
@@ -56,10 +56,10 @@
 		{62, refused, 700 * ms, 1400 * ms},
 		{376, Event{Kind: ListFailed, Grace: 1400 * ms}, 700 * ms, 1400 * ms},
 		{100, refused, time.Second, 4 * time.Second},
-		{376, refused, 376 * askEach / refusedPart, 376 * askEach},
-		{900, refused, refusedMost / refusedPart, refusedMost},
+		{376, refused, 376 * pollSpreadPerPeer / refusedDelayRatio, 376 * pollSpreadPerPeer},
+		{900, refused, maxRefusedDelay / refusedDelayRatio, maxRefusedDelay},
 	} {
-		least, most := pauses(t, c.peers, c.event)
+		least, most := pollDelays(t, c.peers, c.event)
 		if least < c.least || most > c.most || least > c.least*11/10 || most < c.most*9/10 {
 			t.Errorf("%d instances, refused %v: the next calls come after %v to %v, want %v to %v", c.peers, c.event.Refused, least, most, c.least, c.most)
 		}
--- a/decide/probing.go
+++ b/decide/probing.go
@@ -6,118 +6,129 @@
 	"time"
 )
 
-// Admission where endpoints tell their load to probes: they are asked before a request goes.
+// Admission where endpoints report their load in answers to probes: endpoints are probed before a request is
+// sent.
 
 const (
-	scoutsEach = 2                     // endpoints that are asked for a request at a time: the pick's two
-	flatPlaces = 0.5                   // part of the places that any worth may take
-	fullBusy   = 0.95                  // utilization from which on there are none of them
-	busySpan   = 0.2                   // so far below it they are all there
-	busyGain   = 0.05                  // weight of the newest in it, and in the part that finds no place
-	drawTries  = 12                    // draws for them: a walk of hundreds a request costs too much
-	scoutsMost = 8                     // endpoints that are asked for a request in all
-	dearProbe  = 0.005                 // price of a probe a request from which on they are asked one by one
-	askSlack   = 1                     // usual times more that a request is given: asking takes time
-	turnedMost = 0.1                   // part of them from which on nothing waits to be late
-	scoutStep  = 25 * time.Millisecond // when a request without a place asks again
-	freshTime  = 15 * time.Millisecond // how long an answer speaks for its endpoint
+	probesAtOnce    = 2                     // endpoints probed for a request at a time
+	flatSlotShare   = 0.5                   // part of the slots that requests of any worth may take
+	fullUtilization = 0.95                  // from this utilization on, that part is 0
+	utilizationSpan = 0.2                   // this far below it, that part is flatSlotShare in full
+	smoothingGain   = 0.05                  // weight of the newest value in utilization and unplaced
+	maxDraws        = 12                    // random draws of endpoints to probe: a full walk is too slow
+	maxProbes       = 8                     // endpoints probed for a request in all
+	costlyProbe     = 0.005                 // from this price of a probe on, they are sent one by one
+	probeSlack      = 1                     // expected latencies set aside for probing before the aim
+	maxUnplaced     = 0.1                   // above this part without a slot none waits past its aim
+	probeInterval   = 25 * time.Millisecond // how often endpoints are probed for a request without a slot
+	freshTime       = 15 * time.Millisecond // how long a load report is valid
 )
 
-// scouting tells whether the hold goes by what endpoints say: even parts say nothing where few carry most.
-func (b *Balancer) scouting() bool {
-	return b.set.Front && b.set.Entry == PerCaller && b.set.Limits.Probing && b.set.Report.Mode != ReportNever
+// probesFirst reports whether probes decide on admission, instead of this instance's share of the limit.
+// Where callers have an instance each, a few instances carry most of the traffic, and an even share of the
+// limit would not fit them.
+func (b *Balancer) probesFirst() bool {
+	return b.settings.Front && b.settings.Entry == PerCaller && b.settings.Limits.Probing &&
+		b.settings.Report.Mode != ReportNever
 }
 
-// ask asks endpoints for the held requests that have nowhere to go: two at a time, or one where that is dear.
-func (b *Balancer) ask() {
-	count := scoutsEach
-	if b.set.Prices.Probe >= dearProbe {
+// probeForQueued sends probes for the queued requests: two at a time, or one where probes are costly.
+func (b *Balancer) probeForQueued() {
+	count := probesAtOnce
+	if b.settings.Prices.Probe >= costlyProbe {
 		count = 1
 	}
 	next := Time(math.MaxInt64)
-	for _, r := range b.hold.queue {
-		if !b.scouting() || r.over || r.asked >= scoutsMost {
+	for _, r := range b.admission.queue {
+		if !b.probesFirst() || r.done || r.probed >= maxProbes {
 			continue
 		}
-		for i := 0; i < count && b.now >= r.askAt; i++ {
-			if e := b.toAsk(r); e != nil {
-				e.scout, r.asked, r.awaited = r, r.asked+1, r.awaited+1
-				b.act(Action{Kind: Probe, Endpoint: e.line.ID})
+		for i := 0; i < count && b.now >= r.nextProbeAt; i++ {
+			if e := b.probeTarget(r); e != nil {
+				e.probedFor, r.probed, r.probesPending = r, r.probed+1, r.probesPending+1
+				b.emit(Action{Kind: Probe, Endpoint: e.listed.ID})
 			}
 		}
-		if b.now >= r.askAt {
-			r.askAt = b.now + scoutStep
+		if b.now >= r.nextProbeAt {
+			r.nextProbeAt = b.now + probeInterval
 		}
-		next = min(next, r.askAt)
+		next = min(next, r.nextProbeAt)
 	}
-	if next < math.MaxInt64 { // one wake for all: each brings the next
-		b.wake(max(0, next-b.now-waitStep))
+	if next < math.MaxInt64 { // one timer for all requests: it sets the next one
+		b.scheduleRecheck(max(0, next-b.now-recheckInterval))
 	}
 }
 
-// toAsk draws two endpoints that may be asked for a request, of the own zone at first; the better one wins.
-func (b *Balancer) toAsk(r *request) *endpoint {
-	f, n := &b.fleet, len(b.fleet.ready)
-	if r.asked < scoutsEach && f.near > 0 {
-		n = f.near
+// probeTarget returns an endpoint to probe for a request, or nil: the better of two drawn at random. The
+// first probes go to the instance's own zone.
+func (b *Balancer) probeTarget(r *request) *endpoint {
+	set, n := &b.endpoints, len(b.endpoints.ready)
+	if r.probed < probesAtOnce && set.nearCount > 0 {
+		n = set.nearCount
 	}
-	drawn := f.scratch[:0]
-	for try := 0; try < drawTries && n > 0 && len(drawn) < scoutsEach; try++ {
-		e := f.ready[b.rng.IntN(n)]
-		again := n > len(r.attempts) && r.tried(e)
-		if e.scout == nil && !b.fresh(e) && !again && b.mayTake(r, e) && b.hasColdCredit(e) {
+	drawn := set.scratch[:0]
+	for try := 0; try < maxDraws && n > 0 && len(drawn) < probesAtOnce; try++ {
+		e := set.ready[b.rng.IntN(n)]
+		repeated := n > len(r.attempts) && r.tried(e)
+		if e.probedFor == nil && !b.fresh(e) && !repeated && b.mayTake(r, e) && b.hasColdCredit(e) {
 			drawn = append(drawn, e)
 		}
 	}
-	return b.draw(drawn)
+	return b.pickOfTwo(drawn)
 }
 
-// scoutBack takes what an endpoint has answered, or that it has not.
-func (b *Balancer) scoutBack(e *Event) {
-	to := b.fleet.byID[e.Endpoint]
-	if to == nil || to.scout == nil {
+// handleProbeResult records an endpoint's load report, or that its probe failed, and sends the queued
+// requests that have a slot now.
+func (b *Balancer) handleProbeResult(e *Event) {
+	to := b.endpoints.byID[e.Endpoint]
+	if to == nil || to.probedFor == nil {
 		return
 	}
-	r := to.scout
-	to.scout, r.awaited = nil, r.awaited-1
+	r := to.probedFor
+	to.probedFor, r.probesPending = nil, r.probesPending-1
 	if e.Outcome == Served {
-		b.fleet.heard = append(slices.DeleteFunc(b.fleet.heard, func(e *endpoint) bool {
+		b.endpoints.reported = append(slices.DeleteFunc(b.endpoints.reported, func(e *endpoint) bool {
 			return e == to || !b.fresh(e)
 		}), to)
-		to.heard, to.load, to.since = b.now, e.Load, 0
-		b.fleet.busy += busyGain * (max(0, min(1, e.Load.Utilization)) - b.fleet.busy)
-		if !b.hasPlace(r, to) {
-			b.hold.boundAt = b.now
+		to.reportedAt, to.load, to.sentSince = b.now, e.Load, 0
+		b.endpoints.utilization +=
+			smoothingGain * (max(0, min(1, e.Load.Utilization)) - b.endpoints.utilization)
+		if !b.hasSlot(r, to) {
+			b.admission.slotDeniedAt = b.now
 		}
-	} else if e.Outcome != Rejected { // turned away: others wait there too
-		to.payoff, to.touched, to.known = (1-payoffGain)*b.payoff(to), b.now, true
+	} else if e.Outcome != Rejected { // a rejected probe shows only that others wait there
+		to.payoff, to.payoffAt, to.hasOutcome = (1-payoffGain)*b.payoff(to), b.now, true
 	}
-	if r.awaited > 0 && b.set.Report.Mode == ReportWithProbes { // to be compared with the others' answers
-		b.timers.set(b.now+b.set.Tick, timerWaiting, 0)
+	if r.probesPending > 0 && b.settings.Report.Mode == ReportWithProbes {
+		b.timers.set(b.now+b.settings.Tick, timerWaiting, 0) // wait for the other answers, to compare them
 		return
 	}
-	b.sendHeld()
-	if r.awaited <= 0 {
-		b.ask()
+	b.sendQueued()
+	if r.probesPending <= 0 {
+		b.probeForQueued()
 	}
 }
 
-// fresh tells whether the endpoint has been heard of just now.
-func (b *Balancer) fresh(e *endpoint) bool { return e.heard > 0 && b.now-e.heard <= freshTime }
+// fresh reports whether the endpoint's load report is recent enough to use.
+func (b *Balancer) fresh(e *endpoint) bool {
+	return e.reportedAt > 0 && b.now-e.reportedAt <= freshTime
+}
 
-// hasPlace tells whether what an endpoint has just told leaves a place for a request.
-func (b *Balancer) hasPlace(r *request, e *endpoint) bool {
-	if !b.fresh(e) || e.state != Active || b.fleet.banned[e.line.ID] {
+// hasSlot reports whether the endpoint's load report leaves a slot for a request.
+func (b *Balancer) hasSlot(r *request, e *endpoint) bool {
+	if !b.fresh(e) || e.state != Active || b.endpoints.banned[e.listed.ID] {
 		return false
 	}
-	if e.load.Outstanding < 0 { // it has answered: nothing waits there
-		return e.since == 0
+	if e.load.Outstanding < 0 { // not reported; that it answered shows that nothing waits there
+		return e.sentSince == 0
 	}
-	return e.load.Outstanding+float64(e.since) < b.hold.each*float64(b.set.Peers)*b.placeShare(r)
+	return e.load.Outstanding+float64(e.sentSince) <
+		b.admission.perEndpoint*float64(b.settings.Peers)*b.slotShare(r)
 }
 
-// placeShare is the part of an endpoint's places that a request may take: low worth leaves more when busy.
-func (b *Balancer) placeShare(r *request) float64 {
-	flat := flatPlaces * max(0, min(1, (fullBusy-b.fleet.busy)/busySpan))
-	return flat + (1-flat)*r.value/b.mostWorth
+// slotShare returns the part of an endpoint's slots that a request may take. The busier endpoints are, the
+// more slots requests of low worth leave to those of high worth.
+func (b *Balancer) slotShare(r *request) float64 {
+	flat := flatSlotShare * max(0, min(1, (fullUtilization-b.endpoints.utilization)/utilizationSpan))
+	return flat + (1-flat)*r.value/b.maxWorth
 }
--- a/decide/scout_test.go
+++ b/decide/probing_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// scoutSettings are those of endpoints that tell their load to probes.
-func scoutSettings() Settings {
+// probingSettings are those of endpoints that tell their load to probes.
+func probingSettings() Settings {
 	set := testSettings()
 	set.Entry, set.Limits.Probing = PerCaller, true
 	set.Report = Report{Mode: ReportWithProbes, Fields: []LoadField{Outstanding, Utilization}}
 	return set
 }
 
-// told answers a probe.
-func (s *script) told(id EndpointID, outstanding, utilization float64) []Action {
+// reportLoad answers a probe.
+func (s *script) reportLoad(id EndpointID, outstanding, utilization float64) []Action {
 	s.t.Helper()
 	return s.event(Event{
 		Kind: ProbeFinished, Endpoint: id, Outcome: Served, Latency: ms,
@@ -23,58 +23,58 @@
 }
 
 // A few instances carry most of the traffic: an even part of the limit refused a fifth of a quiet day.
-func TestScoutingHasNoEvenPart(t *testing.T) {
-	set := scoutSettings()
+func TestProbingIsNotLimitedToAnEvenShare(t *testing.T) {
+	set := probingSettings()
 	set.Peers = 700
 	s := start(t, set, two()...)
-	s.want(s.arrive(1, "read"), Probe, Probe)
-	s.want(s.told(1, 0, 0.1))
-	s.want(s.told(2, 0, 0.1), Send)
+	s.expect(s.arrive(1, "read"), Probe, Probe)
+	s.expect(s.reportLoad(1, 0, 0.1))
+	s.expect(s.reportLoad(2, 0, 0.1), Send)
 	for id := RequestID(2); id < 12; id++ { // far over 3 attempts an endpoint over 700 peers
 		s.after(20 * ms)
 		for _, a := range s.arrive(id, "read") {
 			if a.Kind != Probe {
 				t.Fatalf("request %d: %+v, want probes first", id, a)
 			}
-			for _, b := range s.told(a.Endpoint, 0, 0.1) {
+			for _, b := range s.reportLoad(a.Endpoint, 0, 0.1) {
 				if b.Kind != Send {
 					t.Fatalf("request %d: %+v, want it sent", id, b)
 				}
 			}
 		}
 		s.after(5 * ms).tick()
-		if got := s.b.held[id]; got == nil || got.out != 1 {
+		if got := s.b.pending[id]; got == nil || got.unsettled != 1 {
 			t.Fatalf("request %d is not out though endpoints stand idle", id)
 		}
 	}
 }
 
 // Of two that have answered, the one with less in hand is taken, whatever this instance has out itself.
-func TestScoutingTakesTheLessBusy(t *testing.T) {
+func TestProbingPicksTheLessBusyEndpoint(t *testing.T) {
 	for busy := EndpointID(1); busy <= 2; busy++ {
-		s := start(t, scoutSettings(), two()...)
-		s.want(s.arrive(1, "read"), Probe, Probe)
-		s.want(s.told(busy, 2, 0.5))
-		if got := s.want(s.told(3-busy, 0, 0.1), Send)[0]; got.Endpoint != 3-busy {
+		s := start(t, probingSettings(), two()...)
+		s.expect(s.arrive(1, "read"), Probe, Probe)
+		s.expect(s.reportLoad(busy, 2, 0.5))
+		if got := s.expect(s.reportLoad(3-busy, 0, 0.1), Send)[0]; got.Endpoint != 3-busy {
 			t.Errorf("sent to %d, which told of two in hand, not to the idle %d", got.Endpoint, 3-busy)
 		}
 	}
 }
 
 // What no endpoint has a place for is held, and given up at once when it can hardly be in time: never later.
-func TestScoutingGivesUpWhenItIsTooLate(t *testing.T) {
-	set := scoutSettings()
+func TestProbingRefusesOnceTheAimCannotBeMet(t *testing.T) {
+	set := probingSettings()
 	set.Classes[0].LateShare = 0
 	s := start(t, set, two()...)
-	s.want(s.arrive(1, "read"), Probe, Probe)
-	s.told(1, 50, 1)
-	s.told(2, 50, 1)
-	for s.now < time.Hour+200*ms-s.b.set.Tick {
+	s.expect(s.arrive(1, "read"), Probe, Probe)
+	s.reportLoad(1, 50, 1)
+	s.reportLoad(2, 50, 1)
+	for s.now < time.Hour+200*ms-s.b.settings.Tick {
 		s.after(5 * ms)
 		for _, a := range s.tick() {
 			switch a.Kind {
 			case Probe:
-				s.told(a.Endpoint, 50, 1)
+				s.reportLoad(a.Endpoint, 50, 1)
 			case Refuse:
 				t.Fatalf("refused %v after it came: the aim has not passed", s.now-time.Hour)
 			default:
@@ -82,55 +82,55 @@
 			}
 		}
 	}
-	s.want(s.after(5*ms).tick(), Refuse)
+	s.expect(s.after(5*ms).tick(), Refuse)
 }
 
 // The busier endpoints report to be, the more places low worth leaves to high worth.
-func TestScoutingKeepsPlacesForWorth(t *testing.T) {
-	set := scoutSettings()
+func TestBusyEndpointsKeepSlotsForHigherWorth(t *testing.T) {
+	set := probingSettings()
 	set.Peers = 1
 	s := start(t, set, two()...)
-	full := s.b.hold.each // places at the start
+	full := s.b.admission.perEndpoint // places at the start
 	scan, read := &request{class: s.b.classes["scan"], value: 1}, &request{class: s.b.classes["read"], value: 2}
-	e := s.b.fleet.byID[1]
-	e.heard, e.load = s.now, Load{Outstanding: 0.6 * full, Utilization: 1}
+	e := s.b.endpoints.byID[1]
+	e.reportedAt, e.load = s.now, Load{Outstanding: 0.6 * full, Utilization: 1}
 	s.b.now = s.now
-	s.b.fleet.busy = 0.5
-	if !s.b.hasPlace(scan, e) || !s.b.hasPlace(read, e) {
+	s.b.endpoints.utilization = 0.5
+	if !s.b.hasSlot(scan, e) || !s.b.hasSlot(read, e) {
 		t.Error("endpoints are half idle, and a place is denied")
 	}
-	s.b.fleet.busy = 1
-	if s.b.hasPlace(scan, e) || !s.b.hasPlace(read, e) {
+	s.b.endpoints.utilization = 1
+	if s.b.hasSlot(scan, e) || !s.b.hasSlot(read, e) {
 		t.Error("endpoints are full: the place is for the higher worth alone")
 	}
 	e.state = Draining
-	if s.b.hasPlace(read, e) {
+	if s.b.hasSlot(read, e) {
 		t.Error("a draining endpoint has a place")
 	}
 }
 
 // Where a probe costs a point, one endpoint is asked at a time, and the first answer takes the request.
-func TestDearProbesGoOneByOne(t *testing.T) {
-	set := scoutSettings()
+func TestCostlyProbesGoOneByOne(t *testing.T) {
+	set := probingSettings()
 	set.Prices.Probe, set.Report = 0.01, Report{Mode: ReportWithAnswers, Fields: []LoadField{Utilization}}
 	s := start(t, set, two()...)
-	first := s.want(s.arrive(1, "read"), Probe)[0].Endpoint
-	second := s.want(s.after(30*ms).tick(), Probe)[0].Endpoint
+	first := s.expect(s.arrive(1, "read"), Probe)[0].Endpoint
+	second := s.expect(s.after(30*ms).tick(), Probe)[0].Endpoint
 	if first == second {
 		t.Fatalf("endpoint %d is asked twice", first)
 	}
-	if got := s.want(s.told(second, -1, 0.9), Send)[0]; got.Endpoint != second {
+	if got := s.expect(s.reportLoad(second, -1, 0.9), Send)[0]; got.Endpoint != second {
 		t.Errorf("sent to %d, not to %d which has answered", got.Endpoint, second)
 	}
-	s.want(s.arrive(2, "read"))
-	if got := s.want(s.told(first, -1, 0.9), Send)[0]; got.Request != 2 || got.Endpoint != first {
+	s.expect(s.arrive(2, "read"))
+	if got := s.expect(s.reportLoad(first, -1, 0.9), Send)[0]; got.Request != 2 || got.Endpoint != first {
 		t.Errorf("%+v, want the answer of %d used for the next request", got, first)
 	}
 }
 
 // A wake for every held request brought ever more wakes: a second of events for each of them.
-func TestManyHeldRequestsNeedFewWakes(t *testing.T) {
-	s := start(t, scoutSettings(), two()...)
+func TestManyQueuedRequestsNeedFewTimers(t *testing.T) {
+	s := start(t, probingSettings(), two()...)
 	for id := RequestID(1); id <= 50; id++ {
 		s.after(ms).arrive(id, "read")
 	}
@@ -150,15 +150,15 @@
 
 // A request too heavy for its aim earns something late: on a quiet day it is the dearest that can be refused.
 func TestRequestTooHeavyForItsAimIsNotRefused(t *testing.T) {
-	set := scoutSettings()
+	set := probingSettings()
 	set.HintsWork = true
 	s := start(t, set, two()...)
-	s.b.classes["read"].pace = pace{log: 0, least: 0, seen: paceCount} // a second for a second's work
+	s.b.classes["read"].latency = latencyModel{mean: 0, baseline: 0, count: meanCount} // a second for a second's work
 	heavy := s.event(Event{Kind: Arrived, Request: 1, Class: "read", Work: 300 * ms, Grace: time.Second})
-	s.want(heavy, Probe, Probe)
-	s.told(1, 0, 0.1)
-	s.want(s.told(2, 0, 0.1), Send)
-	s.b.hold.turned = 0.5 // many find no place: it would take one from what can be in time
+	s.expect(heavy, Probe, Probe)
+	s.reportLoad(1, 0, 0.1)
+	s.expect(s.reportLoad(2, 0, 0.1), Send)
+	s.b.admission.unplaced = 0.5 // many find no place: it would take one from what can be in time
 	s.after(50 * ms)
 	heavy = s.event(Event{Kind: Arrived, Request: 2, Class: "read", Work: 300 * ms, Grace: time.Second})
 	if n := len(heavy); n == 0 || heavy[n-1].Kind != Refuse {
@@ -167,7 +167,7 @@
 }
 
 // The floor of hundreds of buckets was twelve times the tenth.
-func TestFloorIsAPartOfTheTiers(t *testing.T) {
+func TestRefillFloorIsSharedByPeers(t *testing.T) {
 	set := testSettings()
 	set.Entry, set.Peers = PerCaller, 700
 	b, err := New(set, 1)
@@ -187,34 +187,34 @@
 }
 
 // A copy that waits for a place was asked for again at each look, and all of them went: attempts past the limit.
-func TestCopyThatWaitsForAPlaceIsNotAskedForTwice(t *testing.T) {
-	set := scoutSettings()
+func TestHedgeThatWaitsForASlotIsNotFundedTwice(t *testing.T) {
+	set := probingSettings()
 	set.Limits.Hedging, set.Limits.MaxAttempts = true, 2
 	s := start(t, set, two()...)
-	s.want(s.arrive(1, "read"), Probe, Probe)
-	s.told(1, 0, 0.1)
-	s.want(s.told(2, 0, 0.1), Send)
-	r := s.b.held[1]
+	s.expect(s.arrive(1, "read"), Probe, Probe)
+	s.reportLoad(1, 0, 0.1)
+	s.expect(s.reportLoad(2, 0, 0.1), Send)
+	r := s.b.pending[1]
 	s.now += 100 * ms
 	s.b.now = s.now
 	s.b.retry(r) // the copy: paid for, and held until an endpoint has a place
 	tokens := s.b.bucket.tokens
 	s.b.retry(r)
-	if n := len(s.b.hold.queue); n != 1 || s.b.bucket.tokens != tokens || r.over {
-		t.Errorf("held %d times, %v tokens of %v, over: %v", n, s.b.bucket.tokens, tokens, r.over)
+	if n := len(s.b.admission.queue); n != 1 || s.b.bucket.tokens != tokens || r.done {
+		t.Errorf("held %d times, %v tokens of %v, over: %v", n, s.b.bucket.tokens, tokens, r.done)
 	}
 	s.now += time.Second
 	s.event(Event{Kind: Finished, Request: 1, Outcome: TimedOut, Latency: time.Second})
-	if !r.over {
+	if !r.done {
 		t.Error("its time is up, and it has no final answer")
 	}
 }
 
 // Where callers share a pool, an even part says more than probes do, and asking cost two deployments two thirds of
 // what they could serve.
-func TestPooledInstancesDoNotAsk(t *testing.T) {
-	set := scoutSettings()
+func TestPooledInstancesDoNotProbe(t *testing.T) {
+	set := probingSettings()
 	set.Entry = Pooled
 	s := start(t, set, two()...)
-	s.want(s.arrive(1, "read"), Send)
+	s.expect(s.arrive(1, "read"), Send)
 }
--- a/decide/reason.go
+++ b/decide/reason.go
@@ -1,21 +1,21 @@
 package decide
 
-// Reason says why a request is refused, failed or sent again. It is for people: nothing is decided by it.
+// Reason says why a request is refused, failed or sent again. It is for people: no decision depends on it.
 type Reason uint8
 
-// The reasons. The zero value is that of all other actions.
+// The reasons. All other actions have NoReason.
 const (
 	NoReason       Reason = iota
-	NoTimeLeft            // its time is up, or another attempt could earn nothing any more
-	HeldTooLong           // it was held back until it could hardly be in time
-	NothingMayTake        // no ready endpoint may take it: none is listed, or the effects leave none
-	NoAttemptsLeft        // it has had as many attempts as it may
-	NoRetryToken          // no token funds its retry in time
-	ErrorsAlike           // its answers were errors, and another would likely be one too
-	AnswerBegun           // an answer or a long body has begun to go, which can't go twice
-	Retried               // the attempt before has failed
-	Copied                // the attempt that is out is overdue
-	NumReasons            // how many there are
+	NoTimeLeft            // its time is up, or another attempt could not earn anything any more
+	HeldTooLong           // it was queued until it could hardly be in time
+	NothingMayTake        // no ready endpoint may take it: none is listed, or the effects exclude all
+	NoAttemptsLeft        // it has used all attempts that it may have
+	NoRetryToken          // no token can fund its retry in time
+	ErrorsAlike           // its attempts ended in errors, and another probably would too
+	AnswerBegun           // part of an answer or of a long body has been sent, which can't be sent twice
+	Retried               // the attempt before it failed
+	Copied                // the attempt in flight is overdue: this one is hedged
+	NumReasons            // number of reasons
 )
 
 var reasonNames = [NumReasons]string{
@@ -23,5 +23,5 @@
 	"errors_alike", "answer_begun", "retried", "copied",
 }
 
-// String is the reason's name in the log.
+// String returns the reason's name in the log.
 func (r Reason) String() string { return reasonNames[r] }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -7,155 +7,163 @@
 	"time"
 )
 
-// The life of a request: from its arrival over its attempts to its one final answer.
+// The life of a request: its arrival, its attempts, and its one final answer.
 
 const (
-	waitStep     = 20 * time.Millisecond // how often waiting requests are looked at again
-	graceSpread  = 10 * time.Millisecond // graces of first tries differ by less
-	overdueTimes = 6                     // usual times from which on an attempt may be taken for lost
+	recheckInterval = 20 * time.Millisecond // how often waiting requests are checked again
+	graceTolerance  = 10 * time.Millisecond // graces that differ by no more than this count as equal
+	overdueFactor   = 6                     // expected latencies after which an attempt may be lost
 )
 
-// requests is everything held for clients.
+// requests holds every request that has not been answered or still has an attempt in flight.
 type requests struct {
-	held    map[RequestID]*request
-	waiting []*request // for a token, or for an endpoint that may take them; oldest first
-	wakeAt  Time       // when what waits is looked at again; 0 or past when nothing is
+	pending   map[RequestID]*request
+	waiting   []*request // requests that wait for a token or for an endpoint that may take them; oldest first
+	recheckAt Time       // when they are checked again; 0 or in the past if that is not scheduled
 }
 
-// request is one try of a client and its attempts, held until every attempt has its outcome.
+// request is one try of a client with its attempts. It is kept until every attempt has an outcome.
 type request struct {
-	id             RequestID
-	class          *class
-	deadline       Time    // when the client gives up
-	aimAt          Time    // when the aim passes, as far as can be told
-	work           float64 // expected work, as the hint tells; 1 without hints
-	value          float64 // what an answer within the aim is worth
-	attempts       []attempt
-	out            int  // attempts without an outcome
-	funded         bool // a token is spent on its next attempt
-	over           bool // the final answer is given, or nobody waits for one
-	bound          bool // a stream has begun: the attempt is the client's
-	came           Time
-	late           bool     // it has been held until it can hardly be in time
-	asked, awaited int      // endpoints asked for it, and of them without an answer
-	askAt          Time     // when it may ask again
-	errors         int      // answers to it that were errors
-	tolls          [2]*toll // of its class and its tenant
+	id                    RequestID
+	class                 *class
+	deadline              Time    // when the client gives up
+	aimAt                 Time    // when the aim passes, as far as the grace shows
+	work                  float64 // expected work in seconds, from the hint; 1 without hints
+	value                 float64 // expected worth of an answer, which orders the queue
+	attempts              []attempt
+	unsettled             int  // attempts without an outcome
+	funded                bool // a token has been spent on its next attempt
+	done                  bool // it has its final answer, or its client has left
+	streaming             bool // part of a body or an answer that can't be sent twice is under way: no retry
+	arrivedAt             Time
+	late                  bool           // it is kept in the queue though it will probably miss its aim
+	probed, probesPending int            // endpoints probed for it, and how many of them have not answered
+	nextProbeAt           Time           // when endpoints may be probed for it again
+	errors                int            // its attempts that ended with a ServerError
+	excess                [2]*excessTime // excess times of its class and of its tenant
 }
 
-// attempt is one send of a request.
+// attempt is one sending of a request to an endpoint.
 type attempt struct {
-	to      *endpoint
-	sent    Time
-	settled bool
-	counted int  // 1 while it counts as in flight, else 0
-	ran     bool // it may have run; true until an outcome proves otherwise
+	to         *endpoint
+	sentAt     Time
+	settled    bool
+	counted    int  // 1 while it counts as in flight, else 0
+	mayHaveRun bool // true until an outcome proves that the endpoint did not run it
 }
 
-// arrived takes a new request: first attempts go free and at once.
-func (b *Balancer) arrived(e *Event) {
-	c := cmp.Or(b.classes[e.Class], &b.unknown)
-	r := &request{id: e.Request, class: c, deadline: b.now + e.Grace, came: b.now}
+// handleArrival admits a new request. First attempts cost no token. On the front tier the request's value is
+// the worth that can be expected of it: less where it will probably miss its aim, and less where requests of
+// its class or tenant lately hold slots for long.
+func (b *Balancer) handleArrival(e *Event) {
+	c := cmp.Or(b.classes[e.Class], &b.unknownClass)
+	r := &request{id: e.Request, class: c, deadline: b.now + e.Grace, arrivedAt: b.now}
 	waited := b.waited(c, e)
 	r.aimAt = b.now + c.Aim - waited
-	r.value = c.Worth * b.charge(b.tenants[e.Tenant])
-	r.tolls = [2]*toll{&c.toll, &cmp.Or(b.tenants[e.Tenant], &b.bucket).toll}
-	if r.work = 1; b.set.HintsWork && e.Work > 0 {
+	r.value = c.Worth * b.chargeTenant(b.tenants[e.Tenant])
+	r.excess = [2]*excessTime{&c.excess, &cmp.Or(b.tenants[e.Tenant], &b.bucket).excess}
+	if r.work = 1; b.settings.HintsWork && e.Work > 0 {
 		r.work = e.Work.Seconds()
 	}
-	b.held[r.id] = r
-	b.timers.set(r.deadline-b.set.Tick, timerRequest, r.id)
-	if usual := c.pace.usual(r.work); b.set.Front && waited > 0 && b.now+usual >= r.aimAt {
+	b.pending[r.id] = r
+	b.timers.set(r.deadline-b.settings.Tick, timerRequest, r.id)
+	if expected := c.latency.expected(r.work); b.settings.Front && waited > 0 && b.now+expected >= r.aimAt {
 		r.value *= c.LateShare
-	} else if b.set.Front && !b.scouting() { // what is to be expected of it: answers after the aim earn less
-		left, takes := (r.aimAt - b.now).Seconds(), usual.Seconds()
+	} else if b.settings.Front && !b.probesFirst() {
+		left, takes := (r.aimAt - b.now).Seconds(), expected.Seconds()
 		r.value *= (left*left + c.LateShare*takes*takes) / (left*left + takes*takes)
-		r.value *= math.Exp(-r.tolls[0].now(b.now) - r.tolls[1].now(b.now)) // it holds a place
+		r.value *= math.Exp(-r.excess[0].current(b.now) - r.excess[1].current(b.now)) // it holds a slot
 	}
 	b.admit(r)
 }
 
-// waited is how long the client has been waiting, as the grace tells: first tries share one, and so may
-// middle ones; the last has all the time that is left. A call of another tier has what its caller has left.
+// waited returns how long the client has been waiting already, judged by the grace that is left. First tries
+// have the same grace; tries in the middle may have it too; the last try has all the time that is left of the
+// deadline. A call from another tier has the time that its caller has left.
 func (b *Balancer) waited(c *class, e *Event) time.Duration {
-	if !b.set.Front {
+	if !b.settings.Front {
 		c.grace = max(c.grace, e.Grace)
 		return c.grace - e.Grace
 	}
-	like := max(e.Grace-c.grace, c.grace-e.Grace) <= graceSpread
+	firstTry := max(e.Grace-c.grace, c.grace-e.Grace) <= graceTolerance
 	switch {
 	case e.Repeat:
-		like = like || c.grace == 0 // no first try has been seen yet
-	case like:
-		c.votes++
-	case c.votes > 0:
-		c.votes--
+		firstTry = firstTry || c.grace == 0 // no first try has been seen to compare it with
+	case firstTry:
+		c.graceVotes++
+	case c.graceVotes > 0:
+		c.graceVotes--
 	default:
-		c.grace, c.votes, like = e.Grace, 1, true
+		c.grace, c.graceVotes, firstTry = e.Grace, 1, true
 	}
-	if like {
+	if firstTry {
 		return 0
 	}
 	return max(0, c.Deadline-e.Grace)
 }
 
-// dispatch sends the request, or lets it wait while no endpoint may take it.
+// dispatch sends the request to an endpoint. If none can take it now, the request waits; if the effects leave
+// no endpoint that may ever take it, the request is given up.
 func (b *Balancer) dispatch(r *request) {
 	to := b.pick(r)
 	if to == nil {
 		if b.anyMayTake(r) {
-			b.wait(r)
+			b.addWaiting(r)
 		} else {
 			b.giveUp(r, NothingMayTake)
 		}
 		return
 	}
-	b.hold.turned *= 1 - busyGain
-	r.attempts = append(r.attempts, attempt{to: to, sent: b.now, ran: true})
-	r.out, r.funded, to.since = r.out+1, false, to.since+1
-	b.count(&r.attempts[len(r.attempts)-1], 1)
+	b.admission.unplaced *= 1 - smoothingGain
+	r.attempts = append(r.attempts, attempt{to: to, sentAt: b.now, mayHaveRun: true})
+	r.unsettled, r.funded, to.sentSince = r.unsettled+1, false, to.sentSince+1
+	b.setCounted(&r.attempts[len(r.attempts)-1], 1)
 	if to.cold < 0 {
 		to.credit--
 	}
-	b.act(Action{
-		Kind: Send, Request: r.id, Endpoint: to.line.ID, Reason: sendReason(r), NotAfter: b.sendBy(to),
+	b.emit(Action{
+		Kind: Send, Request: r.id, Endpoint: to.listed.ID, Reason: sendReason(r), NotAfter: b.sendBy(to),
 	})
-	b.copyLost(r)
+	b.hedgeOverdue(r)
 }
 
-// copyLost sends a copy, for a token, where the only attempt is overdue and its endpoint served a later one.
-func (b *Balancer) copyLost(r *request) {
-	a, usual := &r.attempts[len(r.attempts)-1], r.class.pace.usual(r.work)
-	switch due := a.sent + overdueTimes*usual; {
-	case !b.set.Limits.Hedging || a.settled || r.out > 1 || usual == 0:
-	case b.now >= due && a.to.passed > a.sent+usual && b.bucket.wait(b.now, r.class) == 0 && b.mayRetry(r):
+// hedgeOverdue sends a hedged request, for a token, if the only attempt in flight is overdue and its endpoint
+// has meanwhile served an attempt that was sent later: then the answer is probably lost. If the attempt is
+// not overdue yet, hedgeOverdue sets a timer to check again.
+func (b *Balancer) hedgeOverdue(r *request) {
+	a, expected := &r.attempts[len(r.attempts)-1], r.class.latency.expected(r.work)
+	switch due := a.sentAt + overdueFactor*expected; {
+	case !b.settings.Limits.Hedging || a.settled || r.unsettled > 1 || expected == 0:
+	case b.now >= due && a.to.servedSentAt > a.sentAt+expected &&
+		b.bucket.fundedIn(b.now, r.class) == 0 && b.mayRetry(r):
 		b.retry(r)
-	case b.now < b.lastUse(r):
-		b.timers.set(max(due, b.now+max(usual, waitStep)), timerRequest, r.id)
+	case b.now < b.lastUseful(r):
+		b.timers.set(max(due, b.now+max(expected, recheckInterval)), timerRequest, r.id)
 	}
 }
 
-// wait holds a request that cannot be sent now.
-func (b *Balancer) wait(r *request) {
+// addWaiting keeps a request that no endpoint can take now, or that no token funds yet, until the next check.
+func (b *Balancer) addWaiting(r *request) {
 	b.waiting = append(b.waiting, r)
-	b.wake(0)
+	b.scheduleRecheck(0)
 }
 
-// wake looks again at what waits, waitStep after the wait at the earliest.
-func (b *Balancer) wake(wait time.Duration) {
-	if at := b.now + wait + waitStep; b.wakeAt <= b.now || at < b.wakeAt {
-		b.wakeAt = at
+// scheduleRecheck sets a timer for the next check of waiting and queued requests: recheckInterval after wait
+// has passed, unless an earlier check is set.
+func (b *Balancer) scheduleRecheck(wait time.Duration) {
+	if at := b.now + wait + recheckInterval; b.recheckAt <= b.now || at < b.recheckAt {
+		b.recheckAt = at
 		b.timers.set(at, timerWaiting, 0)
 	}
 }
 
-// sendWaiting looks again at every waiting request, oldest first.
-func (b *Balancer) sendWaiting() {
+// recheckWaiting tries every waiting request again, oldest first.
+func (b *Balancer) recheckWaiting() {
 	waiting := b.waiting
 	b.waiting = nil
 	for _, r := range waiting {
 		switch {
-		case r.over:
+		case r.done:
 		case len(r.attempts) == 0 || r.funded:
 			b.dispatch(r)
 		default:
@@ -164,114 +172,123 @@
 	}
 }
 
-// finished books an attempt's outcome, also when its request is long over.
-func (b *Balancer) finished(e *Event) {
-	r := b.held[e.Request]
+// handleOutcome records the outcome of an attempt, also if the request is done already. A request that is not
+// done and has no other attempt in flight is then retried or given up.
+func (b *Balancer) handleOutcome(e *Event) {
+	r := b.pending[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].settled {
 		return
 	}
 	a := &r.attempts[e.Attempt]
-	a.settled, a.ran = true, !e.Outcome.NeverRan()
-	b.count(a, 0)
-	r.out--
+	a.settled, a.mayHaveRun = true, !e.Outcome.NeverRan()
+	b.setCounted(a, 0)
+	r.unsettled--
 	b.learn(r, a, e)
-	r.over = r.over || e.RequestDone
+	r.done = r.done || e.RequestDone
 	if e.Outcome == Served {
-		b.stopRest(r)
+		b.cancelRest(r)
 	}
 	switch {
-	case r.over || r.out > 0:
-	case e.Outcome == ServerError && (r.errors > 1 || b.rng.Float64() < min(b.fleet.alike, 1-secondLeast)):
-		b.giveUp(r, ErrorsAlike) // two are errors, or second opinions lately agree
+	case r.done || r.unsettled > 0:
+	case e.Outcome == ServerError &&
+		(r.errors > 1 || b.rng.Float64() < min(b.endpoints.errorsAlike, 1-minErrorRetries)):
+		b.giveUp(r, ErrorsAlike) // a retry would probably end in an error too
 	default:
 		b.retry(r)
 	}
-	b.release(r)
-	b.sendHeld()
+	b.forgetIfDone(r)
+	b.sendQueued()
 }
 
-// giveUp ends a request: refused where that is allowed, else failed.
-func (b *Balancer) giveUp(r *request, why Reason) {
-	r.over = true
-	answer := Action{Kind: Fail, Request: r.id, Reason: why}
+// giveUp gives a request its final answer without a result: Refuse where the client may repeat it, else Fail.
+func (b *Balancer) giveUp(r *request, reason Reason) {
+	r.done = true
+	answer := Action{Kind: Fail, Request: r.id, Reason: reason}
 	if mayRefuse(r) {
-		answer.Kind, answer.After = Refuse, b.comeBack(r)
+		answer.Kind, answer.After = Refuse, b.retryAfter(r)
 	}
-	b.act(answer)
-	b.release(r)
+	b.emit(answer)
+	b.forgetIfDone(r)
 }
 
-// comeBack says when a refused client may try again, at random: while an answer can be in time, else late.
-func (b *Balancer) comeBack(r *request) time.Duration {
-	l := &b.set.Limits
+// retryAfter returns how long a refused client should wait before it tries again, at random so that clients
+// don't return together: within the time in which an answer is still useful, or, if that has passed, in the
+// upper half of the longest wait allowed. It is 0 where no advice is allowed.
+func (b *Balancer) retryAfter(r *request) time.Duration {
+	l := &b.settings.Limits
 	if !l.RetryAfter {
 		return 0
 	}
-	if left := b.lastUse(r) - b.now; left > 0 {
+	if left := b.lastUseful(r) - b.now; left > 0 {
 		return min(l.MaxRetryAfter, b.jitter(left))
 	}
 	return l.MaxRetryAfter/2 + b.jitter(l.MaxRetryAfter/2)
 }
 
-// count counts an attempt as in flight, or not: its endpoint does nothing for it while its body comes.
-func (b *Balancer) count(a *attempt, n int) {
-	a.to.inFlight, b.hold.out, a.counted = a.to.inFlight+n-a.counted, b.hold.out+n-a.counted, n
+// setCounted sets whether an attempt counts as in flight (n is 1 or 0). It does not count while its body is
+// being sent, because its endpoint does no work for it meanwhile.
+func (b *Balancer) setCounted(a *attempt, n int) {
+	a.to.inFlight, b.admission.inFlight, a.counted =
+		a.to.inFlight+n-a.counted, b.admission.inFlight+n-a.counted, n
 }
 
-// release forgets a request that is over and has nothing out.
-func (b *Balancer) release(r *request) {
-	if r.over && r.out == 0 {
-		delete(b.held, r.id)
+// forgetIfDone removes a request that is done and has no attempt without an outcome.
+func (b *Balancer) forgetIfDone(r *request) {
+	if r.done && r.unsettled == 0 {
+		delete(b.pending, r.id)
 	}
 }
 
-// timeUp ends a request that runs out of time with nothing out; what is out is ended by its own time-out.
-func (b *Balancer) timeUp(id RequestID) {
-	r := b.held[id]
-	if r == nil || r.over || r.bound {
+// checkDeadline ends a request that has run out of time and has no attempt in flight. One in flight ends by
+// its own time-out. It also sends a hedged request for an attempt that is overdue.
+func (b *Balancer) checkDeadline(id RequestID) {
+	r := b.pending[id]
+	if r == nil || r.done || r.streaming {
 		return
 	}
 	if len(r.attempts) > 0 {
-		b.copyLost(r)
+		b.hedgeOverdue(r)
 	}
-	late := b.now >= r.deadline-b.set.Tick || len(r.attempts) == 0 && b.now >= b.latest(r)
-	if !late || r.out > 0 {
+	late := b.now >= r.deadline-b.settings.Tick || len(r.attempts) == 0 && b.now >= b.giveUpAt(r)
+	if !late || r.unsettled > 0 {
 		return
 	}
-	why := NoTimeLeft
+	reason := NoTimeLeft
 	if len(r.attempts) == 0 {
-		why = HeldTooLong
-		if b.now-r.came > graceSpread {
-			b.hold.turned += busyGain * (1 - b.hold.turned)
+		reason = HeldTooLong
+		if b.now-r.arrivedAt > graceTolerance {
+			b.admission.unplaced += smoothingGain * (1 - b.admission.unplaced)
 		}
 	}
-	b.giveUp(r, why)
+	b.giveUp(r, reason)
 }
 
-// stopRest calls off what is out for a request that needs it no more.
-func (b *Balancer) stopRest(r *request) {
+// cancelRest cancels the remaining attempts of a request that has been served.
+func (b *Balancer) cancelRest(r *request) {
 	for i := range r.attempts {
-		if b.set.Limits.Cancel && !r.attempts[i].settled {
-			b.act(Action{Kind: Cancel, Request: r.id, Attempt: i})
+		if b.settings.Limits.Cancel && !r.attempts[i].settled {
+			b.emit(Action{Kind: Cancel, Request: r.id, Attempt: i})
 		}
 	}
 }
 
-// clientDid books that a client has left, or begun to send or take what can't go twice, or sent it all.
-func (b *Balancer) clientDid(e *Event, inFlight int) {
-	r := b.held[e.Request]
+// handleClientEvent records that a client has left, that a body or answer has begun that can't be sent twice,
+// or that the body is complete. inFlight is 1 if the attempt counts as in flight from then on.
+func (b *Balancer) handleClientEvent(e *Event, inFlight int) {
+	r := b.pending[e.Request]
 	if r == nil {
 		return
 	}
 	if e.Kind == ClientLeft {
-		r.over = true
-		b.release(r)
-	} else if r.bound = true; e.Attempt < len(r.attempts) && !r.attempts[e.Attempt].settled {
-		b.count(&r.attempts[e.Attempt], inFlight)
-		b.sendHeld()
+		r.done = true
+		b.forgetIfDone(r)
+	} else if r.streaming = true; e.Attempt < len(r.attempts) && !r.attempts[e.Attempt].settled {
+		b.setCounted(&r.attempts[e.Attempt], inFlight)
+		b.sendQueued()
 	}
 }
 
+// tried reports whether an attempt of the request went to the endpoint.
 func (r *request) tried(e *endpoint) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.to == e })
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,108 +2,113 @@
 
 import "time"
 
-// The retry budget: one token bucket, fed by served attempts and a small floor, funds every attempt
-// after the first.
+// The retry budget: every attempt after the first costs a token. The bucket is filled by served attempts and
+// by a small constant rate, the floor.
 
 const (
-	depositPerServed = 0.1  // tokens for each served attempt: retries stay near a tenth of traffic
-	floorRate        = 3.0  // tokens a second whatever the traffic
+	depositPerServed = 0.1  // tokens for each served attempt: keeps retries near a tenth of the traffic
+	floorRate        = 3.0  // tokens a second, whatever the traffic
 	floorTime        = 10.0 // seconds of the floor that the bucket holds
 	floorBurst       = floorTime * floorRate
-	floorPeers       = 10.0 // balancers for whose tier the floor is meant
-	leastBurst       = 3.0  // tokens that it holds however small the floor
-	spareShare       = 0.5  // part of the bucket that the lowest worth leaves to the others
+	floorPeers       = 10.0 // with an instance for each caller, all peers share this many floors
+	minBurst         = 3.0  // tokens that the bucket can hold however small the floor
+	reserveShare     = 0.5  // part of the bucket that the class of lowest worth leaves to the others
 )
 
-// bucket funds retries: a tenth of what is served, and a floor.
+// bucket is a token bucket. It funds retries, or bounds the requests inside a tenant's share.
 type bucket struct {
-	tokens float64
-	filled Time
-	floor  float64 // tokens a second
-	burst  float64 // most that it holds
-	toll   toll    // of the tenant whose share it is, or of all without one
+	tokens     float64
+	refilledAt Time       // when the floor was last added
+	floor      float64    // tokens a second
+	burst      float64    // the most tokens that it holds
+	excess     excessTime // of its tenant; in the retry budget, of all requests without a tenant
 }
 
-// newBucket returns a full one. Hundreds of whole floors would bound nothing: many instances share one.
+// newBucket returns a full retry budget. Where each caller has an instance, peers share floorPeers floors,
+// because hundreds of full ones would not bound retries.
 func newBucket(set *Settings) bucket {
 	k := bucket{floor: floorRate, burst: floorBurst}
 	if set.Entry == PerCaller {
 		k.floor = floorRate / float64(max(1, set.Peers)) * floorPeers
-		k.burst = max(leastBurst, floorTime*k.floor)
+		k.burst = max(minBurst, floorTime*k.floor)
 	}
 	k.tokens = k.burst
 	return k
 }
 
-// refill adds what the floor has brought since the last look.
+// refill adds the tokens that the floor has brought since the last refill.
 func (k *bucket) refill(now Time) {
-	k.add(k.floor * (now - k.filled).Seconds())
-	k.filled = now
+	k.add(k.floor * (now - k.refilledAt).Seconds())
+	k.refilledAt = now
 }
 
 func (k *bucket) add(tokens float64) { k.tokens = min(k.burst, k.tokens+tokens) }
 
-// wait is how long the floor alone takes to fund a retry of the class.
-func (k *bucket) wait(now Time, c *class) time.Duration {
+// fundedIn returns how long the floor alone takes until it can fund a retry of the class; 0 if a token is
+// there.
+func (k *bucket) fundedIn(now Time, c *class) time.Duration {
 	k.refill(now)
-	return max(0, time.Duration((1+c.leaves*k.burst-k.tokens)/k.floor*float64(time.Second)))
+	return max(0, time.Duration((1+c.reserve*k.burst-k.tokens)/k.floor*float64(time.Second)))
 }
 
-// retry sends a request again if a token funds it. Else it waits for one, or is given up if that is no use.
+// retry sends a request again if a token funds it. Else the request waits for a token, or is given up if none
+// can come in time.
 func (b *Balancer) retry(r *request) {
-	wait := b.bucket.wait(b.now, r.class)
+	wait := b.bucket.fundedIn(b.now, r.class)
 	switch {
 	case !b.mayRetry(r):
-		b.giveUp(r, b.whyNoRetry(r))
-	case !r.funded && b.now+wait >= b.lastUse(r):
+		b.giveUp(r, b.noRetryReason(r))
+	case !r.funded && b.now+wait >= b.lastUseful(r):
 		b.giveUp(r, NoRetryToken)
-	case r.funded: // its next attempt waits for a place already: a second token would bring one too many
+	case r.funded: // it already waits for a slot; a second token would send one attempt too many
 	case wait == 0:
 		b.bucket.tokens--
 		r.funded = true
-		if b.scouting() {
+		if b.probesFirst() {
 			b.admit(r)
 		} else {
 			b.dispatch(r)
 		}
 	default:
-		b.wait(r)
+		b.addWaiting(r)
 	}
 }
 
-// mayRetry tells whether the limit of attempts, the effects and the time leave another.
+// mayRetry reports whether the limit of attempts, the effects and the time allow another attempt.
 func (b *Balancer) mayRetry(r *request) bool {
-	return !r.bound && len(r.attempts) < b.set.Limits.MaxAttempts && b.anyMayTake(r) && b.now < b.lastUse(r)
+	return !r.streaming && len(r.attempts) < b.settings.Limits.MaxAttempts && b.anyMayTake(r) &&
+		b.now < b.lastUseful(r)
 }
 
-// whyNoRetry is what keeps mayRetry from allowing another attempt.
-func (b *Balancer) whyNoRetry(r *request) Reason {
+// noRetryReason returns why mayRetry allows no other attempt.
+func (b *Balancer) noRetryReason(r *request) Reason {
 	switch {
-	case r.bound:
+	case r.streaming:
 		return AnswerBegun
-	case len(r.attempts) >= b.set.Limits.MaxAttempts:
+	case len(r.attempts) >= b.settings.Limits.MaxAttempts:
 		return NoAttemptsLeft
-	case b.now >= b.lastUse(r):
+	case b.now >= b.lastUseful(r):
 		return NoTimeLeft
 	}
 	return NothingMayTake
 }
 
-// sendReason is why the newest attempt of a request is not its first.
+// sendReason returns why the newest attempt of a request was sent, if it is not the first.
 func sendReason(r *request) Reason {
 	switch {
 	case len(r.attempts) < 2:
 		return NoReason
-	case r.out > 1:
+	case r.unsettled > 1:
 		return Copied
 	}
 	return Retried
 }
 
-// lastUse is when another attempt can last earn anything. After it the timer that ends the request has fired.
-func (b *Balancer) lastUse(r *request) Time {
+// lastUseful returns until when another attempt can earn anything. It is never later than the timer that ends
+// the request: a request that starts to wait after that timer would get no answer.
+func (b *Balancer) lastUseful(r *request) Time {
 	if r.class.LateShare == 0 {
-		return min(r.deadline-b.set.Tick, r.aimAt-r.class.pace.usual(r.work))
+		return min(r.deadline-b.settings.Tick, r.aimAt-r.class.latency.expected(r.work))
 	}
-	return r.deadline - b.set.Tick
+	return r.deadline - b.settings.Tick
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -11,19 +11,19 @@
 // odd but legal event orders go in, and each action is held against the rules as
 // an observer would who does not know how the module decides.
 
-// watched is what the observer knows of a request.
-type watched struct {
+// observedRequest is what the observer knows of a request.
+type observedRequest struct {
 	class    Class
 	deadline Time
-	over     bool
-	attempts []watchedAttempt
+	done     bool
+	attempts []observedAttempt
 }
 
-type watchedAttempt struct {
-	to      Endpoint
-	sent    Time
-	settled bool
-	ran     bool
+type observedAttempt struct {
+	to         Endpoint
+	sentAt     Time
+	settled    bool
+	mayHaveRun bool
 }
 
 // observer holds actions against the rules.
@@ -36,7 +36,7 @@
 	classes  map[string]Class
 	list     map[EndpointID]Endpoint
 	told     map[EndpointID]Time // when an endpoint was told to drain or to be gone
-	requests map[RequestID]*watched
+	requests map[RequestID]*observedRequest
 	open     []RequestID // in the order of arrival, over or not
 	timers   []Time
 	probes   []EndpointID // without an answer
@@ -51,7 +51,7 @@
 	}
 	o := &observer{
 		t: t, set: set, b: b, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, classes: map[string]Class{},
-		list: map[EndpointID]Endpoint{}, told: map[EndpointID]Time{}, requests: map[RequestID]*watched{},
+		list: map[EndpointID]Endpoint{}, told: map[EndpointID]Time{}, requests: map[RequestID]*observedRequest{},
 	}
 	for _, c := range set.Classes {
 		o.classes[c.Name] = c
@@ -59,15 +59,15 @@
 	return o
 }
 
-// give hands over an event and checks what the module makes of it.
-func (o *observer) give(e Event) {
+// deliver hands over an event and checks what the module makes of it.
+func (o *observer) deliver(e Event) {
 	for _, a := range o.b.Handle(o.now, &e, nil) {
 		o.trace = append(o.trace, a)
 		switch a.Kind {
 		case Send:
-			o.sent(a)
+			o.checkSend(a)
 		case Refuse, Fail:
-			o.answered(a)
+			o.checkAnswer(a)
 		case SetTimer:
 			o.timers = append(o.timers, o.now+a.After)
 		case Probe:
@@ -84,9 +84,9 @@
 	}
 }
 
-func (o *observer) sent(a Action) {
+func (o *observer) checkSend(a Action) {
 	r := o.requests[a.Request]
-	if r == nil || r.over {
+	if r == nil || r.done {
 		o.t.Fatalf("at %v: sent for a request that is over or unknown: %+v", o.now, a)
 	}
 	to, ok := o.list[a.Endpoint]
@@ -100,7 +100,7 @@
 		if !old.settled && !o.set.Limits.Hedging {
 			o.t.Fatalf("at %v: two attempts out at once: %+v", o.now, a)
 		}
-		if !old.ran {
+		if !old.mayHaveRun {
 			continue
 		}
 		switch r.class.Effect {
@@ -110,26 +110,26 @@
 			same := r.class.Group == GroupAll ||
 				r.class.Group == GroupZone && old.to.Zone == to.Zone ||
 				r.class.Group == GroupCell && old.to.Cell == to.Cell
-			if !same || o.now-old.sent > r.class.Window {
+			if !same || o.now-old.sentAt > r.class.Window {
 				o.t.Fatalf("at %v: keyed request sent outside its group or window: %+v", o.now, a)
 			}
 		}
 	}
-	r.attempts = append(r.attempts, watchedAttempt{to: to, sent: o.now, ran: true})
+	r.attempts = append(r.attempts, observedAttempt{to: to, sentAt: o.now, mayHaveRun: true})
 }
 
-func (o *observer) answered(a Action) {
+func (o *observer) checkAnswer(a Action) {
 	r := o.requests[a.Request]
-	if r == nil || r.over {
+	if r == nil || r.done {
 		o.t.Fatalf("at %v: a second final answer: %+v", o.now, a)
 	}
-	r.over = true
+	r.done = true
 	if o.now > r.deadline+o.set.Rules.AnswerSlack {
 		o.t.Fatalf("at %v: answered after the client's time: %+v", o.now, a)
 	}
 	ran := false
 	for _, old := range r.attempts {
-		ran = ran || old.ran
+		ran = ran || old.mayHaveRun
 	}
 	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll || !ran
 	if a.Kind == Refuse && !harmless {
@@ -137,8 +137,8 @@
 	}
 }
 
-// pass lets time go by in ticks, with timers and deadlines on the way.
-func (o *observer) pass(d time.Duration) {
+// advance lets time go by in ticks, with timers and deadlines on the way.
+func (o *observer) advance(d time.Duration) {
 	for end := o.now + d; o.now < end; {
 		o.now += o.set.Tick
 		kept := o.timers[:0]
@@ -152,18 +152,18 @@
 		}
 		o.timers = kept
 		if due {
-			o.give(Event{Kind: TimerDue})
+			o.deliver(Event{Kind: TimerDue})
 		}
-		o.deadlines()
+		o.checkDeadlines()
 	}
 }
 
-// deadlines ends what is out when a client's time is up, and checks that
+// checkDeadlines ends what is out when a client's time is up, and checks that
 // nothing is owed past it.
-func (o *observer) deadlines() {
+func (o *observer) checkDeadlines() {
 	for _, id := range o.open {
 		r := o.requests[id]
-		if r.over || o.now < r.deadline {
+		if r.done || o.now < r.deadline {
 			continue
 		}
 		for i := range r.attempts {
@@ -171,7 +171,7 @@
 				o.finish(id, i, TimedOut)
 			}
 		}
-		if !r.over {
+		if !r.done {
 			o.t.Fatalf("at %v: request %d got no final answer by %v", o.now, id, r.deadline)
 		}
 	}
@@ -180,13 +180,13 @@
 func (o *observer) finish(id RequestID, attempt int, outcome Outcome) {
 	r := o.requests[id]
 	a := &r.attempts[attempt]
-	a.settled, a.ran = true, !outcome.NeverRan()
-	if outcome == Served && !r.over {
-		r.over = true
+	a.settled, a.mayHaveRun = true, !outcome.NeverRan()
+	if outcome == Served && !r.done {
+		r.done = true
 	}
-	o.give(Event{
+	o.deliver(Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.ID, Outcome: outcome,
-		Latency: o.now - a.sent, RequestDone: r.over,
+		Latency: o.now - a.sentAt, RequestDone: r.done,
 	})
 }
 
@@ -198,10 +198,10 @@
 		c = o.set.Classes[class]
 		name = c.Name
 	}
-	o.requests[o.next] = &watched{class: c, deadline: o.now + grace}
+	o.requests[o.next] = &observedRequest{class: c, deadline: o.now + grace}
 	o.open = append(o.open, o.next)
 	tenant := []string{"big", "small", "", "stranger"}[o.rng.IntN(4)]
-	o.give(Event{Kind: Arrived, Request: o.next, Class: name, Tenant: tenant, Grace: grace, Repeat: o.rng.IntN(4) == 0})
+	o.deliver(Event{Kind: Arrived, Request: o.next, Class: name, Tenant: tenant, Grace: grace, Repeat: o.rng.IntN(4) == 0})
 }
 
 // settleOne gives an outcome to some attempt that is out.
@@ -217,8 +217,8 @@
 	}
 }
 
-// relist changes the list: one endpoint's line, or the whole.
-func (o *observer) relist(id EndpointID, how int) {
+// changeList changes the list: one endpoint's line, or the whole.
+func (o *observer) changeList(id EndpointID, how int) {
 	line := Endpoint{ID: id, Zone: []string{"a", "b"}[id%2], Cell: int(id / 2), Weight: 1}
 	if old, ok := o.list[id]; ok {
 		line.Started = old.Started
@@ -231,7 +231,7 @@
 	case 2:
 		line.Started = o.now
 	case 3:
-		o.give(Event{Kind: ListFailed})
+		o.deliver(Event{Kind: ListFailed})
 		return
 	case 4: // the whole list, with one endpoint left out
 		delete(o.list, id)
@@ -241,7 +241,7 @@
 				lines = append(lines, e)
 			}
 		}
-		o.give(Event{Kind: ListReplaced, Endpoints: lines})
+		o.deliver(Event{Kind: ListReplaced, Endpoints: lines})
 		return
 	}
 	if line.State == Gone {
@@ -249,7 +249,7 @@
 	} else {
 		o.list[id] = line
 	}
-	o.give(Event{Kind: ListChanged, Endpoints: []Endpoint{line}})
+	o.deliver(Event{Kind: ListChanged, Endpoints: []Endpoint{line}})
 }
 
 // answerProbes answers some of the probes that are out, or lets them fail.
@@ -261,7 +261,7 @@
 		if e.Outcome == Served {
 			e.Load = o.set.Report.Read([]float64{float64(o.rng.IntN(8)), o.rng.Float64()})
 		}
-		o.give(e)
+		o.deliver(e)
 	}
 }
 
@@ -277,23 +277,23 @@
 	case 8, 9, 10:
 		o.settleOne(d, Outcome(1+d%7))
 	case 11:
-		o.relist(EndpointID(d%12), d/12%6)
+		o.changeList(EndpointID(d%12), d/12%6)
 	case 12:
 		if len(o.open) > 0 {
 			id := o.open[d%len(o.open)]
-			o.requests[id].over = true
-			o.give(Event{Kind: ClientLeft, Request: id})
+			o.requests[id].done = true
+			o.deliver(Event{Kind: ClientLeft, Request: id})
 		}
 	case 13:
-		o.give(Event{Kind: Finished, Request: RequestID(d) + 1<<40, Attempt: d})
+		o.deliver(Event{Kind: Finished, Request: RequestID(d) + 1<<40, Attempt: d})
 	default:
-		o.pass(time.Duration(d) * ms)
+		o.advance(time.Duration(d) * ms)
 	}
 }
 
 // finishUp lets every client's time run out.
 func (o *observer) finishUp() {
-	o.pass(2 * time.Second)
+	o.advance(2 * time.Second)
 	for _, id := range o.open {
 		r := o.requests[id]
 		for i := range r.attempts {
@@ -302,11 +302,11 @@
 			}
 		}
 	}
-	if n := len(o.b.held); n != 0 {
+	if n := len(o.b.pending); n != 0 {
 		o.t.Fatalf("%d requests are still held after everything has ended", n)
 	}
-	if o.b.hold.out != 0 {
-		o.t.Fatalf("%d attempts are still counted as out", o.b.hold.out)
+	if o.b.admission.inFlight != 0 {
+		o.t.Fatalf("%d attempts are still counted as out", o.b.admission.inFlight)
 	}
 }
 
@@ -328,17 +328,17 @@
 	return set
 }
 
-func play(t testing.TB, seed uint64, script []byte) *observer {
+func runScript(t testing.TB, seed uint64, script []byte) *observer {
 	o := newObserver(t, variant(seed), seed)
 	for id := EndpointID(0); id < 6; id++ {
 		o.list[id] = Endpoint{ID: id, Zone: []string{"a", "b"}[id%2], Cell: int(id / 2), Weight: 1}
 	}
-	o.give(Event{Kind: Start})
+	o.deliver(Event{Kind: Start})
 	var lines []Endpoint
 	for id := EndpointID(0); id < 6; id++ {
 		lines = append(lines, o.list[id])
 	}
-	o.give(Event{Kind: ListRestored, Endpoints: lines})
+	o.deliver(Event{Kind: ListRestored, Endpoints: lines})
 	for i := 0; i+1 < len(script); i += 2 {
 		o.step(script[i], script[i+1])
 	}
@@ -357,7 +357,7 @@
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(1200) {
-		play(t, seed, randomScript(seed))
+		runScript(t, seed, randomScript(seed))
 	}
 }
 
@@ -369,13 +369,13 @@
 		if len(script) > 4000 {
 			t.Skip("longer than a fuzzed script needs to be")
 		}
-		play(t, seed, script)
+		runScript(t, seed, script)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := play(t, seed, randomScript(seed)), play(t, seed, randomScript(seed))
+		first, second := runScript(t, seed, randomScript(seed)), runScript(t, seed, randomScript(seed))
 		if len(first.trace) == 0 {
 			t.Fatal("the script led to no action")
 		}
--- a/decide/staleness.go
+++ b/decide/staleness.go
@@ -6,138 +6,143 @@
 	"time"
 )
 
-// A stale list: calls for it have failed for so long that what discovery has counts as told though it has
-// not come. Any endpoint may be gone or draining by then. Those that have gone on answering since the list
-// was last known to be true have not been away meanwhile: new work goes to them alone until news come.
+// A stale list: polls have failed for so long that changes of the list count as delivered though they have
+// not come. By then any endpoint may be gone or draining. Endpoints that have answered without a long gap
+// since the list was last known to be current have not been away, so new work goes to them alone until the
+// list is current again.
 
 const (
-	// What discovery has counts as told after so long, whether or not it came (protocol: Figures).
-	toldAfter = 6 * time.Second
-	// An attempt may begin later than it was decided on: the process may be held up.
+	// After this time a change that discovery has counts as delivered, whether or not it came (protocol:
+	// Figures).
+	deliveredAfter = 6 * time.Second
+	// An attempt may begin later than it was decided on, because the process may be delayed.
 	sendMargin = 250 * time.Millisecond
 
-	answerGap   = 4 * time.Second  // without an answer for so long it may have been away, and listed as gone
-	failureGap  = 1 * time.Second  // the same where a connection failed in between
-	acceptGap   = toldAfter        // what took a request since then can't count as draining yet
-	answersEach = 6                // answers within answerGap, in the mean, that keep an endpoint proven
-	provenTime  = 10 * time.Second // back for so long, it counts as told to be back
+	// An endpoint that has not answered for longer may have been away and listed as gone.
+	maxAnswerGap  = 4 * time.Second
+	maxFailureGap = 1 * time.Second  // the same if a connection to it failed meanwhile
+	maxAcceptAge  = deliveredAfter   // who served a request sent since then can't count as draining
+	answersPerGap = 6                // mean answers within maxAnswerGap that keep an endpoint proven
+	provenTime    = 10 * time.Second // after answering for so long, its return counts as delivered
 )
 
-// evidence is what an endpoint's answers say of it while nothing is heard of the list.
+// evidence is what an endpoint's answers show of it while the list may be stale.
 type evidence struct {
-	answered Time // when it answered last
-	since    Time // since when no gap between answers was so long that it may have been away
-	failed   Time // when a connection to it failed last
-	turned   Time // when it turned a request away last
+	lastAnswer    Time // when it answered last
+	steadySince   Time // since when no gap between answers was long enough for it to have been away
+	lastFailure   Time // when a connection to it failed last
+	lastRejection Time // when it rejected an attempt last
 }
 
-// fail books the outcome of an attempt that was not served.
-func (v *evidence) fail(now Time, o Outcome) {
+// recordFailure records an outcome, if it is a failed connection or a rejection.
+func (v *evidence) recordFailure(now Time, o Outcome) {
 	switch o {
 	case ConnectFailed, Reset:
-		v.failed = now
+		v.lastFailure = now
 	case Rejected:
-		v.turned = now
+		v.lastRejection = now
 	}
 }
 
-// answer books an answer.
-func (v *evidence) answer(now Time) {
-	gap := answerGap
-	if v.failed > v.answered {
-		gap = failureGap
+// recordAnswer records that the endpoint has answered.
+func (v *evidence) recordAnswer(now Time) {
+	gap := maxAnswerGap
+	if v.lastFailure > v.lastAnswer {
+		gap = maxFailureGap
 	}
-	if v.answered == 0 || now-v.answered > gap {
-		v.since = now
+	if v.lastAnswer == 0 || now-v.lastAnswer > gap {
+		v.steadySince = now
 	}
-	v.answered = now
+	v.lastAnswer = now
 }
 
-// listMissed books that what discovery has had since a time may not have come, and when it counts as told; 0
-// for now, and the usual time.
-func (b *Balancer) listMissed(since, told Time) {
-	if b.fleet.unheard > 0 {
+// markListMissed records that changes of the list since a time may have been missed, and when they count as
+// delivered. 0 stands for now, and for deliveredAfter from then. A period that is already marked goes on.
+func (b *Balancer) markListMissed(since, deliveredBy Time) {
+	if b.endpoints.missedSince > 0 {
 		return
 	}
 	since = cmp.Or(since, b.now)
-	b.fleet.unheard, b.fleet.told = since, cmp.Or(told, since+toldAfter)
+	b.endpoints.missedSince, b.endpoints.deliveredBy = since, cmp.Or(deliveredBy, since+deliveredAfter)
 }
 
-// listStale tells whether what has not come may bind by now: half of the grace is left to attempts that have
-// been decided on.
+// listStale reports whether missed changes may be binding by now. It is true from half of the drain grace on;
+// the other half is left to attempts that have been decided on.
 func (b *Balancer) listStale() bool {
-	f := &b.fleet
-	return f.unheard > 0 && b.now >= f.told+b.set.Rules.DrainGrace/2
+	set := &b.endpoints
+	return set.missedSince > 0 && b.now >= set.deliveredBy+b.settings.Rules.DrainGrace/2
 }
 
-// proven tells whether an endpoint has gone on answering since the list was last known to be true, or for so
-// long that whatever was listed of it before has been taken back.
+// proven reports whether an endpoint has answered without a long gap since the list was last known to be
+// current, or for so long that any earlier change that took it off the list has been reversed.
 func (b *Balancer) proven(e *endpoint) bool {
 	v := &e.evidence
-	if v.answered <= max(v.failed, v.turned) || b.now-v.answered > answerGap || b.now-e.passed > acceptGap {
+	if v.lastAnswer <= max(v.lastFailure, v.lastRejection) || b.now-v.lastAnswer > maxAnswerGap ||
+		b.now-e.servedSentAt > maxAcceptAge {
 		return false
 	}
-	return v.since <= b.fleet.unheard+answerGap || b.now-v.since >= provenTime
+	return v.steadySince <= b.endpoints.missedSince+maxAnswerGap || b.now-v.steadySince >= provenTime
 }
 
-// trust is where new work may go: anywhere unless the list is stale.
+// trust says which endpoints may get new work: all, unless the list is stale.
 type trust struct {
-	proven bool      // to proven endpoints alone
-	latest *endpoint // to this one alone
+	proven bool      // only proven endpoints
+	only   *endpoint // only this one; nil for no such bound
 }
 
-// allows tells whether new work may go to an endpoint.
+// allows reports whether t lets new work go to an endpoint.
 func (b *Balancer) allows(t trust, e *endpoint) bool {
-	if t.latest != nil {
-		return e == t.latest
+	if t.only != nil {
+		return e == t.only
 	}
 	return !t.proven || b.proven(e)
 }
 
-// trusted is where a request may go: while the list is stale to proven endpoints, or, if none is proven, to
-// the one that answered last, or, with no answer of any, anywhere. Where endpoints are asked before a request
-// goes, most instances see too little traffic to prove any.
-func (b *Balancer) trusted(r *request) trust {
+// trustFor returns which endpoints a request may go to. While the list is stale these are the proven ones; if
+// none is proven, the one that answered last; if none has answered, all. Where probes decide, a stale list
+// changes nothing, because most instances see too little traffic to prove any endpoint.
+func (b *Balancer) trustFor(r *request) trust {
 	switch {
-	case !b.listStale() || b.scouting():
+	case !b.listStale() || b.probesFirst():
 		return trust{}
-	case slices.ContainsFunc(b.fleet.ready, b.proven):
+	case slices.ContainsFunc(b.endpoints.ready, b.proven):
 		return trust{proven: true}
 	}
-	return trust{latest: b.latestToAnswer(r)}
+	return trust{only: b.lastToAnswer(r)}
 }
 
-// latestToAnswer is the endpoint that answered last, of those that may take a request for the first time and
-// have not failed since; nil for none.
-func (b *Balancer) latestToAnswer(r *request) *endpoint {
-	var latest *endpoint
-	for _, e := range b.fleet.ready {
+// lastToAnswer returns the endpoint that answered last, among those that the request has not tried, that may
+// take it and that have not failed since they answered; nil for none.
+func (b *Balancer) lastToAnswer(r *request) *endpoint {
+	var last *endpoint
+	for _, e := range b.endpoints.ready {
 		v := &e.evidence
-		if v.answered <= max(v.failed, v.turned) || latest != nil && v.answered <= latest.evidence.answered {
+		if v.lastAnswer <= max(v.lastFailure, v.lastRejection) || last != nil &&
+			v.lastAnswer <= last.evidence.lastAnswer {
 			continue
 		}
 		if !r.tried(e) && b.mayTake(r, e) && b.hasColdCredit(e) {
-			latest = e
+			last = e
 		}
 	}
-	return latest
+	return last
 }
 
-// width is how many endpoints the pick draws among while they are idle. While nothing is heard of the list it
-// is as many as the traffic keeps proven: fewer could not carry it if the list goes stale, of more none would
-// be proven.
-func (b *Balancer) width() int {
-	if b.fleet.unheard == 0 {
-		return b.fleet.part
+// pickWidth returns how many idle endpoints pick draws from. While changes of the list may have been missed,
+// it is as many as the traffic keeps proven: fewer could not carry the traffic once the list is stale, and
+// with more none would be proven.
+func (b *Balancer) pickWidth() int {
+	if b.endpoints.missedSince == 0 {
+		return b.endpoints.pickWidth
 	}
-	return max(leastPart, int(b.servedRate()*answerGap.Seconds()/answersEach))
+	return max(minPickWidth, int(b.servedRate()*maxAnswerGap.Seconds()/answersPerGap))
 }
 
-// sendBy is when an attempt must have begun, where its endpoint may count as gone or draining from then on; 0
-// for no such bound.
+// sendBy returns when an attempt must have begun, because its endpoint may count as gone or draining from
+// then on; 0 for no such bound.
 func (b *Balancer) sendBy(e *endpoint) Time {
-	if b.fleet.unheard == 0 || b.proven(e) || b.listStale() {
+	if b.endpoints.missedSince == 0 || b.proven(e) || b.listStale() {
 		return 0
 	}
-	return b.fleet.told + b.set.Rules.DrainGrace - sendMargin
+	return b.endpoints.deliveredBy + b.settings.Rules.DrainGrace - sendMargin
 }
--- a/decide/staleness_test.go
+++ b/decide/staleness_test.go
@@ -15,23 +15,23 @@
 	return lines
 }
 
-// askingSettings are test settings of an instance that asks for the list, with room for what the tests send.
-func askingSettings() Settings {
+// pollingSettings are test settings of an instance that asks for the list, with room for what the tests send.
+func pollingSettings() Settings {
 	set := testSettings()
 	set.MustPoll = true
 	return set
 }
 
-// sent is the one attempt among the actions of a request's arrival; that the list is asked for as well is none of its.
-func (s *script) sent(id RequestID) Action {
+// sendOne is the one attempt among the actions of a request's arrival; that the list is asked for as well is none of its.
+func (s *script) sendOne(id RequestID) Action {
 	s.t.Helper()
-	return s.want(slices.DeleteFunc(s.arrive(id, "read"), func(a Action) bool { return a.Kind == WatchList }), Send)[0]
+	return s.expect(slices.DeleteFunc(s.arrive(id, "read"), func(a Action) bool { return a.Kind == WatchList }), Send)[0]
 }
 
 // serve has a request served and returns where it went.
 func (s *script) serve(id RequestID) EndpointID {
 	s.t.Helper()
-	to := s.sent(id).Endpoint
+	to := s.sendOne(id).Endpoint
 	s.after(10 * ms)
 	s.finish(id, 0, Served)
 	return to
@@ -45,20 +45,20 @@
 
 // Guards against requests to endpoints that count as gone though nothing has come of that (report 4547c5): while the list
 // is stale, new work goes to those alone that have gone on answering.
-func TestStaleListSendsToWhatGoesOnAnswering(t *testing.T) {
+func TestStaleListSendsToProvenEndpoints(t *testing.T) {
 	const count = 200
-	s := start(t, askingSettings(), listed(count)...)
+	s := start(t, pollingSettings(), listed(count)...)
 	s.event(Event{Kind: ListChanged})
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	missed, id, used := s.now, RequestID(0), map[EndpointID]bool{}
-	for ; s.now < missed+answerGap; s.after(90 * ms) {
+	for ; s.now < missed+maxAnswerGap; s.after(90 * ms) {
 		id++
 		used[s.serve(id)] = true
 	}
 	if len(used) >= count {
 		t.Fatal("all endpoints have been used: the test shows nothing")
 	}
-	for ; s.now < missed+toldAfter+s.b.set.Rules.DrainGrace/2; s.after(90 * ms) {
+	for ; s.now < missed+deliveredAfter+s.b.settings.Rules.DrainGrace/2; s.after(90 * ms) {
 		id++
 		s.serve(id)
 	}
@@ -100,28 +100,28 @@
 	}{
 		"never used":                              {nil, 0, 0, false},
 		"all the time":                            {steady(90*time.Second, now, time.Second), 0, now, true},
-		"from soon after the start":               {steady(unheard+answerGap, now, time.Second), 0, now, true},
+		"from soon after the start":               {steady(unheard+maxAnswerGap, now, time.Second), 0, now, true},
 		"from later on":                           {steady(now-provenTime+ms, now, time.Second), 0, now, false},
 		"from later on, for long enough":          {steady(now-provenTime, now, time.Second), 0, now, true},
-		"with a gap":                              {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+answerGap+ms, now, time.Second)...), 0, now, false},
-		"with a gap that is short enough":         {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+answerGap, now, time.Second)...), 0, now, true},
-		"with a connection that failed":           {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+failureGap+ms, now, time.Second)...), 115*time.Second + ms, now, false},
-		"with one that failed between two others": {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+failureGap, now, time.Second)...), 115*time.Second + ms, now, true},
-		"not lately":                              {steady(90*time.Second, now-answerGap-ms, time.Second), 0, now, false},
-		"with answers to old requests alone":      {steady(90*time.Second, now, time.Second), 0, now - acceptGap - ms, false},
+		"with a gap":                              {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxAnswerGap+ms, now, time.Second)...), 0, now, false},
+		"with a gap that is short enough":         {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxAnswerGap, now, time.Second)...), 0, now, true},
+		"with a connection that failed":           {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+maxFailureGap+ms, now, time.Second)...), 115*time.Second + ms, now, false},
+		"with one that failed between two others": {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+maxFailureGap, now, time.Second)...), 115*time.Second + ms, now, true},
+		"not lately":                              {steady(90*time.Second, now-maxAnswerGap-ms, time.Second), 0, now, false},
+		"with answers to old requests alone":      {steady(90*time.Second, now, time.Second), 0, now - maxAcceptAge - ms, false},
 	} {
-		b, err := New(askingSettings(), 1)
+		b, err := New(pollingSettings(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		e := &endpoint{passed: c.took}
+		e := &endpoint{servedSentAt: c.took}
 		for _, at := range c.answers {
 			if c.failed > 0 && at > c.failed {
-				e.evidence.failed = c.failed
+				e.evidence.lastFailure = c.failed
 			}
-			e.evidence.answer(at)
+			e.evidence.recordAnswer(at)
 		}
-		b.now, b.fleet.unheard = now, unheard
+		b.now, b.endpoints.missedSince = now, unheard
 		if got := b.proven(e); got != c.want {
 			t.Errorf("%s: proven %v", name, got)
 		}
@@ -132,7 +132,7 @@
 // it has turned one away, or a connection to it has failed, until it answers again.
 func TestProvenEndpointThatFails(t *testing.T) {
 	for name, outcome := range map[string]Outcome{"drains": Rejected, "dies": ConnectFailed, "breaks off": Reset} {
-		s := start(t, askingSettings(), two()...)
+		s := start(t, pollingSettings(), two()...)
 		s.event(Event{Kind: ListChanged})
 		s.event(Event{Kind: ListMissed, Since: s.now})
 		id := RequestID(0)
@@ -144,12 +144,12 @@
 			t.Fatal("the list is not stale")
 		}
 		id++
-		failed := s.sent(id).Endpoint
+		failed := s.sendOne(id).Endpoint
 		s.after(10*ms).finish(id, 0, outcome)
 		s.finish(id, 1, Served)
 		for range 3 { // the other one fills up
 			id++
-			if to := s.sent(id).Endpoint; to == failed {
+			if to := s.sendOne(id).Endpoint; to == failed {
 				t.Errorf("%s: endpoint %d gets more", name, failed)
 			}
 		}
@@ -158,9 +158,9 @@
 
 // Guards against a few proven endpoints that have to carry all when the list goes stale: from the moment in which nothing is
 // heard, as many are used as the traffic keeps proven.
-func TestTrafficIsSpreadWhileNothingIsHeard(t *testing.T) {
+func TestTrafficIsSpreadBeforeTheListIsStale(t *testing.T) {
 	const count, peers, each = 400, 100, 10 * ms // 100 requests a second
-	set := askingSettings()
+	set := pollingSettings()
 	set.Peers = peers
 	s := start(t, set, listed(count)...)
 	s.event(Event{Kind: ListChanged})
@@ -178,9 +178,9 @@
 		t.Errorf("%d endpoints are used while all is well, want %d", n, count/peers)
 	}
 	s.event(Event{Kind: ListMissed, Since: s.now})
-	use(toldAfter + s.b.set.Rules.DrainGrace/2)
-	want := int(time.Second/each) * int(answerGap/time.Second) / answersEach
-	if n := use(answerGap); n < want*9/10 || n > want {
+	use(deliveredAfter + s.b.settings.Rules.DrainGrace/2)
+	want := int(time.Second/each) * int(maxAnswerGap/time.Second) / answersPerGap
+	if n := use(maxAnswerGap); n < want*9/10 || n > want {
 		t.Errorf("%d endpoints are used once the list is stale, want about %d", n, want)
 	}
 }
@@ -193,7 +193,7 @@
 		gap  time.Duration // between requests
 		most int           // endpoints that may be in use once the list is stale
 	}{{200 * ms, 3}, {1 * time.Second, 2}, {2 * time.Second, 2}, {5 * time.Second, 1}, {30 * time.Second, 1}} {
-		s := start(t, askingSettings(), listed(count)...)
+		s := start(t, pollingSettings(), listed(count)...)
 		s.event(Event{Kind: ListChanged})
 		id := RequestID(0)
 		use := func(until Time) map[EndpointID]bool {
@@ -206,7 +206,7 @@
 		}
 		use(s.now + time.Minute)
 		s.event(Event{Kind: ListMissed, Since: s.now})
-		before := use(s.now + max(c.gap, toldAfter+s.b.set.Rules.DrainGrace/2))
+		before := use(s.now + max(c.gap, deliveredAfter+s.b.settings.Rules.DrainGrace/2))
 		after := use(s.now + 5*time.Minute)
 		if len(after) > c.most {
 			t.Errorf("a request each %v: %d endpoints are used once the list is stale, want %d at most", c.gap, len(after), c.most)
@@ -220,13 +220,13 @@
 }
 
 // Guards against a request that fails because the endpoint that answered last can't take it: it goes to the next latest one.
-func TestLatestEndpointThatFails(t *testing.T) {
-	s := start(t, askingSettings(), listed(3)...)
+func TestLastEndpointToAnswerFails(t *testing.T) {
+	s := start(t, pollingSettings(), listed(3)...)
 	s.event(Event{Kind: ListChanged})
 	latest := func(id RequestID) EndpointID {
-		s.b.fleet.byID[1].evidence.answered = s.now - 3*time.Minute
-		s.b.fleet.byID[2].evidence.answered = s.now - 2*time.Minute
-		return s.sent(id).Endpoint
+		s.b.endpoints.byID[1].evidence.lastAnswer = s.now - 3*time.Minute
+		s.b.endpoints.byID[2].evidence.lastAnswer = s.now - 2*time.Minute
+		return s.sendOne(id).Endpoint
 	}
 	s.after(10 * time.Minute)
 	s.event(Event{Kind: ListMissed, Since: s.now})
@@ -235,7 +235,7 @@
 		t.Errorf("sent to endpoint %d, want 2, which answered last", to)
 	}
 	s.after(10 * ms)
-	if to := s.want(s.finish(1, 0, ConnectFailed), Send)[0].Endpoint; to != 1 {
+	if to := s.expect(s.finish(1, 0, ConnectFailed), Send)[0].Endpoint; to != 1 {
 		t.Errorf("sent again to endpoint %d, want 1, which answered before it", to)
 	}
 	if to := latest(2); to != 1 {
@@ -245,43 +245,43 @@
 
 // Guards against a sidecar that serves nothing because its list is stale: where no endpoint is proven, all are as before.
 func TestStaleListWithNothingProven(t *testing.T) {
-	s := start(t, askingSettings(), two()...)
+	s := start(t, pollingSettings(), two()...)
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	s.after(time.Minute)
-	s.sent(1)
+	s.sendOne(1)
 }
 
 // Guards against requests that nobody takes: where endpoints are asked first, those few that are proven are seldom among them.
-func TestStaleListWhereEndpointsAreAsked(t *testing.T) {
-	set := scoutSettings()
+func TestStaleListIsIgnoredWhereProbesDecide(t *testing.T) {
+	set := probingSettings()
 	set.MustPoll = true
 	s := start(t, set, two()...)
 	s.event(Event{Kind: ListChanged})
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	s.after(time.Minute).tick()
-	e := s.b.fleet.byID[1]
-	e.passed, e.evidence = s.now, evidence{answered: s.now, since: s.now - time.Minute}
-	if trusted := s.b.trusted(nil); !s.b.proven(e) || !s.b.listStale() || trusted != (trust{}) {
+	e := s.b.endpoints.byID[1]
+	e.servedSentAt, e.evidence = s.now, evidence{lastAnswer: s.now, steadySince: s.now - time.Minute}
+	if trusted := s.b.trustFor(nil); !s.b.proven(e) || !s.b.listStale() || trusted != (trust{}) {
 		t.Errorf("proven %v, stale %v, new work goes to %+v", s.b.proven(e), s.b.listStale(), trusted)
 	}
 }
 
 // Guards against an attempt that was decided on in time and begins too late: what may count as gone by then is told when.
-func TestAttemptSaysWhenItMustHaveBegun(t *testing.T) {
-	s := start(t, askingSettings(), two()...)
+func TestSendCarriesLatestStart(t *testing.T) {
+	s := start(t, pollingSettings(), two()...)
 	s.event(Event{Kind: ListChanged})
-	if sent := s.sent(1); sent.NotAfter != 0 {
+	if sent := s.sendOne(1); sent.NotAfter != 0 {
 		t.Errorf("with a list that is true: not after %v", sent.NotAfter)
 	}
 	missed := s.now
 	s.event(Event{Kind: ListMissed, Since: missed})
-	s.after(toldAfter)
-	want := missed + toldAfter + s.b.set.Rules.DrainGrace - sendMargin
-	if sent := s.sent(2); sent.NotAfter != want {
+	s.after(deliveredAfter)
+	want := missed + deliveredAfter + s.b.settings.Rules.DrainGrace - sendMargin
+	if sent := s.sendOne(2); sent.NotAfter != want {
 		t.Errorf("with a list that goes stale: not after %v, want %v", sent.NotAfter, want)
 	}
 	s.event(Event{Kind: ListConfirmed})
-	if sent := s.sent(3); sent.NotAfter != 0 {
+	if sent := s.sendOne(3); sent.NotAfter != 0 {
 		t.Errorf("with a list that is confirmed: not after %v", sent.NotAfter)
 	}
 }
@@ -289,8 +289,8 @@
 // Guards against the age of a list that is forgotten, or counted from too late: from the first call that failed, and at a
 // start from then on; answers and confirmations end it. Where lists are pushed, none is asked for.
 func TestListGoesStale(t *testing.T) {
-	const sure = toldAfter + time.Second // past the limit, whatever is left of the grace
-	set := askingSettings()
+	const sure = deliveredAfter + time.Second // past the limit, whatever is left of the grace
+	set := pollingSettings()
 	s := start(t, set, two()...)
 	if !s.stale(sure) {
 		t.Error("not stale though nothing has come since the start")
@@ -316,18 +316,18 @@
 	if s.stale(time.Hour) {
 		t.Error("stale where lists are pushed and nothing has failed")
 	}
-	s.want(s.event(Event{Kind: ListMissed, Since: s.now, DeliveredBy: s.now}))
-	if !s.stale(s.b.set.Rules.DrainGrace) {
+	s.expect(s.event(Event{Kind: ListMissed, Since: s.now, DeliveredBy: s.now}))
+	if !s.stale(s.b.settings.Rules.DrainGrace) {
 		t.Error("not stale where lists are pushed, and count as told at once")
 	}
-	s.want(s.tick())
+	s.expect(s.tick())
 }
 
 // What a pick costs among as many endpoints as the largest fleet has, with a list that is true, and stale with a few or no
 // endpoints proven.
 func BenchmarkPickAmongThousands(b *testing.B) {
 	const count, peers = 3200, 400
-	set := askingSettings()
+	set := pollingSettings()
 	set.Peers = peers
 	for _, c := range []struct {
 		name   string
@@ -346,8 +346,8 @@
 			}
 			balancer.now = now
 			for n := range c.proven {
-				e := balancer.fleet.ready[count-1-n]
-				e.passed, e.evidence = now, evidence{answered: now, since: now - 30*time.Second}
+				e := balancer.endpoints.ready[count-1-n]
+				e.servedSentAt, e.evidence = now, evidence{lastAnswer: now, steadySince: now - 30*time.Second}
 			}
 			r := &request{}
 			for b.Loop() {
--- a/decide/tenants.go
+++ b/decide/tenants.go
@@ -2,29 +2,33 @@
 
 import "time"
 
-// Shares of tenants, and what classes and tenants are charged whose requests hold their places for long.
+// Shares of tenants, and the excess time of classes and tenants whose requests hold their slots for long.
 
 const (
-	tenantBurst = 2 * time.Second // how much of its allowance a tenant may use at once
+	tenantBurst = 2 * time.Second // a tenant may use this much of its allowance at once
 )
 
-// charge books a request on its tenant's allowance. It returns the part of its worth that is left to it.
-func (b *Balancer) charge(t *bucket) float64 {
-	if t == nil || !b.set.Front || b.set.Entry == PerCaller {
+// chargeTenant takes a request from its tenant's allowance and returns the part of its worth that it keeps:
+// 1, or OverShareWorth if the allowance is used up.
+func (b *Balancer) chargeTenant(t *bucket) float64 {
+	if t == nil || !b.settings.Front || b.settings.Entry == PerCaller {
 		return 1
 	}
 	if t.refill(b.now); t.tokens < 1 {
-		return b.set.OverShareWorth
+		return b.settings.OverShareWorth
 	}
 	t.tokens--
 	return 1
 }
 
-// toll is how much longer than usual requests of a class or a tenant lately hold their places, by logarithm.
-type toll struct {
-	held float64
-	at   Time
+// excessTime is how much longer than usual requests of a class or a tenant lately hold their slots, as a
+// logarithm.
+type excessTime struct {
+	log       float64
+	updatedAt Time
 }
 
-// now is what is left of it: it is forgotten as payoffs are.
-func (t *toll) now(now Time) float64 { return max(0, t.held*decay(now-t.at, driftTime)) }
+// current returns the excess time after its decay, which is as slow as the drift of payoffs.
+func (x *excessTime) current(current Time) float64 {
+	return max(0, x.log*decay(current-x.updatedAt, driftTime))
+}
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// timerKind says what a timer wakes.
+// timerKind says what is done when a timer is due.
 type timerKind uint8
 
 const (
-	timerRequest timerKind = iota // look at one request again
-	timerWaiting                  // look at the waiting requests again
-	timerList                     // ask for the endpoint list
+	timerRequest timerKind = iota // check one request's deadline
+	timerWaiting                  // check the waiting and the queued requests
+	timerList                     // ask discovery for the endpoint list
 )
 
-// timer is one pending wake-up.
+// timer is one pending timer.
 type timer struct {
 	at      Time
-	seq     uint64 // breaks ties in the order of setting
+	seq     uint64 // orders timers of the same time by when they were set
 	kind    timerKind
 	request RequestID
 }
 
-// timerQueue is a binary heap of timers, earliest first. It also keeps the one
-// outside timer that the instance has asked for.
+// timerQueue is a binary heap of timers, earliest first. It also keeps when the one external timer is due
+// that the instance has asked for with SetTimer.
 type timerQueue struct {
 	heap  []timer
 	seq   uint64
-	armed Time // when the outside timer is due; 0 when none is
+	armed Time // when the external timer is due; 0 when none is set
 }
 
+// before reports whether timer i is due before timer j.
 func (q *timerQueue) before(i, j int) bool {
 	a, b := &q.heap[i], &q.heap[j]
 	if a.at != b.at {
@@ -49,7 +50,7 @@
 	}
 }
 
-// due removes and returns the earliest timer that is due at now.
+// due removes and returns the earliest timer if it is due at now.
 func (q *timerQueue) due(now Time) (timer, bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return timer{}, false
@@ -75,14 +76,13 @@
 	return first, true
 }
 
-// earlyBy is how much before its time an outside timer may come: clocks are coarser
-// than the heap's times, and one taken for a stale one would leave nothing armed.
-const earlyBy = time.Microsecond
+// timerTolerance is how much too early the external timer may come, because clocks are coarser than the
+// heap's times. If such an early event were taken for one of an older timer, no timer would be left.
+const timerTolerance = time.Microsecond
 
-// arm appends a SetTimer when the earliest timer is due before the outside
-// timer that is already set.
+// arm appends a SetTimer if the earliest timer is due before the external timer that is set.
 func (q *timerQueue) arm(now Time, actions []Action) []Action {
-	if q.armed > 0 && q.armed <= now+earlyBy {
+	if q.armed > 0 && q.armed <= now+timerTolerance {
 		q.armed = 0
 	}
 	if len(q.heap) == 0 || (q.armed > 0 && q.armed <= q.heap[0].at) {
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -139,8 +139,8 @@
 	return true, nil
 }
 
-// gauge reads a load report: the values named in the settings, in their order.
-func (h *Host) gauge(r row, i int) error {
+// decodeLoad reads a load report: the values named in the settings, in their order.
+func (h *Host) decodeLoad(r row, i int) error {
 	v := r.at(i)
 	if v == nil {
 		return nil
@@ -171,7 +171,7 @@
 	if err != nil {
 		return err
 	}
-	e.Class = h.string(class)
+	e.Class = h.internString(class)
 	bits := uint64(0)
 	if r.at(3) != nil {
 		if bits, err = r.integer(3, "attrs"); err != nil {
@@ -189,7 +189,7 @@
 		if err != nil {
 			return err
 		}
-		e.Tenant = h.string(tenant)
+		e.Tenant = h.internString(tenant)
 	}
 	e.Grace, err = r.duration(7, "grace")
 	return err
@@ -206,11 +206,11 @@
 	if err := h.requestID(r); err != nil {
 		return err
 	}
-	shot, err := r.integer(2, "shot")
+	attempt, err := r.integer(2, "shot")
 	if err != nil {
 		return err
 	}
-	h.event.Attempt = int(shot)
+	h.event.Attempt = int(attempt)
 	return h.endpoint(r, 3)
 }
 
@@ -254,8 +254,8 @@
 	if err := h.outcome(r, 4); err != nil {
 		return err
 	}
-	over, err := r.boolean(6, "ended")
-	h.event.RequestDone = over
+	done, err := r.boolean(6, "ended")
+	h.event.RequestDone = done
 	return err
 }
 
@@ -283,7 +283,7 @@
 	if err := h.outcome(r, 2); err != nil {
 		return err
 	}
-	return h.gauge(r, 4)
+	return h.decodeLoad(r, 4)
 }
 
 func (h *Host) decodeDirectory(r row) error {
@@ -377,7 +377,7 @@
 		return e, fmt.Errorf("phase: unknown phase %q", phase)
 	}
 	e = decide.Endpoint{
-		ID: decide.EndpointID(id), Zone: h.string(zone), Cell: int(cell), State: state, Weight: 1,
+		ID: decide.EndpointID(id), Zone: h.internString(zone), Cell: int(cell), State: state, Weight: 1,
 	}
 	if v := r.at(5); v != nil {
 		if e.Weight, err = v.Float64(); err != nil {
@@ -390,14 +390,14 @@
 	return e, err
 }
 
-// begin opens an action in the reply: its name and its instance.
-func (h *Host) begin(word, instance string) {
-	if h.steps > 0 {
+// beginAction opens an action in the reply: its name and its instance.
+func (h *Host) beginAction(action, instance string) {
+	if h.actionCount > 0 {
 		h.out = append(h.out, ',')
 	}
-	h.steps++
+	h.actionCount++
 	h.out = append(h.out, `["`...)
-	h.out = append(h.out, word...)
+	h.out = append(h.out, action...)
 	h.out = append(h.out, `",`...)
 	h.out = appendText(h.out, instance)
 }
@@ -433,30 +433,30 @@
 func (h *Host) appendAction(instance string, a *decide.Action) {
 	switch a.Kind {
 	case decide.Send:
-		h.begin("send", instance)
+		h.beginAction("send", instance)
 		h.number(uint64(a.Request))
 		h.number(uint64(a.Endpoint))
 		h.duration(a.After)
 	case decide.Cancel:
-		h.begin("revoke", instance)
+		h.beginAction("revoke", instance)
 		h.number(uint64(a.Request))
 		h.number(uint64(a.Attempt))
 	case decide.Refuse:
-		h.begin("bounce", instance)
+		h.beginAction("bounce", instance)
 		h.number(uint64(a.Request))
 		h.duration(a.After)
 	case decide.Fail:
-		h.begin("abort", instance)
+		h.beginAction("abort", instance)
 		h.number(uint64(a.Request))
 	case decide.SetTimer:
-		h.begin("defer", instance)
+		h.beginAction("defer", instance)
 		h.duration(a.After)
 		h.out = append(h.out, `,"`+timerToken+`"`...)
 	case decide.Probe:
-		h.begin("poll", instance)
+		h.beginAction("poll", instance)
 		h.number(uint64(a.Endpoint))
 	case decide.WatchList:
-		h.begin("subscribe", instance)
+		h.beginAction("subscribe", instance)
 		h.out = append(h.out, `,true`...)
 	default:
 		panic(fmt.Sprintf("action of unknown kind %d", a.Kind))
@@ -466,7 +466,7 @@
 
 // appendFault writes the message that ends the day with an error's text.
 func (h *Host) appendFault(fault *instanceError) {
-	h.begin("broken", fault.name)
+	h.beginAction("broken", fault.name)
 	h.out = append(h.out, ',')
 	h.out = appendText(h.out, fault.err.Error())
 	h.out = append(h.out, ']')
--- a/simwire/host.go
+++ b/simwire/host.go
@@ -23,15 +23,15 @@
 
 // Host runs the instances of one process.
 type Host struct {
-	instances map[string]*instance
-	lists     [listSlots][]decide.Endpoint
-	parser    fastjson.Parser
-	intern    map[string]string
-	actions   []decide.Action
-	out       []byte
-	event     decide.Event
-	values    []float64 // of the event's load report
-	steps     int
+	instances   map[string]*instance
+	lists       [listSlots][]decide.Endpoint
+	parser      fastjson.Parser
+	interned    map[string]string
+	actions     []decide.Action
+	out         []byte
+	event       decide.Event
+	values      []float64 // of the event's load report
+	actionCount int
 }
 
 type instance struct {
@@ -51,7 +51,7 @@
 
 // NewHost returns a host without instances.
 func NewHost() *Host {
-	return &Host{instances: map[string]*instance{}, intern: map[string]string{}}
+	return &Host{instances: map[string]*instance{}, interned: map[string]string{}}
 }
 
 // Serve answers one batch a line from r with one reply a line on w, until r
@@ -105,7 +105,7 @@
 // next call. With an error the reply is nil unless it carries a fault.
 func (h *Host) Batch(line []byte) ([]byte, error) {
 	h.out = append(h.out[:0], `{"steps":[`...)
-	h.steps = 0
+	h.actionCount = 0
 	err := h.batch(line)
 	if err != nil {
 		fault, ok := err.(*instanceError)
@@ -156,11 +156,11 @@
 	if err != nil || len(values) == 0 {
 		return fmt.Errorf("a message is an array that begins with its name, not %s", v.Type())
 	}
-	word, err := values[0].StringBytes()
+	kind, err := values[0].StringBytes()
 	if err != nil {
 		return fmt.Errorf("name: %w", err)
 	}
-	row := row{values: values[1:], name: h.string(word)}
+	row := row{values: values[1:], name: h.internString(kind)}
 	if row.name == "list" {
 		return h.list(row)
 	}
@@ -168,7 +168,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", row.name, err)
 	}
-	if err := h.instanceMessage(now, h.string(name), row); err != nil {
+	if err := h.instanceMessage(now, h.internString(name), row); err != nil {
 		return &instanceError{name: string(name), err: fmt.Errorf("%s: %w", row.name, err)}
 	}
 	return nil
@@ -233,13 +233,13 @@
 	return nil
 }
 
-// string returns s as a string that is made only once for equal bytes. Names
+// internString returns s as a string that is made only once for equal bytes. Names
 // of instances, classes and tenants are few.
-func (h *Host) string(b []byte) string {
-	if s, ok := h.intern[string(b)]; ok {
+func (h *Host) internString(b []byte) string {
+	if s, ok := h.interned[string(b)]; ok {
 		return s
 	}
 	s := string(b)
-	h.intern[s] = s
+	h.interned[s] = s
 	return s
 }
--- a/simwire/host_test.go
+++ b/simwire/host_test.go
@@ -21,8 +21,8 @@
 		`["directory_update","` + name + `",1,"restored",0]`
 }
 
-// talk gives batches to a new host and returns its replies.
-func talk(t *testing.T, batches ...string) []string {
+// repliesTo gives batches to a new host and returns its replies.
+func repliesTo(t *testing.T, batches ...string) []string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := NewHost().Serve(strings.NewReader(strings.Join(batches, "\n")), &out); err != nil {
@@ -51,7 +51,7 @@
 	for _, step := range steps {
 		batches = append(batches, step.batch)
 	}
-	got := talk(t, batches...)
+	got := repliesTo(t, batches...)
 	if len(got) != len(steps) {
 		t.Fatalf("%d replies to %d batches", len(got), len(steps))
 	}
@@ -68,7 +68,7 @@
 	on = strings.Replace(on, `"az":"hill"`, `"az":"hill","family":"mesh","report":{"how":"pull","fields":["outstanding","utilization"]}`, 1)
 	on = strings.Replace(on, `[[901,"hill","std",4,"active",1,null]]`,
 		`[[901,"hill","std",4,"active",1,null],[902,"hill","std",4,"active",1,null]]`, 1)
-	got := talk(t, `{"ts":1,"input":[`+on+`]}`,
+	got := repliesTo(t, `{"ts":1,"input":[`+on+`]}`,
 		`{"ts":2,"input":[["request","sidecar-1",5,"read",0,null,null,0,500]]}`,
 		`{"ts":3,"input":[["probe_result","sidecar-1",901,"OK",1,[4,0.9]],["probe_result","sidecar-1",902,"OK",1,[0,null]]]}`)
 	for _, want := range []string{`["poll","sidecar-1",901]`, `["poll","sidecar-1",902]`} {
@@ -82,7 +82,7 @@
 }
 
 // Instances share nothing: one does the same alone as beside others.
-func TestInstancesAreAlone(t *testing.T) {
+func TestInstancesShareNothing(t *testing.T) {
 	events := func(name string) []string {
 		return []string{
 			powerOn(name),
@@ -98,7 +98,7 @@
 		alone = append(alone, at+one[i]+`]}`)
 		beside = append(beside, at+two[i]+`,`+one[i]+`]}`)
 	}
-	got, with := talk(t, alone...), talk(t, beside...)
+	got, with := repliesTo(t, alone...), repliesTo(t, beside...)
 	sent := 0
 	for i := range got {
 		own := strings.TrimSuffix(strings.TrimPrefix(got[i], `{"steps":[`), `]}`)
@@ -112,8 +112,8 @@
 	}
 }
 
-func TestListSlotsAreUsedAgain(t *testing.T) {
-	got := talk(t,
+func TestListSlotsAreReused(t *testing.T) {
+	got := repliesTo(t,
 		`{"ts":1,"input":[`+powerOn("sidecar-1")+`,["list",0,[[902,"hill","std",4,"active",1,null]]],`+
 			`["directory_update","sidecar-1",2,"replace",0]]}`,
 		`{"ts":2,"input":[["request","sidecar-1",1,"read",0,null,null,0,500]]}`)
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestWhatCannotBeUnderstood(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	on := `{"ts":1,"input":[` + powerOn("sidecar-1") + `]}`
 	for _, c := range []struct {
 		name, batch string
@@ -194,7 +194,7 @@
 		}
 		b.WriteString(`["wakeup","sidecar-1","due of some length"]`)
 	}
-	got := talk(t, `{"ts":1,"input":[`+powerOn("sidecar-1")+`]}`, `{"ts":2,"input":[`+b.String()+`]}`)
+	got := repliesTo(t, `{"ts":1,"input":[`+powerOn("sidecar-1")+`]}`, `{"ts":2,"input":[`+b.String()+`]}`)
 	if len(got) != 2 || got[1] != `{"steps":[]}` {
 		t.Errorf("got %v", got)
 	}
