--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,4 @@
-// Command simhost runs heathgap's decision module behind the simulator's wire
-// on standard input and output.
+// Command simhost serves heathgap's decision module to the simulator on standard input and output.
 package main
 
 import (
@@ -10,8 +9,8 @@
 	"heathgap/simwire"
 )
 
-// gcPercent lets the heap grow this many percent between collections: the live
-// heap is a few megabytes, and collections are billed as CPU time.
+// gcPercent is how many percent the heap may grow between garbage collections. The live heap is a
+// few megabytes, and the CPU time of collections counts against the result.
 const gcPercent = 800
 
 func main() {
--- a/decide/ban_test.go
+++ b/decide/ban_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// countSentTo sends so many safe requests, each served at once, and counts those to an endpoint.
+// countSentTo sends that many safe requests, each served at once, and returns how many attempts went to the endpoint.
 func (s *script) countSentTo(id EndpointID, from RequestID, requests int) (n int) {
 	s.t.Helper()
 	for i := range RequestID(requests) {
@@ -20,19 +20,18 @@
 	return n
 }
 
-// What is banned by hand gets nothing, whatever lists tell, until the one call that
-// ends the ban; then it is cold, though the list tells an old start.
+// A banned endpoint gets nothing, whatever the list reports, until the ban ends. Then it is cold, though the list reports an old start.
 func TestBanByHand(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	id, other := two()[0].ID, two()[1].ID
 	if s.countSentTo(id, 1, 20) == 0 {
-		t.Fatal("it gets nothing before the ban")
+		t.Fatal("the endpoint gets nothing before the ban")
 	}
 	for range 3 {
 		s.event(Event{Kind: Banned, Endpoint: id})
 	}
 	if n := s.b.Avoided(); n != 1 {
-		t.Errorf("%d avoided, want 1", n)
+		t.Errorf("%d endpoints are avoided, want 1", n)
 	}
 	for what, e := range map[string]Event{
 		"the same list": {Kind: ListReplaced, Endpoints: two()},
@@ -42,17 +41,17 @@
 	} {
 		s.event(e)
 		if n := s.countSentTo(id, 1000, 20); n != 0 {
-			t.Errorf("after %s: %d sent to what is banned", what, n)
+			t.Errorf("after %s: %d attempts went to the banned endpoint", what, n)
 		}
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
 	s.event(Event{Kind: Unbanned, Endpoint: id})
 	if e := s.b.endpoints.byID[id]; e.cold == 0 || s.b.capacity(e) > s.b.settings.Rules.ColdShare+0.01 {
-		t.Errorf("after the ban it is not cold: %+v", *e)
+		t.Errorf("after the ban the endpoint is not cold: %+v", *e)
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
 	if e := s.b.endpoints.byID[id]; e.cold == 0 {
-		t.Error("a list that tells its old start made it warm")
+		t.Error("a list with the old start time made the endpoint warm")
 	}
 	fresh := s.b.endpoints.byID[id]
 	for _, call := range []Event{
@@ -61,17 +60,17 @@
 		s.event(call)
 	}
 	if s.b.endpoints.byID[id] != fresh || s.b.endpoints.byID[other].cold != 0 {
-		t.Error("a call that ends no ban has made an endpoint new")
+		t.Error("Unbanned for an endpoint without a ban replaced or cooled an endpoint")
 	}
 	if n := s.countSentTo(id, 2000, 200); n == 0 {
-		t.Error("it gets nothing in the 5 s after the ban")
+		t.Error("the endpoint gets nothing in the 5 s after the ban")
 	}
 	if s.after(s.b.settings.Rules.ColdTime); s.countSentTo(id, 3000, 40) < 5 {
-		t.Error("it is not in full use after its cold time")
+		t.Error("the endpoint is not in full use after its cold time")
 	}
 }
 
-// Bans hold for what is not listed yet, and where nothing is left to send to.
+// A ban applies to an endpoint that is not listed yet, and also where it leaves no endpoint to send to.
 func TestBanOfUnlistedAndOfAllEndpoints(t *testing.T) {
 	s := start(t, testSettings())
 	for _, e := range two() {
@@ -79,21 +78,21 @@
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
 	if n := s.countSentTo(two()[0].ID, 1, 5) + s.countSentTo(two()[1].ID, 100, 5); n != 0 {
-		t.Errorf("%d sent to banned endpoints", n)
+		t.Errorf("%d attempts went to banned endpoints", n)
 	}
 	s.arrive(500, "read")
 	for _, a := range s.after(2 * time.Second).tick() {
 		if a.Kind != Refuse || a.After == 0 {
-			t.Errorf("%+v, want refusals that say when to come back", a)
+			t.Errorf("%+v, want refusals that say how long to wait", a)
 		}
 	}
 	if len(s.b.pending) != 0 {
-		t.Errorf("%d requests are still held", len(s.b.pending))
+		t.Errorf("%d requests are still pending", len(s.b.pending))
 	}
 }
 
-// What has partly gone can't go twice, and its failure ends the request at once:
-// refused while it can't have run, failed where it may have.
+// A request whose body or answer has partly been sent can't be sent again. If its attempt fails, it ends at once: refused if it can't have
+// run, else failed.
 func TestStartedStreamIsNotSentAgain(t *testing.T) {
 	for outcome, want := range map[Outcome]ActionKind{ConnectFailed: Refuse, Reset: Fail} {
 		s := start(t, testSettings(), two()...)
@@ -101,12 +100,12 @@
 		s.event(Event{Kind: StreamBegan, Request: 1})
 		s.expect(s.after(5*ms).finish(1, 0, outcome), want)
 		if len(s.b.pending) != 0 {
-			t.Errorf("outcome %d: the request is still held", outcome)
+			t.Errorf("outcome %d: the request is still pending", outcome)
 		}
 	}
 }
 
-// An endpoint that breaks off its answers is worth less than one that ends them.
+// An endpoint that breaks off an answer loses payoff.
 func TestBrokenStreamLowersPayoff(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	id := two()[0].ID
@@ -119,21 +118,21 @@
 	}
 }
 
-// Guards against a tier that counts as full of bodies that still come: while its client
-// sends, an endpoint does nothing for a request, and its place goes to another.
+// Guards against a tier that counts as full because of bodies that are still being sent: until the body is complete, the endpoint does no
+// work for the request, and its slot goes to another.
 func TestRequestIsNotInFlightWhileItsBodyComes(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	last := s.fill("once")
 	s.expect(s.arrive(last+1, "once"))
 	s.expect(s.event(Event{Kind: StreamBegan, Request: 1}), Send)
 	if out, err := s.b.Audit(); err != nil || out != int(last)-1 {
-		t.Errorf("%d out, %v; want %d", out, err, last-1)
+		t.Errorf("%d attempts without an outcome, error %v; want %d attempts", out, err, last-1)
 	}
 	full := s.b.admission.inFlight
 	s.event(Event{Kind: BodyReceived, Request: 1})
 	s.event(Event{Kind: BodyReceived, Request: 1})
 	if s.b.admission.inFlight != full+1 {
-		t.Errorf("%d in flight when the body has come, want %d", s.b.admission.inFlight, full+1)
+		t.Errorf("%d in flight when the body is complete, want %d", s.b.admission.inFlight, full+1)
 	}
 	s.after(5*ms).finish(1, 0, Served)
 	s.event(Event{Kind: BodyReceived, Request: 1})
--- a/decide/coldstart_test.go
+++ b/decide/coldstart_test.go
@@ -12,47 +12,48 @@
 	"time"
 )
 
-// A cold endpoint bears only so much from all balancers together, and none of them sees the others. Here
-// whole fleets of them, each on nothing but its own events, send to a tier of endpoints that serve and queue;
-// an observer sums what each cold one is sent in every window and holds it against what lets it fall.
+// A cold endpoint bears only a limited load from all balancers together, and no balancer sees the others. These tests run whole fleets of
+// balancers, each on its own events alone, against a tier of endpoints that serve and queue. For each cold endpoint an observer sums the
+// work that it is sent in every window and compares the sum with what overloads it.
 
 var (
-	coldSeeds = flag.Int("cold.seeds", 10, "so many seeds of each fleet with cold endpoints are played")
-	coldSeed  = flag.Int64("cold.seed", -1, "only this one")
+	coldSeeds = flag.Int("cold.seeds", 10, "number of seeds to run for each fleet with cold endpoints")
+	coldSeed  = flag.Int64("cold.seed", -1, "run only this seed")
 )
 
 const (
-	coldWarmUp       = 6 * time.Second // before the first start: averages of the module settle over 3 s
-	coldRunAfterJoin = 8 * time.Second // after the last start at most: later capacity and bound have grown
-	probeCost        = 0.1             // requests that a probe counts for
-	workSpread       = 0.3             // spread of work around its mean, as a part of it, both ways
-	maxClientTries   = 2               // tries of a client that is refused or fails
+	coldWarmUp       = 6 * time.Second // before the first cold start: the module's averages settle over 3 s
+	coldRunAfterJoin = 8 * time.Second // after the last cold start at most: later the capacity has grown, and the bound with it
+	probeCost        = 0.1             // a probe counts as this part of a request
+	workSpread       = 0.3             // work varies by this part of its mean, both ways
+	maxClientTries   = 2               // tries of a client whose request is refused or fails
 )
 
-// coldCase is a fleet and a day, drawn from a seed within the figures of sites' files.
+// coldCase is a fleet and what happens to it, generated from a seed within the range of the sites' settings files.
 type coldCase struct {
 	seed            uint64
-	balancerCount   int // balancers
-	toldPeers       int // number of peers that they are told
+	balancerCount   int // number of balancers
+	toldPeers       int // number of peers in the balancers' settings
 	set             Settings
-	warm            int           // endpoints that are there before and stay
-	cold            int           // that start cold, within joinTime
-	joinTime        time.Duration // from the first to the last
-	ratePerEndpoint float64       // requests of mean work that a warm endpoint of size 1 serves a second
+	warm            int           // endpoints that are warm from the start and stay
+	cold            int           // endpoints that start cold, within joinTime
+	joinTime        time.Duration // from the first cold start to the last
+	ratePerEndpoint float64       // requests of mean work that a warm endpoint of size 1 serves in a second
 	cores           int
-	load            float64 // of what all endpoints serve once warm, before the burst
-	burstAt         time.Duration
-	restarts        bool // seven in ten balancers start anew just then
-	replaces        bool // each cold one takes the place of one that drains, else of one that was away
+	load            float64       // part of what all endpoints serve once warm, before the burst
+	burstAt         time.Duration // when the traffic rises, from the first cold start
+	restarts        bool          // seven in ten balancers restart at the burst
+	replaces        bool          // each cold endpoint replaces one that drains or is gone already
 	zones           int
-	zoneLost        bool // one of two zones loses all that is warm in it just then
-	failing         int  // endpoints that answer half of their requests with errors, at once
+	zoneLost        bool // one of two zones loses all of its warm endpoints at the burst
+	failing         int  // endpoints that answer half of their requests with an immediate error
 }
 
-func generateCase(seed uint64, actual int, told int) coldCase {
+// generateCase generates a case from a seed.
+func generateCase(seed uint64, balancers int, peers int) coldCase {
 	r := rand.New(rand.NewPCG(seed, 77))
 	between := func(from, to float64) float64 { return from + (to-from)*r.Float64() }
-	c := coldCase{seed: seed, balancerCount: actual, toldPeers: told}
+	c := coldCase{seed: seed, balancerCount: balancers, toldPeers: peers}
 	set := testSettings()
 	set.Classes = set.Classes[:1]
 	set.Classes[0].Aim, set.Classes[0].Deadline = 800*ms, 3*time.Second
@@ -84,10 +85,10 @@
 	return c
 }
 
-// coldFault is planted between the driver and the module.
+// coldFault is a fault that is injected before the module handles an event.
 type coldFault func(now Time, b *Balancer, e *Event)
 
-// coldFleet plays a case.
+// coldFleet runs a case.
 type coldFleet struct {
 	coldCase
 	rng       *rand.Rand
@@ -101,9 +102,9 @@
 	served    int
 }
 
-// coldResult is what the observer saw.
+// coldResult is what the observer has seen.
 type coldResult struct {
-	worst   float64 // the fullest window of a cold endpoint's, as a part of what lets it fall
+	worst   float64 // largest sum in a window, as a part of what overloads the cold endpoint
 	details string
 	cold    int // sends to cold endpoints
 	served  int
@@ -111,7 +112,7 @@
 
 type coldBalancer struct {
 	number       int
-	generation   int // counts its processes
+	generation   int // number of its processes so far
 	trafficShare float64
 	zone         string
 	b            *Balancer
@@ -119,7 +120,7 @@
 }
 
 type coldRequest struct {
-	tries    int // of its client, this one included
+	tries    int // number of this try of its client
 	deadline Time
 	done     bool
 	attempts []coldAttempt
@@ -127,17 +128,17 @@
 
 type coldAttempt struct {
 	to      *coldEndpoint
-	sent    Time
+	sentAt  Time
 	settled bool
 }
 
 type coldEndpoint struct {
-	line       Endpoint // its weight is the listed one: rough
-	size       float64  // the true one
+	listed     Endpoint // as listed; its weight is only roughly the size
+	size       float64  // its true size
 	isCold     bool
-	bad        bool
-	coreFreeAt []Time // when each core is done with what it has
-	ends       []Time // ends of what is in hand
+	failing    bool
+	coreFreeAt []Time // when each core has finished its work
+	ends       []Time // when its outstanding requests will be finished
 	sends      []coldSend
 }
 
@@ -167,21 +168,22 @@
 	return last
 }
 
+// at schedules do.
 func (f *coldFleet) at(at Time, do func()) {
 	f.order++
 	heap.Push(&f.queue, coldEvent{max(at, f.now), f.order, do})
 }
 
-// present is the least part of its capacity that the settings leave an endpoint at a time.
+// present returns the least part of its capacity that the settings allow an endpoint at a time.
 func (f *coldFleet) present(e *coldEndpoint, at Time) float64 {
 	if !e.isCold {
 		return 1
 	}
-	age := min(1, max(0, (at-e.line.Started).Seconds()/f.set.Rules.ColdTime.Seconds()))
+	age := min(1, max(0, (at-e.listed.Started).Seconds()/f.set.Rules.ColdTime.Seconds()))
 	return f.set.Rules.ColdShare + (1-f.set.Rules.ColdShare)*age
 }
 
-// startBalancer starts a balancer's process: it is told the list as it is.
+// startBalancer starts a balancer's process and delivers the present list to it.
 func (f *coldFleet) startBalancer(k *coldBalancer) {
 	set := f.set
 	set.Number, set.Peers, set.Zone = k.number, f.toldPeers, k.zone
@@ -195,11 +197,12 @@
 	f.deliver(k, Event{Kind: Start})
 	var lines []Endpoint
 	for _, e := range f.endpoints {
-		lines = append(lines, e.line)
+		lines = append(lines, e.listed)
 	}
 	f.deliver(k, Event{Kind: ListReplaced, Endpoints: lines})
 }
 
+// deliver has a balancer handle an event, and does what its actions say.
 func (f *coldFleet) deliver(k *coldBalancer, e Event) {
 	if f.fault != nil {
 		f.fault(f.now, k.b, &e)
@@ -211,9 +214,9 @@
 		case Refuse, Fail:
 			f.endTry(k, k.requests[a.Request])
 		case SetTimer:
-			life := k.generation
+			generation := k.generation
 			f.at(f.now+a.After, func() {
-				if k.generation == life {
+				if k.generation == generation {
 					f.deliver(k, Event{Kind: TimerDue})
 				}
 			})
@@ -225,10 +228,10 @@
 			e.ends = slices.DeleteFunc(e.ends, func(at Time) bool { return at <= f.now })
 			out := float64(len(e.ends))
 			load := Load{Outstanding: out, Utilization: min(1, out/float64(f.cores))}
-			life := k.generation
+			generation := k.generation
 			f.at(f.now+2*ms, func() {
-				if k.generation == life {
-					f.deliver(k, Event{Kind: ProbeFinished, Endpoint: e.line.ID, Latency: 2 * ms, Load: load})
+				if k.generation == generation {
+					f.deliver(k, Event{Kind: ProbeFinished, Endpoint: e.listed.ID, Latency: 2 * ms, Load: load})
 				}
 			})
 		}
@@ -237,11 +240,11 @@
 
 func (f *coldFleet) endpoint(id EndpointID) *coldEndpoint { return f.endpoints[id-1] }
 
-// send lets an endpoint serve a request in turn, at the speed that it has then.
+// send has an endpoint serve a request after those before it, at its present speed.
 func (f *coldFleet) send(k *coldBalancer, a Action) {
 	e, r, id := f.endpoint(a.Endpoint), k.requests[a.Request], a.Request
 	attempt := len(r.attempts)
-	r.attempts = append(r.attempts, coldAttempt{to: e, sent: f.now})
+	r.attempts = append(r.attempts, coldAttempt{to: e, sentAt: f.now})
 	work := 1 + workSpread*(2*f.rng.Float64()-1)
 	e.sends = append(e.sends, coldSend{f.now, work, k.number})
 	core := 0
@@ -252,14 +255,14 @@
 	}
 	speed := f.ratePerEndpoint * e.size * f.present(e, f.now) / float64(f.cores) // of a core
 	done, outcome := f.now+5*ms, ServerError
-	if !e.bad || f.rng.IntN(2) == 0 {
+	if !e.failing || f.rng.IntN(2) == 0 {
 		done = max(f.now, e.coreFreeAt[core]) + time.Duration(work/speed*float64(time.Second))
 		e.coreFreeAt[core], outcome = done, Served
 		e.ends = append(e.ends, done)
 	}
-	life := k.generation
+	generation := k.generation
 	f.at(done, func() {
-		if k.generation == life {
+		if k.generation == generation {
 			f.finish(k, id, attempt, outcome)
 		}
 	})
@@ -277,12 +280,12 @@
 		f.served++
 	}
 	f.deliver(k, Event{
-		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.line.ID, Outcome: outcome,
-		Latency: f.now - a.sent, RequestDone: r.done,
+		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.listed.ID, Outcome: outcome,
+		Latency: f.now - a.sentAt, RequestDone: r.done,
 	})
 }
 
-// endTry ends a try; its client may come once more.
+// endTry ends a client's try without a result. Its client may try once more.
 func (f *coldFleet) endTry(k *coldBalancer, r *coldRequest) {
 	r.done = true
 	if r.tries < maxClientTries {
@@ -292,11 +295,11 @@
 
 func (f *coldFleet) arrive(k *coldBalancer, tries int) {
 	f.nextID++
-	id, life, grace := f.nextID, k.generation, f.set.Classes[0].Deadline
+	id, generation, grace := f.nextID, k.generation, f.set.Classes[0].Deadline
 	r := &coldRequest{tries: tries, deadline: f.now + grace}
 	k.requests[id] = r
 	f.at(r.deadline, func() {
-		if k.generation != life {
+		if k.generation != generation {
 			return
 		}
 		for i := range r.attempts {
@@ -307,7 +310,7 @@
 	f.deliver(k, Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: tries > 1})
 }
 
-// traffic brings a balancer's next request, at random times of its own.
+// traffic schedules a balancer's next request, after a random time.
 func (f *coldFleet) traffic(k *coldBalancer, end Time) {
 	rate := f.load * f.ratePerEndpoint * float64(f.warm+f.cold) * k.trafficShare
 	if f.now >= time.Hour+coldWarmUp+f.burstAt {
@@ -325,17 +328,17 @@
 	}
 }
 
-func (f *coldFleet) add(isCold, bad bool) *coldEndpoint {
+func (f *coldFleet) add(isCold, failing bool) *coldEndpoint {
 	id := EndpointID(len(f.endpoints) + 1)
-	e := &coldEndpoint{isCold: isCold, bad: bad, coreFreeAt: make([]Time, f.cores)}
+	e := &coldEndpoint{isCold: isCold, failing: failing, coreFreeAt: make([]Time, f.cores)}
 	e.size = 1 + float64(f.rng.IntN(2))/2
-	e.line = Endpoint{ID: id, Zone: []string{"a", "b"}[int(id)%f.zones], Cell: int(id)}
-	e.line.Weight = e.size * (0.85 + 0.3*f.rng.Float64())
+	e.listed = Endpoint{ID: id, Zone: []string{"a", "b"}[int(id)%f.zones], Cell: int(id)}
+	e.listed.Weight = e.size * (0.85 + 0.3*f.rng.Float64())
 	f.endpoints = append(f.endpoints, e)
 	return e
 }
 
-// broadcast tells all balancers of a change, one after another.
+// broadcast delivers a change of the list to all balancers, at different times.
 func (f *coldFleet) broadcast(lines []Endpoint) {
 	for _, k := range f.balancers {
 		f.at(f.now+time.Duration(f.rng.IntN(500))*ms, func() {
@@ -344,7 +347,7 @@
 	}
 }
 
-// run lets a case pass, with a fault or without.
+// run simulates the case, with a fault or without (nil).
 func (c coldCase) run(fault coldFault) coldResult {
 	f := &coldFleet{coldCase: c, now: time.Hour, fault: fault}
 	f.rng = rand.New(rand.NewPCG(c.seed, uint64(c.balancerCount)))
@@ -352,7 +355,7 @@
 	for n := range c.balancerCount {
 		k := &coldBalancer{number: n, trafficShare: 1, zone: []string{"a", "b"}[n%c.zones]}
 		if f.rng.IntN(6) == 0 {
-			k.trafficShare = 3 + 3*f.rng.Float64() // several times the mean
+			k.trafficShare = 3 + 3*f.rng.Float64() // several times the share of most
 		}
 		sum += k.trafficShare
 		f.balancers = append(f.balancers, k)
@@ -375,12 +378,12 @@
 	for i := range c.cold {
 		f.at(first+c.joinTime*time.Duration(i)/time.Duration(max(1, c.cold-1)), func() {
 			e := f.add(true, false)
-			e.line.Started = f.now
-			lines := []Endpoint{e.line}
+			e.listed.Started = f.now
+			lines := []Endpoint{e.listed}
 			if c.replaces {
 				old := f.endpoints[c.warm+i]
-				old.line.State = max(old.line.State, Draining)
-				lines = append(lines, old.line)
+				old.listed.State = max(old.listed.State, Draining)
+				lines = append(lines, old.listed)
 			}
 			f.broadcast(lines)
 		})
@@ -396,9 +399,9 @@
 		f.at(first+c.burstAt, func() {
 			var lines []Endpoint
 			for _, e := range f.endpoints {
-				if !e.isCold && e.line.Zone == "a" {
-					e.line.State = Gone
-					lines = append(lines, e.line)
+				if !e.isCold && e.listed.Zone == "a" {
+					e.listed.State = Gone
+					lines = append(lines, e.listed)
 				}
 			}
 			f.broadcast(lines)
@@ -413,38 +416,38 @@
 	for _, e := range f.endpoints {
 		if e.isCold {
 			result.cold += len(e.sends)
-			if part, how := f.fullestWindow(e); part > result.worst {
-				result.worst, result.details = part, how
+			if part, details := f.fullestWindow(e); part > result.worst {
+				result.worst, result.details = part, details
 			}
 		}
 	}
 	return result
 }
 
-// fullestWindow is the fullest window of an endpoint's, as a part of what lets it fall. The settings allow N requests
-// of mean work: the multiple of its present capacity, here at the window's start, when it is least.
-func (f *coldFleet) fullestWindow(e *coldEndpoint) (worst float64, how string) {
+// fullestWindow returns the largest sum of work that an endpoint was sent in a window, as a part of what overloads it. The settings allow N
+// requests of mean work: FallMultiple times the present capacity, taken at the window's start, when it is least.
+func (f *coldFleet) fullestWindow(e *coldEndpoint) (worst float64, details string) {
 	rules := f.set.Rules
 	for i, first := range e.sends {
 		n := rules.FallMultiple * f.present(e, first.at) * f.ratePerEndpoint * e.size * rules.FallWindow.Seconds()
 		sum, senders := 0.0, map[int]bool{}
 		for _, s := range e.sends[i:] {
-			if s.at-first.at >= rules.FallWindow || s.at-e.line.Started >= rules.ColdTime {
+			if s.at-first.at >= rules.FallWindow || s.at-e.listed.Started >= rules.ColdTime {
 				break
 			}
 			sum, senders[s.by] = sum+s.work, true
 		}
 		if part := sum / (n + 2*math.Sqrt(n) + 2); part > worst {
 			worst = part
-			how = fmt.Sprintf("%.1f from %d balancers, %.2f s old, N %.1f", sum, len(senders),
-				(first.at - e.line.Started).Seconds(), n)
+			details = fmt.Sprintf("%.1f from %d balancers, %.2f s old, N %.1f", sum, len(senders),
+				(first.at - e.listed.Started).Seconds(), n)
 		}
 	}
-	return worst, how
+	return worst, details
 }
 
-// The sizes, and the parts of the true number of peers that balancers are told: settings are written before a
-// fleet grows, and stay when most of it is gone.
+// Numbers of balancers, and the number of peers in their settings as a part of the true one: settings are written before a fleet grows, and
+// stay when most of it is gone.
 var (
 	coldSizes      = []int{2, 6, 20, 30}
 	coldToldShares = []float64{1, 0.5, 2}
@@ -453,41 +456,41 @@
 func TestColdEndpointsAreNotOverloadedByAllBalancers(t *testing.T) {
 	for _, size := range coldSizes {
 		for _, part := range coldToldShares {
-			told := int(float64(size) * part)
+			peers := int(float64(size) * part)
 			var worst []float64
 			cold := 0
 			for seed := range uint64(*coldSeeds) {
 				if *coldSeed >= 0 {
 					seed = uint64(*coldSeed)
 				}
-				c := generateCase(seed, size, told)
+				c := generateCase(seed, size, peers)
 				got := c.run(nil)
 				worst, cold = append(worst, got.worst), cold+got.cold
 				if got.worst > 1 {
-					t.Errorf("%d balancers told of %d, -cold.seed %d: %.2f of what lets it fall: %s; %+v",
-						size, told, seed, got.worst, got.details, c)
+					t.Errorf("%d balancers with %d peers in their settings, -cold.seed %d: %.2f of what overloads it: %s; %+v",
+						size, peers, seed, got.worst, got.details, c)
 				}
 				if got.served == 0 {
-					t.Errorf("%d balancers told of %d, -cold.seed %d: nothing was served", size, told, seed)
+					t.Errorf("%d balancers with %d peers in their settings, -cold.seed %d: nothing was served", size, peers, seed)
 				}
 				if *coldSeed >= 0 {
 					break
 				}
 			}
 			if cold < 20*len(worst) && *coldSeed < 0 {
-				t.Errorf("%d balancers told of %d: %d sends to cold endpoints on %d days: nothing was tried",
-					size, told, cold, len(worst))
+				t.Errorf("%d balancers with %d peers in their settings: only %d sends to cold endpoints in %d cases",
+					size, peers, cold, len(worst))
 			}
 			slices.Sort(worst)
 			at := func(q float64) float64 { return worst[int(math.Ceil(q*float64(len(worst))))-1] }
-			t.Logf("%2d balancers told of %2d, %d seeds, of what lets a cold one fall: "+
+			t.Logf("%2d balancers with %2d peers in their settings, %d seeds, part of what overloads a cold one: "+
 				"median %.2f, p99 %.2f, most %.2f; %d sends",
-				size, told, len(worst), at(0.5), at(0.99), at(1), cold)
+				size, peers, len(worst), at(0.5), at(0.99), at(1), cold)
 		}
 	}
 }
 
-// Each fault lets the sum pass the bound, though each balancer alone still sends a cold endpoint little.
+// With each injected fault the sum exceeds the bound, though each balancer alone still sends a cold endpoint little.
 func TestInjectedColdStartFaultsAreFound(t *testing.T) {
 	cold := func(b *Balancer, do func(e *endpoint)) {
 		for _, e := range b.endpoints.known {
@@ -498,10 +501,10 @@
 	}
 	for name, fault := range map[string]struct {
 		balancers int
-		seed      uint64 // one that finds it
+		seed      uint64 // a seed with which the fault is found
 		plant     func() coldFault
 	}{
-		"each allows itself its least of one in a window": {30, 1, func() coldFault {
+		"each balancer allows itself one send in a window": {30, 1, func() coldFault {
 			granted := map[*endpoint]Time{}
 			return func(now Time, b *Balancer, _ *Event) {
 				cold(b, func(e *endpoint) {
@@ -513,18 +516,18 @@
 		}},
 		"the trickle is not divided by peers": {30, 1, func() coldFault {
 			return func(now Time, b *Balancer, _ *Event) {
-				cold(b, func(e *endpoint) { // what hasColdCredit adds, once more and whole
+				cold(b, func(e *endpoint) { // adds what hasColdCredit adds, undivided
 					e.credit = min(1, e.credit+coldTrickle*(now-e.creditAt).Seconds())
 					e.creditAt = now
 				})
 			}
 		}},
-		"what is sent costs it no credit": {30, 1, func() coldFault {
+		"sends cost no credit": {30, 1, func() coldFault {
 			return func(_ Time, b *Balancer, _ *Event) {
 				cold(b, func(e *endpoint) { e.credit = 1 })
 			}
 		}},
-		"takes cold ones for warm": {20, 112, func() coldFault { // seldom: queues keep others away
+		"takes cold endpoints for warm": {20, 112, func() coldFault { // few seeds show it: queues keep other balancers away
 			return func(_ Time, _ *Balancer, e *Event) {
 				e.Endpoints = slices.Clone(e.Endpoints)
 				for i := range e.Endpoints {
@@ -536,13 +539,13 @@
 		t.Run(name, func(t *testing.T) {
 			c := generateCase(fault.seed, fault.balancers, fault.balancers)
 			if sound := c.run(nil); sound.worst > 1 {
-				t.Fatalf("without the fault %.2f of what lets it fall: %s", sound.worst, sound.details)
+				t.Fatalf("without the fault %.2f of what overloads it: %s", sound.worst, sound.details)
 			}
 			got := c.run(fault.plant())
 			if got.worst <= 1 {
-				t.Errorf("not found: %.2f of what lets it fall: %s", got.worst, got.details)
+				t.Errorf("fault not found: %.2f of what overloads it: %s", got.worst, got.details)
 			}
-			t.Logf("%.2f of what lets it fall: %s", got.worst, got.details)
+			t.Logf("%.2f of what overloads it: %s", got.worst, got.details)
 		})
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// testSettings are plain settings with one class of each effect.
+// testSettings returns plain settings with classes of each effect.
 func testSettings() Settings {
 	return Settings{
 		Peers: 1,
@@ -41,13 +41,14 @@
 	}
 }
 
-// script drives a balancer with scripted events.
+// script drives a balancer with events, one by one.
 type script struct {
 	t   *testing.T
 	b   *Balancer
 	now Time
 }
 
+// start returns a script with a new balancer that knows these endpoints.
 func start(t *testing.T, set Settings, endpoints ...Endpoint) *script {
 	t.Helper()
 	b, err := New(set, 7)
@@ -60,7 +61,7 @@
 	return s
 }
 
-// event hands over an event and returns the actions without timers.
+// event delivers an event and returns the actions other than SetTimer.
 func (s *script) event(e Event) []Action {
 	s.t.Helper()
 	var seen []Action
@@ -72,6 +73,7 @@
 	return seen
 }
 
+// after lets time pass.
 func (s *script) after(t time.Duration) *script {
 	s.now += t
 	return s
@@ -91,7 +93,7 @@
 
 func (s *script) tick() []Action { return s.event(Event{Kind: TimerDue}) }
 
-// expect checks the kinds of the actions.
+// expect checks the kinds of the actions and returns them.
 func (s *script) expect(got []Action, kinds ...ActionKind) []Action {
 	s.t.Helper()
 	ok := len(got) == len(kinds)
@@ -108,7 +110,7 @@
 	return []Endpoint{{ID: 1, Zone: "here", Cell: 1, Weight: 1}, {ID: 2, Zone: "there", Cell: 2, Weight: 1}}
 }
 
-// four are two cells of two endpoints; zones cut across them.
+// four returns two cells of two endpoints each; each cell has an endpoint in both zones.
 func four() []Endpoint {
 	return []Endpoint{
 		{ID: 1, Zone: "a", Cell: 1, Weight: 1}, {ID: 2, Zone: "b", Cell: 1, Weight: 1},
@@ -139,7 +141,7 @@
 	}
 }
 
-// takeToken spends a token as retry does.
+// takeToken spends a token as retry does, and reports whether there was one.
 func takeToken(k *bucket, c *class) bool {
 	funded := k.fundedIn(k.refilledAt, c) == 0
 	if funded {
@@ -149,9 +151,9 @@
 }
 
 func TestBucket(t *testing.T) {
-	rich, poor := &class{}, &class{reserve: reserveShare}
+	higherWorth, lowestWorth := &class{}, &class{reserve: reserveShare}
 	k := bucket{tokens: 1, floor: floorRate, burst: floorBurst}
-	if !takeToken(&k, rich) || takeToken(&k, rich) {
+	if !takeToken(&k, higherWorth) || takeToken(&k, higherWorth) {
 		t.Fatal("one token must fund exactly one retry")
 	}
 	k.refill(time.Second)
@@ -163,14 +165,14 @@
 		t.Fatalf("an hour of the floor filled to %v, want the burst %v", got, floorBurst)
 	}
 	k.tokens = reserveShare * floorBurst
-	if takeToken(&k, poor) {
+	if takeToken(&k, lowestWorth) {
 		t.Fatal("the lowest worth must leave half the bucket")
 	}
-	if !takeToken(&k, rich) {
+	if !takeToken(&k, higherWorth) {
 		t.Fatal("others may use all of it")
 	}
 	k.tokens = 0
-	if got := k.fundedIn(time.Hour, rich); got < 333*ms || got > 334*ms {
+	if got := k.fundedIn(time.Hour, higherWorth); got < 333*ms || got > 334*ms {
 		t.Fatalf("an empty bucket funds a retry after %v, want a third of a second", got)
 	}
 }
@@ -224,8 +226,8 @@
 	s.expect(s.finish(1, 3, Reset), Refuse)
 }
 
-// Requests that fail wherever they go had emptied the bucket, turned every payoff against its endpoint, and by quick
-// answers raised the limit of a full tier. What fails at one endpoint only still counts against that one.
+// Guards against requests that end in an error at every endpoint: their retries emptied the bucket, lowered the payoff of every endpoint,
+// and raised the limit of a full tier because errors come quickly. Errors of a single endpoint must still lower its payoff.
 func TestErrorsThatRepeatAtEveryEndpoint(t *testing.T) {
 	s := start(t, testSettings(), four()...)
 	sent := 0
@@ -235,7 +237,7 @@
 			sent++
 			got := s.finish(id, attempt, ServerError)
 			if len(got) != 1 {
-				t.Fatalf("one answer to an error wanted: %+v", got)
+				t.Fatalf("an error led to %+v, want one action", got)
 			}
 			if got[0].Kind == Refuse {
 				break
@@ -267,16 +269,16 @@
 		faulty.finish(id, attempt, Served)
 	}
 	if hits > 35 || faulty.b.endpoints.errorsAlike > 0.1 {
-		t.Errorf("the endpoint that fails alone got %d of 200; errors alike %.2f", hits, faulty.b.endpoints.errorsAlike)
+		t.Errorf("the only endpoint that fails got %d of 200 requests; errorsAlike is %.2f", hits, faulty.b.endpoints.errorsAlike)
 	}
 }
 
-// A request whose attempt failed between its end timer and its deadline was
-// queued with no timer left, and got no answer at all.
+// Guards against a request without an answer: its attempt failed after its last timer and before its deadline, and the request was queued
+// with no timer left.
 func TestFailureAfterTheEndTimerIsAnswered(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	s.expect(s.arrive(1, "read"), Send)
-	s.after(996 * ms).expect(s.tick()) // the attempt is out: its own time-out will end it
+	s.after(996 * ms).expect(s.tick()) // the attempt is in flight: its own time-out will end it
 	s.b.bucket.tokens = 30
 	s.b.endpoints.ready[0].cold, s.b.endpoints.ready[1].cold = -1, -1 // nothing can go at once
 	s.b.endpoints.ready[0].started, s.b.endpoints.ready[1].started = s.now, s.now
@@ -320,28 +322,27 @@
 			}
 		}
 		if !slices.Equal(got, c.legal) {
-			t.Errorf("%s after %d and %v: may go to %v, want %v", c.class, c.outcome, c.wait, got, c.legal)
+			t.Errorf("%s after outcome %d and %v: may go to %v, want %v", c.class, c.outcome, c.wait, got, c.legal)
 		}
 	}
 }
 
-// Guards against answers that never come over a connection that fell silent: its
-// endpoint goes on serving others. Where the endpoint serves none either, where copies
-// are not allowed or no token is left, the request waits on.
+// Guards against an answer that is lost on a connection that fell silent, while its endpoint goes on serving others: the request is hedged.
+// It waits on if the endpoint serves no others, hedging is not allowed, or no token is left.
 func TestHedgeOfOverdueAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
 		copies, overtaken, funded, want bool
 	}{
-		"lost":              {true, true, true, true},
-		"nothing overtakes": {true, false, true, false},
-		"no copies allowed": {false, true, true, false},
-		"no token":          {true, true, false, false},
+		"lost":                {true, true, true, true},
+		"nothing overtakes":   {true, false, true, false},
+		"hedging not allowed": {false, true, true, false},
+		"no token":            {true, true, false, false},
 	} {
 		set := testSettings()
 		set.Limits.Hedging = c.copies
 		s := start(t, set, two()[:1]...)
 		s.expect(s.arrive(1, "read"), Send)
-		s.expect(s.after(50*ms).finish(1, 0, Served)) // usual: 50 ms
+		s.expect(s.after(50*ms).finish(1, 0, Served)) // the expected latency is 50 ms
 		lost := s.expect(s.arrive(2, "read"), Send)[0].Endpoint
 		if s.after(60 * ms); c.overtaken {
 			s.expect(s.arrive(3, "read"), Send)
@@ -361,7 +362,7 @@
 			t.Errorf("%s: %+v, want request 2 at the other endpoint", name, copied)
 		}
 		if stop := s.expect(s.after(50*ms).finish(2, 1, Served), Cancel)[0]; stop.Request != 2 || stop.Attempt != 0 {
-			t.Errorf("%s: %+v, want the lost attempt called off", name, stop)
+			t.Errorf("%s: %+v, want the lost attempt canceled", name, stop)
 		}
 	}
 }
@@ -374,7 +375,7 @@
 		s.arrive(1, "read")
 		r := s.b.pending[1]
 		if got := s.b.mayTake(r, s.b.endpoints.ready[0]); got != allowed {
-			t.Errorf("a second copy while one is out: %v, want %v", got, allowed)
+			t.Errorf("a second attempt while one is in flight is allowed: %v, want %v", got, allowed)
 		}
 	}
 }
@@ -398,7 +399,7 @@
 		s.after(999 * ms)
 		got := s.expect(s.finish(1, 0, c.outcome), c.want)[0]
 		if got.Kind == Refuse && got.After <= 0 {
-			t.Errorf("%s after %d: a refusal without a time to come back", c.class, c.outcome)
+			t.Errorf("%s after outcome %d: the refusal does not say how long to wait", c.class, c.outcome)
 		}
 	}
 }
@@ -415,7 +416,7 @@
 	s.event(Event{Kind: ListReplaced, Endpoints: []Endpoint{{ID: 3, Zone: "here", Weight: 1}}})
 	for id := RequestID(11); id <= 20; id++ {
 		if got := s.expect(s.arrive(id, "read"), Send)[0]; got.Endpoint != 3 {
-			t.Fatal("an endpoint that the whole list leaves out was sent a request")
+			t.Fatal("an endpoint that the full list leaves out was sent a request")
 		}
 		s.finish(id, 0, Served)
 	}
@@ -450,12 +451,11 @@
 	s.finish(1, 0, Served)
 	s.finish(2, 0, Served)
 	if e.inFlight != 0 {
-		t.Errorf("outcomes of the old process were booked to the new one: %d in flight", e.inFlight)
+		t.Errorf("outcomes of the old process were counted for the new one: %d in flight", e.inFlight)
 	}
 }
 
-// A cold endpoint takes no more than its present part of what a warm one takes,
-// times the caution, however much comes.
+// A cold endpoint gets no more than FallMultiple times its present part of what a warm one gets, however much traffic there is.
 func TestColdEndpointIsNotOverloaded(t *testing.T) {
 	const perSecond = 100
 	set := testSettings()
@@ -484,7 +484,7 @@
 		got := run(set.Rules.FallWindow)
 		warm := float64(perSecond) / (1 + from) * set.Rules.FallWindow.Seconds()
 		if limit := set.Rules.FallMultiple * present * warm; float64(got) > limit {
-			t.Errorf("%d requests in a window, over %v at %v of its capacity", got, limit, present)
+			t.Errorf("%d requests in a window, more than %v, at %v of its capacity", got, limit, present)
 		}
 		if got == 0 {
 			t.Error("the cold endpoint takes nothing at all")
@@ -506,7 +506,7 @@
 		}
 	}
 	if sent > 2 {
-		t.Errorf("%d sends in two seconds to a cold fleet that nothing is known of, want a trickle", sent)
+		t.Errorf("%d sends in two seconds to a cold tier that has served nothing, want 2 at most", sent)
 	}
 }
 
@@ -573,8 +573,8 @@
 	set := testSettings()
 	set.MustPoll = true
 	s := start(t, set, two()...)
-	asked := s.after(firstPollSpread).tick()
-	s.expect(asked, WatchList)
+	polled := s.after(firstPollSpread).tick()
+	s.expect(polled, WatchList)
 	for range 4 {
 		s.expect(s.event(Event{Kind: ListFailed}))
 		s.expect(s.after(2*maxPollBackoff).tick(), WatchList)
@@ -584,14 +584,14 @@
 	s.expect(s.after(firstPollSpread).tick())
 }
 
-// Guards against a call that comes after its grace, and against calls that come ever faster or all together.
+// Guards against a poll that comes after its grace, and against polls that come ever faster or all together.
 func TestNextPollIsWithinItsGrace(t *testing.T) {
 	set := testSettings()
 	set.MustPoll = true
-	for grace, least := range map[time.Duration]time.Duration{
+	for grace, shortest := range map[time.Duration]time.Duration{
 		0: minPollBackoff, 2500 * ms: minPollBackoff, 1400 * ms: 700 * ms, 200 * ms: 100 * ms,
 	} {
-		most := cmp.Or(grace, 2500*ms)
+		longest := cmp.Or(grace, 2500*ms)
 		var firsts []time.Duration
 		for seed := range uint64(200) {
 			b, err := New(set, seed)
@@ -607,26 +607,26 @@
 				if len(got) != 1 || got[0].Kind != SetTimer {
 					t.Fatalf("got %+v, want a timer", got)
 				}
-				if pause := got[0].After; pause < least || pause > most {
-					t.Errorf("grace %v, failure %d: the next call comes after %v, want %v to %v", grace, failure, pause, least, most)
+				if delay := got[0].After; delay < shortest || delay > longest {
+					t.Errorf("grace %v, failure %d: the next poll comes after %v, want %v to %v", grace, failure, delay, shortest, longest)
 				}
 				if failure == 0 {
 					firsts = append(firsts, got[0].After)
 				}
 				now += got[0].After
 				if got = b.Handle(now, &Event{Kind: TimerDue}, nil); len(got) != 1 || got[0].Kind != WatchList {
-					t.Fatalf("got %+v, want the list to be asked for", got)
+					t.Fatalf("got %+v, want a poll for the list", got)
 				}
 			}
 		}
 		slices.Sort(firsts)
-		if spread := firsts[len(firsts)-1] - firsts[0]; spread < least*8/10 {
-			t.Errorf("grace %v: the next calls of all come within %v", grace, spread)
+		if spread := firsts[len(firsts)-1] - firsts[0]; spread < shortest*8/10 {
+			t.Errorf("grace %v: the next polls of all instances come within %v", grace, spread)
 		}
 	}
 }
 
-// fill sends requests until the hold acts and returns the next free id.
+// fill sends requests until one is queued, and returns the next free id.
 func (s *script) fill(class string) RequestID {
 	s.t.Helper()
 	s.b.endpoints.served, s.b.endpoints.servedAt = 300, s.now // the rate of service reaches what is held
@@ -639,14 +639,13 @@
 	return 0
 }
 
-// Free first attempts jam a tier that is full: they are held instead, and go as
-// soon as something is answered.
+// Guards against first attempts that overload a full tier: they are queued and go as soon as another request is answered.
 func TestFullTierQueuesFirstAttempts(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	next := s.fill("read")
 	got := s.expect(s.finish(1, 0, Served), Send)[0]
 	if got.Request != next-1 {
-		t.Errorf("request %d was sent, want the held one, %d", got.Request, next-1)
+		t.Errorf("request %d was sent, want the queued one, %d", got.Request, next-1)
 	}
 }
 
@@ -666,7 +665,7 @@
 		s.expect(s.event(Event{Kind: Arrived, Request: id, Class: class, Tenant: tenant, Grace: time.Second}))
 	}
 	for i := range RequestID(2) {
-		arrive(next+i, "read", "small") // the second is over the tenant's share
+		arrive(next+i, "read", "small") // the second exceeds the tenant's share
 	}
 	arrive(next+2, "read", "big")
 	var got []RequestID
@@ -674,7 +673,7 @@
 		got = append(got, r.id)
 	}
 	if want := []RequestID{next, next + 2, next - 1, next + 1}; !slices.Equal(got, want) {
-		t.Errorf("held in the order %v, want %v", got, want)
+		t.Errorf("queued in the order %v, want %v", got, want)
 	}
 }
 
@@ -705,7 +704,7 @@
 	}
 	s.expect(s.finish(1, 0, ServerError))
 	if got := s.b.endpoints.byID[to].inFlight; got != 0 || s.b.admission.inFlight != 0 || len(s.b.pending) != 0 {
-		t.Errorf("in flight %d, out %d, held %d after the late outcome, want none", got, s.b.admission.inFlight, len(s.b.pending))
+		t.Errorf("after the late outcome: %d in flight at the endpoint, %d in all, %d requests pending; want none", got, s.b.admission.inFlight, len(s.b.pending))
 	}
 }
 
@@ -744,8 +743,7 @@
 	}
 }
 
-// Callers that cannot see each other collide less when each begins with another
-// part of the list.
+// Callers that can't see each other collide less if each begins with another part of the list.
 func TestPeersBeginWithOwnPartsOfTheList(t *testing.T) {
 	owners := map[EndpointID]int{}
 	for number := range 2 {
@@ -791,22 +789,21 @@
 	}
 }
 
-// Repeats that come when the aim has passed kept a jam going for the whole day: they are worth what they earn.
+// Guards against an overload that repeats keep up: a repeat that comes after its aim has passed has only the value of a late answer.
 func TestRepeatThatComesTooLateIsWorthLess(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 0.25
 	s := start(t, set, two()...)
 	s.expect(s.arrive(1, "read"), Send)
-	s.expect(s.arrive(2, "read"), Send)                                                       // two of a kind: this is a first try's grace
-	s.expect(s.event(Event{Kind: Arrived, Request: 3, Class: "read", Grace: 600 * ms}), Send) // 400 ms are gone
+	s.expect(s.arrive(2, "read"), Send)                                                       // two with the same grace: it counts as that of a first try
+	s.expect(s.event(Event{Kind: Arrived, Request: 3, Class: "read", Grace: 600 * ms}), Send) // its client has waited 400 ms
 	if got, want := s.b.pending[3].value, 0.25*s.b.pending[2].value; got != want {
 		t.Errorf("a late repeat is worth %v, want %v", got, want)
 	}
 }
 
-// A last try has all the time that is left, which may be more than a first try's
-// grace: taken for a first try it made all others look late, and a front with
-// nothing to do refused two thirds of its requests.
+// Guards against the grace of a last try, which is all the time that is left and may be longer than a first try's. When it was taken for a
+// first try's, all other tries looked late, and an idle front refused two thirds of its requests.
 func TestLongGraceOfALastTryDoesNotMakeOthersLate(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].LateShare = 0
@@ -820,13 +817,13 @@
 	}
 	s.expect(try(4, 980*ms, false), Send)
 	for id := RequestID(5); id <= 14; id++ {
-		s.expect(try(id, 980*ms, true), Send) // marked repeats have no vote
+		s.expect(try(id, 980*ms, true), Send) // the grace of marked repeats does not count
 	}
 	s.expect(try(15, 500*ms, false), Send)
-	s.expect(try(16, 500*ms, true), Send) // a middle try: how late it is cannot be told
+	s.expect(try(16, 500*ms, true), Send) // a middle try: its grace does not show how late it is
 }
 
-// many are endpoints of one zone and one cell.
+// many returns n endpoints of one zone and one cell.
 func many(n int) []Endpoint {
 	lines := make([]Endpoint, n)
 	for i := range lines {
@@ -835,7 +832,7 @@
 	return lines
 }
 
-// An instance with an answer a second must not take minutes to see a jam.
+// Guards against an instance with one answer a second that takes minutes to notice an overload.
 func TestFewAnswersLowerTheLimitBySeconds(t *testing.T) {
 	set := testSettings()
 	set.Peers = 40
@@ -856,8 +853,8 @@
 	}
 }
 
-// With more peers than endpoints the peers' first choices cover the list evenly, and
-// each peer keeps to two endpoints while they are idle, so that it learns of them.
+// With more peers than endpoints, the peers' first choices cover the list evenly. Each peer keeps to two endpoints while they are idle, so
+// that it learns about them.
 func TestManyPeersSpreadOverTheList(t *testing.T) {
 	const endpoints, peers = 20, 200
 	uses := map[EndpointID]int{}
@@ -884,31 +881,30 @@
 	}
 }
 
-// An endpoint that joins and leaves within a second leaves nothing behind, and a
-// list may grow to any size and become empty.
+// An endpoint that joins and leaves within a second leaves no state behind, and a list may grow to any size and become empty.
 func TestListsOfAnySize(t *testing.T) {
 	s := start(t, testSettings(), two()...)
 	for range 50 {
 		s.after(100 * ms).event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 9, State: Active}}})
 		s.after(100 * ms).event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 9, State: Gone}}})
 	}
-	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 8, State: Gone}}}) // never heard of
-	if f := &s.b.endpoints; len(f.known) != 2 || len(f.byID) != 2 || len(f.ready) != 2 {
-		t.Errorf("%d known, %d by id, %d ready, want 2 of each", len(f.known), len(f.byID), len(f.ready))
+	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 8, State: Gone}}}) // never listed before
+	if set := &s.b.endpoints; len(set.known) != 2 || len(set.byID) != 2 || len(set.ready) != 2 {
+		t.Errorf("%d known, %d by id, %d ready, want 2 of each", len(set.known), len(set.byID), len(set.ready))
 	}
 	s.event(Event{Kind: ListReplaced, Endpoints: many(5000)})
 	s.expect(s.arrive(1, "read"), Send)
 	s.event(Event{Kind: ListReplaced})
-	if f := &s.b.endpoints; len(f.known)+len(f.byID)+len(f.ready) != 0 {
-		t.Errorf("an empty list leaves %d endpoints", len(f.known))
+	if set := &s.b.endpoints; len(set.known)+len(set.byID)+len(set.ready) != 0 {
+		t.Errorf("an empty list leaves %d endpoints", len(set.known))
 	}
 	s.expect(s.arrive(2, "read"))
 	s.event(Event{Kind: ListReplaced, Endpoints: two()})
 	s.expect(s.after(recheckInterval).tick())
 }
 
-// A timer that comes a moment early finds nothing due, and must be set again: a
-// request was left without its answer on a clock of microseconds.
+// Guards against a timer that comes slightly early, finds nothing due and is not set again: on a clock of microseconds a request was left
+// without an answer.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	s := start(t, testSettings())
 	s.b.Handle(s.now, &Event{Kind: Arrived, Request: 1, Class: "read", Grace: time.Second}, nil)
@@ -929,9 +925,9 @@
 	t.Fatal("the request was never answered")
 }
 
-// With many peers each has a little credit at a cold endpoint: where only those used it
-// that had the endpoint first in their order, hundreds of cold ones stood idle while the
-// warm ones jammed. Once warm, it must leave the head of every order.
+// Guards against cold endpoints that stay idle while warm ones are overloaded: with many peers each has only a little credit at a cold
+// endpoint, and only those used it that had it first in their order. Once the endpoint is warm, it must no longer be first in every peer's
+// order.
 func TestManyPeersUseAColdEndpoint(t *testing.T) {
 	const peers, warm = 60, 20
 	const coldID, seconds = warm + 1, 10
@@ -956,7 +952,7 @@
 		s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{
 			{ID: coldID, Zone: "here", Weight: 1, Started: s.now},
 		}})
-		s.b.endpoints.byID[coldID].credit = float64(number) / peers // as other seeds would have it
+		s.b.endpoints.byID[coldID].credit = float64(number) / peers // as with other seeds
 		for range 5 * seconds {
 			sent += try()
 		}
@@ -965,7 +961,7 @@
 			after += try()
 		}
 	}
-	share := float64(peers*5*seconds) / (warm + 1) // of a warm endpoint; present parts go from 0.2 to 1
+	share := float64(peers*5*seconds) / (warm + 1) // of a warm endpoint; the cold one's present capacity grows from 0.2 to 1
 	if got := float64(sent) / share; got < 0.3 || got > 0.8 {
 		t.Errorf("while cold it got %.2f of a warm endpoint's share, want about 0.6", got)
 	}
@@ -974,9 +970,8 @@
 	}
 }
 
-// A list that is empty for a while must not leave a small instance with a debt for
-// what was out meanwhile.
-func TestEmptyListLeavesTheLimitUnchanged(t *testing.T) {
+// A list that is empty for a while, while an attempt is in flight, must not keep an instance with little traffic from sending afterwards.
+func TestEmptyListDoesNotBlockLaterSends(t *testing.T) {
 	set := testSettings()
 	set.Peers = 40
 	s := start(t, set, many(20)...)
@@ -987,8 +982,8 @@
 	s.expect(s.arrive(2, "read"), Send)
 }
 
-// Where only draining binds, lists that wrongly call endpoints gone must not take them away, and what is truly gone
-// must cost one failed attempt: a list that forgot half of the tier had halved it.
+// Guards against a wrong list where only draining binds: a list that left out half of the tier halved its capacity. Endpoints reported gone
+// go on serving, and one that is really gone costs one failed attempt.
 func TestGoneEndpointServesOnWhereGoneDoesNotBind(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 9
@@ -997,10 +992,10 @@
 	s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]})
 	s.expect(s.arrive(1, "read"), Send)
 	if got := s.expect(s.arrive(2, "read"), Send); got[0].Endpoint != 1 {
-		t.Errorf("while one that is listed has room, %+v went to one told gone", got[0])
+		t.Errorf("while a listed endpoint has room, %+v went to one reported gone", got[0])
 	}
 	s.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, State: Gone}}})
-	for id := RequestID(3); id < 40; id++ { // both are told gone, and serve on
+	for id := RequestID(3); id < 40; id++ { // both are reported gone and go on serving
 		s.expect(s.after(10*ms).arrive(id, "read"), Send)
 		s.finish(id, 0, Served)
 	}
@@ -1015,7 +1010,7 @@
 	s.event(Event{Kind: ListReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, {ID: 2, State: Draining}}})
 	s.event(Event{Kind: ListReplaced})
 	s.expect(s.arrive(80, "read"))
-	aged := start(t, set, two()...) // only changes come, and none names it again
+	aged := start(t, set, two()...) // only changes come, and none names the endpoint again
 	aged.event(Event{Kind: ListChanged, Endpoints: []Endpoint{{ID: 1, State: Gone}}})
 	aged.after(absentTime).event(Event{Kind: ListChanged})
 	if len(aged.b.endpoints.byID) != 1 {
@@ -1026,8 +1021,8 @@
 	plain.expect(plain.arrive(1, "read"))
 }
 
-// Where much of the time is the same for all, light requests looked slow for their work: a full tier that let them
-// pass first saw its answers as slowed down, lowered its limit, and let still lighter ones pass.
+// Guards against a spiral: where a part of the latency is the same for all requests, light requests looked slow for their work. A full tier
+// that prefers light requests then lowered its limit and preferred still lighter ones.
 func TestLatencyThatGrowsLittleWithWork(t *testing.T) {
 	var p latencyModel
 	took := func(work float64) time.Duration {
@@ -1039,7 +1034,7 @@
 	}
 	for _, work := range []float64{0.1, 1, 3} {
 		if got, want := p.expected(work), took(work); got < want*7/10 || got > want*13/10 {
-			t.Errorf("with work %.1f an attempt usually takes %v, told %v", work, want, got)
+			t.Errorf("with work %.1f an attempt takes %v, but %v is expected", work, want, got)
 		}
 	}
 	before := p.mean
@@ -1047,11 +1042,11 @@
 		p.observe(Time(400+n)*50*ms, 0.1, took(0.1), true)
 	}
 	if p.mean > before+math.Log(maxSlowdown)/2 {
-		t.Errorf("light requests alone slow the pace from %.2f to %.2f", before, p.mean)
+		t.Errorf("light requests alone raise the mean latency from %.2f to %.2f", before, p.mean)
 	}
 }
 
-// Among requests of one class the one that will hardly be in time had its place by age, and took it from those that will.
+// Guards against a queue in which, within a class, age alone decides: a request that will hardly be in time took a slot from one that will.
 func TestQueueIsOrderedByExpectedWorth(t *testing.T) {
 	set := testSettings()
 	set.HintsWork = true
@@ -1078,8 +1073,8 @@
 	}
 }
 
-// A class that drags at every endpoint held every place for seconds while it was worth most, and earned nothing; what
-// would have been served in time waited behind it.
+// Guards against a class of high worth that is slow at every endpoint: it held all slots for seconds and earned nothing, while requests
+// that could have been in time waited behind it.
 func TestSlowClassDoesNotHoldAllSlots(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Worth = 8
@@ -1105,14 +1100,14 @@
 		return class
 	}
 	if got := order(100); got != "read" {
-		t.Errorf("%q goes first, want the class worth most", got)
+		t.Errorf("%q goes first, want the class of highest worth", got)
 	}
 	for id := RequestID(200); id < 240; id++ {
 		s.after(20*ms).expect(s.arrive(id, "read"), Send)
 		s.event(Event{Kind: Finished, Request: id, Outcome: Reset, Latency: 2 * time.Second, RequestDone: true})
 	}
 	if got := order(300); got != "fleet" {
-		t.Errorf("%q goes first though it lately holds places forty times its usual time", got)
+		t.Errorf("%q goes first though it lately holds slots for forty times its usual time", got)
 	}
 	s.after(time.Minute)
 	if got := order(400); got != "read" {
--- a/decide/polling_test.go
+++ b/decide/polling_test.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// pollDelays are the shortest and the longest ones of so many instances before their next call for the list, behind events of which the last sets it.
-func pollDelays(t *testing.T, peers int, events ...Event) (least, most time.Duration) {
+// pollDelays returns the shortest and the longest delay before the next poll, over many instances with that many peers. The last of the
+// events sets the delay.
+func pollDelays(t *testing.T, peers int, events ...Event) (shortest, longest time.Duration) {
 	t.Helper()
 	const seeds = 400
 	set := testSettings()
 	set.MustPoll, set.Peers = true, peers
-	least = time.Hour
+	shortest = time.Hour
 	for seed := range uint64(seeds) {
 		b, err := New(set, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		pause := time.Duration(0)
+		delay := time.Duration(0)
 		for _, e := range events {
 			for _, a := range b.Handle(time.Minute, &e, nil) {
 				if a.Kind == SetTimer {
-					pause = a.After
+					delay = a.After
 				}
 			}
-			b.timers.heap = nil // each event sets its own
+			b.timers.heap = nil // each event sets its own timer
 			b.timers.armed = 0
 		}
-		least, most = min(least, pause), max(most, pause)
+		shortest, longest = min(shortest, delay), max(longest, delay)
 	}
-	return least, most
+	return shortest, longest
 }
 
-// Guards against a start of a large fleet that overruns its discovery, and against a list that is asked for too late to bind.
+// Guards against many instances that start together and overrun discovery, and against a first poll that comes too late.
 func TestFirstPollsAreSpreadByNumberOfPeers(t *testing.T) {
 	for peers, want := range map[int]time.Duration{
 		1: firstPollSpread, 25: firstPollSpread, 50: 50 * pollSpreadPerPeer, 900: maxFirstPollSpread,
 	} {
-		if _, most := pollDelays(t, peers, Event{Kind: Start}); most > want || most < want*9/10 {
-			t.Errorf("%d instances: first calls within %v, want %v", peers, most, want)
+		if _, longest := pollDelays(t, peers, Event{Kind: Start}); longest > want || longest < want*9/10 {
+			t.Errorf("%d instances: first polls within %v, want %v", peers, longest, want)
 		}
 	}
 }
 
-// Guards against a large fleet that keeps its discovery overrun (report 4547c5), and against a small one that hears late of a
-// discovery that is back: only a call that discovery refused is made again later, and only where peers are many.
+// Guards against many instances that keep discovery overrun (report 4547c5), and against a few that notice too late that discovery is back:
+// only a poll that discovery refused is delayed for longer, and only where peers are many.
 func TestRefusedPollsAreRetriedByNumberOfPeers(t *testing.T) {
 	refused := Event{Kind: ListFailed, Grace: 1400 * ms, Refused: true}
 	for _, c := range []struct {
@@ -59,9 +60,9 @@
 		{376, refused, 376 * pollSpreadPerPeer / refusedDelayRatio, 376 * pollSpreadPerPeer},
 		{900, refused, maxRefusedDelay / refusedDelayRatio, maxRefusedDelay},
 	} {
-		least, most := pollDelays(t, c.peers, c.event)
-		if least < c.least || most > c.most || least > c.least*11/10 || most < c.most*9/10 {
-			t.Errorf("%d instances, refused %v: the next calls come after %v to %v, want %v to %v", c.peers, c.event.Refused, least, most, c.least, c.most)
+		shortest, longest := pollDelays(t, c.peers, c.event)
+		if shortest < c.least || longest > c.most || shortest > c.least*11/10 || longest < c.most*9/10 {
+			t.Errorf("%d instances, refused %v: the next polls come after %v to %v, want %v to %v", c.peers, c.event.Refused, shortest, longest, c.least, c.most)
 		}
 	}
 }
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// The rules are checked here from outside, on nothing but events and actions:
-// odd but legal event orders go in, and each action is held against the rules as
-// an observer would who does not know how the module decides.
+// An observer checks the rules from outside, on events and actions alone. It delivers unusual but legal orders of events and checks each
+// action, without any knowledge of how the module decides.
 
 // observedRequest is what the observer knows of a request.
 type observedRequest struct {
@@ -26,22 +25,22 @@
 	mayHaveRun bool
 }
 
-// observer holds actions against the rules.
+// observer checks actions against the rules.
 type observer struct {
-	t        testing.TB
-	set      Settings
-	b        *Balancer
-	rng      *rand.Rand
-	now      Time
-	classes  map[string]Class
-	list     map[EndpointID]Endpoint
-	told     map[EndpointID]Time // when an endpoint was told to drain or to be gone
-	requests map[RequestID]*observedRequest
-	open     []RequestID // in the order of arrival, over or not
-	timers   []Time
-	probes   []EndpointID // without an answer
-	next     RequestID
-	trace    []Action
+	t         testing.TB
+	set       Settings
+	b         *Balancer
+	rng       *rand.Rand
+	now       Time
+	classes   map[string]Class
+	list      map[EndpointID]Endpoint
+	removedAt map[EndpointID]Time // when an endpoint was reported draining or gone
+	requests  map[RequestID]*observedRequest
+	open      []RequestID // in the order of arrival, done or not
+	timers    []Time
+	probes    []EndpointID // in flight
+	next      RequestID
+	trace     []Action
 }
 
 func newObserver(t testing.TB, set Settings, seed uint64) *observer {
@@ -51,7 +50,7 @@
 	}
 	o := &observer{
 		t: t, set: set, b: b, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, classes: map[string]Class{},
-		list: map[EndpointID]Endpoint{}, told: map[EndpointID]Time{}, requests: map[RequestID]*observedRequest{},
+		list: map[EndpointID]Endpoint{}, removedAt: map[EndpointID]Time{}, requests: map[RequestID]*observedRequest{},
 	}
 	for _, c := range set.Classes {
 		o.classes[c.Name] = c
@@ -59,7 +58,7 @@
 	return o
 }
 
-// deliver hands over an event and checks what the module makes of it.
+// deliver delivers an event and checks the actions that follow.
 func (o *observer) deliver(e Event) {
 	for _, a := range o.b.Handle(o.now, &e, nil) {
 		o.trace = append(o.trace, a)
@@ -84,10 +83,11 @@
 	}
 }
 
+// checkSend checks that a Send keeps the rules, and records the attempt.
 func (o *observer) checkSend(a Action) {
 	r := o.requests[a.Request]
 	if r == nil || r.done {
-		o.t.Fatalf("at %v: sent for a request that is over or unknown: %+v", o.now, a)
+		o.t.Fatalf("at %v: sent for a request that is done or unknown: %+v", o.now, a)
 	}
 	to, ok := o.list[a.Endpoint]
 	if !ok || to.State != Active {
@@ -98,7 +98,7 @@
 	}
 	for _, old := range r.attempts {
 		if !old.settled && !o.set.Limits.Hedging {
-			o.t.Fatalf("at %v: two attempts out at once: %+v", o.now, a)
+			o.t.Fatalf("at %v: two attempts in flight at once: %+v", o.now, a)
 		}
 		if !old.mayHaveRun {
 			continue
@@ -118,6 +118,7 @@
 	r.attempts = append(r.attempts, observedAttempt{to: to, sentAt: o.now, mayHaveRun: true})
 }
 
+// checkAnswer checks that a final answer keeps the rules.
 func (o *observer) checkAnswer(a Action) {
 	r := o.requests[a.Request]
 	if r == nil || r.done {
@@ -125,7 +126,7 @@
 	}
 	r.done = true
 	if o.now > r.deadline+o.set.Rules.AnswerSlack {
-		o.t.Fatalf("at %v: answered after the client's time: %+v", o.now, a)
+		o.t.Fatalf("at %v: answered after the client's deadline: %+v", o.now, a)
 	}
 	ran := false
 	for _, old := range r.attempts {
@@ -137,7 +138,7 @@
 	}
 }
 
-// advance lets time go by in ticks, with timers and deadlines on the way.
+// advance lets time pass in ticks and handles the timers and deadlines that come due.
 func (o *observer) advance(d time.Duration) {
 	for end := o.now + d; o.now < end; {
 		o.now += o.set.Tick
@@ -158,8 +159,8 @@
 	}
 }
 
-// checkDeadlines ends what is out when a client's time is up, and checks that
-// nothing is owed past it.
+// checkDeadlines ends the attempts in flight of requests whose deadline has passed, and checks that each of these requests has its final
+// answer then.
 func (o *observer) checkDeadlines() {
 	for _, id := range o.open {
 		r := o.requests[id]
@@ -204,7 +205,7 @@
 	o.deliver(Event{Kind: Arrived, Request: o.next, Class: name, Tenant: tenant, Grace: grace, Repeat: o.rng.IntN(4) == 0})
 }
 
-// settleOne gives an outcome to some attempt that is out.
+// settleOne gives an outcome to one attempt in flight.
 func (o *observer) settleOne(pick int, outcome Outcome) {
 	for i := range o.open {
 		id := o.open[(i+pick)%len(o.open)]
@@ -217,7 +218,7 @@
 	}
 }
 
-// changeList changes the list: one endpoint's line, or the whole.
+// changeList changes one line of the list, or replaces the list.
 func (o *observer) changeList(id EndpointID, how int) {
 	line := Endpoint{ID: id, Zone: []string{"a", "b"}[id%2], Cell: int(id / 2), Weight: 1}
 	if old, ok := o.list[id]; ok {
@@ -233,7 +234,7 @@
 	case 3:
 		o.deliver(Event{Kind: ListFailed})
 		return
-	case 4: // the whole list, with one endpoint left out
+	case 4: // the full list without one endpoint
 		delete(o.list, id)
 		var lines []Endpoint
 		for other := EndpointID(0); other < 12; other++ {
@@ -252,7 +253,7 @@
 	o.deliver(Event{Kind: ListChanged, Endpoints: []Endpoint{line}})
 }
 
-// answerProbes answers some of the probes that are out, or lets them fail.
+// answerProbes answers some of the probes in flight, or lets them fail.
 func (o *observer) answerProbes() {
 	for len(o.probes) > 0 && o.rng.IntN(3) > 0 {
 		id := o.probes[0]
@@ -291,7 +292,7 @@
 	}
 }
 
-// finishUp lets every client's time run out.
+// finishUp lets every deadline pass, and checks that the module keeps nothing.
 func (o *observer) finishUp() {
 	o.advance(2 * time.Second)
 	for _, id := range o.open {
@@ -303,14 +304,14 @@
 		}
 	}
 	if n := len(o.b.pending); n != 0 {
-		o.t.Fatalf("%d requests are still held after everything has ended", n)
+		o.t.Fatalf("%d requests are still pending after everything has ended", n)
 	}
 	if o.b.admission.inFlight != 0 {
-		o.t.Fatalf("%d attempts are still counted as out", o.b.admission.inFlight)
+		o.t.Fatalf("%d attempts still count as in flight", o.b.admission.inFlight)
 	}
 }
 
-// variant is the test settings in one of several shapes.
+// variant returns the test settings in one of several variants.
 func variant(n uint64) Settings {
 	set := testSettings()
 	set.Limits.Hedging = n&1 != 0
@@ -328,6 +329,7 @@
 	return set
 }
 
+// runScript delivers the events that a script of bytes stands for to a new balancer, and lets them all end.
 func runScript(t testing.TB, seed uint64, script []byte) *observer {
 	o := newObserver(t, variant(seed), seed)
 	for id := EndpointID(0); id < 6; id++ {
@@ -380,7 +382,7 @@
 			t.Fatal("the script led to no action")
 		}
 		if !reflect.DeepEqual(first.trace, second.trace) {
-			t.Fatalf("seed %d: the same events led to other actions", seed)
+			t.Fatalf("seed %d: the same events led to different actions", seed)
 		}
 	}
 }
--- a/decide/staleness_test.go
+++ b/decide/staleness_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// listed are so many endpoints, numbered from 1.
+// listed returns n endpoints, numbered from 1.
 func listed(n int) []Endpoint {
 	lines := make([]Endpoint, n)
 	for i := range lines {
@@ -15,20 +15,20 @@
 	return lines
 }
 
-// pollingSettings are test settings of an instance that asks for the list, with room for what the tests send.
+// pollingSettings returns test settings of an instance that polls for the list.
 func pollingSettings() Settings {
 	set := testSettings()
 	set.MustPoll = true
 	return set
 }
 
-// sendOne is the one attempt among the actions of a request's arrival; that the list is asked for as well is none of its.
+// sendOne has a request arrive and returns its one Send. Polls for the list among the actions are ignored.
 func (s *script) sendOne(id RequestID) Action {
 	s.t.Helper()
 	return s.expect(slices.DeleteFunc(s.arrive(id, "read"), func(a Action) bool { return a.Kind == WatchList }), Send)[0]
 }
 
-// serve has a request served and returns where it went.
+// serve has a request served and returns the endpoint that it went to.
 func (s *script) serve(id RequestID) EndpointID {
 	s.t.Helper()
 	to := s.sendOne(id).Endpoint
@@ -37,14 +37,14 @@
 	return to
 }
 
-// stale tells whether the list is stale after a time.
+// stale lets time pass and reports whether the list is stale then.
 func (s *script) stale(after time.Duration) bool {
 	s.after(after).tick()
 	return s.b.listStale()
 }
 
-// Guards against requests to endpoints that count as gone though nothing has come of that (report 4547c5): while the list
-// is stale, new work goes to those alone that have gone on answering.
+// Guards against requests to endpoints that count as gone though no change has come (report 4547c5): while the list is stale, new work goes
+// only to endpoints that have gone on answering.
 func TestStaleListSendsToProvenEndpoints(t *testing.T) {
 	const count = 200
 	s := start(t, pollingSettings(), listed(count)...)
@@ -65,7 +65,7 @@
 	for ; s.now < missed+time.Minute; s.after(90 * ms) {
 		id++
 		if to := s.serve(id); !used[to] {
-			t.Fatalf("%v after news may have been missed a request goes to endpoint %d, not used before", s.now-missed, to)
+			t.Fatalf("%v after changes may have been missed a request goes to endpoint %d, not used before", s.now-missed, to)
 		}
 	}
 	s.event(Event{Kind: ListChanged})
@@ -78,12 +78,12 @@
 		s.after(90 * ms)
 	}
 	if others == 0 {
-		t.Error("with a list that is true again, all still goes to those that answered while it was stale")
+		t.Error("with a current list, all requests still go to the endpoints that answered while it was stale")
 	}
 }
 
-// Guards against an endpoint that was away, has come back and may count as gone: an answer after a gap proves nothing until
-// its return counts as told.
+// Guards against an endpoint that was away, has come back and may count as gone: an answer after a gap proves nothing until its return
+// counts as delivered.
 func TestEndpointThatWasAwayIsNotProven(t *testing.T) {
 	const unheard, now = 100 * time.Second, 120 * time.Second
 	steady := func(from, to, step Time) (at []Time) {
@@ -94,8 +94,8 @@
 	}
 	for name, c := range map[string]struct {
 		answers []Time
-		failed  Time // a connection
-		took    Time // the newest request that it served was sent
+		failed  Time // when a connection to it failed
+		took    Time // when the newest request that it served was sent
 		want    bool
 	}{
 		"never used":                              {nil, 0, 0, false},
@@ -123,13 +123,13 @@
 		}
 		b.now, b.endpoints.missedSince = now, unheard
 		if got := b.proven(e); got != c.want {
-			t.Errorf("%s: proven %v", name, got)
+			t.Errorf("%s: proven is %v", name, got)
 		}
 	}
 }
 
-// Guards against requests to a proven endpoint that begins to drain, or dies: while the list is stale it gets nothing more once
-// it has turned one away, or a connection to it has failed, until it answers again.
+// Guards against requests to a proven endpoint that begins to drain, or dies: while the list is stale, an endpoint that has rejected an
+// attempt, or to which a connection has failed, gets nothing until it answers again.
 func TestProvenEndpointThatFails(t *testing.T) {
 	for name, outcome := range map[string]Outcome{"drains": Rejected, "dies": ConnectFailed, "breaks off": Reset} {
 		s := start(t, pollingSettings(), two()...)
@@ -147,17 +147,17 @@
 		failed := s.sendOne(id).Endpoint
 		s.after(10*ms).finish(id, 0, outcome)
 		s.finish(id, 1, Served)
-		for range 3 { // the other one fills up
+		for range 3 { // more than the other endpoint has room for
 			id++
 			if to := s.sendOne(id).Endpoint; to == failed {
-				t.Errorf("%s: endpoint %d gets more", name, failed)
+				t.Errorf("%s: endpoint %d gets another attempt", name, failed)
 			}
 		}
 	}
 }
 
-// Guards against a few proven endpoints that have to carry all when the list goes stale: from the moment in which nothing is
-// heard, as many are used as the traffic keeps proven.
+// Guards against a few proven endpoints that have to carry all traffic once the list is stale: from the moment at which changes may be
+// missed, as many endpoints are used as the traffic keeps proven.
 func TestTrafficIsSpreadBeforeTheListIsStale(t *testing.T) {
 	const count, peers, each = 400, 100, 10 * ms // 100 requests a second
 	set := pollingSettings()
@@ -185,8 +185,8 @@
 	}
 }
 
-// Guards against requests to endpoints that count as gone, sent by instances that see too little traffic to keep more than a
-// few endpoints proven (report 4547c5).
+// Guards against requests to endpoints that count as gone, sent by instances with too little traffic to keep more than a few endpoints
+// proven (report 4547c5).
 func TestStaleListWithLittleTraffic(t *testing.T) {
 	const count = 400
 	for _, c := range []struct {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Guards against a request that fails because the endpoint that answered last can't take it: it goes to the next latest one.
+// If the endpoint that answered last can't take a request, the request goes to the one that answered before it.
 func TestLastEndpointToAnswerFails(t *testing.T) {
 	s := start(t, pollingSettings(), listed(3)...)
 	s.event(Event{Kind: ListChanged})
@@ -243,7 +243,7 @@
 	}
 }
 
-// Guards against a sidecar that serves nothing because its list is stale: where no endpoint is proven, all are as before.
+// Guards against a sidecar that serves nothing because its list is stale: if no endpoint has answered, all may be used.
 func TestStaleListWithNothingProven(t *testing.T) {
 	s := start(t, pollingSettings(), two()...)
 	s.event(Event{Kind: ListMissed, Since: s.now})
@@ -251,7 +251,7 @@
 	s.sendOne(1)
 }
 
-// Guards against requests that nobody takes: where endpoints are asked first, those few that are proven are seldom among them.
+// Guards against requests that no endpoint takes: where probes decide, the few proven endpoints are seldom among those probed.
 func TestStaleListIsIgnoredWhereProbesDecide(t *testing.T) {
 	set := probingSettings()
 	set.MustPoll = true
@@ -262,54 +262,55 @@
 	e := s.b.endpoints.byID[1]
 	e.servedSentAt, e.evidence = s.now, evidence{lastAnswer: s.now, steadySince: s.now - time.Minute}
 	if trusted := s.b.trustFor(nil); !s.b.proven(e) || !s.b.listStale() || trusted != (trust{}) {
-		t.Errorf("proven %v, stale %v, new work goes to %+v", s.b.proven(e), s.b.listStale(), trusted)
+		t.Errorf("proven %v, stale %v, new work may go to %+v; want all endpoints", s.b.proven(e), s.b.listStale(), trusted)
 	}
 }
 
-// Guards against an attempt that was decided on in time and begins too late: what may count as gone by then is told when.
+// Guards against an attempt that was decided on in time and begins too late: if its endpoint may count as gone by then, the Send says when
+// it must have begun.
 func TestSendCarriesLatestStart(t *testing.T) {
 	s := start(t, pollingSettings(), two()...)
 	s.event(Event{Kind: ListChanged})
 	if sent := s.sendOne(1); sent.NotAfter != 0 {
-		t.Errorf("with a list that is true: not after %v", sent.NotAfter)
+		t.Errorf("with a current list: not after %v", sent.NotAfter)
 	}
 	missed := s.now
 	s.event(Event{Kind: ListMissed, Since: missed})
 	s.after(deliveredAfter)
 	want := missed + deliveredAfter + s.b.settings.Rules.DrainGrace - sendMargin
 	if sent := s.sendOne(2); sent.NotAfter != want {
-		t.Errorf("with a list that goes stale: not after %v, want %v", sent.NotAfter, want)
+		t.Errorf("with a list that becomes stale: not after %v, want %v", sent.NotAfter, want)
 	}
 	s.event(Event{Kind: ListConfirmed})
 	if sent := s.sendOne(3); sent.NotAfter != 0 {
-		t.Errorf("with a list that is confirmed: not after %v", sent.NotAfter)
+		t.Errorf("with a confirmed list: not after %v", sent.NotAfter)
 	}
 }
 
-// Guards against the age of a list that is forgotten, or counted from too late: from the first call that failed, and at a
-// start from then on; answers and confirmations end it. Where lists are pushed, none is asked for.
+// Guards against a list whose age is forgotten or counted from too late a time. It counts from the first failed poll, or from the start;
+// lists and confirmations end it. Where lists are pushed, none is polled for.
 func TestListGoesStale(t *testing.T) {
-	const sure = deliveredAfter + time.Second // past the limit, whatever is left of the grace
+	const sure = deliveredAfter + time.Second // stale by then, whatever part of the drain grace is added
 	set := pollingSettings()
 	s := start(t, set, two()...)
 	if !s.stale(sure) {
-		t.Error("not stale though nothing has come since the start")
+		t.Error("not stale though no list has come since the start")
 	}
 	for _, end := range []EventKind{ListChanged, ListReplaced, ListConfirmed} {
 		s.event(Event{Kind: end, Endpoints: two()})
 		if s.stale(time.Hour) {
-			t.Errorf("stale behind event %d", end)
+			t.Errorf("stale after event %d", end)
 		}
 		s.event(Event{Kind: ListMissed, Since: s.now - time.Second})
 		s.after(2 * time.Second).event(Event{Kind: ListFailed})
 		if !s.stale(sure - 3*time.Second) {
-			t.Errorf("not stale %v behind the first failure, behind event %d", sure, end)
+			t.Errorf("not stale %v after the first failure that followed event %d", sure, end)
 		}
 	}
 	s.event(Event{Kind: ListChanged})
 	s.event(Event{Kind: ListFailed})
 	if !s.stale(sure) {
-		t.Error("not stale behind a call that failed, with no word of since when")
+		t.Error("not stale after a failed poll without a ListMissed event")
 	}
 	set.MustPoll = false
 	s = start(t, set, two()...)
@@ -318,12 +319,12 @@
 	}
 	s.expect(s.event(Event{Kind: ListMissed, Since: s.now, DeliveredBy: s.now}))
 	if !s.stale(s.b.settings.Rules.DrainGrace) {
-		t.Error("not stale where lists are pushed, and count as told at once")
+		t.Error("not stale where lists are pushed and count as delivered at once")
 	}
 	s.expect(s.tick())
 }
 
-// What a pick costs among as many endpoints as the largest fleet has, with a list that is true, and stale with a few or no
+// The cost of a pick among as many endpoints as the largest deployment has: with a current list, and with a stale one with few or no
 // endpoints proven.
 func BenchmarkPickAmongThousands(b *testing.B) {
 	const count, peers = 3200, 400
@@ -333,7 +334,7 @@
 		name   string
 		stale  bool
 		proven int
-	}{{"true list", false, 0}, {"stale, 20 proven", true, 20}, {"stale, none proven", true, 0}} {
+	}{{"current list", false, 0}, {"stale, 20 proven", true, 20}, {"stale, none proven", true, 0}} {
 		b.Run(c.name, func(b *testing.B) {
 			balancer, err := New(set, 1)
 			if err != nil {
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -11,23 +11,23 @@
 	"heathgap/internal/jsonread"
 )
 
-// timerToken is the only timer token: an instance has one timer at a time and
-// passes over early ones.
+// timerToken is the token of every timer: an instance has one timer at a time and ignores events
+// that come too early.
 const timerToken = "due"
 
-// repeatBit marks a client's repeat in a request's attributes.
+// repeatBit marks a client's repeat in the attributes of a request.
 const repeatBit = 2
 
-// hintBit says that a request's cost hint is valid.
+// hintBit marks that the cost hint of a request is valid.
 const hintBit = 1
 
-// row is the values of one message after its name.
+// row holds the values of one message after its name.
 type row struct {
 	name   string
 	values []*fastjson.Value
 }
 
-// at returns value i, or nil when it is absent or null.
+// at returns value i, or nil if it is absent or null.
 func (r row) at(i int) *fastjson.Value {
 	if i >= len(r.values) || r.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -35,7 +35,7 @@
 	return r.values[i]
 }
 
-// required returns value i, or an error that names it.
+// required returns value i, or an error that names the field.
 func (r row) required(i int, field string) (*fastjson.Value, error) {
 	if v := r.at(i); v != nil {
 		return v, nil
@@ -43,6 +43,7 @@
 	return nil, fmt.Errorf("%s: missing", field)
 }
 
+// text returns value i, which must be a string.
 func (r row) text(i int, field string) ([]byte, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -55,6 +56,7 @@
 	return b, nil
 }
 
+// integer returns value i, which must be a non-negative integer.
 func (r row) integer(i int, field string) (uint64, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -75,7 +77,7 @@
 	return toDuration(v, field)
 }
 
-// boolean returns value i; an absent one is false.
+// boolean returns value i, or false if it is absent.
 func (r row) boolean(i int, field string) (bool, error) {
 	v := r.at(i)
 	if v == nil {
@@ -106,7 +108,7 @@
 	return toDuration(v, key)
 }
 
-// eventDecoders fill h.event from a message, by its name.
+// eventDecoders fill h.event from a message; the key is the message's name.
 var eventDecoders = map[string]func(*Host, row) error{
 	"request":          (*Host).decodeRequest,
 	"finished":         (*Host).decodeFinished,
@@ -115,11 +117,10 @@
 	"wakeup":           (*Host).decodeWakeup,
 	"directory_update": (*Host).decodeDirectory,
 	"probe_result":     (*Host).decodeProbe,
-	"peer":             nil, // instances share nothing: read and passed over
+	"peer":             nil, // ignored: instances share nothing
 }
 
-// decode fills h.event from a message and reports whether there is something
-// to hand over.
+// decode fills h.event from a message and reports whether the event is to be delivered.
 func (h *Host) decode(r row, report *decide.Report) (bool, error) {
 	decoder, ok := eventDecoders[r.name]
 	if !ok {
@@ -139,7 +140,7 @@
 	return true, nil
 }
 
-// decodeLoad reads a load report: the values named in the settings, in their order.
+// decodeLoad reads a load report at i: the values that the settings name, in their order.
 func (h *Host) decodeLoad(r row, i int) error {
 	v := r.at(i)
 	if v == nil {
@@ -150,7 +151,7 @@
 		return fmt.Errorf("gauge: %w", err)
 	}
 	for k, value := range values {
-		f := -1.0 // not told
+		f := -1.0 // not reported
 		if value.Type() != fastjson.TypeNull {
 			if f, err = value.Float64(); err != nil {
 				return fmt.Errorf("gauge: value %d: %w", k, err)
@@ -201,7 +202,7 @@
 	return err
 }
 
-// attempt reads the fields that messages on attempts have in common.
+// attempt reads the fields that all messages on attempts have: request, attempt and endpoint.
 func (h *Host) attempt(r row) error {
 	if err := h.requestID(r); err != nil {
 		return err
@@ -220,6 +221,7 @@
 	return err
 }
 
+// outcomes maps the result codes of the wire to outcomes.
 var outcomes = map[string]decide.Outcome{
 	"OK":                 decide.Served,
 	"INTERNAL":           decide.ServerError,
@@ -231,7 +233,7 @@
 	"TOO_LATE":           decide.NotSent,
 }
 
-// outcome reads an outcome code at i and the latency after it.
+// outcome reads a result code at i and the latency after it.
 func (h *Host) outcome(r row, i int) error {
 	code, err := r.text(i, "rc")
 	if err != nil {
@@ -315,7 +317,7 @@
 	return nil
 }
 
-// list stores a numbered endpoint list for the messages that point at it.
+// list stores a numbered endpoint list, to which later messages refer.
 func (h *Host) list(r row) error {
 	slot, err := r.integer(0, "buffer")
 	if err != nil {
@@ -344,12 +346,14 @@
 	return nil
 }
 
+// endpointStates maps the phases of the wire to endpoint states.
 var endpointStates = map[string]decide.EndpointState{
 	"active":  decide.Active,
 	"leaving": decide.Draining,
 	"left":    decide.Gone,
 }
 
+// listLine reads one endpoint of a list.
 func (h *Host) listLine(v *fastjson.Value) (e decide.Endpoint, err error) {
 	values, err := v.Array()
 	if err != nil {
@@ -390,7 +394,7 @@
 	return e, err
 }
 
-// beginAction opens an action in the reply: its name and its instance.
+// beginAction begins an action in the reply with its name and its instance.
 func (h *Host) beginAction(action, instance string) {
 	if h.actionCount > 0 {
 		h.out = append(h.out, ',')
@@ -410,8 +414,8 @@
 	h.out = appendMillis(append(h.out, ','), d)
 }
 
-// appendMillis writes a time in milliseconds, up to the next microsecond: a timer
-// that came a part of one early would find nothing due.
+// appendMillis writes a time in milliseconds, rounded up to the microsecond: a timer that came a
+// fraction of a microsecond early would find nothing due.
 func appendMillis(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64((d+time.Microsecond-1)/time.Microsecond)/1000, 'f', -1, 64)
 }
@@ -464,7 +468,7 @@
 	h.out = append(h.out, ']')
 }
 
-// appendFault writes the message that ends the day with an error's text.
+// appendFault writes the message that ends the simulation with an instance's error.
 func (h *Host) appendFault(fault *instanceError) {
 	h.beginAction("broken", fault.name)
 	h.out = append(h.out, ',')
--- a/simwire/host.go
+++ b/simwire/host.go
@@ -1,7 +1,7 @@
-// Package simwire hosts decision module instances behind the simulator's wire.
+// Package simwire runs instances of the decision module behind the simulator's wire protocol.
 //
-// It translates and carries; it decides nothing. Each instance is a balancer
-// of its own, and none sees anything of another.
+// It only translates between the wire and the module; it decides nothing. Each instance is a
+// balancer of its own and sees nothing of the others.
 package simwire
 
 import (
@@ -15,7 +15,7 @@
 	"heathgap/internal/settings"
 )
 
-// listSlots is how many numbered endpoint lists the wire keeps at once.
+// listSlots is how many numbered endpoint lists are kept at once.
 const listSlots = 16
 
 // readBuffer is the initial size of the line reader, in bytes.
@@ -24,23 +24,24 @@
 // Host runs the instances of one process.
 type Host struct {
 	instances   map[string]*instance
-	lists       [listSlots][]decide.Endpoint
+	lists       [listSlots][]decide.Endpoint // endpoint lists by their numbers on the wire
 	parser      fastjson.Parser
-	interned    map[string]string
+	interned    map[string]string // see internString
 	actions     []decide.Action
-	out         []byte
-	event       decide.Event
-	values      []float64 // of the event's load report
-	actionCount int
+	out         []byte       // the reply being built
+	event       decide.Event // the event being decoded
+	values      []float64    // values of the event's load report
+	actionCount int          // actions in the reply so far
 }
 
+// instance is one running balancer.
 type instance struct {
 	name     string
 	balancer *decide.Balancer
 	report   decide.Report
 }
 
-// instanceError is a failure that can be laid at one instance's door.
+// instanceError is a failure that belongs to one instance. It is reported in the reply.
 type instanceError struct {
 	name string
 	err  error
@@ -54,9 +55,9 @@
 	return &Host{instances: map[string]*instance{}, interned: map[string]string{}}
 }
 
-// Serve answers one batch a line from r with one reply a line on w, until r
-// ends. A batch that cannot be understood ends it with an error; where the
-// error belongs to an instance, the reply carries it as a fault first.
+// Serve reads batches from r, one a line, and writes one reply line for each to w, until r ends. It
+// returns an error for a batch that can't be handled; if the error belongs to an instance, the
+// reply reports it as a fault first.
 func (h *Host) Serve(r io.Reader, w io.Writer) error {
 	in := bufio.NewReaderSize(r, readBuffer)
 	out := bufio.NewWriter(w)
@@ -83,8 +84,8 @@
 	}
 }
 
-// readLine returns the next line of any length. io.EOF means that nothing is
-// left; a last line without its newline is still a line.
+// readLine returns the next line, of any length. It returns io.EOF when nothing is left; a last
+// line without a newline is still returned.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	line, err := in.ReadSlice('\n')
 	if err == nil {
@@ -101,8 +102,8 @@
 	return whole, err
 }
 
-// Batch handles one batch and returns the reply, which is valid until the
-// next call. With an error the reply is nil unless it carries a fault.
+// Batch handles one batch and returns the reply, which is valid until the next call. With an error
+// the reply is nil, unless it reports a fault.
 func (h *Host) Batch(line []byte) ([]byte, error) {
 	h.out = append(h.out[:0], `{"steps":[`...)
 	h.actionCount = 0
@@ -118,6 +119,7 @@
 	return h.out, err
 }
 
+// batch handles the events of one batch in turn.
 func (h *Host) batch(line []byte) error {
 	doc, err := h.parser.ParseBytes(line)
 	if err != nil {
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// instanceMessage hands one message to its instance.
+// instanceMessage handles one message to an instance.
 func (h *Host) instanceMessage(now decide.Time, name string, row row) error {
 	switch row.name {
 	case "power_on":
@@ -194,7 +196,7 @@
 	return h.step(now, inst)
 }
 
-// powerOn starts an instance, in place of one of the same name.
+// powerOn starts an instance. It replaces a running one of the same name.
 func (h *Host) powerOn(now decide.Time, name string, row row) error {
 	seed, err := row.integer(1, "prng")
 	if err != nil {
@@ -218,8 +220,8 @@
 	return h.step(now, inst)
 }
 
-// step gives h.event to an instance and writes what it decides. A panic in the
-// module becomes an error with its text.
+// step delivers h.event to an instance and writes its actions to the reply. A panic in the module
+// becomes an error.
 func (h *Host) step(now decide.Time, inst *instance) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -233,8 +235,8 @@
 	return nil
 }
 
-// internString returns s as a string that is made only once for equal bytes. Names
-// of instances, classes and tenants are few.
+// internString converts b to a string and reuses the string of an earlier call with equal bytes:
+// there are few names of instances, classes and tenants.
 func (h *Host) internString(b []byte) string {
 	if s, ok := h.interned[string(b)]; ok {
 		return s
--- a/simwire/host_test.go
+++ b/simwire/host_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// conf is the settings of the hand-written conversations.
+// conf holds the settings of the instances in these tests.
 const conf = `{"az":"hill","tick":5,"tier":0,"stages":["web","store"],"replicas_of_me":2,"unheard_of":[1],` +
 	`"membership_mode":"automatic","weights":"silent","worth_by":"request","over_share_worth":0.1,` +
 	`"bounds":{"cancel":true,"max_attempts":3,"retry_after":false,"second_copies":false},` +
@@ -21,7 +21,7 @@
 		`["directory_update","` + name + `",1,"restored",0]`
 }
 
-// repliesTo gives batches to a new host and returns its replies.
+// repliesTo has a new host handle batches and returns its replies.
 func repliesTo(t *testing.T, batches ...string) []string {
 	t.Helper()
 	var out bytes.Buffer
@@ -62,7 +62,8 @@
 	}
 }
 
-// Where endpoints report their load to probes, they are asked, and what they tell decides.
+// Endpoints that report their load to probes are probed, and the reports decide where the request
+// goes.
 func TestProbesOnTheWire(t *testing.T) {
 	on := strings.Replace(powerOn("sidecar-1"), `"cancel":true`, `"cancel":true,"probing":true`, 1)
 	on = strings.Replace(on, `"az":"hill"`, `"az":"hill","family":"mesh","report":{"how":"pull","fields":["outstanding","utilization"]}`, 1)
@@ -81,7 +82,7 @@
 	}
 }
 
-// Instances share nothing: one does the same alone as beside others.
+// An instance must act in the same way alone and beside others.
 func TestInstancesShareNothing(t *testing.T) {
 	events := func(name string) []string {
 		return []string{
@@ -126,7 +127,7 @@
 	on := `{"ts":1,"input":[` + powerOn("sidecar-1") + `]}`
 	for _, c := range []struct {
 		name, batch string
-		fault       bool // laid at the instance's door, on the wire
+		fault       bool // the reply reports it as the instance's fault
 		want        []string
 	}{
 		{"not JSON", `{"ts":1,"input":[`, false, []string{"batch 2", "malformed JSON"}},
@@ -179,7 +180,7 @@
 	if _, err := h.Batch([]byte(`{"ts":1,"input":[` + powerOn("sidecar-1") + `]}`)); err != nil {
 		t.Fatal(err)
 	}
-	h.instances["sidecar-1"].balancer = nil // the next event finds no module
+	h.instances["sidecar-1"].balancer = nil // the next event panics
 	reply, err := h.Batch([]byte(`{"ts":2,"input":[["wakeup","sidecar-1","due"]]}`))
 	if err == nil || !strings.Contains(string(reply), `["broken","sidecar-1",`) || !strings.Contains(string(reply), "panic") {
 		t.Errorf("got reply %s and error %v, want a fault with the panic's text", reply, err)
@@ -200,7 +201,7 @@
 	}
 }
 
-// A timer that came a part of a microsecond early would find nothing due.
+// Guards against a timer that comes a fraction of a microsecond early and finds nothing due.
 func TestTimersAreNeverEarly(t *testing.T) {
 	for d, want := range map[time.Duration]string{
 		94*time.Millisecond + 999_999: "95", 1: "0.001", 0: "0", 1500 * time.Microsecond: "1.5",
