--- a/decide/ban_test.go
+++ b/decide/ban_test.go
@@ -125,8 +125,8 @@
 	last := s.fill("once")
 	s.expect(s.arrive(last+1, "once"))
 	s.expect(s.event(Event{Kind: StreamBegan, Request: 1}), Send)
-	if out, err := s.b.Audit(); err != nil || out != int(last)-1 {
-		t.Errorf("%d attempts without an outcome, error %v; want %d attempts", out, err, last-1)
+	if unsettled, err := s.b.Audit(); err != nil || unsettled != int(last)-1 {
+		t.Errorf("%d attempts without an outcome, error %v; want %d attempts", unsettled, err, last-1)
 	}
 	full := s.b.admission.inFlight
 	s.event(Event{Kind: BodyReceived, Request: 1})
--- a/decide/coldstart_test.go
+++ b/decide/coldstart_test.go
@@ -184,54 +184,54 @@
 }
 
 // startBalancer starts a balancer's process and delivers the present list to it.
-func (f *coldFleet) startBalancer(k *coldBalancer) {
+func (f *coldFleet) startBalancer(balancer *coldBalancer) {
 	set := f.set
-	set.Number, set.Peers, set.Zone = k.number, f.toldPeers, k.zone
+	set.Number, set.Peers, set.Zone = balancer.number, f.toldPeers, balancer.zone
 	set.Classes = slices.Clone(set.Classes)
 	b, err := New(set, f.rng.Uint64())
 	if err != nil {
 		panic(err)
 	}
-	k.generation++
-	k.b, k.requests = b, map[RequestID]*coldRequest{}
-	f.deliver(k, Event{Kind: Start})
+	balancer.generation++
+	balancer.b, balancer.requests = b, map[RequestID]*coldRequest{}
+	f.deliver(balancer, Event{Kind: Start})
 	var lines []Endpoint
 	for _, e := range f.endpoints {
 		lines = append(lines, e.listed)
 	}
-	f.deliver(k, Event{Kind: ListReplaced, Endpoints: lines})
+	f.deliver(balancer, Event{Kind: ListReplaced, Endpoints: lines})
 }
 
 // deliver has a balancer handle an event, and does what its actions say.
-func (f *coldFleet) deliver(k *coldBalancer, e Event) {
+func (f *coldFleet) deliver(balancer *coldBalancer, e Event) {
 	if f.fault != nil {
-		f.fault(f.now, k.b, &e)
+		f.fault(f.now, balancer.b, &e)
 	}
-	for _, a := range k.b.Handle(f.now, &e, nil) {
+	for _, a := range balancer.b.Handle(f.now, &e, nil) {
 		switch a.Kind {
 		case Send:
-			f.send(k, a)
+			f.send(balancer, a)
 		case Refuse, Fail:
-			f.endTry(k, k.requests[a.Request])
+			f.endTry(balancer, balancer.requests[a.Request])
 		case SetTimer:
-			generation := k.generation
+			generation := balancer.generation
 			f.at(f.now+a.After, func() {
-				if k.generation == generation {
-					f.deliver(k, Event{Kind: TimerDue})
+				if balancer.generation == generation {
+					f.deliver(balancer, Event{Kind: TimerDue})
 				}
 			})
 		case Cancel:
-			f.finish(k, a.Request, a.Attempt, Canceled)
+			f.finish(balancer, a.Request, a.Attempt, Canceled)
 		case Probe:
 			e := f.endpoint(a.Endpoint)
-			e.sends = append(e.sends, coldSend{f.now, probeCost, k.number})
+			e.sends = append(e.sends, coldSend{f.now, probeCost, balancer.number})
 			e.ends = slices.DeleteFunc(e.ends, func(at Time) bool { return at <= f.now })
 			out := float64(len(e.ends))
 			load := Load{Outstanding: out, Utilization: min(1, out/float64(f.cores))}
-			generation := k.generation
+			generation := balancer.generation
 			f.at(f.now+2*ms, func() {
-				if k.generation == generation {
-					f.deliver(k, Event{Kind: ProbeFinished, Endpoint: e.listed.ID, Latency: 2 * ms, Load: load})
+				if balancer.generation == generation {
+					f.deliver(balancer, Event{Kind: ProbeFinished, Endpoint: e.listed.ID, Latency: 2 * ms, Load: load})
 				}
 			})
 		}
@@ -241,12 +241,12 @@
 func (f *coldFleet) endpoint(id EndpointID) *coldEndpoint { return f.endpoints[id-1] }
 
 // send has an endpoint serve a request after those before it, at its present speed.
-func (f *coldFleet) send(k *coldBalancer, a Action) {
-	e, r, id := f.endpoint(a.Endpoint), k.requests[a.Request], a.Request
+func (f *coldFleet) send(balancer *coldBalancer, a Action) {
+	e, r, id := f.endpoint(a.Endpoint), balancer.requests[a.Request], a.Request
 	attempt := len(r.attempts)
 	r.attempts = append(r.attempts, coldAttempt{to: e, sentAt: f.now})
 	work := 1 + workSpread*(2*f.rng.Float64()-1)
-	e.sends = append(e.sends, coldSend{f.now, work, k.number})
+	e.sends = append(e.sends, coldSend{f.now, work, balancer.number})
 	core := 0
 	for i := range e.coreFreeAt {
 		if e.coreFreeAt[i] < e.coreFreeAt[core] {
@@ -260,16 +260,16 @@
 		e.coreFreeAt[core], outcome = done, Served
 		e.ends = append(e.ends, done)
 	}
-	generation := k.generation
+	generation := balancer.generation
 	f.at(done, func() {
-		if k.generation == generation {
-			f.finish(k, id, attempt, outcome)
+		if balancer.generation == generation {
+			f.finish(balancer, id, attempt, outcome)
 		}
 	})
 }
 
-func (f *coldFleet) finish(k *coldBalancer, id RequestID, attempt int, outcome Outcome) {
-	r := k.requests[id]
+func (f *coldFleet) finish(balancer *coldBalancer, id RequestID, attempt int, outcome Outcome) {
+	r := balancer.requests[id]
 	if r == nil || r.attempts[attempt].settled {
 		return
 	}
@@ -279,51 +279,51 @@
 		r.done = true
 		f.served++
 	}
-	f.deliver(k, Event{
+	f.deliver(balancer, Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.listed.ID, Outcome: outcome,
 		Latency: f.now - a.sentAt, RequestDone: r.done,
 	})
 }
 
 // endTry ends a client's try without a result. Its client may try once more.
-func (f *coldFleet) endTry(k *coldBalancer, r *coldRequest) {
+func (f *coldFleet) endTry(balancer *coldBalancer, r *coldRequest) {
 	r.done = true
 	if r.tries < maxClientTries {
-		f.at(f.now+300*ms, func() { f.arrive(k, r.tries+1) })
+		f.at(f.now+300*ms, func() { f.arrive(balancer, r.tries+1) })
 	}
 }
 
-func (f *coldFleet) arrive(k *coldBalancer, tries int) {
+func (f *coldFleet) arrive(balancer *coldBalancer, tries int) {
 	f.nextID++
-	id, generation, grace := f.nextID, k.generation, f.set.Classes[0].Deadline
+	id, generation, grace := f.nextID, balancer.generation, f.set.Classes[0].Deadline
 	r := &coldRequest{tries: tries, deadline: f.now + grace}
-	k.requests[id] = r
+	balancer.requests[id] = r
 	f.at(r.deadline, func() {
-		if k.generation != generation {
+		if balancer.generation != generation {
 			return
 		}
 		for i := range r.attempts {
-			f.finish(k, id, i, TimedOut)
+			f.finish(balancer, id, i, TimedOut)
 		}
-		delete(k.requests, id)
+		delete(balancer.requests, id)
 	})
-	f.deliver(k, Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: tries > 1})
+	f.deliver(balancer, Event{Kind: Arrived, Request: id, Class: "read", Grace: grace, Repeat: tries > 1})
 }
 
 // traffic schedules a balancer's next request, after a random time.
-func (f *coldFleet) traffic(k *coldBalancer, end Time) {
-	rate := f.load * f.ratePerEndpoint * float64(f.warm+f.cold) * k.trafficShare
+func (f *coldFleet) traffic(balancer *coldBalancer, end Time) {
+	rate := f.load * f.ratePerEndpoint * float64(f.warm+f.cold) * balancer.trafficShare
 	if f.now >= time.Hour+coldWarmUp+f.burstAt {
 		rate *= 1.5
 		if f.zones == 2 { // the burst shifts traffic into one of two zones
-			rate *= map[string]float64{"a": 1.4, "b": 0.6}[k.zone]
+			rate *= map[string]float64{"a": 1.4, "b": 0.6}[balancer.zone]
 		}
 	}
 	gap := time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second))
 	if f.now+gap < end {
 		f.at(f.now+gap, func() {
-			f.arrive(k, 1)
-			f.traffic(k, end)
+			f.arrive(balancer, 1)
+			f.traffic(balancer, end)
 		})
 	}
 }
@@ -340,9 +340,9 @@
 
 // broadcast delivers a change of the list to all balancers, at different times.
 func (f *coldFleet) broadcast(lines []Endpoint) {
-	for _, k := range f.balancers {
+	for _, balancer := range f.balancers {
 		f.at(f.now+time.Duration(f.rng.IntN(500))*ms, func() {
-			f.deliver(k, Event{Kind: ListChanged, Endpoints: lines})
+			f.deliver(balancer, Event{Kind: ListChanged, Endpoints: lines})
 		})
 	}
 }
@@ -353,12 +353,12 @@
 	f.rng = rand.New(rand.NewPCG(c.seed, uint64(c.balancerCount)))
 	sum := 0.0
 	for n := range c.balancerCount {
-		k := &coldBalancer{number: n, trafficShare: 1, zone: []string{"a", "b"}[n%c.zones]}
+		balancer := &coldBalancer{number: n, trafficShare: 1, zone: []string{"a", "b"}[n%c.zones]}
 		if f.rng.IntN(6) == 0 {
-			k.trafficShare = 3 + 3*f.rng.Float64() // several times the share of most
+			balancer.trafficShare = 3 + 3*f.rng.Float64() // several times the share of most
 		}
-		sum += k.trafficShare
-		f.balancers = append(f.balancers, k)
+		sum += balancer.trafficShare
+		f.balancers = append(f.balancers, balancer)
 	}
 	for i := range c.warm {
 		f.add(false, i < c.failing)
@@ -370,10 +370,10 @@
 	}
 	first := time.Hour + coldWarmUp
 	end := first + c.joinTime + min(coldRunAfterJoin, c.set.Rules.ColdTime)
-	for _, k := range f.balancers {
-		k.trafficShare /= sum
-		f.startBalancer(k)
-		f.traffic(k, end)
+	for _, balancer := range f.balancers {
+		balancer.trafficShare /= sum
+		f.startBalancer(balancer)
+		f.traffic(balancer, end)
 	}
 	for i := range c.cold {
 		f.at(first+c.joinTime*time.Duration(i)/time.Duration(max(1, c.cold-1)), func() {
@@ -389,9 +389,9 @@
 		})
 	}
 	if c.restarts {
-		for n, k := range f.balancers {
+		for n, balancer := range f.balancers {
 			if n%10 < 7 {
-				f.at(first+c.burstAt+time.Duration(f.rng.IntN(2000))*ms, func() { f.startBalancer(k) })
+				f.at(first+c.burstAt+time.Duration(f.rng.IntN(2000))*ms, func() { f.startBalancer(balancer) })
 			}
 		}
 	}
@@ -502,7 +502,7 @@
 	for name, fault := range map[string]struct {
 		balancers int
 		seed      uint64 // a seed with which the fault is found
-		plant     func() coldFault
+		inject    func() coldFault
 	}{
 		"each balancer allows itself one send in a window": {30, 1, func() coldFault {
 			granted := map[*endpoint]Time{}
@@ -541,7 +541,7 @@
 			if sound := c.run(nil); sound.worst > 1 {
 				t.Fatalf("without the fault %.2f of what overloads it: %s", sound.worst, sound.details)
 			}
-			got := c.run(fault.plant())
+			got := c.run(fault.inject())
 			if got.worst <= 1 {
 				t.Errorf("fault not found: %.2f of what overloads it: %s", got.worst, got.details)
 			}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -142,37 +142,37 @@
 }
 
 // takeToken spends a token as retry does, and reports whether there was one.
-func takeToken(k *bucket, c *class) bool {
-	funded := k.fundedIn(k.refilledAt, c) == 0
+func takeToken(b *bucket, c *class) bool {
+	funded := b.fundedIn(b.refilledAt, c) == 0
 	if funded {
-		k.tokens--
+		b.tokens--
 	}
 	return funded
 }
 
 func TestBucket(t *testing.T) {
 	higherWorth, lowestWorth := &class{}, &class{reserve: reserveShare}
-	k := bucket{tokens: 1, floor: floorRate, burst: floorBurst}
-	if !takeToken(&k, higherWorth) || takeToken(&k, higherWorth) {
+	b := bucket{tokens: 1, floor: floorRate, burst: floorBurst}
+	if !takeToken(&b, higherWorth) || takeToken(&b, higherWorth) {
 		t.Fatal("one token must fund exactly one retry")
 	}
-	k.refill(time.Second)
-	if got := k.tokens; got != floorRate {
+	b.refill(time.Second)
+	if got := b.tokens; got != floorRate {
 		t.Fatalf("a second of the floor brought %v tokens, want %v", got, floorRate)
 	}
-	k.refill(time.Hour)
-	if got := k.tokens; got != floorBurst {
+	b.refill(time.Hour)
+	if got := b.tokens; got != floorBurst {
 		t.Fatalf("an hour of the floor filled to %v, want the burst %v", got, floorBurst)
 	}
-	k.tokens = reserveShare * floorBurst
-	if takeToken(&k, lowestWorth) {
+	b.tokens = reserveShare * floorBurst
+	if takeToken(&b, lowestWorth) {
 		t.Fatal("the lowest worth must leave half the bucket")
 	}
-	if !takeToken(&k, higherWorth) {
+	if !takeToken(&b, higherWorth) {
 		t.Fatal("others may use all of it")
 	}
-	k.tokens = 0
-	if got := k.fundedIn(time.Hour, higherWorth); got < 333*ms || got > 334*ms {
+	b.tokens = 0
+	if got := b.fundedIn(time.Hour, higherWorth); got < 333*ms || got > 334*ms {
 		t.Fatalf("an empty bucket funds a retry after %v, want a third of a second", got)
 	}
 }
@@ -331,7 +331,7 @@
 // It waits on if the endpoint serves no others, hedging is not allowed, or no token is left.
 func TestHedgeOfOverdueAttempt(t *testing.T) {
 	for name, c := range map[string]struct {
-		copies, overtaken, funded, want bool
+		hedging, overtaken, funded, want bool
 	}{
 		"lost":                {true, true, true, true},
 		"nothing overtakes":   {true, false, true, false},
@@ -339,7 +339,7 @@
 		"no token":            {true, true, false, false},
 	} {
 		set := testSettings()
-		set.Limits.Hedging = c.copies
+		set.Limits.Hedging = c.hedging
 		s := start(t, set, two()[:1]...)
 		s.expect(s.arrive(1, "read"), Send)
 		s.expect(s.after(50*ms).finish(1, 0, Served)) // the expected latency is 50 ms
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -17,8 +17,8 @@
 )
 
 // latencyModel describes the latency of served attempts of a class, as logarithms of seconds, normalized to
-// the usual work. Work and latency are regressed, because a part of the latency is the same for all requests,
-// however much work they carry.
+// the usual work (meanWork). The latency is regressed on the work, because a part of the latency is the same
+// for all requests, however much work they carry.
 type latencyModel struct {
 	mean     float64 // smoothed logarithm of the normalized latency
 	slowMean float64 // the same over more answers
@@ -36,12 +36,12 @@
 		m.meanWork = math.Log(work)
 	}
 	m.count = min(m.count+1, slowMeanCount)
-	gain, took, deviation := 1/float64(m.count), m.normalized(work, latency), math.Log(work)-m.meanWork
+	gain, normalized, deviation := 1/float64(m.count), m.normalized(work, latency), math.Log(work)-m.meanWork
 	m.covariance += (deviation*(logTime(latency)-m.slowMean) - m.covariance) * gain
 	m.workVariance += (deviation*deviation - m.workVariance) * gain
 	m.meanWork += deviation * gain
-	m.mean += (took - m.mean) / float64(min(m.count, meanCount))
-	if m.slowMean += (took - m.slowMean) * gain; m.count < meanCount || m.slowMean < m.baseline {
+	m.mean += (normalized - m.mean) / float64(min(m.count, meanCount))
+	if m.slowMean += (normalized - m.slowMean) * gain; m.count < meanCount || m.slowMean < m.baseline {
 		m.baseline = m.slowMean
 	}
 	if !limited { // else queueing in a full tier would raise the baseline, and then the limit
--- a/decide/limit.go
+++ b/decide/limit.go
@@ -24,8 +24,8 @@
 	crowdedFactor      = 1.25            // one endpoint may have this many times its even part of the limit
 )
 
-// admission queues first attempts that exceed the limit. Unlimited first attempts would overload a full tier
-// so that it serves too late (docs/design.md).
+// admission queues first attempts that exceed the limit. Without a limit, first attempts, which cost no
+// token, would overload a full tier (docs/design.md).
 type admission struct {
 	inFlight     int        // attempts that count as in flight; see setCounted
 	queue        []*request // queued requests, highest value first, then oldest
@@ -36,8 +36,8 @@
 	slotDeniedAt Time       // when a load report last left no slot for its request
 }
 
-// limit is how many attempts may be in flight. It follows the number of ready endpoints, not how fast they
-// serve, which may be slowed for all of them by the same cause.
+// limit is how many attempts may be in flight. It is proportional to the capacity of the ready endpoints,
+// which stays the same while something slows all of them.
 func (b *Balancer) limit() float64 { return b.admission.perEndpoint * b.refreshed().capacity }
 
 // hasRoom reports whether a queued request may be sent: an endpoint has a slot where probes decide, else the
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -152,8 +152,9 @@
 	set.pickWidth = max(minPickWidth, len(set.ready)/b.settings.Peers)
 }
 
-// updateEndpoint takes over one line of the list. A changed start time means a new process, which is cold and
-// has nothing in flight.
+// updateEndpoint takes over one line of the list. A changed start time means a new process, which has nothing
+// in flight. started is when the process counts as started, from which follows whether it is cold: the listed
+// start, or the end of a ban.
 func (b *Balancer) updateEndpoint(line *Endpoint, started Time) {
 	e := b.endpoints.byID[line.ID]
 	if e != nil && line.State == Gone {
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -85,18 +85,18 @@
 		c.grace = max(c.grace, e.Grace)
 		return c.grace - e.Grace
 	}
-	firstTry := max(e.Grace-c.grace, c.grace-e.Grace) <= graceTolerance
+	sameGrace := max(e.Grace-c.grace, c.grace-e.Grace) <= graceTolerance
 	switch {
 	case e.Repeat:
-		firstTry = firstTry || c.grace == 0 // no first try has been seen to compare it with
-	case firstTry:
+		sameGrace = sameGrace || c.grace == 0 // no first try has been seen to compare it with
+	case sameGrace:
 		c.graceVotes++
 	case c.graceVotes > 0:
 		c.graceVotes--
 	default:
-		c.grace, c.graceVotes, firstTry = e.Grace, 1, true
+		c.grace, c.graceVotes, sameGrace = e.Grace, 1, true
 	}
-	if firstTry {
+	if sameGrace {
 		return 0
 	}
 	return max(0, c.Deadline-e.Grace)
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -27,28 +27,28 @@
 // newBucket returns a full retry budget. Where each caller has an instance, peers share floorPeers floors,
 // because hundreds of full ones would not bound retries.
 func newBucket(set *Settings) bucket {
-	k := bucket{floor: floorRate, burst: floorBurst}
+	b := bucket{floor: floorRate, burst: floorBurst}
 	if set.Entry == PerCaller {
-		k.floor = floorRate / float64(max(1, set.Peers)) * floorPeers
-		k.burst = max(minBurst, floorTime*k.floor)
+		b.floor = floorRate / float64(max(1, set.Peers)) * floorPeers
+		b.burst = max(minBurst, floorTime*b.floor)
 	}
-	k.tokens = k.burst
-	return k
+	b.tokens = b.burst
+	return b
 }
 
 // refill adds the tokens that the floor has brought since the last refill.
-func (k *bucket) refill(now Time) {
-	k.add(k.floor * (now - k.refilledAt).Seconds())
-	k.refilledAt = now
+func (b *bucket) refill(now Time) {
+	b.add(b.floor * (now - b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-func (k *bucket) add(tokens float64) { k.tokens = min(k.burst, k.tokens+tokens) }
+func (b *bucket) add(tokens float64) { b.tokens = min(b.burst, b.tokens+tokens) }
 
 // fundedIn returns how long the floor alone takes until it can fund a retry of the class; 0 if a token is
 // there.
-func (k *bucket) fundedIn(now Time, c *class) time.Duration {
-	k.refill(now)
-	return max(0, time.Duration((1+c.reserve*k.burst-k.tokens)/k.floor*float64(time.Second)))
+func (b *bucket) fundedIn(now Time, c *class) time.Duration {
+	b.refill(now)
+	return max(0, time.Duration((1+c.reserve*b.burst-b.tokens)/b.floor*float64(time.Second)))
 }
 
 // retry sends a request again if a token funds it. Else the request waits for a token, or is given up if none
--- a/decide/staleness.go
+++ b/decide/staleness.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// recordAnswer records that the endpoint has answered.
+// recordAnswer records that the endpoint has answered. If the gap since its last answer was so long that it
+// may have been away, steadySince starts anew.
 func (v *evidence) recordAnswer(now Time) {
 	gap := maxAnswerGap
 	if v.lastFailure > v.lastAnswer {
--- a/decide/staleness_test.go
+++ b/decide/staleness_test.go
@@ -85,7 +85,7 @@
 // Guards against an endpoint that was away, has come back and may count as gone: an answer after a gap proves nothing until its return
 // counts as delivered.
 func TestEndpointThatWasAwayIsNotProven(t *testing.T) {
-	const unheard, now = 100 * time.Second, 120 * time.Second
+	const missed, now = 100 * time.Second, 120 * time.Second
 	steady := func(from, to, step Time) (at []Time) {
 		for t := from; t <= to; t += step {
 			at = append(at, t)
@@ -100,7 +100,7 @@
 	}{
 		"never used":                              {nil, 0, 0, false},
 		"all the time":                            {steady(90*time.Second, now, time.Second), 0, now, true},
-		"from soon after the start":               {steady(unheard+maxAnswerGap, now, time.Second), 0, now, true},
+		"from soon after the start":               {steady(missed+maxAnswerGap, now, time.Second), 0, now, true},
 		"from later on":                           {steady(now-provenTime+ms, now, time.Second), 0, now, false},
 		"from later on, for long enough":          {steady(now-provenTime, now, time.Second), 0, now, true},
 		"with a gap":                              {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxAnswerGap+ms, now, time.Second)...), 0, now, false},
@@ -121,7 +121,7 @@
 			}
 			e.evidence.recordAnswer(at)
 		}
-		b.now, b.endpoints.missedSince = now, unheard
+		b.now, b.endpoints.missedSince = now, missed
 		if got := b.proven(e); got != c.want {
 			t.Errorf("%s: proven is %v", name, got)
 		}
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -69,6 +69,7 @@
 	return n, nil
 }
 
+// duration returns value i, which must be a number of milliseconds.
 func (r row) duration(i int, field string) (time.Duration, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -162,6 +163,7 @@
 	return nil
 }
 
+// decodeRequest decodes the arrival of a request.
 func (h *Host) decodeRequest(r row) error {
 	e := &h.event
 	e.Kind = decide.Arrived
@@ -196,6 +198,7 @@
 	return err
 }
 
+// requestID reads the request's number, which is value 1.
 func (h *Host) requestID(r row) error {
 	id, err := r.integer(1, "job")
 	h.event.Request = decide.RequestID(id)
@@ -215,6 +218,7 @@
 	return h.endpoint(r, 3)
 }
 
+// endpoint reads an endpoint's number at i.
 func (h *Host) endpoint(r row, i int) error {
 	id, err := r.integer(i, "endpoint")
 	h.event.Endpoint = decide.EndpointID(id)
@@ -248,6 +252,7 @@
 	return err
 }
 
+// decodeFinished decodes the outcome of an attempt.
 func (h *Host) decodeFinished(r row) error {
 	h.event.Kind = decide.Finished
 	if err := h.attempt(r); err != nil {
@@ -261,22 +266,26 @@
 	return err
 }
 
+// decodeOpened decodes the beginning of a stream.
 func (h *Host) decodeOpened(r row) error {
 	h.event.Kind = decide.StreamBegan
 	return h.attempt(r)
 }
 
+// decodeHangup decodes that a client has left.
 func (h *Host) decodeHangup(r row) error {
 	h.event.Kind = decide.ClientLeft
 	return h.requestID(r)
 }
 
+// decodeWakeup decodes that a timer is due.
 func (h *Host) decodeWakeup(r row) error {
 	h.event.Kind = decide.TimerDue
 	_, err := r.text(1, "key_back")
 	return err
 }
 
+// decodeProbe decodes the result of a probe.
 func (h *Host) decodeProbe(r row) error {
 	h.event.Kind = decide.ProbeFinished
 	if err := h.endpoint(r, 1); err != nil {
@@ -288,6 +297,8 @@
 	return h.decodeLoad(r, 4)
 }
 
+// decodeDirectory decodes a change of the endpoint list, a full list, or a failed poll. The
+// endpoints are those of the numbered list that the message names.
 func (h *Host) decodeDirectory(r row) error {
 	kind, err := r.text(2, "kind")
 	if err != nil {
@@ -406,10 +417,12 @@
 	h.out = appendText(h.out, instance)
 }
 
+// number appends a number to the action in the reply.
 func (h *Host) number(n uint64) {
 	h.out = strconv.AppendUint(append(h.out, ','), n, 10)
 }
 
+// duration appends a duration to the action in the reply, in milliseconds.
 func (h *Host) duration(d time.Duration) {
 	h.out = appendMillis(append(h.out, ','), d)
 }
