--- a/decide/probing.go
+++ b/decide/probing.go
@@ -10,18 +10,20 @@
 // sent.
 
 const (
-	probesAtOnce    = 2                     // endpoints probed for a request at a time
-	flatSlotShare   = 0.5                   // part of the slots that requests of any worth may take
-	fullUtilization = 0.95                  // from this utilization on, that part is 0
-	utilizationSpan = 0.2                   // this far below it, that part is flatSlotShare in full
-	smoothingGain   = 0.05                  // weight of the newest value in utilization and unplaced
-	maxDraws        = 12                    // random draws of endpoints to probe: a full walk is too slow
-	maxProbes       = 8                     // endpoints probed for a request in all
-	costlyProbe     = 0.005                 // from this price of a probe on, they are sent one by one
-	probeSlack      = 1                     // expected latencies set aside for probing before the aim
-	maxUnplaced     = 0.1                   // above this part without a slot none waits past its aim
-	probeInterval   = 25 * time.Millisecond // how often endpoints are probed for a request without a slot
-	freshTime       = 15 * time.Millisecond // how long a load report is valid
+	probesAtOnce    = 2    // endpoints probed for a request at a time
+	flatSlotShare   = 0.5  // part of the slots that requests of any worth may take
+	fullUtilization = 0.95 // from this utilization on, that part is 0
+	utilizationSpan = 0.2  // this far below it, that part is flatSlotShare in full
+	smoothingGain   = 0.05 // weight of the newest value in utilization and unplaced
+	// Random draws of endpoints to probe for a request: a walk over hundreds of endpoints for each request
+	// costs too much.
+	maxDraws      = 12
+	maxProbes     = 8                     // endpoints probed for a request in all
+	costlyProbe   = 0.005                 // from this price of a probe on, they are sent one by one
+	probeSlack    = 1                     // expected latencies set aside for probing before the aim
+	maxUnplaced   = 0.1                   // above this part without a slot none waits past its aim
+	probeInterval = 25 * time.Millisecond // how often endpoints are probed for a request without a slot
+	freshTime     = 15 * time.Millisecond // how long a load report is valid
 )
 
 // probesFirst reports whether probes decide on admission, instead of this instance's share of the limit.
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -211,9 +211,9 @@
 	b.forgetIfDone(r)
 }
 
-// retryAfter returns how long a refused client should wait before it tries again, at random so that clients
-// don't return together: within the time in which an answer is still useful, or, if that has passed, in the
-// upper half of the longest wait allowed. It is 0 where no advice is allowed.
+// retryAfter returns how long a refused client should wait before it tries again, at random: within the time
+// in which an answer is still useful, or, if that has passed, from half of MaxRetryAfter to all of it. It is
+// 0 where no advice is allowed.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	l := &b.settings.Limits
 	if !l.RetryAfter {
