--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -7,41 +7,40 @@
 	"time"
 )
 
-// The rules are checked here from outside, on nothing but events and actions:
-// odd but legal event orders go in, and each action is held against the rules as
-// an observer would who does not know how the module decides.
+// An observer checks the rules from outside, on events and actions alone. It delivers unusual but legal orders of events and checks each
+// action, without any knowledge of how the module decides.
 
-// watched is what the observer knows of a request.
-type watched struct {
+// observedRequest is what the observer knows of a request.
+type observedRequest struct {
 	class    Class
 	deadline Time
-	over     bool
-	attempts []watchedAttempt
+	done     bool
+	attempts []observedAttempt
 }
 
-type watchedAttempt struct {
-	to      Endpoint
-	sent    Time
-	settled bool
-	ran     bool
+type observedAttempt struct {
+	to         Endpoint
+	sentAt     Time
+	settled    bool
+	mayHaveRun bool
 }
 
-// observer holds actions against the rules.
+// observer checks actions against the rules.
 type observer struct {
-	t        testing.TB
-	set      Settings
-	b        *Balancer
-	rng      *rand.Rand
-	now      Time
-	classes  map[string]Class
-	list     map[EndpointID]Endpoint
-	told     map[EndpointID]Time // when an endpoint was told to drain or to be gone
-	requests map[RequestID]*watched
-	open     []RequestID // in the order of arrival, over or not
-	timers   []Time
-	probes   []EndpointID // without an answer
-	next     RequestID
-	trace    []Action
+	t         testing.TB
+	set       Settings
+	b         *Balancer
+	rng       *rand.Rand
+	now       Time
+	classes   map[string]Class
+	list      map[EndpointID]Endpoint
+	removedAt map[EndpointID]Time // when an endpoint was reported draining or gone
+	requests  map[RequestID]*observedRequest
+	open      []RequestID // in the order of arrival, done or not
+	timers    []Time
+	probes    []EndpointID // in flight
+	next      RequestID
+	trace     []Action
 }
 
 func newObserver(t testing.TB, set Settings, seed uint64) *observer {
@@ -51,7 +50,7 @@
 	}
 	o := &observer{
 		t: t, set: set, b: b, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, classes: map[string]Class{},
-		list: map[EndpointID]Endpoint{}, told: map[EndpointID]Time{}, requests: map[RequestID]*watched{},
+		list: map[EndpointID]Endpoint{}, removedAt: map[EndpointID]Time{}, requests: map[RequestID]*observedRequest{},
 	}
 	for _, c := range set.Classes {
 		o.classes[c.Name] = c
@@ -59,15 +58,15 @@
 	return o
 }
 
-// give hands over an event and checks what the module makes of it.
-func (o *observer) give(e Event) {
+// deliver delivers an event and checks the actions that follow.
+func (o *observer) deliver(e Event) {
 	for _, a := range o.b.Handle(o.now, &e, nil) {
 		o.trace = append(o.trace, a)
 		switch a.Kind {
 		case Send:
-			o.sent(a)
+			o.checkSend(a)
 		case Refuse, Fail:
-			o.answered(a)
+			o.checkAnswer(a)
 		case SetTimer:
 			o.timers = append(o.timers, o.now+a.After)
 		case Probe:
@@ -84,10 +83,11 @@
 	}
 }
 
-func (o *observer) sent(a Action) {
+// checkSend checks that a Send keeps the rules, and records the attempt.
+func (o *observer) checkSend(a Action) {
 	r := o.requests[a.Request]
-	if r == nil || r.over {
-		o.t.Fatalf("at %v: sent for a request that is over or unknown: %+v", o.now, a)
+	if r == nil || r.done {
+		o.t.Fatalf("at %v: sent for a request that is done or unknown: %+v", o.now, a)
 	}
 	to, ok := o.list[a.Endpoint]
 	if !ok || to.State != Active {
@@ -98,9 +98,9 @@
 	}
 	for _, old := range r.attempts {
 		if !old.settled && !o.set.Limits.Hedging {
-			o.t.Fatalf("at %v: two attempts out at once: %+v", o.now, a)
+			o.t.Fatalf("at %v: two attempts in flight at once: %+v", o.now, a)
 		}
-		if !old.ran {
+		if !old.mayHaveRun {
 			continue
 		}
 		switch r.class.Effect {
@@ -110,26 +110,27 @@
 			same := r.class.Group == GroupAll ||
 				r.class.Group == GroupZone && old.to.Zone == to.Zone ||
 				r.class.Group == GroupCell && old.to.Cell == to.Cell
-			if !same || o.now-old.sent > r.class.Window {
+			if !same || o.now-old.sentAt > r.class.Window {
 				o.t.Fatalf("at %v: keyed request sent outside its group or window: %+v", o.now, a)
 			}
 		}
 	}
-	r.attempts = append(r.attempts, watchedAttempt{to: to, sent: o.now, ran: true})
+	r.attempts = append(r.attempts, observedAttempt{to: to, sentAt: o.now, mayHaveRun: true})
 }
 
-func (o *observer) answered(a Action) {
+// checkAnswer checks that a final answer keeps the rules.
+func (o *observer) checkAnswer(a Action) {
 	r := o.requests[a.Request]
-	if r == nil || r.over {
+	if r == nil || r.done {
 		o.t.Fatalf("at %v: a second final answer: %+v", o.now, a)
 	}
-	r.over = true
+	r.done = true
 	if o.now > r.deadline+o.set.Rules.AnswerSlack {
-		o.t.Fatalf("at %v: answered after the client's time: %+v", o.now, a)
+		o.t.Fatalf("at %v: answered after the client's deadline: %+v", o.now, a)
 	}
 	ran := false
 	for _, old := range r.attempts {
-		ran = ran || old.ran
+		ran = ran || old.mayHaveRun
 	}
 	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll || !ran
 	if a.Kind == Refuse && !harmless {
@@ -137,8 +138,8 @@
 	}
 }
 
-// pass lets time go by in ticks, with timers and deadlines on the way.
-func (o *observer) pass(d time.Duration) {
+// advance lets time pass in ticks and handles the timers and deadlines that come due.
+func (o *observer) advance(d time.Duration) {
 	for end := o.now + d; o.now < end; {
 		o.now += o.set.Tick
 		kept := o.timers[:0]
@@ -152,18 +153,18 @@
 		}
 		o.timers = kept
 		if due {
-			o.give(Event{Kind: TimerDue})
+			o.deliver(Event{Kind: TimerDue})
 		}
-		o.deadlines()
+		o.checkDeadlines()
 	}
 }
 
-// deadlines ends what is out when a client's time is up, and checks that
-// nothing is owed past it.
-func (o *observer) deadlines() {
+// checkDeadlines ends the attempts in flight of requests whose deadline has passed, and checks that each of these requests has its final
+// answer then.
+func (o *observer) checkDeadlines() {
 	for _, id := range o.open {
 		r := o.requests[id]
-		if r.over || o.now < r.deadline {
+		if r.done || o.now < r.deadline {
 			continue
 		}
 		for i := range r.attempts {
@@ -171,7 +172,7 @@
 				o.finish(id, i, TimedOut)
 			}
 		}
-		if !r.over {
+		if !r.done {
 			o.t.Fatalf("at %v: request %d got no final answer by %v", o.now, id, r.deadline)
 		}
 	}
@@ -180,13 +181,13 @@
 func (o *observer) finish(id RequestID, attempt int, outcome Outcome) {
 	r := o.requests[id]
 	a := &r.attempts[attempt]
-	a.settled, a.ran = true, !outcome.NeverRan()
-	if outcome == Served && !r.over {
-		r.over = true
+	a.settled, a.mayHaveRun = true, !outcome.NeverRan()
+	if outcome == Served && !r.done {
+		r.done = true
 	}
-	o.give(Event{
+	o.deliver(Event{
 		Kind: Finished, Request: id, Attempt: attempt, Endpoint: a.to.ID, Outcome: outcome,
-		Latency: o.now - a.sent, RequestDone: r.over,
+		Latency: o.now - a.sentAt, RequestDone: r.done,
 	})
 }
 
@@ -198,13 +199,13 @@
 		c = o.set.Classes[class]
 		name = c.Name
 	}
-	o.requests[o.next] = &watched{class: c, deadline: o.now + grace}
+	o.requests[o.next] = &observedRequest{class: c, deadline: o.now + grace}
 	o.open = append(o.open, o.next)
 	tenant := []string{"big", "small", "", "stranger"}[o.rng.IntN(4)]
-	o.give(Event{Kind: Arrived, Request: o.next, Class: name, Tenant: tenant, Grace: grace, Repeat: o.rng.IntN(4) == 0})
+	o.deliver(Event{Kind: Arrived, Request: o.next, Class: name, Tenant: tenant, Grace: grace, Repeat: o.rng.IntN(4) == 0})
 }
 
-// settleOne gives an outcome to some attempt that is out.
+// settleOne gives an outcome to one attempt in flight.
 func (o *observer) settleOne(pick int, outcome Outcome) {
 	for i := range o.open {
 		id := o.open[(i+pick)%len(o.open)]
@@ -217,8 +218,8 @@
 	}
 }
 
-// relist changes the list: one endpoint's line, or the whole.
-func (o *observer) relist(id EndpointID, how int) {
+// changeList changes one line of the list, or replaces the list.
+func (o *observer) changeList(id EndpointID, how int) {
 	line := Endpoint{ID: id, Zone: []string{"a", "b"}[id%2], Cell: int(id / 2), Weight: 1}
 	if old, ok := o.list[id]; ok {
 		line.Started = old.Started
@@ -231,9 +232,9 @@
 	case 2:
 		line.Started = o.now
 	case 3:
-		o.give(Event{Kind: ListFailed})
+		o.deliver(Event{Kind: ListFailed})
 		return
-	case 4: // the whole list, with one endpoint left out
+	case 4: // the full list without one endpoint
 		delete(o.list, id)
 		var lines []Endpoint
 		for other := EndpointID(0); other < 12; other++ {
@@ -241,7 +242,7 @@
 				lines = append(lines, e)
 			}
 		}
-		o.give(Event{Kind: ListReplaced, Endpoints: lines})
+		o.deliver(Event{Kind: ListReplaced, Endpoints: lines})
 		return
 	}
 	if line.State == Gone {
@@ -249,10 +250,10 @@
 	} else {
 		o.list[id] = line
 	}
-	o.give(Event{Kind: ListChanged, Endpoints: []Endpoint{line}})
+	o.deliver(Event{Kind: ListChanged, Endpoints: []Endpoint{line}})
 }
 
-// answerProbes answers some of the probes that are out, or lets them fail.
+// answerProbes answers some of the probes in flight, or lets them fail.
 func (o *observer) answerProbes() {
 	for len(o.probes) > 0 && o.rng.IntN(3) > 0 {
 		id := o.probes[0]
@@ -261,7 +262,7 @@
 		if e.Outcome == Served {
 			e.Load = o.set.Report.Read([]float64{float64(o.rng.IntN(8)), o.rng.Float64()})
 		}
-		o.give(e)
+		o.deliver(e)
 	}
 }
 
@@ -277,23 +278,23 @@
 	case 8, 9, 10:
 		o.settleOne(d, Outcome(1+d%7))
 	case 11:
-		o.relist(EndpointID(d%12), d/12%6)
+		o.changeList(EndpointID(d%12), d/12%6)
 	case 12:
 		if len(o.open) > 0 {
 			id := o.open[d%len(o.open)]
-			o.requests[id].over = true
-			o.give(Event{Kind: ClientLeft, Request: id})
+			o.requests[id].done = true
+			o.deliver(Event{Kind: ClientLeft, Request: id})
 		}
 	case 13:
-		o.give(Event{Kind: Finished, Request: RequestID(d) + 1<<40, Attempt: d})
+		o.deliver(Event{Kind: Finished, Request: RequestID(d) + 1<<40, Attempt: d})
 	default:
-		o.pass(time.Duration(d) * ms)
+		o.advance(time.Duration(d) * ms)
 	}
 }
 
-// finishUp lets every client's time run out.
+// finishUp lets every deadline pass, and checks that the module keeps nothing.
 func (o *observer) finishUp() {
-	o.pass(2 * time.Second)
+	o.advance(2 * time.Second)
 	for _, id := range o.open {
 		r := o.requests[id]
 		for i := range r.attempts {
@@ -302,15 +303,15 @@
 			}
 		}
 	}
-	if n := len(o.b.held); n != 0 {
-		o.t.Fatalf("%d requests are still held after everything has ended", n)
+	if n := len(o.b.pending); n != 0 {
+		o.t.Fatalf("%d requests are still pending after everything has ended", n)
 	}
-	if o.b.hold.out != 0 {
-		o.t.Fatalf("%d attempts are still counted as out", o.b.hold.out)
+	if o.b.admission.inFlight != 0 {
+		o.t.Fatalf("%d attempts still count as in flight", o.b.admission.inFlight)
 	}
 }
 
-// variant is the test settings in one of several shapes.
+// variant returns the test settings in one of several variants.
 func variant(n uint64) Settings {
 	set := testSettings()
 	set.Limits.Hedging = n&1 != 0
@@ -328,17 +329,18 @@
 	return set
 }
 
-func play(t testing.TB, seed uint64, script []byte) *observer {
+// runScript delivers the events that a script of bytes stands for to a new balancer, and lets them all end.
+func runScript(t testing.TB, seed uint64, script []byte) *observer {
 	o := newObserver(t, variant(seed), seed)
 	for id := EndpointID(0); id < 6; id++ {
 		o.list[id] = Endpoint{ID: id, Zone: []string{"a", "b"}[id%2], Cell: int(id / 2), Weight: 1}
 	}
-	o.give(Event{Kind: Start})
+	o.deliver(Event{Kind: Start})
 	var lines []Endpoint
 	for id := EndpointID(0); id < 6; id++ {
 		lines = append(lines, o.list[id])
 	}
-	o.give(Event{Kind: ListRestored, Endpoints: lines})
+	o.deliver(Event{Kind: ListRestored, Endpoints: lines})
 	for i := 0; i+1 < len(script); i += 2 {
 		o.step(script[i], script[i+1])
 	}
@@ -357,7 +359,7 @@
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(1200) {
-		play(t, seed, randomScript(seed))
+		runScript(t, seed, randomScript(seed))
 	}
 }
 
@@ -369,18 +371,18 @@
 		if len(script) > 4000 {
 			t.Skip("longer than a fuzzed script needs to be")
 		}
-		play(t, seed, script)
+		runScript(t, seed, script)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := play(t, seed, randomScript(seed)), play(t, seed, randomScript(seed))
+		first, second := runScript(t, seed, randomScript(seed)), runScript(t, seed, randomScript(seed))
 		if len(first.trace) == 0 {
 			t.Fatal("the script led to no action")
 		}
 		if !reflect.DeepEqual(first.trace, second.trace) {
-			t.Fatalf("seed %d: the same events led to other actions", seed)
+			t.Fatalf("seed %d: the same events led to different actions", seed)
 		}
 	}
 }
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -11,23 +11,23 @@
 	"heathgap/internal/jsonread"
 )
 
-// timerToken is the only timer token: an instance has one timer at a time and
-// passes over early ones.
+// timerToken is the token of every timer: an instance has one timer at a time and ignores events
+// that come too early.
 const timerToken = "due"
 
-// repeatBit marks a client's repeat in a request's attributes.
+// repeatBit marks a client's repeat in the attributes of a request.
 const repeatBit = 2
 
-// hintBit says that a request's cost hint is valid.
+// hintBit marks that the cost hint of a request is valid.
 const hintBit = 1
 
-// row is the values of one message after its name.
+// row holds the values of one message after its name.
 type row struct {
 	name   string
 	values []*fastjson.Value
 }
 
-// at returns value i, or nil when it is absent or null.
+// at returns value i, or nil if it is absent or null.
 func (r row) at(i int) *fastjson.Value {
 	if i >= len(r.values) || r.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -35,7 +35,7 @@
 	return r.values[i]
 }
 
-// required returns value i, or an error that names it.
+// required returns value i, or an error that names the field.
 func (r row) required(i int, field string) (*fastjson.Value, error) {
 	if v := r.at(i); v != nil {
 		return v, nil
@@ -43,6 +43,7 @@
 	return nil, fmt.Errorf("%s: missing", field)
 }
 
+// text returns value i, which must be a string.
 func (r row) text(i int, field string) ([]byte, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -55,6 +56,7 @@
 	return b, nil
 }
 
+// integer returns value i, which must be a non-negative integer.
 func (r row) integer(i int, field string) (uint64, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -67,6 +69,7 @@
 	return n, nil
 }
 
+// duration returns value i, which must be a number of milliseconds.
 func (r row) duration(i int, field string) (time.Duration, error) {
 	v, err := r.required(i, field)
 	if err != nil {
@@ -75,7 +78,7 @@
 	return toDuration(v, field)
 }
 
-// boolean returns value i; an absent one is false.
+// boolean returns value i, or false if it is absent.
 func (r row) boolean(i int, field string) (bool, error) {
 	v := r.at(i)
 	if v == nil {
@@ -106,7 +109,7 @@
 	return toDuration(v, key)
 }
 
-// eventDecoders fill h.event from a message, by its name.
+// eventDecoders fill h.event from a message; the key is the message's name.
 var eventDecoders = map[string]func(*Host, row) error{
 	"request":          (*Host).decodeRequest,
 	"finished":         (*Host).decodeFinished,
@@ -115,11 +118,10 @@
 	"wakeup":           (*Host).decodeWakeup,
 	"directory_update": (*Host).decodeDirectory,
 	"probe_result":     (*Host).decodeProbe,
-	"peer":             nil, // instances share nothing: read and passed over
+	"peer":             nil, // ignored: instances share nothing
 }
 
-// decode fills h.event from a message and reports whether there is something
-// to hand over.
+// decode fills h.event from a message and reports whether the event is to be delivered.
 func (h *Host) decode(r row, report *decide.Report) (bool, error) {
 	decoder, ok := eventDecoders[r.name]
 	if !ok {
@@ -139,8 +141,8 @@
 	return true, nil
 }
 
-// gauge reads a load report: the values named in the settings, in their order.
-func (h *Host) gauge(r row, i int) error {
+// decodeLoad reads a load report at i: the values that the settings name, in their order.
+func (h *Host) decodeLoad(r row, i int) error {
 	v := r.at(i)
 	if v == nil {
 		return nil
@@ -150,7 +152,7 @@
 		return fmt.Errorf("gauge: %w", err)
 	}
 	for k, value := range values {
-		f := -1.0 // not told
+		f := -1.0 // not reported
 		if value.Type() != fastjson.TypeNull {
 			if f, err = value.Float64(); err != nil {
 				return fmt.Errorf("gauge: value %d: %w", k, err)
@@ -161,6 +163,7 @@
 	return nil
 }
 
+// decodeRequest decodes the arrival of a request.
 func (h *Host) decodeRequest(r row) error {
 	e := &h.event
 	e.Kind = decide.Arrived
@@ -171,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	e.Class = h.string(class)
+	e.Class = h.internString(class)
 	bits := uint64(0)
 	if r.at(3) != nil {
 		if bits, err = r.integer(3, "attrs"); err != nil {
@@ -189,37 +192,40 @@
 		if err != nil {
 			return err
 		}
-		e.Tenant = h.string(tenant)
+		e.Tenant = h.internString(tenant)
 	}
 	e.Grace, err = r.duration(7, "grace")
 	return err
 }
 
+// requestID reads the request's number, which is value 1.
 func (h *Host) requestID(r row) error {
 	id, err := r.integer(1, "job")
 	h.event.Request = decide.RequestID(id)
 	return err
 }
 
-// attempt reads the fields that messages on attempts have in common.
+// attempt reads the fields that all messages on attempts have: request, attempt and endpoint.
 func (h *Host) attempt(r row) error {
 	if err := h.requestID(r); err != nil {
 		return err
 	}
-	shot, err := r.integer(2, "shot")
+	attempt, err := r.integer(2, "shot")
 	if err != nil {
 		return err
 	}
-	h.event.Attempt = int(shot)
+	h.event.Attempt = int(attempt)
 	return h.endpoint(r, 3)
 }
 
+// endpoint reads an endpoint's number at i.
 func (h *Host) endpoint(r row, i int) error {
 	id, err := r.integer(i, "endpoint")
 	h.event.Endpoint = decide.EndpointID(id)
 	return err
 }
 
+// outcomes maps the result codes of the wire to outcomes.
 var outcomes = map[string]decide.Outcome{
 	"OK":                 decide.Served,
 	"INTERNAL":           decide.ServerError,
@@ -231,7 +237,7 @@
 	"TOO_LATE":           decide.NotSent,
 }
 
-// outcome reads an outcome code at i and the latency after it.
+// outcome reads a result code at i and the latency after it.
 func (h *Host) outcome(r row, i int) error {
 	code, err := r.text(i, "rc")
 	if err != nil {
@@ -246,6 +252,7 @@
 	return err
 }
 
+// decodeFinished decodes the outcome of an attempt.
 func (h *Host) decodeFinished(r row) error {
 	h.event.Kind = decide.Finished
 	if err := h.attempt(r); err != nil {
@@ -254,27 +261,31 @@
 	if err := h.outcome(r, 4); err != nil {
 		return err
 	}
-	over, err := r.boolean(6, "ended")
-	h.event.RequestDone = over
+	done, err := r.boolean(6, "ended")
+	h.event.RequestDone = done
 	return err
 }
 
+// decodeOpened decodes the beginning of a stream.
 func (h *Host) decodeOpened(r row) error {
 	h.event.Kind = decide.StreamBegan
 	return h.attempt(r)
 }
 
+// decodeHangup decodes that a client has left.
 func (h *Host) decodeHangup(r row) error {
 	h.event.Kind = decide.ClientLeft
 	return h.requestID(r)
 }
 
+// decodeWakeup decodes that a timer is due.
 func (h *Host) decodeWakeup(r row) error {
 	h.event.Kind = decide.TimerDue
 	_, err := r.text(1, "key_back")
 	return err
 }
 
+// decodeProbe decodes the result of a probe.
 func (h *Host) decodeProbe(r row) error {
 	h.event.Kind = decide.ProbeFinished
 	if err := h.endpoint(r, 1); err != nil {
@@ -283,9 +294,11 @@
 	if err := h.outcome(r, 2); err != nil {
 		return err
 	}
-	return h.gauge(r, 4)
+	return h.decodeLoad(r, 4)
 }
 
+// decodeDirectory decodes a change of the endpoint list, a full list, or a failed poll. The
+// endpoints are those of the numbered list that the message names.
 func (h *Host) decodeDirectory(r row) error {
 	kind, err := r.text(2, "kind")
 	if err != nil {
@@ -315,7 +328,7 @@
 	return nil
 }
 
-// list stores a numbered endpoint list for the messages that point at it.
+// list stores a numbered endpoint list, to which later messages refer.
 func (h *Host) list(r row) error {
 	slot, err := r.integer(0, "buffer")
 	if err != nil {
@@ -344,12 +357,14 @@
 	return nil
 }
 
+// endpointStates maps the phases of the wire to endpoint states.
 var endpointStates = map[string]decide.EndpointState{
 	"active":  decide.Active,
 	"leaving": decide.Draining,
 	"left":    decide.Gone,
 }
 
+// listLine reads one endpoint of a list.
 func (h *Host) listLine(v *fastjson.Value) (e decide.Endpoint, err error) {
 	values, err := v.Array()
 	if err != nil {
@@ -377,7 +392,7 @@
 		return e, fmt.Errorf("phase: unknown phase %q", phase)
 	}
 	e = decide.Endpoint{
-		ID: decide.EndpointID(id), Zone: h.string(zone), Cell: int(cell), State: state, Weight: 1,
+		ID: decide.EndpointID(id), Zone: h.internString(zone), Cell: int(cell), State: state, Weight: 1,
 	}
 	if v := r.at(5); v != nil {
 		if e.Weight, err = v.Float64(); err != nil {
@@ -390,28 +405,30 @@
 	return e, err
 }
 
-// begin opens an action in the reply: its name and its instance.
-func (h *Host) begin(word, instance string) {
-	if h.steps > 0 {
+// beginAction begins an action in the reply with its name and its instance.
+func (h *Host) beginAction(action, instance string) {
+	if h.actionCount > 0 {
 		h.out = append(h.out, ',')
 	}
-	h.steps++
+	h.actionCount++
 	h.out = append(h.out, `["`...)
-	h.out = append(h.out, word...)
+	h.out = append(h.out, action...)
 	h.out = append(h.out, `",`...)
 	h.out = appendText(h.out, instance)
 }
 
+// number appends a number to the action in the reply.
 func (h *Host) number(n uint64) {
 	h.out = strconv.AppendUint(append(h.out, ','), n, 10)
 }
 
+// duration appends a duration to the action in the reply, in milliseconds.
 func (h *Host) duration(d time.Duration) {
 	h.out = appendMillis(append(h.out, ','), d)
 }
 
-// appendMillis writes a time in milliseconds, up to the next microsecond: a timer
-// that came a part of one early would find nothing due.
+// appendMillis writes a time in milliseconds, rounded up to the microsecond: a timer that came a
+// fraction of a microsecond early would find nothing due.
 func appendMillis(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64((d+time.Microsecond-1)/time.Microsecond)/1000, 'f', -1, 64)
 }
@@ -433,30 +450,30 @@
 func (h *Host) appendAction(instance string, a *decide.Action) {
 	switch a.Kind {
 	case decide.Send:
-		h.begin("send", instance)
+		h.beginAction("send", instance)
 		h.number(uint64(a.Request))
 		h.number(uint64(a.Endpoint))
 		h.duration(a.After)
 	case decide.Cancel:
-		h.begin("revoke", instance)
+		h.beginAction("revoke", instance)
 		h.number(uint64(a.Request))
 		h.number(uint64(a.Attempt))
 	case decide.Refuse:
-		h.begin("bounce", instance)
+		h.beginAction("bounce", instance)
 		h.number(uint64(a.Request))
 		h.duration(a.After)
 	case decide.Fail:
-		h.begin("abort", instance)
+		h.beginAction("abort", instance)
 		h.number(uint64(a.Request))
 	case decide.SetTimer:
-		h.begin("defer", instance)
+		h.beginAction("defer", instance)
 		h.duration(a.After)
 		h.out = append(h.out, `,"`+timerToken+`"`...)
 	case decide.Probe:
-		h.begin("poll", instance)
+		h.beginAction("poll", instance)
 		h.number(uint64(a.Endpoint))
 	case decide.WatchList:
-		h.begin("subscribe", instance)
+		h.beginAction("subscribe", instance)
 		h.out = append(h.out, `,true`...)
 	default:
 		panic(fmt.Sprintf("action of unknown kind %d", a.Kind))
@@ -464,9 +481,9 @@
 	h.out = append(h.out, ']')
 }
 
-// appendFault writes the message that ends the day with an error's text.
+// appendFault writes the message that ends the simulation with an instance's error.
 func (h *Host) appendFault(fault *instanceError) {
-	h.begin("broken", fault.name)
+	h.beginAction("broken", fault.name)
 	h.out = append(h.out, ',')
 	h.out = appendText(h.out, fault.err.Error())
 	h.out = append(h.out, ']')
--- a/simwire/host_test.go
+++ b/simwire/host_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// conf is the settings of the hand-written conversations.
+// conf holds the settings of the instances in these tests.
 const conf = `{"az":"hill","tick":5,"tier":0,"stages":["web","store"],"replicas_of_me":2,"unheard_of":[1],` +
 	`"membership_mode":"automatic","weights":"silent","worth_by":"request","over_share_worth":0.1,` +
 	`"bounds":{"cancel":true,"max_attempts":3,"retry_after":false,"second_copies":false},` +
@@ -21,8 +21,8 @@
 		`["directory_update","` + name + `",1,"restored",0]`
 }
 
-// talk gives batches to a new host and returns its replies.
-func talk(t *testing.T, batches ...string) []string {
+// repliesTo has a new host handle batches and returns its replies.
+func repliesTo(t *testing.T, batches ...string) []string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := NewHost().Serve(strings.NewReader(strings.Join(batches, "\n")), &out); err != nil {
@@ -51,7 +51,7 @@
 	for _, step := range steps {
 		batches = append(batches, step.batch)
 	}
-	got := talk(t, batches...)
+	got := repliesTo(t, batches...)
 	if len(got) != len(steps) {
 		t.Fatalf("%d replies to %d batches", len(got), len(steps))
 	}
@@ -62,13 +62,14 @@
 	}
 }
 
-// Where endpoints report their load to probes, they are asked, and what they tell decides.
+// Endpoints that report their load to probes are probed, and the reports decide where the request
+// goes.
 func TestProbesOnTheWire(t *testing.T) {
 	on := strings.Replace(powerOn("sidecar-1"), `"cancel":true`, `"cancel":true,"probing":true`, 1)
 	on = strings.Replace(on, `"az":"hill"`, `"az":"hill","family":"mesh","report":{"how":"pull","fields":["outstanding","utilization"]}`, 1)
 	on = strings.Replace(on, `[[901,"hill","std",4,"active",1,null]]`,
 		`[[901,"hill","std",4,"active",1,null],[902,"hill","std",4,"active",1,null]]`, 1)
-	got := talk(t, `{"ts":1,"input":[`+on+`]}`,
+	got := repliesTo(t, `{"ts":1,"input":[`+on+`]}`,
 		`{"ts":2,"input":[["request","sidecar-1",5,"read",0,null,null,0,500]]}`,
 		`{"ts":3,"input":[["probe_result","sidecar-1",901,"OK",1,[4,0.9]],["probe_result","sidecar-1",902,"OK",1,[0,null]]]}`)
 	for _, want := range []string{`["poll","sidecar-1",901]`, `["poll","sidecar-1",902]`} {
@@ -81,8 +82,8 @@
 	}
 }
 
-// Instances share nothing: one does the same alone as beside others.
-func TestInstancesAreAlone(t *testing.T) {
+// An instance must act in the same way alone and beside others.
+func TestInstancesShareNothing(t *testing.T) {
 	events := func(name string) []string {
 		return []string{
 			powerOn(name),
@@ -98,7 +99,7 @@
 		alone = append(alone, at+one[i]+`]}`)
 		beside = append(beside, at+two[i]+`,`+one[i]+`]}`)
 	}
-	got, with := talk(t, alone...), talk(t, beside...)
+	got, with := repliesTo(t, alone...), repliesTo(t, beside...)
 	sent := 0
 	for i := range got {
 		own := strings.TrimSuffix(strings.TrimPrefix(got[i], `{"steps":[`), `]}`)
@@ -112,8 +113,8 @@
 	}
 }
 
-func TestListSlotsAreUsedAgain(t *testing.T) {
-	got := talk(t,
+func TestListSlotsAreReused(t *testing.T) {
+	got := repliesTo(t,
 		`{"ts":1,"input":[`+powerOn("sidecar-1")+`,["list",0,[[902,"hill","std",4,"active",1,null]]],`+
 			`["directory_update","sidecar-1",2,"replace",0]]}`,
 		`{"ts":2,"input":[["request","sidecar-1",1,"read",0,null,null,0,500]]}`)
@@ -122,11 +123,11 @@
 	}
 }
 
-func TestWhatCannotBeUnderstood(t *testing.T) {
+func TestMalformedInput(t *testing.T) {
 	on := `{"ts":1,"input":[` + powerOn("sidecar-1") + `]}`
 	for _, c := range []struct {
 		name, batch string
-		fault       bool // laid at the instance's door, on the wire
+		fault       bool // the reply reports it as the instance's fault
 		want        []string
 	}{
 		{"not JSON", `{"ts":1,"input":[`, false, []string{"batch 2", "malformed JSON"}},
@@ -179,7 +180,7 @@
 	if _, err := h.Batch([]byte(`{"ts":1,"input":[` + powerOn("sidecar-1") + `]}`)); err != nil {
 		t.Fatal(err)
 	}
-	h.instances["sidecar-1"].balancer = nil // the next event finds no module
+	h.instances["sidecar-1"].balancer = nil // the next event panics
 	reply, err := h.Batch([]byte(`{"ts":2,"input":[["wakeup","sidecar-1","due"]]}`))
 	if err == nil || !strings.Contains(string(reply), `["broken","sidecar-1",`) || !strings.Contains(string(reply), "panic") {
 		t.Errorf("got reply %s and error %v, want a fault with the panic's text", reply, err)
@@ -194,13 +195,13 @@
 		}
 		b.WriteString(`["wakeup","sidecar-1","due of some length"]`)
 	}
-	got := talk(t, `{"ts":1,"input":[`+powerOn("sidecar-1")+`]}`, `{"ts":2,"input":[`+b.String()+`]}`)
+	got := repliesTo(t, `{"ts":1,"input":[`+powerOn("sidecar-1")+`]}`, `{"ts":2,"input":[`+b.String()+`]}`)
 	if len(got) != 2 || got[1] != `{"steps":[]}` {
 		t.Errorf("got %v", got)
 	}
 }
 
-// A timer that came a part of a microsecond early would find nothing due.
+// Guards against a timer that comes a fraction of a microsecond early and finds nothing due.
 func TestTimersAreNeverEarly(t *testing.T) {
 	for d, want := range map[time.Duration]string{
 		94*time.Millisecond + 999_999: "95", 1: "0.001", 0: "0", 1500 * time.Microsecond: "1.5",
