--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -12,14 +12,14 @@
 
 // arrival is a request that a caller has sent whole.
 type arrival struct {
-	message  *httpwire.Request
-	deadline decide.Time
-	caller   *httpwire.CallerConn
-	gone     bool // its caller has gone already
-	crowded  bool // its connection is one more than there is room for
-	answer   chan httpwire.Answer
-	request  *state.Request // the owner's, once it is admitted
-	hold     Claim          // its key's claim; nil where it has none
+	message    *httpwire.Request
+	deadline   decide.Time
+	caller     *httpwire.CallerConn
+	callerGone bool // its caller has gone already
+	crowded    bool // its connection is one more than there is room for
+	answer     chan httpwire.Answer
+	request    *state.Request // the owner's, once it is admitted
+	claim      Claim          // its key's claim; nil where it has none
 }
 
 func (a *arrival) handle(e *Engine) {
@@ -34,22 +34,22 @@
 		// What the settings and the limits leave no room for is turned away unseen:
 		// the module is not asked, as in the simulator.
 		e.counters.OverLimit++
-		e.logTurnedAway(a)
-		e.board.Count(a.message.Class, metrics.Refused)
+		e.logRejected(a)
+		e.metrics.Count(a.message.Class, metrics.Refused)
 		a.answer <- httpwire.Answer{Verdict: httpwire.Refused, CloseAfter: a.crowded}
 		return
 	}
 	e.counters.Taken++
 	a.request = e.requests.Add(a.message, a.deadline, a.answer)
 	a.request.Caller = a.caller
-	if a.hold != nil {
-		a.request.MayWrite = a.hold.MayWrite
+	if a.claim != nil {
+		a.request.MayWrite = a.claim.MayWrite
 	}
-	if a.gone { // nobody waits: nothing is sent
+	if a.callerGone { // nobody waits: nothing is sent
 		e.relay(a.request, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
 		return
 	}
-	e.tell(decide.Event{
+	e.notifyModule(decide.Event{
 		Kind: decide.Arrived, Request: a.request.ID, Class: a.message.Class, Tenant: a.message.Tenant,
 		Repeat: a.message.Repeat, Work: a.message.Work, Grace: max(0, a.deadline-e.clock.Now()),
 	})
@@ -57,6 +57,6 @@
 
 // full tells whether as many requests are open as the settings allow.
 func (e *Engine) full() bool {
-	most := e.conf.Transport.MaxPending
-	return most > 0 && e.requests.Pending() >= most
+	limit := e.conf.Transport.MaxPending
+	return limit > 0 && e.requests.Pending() >= limit
 }
--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -5,30 +5,30 @@
 // Audit checks that what the engine keeps adds up. It is for tests and simulations:
 // it reads the owner's state, which must stand still meanwhile.
 func (e *Engine) Audit() error {
-	if most := e.conf.Transport.MaxPending; most > 0 && e.requests.Pending() > most {
-		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), most)
+	if limit := e.conf.Transport.MaxPending; limit > 0 && e.requests.Pending() > limit {
+		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), limit)
 	}
 	if err := e.requests.Audit(); err != nil {
 		return err
 	}
-	out := 0
+	inFlight := 0
 	for _, r := range e.requests.All() {
 		for _, a := range r.Attempts {
 			if !a.Settled {
-				out++
+				inFlight++
 			}
 		}
 	}
-	if n := e.timeouts.Len(); n != out {
-		return fmt.Errorf("%d attempts are out, and %d wait for their time-outs", out, n)
+	if n := e.timeouts.Len(); n != inFlight {
+		return fmt.Errorf("%d attempts are out, and %d wait for their time-outs", inFlight, n)
 	}
-	if m, ok := e.balancer.(interface{ Audit() (int, error) }); ok {
-		theirs, err := m.Audit()
+	if module, ok := e.balancer.(interface{ Audit() (int, error) }); ok {
+		moduleCount, err := module.Audit()
 		if err != nil {
 			return fmt.Errorf("module: %w", err)
 		}
-		if theirs != out {
-			return fmt.Errorf("%d attempts are out, and the module counts %d", out, theirs)
+		if moduleCount != inFlight {
+			return fmt.Errorf("%d attempts are out, and the module counts %d", inFlight, moduleCount)
 		}
 	}
 	if err := e.pool.Audit(); err != nil {
@@ -39,8 +39,8 @@
 	if ends+c.Pending != e.counters.Taken+c.HandedOver {
 		return fmt.Errorf("%d requests taken, %d ended, %d held", e.counters.Taken, ends, c.Pending)
 	}
-	if left, all := e.room.Available(), e.conf.AnswerBytes; left < 0 || left > all {
-		return fmt.Errorf("room for answers: %d of %d left", left, all)
+	if available, total := e.answerMemory.Available(), e.conf.AnswerBytes; available < 0 || available > total {
+		return fmt.Errorf("room for answers: %d of %d left", available, total)
 	}
 	return nil
 }
--- a/internal/pipeline/crossing_test.go
+++ b/internal/pipeline/beforewrite_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	e := testEngine(t)
 	world := &barrier{begun: make(chan struct{}, 1), goOn: make(chan struct{})}
-	e.world, e.room = world, httpwire.NewMemoryBudget(1<<20)
+	e.env, e.answerMemory = world, httpwire.NewMemoryBudget(1<<20)
 	return e, world, scripted.Listen(t)
 }
 
@@ -62,14 +62,14 @@
 		t.Run(name, func(t *testing.T) {
 			e, world, door := lateEngine(t)
 			e.endpoints.SetGrace(c.grace)
-			e.takeList(listOf("s", door.Address, decide.Active), decide.ListReplaced)
+			e.applyList(listOf("s", door.Address, decide.Active), decide.ListReplaced)
 			to := e.endpoints.List()[0]
-			id := e.update(listOf("s", to.Address, decide.Active))[0].ID
+			id := e.updateEndpoints(listOf("s", to.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
 			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
 			<-world.begun
-			e.update(listOf("s", to.Address, c.news))
+			e.updateEndpoints(listOf("s", to.Address, c.news))
 			close(world.goOn)
 			peer := door.Accept()
 			if c.outcome == decide.Served {
@@ -104,7 +104,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, world, door := lateEngine(t)
-			id := e.update(listOf("s", door.Address, decide.Active))[0].ID
+			id := e.updateEndpoints(listOf("s", door.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
 			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
 			action := decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id}
@@ -154,9 +154,9 @@
 			e, world, door := lateEngine(t)
 			e.conf.Classes = map[string]decide.Class{"look": {Name: "look", Effect: c.effect, Window: window}}
 			if c.ruled != nil {
-				e.acting = &EffectiveRules{Dynamic: c.ruled}
+				e.effective = &EffectiveRules{Dynamic: c.ruled}
 			}
-			id := e.update(listOf("s", door.Address, decide.Active))[0].ID
+			id := e.updateEndpoints(listOf("s", door.Address, decide.Active))[0].ID
 			until := e.clock.Now() + 10*time.Second
 			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look", Class: "look"}, until, make(chan httpwire.Answer, 1))
 			first := e.requests.Begin(r, nil, e.clock.Now(), until)
@@ -234,7 +234,7 @@
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
 		e.conf.Settings.MustPoll = true // nothing is asked here
 		e.conf.KnownList = listOf("s", door.Address, decide.Active)
-		e.room = httpwire.NewMemoryBudget(1 << 20)
+		e.answerMemory = httpwire.NewMemoryBudget(1 << 20)
 		claims := &slowClaims{asked: make(chan struct{}, 1), goOn: make(chan struct{}), ended: make(chan httpwire.Answer, 1)}
 		e.SetHoldings(claims)
 		ctx, stop := context.WithCancel(t.Context())
@@ -379,16 +379,16 @@
 	t.Helper()
 	s := &staged{Engine: testEngine(t), doors: [2]*scripted.Listener{scripted.Listen(t), scripted.Listen(t)}}
 	s.world = &stage{at: newStep(), watch: make(chan struct{}), watched: make(chan struct{}, 1), up: map[string]int{}, wrote: map[string]int{}}
-	s.Engine.world, s.room = s.world, httpwire.NewMemoryBudget(1<<20)
+	s.Engine.env, s.answerMemory = s.world, httpwire.NewMemoryBudget(1<<20)
 	s.conf.Classes = map[string]decide.Class{
 		"look": s.conf.Settings.Classes[0], "burn": {Name: "burn", Effect: decide.Unsafe},
 	}
-	s.board = metrics.New([]string{"look", "burn"})
+	s.metrics = metrics.New([]string{"look", "burn"})
 	s.conf.Settings.MustPoll = true // nothing is asked here
 	known := listOf("s0", s.doors[0].Address, decide.Active)
 	known.Endpoints = append(known.Endpoints, listOf("s1", s.doors[1].Address, decide.Active).Endpoints...)
 	s.conf.KnownList = known
-	for i, change := range s.update(known) {
+	for i, change := range s.updateEndpoints(known) {
 		s.endpoints[i] = change.ID
 	}
 	set(s)
--- a/internal/pipeline/claim.go
+++ b/internal/pipeline/claim.go
@@ -38,45 +38,45 @@
 // SetHoldings has the engine hold keys. It is called before Run.
 func (e *Engine) SetHoldings(h Holdings) { e.holdings = h }
 
-// endTime is a held request's time that is kept for its outcome: a tenth, up to that.
-const endTime = 50 * time.Millisecond
+// outcomeReserve is a held request's time that is kept for its outcome: a tenth, up to that.
+const outcomeReserve = 50 * time.Millisecond
 
-var errHeldBody = errors.New("body: over 64 KiB, in a class whose requests are held")
+var errBodyTooLong = errors.New("body: over 64 KiB, in a class whose requests are held")
 
-// open claims a request's key, and takes its time from the request's. An answer is the request's.
-func (e *Engine) open(message *httpwire.Request) (Claim, *httpwire.Answer) {
+// claimKey claims a request's key, and takes its time from the request's. An answer is the request's.
+func (e *Engine) claimKey(message *httpwire.Request) (Claim, *httpwire.Answer) {
 	if message.Upload != nil {
-		return nil, &httpwire.Answer{Verdict: httpwire.Malformed, Reason: errHeldBody.Error(), CloseAfter: true}
+		return nil, &httpwire.Answer{Verdict: httpwire.Malformed, Reason: errBodyTooLong.Error(), CloseAfter: true}
 	}
 	began := e.clock.Now()
-	opened := e.holdings.Claim(message, printOf(message), message.Remaining)
-	if opened.Answer != nil {
-		return nil, opened.Answer
+	result := e.holdings.Claim(message, fingerprintOf(message), message.Remaining)
+	if result.Answer != nil {
+		return nil, result.Answer
 	}
 	left := message.Remaining - (e.clock.Now() - began)
-	if opened.AttemptsWithin > 0 {
-		left = min(left, opened.AttemptsWithin)
+	if result.AttemptsWithin > 0 {
+		left = min(left, result.AttemptsWithin)
 	}
-	if opened.Claim != nil {
-		left -= min(endTime, left/10)
+	if result.Claim != nil {
+		left -= min(outcomeReserve, left/10)
 	}
 	message.Remaining = max(left, 0)
-	return opened.Claim, nil
+	return result.Claim, nil
 }
 
-// printOf identifies what a request asks for: not its id, which each repeat has anew, nor the time that it has.
-func printOf(m *httpwire.Request) (print [16]byte) {
+// fingerprintOf identifies what a request asks for: not its id, which each repeat has anew, nor the time that it has.
+func fingerprintOf(m *httpwire.Request) (fingerprint [16]byte) {
 	h := sha256.New()
 	for _, part := range []string{m.Method, m.URI, m.Type, string(m.Body)} {
 		h.Write([]byte{byte(len(part)), byte(len(part) >> 8), byte(len(part) >> 16), byte(len(part) >> 24)})
 		h.Write([]byte(part))
 	}
-	copy(print[:], h.Sum(nil))
-	return print
+	copy(fingerprint[:], h.Sum(nil))
+	return fingerprint
 }
 
-// ran tells whether any attempt of a request that is over may have come to an endpoint.
-func ran(r *state.Request) bool {
+// mayHaveRun tells whether any attempt of a request that is over may have come to an endpoint.
+func mayHaveRun(r *state.Request) bool {
 	for _, a := range r.Attempts {
 		if a.MayHaveRun() {
 			return true
--- a/internal/pipeline/told_test.go
+++ b/internal/pipeline/delivery_test.go
@@ -299,11 +299,11 @@
 // Guards against a silent watch whose loss is learned of late: the fresh calls behind its wait end in time where discovery
 // answers at once, and where that is slow, the next call is answered in time, counted from when the watch was given up.
 func TestChangeThatASilentWatchMissed(t *testing.T) {
-	times := usualTimes(1, time.Second)
+	times := newCallTimes(1, time.Second)
 	wait := times.wait + times.spread
 	for _, asks := range []bool{false, true} {
 		for turn, most := range map[time.Duration]time.Duration{
-			0:               toldTime + time.Second, // as told, and the grace
+			0:               deliveryAfterWait + time.Second, // as told, and the grace
 			3 * time.Second: overdueTime + 5600*time.Millisecond,
 		} {
 			took := (&doomed{fate: silent, calls: 1, turn: turn}).way(t, true, asks, false, 1)
@@ -328,7 +328,7 @@
 		if took := (<-module.at).Sub(begun); took != turn {
 			t.Errorf("in force after %v, want %v", took, turn)
 		}
-		time.Sleep(fetchTime) // had the other one gone on, it would have told by now
+		time.Sleep(fetchTimeout) // had the other one gone on, it would have told by now
 		s := e.Snapshot()
 		if d.mu.Lock(); d.came != 2 || d.open != 1 || s.Lists != 1 || s.ListFailures != 0 {
 			t.Errorf("%d connections, %d open, %d lists, %d failures", d.came, d.open, s.Lists, s.ListFailures)
@@ -352,7 +352,7 @@
 		time.Sleep(long)
 		s := e.Snapshot()
 		d.mu.Lock()
-		if most := int(long/hedgeAfter) + 1; d.came > most || d.came < most-1 || d.mostOpen != 2 || s.ListFailures < d.came-2 {
+		if most := int(long/hedgeDelay) + 1; d.came > most || d.came < most-1 || d.mostOpen != 2 || s.ListFailures < d.came-2 {
 			t.Errorf("%d fetches, %d at a time, %d failures; %d at most", d.came, d.mostOpen, s.ListFailures, most)
 		}
 		d.mu.Unlock()
@@ -517,7 +517,7 @@
 			for _, e := range engines {
 				for {
 					index := make(chan int64, 1)
-					e.post(asked(func() { index <- e.index }))
+					e.post(asked(func() { index <- e.listVersion }))
 					if <-index == int64(7+changes) {
 						break
 					}
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -20,54 +20,54 @@
 // watch is the watch of the list at one discovery. While it runs, its goroutine
 // owns it, but for running and ended.
 type watch struct {
-	address  string
-	times    callTimes
-	running  bool            // the owner's
-	ended    context.Context // its end calls off the call at work
-	end      context.CancelFunc
-	index    int64
-	known    bool // there is a list that index names
-	heard    bool // the newest call's answer has begun
-	answered bool // it came whole
-	link     *httpwire.Link
-	last     listCall // the newest call
+	address     string
+	times       callTimes
+	running     bool            // the owner's
+	ctx         context.Context // its end calls off the call at work
+	cancel      context.CancelFunc
+	version     int64
+	hasList     bool // there is a list that index names
+	answerBegan bool // the newest call's answer has begun
+	answered    bool // it came whole
+	link        *httpwire.Link
+	newest      listCall // the newest call
 
-	fetches  int64        // of the whole list
-	fetching atomic.Int64 // the number of the one that is out; 0 while none is
-	waiting  atomic.Int64 // the number of the call that waits for news; 0 while none does
-	older    *watch       // the owner's: one of the same discovery whose fetch is out too; nil without one
+	fetchCount    int64        // of the whole list
+	fetchInFlight atomic.Int64 // the number of the one that is out; 0 while none is
+	waitingCall   atomic.Int64 // the number of the call that waits for news; 0 while none does
+	older         *watch       // the owner's: one of the same discovery whose fetch is out too; nil without one
 }
 
 func newWatch(address string, times callTimes) *watch {
 	w := &watch{address: address, times: times}
-	w.ended, w.end = context.WithCancel(context.Background())
+	w.ctx, w.cancel = context.WithCancel(context.Background())
 	return w
 }
 
-// endAll ends a watch and the older one beside it.
-func (w *watch) endAll() {
-	w.end()
+// cancelAll ends a watch and the older one beside it.
+func (w *watch) cancelAll() {
+	w.cancel()
 	if w.older != nil {
-		w.older.end()
+		w.older.cancel()
 	}
 }
 
 // MoveDiscovery goes on with the list of another discovery.
-func (e *Engine) MoveDiscovery(address string) { e.post(moved{address}) }
+func (e *Engine) MoveDiscovery(address string) { e.post(discoveryMoved{address}) }
 
-type moved struct{ address string }
+type discoveryMoved struct{ address string }
 
 // handle ends the running watch and its wait, and asks the new discovery for the
 // whole list: versions are each discovery's own. Requests and the balancer go on
 // with the list as it is until then. A large fleet that is told to move at once
 // does not call at once.
-func (m moved) handle(e *Engine) {
+func (m discoveryMoved) handle(e *Engine) {
 	if m.address == e.watch.address {
 		return
 	}
-	e.watch.endAll()
+	e.watch.cancelAll()
 	now := e.clock.Now()
-	e.listMissed(now, now+toldAfterMove)
+	e.markListStale(now, now+deliveryAfterMove)
 	e.backoff = 0 // the former one's failures are not this one's
 	e.watch = newWatch(m.address, e.watch.times)
 	spread := decide.MoveSpread(e.conf.Settings.Peers)
@@ -75,52 +75,52 @@
 		e.startWatch()
 		return
 	}
-	e.world.AfterFunc(e.world.RandomDuration(spread), func() { e.post(rewatch{}) })
+	e.env.AfterFunc(e.env.RandomDuration(spread), func() { e.post(restartWatch{}) })
 }
 
 // startList takes over the list as last known, and watches where the module
 // expects changes to come by themselves.
 func (e *Engine) startList() {
 	known, from := e.conf.KnownList, e.watch.address
-	if e.legacy != nil {
-		known, from = e.legacy.list(known, from), e.legacy.From
+	if e.handover != nil {
+		known, from = e.handover.startList(known, from), e.handover.From
 	}
 	if known != nil {
 		if from == e.watch.address {
-			e.index = known.Index
-			e.watch.index, e.watch.known = known.Index, true
+			e.listVersion = known.Index
+			e.watch.version, e.watch.hasList = known.Index, true
 		}
 		restored := *known
 		restored.Whole = true
-		e.takeList(&restored, decide.ListRestored)
+		e.applyList(&restored, decide.ListRestored)
 	}
-	if e.legacy != nil {
-		e.takeLegacy(e.legacy)
-		e.legacy = nil
+	if e.handover != nil {
+		e.applyHandover(e.handover)
+		e.handover = nil
 	}
 	if !e.conf.Settings.MustPoll {
 		e.startWatch()
 		return
 	}
 	now := e.clock.Now()
-	e.listMissed(now, now+toldAfterAsked) // a list from before the start may be old
+	e.markListStale(now, now+deliveryWhenPolled) // a list from before the start may be old
 }
 
-// list is what a successor begins with: the predecessor's list, or, where another discovery has told that, its own with
+// startList is what a successor begins with: the predecessor's list, or, where another discovery has told that, its own with
 // what the predecessor knows of the same endpoints. Guards against a list that belongs to another installation, and
 // against drains that are forgotten because discovery has moved.
-func (l *Handover) list(own *httpwire.List, address string) *httpwire.List {
+func (l *Handover) startList(own *httpwire.List, address string) *httpwire.List {
 	if l.From == address || l.From == "" || own == nil {
 		return &l.List
 	}
-	theirs := make(map[string]httpwire.ListedEndpoint, len(l.List.Endpoints))
-	for _, line := range l.List.Endpoints {
-		theirs[line.Name] = line
+	predecessors := make(map[string]httpwire.ListedEndpoint, len(l.List.Endpoints))
+	for _, entry := range l.List.Endpoints {
+		predecessors[entry.Name] = entry
 	}
 	merged := *own
 	merged.Endpoints = slices.Clone(own.Endpoints)
-	for i, line := range merged.Endpoints {
-		if known, ok := theirs[line.Name]; ok && known.Address == line.Address && known.Since >= line.Since {
+	for i, entry := range merged.Endpoints {
+		if known, ok := predecessors[entry.Name]; ok && known.Address == entry.Address && known.Since >= entry.Since {
 			merged.Endpoints[i] = known
 		}
 	}
@@ -134,224 +134,224 @@
 	}
 	e.watch.running = true
 	w := e.watch
-	e.world.Go("discovery", func() { e.runWatch(w) })
+	e.env.Go("discovery", func() { e.runWatch(w) })
 }
 
 // runWatch watches until calls fail or the watch is ended. A call that broke or fell silent is followed at once by a
 // fresh one, which asks what was missed: what discovery had to tell meanwhile counts as told, whether or not it came.
 func (e *Engine) runWatch(w *watch) {
-	var since time.Time // what discovery has since then has not come
-	for fresh := 0; ; {
-		before, known, begun := w.index, w.known, e.world.Now()
+	var missedSince time.Time // what discovery has since then has not come
+	for checks := 0; ; {
+		before, known, begun := w.version, w.hasList, e.env.Now()
 		if !known {
-			w.fetches++
-			number := w.fetches
-			w.fetching.Store(number)
+			w.fetchCount++
+			number := w.fetchCount
+			w.fetchInFlight.Store(number)
 			if w.times.hedge > 0 {
-				e.world.AfterFunc(w.times.hedge, func() { e.post(fetchWaits{w, number}) })
+				e.env.AfterFunc(w.times.hedge, func() { e.post(fetchPending{w, number}) })
 			}
 		}
-		w.last = listCall{number: e.listCalls.Add(1), begun: begun}
-		if known && fresh == 0 {
-			number := w.last.number
-			w.waiting.Store(number)
-			e.world.AfterFunc(turnMost, func() { e.post(watchStands{w, number}) })
+		w.newest = listCall{number: e.listCalls.Add(1), begun: begun}
+		if known && checks == 0 {
+			number := w.newest.number
+			w.waitingCall.Store(number)
+			e.env.AfterFunc(maxQueueTime, func() { e.post(watchWaiting{w, number}) })
 		}
-		list, keep, err := w.call(e.world, fresh > 0)
-		w.last.ended = e.world.Now()
-		w.waiting.Store(0)
-		e.logListCall(w, &w.last, list, err)
-		w.fetching.Store(0)
+		list, keep, err := w.call(e.env, checks > 0)
+		w.newest.ended = e.env.Now()
+		w.waitingCall.Store(0)
+		e.logListCall(w, &w.newest, list, err)
+		w.fetchInFlight.Store(0)
 		if err != nil {
-			stood := w.link != nil || fresh > 0 // else there is nobody, and no fresh call finds one
-			e.endWatch(w, callReason(err), err)
-			if fresh == 0 {
-				since = begun
-				if known && e.world.Now().Sub(begun) > fetchTime {
-					since = e.world.Now() // it was a watch that waited
+			reachable := w.link != nil || checks > 0 // else there is nobody, and no fresh call finds one
+			e.closeWatchLink(w, linkEndReason(err), err)
+			if checks == 0 {
+				missedSince = begun
+				if known && e.env.Now().Sub(begun) > fetchTimeout {
+					missedSince = e.env.Now() // it was a watch that waited
 				}
 			}
-			switch silent := errors.Is(err, errSilent); {
-			case silent && w.heard:
-				fresh++ // an answer that stands still has taken the time of one
-				since = e.world.Now().Add(-w.times.rest)
-			case silent && !known && w.times.hedge > 0:
-				fresh = freshCalls // another fetch is out
+			switch timedOut := errors.Is(err, errNoAnswerInTime); {
+			case timedOut && w.answerBegan:
+				checks++ // an answer that stands still has taken the time of one
+				missedSince = e.env.Now().Add(-w.times.body)
+			case timedOut && !known && w.times.hedge > 0:
+				checks = maxChecks // another fetch is out
 			}
-			if fresh++; stood && lost(err) && fresh <= freshCalls && w.pause(e.world, e.world.RandomDuration(freshSpread)) {
+			if checks++; reachable && answerLost(err) && checks <= maxChecks && w.pause(e.env, e.env.RandomDuration(checkSpread)) {
 				continue
 			}
-			e.post(listFailed{w, nextWithin(e.world.Now().Sub(since), w.answered), since, w.answered})
+			e.post(listCallFailed{w, maxRetryDelay(e.env.Now().Sub(missedSince), w.answered), missedSince, w.answered})
 			return
 		}
-		fresh = 0
+		checks = 0
 		if !keep {
-			e.endWatch(w, httpwire.ReasonPeerClose, nil)
+			e.closeWatchLink(w, httpwire.ReasonPeerClose, nil)
 		}
-		e.post(listCame{w, list})
+		e.post(listReceived{w, list})
 		if known && list.Index == before {
-			w.pause(e.world, stalePause)
+			w.pause(e.env, noNewsPause)
 		}
 	}
 }
 
 // pause waits, and tells whether the watch goes on.
-func (w *watch) pause(world env.Env, d time.Duration) bool {
-	timer := world.NewTimer(d)
+func (w *watch) pause(environment env.Env, d time.Duration) bool {
+	timer := environment.NewTimer(d)
 	select {
 	case <-timer.C():
-	case <-w.ended.Done():
+	case <-w.ctx.Done():
 		timer.Stop()
 	}
-	return w.ended.Err() == nil
+	return w.ctx.Err() == nil
 }
 
-// endWatch ends the connection to discovery with its log line; err is the
+// closeWatchLink ends the connection to discovery with its log line; err is the
 // failure that ended it, if one did.
-func (e *Engine) endWatch(w *watch, why httpwire.Reason, err error) {
+func (e *Engine) closeWatchLink(w *watch, reason httpwire.Reason, err error) {
 	uses := 0
 	if w.link == nil {
-		why = httpwire.ReasonDialFailed
+		reason = httpwire.ReasonDialFailed
 	} else {
 		uses = w.link.Uses
 		w.link.Close()
 		w.link = nil
 	}
-	if w.ended.Err() != nil {
-		why, err = httpwire.ReasonMoved, nil
+	if w.ctx.Err() != nil {
+		reason, err = httpwire.ReasonMoved, nil
 	}
 	level := zerolog.InfoLevel
 	if err != nil {
 		level = zerolog.WarnLevel
 	}
-	e.ends.WithLevel(level).Str("side", "discovery").Str("peer", w.address).Str("reason", string(why)).
+	e.connLog.WithLevel(level).Str("side", "discovery").Str("peer", w.address).Str("reason", string(reason)).
 		Int("requests", uses).AnErr("error", err).Msg("connection ended")
 }
 
-// listCame is an answer of discovery.
-type listCame struct {
-	from *watch
-	list *httpwire.List
+// listReceived is an answer of discovery.
+type listReceived struct {
+	watch *watch
+	list  *httpwire.List
 }
 
-func (c listCame) handle(e *Engine) {
+func (c listReceived) handle(e *Engine) {
 	switch older := e.watch.older; {
-	case older != nil && c.from == older: // the fetch that has waited longer is answered first
-		e.watch.end()
+	case older != nil && c.watch == older: // the fetch that has waited longer is answered first
+		e.watch.cancel()
 		e.watch = older
-	case c.from != e.watch: // the new discovery tells the whole list
+	case c.watch != e.watch: // the new discovery tells the whole list
 		return
 	case older != nil:
-		older.end()
+		older.cancel()
 		e.watch.older = nil
 	}
 	e.counters.Lists++
 	e.backoff = 0
-	e.index = c.list.Index
-	e.listHeard()
+	e.listVersion = c.list.Index
+	e.markListCurrent()
 	kind := decide.ListChanged
 	if c.list.Whole {
 		kind = decide.ListReplaced
 	}
-	e.takeList(c.list, kind)
+	e.applyList(c.list, kind)
 }
 
-// takeList books a list and tells the module.
-func (e *Engine) takeList(list *httpwire.List, kind decide.EventKind) {
+// applyList books a list and tells the module.
+func (e *Engine) applyList(list *httpwire.List, kind decide.EventKind) {
 	if e.rules != nil {
 		list = e.withhold(list)
 	}
-	e.tell(decide.Event{Kind: kind, Endpoints: e.update(list)})
+	e.notifyModule(decide.Event{Kind: kind, Endpoints: e.updateEndpoints(list)})
 	e.listed.Store(true)
-	e.takeStock()
+	e.updateListMetrics()
 }
 
-// update books a list and returns it in the module's words.
-func (e *Engine) update(list *httpwire.List) []decide.Endpoint {
-	lines, stale := e.endpoints.Update(list, e.clock.Now())
+// updateEndpoints books a list and returns it in the module's words.
+func (e *Engine) updateEndpoints(list *httpwire.List) []decide.Endpoint {
+	changes, stale := e.endpoints.Update(list, e.clock.Now())
 	for _, s := range stale {
 		e.pool.DropAll(s, httpwire.ReasonUnlisted)
 	}
-	return lines
+	return changes
 }
 
-// takeStock brings the figures of the list up to date.
-func (e *Engine) takeStock() {
-	e.board.Pool.Store(int64(e.endpoints.Len()))
+// updateListMetrics brings the figures of the list up to date.
+func (e *Engine) updateListMetrics() {
+	e.metrics.Pool.Store(int64(e.endpoints.Len()))
 	if m, ok := e.balancer.(interface{ Avoided() int }); ok {
-		e.board.Ejected.Store(int64(m.Avoided()))
+		e.metrics.Ejected.Store(int64(m.Avoided()))
 	}
 }
 
-// fetchWaits is a fetch of the whole list that may still be without an answer.
-type fetchWaits struct {
-	from   *watch
+// fetchPending is a fetch of the whole list that may still be without an answer.
+type fetchPending struct {
+	watch  *watch
 	number int64
 }
 
 // handle asks for the list beside a fetch with no answer yet, on a watch of its own. Guards against a list that comes too
 // late because one call was lost, and against one that never comes because a slow discovery is asked from the back of its
 // turn again and again: a call every hedgeAfter, two at a time.
-func (f fetchWaits) handle(e *Engine) {
-	if f.from != e.watch || f.from.fetching.Load() != f.number {
+func (f fetchPending) handle(e *Engine) {
+	if f.watch != e.watch || f.watch.fetchInFlight.Load() != f.number {
 		return
 	}
-	if f.from.older != nil {
-		f.from.older.end()
-		f.from.older = nil
+	if f.watch.older != nil {
+		f.watch.older.cancel()
+		f.watch.older = nil
 	}
-	e.watch = newWatch(f.from.address, f.from.times)
-	e.watch.older = f.from
+	e.watch = newWatch(f.watch.address, f.watch.times)
+	e.watch.older = f.watch
 	e.startWatch()
 }
 
-// watchStands is a watch that may still be waiting for news.
-type watchStands struct {
-	from   *watch
+// watchWaiting is a watch that may still be waiting for news.
+type watchWaiting struct {
+	watch  *watch
 	number int64 // of its call
 }
 
 // handle takes a watch that has been waiting for longer than any call waits its turn for one that discovery has taken: had
 // there been news, they would have come.
-func (s watchStands) handle(e *Engine) {
-	if s.from != e.watch || s.from.waiting.Load() != s.number || e.unheard.since == 0 {
+func (s watchWaiting) handle(e *Engine) {
+	if s.watch != e.watch || s.watch.waitingCall.Load() != s.number || e.staleness.since == 0 {
 		return
 	}
-	e.listHeard()
-	e.tell(decide.Event{Kind: decide.ListConfirmed})
+	e.markListCurrent()
+	e.notifyModule(decide.Event{Kind: decide.ListConfirmed})
 }
 
-// listFailed is a call to discovery that has failed.
-type listFailed struct {
-	from   *watch
-	within time.Duration // the next call should be out by then
-	since  time.Time     // what discovery has had since then has not come
+// listCallFailed is a call to discovery that has failed.
+type listCallFailed struct {
+	watch       *watch
+	retryWithin time.Duration // the next call should be out by then
+	missedSince time.Time     // what discovery has had since then has not come
 
 	refused bool // discovery answered, and not with a list
 }
 
-func (f listFailed) handle(e *Engine) {
-	if f.from == e.watch.older { // the other one goes on
+func (f listCallFailed) handle(e *Engine) {
+	if f.watch == e.watch.older { // the other one goes on
 		e.counters.ListFailures++
 		e.watch.older = nil
 	}
-	if f.from != e.watch { // it was ended, and another goes on
+	if f.watch != e.watch { // it was ended, and another goes on
 		return
 	}
 	e.counters.ListFailures++
-	since := e.clock.FromWall(f.since)
-	e.listMissed(since, since+e.toldAfter())
+	since := e.clock.FromWall(f.missedSince)
+	e.markListStale(since, since+e.deliveryDelay())
 	e.watch.running = false
 	if e.conf.Settings.MustPoll {
-		e.tell(decide.Event{Kind: decide.ListFailed, Grace: f.within, Refused: f.refused})
+		e.notifyModule(decide.Event{Kind: decide.ListFailed, Grace: f.retryWithin, Refused: f.refused})
 		return
 	}
-	e.backoff = min(max(backoffLeast, 2*e.backoff), backoffMost)
-	least, spread := decide.ListRetryDelay(min(e.backoff, f.within/2), e.conf.Settings.Peers, f.refused)
-	e.world.AfterFunc(least+e.world.RandomDuration(spread), func() { e.post(rewatch{}) })
+	e.backoff = min(max(minBackoff, 2*e.backoff), maxBackoff)
+	least, spread := decide.ListRetryDelay(min(e.backoff, f.retryWithin/2), e.conf.Settings.Peers, f.refused)
+	e.env.AfterFunc(least+e.env.RandomDuration(spread), func() { e.post(restartWatch{}) })
 }
 
-// rewatch begins a new watch after a pause.
-type rewatch struct{}
+// restartWatch begins a new watch after a pause.
+type restartWatch struct{}
 
-func (rewatch) handle(e *Engine) { e.startWatch() }
+func (restartWatch) handle(e *Engine) { e.startWatch() }
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -25,10 +25,10 @@
 	for _, known := range []bool{false, true} {
 		var log strings.Builder
 		e := testEngine(t)
-		e.ends = zerolog.New(&log)
+		e.connLog = zerolog.New(&log)
 		e.watch = newWatch(listener.Addr().String(),
-			callTimes{dial: 10 * time.Second, fetch: short, wait: short, spread: short, overdue: short, fresh: short, rest: short})
-		e.watch.known = known
+			callTimes{dial: 10 * time.Second, fetch: short, wait: short, spread: short, overdue: short, check: short, body: short})
+		e.watch.hasList = known
 		go e.runWatch(e.watch)
 		(<-e.events).handle(e)
 		if e.counters.ListFailures != 1 || e.watch.link != nil || e.watch.running {
@@ -54,17 +54,17 @@
 	}}
 	go server.Serve(listener)
 	e := testEngine(t)
-	e.watch = newWatch(listener.Addr().String(), usualTimes(1, time.Second))
-	e.watch.known, e.watch.index = true, 7
+	e.watch = newWatch(listener.Addr().String(), newCallTimes(1, time.Second))
+	e.watch.hasList, e.watch.version = true, 7
 	begin := time.Now()
 	go e.runWatch(e.watch)
 	for range answers {
 		(<-e.events).handle(e)
 	}
-	if took := time.Since(begin); took < (answers-1)*stalePause || e.counters.Lists != answers {
+	if took := time.Since(begin); took < (answers-1)*noNewsPause || e.counters.Lists != answers {
 		t.Errorf("%d answers in %v", e.counters.Lists, took)
 	}
-	e.watch.end()
+	e.watch.cancel()
 	close(e.stopped)
 }
 
@@ -72,7 +72,7 @@
 // a discovery that many sidecars ask too often.
 func TestTimesOfAWatch(t *testing.T) {
 	for peers, want := range map[int]time.Duration{0: 4 * time.Second, 2: 4 * time.Second, 10: 10 * time.Second, 900: 16 * time.Second} {
-		if got := usualTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
+		if got := newCallTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
 			t.Errorf("%d peers: %+v, want to wait %v", peers, got, want)
 		}
 	}
@@ -84,19 +84,19 @@
 	e := testEngine(t)
 	former := e.watch
 	former.running = true
-	moved{scripted.FreeAddress(t)}.handle(e)
-	defer e.watch.end()
-	if former.ended.Err() == nil || !e.watch.running || e.watch.known {
-		t.Fatalf("former ended: %v, the next %+v", former.ended.Err(), e.watch)
+	discoveryMoved{scripted.FreeAddress(t)}.handle(e)
+	defer e.watch.cancel()
+	if former.ctx.Err() == nil || !e.watch.running || e.watch.hasList {
+		t.Fatalf("former ended: %v, the next %+v", former.ctx.Err(), e.watch)
 	}
-	listCame{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
-	listFailed{from: former}.handle(e)
+	listReceived{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
+	listCallFailed{watch: former}.handle(e)
 	if e.endpoints.Len() != 0 || e.counters.ListFailures != 0 || !e.watch.running {
 		t.Errorf("%d endpoints, %d failures, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
 	}
 	next := e.watch
-	moved{next.address}.handle(e)
-	if e.watch != next || next.ended.Err() != nil {
+	discoveryMoved{next.address}.handle(e)
+	if e.watch != next || next.ctx.Err() != nil {
 		t.Error("a reload that names the same discovery ended its watch")
 	}
 }
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -24,10 +24,10 @@
 
 // Figures of the engine.
 const (
-	eventQueue  = 1024        // events that may wait for the owner before their senders do
-	urgentQueue = 8           // the same for operators' calls
-	sweepEvery  = time.Second // idle connections are looked at so often
-	lateShare   = 2           // news come late: of the grace for drains so large a part is left when they are here
+	eventQueueSize    = 1024        // events that may wait for the owner before their senders do
+	urgentQueueSize   = 8           // the same for operators' calls
+	sweepInterval     = time.Second // idle connections are looked at so often
+	drainGraceDivisor = 2           // news come late: of the grace for drains so large a part is left when they are here
 )
 
 // Decider decides what is done with each request: the module, or what the lab puts
@@ -48,64 +48,64 @@
 
 // Engine runs one balancer on sockets.
 type Engine struct {
-	conf         *config.Config
-	log          zerolog.Logger
-	ends         zerolog.Logger // for ends of connections
-	world        env.Env
-	clock        state.Clock
-	events       chan event
-	urgent       chan event    // of operators: looked at before all others, however many wait
-	board        *metrics.Set  // read at any time
-	listed       atomic.Bool   // there has been a list
-	goingOn      atomic.Int64  // long answers of another process that are on their way here
-	goneOn       atomic.Int64  // long answers of another process that ended here
-	serving      atomic.Bool   // callers are accepted
-	stopped      chan struct{} // closed when Run has returned
-	unready      atomic.Bool   // the process is stopping: callers should look elsewhere
-	draining     atomic.Bool   // each answer is the last on its connection
-	malformed    atomic.Int64  // requests answered 400: a flood of them must not fill the queue
-	balancer     Decider
-	requests     *state.Requests
-	endpoints    *state.Endpoints
-	pool         *state.Pool
-	room         *httpwire.MemoryBudget // for bodies of answers
-	timeouts     state.Timeouts
-	counters     state.Counters
-	watch        *watch        // of the present discovery
-	backoff      time.Duration // the pause after the newest failed call, where the module does not ask; 0 after an answer
-	index        int64         // the list's version
-	unheard      listUnheard
-	requestLines lineBudget
-	listCalls    atomic.Int64 // calls to discovery that have begun
-	legacy       *Handover    // of a predecessor; nil without one
-	moduleDue    decide.Time  // when the module wants to be woken; 0 when it does not
-	sweepAt      decide.Time
-	pending      []decide.Event // for the module, behind the one it is being told
-	telling      bool
-	give         httpwire.HandOverFunc               // for long answers, once they go to another process
-	passing      map[*httpwire.AnswerStream]struct{} // long answers whose rest is on its way
-	stopping     bool                                // nothing is taken any more
-	actions      []decide.Action
+	conf            *config.Config
+	log             zerolog.Logger
+	connLog         zerolog.Logger // for ends of connections
+	env             env.Env
+	clock           state.Clock
+	events          chan event
+	urgent          chan event    // of operators: looked at before all others, however many wait
+	metrics         *metrics.Set  // read at any time
+	listed          atomic.Bool   // there has been a list
+	resuming        atomic.Int64  // long answers of another process that are on their way here
+	resumed         atomic.Int64  // long answers of another process that ended here
+	serving         atomic.Bool   // callers are accepted
+	stopped         chan struct{} // closed when Run has returned
+	unready         atomic.Bool   // the process is stopping: callers should look elsewhere
+	draining        atomic.Bool   // each answer is the last on its connection
+	malformed       atomic.Int64  // requests answered 400: a flood of them must not fill the queue
+	balancer        Decider
+	requests        *state.Requests
+	endpoints       *state.Endpoints
+	pool            *state.Pool
+	answerMemory    *httpwire.MemoryBudget // for bodies of answers
+	timeouts        state.Timeouts
+	counters        state.Counters
+	watch           *watch        // of the present discovery
+	backoff         time.Duration // the pause after the newest failed call, where the module does not ask; 0 after an answer
+	listVersion     int64         // the list's version
+	staleness       listStaleness
+	requestLogLimit logLimiter
+	listCalls       atomic.Int64 // calls to discovery that have begun
+	handover        *Handover    // of a predecessor; nil without one
+	moduleTimerAt   decide.Time  // when the module wants to be woken; 0 when it does not
+	sweepAt         decide.Time
+	pendingEvents   []decide.Event // for the module, behind the one it is being told
+	handlingEvents  bool
+	handOverFunc    httpwire.HandOverFunc               // for long answers, once they go to another process
+	streams         map[*httpwire.AnswerStream]struct{} // long answers whose rest is on its way
+	stopping        bool                                // nothing is taken any more
+	actions         []decide.Action
 
-	holdings Holdings    // nil where nothing is held
-	rules    RulesSource // nil where the sidecar is in no crew
-	acting   *EffectiveRules
-	byCrew   map[string]bool                    // endpoints that the crew's version bans; true where one by hand stands beside it
-	withheld map[string]httpwire.ListedEndpoint // lines of the list that are not taken yet, by name
+	holdings    Holdings    // nil where nothing is held
+	rules       RulesSource // nil where the sidecar is in no crew
+	effective   *EffectiveRules
+	clusterBans map[string]bool                    // endpoints that the crew's version bans; true where one by hand stands beside it
+	withheld    map[string]httpwire.ListedEndpoint // lines of the list that are not taken yet, by name
 }
 
 // SetRules has the engine act on rules that others agree on. It is called before Run.
 func (e *Engine) SetRules(rules RulesSource) {
-	e.rules, e.acting = rules, &EffectiveRules{}
-	e.byCrew, e.withheld = map[string]bool{}, map[string]httpwire.ListedEndpoint{}
+	e.rules, e.effective = rules, &EffectiveRules{}
+	e.clusterBans, e.withheld = map[string]bool{}, map[string]httpwire.ListedEndpoint{}
 }
 
 // New returns an engine that has not started.
-func New(conf *config.Config, world env.Env, logs Logs, balancer Decider) *Engine {
+func New(conf *config.Config, environment env.Env, logs Logs, balancer Decider) *Engine {
 	e := &Engine{
-		conf: conf, log: logs.All, ends: logs.ConnEnds, world: world, clock: state.NewClock(world), balancer: balancer,
-		events: make(chan event, eventQueue), urgent: make(chan event, urgentQueue), stopped: make(chan struct{}),
-		requests: state.NewRequests(), endpoints: state.NewEndpoints(), passing: map[*httpwire.AnswerStream]struct{}{},
+		conf: conf, log: logs.All, connLog: logs.ConnEnds, env: environment, clock: state.NewClock(environment), balancer: balancer,
+		events: make(chan event, eventQueueSize), urgent: make(chan event, urgentQueueSize), stopped: make(chan struct{}),
+		requests: state.NewRequests(), endpoints: state.NewEndpoints(), streams: map[*httpwire.AnswerStream]struct{}{},
 	}
 	names := make([]string, 0, len(conf.Classes))
 	for name := range conf.Classes {
@@ -114,21 +114,21 @@
 	if conf.Settings.Rules.GoneMayServe {
 		e.endpoints.KeepGone()
 	}
-	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / lateShare)
-	e.board = metrics.New(names)
-	e.room = httpwire.NewMemoryBudget(conf.AnswerBytes)
-	e.pool = state.NewPool(conf.EndpointConns, conf.IdleTimeout, e.linkEnded)
-	e.watch = newWatch(conf.Discovery, usualTimes(conf.Settings.Peers, conf.Settings.Rules.DrainGrace))
+	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / drainGraceDivisor)
+	e.metrics = metrics.New(names)
+	e.answerMemory = httpwire.NewMemoryBudget(conf.AnswerBytes)
+	e.pool = state.NewPool(conf.EndpointConns, conf.IdleTimeout, e.logLinkEnd)
+	e.watch = newWatch(conf.Discovery, newCallTimes(conf.Settings.Peers, conf.Settings.Rules.DrainGrace))
 	return e
 }
 
 // Run owns the balancer until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
-	e.sweepAt = e.clock.Now() + sweepEvery
-	e.tell(decide.Event{Kind: decide.Start})
+	e.sweepAt = e.clock.Now() + sweepInterval
+	e.notifyModule(decide.Event{Kind: decide.Start})
 	e.startList()
-	timer := e.world.NewTimer(0)
+	timer := e.env.NewTimer(0)
 	defer timer.Stop()
 	for {
 		e.runDue()
@@ -143,7 +143,7 @@
 		case ev := <-e.urgent:
 			ev.handle(e)
 		case <-ctx.Done():
-			e.watch.endAll()
+			e.watch.cancelAll()
 			return
 		case <-timer.C():
 		case ev := <-e.events:
@@ -167,8 +167,8 @@
 	if at := e.timeouts.Next(); at > 0 {
 		next = min(next, at)
 	}
-	if e.moduleDue > 0 {
-		next = min(next, e.moduleDue)
+	if e.moduleTimerAt > 0 {
+		next = min(next, e.moduleTimerAt)
 	}
 	return next
 }
@@ -184,14 +184,14 @@
 		a.GiveUp()
 		e.settle(a, outcome, nil)
 	}
-	if e.moduleDue > 0 && e.moduleDue <= now {
-		e.moduleDue = 0
-		e.tell(decide.Event{Kind: decide.TimerDue})
+	if e.moduleTimerAt > 0 && e.moduleTimerAt <= now {
+		e.moduleTimerAt = 0
+		e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	}
 	if e.sweepAt <= now {
-		e.sweepAt = now + sweepEvery
+		e.sweepAt = now + sweepInterval
 		e.pool.Sweep(now)
-		e.timeUnheard()
+		e.updateStaleness()
 	}
 }
 
@@ -204,19 +204,19 @@
 // FailPending fails what is still held: the process is about to end, or to be killed,
 // and what it leaves unanswered is lost. A failure promises nothing, so that it
 // is true whatever has run.
-func (e *Engine) FailPending() { e.post(finish{}) }
+func (e *Engine) FailPending() { e.post(failPending{}) }
 
-type finish struct{}
+type failPending struct{}
 
-func (finish) handle(e *Engine) {
+func (failPending) handle(e *Engine) {
 	e.stopping = true
 	for _, r := range e.requests.All() {
 		if r.Done {
 			continue
 		}
-		e.logEnd(r, "failed", reasonProcessEnds)
+		e.logNotServed(r, "failed", reasonProcessEnds)
 		e.relay(r, httpwire.Answer{Verdict: httpwire.Failed})
-		e.tell(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
+		e.notifyModule(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
 		for i := range r.Attempts {
 			e.cancel(r, i)
 		}
@@ -227,7 +227,7 @@
 func (e *Engine) Streaming() bool { return e.Resuming() || e.Snapshot().Streaming > 0 }
 
 // Resuming tells whether long answers of another process are on their way here.
-func (e *Engine) Resuming() bool { return e.goingOn.Load() > 0 }
+func (e *Engine) Resuming() bool { return e.resuming.Load() > 0 }
 
 // Snapshot is what the engine counts and holds.
 type Snapshot struct {
@@ -252,31 +252,31 @@
 	ev.Int("held", s.Pending).Int("endpoints", s.Endpoints).Int("links", s.Links)
 }
 
-// snapshotWanted asks the owner for a snapshot.
-type snapshotWanted struct{ reply chan Snapshot }
+// snapshotRequest asks the owner for a snapshot.
+type snapshotRequest struct{ reply chan Snapshot }
 
-func (w snapshotWanted) handle(e *Engine) { w.reply <- e.snapshot() }
+func (w snapshotRequest) handle(e *Engine) { w.reply <- e.snapshot() }
 
 func (e *Engine) snapshot() Snapshot {
 	counters := e.counters
-	counters.Malformed, counters.HandedOver = int(e.malformed.Load()), int(e.goneOn.Load())
-	counters.Served, counters.Failed = e.board.Total(metrics.Served), e.board.Total(metrics.Failed)
-	counters.Refused, counters.Left = e.board.Total(metrics.Refused)-counters.OverLimit, e.board.Total(metrics.CallerLeft)
-	var watched *shadow.Counts
-	if w, ok := e.balancer.(*shadow.Comparison); ok {
-		counts := w.Counts()
-		watched = &counts
+	counters.Malformed, counters.HandedOver = int(e.malformed.Load()), int(e.resumed.Load())
+	counters.Served, counters.Failed = e.metrics.Total(metrics.Served), e.metrics.Total(metrics.Failed)
+	counters.Refused, counters.Left = e.metrics.Total(metrics.Refused)-counters.OverLimit, e.metrics.Total(metrics.CallerLeft)
+	var shadowCounts *shadow.Counts
+	if comparison, ok := e.balancer.(*shadow.Comparison); ok {
+		counts := comparison.Counts()
+		shadowCounts = &counts
 	}
 	return Snapshot{
-		Counters: counters, ListCalls: &e.board.ListCalls, Shadow: watched, Pending: e.requests.Pending() + len(e.passing),
-		Streaming: len(e.passing), Endpoints: e.endpoints.Len(), Links: e.pool.Open(),
+		Counters: counters, ListCalls: &e.metrics.ListCalls, Shadow: shadowCounts, Pending: e.requests.Pending() + len(e.streams),
+		Streaming: len(e.streams), Endpoints: e.endpoints.Len(), Links: e.pool.Open(),
 	}
 }
 
 // Snapshot returns what the engine counts and holds, also when it has stopped.
 func (e *Engine) Snapshot() Snapshot {
 	reply := make(chan Snapshot, 1)
-	e.post(snapshotWanted{reply})
+	e.post(snapshotRequest{reply})
 	select {
 	case s := <-reply:
 		return s
@@ -285,12 +285,12 @@
 	}
 }
 
-// linkEnded writes the log line of a connection to an endpoint.
-func (e *Engine) linkEnded(to *state.Endpoint, l *httpwire.Link, why httpwire.Reason) {
+// logLinkEnd writes the log line of a connection to an endpoint.
+func (e *Engine) logLinkEnd(endpoint *state.Endpoint, link *httpwire.Link, reason httpwire.Reason) {
 	uses := 0
-	if l != nil {
-		uses = l.Uses
+	if link != nil {
+		uses = link.Uses
 	}
-	e.ends.Info().Str("side", "endpoint").Str("peer", to.Name).Str("address", to.Address).
-		Str("reason", string(why)).Int("requests", uses).Msg("connection ended")
+	e.connLog.Info().Str("side", "endpoint").Str("peer", endpoint.Name).Str("address", endpoint.Address).
+		Str("reason", string(reason)).Int("requests", uses).Msg("connection ended")
 }
--- a/internal/pipeline/crowd_test.go
+++ b/internal/pipeline/fleet_test.go
@@ -180,7 +180,7 @@
 func unheard(fleet []*Engine) int {
 	n := 0
 	for _, e := range fleet {
-		if e.board.ListStaleMS.Load() > 0 {
+		if e.metrics.ListStaleMS.Load() > 0 {
 			n++
 		}
 	}
@@ -225,7 +225,7 @@
 		{10, 18 * time.Millisecond}, {50, 18 * time.Millisecond}, {150, 18 * time.Millisecond}, {376, 18 * time.Millisecond},
 		{900, 9 * time.Millisecond},
 	} {
-		most := max(2*longestPause(c.count), toldAfterAsked)
+		most := max(2*longestPause(c.count), deliveryWhenPolled)
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d callers, seed %d", c.count, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		e.watch.end()
+		e.watch.cancel()
 		close(e.stopped)
 	})
 	e.startList()
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -34,21 +34,21 @@
 	ended     time.Time
 }
 
-// listCallEnd reads how a call ended from its error.
-func listCallEnd(err error, connected, calledOff bool) metrics.ListCallEnd {
+// classifyListCall reads how a call ended from its error.
+func classifyListCall(err error, connected, canceled bool) metrics.ListCallEnd {
 	var status httpwire.StatusError
 	switch {
 	case err == nil:
 		return metrics.ListAnswered
-	case calledOff || errors.Is(err, context.Canceled):
+	case canceled || errors.Is(err, context.Canceled):
 		return metrics.ListCanceled
 	case !connected:
 		return metrics.ListNotConnected
 	case errors.As(err, &status):
 		return metrics.ListRefused
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errNoAnswerInTime):
 		return metrics.ListTimedOut
-	case lost(err):
+	case answerLost(err):
 		return metrics.ListBroken
 	}
 	return metrics.ListMalformed
@@ -56,8 +56,8 @@
 
 // logListCall counts a call that has ended and writes its log line. The list is what it brought; nil if it failed.
 func (e *Engine) logListCall(w *watch, call *listCall, list *httpwire.List, err error) {
-	end := listCallEnd(err, w.link != nil, w.ended.Err() != nil)
-	e.board.ListCalls.Count(end)
+	end := classifyListCall(err, w.link != nil, w.ctx.Err() != nil)
+	e.metrics.ListCalls.Count(end)
 	line := e.log.Info()
 	if err != nil && end != metrics.ListCanceled {
 		line = e.log.Warn()
@@ -79,55 +79,55 @@
 
 // When what discovery has counts as told, whether or not it has come (STANDING: Days at full size).
 const (
-	toldAfterAsked = 6 * time.Second // where lists are asked for
-	toldAfterMove  = 4 * time.Second // behind a reload that names another discovery
+	deliveryWhenPolled = 6 * time.Second // where lists are asked for
+	deliveryAfterMove  = 4 * time.Second // behind a reload that names another discovery
 )
 
-// toldAfter is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
-func (e *Engine) toldAfter() time.Duration {
+// deliveryDelay is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
+func (e *Engine) deliveryDelay() time.Duration {
 	if e.conf.Settings.MustPoll {
-		return toldAfterAsked
+		return deliveryWhenPolled
 	}
 	return 0
 }
 
-// listUnheard times how long discovery may have had news that have not come.
-type listUnheard struct {
-	since decide.Time // 0 while the newest call was answered
-	told  decide.Time // when they count as told
-	stale bool        // that has been logged
+// listStaleness times how long discovery may have had news that have not come.
+type listStaleness struct {
+	since       decide.Time // 0 while the newest call was answered
+	deliveredBy decide.Time // when they count as told
+	logged      bool        // that has been logged
 }
 
-// listMissed books that what discovery has had since a time may not have come, and when it counts as told. It stands until
+// markListStale books that what discovery has had since a time may not have come, and when it counts as told. It stands until
 // a call is answered.
-func (e *Engine) listMissed(since, told decide.Time) {
-	if e.unheard.since == 0 {
-		e.unheard = listUnheard{since: since, told: told}
-		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: told})
+func (e *Engine) markListStale(since, deliveredBy decide.Time) {
+	if e.staleness.since == 0 {
+		e.staleness = listStaleness{since: since, deliveredBy: deliveredBy}
+		e.notifyModule(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: deliveredBy})
 	}
-	e.timeUnheard()
+	e.updateStaleness()
 }
 
-// listHeard books that a call was answered with all that discovery had.
-func (e *Engine) listHeard() {
-	if e.unheard.stale {
-		e.log.Info().Int64("version", e.index).Int64("stale_ms", (e.clock.Now() - e.unheard.told).Milliseconds()).
+// markListCurrent books that a call was answered with all that discovery had.
+func (e *Engine) markListCurrent() {
+	if e.staleness.logged {
+		e.log.Info().Int64("version", e.listVersion).Int64("stale_ms", (e.clock.Now() - e.staleness.deliveredBy).Milliseconds()).
 			Msg("the list is current again")
 	}
-	e.unheard = listUnheard{}
-	e.timeUnheard()
+	e.staleness = listStaleness{}
+	e.updateStaleness()
 }
 
-// timeUnheard brings the figure up to date and logs the moment in which the list goes stale.
-func (e *Engine) timeUnheard() {
-	unheard := decide.Time(0)
-	if e.unheard.since > 0 { // 0 is for none
-		unheard = max(time.Millisecond, e.clock.Now()-e.unheard.since)
+// updateStaleness brings the figure up to date and logs the moment in which the list goes stale.
+func (e *Engine) updateStaleness() {
+	stale := decide.Time(0)
+	if e.staleness.since > 0 { // 0 is for none
+		stale = max(time.Millisecond, e.clock.Now()-e.staleness.since)
 	}
-	e.board.ListStaleMS.Store(unheard.Milliseconds())
-	if unheard > 0 && e.clock.Now() >= e.unheard.told && !e.unheard.stale {
-		e.unheard.stale = true
-		e.log.Warn().Int64("version", e.index).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", unheard.Milliseconds()).
-			Object("calls", &e.board.ListCalls).Msg("the list is stale")
+	e.metrics.ListStaleMS.Store(stale.Milliseconds())
+	if stale > 0 && e.clock.Now() >= e.staleness.deliveredBy && !e.staleness.logged {
+		e.staleness.logged = true
+		e.log.Warn().Int64("version", e.listVersion).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", stale.Milliseconds()).
+			Object("calls", &e.metrics.ListCalls).Msg("the list is stale")
 	}
 }
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -52,10 +52,10 @@
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		<-module.at
-		if unheard := e.board.ListStaleMS.Load(); unheard != 0 {
+		if unheard := e.metrics.ListStaleMS.Load(); unheard != 0 {
 			t.Errorf("%d ms unheard of behind an answer", unheard)
 		}
-		figures := string(e.board.Append(nil))
+		figures := string(e.metrics.Append(nil))
 		stop()
 		<-e.stopped
 		d.serving.Wait()
@@ -88,7 +88,7 @@
 		if len(states) != 2 || states[0].Message != "the list is stale" || states[1].Message != "the list is current again" {
 			t.Fatalf("%+v, want stale and current again", states)
 		}
-		if late := states[0].Unheard - toldAfterAsked.Milliseconds(); late < 0 || late > sweepEvery.Milliseconds() {
+		if late := states[0].Unheard - deliveryWhenPolled.Milliseconds(); late < 0 || late > sweepInterval.Milliseconds() {
 			t.Errorf("stale after %d ms", states[0].Unheard)
 		}
 		for _, line := range []string{"sidecar.list_calls.refused:3|c\n", "sidecar.list_calls.answered:1|c\n", "sidecar.list_unheard_ms:0|g\n"} {
@@ -118,7 +118,7 @@
 			<-e.stopped
 			d.serving.Wait()
 			synctest.Wait() // the watch writes its last line
-			if w.ended.Err() == nil {
+			if w.ctx.Err() == nil {
 				t.Error("the watch goes on behind its engine")
 			}
 			for _, l := range readLog(t, log.Bytes()) {
@@ -126,7 +126,7 @@
 					t.Errorf("fate %d: the call ends as %q, want %q", fate, l.End, want)
 				}
 			}
-			if e.board.ListCalls[want].Load() == 0 {
+			if e.metrics.ListCalls[want].Load() == 0 {
 				t.Errorf("fate %d: no call counts as %v", fate, want)
 			}
 		})
@@ -145,9 +145,9 @@
 		for _, c := range []struct {
 			at      time.Duration
 			unheard bool
-		}{{2 * sweepEvery, true}, {turnMost + sweepEvery, false}, {toldAfterAsked + sweepEvery, false}} {
+		}{{2 * sweepInterval, true}, {maxQueueTime + sweepInterval, false}, {deliveryWhenPolled + sweepInterval, false}} {
 			time.Sleep(c.at - 2*time.Millisecond)
-			if ms := e.board.ListStaleMS.Load(); (ms > 0) != c.unheard {
+			if ms := e.metrics.ListStaleMS.Load(); (ms > 0) != c.unheard {
 				t.Errorf("%v behind the start, or the last look: %d ms unheard of, want any: %v", c.at, ms, c.unheard)
 			}
 		}
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -22,7 +22,7 @@
 func (e *Engine) Ready() bool { return e.serving.Load() && e.listed.Load() && !e.unready.Load() }
 
 // Metrics returns the figures, a line each.
-func (e *Engine) Metrics() []byte { return e.board.Append(nil) }
+func (e *Engine) Metrics() []byte { return e.metrics.Append(nil) }
 
 // Disable bans an endpoint by hand. When it returns, the module knows.
 func (e *Engine) Disable(name string) error { return e.ban(name, true) }
@@ -33,7 +33,7 @@
 // AdoptBan takes over a ban by hand, or its end, from the other process of an upgrade,
 // which knows that the endpoint has been listed.
 func (e *Engine) AdoptBan(name string, on bool) error {
-	return e.call(banCall{name: name, on: on, seen: true, done: make(chan error, 1)})
+	return e.call(banCall{name: name, on: on, known: true, done: make(chan error, 1)})
 }
 
 func (e *Engine) ban(name string, on bool) error {
@@ -57,17 +57,17 @@
 
 // banCall is a ban by hand, or its end.
 type banCall struct {
-	name string
-	on   bool
-	seen bool // another process knows the name
-	done chan error
+	name  string
+	on    bool
+	known bool // another process knows the name
+	done  chan error
 }
 
 func (c banCall) handle(e *Engine) {
-	if e.rules != nil && e.handBan(&c) {
+	if e.rules != nil && e.banByHand(&c) {
 		return
 	}
-	if c.seen {
+	if c.known {
 		e.endpoints.MarkSeen(c.name)
 	}
 	id, err := e.endpoints.Ban(c.name, c.on, e.clock.Now())
@@ -75,12 +75,12 @@
 		kind := decide.Unbanned
 		if c.on {
 			kind = decide.Banned
-			if to := e.endpoints.Get(id); to != nil { // it is about to be restarted
-				e.pool.DropAll(to, httpwire.ReasonBanned)
+			if endpoint := e.endpoints.Get(id); endpoint != nil { // it is about to be restarted
+				e.pool.DropAll(endpoint, httpwire.ReasonBanned)
 			}
 		}
-		e.tell(decide.Event{Kind: kind, Endpoint: id})
-		e.takeStock()
+		e.notifyModule(decide.Event{Kind: kind, Endpoint: id})
+		e.updateListMetrics()
 	}
 	c.done <- err
 }
@@ -99,65 +99,65 @@
 func (e *Engine) ExportHandover() ([]byte, error) {
 	reply := make(chan Handover, 1)
 	select {
-	case e.urgent <- legacyWanted{reply}:
+	case e.urgent <- handoverRequest{reply}:
 	case <-e.stopped:
 		return nil, errEnded
 	}
 	select {
-	case l := <-reply:
-		return json.Marshal(l)
+	case handover := <-reply:
+		return json.Marshal(handover)
 	case <-e.stopped:
 		return nil, errEnded
 	}
 }
 
-type legacyWanted struct{ reply chan Handover }
+type handoverRequest struct{ reply chan Handover }
 
-func (w legacyWanted) handle(e *Engine) {
-	t := e.endpoints
-	byHand := slices.DeleteFunc(t.Banned(), func(name string) bool {
-		hand, crew := e.byCrew[name]
-		return crew && !hand // the successor hears of it from the crew
+func (w handoverRequest) handle(e *Engine) {
+	endpoints := e.endpoints
+	bansByHand := slices.DeleteFunc(endpoints.Banned(), func(name string) bool {
+		byHand, byCluster := e.clusterBans[name]
+		return byCluster && !byHand // the successor hears of it from the crew
 	})
 	w.reply <- Handover{
-		List: httpwire.List{Index: e.index, Whole: true, Endpoints: t.List()}, Seen: t.SeenHashes(), Banned: byHand,
+		List: httpwire.List{Index: e.listVersion, Whole: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
 		From: e.watch.address, Of: e.conf.ClassNames(),
-		Lifted: t.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
+		Lifted: endpoints.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
 	}
 }
 
 // ImportHandover has the engine start with what a predecessor has left. It is called before Run.
 func (e *Engine) ImportHandover(text []byte) error {
-	var l Handover
-	if err := json.Unmarshal(text, &l); err != nil {
+	var handover Handover
+	if err := json.Unmarshal(text, &handover); err != nil {
 		return fmt.Errorf("what the predecessor left: %w", err)
 	}
 	// Guards against a list, bans and a version that outlive the customer whose they were, where a name and an address
 	// are used again.
-	if e.conf.IsForeign(l.Of) {
-		e.log.Warn().Strs("its_classes", l.Of).Msg("the predecessor served other classes, nothing that it knew is taken over")
+	if e.conf.IsForeign(handover.Of) {
+		e.log.Warn().Strs("its_classes", handover.Of).Msg("the predecessor served other classes, nothing that it knew is taken over")
 		return nil
 	}
-	e.legacy = &l
+	e.handover = &handover
 	return nil
 }
 
-// takeLegacy takes over a predecessor's list and bans.
-func (e *Engine) takeLegacy(l *Handover) {
-	for _, hash := range l.Seen {
+// applyHandover takes over a predecessor's list and bans.
+func (e *Engine) applyHandover(handover *Handover) {
+	for _, hash := range handover.Seen {
 		e.endpoints.MarkSeenHash(hash)
 	}
-	for _, name := range l.Banned {
-		e.takeBan(name, true)
+	for _, name := range handover.Banned {
+		e.importBan(name, true)
 	}
-	for _, name := range l.Lifted {
-		e.takeBan(name, true)
-		e.takeBan(name, false)
+	for _, name := range handover.Lifted {
+		e.importBan(name, true)
+		e.importBan(name, false)
 	}
 }
 
-func (e *Engine) takeBan(name string, on bool) {
-	c := banCall{name: name, on: on, seen: true, done: make(chan error, 1)}
+func (e *Engine) importBan(name string, on bool) {
+	c := banCall{name: name, on: on, known: true, done: make(chan error, 1)}
 	c.handle(e)
 	if err := <-c.done; err != nil {
 		e.log.Warn().Err(err).Msg("a predecessor's ban")
@@ -166,8 +166,8 @@
 
 // SetConnShare bounds connections to endpoints by a part of what one process may hold, while
 // two processes share the limits.
-func (e *Engine) SetConnShare(parts int) { e.post(share{parts}) }
+func (e *Engine) SetConnShare(parts int) { e.post(connShare{parts}) }
 
-type share struct{ parts int }
+type connShare struct{ parts int }
 
-func (s share) handle(e *Engine) { e.pool.SetLimit(e.conf.EndpointConns / s.parts) }
+func (s connShare) handle(e *Engine) { e.pool.SetLimit(e.conf.EndpointConns / s.parts) }
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/record.go
@@ -8,16 +8,16 @@
 
 // Book: how an attempt has ended goes into the books, and to the module.
 
-func (x exchanged) handle(e *Engine) {
-	to := x.attempt.Endpoint
-	if x.link != nil && x.ended == "" {
-		e.pool.Put(to, x.link, e.clock.Now())
+func (x exchangeEnded) handle(e *Engine) {
+	endpoint := x.attempt.Endpoint
+	if x.link != nil && x.endReason == "" {
+		e.pool.Put(endpoint, x.link, e.clock.Now())
 	} else {
-		e.pool.Drop(to, x.link, x.ended)
+		e.pool.Drop(endpoint, x.link, x.endReason)
 	}
 	x.attempt.GiveUp() // frees what belongs to its context
 	if r := x.attempt.Request; x.reply != nil && (r.Done || x.attempt.Settled || x.outcome != decide.Served) {
-		e.room.Release(x.reply.Reserved) // its body goes to nobody
+		e.answerMemory.Release(x.reply.Reserved) // its body goes to nobody
 	}
 	e.settle(x.attempt, x.outcome, x.reply)
 }
@@ -45,6 +45,6 @@
 	if a.Endpoint != nil {
 		ev.Endpoint = a.Endpoint.ID
 	}
-	e.tell(ev)
+	e.notifyModule(ev)
 	e.requests.Release(r)
 }
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -11,8 +11,8 @@
 
 // Relay: a request's one final answer goes to its caller.
 
-// ends are what verdicts count as.
-var ends = [...]metrics.End{
+// endOfVerdict are what verdicts count as.
+var endOfVerdict = [...]metrics.End{
 	httpwire.Served: metrics.Served, httpwire.Refused: metrics.Refused, httpwire.Failed: metrics.Failed,
 	httpwire.Abandoned: metrics.CallerLeft,
 }
@@ -23,10 +23,10 @@
 		return
 	}
 	if answer.Stream == nil { // else it ends when the rest has
-		e.board.Count(r.Message.Class, ends[answer.Verdict])
+		e.metrics.Count(r.Message.Class, endOfVerdict[answer.Verdict])
 	}
 	if r.MayWrite != nil { // its key is held: what becomes of the claim rests on it
-		answer.MayHaveRun = answer.Verdict == httpwire.Served || ran(r)
+		answer.MayHaveRun = answer.Verdict == httpwire.Served || mayHaveRun(r)
 	}
 	r.Answer <- answer
 	e.requests.Release(r)
@@ -52,96 +52,98 @@
 		return
 	}
 	e.relay(r, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
-	e.tell(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
+	e.notifyModule(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
 }
 
-// begun is a long answer whose beginning has come.
-type begun struct {
+// streamBegan is a long answer whose beginning has come.
+type streamBegan struct {
 	attempt *state.Attempt
 	link    *httpwire.Link
 	reply   *httpwire.Reply
 }
 
 // handle gives it to its caller, who takes the rest from the endpoint's connection.
-func (b begun) handle(e *Engine) {
+func (b streamBegan) handle(e *Engine) {
 	a := b.attempt
 	if a.Settled || a.Request.Done {
-		exchanged{
-			attempt: a, link: b.link, ended: httpwire.ReasonGivenUp, outcome: decide.Served, reply: b.reply,
+		exchangeEnded{
+			attempt: a, link: b.link, endReason: httpwire.ReasonGivenUp, outcome: decide.Served, reply: b.reply,
 		}.handle(e)
 		return
 	}
-	e.passing[b.reply.Stream] = struct{}{}
+	e.streams[b.reply.Stream] = struct{}{}
 	b.reply.Stream.Class = a.Request.Message.Class
-	b.reply.Stream.OnEnd(func(how httpwire.AnswerEnd) { e.post(passed{b, how}) })
-	e.tell(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
+	b.reply.Stream.OnEnd(func(how httpwire.AnswerEnd) { e.post(streamEnded{b, how}) })
+	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 	e.settle(a, decide.Served, b.reply)
-	if e.give != nil {
-		b.reply.Stream.HandOver(e.give)
+	if e.handOverFunc != nil {
+		b.reply.Stream.HandOver(e.handOverFunc)
 	}
 }
 
-// passed is a long answer that has come to an end.
-type passed struct {
-	begun
-	how httpwire.AnswerEnd
+// streamEnded is a long answer that has come to an end.
+type streamEnded struct {
+	streamBegan
+	end httpwire.AnswerEnd
 }
 
-func (p passed) handle(e *Engine) {
-	delete(e.passing, p.reply.Stream)
-	to, ended, end := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
+func (p streamEnded) handle(e *Engine) {
+	delete(e.streams, p.reply.Stream)
+	endpoint, endReason, counted := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
 	switch {
-	case p.how == httpwire.AnswerBrokenOff:
-		ended, end = httpwire.ReasonBroken, metrics.Failed
-	case p.how == httpwire.AnswerHandedOver:
-		ended, end = httpwire.ReasonHandedOver, metrics.CallerLeft // it counts where it ends
-	case p.how == httpwire.AnswerCallerGone:
-		ended, end = httpwire.ReasonCallerLeft, metrics.CallerLeft
+	case p.end == httpwire.AnswerBrokenOff:
+		endReason, counted = httpwire.ReasonBroken, metrics.Failed
+	case p.end == httpwire.AnswerHandedOver:
+		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // it counts where it ends
+	case p.end == httpwire.AnswerCallerGone:
+		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
 	case p.reply.Close:
-		ended = httpwire.ReasonPeerClose
+		endReason = httpwire.ReasonPeerClose
 	}
-	if ended == "" {
-		e.pool.Put(to, p.link, e.clock.Now())
+	if endReason == "" {
+		e.pool.Put(endpoint, p.link, e.clock.Now())
 	} else {
-		e.pool.Drop(to, p.link, ended)
+		e.pool.Drop(endpoint, p.link, endReason)
 	}
 	p.attempt.GiveUp() // frees what belongs to its context
-	e.board.Count(p.attempt.Request.Message.Class, end)
-	if p.how == httpwire.AnswerBrokenOff {
-		e.tell(decide.Event{Kind: decide.StreamBroke, Endpoint: to.ID})
+	e.metrics.Count(p.attempt.Request.Message.Class, counted)
+	if p.end == httpwire.AnswerBrokenOff {
+		e.notifyModule(decide.Event{Kind: decide.StreamBroke, Endpoint: endpoint.ID})
 	}
 }
 
 // HandOverAnswers has all long answers on their way given to another process, and those that
 // begin from now on.
-func (e *Engine) HandOverAnswers(give httpwire.HandOverFunc) { e.post(handOver{give}) }
+func (e *Engine) HandOverAnswers(handOverFunc httpwire.HandOverFunc) {
+	e.post(handOverStreams{handOverFunc})
+}
 
-type handOver struct{ give httpwire.HandOverFunc }
+type handOverStreams struct{ handOverFunc httpwire.HandOverFunc }
 
-func (h handOver) handle(e *Engine) {
-	e.give = h.give
-	for rest := range e.passing {
-		rest.HandOver(h.give)
+func (h handOverStreams) handle(e *Engine) {
+	e.handOverFunc = h.handOverFunc
+	for stream := range e.streams {
+		stream.HandOver(h.handOverFunc)
 	}
 }
 
 // ResumeAnswer passes on, in a goroutine of its own, what another process has begun to. It
 // ends with the answer, or when one side stands still.
-func (e *Engine) ResumeAnswer(over *httpwire.AnswerHandover, caller, endpoint net.Conn) {
-	e.board.Active.Add(1)
-	e.goingOn.Add(1)
-	e.world.Go("go on", func() {
-		defer e.goingOn.Add(-1)
+func (e *Engine) ResumeAnswer(handover *httpwire.AnswerHandover, caller, endpoint net.Conn) {
+	e.metrics.Active.Add(1)
+	e.resuming.Add(1)
+	e.env.Go("go on", func() {
+		defer e.resuming.Add(-1)
 		end := metrics.CallerLeft
-		switch httpwire.ResumeAnswer(over, caller, endpoint, e.world) {
+		switch httpwire.ResumeAnswer(handover, caller, endpoint, e.env) {
 		case httpwire.AnswerComplete:
 			end = metrics.Served
 		case httpwire.AnswerBrokenOff:
 			end = metrics.Failed
 		}
-		e.board.Active.Add(-1)
-		e.board.Count(over.Class, end)
-		e.goneOn.Add(1)
-		e.log.Info().Str("class", over.Class).Uint8("end", uint8(end)).Msg("went on with a long answer")
+		e.metrics.Active.Add(-1)
+		e.metrics.Count(handover.Class, end)
+		e.resumed.Add(1)
+		e.log.Info().Str("class", handover.Class).Uint8("end", uint8(end)).Msg("went on with a long answer")
 	})
 }
--- a/internal/pipeline/requestlog.go
+++ b/internal/pipeline/requestlog.go
@@ -19,22 +19,22 @@
 	reasonTooManyCallers = "too_many_callers" // more callers' connections in use than there is room for
 )
 
-// requestLinesMost bounds the lines on requests in a second: a flood of refusals must not cost what serving does.
-const requestLinesMost = 20
+// maxRequestLinesPerSecond bounds the lines on requests in a second: a flood of refusals must not cost what serving does.
+const maxRequestLinesPerSecond = 20
 
-// lineBudget lets so many lines a second through and counts the others.
-type lineBudget struct {
-	from       decide.Time // when the present second began
-	written    int
-	suppressed int // since the last line that was written
+// logLimiter lets so many lines a second through and counts the others.
+type logLimiter struct {
+	windowStart decide.Time // when the present second began
+	written     int
+	suppressed  int // since the last line that was written
 }
 
-// take tells whether a line may be written, and how many were not since the last one.
-func (b *lineBudget) take(now decide.Time) (suppressed int, ok bool) {
-	if now-b.from >= time.Second {
-		b.from, b.written = now, 0
+// allow tells whether a line may be written, and how many were not since the last one.
+func (b *logLimiter) allow(now decide.Time) (suppressed int, ok bool) {
+	if now-b.windowStart >= time.Second {
+		b.windowStart, b.written = now, 0
 	}
-	if b.written >= requestLinesMost {
+	if b.written >= maxRequestLinesPerSecond {
 		b.suppressed++
 		return 0, false
 	}
@@ -43,10 +43,10 @@
 	return suppressed, true
 }
 
-// logEnd writes the line of a request that is refused or failed.
-func (e *Engine) logEnd(r *state.Request, end, why string) {
-	if suppressed, ok := e.requestLines.take(e.clock.Now()); ok {
-		e.requestLine(r, suppressed).Str("end", end).Str("reason", why).Msg("request not served")
+// logNotServed writes the line of a request that is refused or failed.
+func (e *Engine) logNotServed(r *state.Request, end, reason string) {
+	if suppressed, ok := e.requestLogLimit.allow(e.clock.Now()); ok {
+		e.requestLine(r, suppressed).Str("end", end).Str("reason", reason).Msg("request not served")
 	}
 }
 
@@ -55,36 +55,36 @@
 	if a.Reason == decide.NoReason {
 		return
 	}
-	if suppressed, ok := e.requestLines.take(e.clock.Now()); ok {
+	if suppressed, ok := e.requestLogLimit.allow(e.clock.Now()); ok {
 		line := e.requestLine(r, suppressed).Str("reason", a.Reason.String())
-		if to := e.endpoints.Get(a.Endpoint); to != nil {
-			line.Str("to", to.Name)
+		if endpoint := e.endpoints.Get(a.Endpoint); endpoint != nil {
+			line.Str("to", endpoint.Name)
 		}
 		line.Msg("request sent again")
 	}
 }
 
-// logTurnedAway writes the line of a request that the module is not asked about.
-func (e *Engine) logTurnedAway(a *arrival) {
-	why := reasonTooManyOpen
+// logRejected writes the line of a request that the module is not asked about.
+func (e *Engine) logRejected(a *arrival) {
+	reason := reasonTooManyOpen
 	switch {
 	case e.stopping:
-		why = reasonProcessEnds
+		reason = reasonProcessEnds
 	case a.crowded:
-		why = reasonTooManyCallers
+		reason = reasonTooManyCallers
 	}
-	if suppressed, ok := e.requestLines.take(e.clock.Now()); ok {
+	if suppressed, ok := e.requestLogLimit.allow(e.clock.Now()); ok {
 		e.log.Info().Str("request", a.message.ID).Str("class", a.message.Class).Int("suppressed", suppressed).
-			Str("end", "refused").Str("reason", why).Msg("request not served")
+			Str("end", "refused").Str("reason", reason).Msg("request not served")
 	}
 }
 
 // requestLine begins a line on a request: its attempts, and the list by which they were sent.
 func (e *Engine) requestLine(r *state.Request, suppressed int) *zerolog.Event {
 	line := e.log.Info().Str("request", r.Message.ID).Str("class", r.Message.Class).
-		Int64("left_ms", (r.Deadline-e.clock.Now()).Milliseconds()).Int64("list", e.index)
-	if e.unheard.since > 0 {
-		line.Int64("list_unheard_ms", (e.clock.Now() - e.unheard.since).Milliseconds())
+		Int64("left_ms", (r.Deadline-e.clock.Now()).Milliseconds()).Int64("list", e.listVersion)
+	if e.staleness.since > 0 {
+		line.Int64("list_unheard_ms", (e.clock.Now() - e.staleness.since).Milliseconds())
 	}
 	if suppressed > 0 {
 		line.Int("suppressed", suppressed)
--- a/internal/pipeline/requestlog_test.go
+++ b/internal/pipeline/requestlog_test.go
@@ -26,8 +26,8 @@
 func TestRequestsThatAreNotServedAreLogged(t *testing.T) {
 	var log bytes.Buffer
 	e := testEngine(t)
-	e.log, e.index = zerolog.New(&log), 7
-	id := e.update(listOf("s", "127.0.0.1:1", decide.Active))[0].ID
+	e.log, e.listVersion = zerolog.New(&log), 7
+	id := e.updateEndpoints(listOf("s", "127.0.0.1:1", decide.Active))[0].ID
 	until := e.clock.Now() + time.Minute
 	r := e.requests.Add(&httpwire.Request{ID: "txn-1", Class: "look"}, until, make(chan httpwire.Answer, 1))
 	first := e.requests.Begin(r, e.endpoints.Get(id), e.clock.Now(), until)
@@ -36,7 +36,7 @@
 
 	e.logRetry(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
 	e.logRetry(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id, Reason: decide.Retried})
-	e.act(decide.Action{Kind: decide.Refuse, Request: r.ID, Reason: decide.NoRetryToken})
+	e.perform(decide.Action{Kind: decide.Refuse, Request: r.ID, Reason: decide.NoRetryToken})
 	if n := e.counters.Reasons[decide.NoRetryToken]; n != 1 {
 		t.Errorf("counted %d times, want once", n)
 	}
@@ -59,14 +59,14 @@
 }
 
 func TestLinesOnRequestsAreBounded(t *testing.T) {
-	var budget lineBudget
+	var budget logLimiter
 	written, suppressed := 0, 0
 	for now := decide.Time(0); now < 3*time.Second; now += time.Millisecond {
-		if n, ok := budget.take(now + time.Hour); ok {
+		if n, ok := budget.allow(now + time.Hour); ok {
 			written, suppressed = written+1, suppressed+n
 		}
 	}
-	if written != 3*requestLinesMost || suppressed+budget.suppressed+written != 3000 {
+	if written != 3*maxRequestLinesPerSecond || suppressed+budget.suppressed+written != 3000 {
 		t.Errorf("%d lines and %d that tell of others, of 3000 in 3 s", written, suppressed+budget.suppressed)
 	}
 }
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -9,36 +9,36 @@
 
 // Route: the module is told what has happened, and what it decides is done.
 
-// tell hands an event to the module and does what it decides. What comes of
+// notifyModule hands an event to the module and does what it decides. What comes of
 // that, such as the outcome of a canceled attempt, is told after it.
-func (e *Engine) tell(ev decide.Event) {
-	e.pending = append(e.pending, ev)
-	if e.telling {
+func (e *Engine) notifyModule(ev decide.Event) {
+	e.pendingEvents = append(e.pendingEvents, ev)
+	if e.handlingEvents {
 		return
 	}
-	e.telling = true
-	for len(e.pending) > 0 {
+	e.handlingEvents = true
+	for len(e.pendingEvents) > 0 {
 		if e.rules != nil {
-			e.heed()
+			e.applyRules()
 		}
-		next := e.pending[0]
-		e.pending = e.pending[1:]
+		next := e.pendingEvents[0]
+		e.pendingEvents = e.pendingEvents[1:]
 		e.actions = e.balancer.Handle(e.clock.Now(), &next, e.actions[:0])
 		for _, a := range e.actions {
-			e.act(a)
+			e.perform(a)
 		}
 	}
-	e.pending = e.pending[:0]
-	e.telling = false
+	e.pendingEvents = e.pendingEvents[:0]
+	e.handlingEvents = false
 }
 
-// act does one thing that the module has decided.
-func (e *Engine) act(a decide.Action) {
+// perform does one thing that the module has decided.
+func (e *Engine) perform(a decide.Action) {
 	switch a.Kind {
 	case decide.SetTimer:
 		// The module arms its timer anew each time that one is due, so that only
 		// the newest counts.
-		e.moduleDue = e.clock.Now() + a.After
+		e.moduleTimerAt = e.clock.Now() + a.After
 		return
 	case decide.WatchList:
 		e.startWatch()
@@ -60,10 +60,10 @@
 	case decide.Cancel:
 		e.cancel(r, a.Attempt)
 	case decide.Refuse:
-		e.logEnd(r, "refused", a.Reason.String())
+		e.logNotServed(r, "refused", a.Reason.String())
 		e.relay(r, httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: a.After})
 	case decide.Fail:
-		e.logEnd(r, "failed", a.Reason.String())
+		e.logNotServed(r, "failed", a.Reason.String())
 		e.relay(r, httpwire.Answer{Verdict: httpwire.Failed})
 	default:
 		panic(fmt.Sprintf("pipeline: action of unknown kind %d", a.Kind))
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -25,48 +25,48 @@
 // RulesSource tell what holds now. They cost no I/O, and any goroutine may ask.
 type RulesSource interface{ Effective() *EffectiveRules }
 
-// errCrewBans is the answer to who would lift by hand what all have agreed on.
-var errCrewBans = errors.New("the crew's version bans it; propose one without")
+// errBannedByCluster is the answer to who would lift by hand what all have agreed on.
+var errBannedByCluster = errors.New("the crew's version bans it; propose one without")
 
-// heed puts in force what holds now, ahead of all that the module is still to be told.
-func (e *Engine) heed() {
-	acting := e.rules.Effective()
-	if acting.Generation == e.acting.Generation {
+// applyRules puts in force what holds now, ahead of all that the module is still to be told.
+func (e *Engine) applyRules() {
+	effective := e.rules.Effective()
+	if effective.Generation == e.effective.Generation {
 		return
 	}
-	before := e.acting
-	e.acting = acting
-	events := []decide.Event{{Kind: decide.SettingsChanged, Dynamic: acting.Dynamic}}
+	before := e.effective
+	e.effective = effective
+	events := []decide.Event{{Kind: decide.SettingsChanged, Dynamic: effective.Dynamic}}
 	for _, name := range slices.Sorted(maps.Keys(before.Banned)) {
-		if !acting.Banned[name] {
-			events = e.crewBan(events, name, false)
+		if !effective.Banned[name] {
+			events = e.applyClusterBan(events, name, false)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(acting.Banned)) {
+	for _, name := range slices.Sorted(maps.Keys(effective.Banned)) {
 		if !before.Banned[name] {
-			events = e.crewBan(events, name, true)
+			events = e.applyClusterBan(events, name, true)
 		}
 	}
-	if !acting.Cautious && len(e.withheld) > 0 {
-		list := &httpwire.List{Index: e.index}
+	if !effective.Cautious && len(e.withheld) > 0 {
+		list := &httpwire.List{Index: e.listVersion}
 		for _, name := range slices.Sorted(maps.Keys(e.withheld)) {
 			list.Endpoints = append(list.Endpoints, e.withheld[name])
 		}
 		clear(e.withheld)
-		events = append(events, decide.Event{Kind: decide.ListChanged, Endpoints: e.update(list)})
+		events = append(events, decide.Event{Kind: decide.ListChanged, Endpoints: e.updateEndpoints(list)})
 	}
-	e.pending = slices.Insert(e.pending, 0, events...)
-	e.takeStock()
+	e.pendingEvents = slices.Insert(e.pendingEvents, 0, events...)
+	e.updateListMetrics()
 }
 
-// crewBan books a ban that the crew has agreed on, or its end. One by hand stands beside it.
-func (e *Engine) crewBan(events []decide.Event, name string, on bool) []decide.Event {
-	byHand, byCrew := e.byCrew[name]
+// applyClusterBan books a ban that the crew has agreed on, or its end. One by hand stands beside it.
+func (e *Engine) applyClusterBan(events []decide.Event, name string, on bool) []decide.Event {
+	byHand, byCrew := e.clusterBans[name]
 	if !byCrew {
 		byHand = slices.Contains(e.endpoints.Banned(), name)
 	}
-	if e.byCrew[name] = byHand; !on {
-		delete(e.byCrew, name)
+	if e.clusterBans[name] = byHand; !on {
+		delete(e.clusterBans, name)
 	}
 	if byHand {
 		return events
@@ -80,33 +80,33 @@
 	kind := decide.Unbanned
 	if on {
 		kind = decide.Banned
-		if to := e.endpoints.Get(id); to != nil {
-			e.pool.DropAll(to, httpwire.ReasonBanned)
+		if endpoint := e.endpoints.Get(id); endpoint != nil {
+			e.pool.DropAll(endpoint, httpwire.ReasonBanned)
 		}
 	}
 	return append(events, decide.Event{Kind: kind, Endpoint: id})
 }
 
-// handBan tells whether a ban by hand, or its end, is settled by what the crew bans.
-func (e *Engine) handBan(c *banCall) (settled bool) {
-	if _, byCrew := e.byCrew[c.name]; !byCrew {
+// banByHand tells whether a ban by hand, or its end, is settled by what the crew bans.
+func (e *Engine) banByHand(c *banCall) (settled bool) {
+	if _, byCrew := e.clusterBans[c.name]; !byCrew {
 		return false
 	}
-	e.byCrew[c.name] = c.on
+	e.clusterBans[c.name] = c.on
 	var err error
 	if !c.on {
-		err = fmt.Errorf("endpoint %.64q: %w", c.name, errCrewBans)
+		err = fmt.Errorf("endpoint %.64q: %w", c.name, errBannedByCluster)
 	}
 	c.done <- err
 	return true
 }
 
-// mayWrite tells whether an attempt may still be written under what holds now: it may have been decided on long ago, by a
+// rulesAllowWrite tells whether an attempt may still be written under what holds now: it may have been decided on long ago, by a
 // process that was paused since. A first attempt may, but for a ban; what comes after it was allowed by rules that are no
 // more, and is decided anew.
-func (e *Engine) mayWrite(a *state.Attempt) bool {
-	acting := e.rules.Effective()
-	return acting.Generation == a.Generation || a.Number == 0 && !acting.Banned[a.Endpoint.Name]
+func (e *Engine) rulesAllowWrite(a *state.Attempt) bool {
+	effective := e.rules.Effective()
+	return effective.Generation == a.Generation || a.Number == 0 && !effective.Banned[a.Endpoint.Name]
 }
 
 // withhold keeps back the lines of a list that would bring in endpoints while nobody can tell whether a version bans or
@@ -118,14 +118,14 @@
 		})
 		return list
 	}
-	out := *list
-	out.Endpoints = nil
-	for _, line := range list.Endpoints {
-		if e.endpoints.Known(line.Name) {
-			out.Endpoints = append(out.Endpoints, line)
+	known := *list
+	known.Endpoints = nil
+	for _, entry := range list.Endpoints {
+		if e.endpoints.Known(entry.Name) {
+			known.Endpoints = append(known.Endpoints, entry)
 			continue
 		}
-		e.withheld[line.Name] = line
+		e.withheld[entry.Name] = entry
 	}
-	return &out
+	return &known
 }
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -55,7 +55,7 @@
 		{"its endpoint is banned", 0, EffectiveRules{Generation: 2, Banned: map[string]bool{"e": true}}, false},
 	} {
 		rules.acting = &c.now
-		if got := e.mayWrite(&state.Attempt{Number: c.number, Endpoint: to, Generation: 1}); got != c.want {
+		if got := e.rulesAllowWrite(&state.Attempt{Number: c.number, Endpoint: to, Generation: 1}); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
 	}
@@ -72,7 +72,7 @@
 		return out
 	}
 	hand := func(on bool) error {
-		c := banCall{name: "e", on: on, seen: true, done: make(chan error, 1)}
+		c := banCall{name: "e", on: on, known: true, done: make(chan error, 1)}
 		c.handle(e)
 		return <-c.done
 	}
@@ -82,7 +82,7 @@
 			a.Banned[name] = true
 		}
 		rules.acting = a
-		e.tell(decide.Event{Kind: decide.TimerDue})
+		e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	}
 	const due = decide.TimerDue
 	for i, step := range []struct {
@@ -90,7 +90,7 @@
 		want []decide.EventKind
 	}{
 		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}},
-		{func() { e.tell(decide.Event{Kind: due}) }, []decide.EventKind{due}},
+		{func() { e.notifyModule(decide.Event{Kind: due}) }, []decide.EventKind{due}},
 		{func() { next("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() { hand(true) }, nil},
 		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}}, // by hand it stays banned
@@ -130,20 +130,20 @@
 		rules.acting = &EffectiveRules{Generation: rules.acting.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Cautious: cautious}
 	}
 	say(true)
-	e.takeList(list(true, "a", "b"), decide.ListReplaced) // a process's first list is taken whole
-	e.takeList(list(false, "c"), decide.ListChanged)
+	e.applyList(list(true, "a", "b"), decide.ListReplaced) // a process's first list is taken whole
+	e.applyList(list(false, "c"), decide.ListChanged)
 	if got := names(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("cut off: %v", got)
 	}
 	say(false)
-	e.tell(decide.Event{Kind: decide.TimerDue})
+	e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	if got := names(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("whole again: %v", got)
 	}
 	say(true)
-	e.takeList(list(false, "d"), decide.ListChanged)
+	e.applyList(list(false, "d"), decide.ListChanged)
 	say(false)
-	e.takeList(list(true, "a"), decide.ListReplaced) // d has left meanwhile
+	e.applyList(list(true, "a"), decide.ListReplaced) // d has left meanwhile
 	if got := names(); !slices.Equal(got, []string{"a"}) || len(e.withheld) != 0 {
 		t.Errorf("a whole list: %v, %v withheld", got, e.withheld)
 	}
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -19,28 +19,28 @@
 // send begins an attempt.
 func (e *Engine) send(r *state.Request, a decide.Action) {
 	now := e.clock.Now()
-	until := r.Deadline
+	timeoutAt := r.Deadline
 	if a.After != 0 {
-		until = min(until, now+a.After)
+		timeoutAt = min(timeoutAt, now+a.After)
 	}
-	to := e.endpoints.Get(a.Endpoint)
+	endpoint := e.endpoints.Get(a.Endpoint)
 	notAfter := e.windowEnd(r)
-	attempt := e.requests.Begin(r, to, now, until)
+	attempt := e.requests.Begin(r, endpoint, now, timeoutAt)
 	attempt.NotAfter = earlier(notAfter, a.NotAfter)
 	if e.rules != nil {
-		attempt.Generation = e.acting.Generation
+		attempt.Generation = e.effective.Generation
 	}
 	switch {
 	case r.Done, r.Deadline <= now:
 		e.settle(attempt, decide.NotSent, nil)
 		return
-	case to == nil: // it has left the list since
+	case endpoint == nil: // it has left the list since
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
-	link, ok := e.pool.Take(to, now)
+	link, ok := e.pool.Take(endpoint, now)
 	if !ok {
-		e.log.Warn().Str("peer", to.Name).Int("open", e.pool.Open()).Msg("no room for a connection")
+		e.log.Warn().Str("peer", endpoint.Name).Int("open", e.pool.Open()).Msg("no room for a connection")
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
@@ -51,8 +51,8 @@
 	var ctx context.Context
 	ctx, attempt.GiveUp = context.WithCancel(context.Background())
 	e.timeouts.Add(attempt)
-	address := to.Address // as it is now: the line may change
-	e.world.Go("exchange", func() { e.exchange(ctx, attempt, link, address) })
+	address := endpoint.Address // as it is now: the line may change
+	e.env.Go("exchange", func() { e.exchange(ctx, attempt, link, address) })
 }
 
 // earlier is the earlier of two bounds, each 0 for none.
@@ -70,9 +70,9 @@
 	}
 	class := e.conf.Classes[r.Message.Class]
 	rule := decide.DynamicClass{Effect: class.Effect, Window: class.Window}
-	if e.acting != nil && e.acting.Dynamic != nil {
-		if ruled, ok := e.acting.Dynamic.Classes[r.Message.Class]; ok && ruled.Effect != decide.EffectUnset {
-			rule = ruled
+	if e.effective != nil && e.effective.Dynamic != nil {
+		if dynamic, ok := e.effective.Dynamic.Classes[r.Message.Class]; ok && dynamic.Effect != decide.EffectUnset {
+			rule = dynamic
 		}
 	}
 	if rule.Effect != decide.Keyed {
@@ -81,65 +81,65 @@
 	return r.WindowEnd(rule.Window)
 }
 
-// exchanged is how an exchange has ended: its connection, and its outcome.
-type exchanged struct {
-	attempt *state.Attempt
-	link    *httpwire.Link // nil if it never came up
-	ended   httpwire.Reason
-	outcome decide.Outcome
-	reply   *httpwire.Reply // nil without an answer
+// exchangeEnded is how an exchange has ended: its connection, and its outcome.
+type exchangeEnded struct {
+	attempt   *state.Attempt
+	link      *httpwire.Link // nil if it never came up
+	endReason httpwire.Reason
+	outcome   decide.Outcome
+	reply     *httpwire.Reply // nil without an answer
 }
 
 // exchange carries one attempt in a goroutine of its own. The end of ctx, which
 // gives it up, ends its connection.
 func (e *Engine) exchange(ctx context.Context, a *state.Attempt, link *httpwire.Link, address string) {
-	done := exchanged{attempt: a, link: link}
+	end := exchangeEnded{attempt: a, link: link}
 	defer func() {
 		if ctx.Err() != nil {
-			done.ended = httpwire.ReasonGivenUp
+			end.endReason = httpwire.ReasonGivenUp
 		}
-		if done.reply != nil && done.reply.Stream != nil && ctx.Err() == nil {
-			e.post(begun{a, done.link, done.reply})
+		if end.reply != nil && end.reply.Stream != nil && ctx.Err() == nil {
+			e.post(streamBegan{a, end.link, end.reply})
 			return
 		}
-		e.post(done)
+		e.post(end)
 	}()
-	link, done.ended = e.connect(ctx, link, address)
-	if done.link = link; done.ended != "" {
-		done.outcome = decide.ConnectFailed
+	link, end.endReason = e.connect(ctx, link, address)
+	if end.link = link; end.endReason != "" {
+		end.outcome = decide.ConnectFailed
 		return
 	}
 	upload := a.Request.Message.Upload
-	var may bool
-	if done.outcome, may = e.lastLook(a); !may {
+	var mayWrite bool
+	if end.outcome, mayWrite = e.checkBeforeWrite(a); !mayWrite {
 		return
 	}
 	if !a.Write() || upload != nil && !upload.Claim() {
-		done.outcome = decide.NotSent // its request has ended while the connection was being made
+		end.outcome = decide.NotSent // its request has ended while the connection was being made
 		return
 	}
 	stop := context.AfterFunc(ctx, link.Close)
 	defer stop()
 	if err := e.write(a, link, upload); err != nil {
-		done.outcome, done.ended = decide.ConnectFailed, httpwire.ReasonNotWritten
+		end.outcome, end.endReason = decide.ConnectFailed, httpwire.ReasonNotWritten
 		return
 	}
-	e.board.Attempts.Add(1)
-	reply, err := link.Receive(e.room, e.world)
+	e.metrics.Attempts.Add(1)
+	reply, err := link.Receive(e.answerMemory, e.env)
 	if err != nil {
-		done.outcome, done.ended = decide.Reset, httpwire.ReasonBroken
+		end.outcome, end.endReason = decide.Reset, httpwire.ReasonBroken
 		return
 	}
-	done.outcome, done.reply = reply.Outcome, &reply
+	end.outcome, end.reply = reply.Outcome, &reply
 	if reply.Close {
-		done.ended = httpwire.ReasonPeerClose
+		end.endReason = httpwire.ReasonPeerClose
 	}
 }
 
-// lastLook tells whether what allowed an attempt still holds where its first byte is about to leave, and its outcome if
+// checkBeforeWrite tells whether what allowed an attempt still holds where its first byte is about to leave, and its outcome if
 // not: nothing has run then.
-func (e *Engine) lastLook(a *state.Attempt) (outcome decide.Outcome, may bool) {
-	if e.rules != nil && !e.mayWrite(a) {
+func (e *Engine) checkBeforeWrite(a *state.Attempt) (outcome decide.Outcome, mayWrite bool) {
+	if e.rules != nil && !e.rulesAllowWrite(a) {
 		return decide.NotSent, false
 	}
 	now := e.clock.Now()
@@ -161,14 +161,14 @@
 	}
 	// Guards against an attempt for a caller that has gone, however late its connection came up and however long word of
 	// that takes to the owner: it hears of it ahead of the attempt's outcome.
-	if !e.awaited(a) {
+	if !e.callerConnected(a) {
 		return decide.NotSent, false
 	}
 	return 0, true
 }
 
-// awaited tells whether an attempt's caller is still there. If not, the owner is told.
-func (e *Engine) awaited(a *state.Attempt) bool {
+// callerConnected tells whether an attempt's caller is still there. If not, the owner is told.
+func (e *Engine) callerConnected(a *state.Attempt) bool {
 	if a.Request.Caller == nil || !a.Request.Caller.Disconnected() {
 		return true
 	}
@@ -180,53 +180,53 @@
 func (e *Engine) write(a *state.Attempt, link *httpwire.Link, upload *httpwire.Upload) error {
 	wait := a.TimeoutAt - e.clock.Now()
 	message := httpwire.EncodeAttempt(a.Request.Message, wait)
-	whole, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
-	if whole {
+	written, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
+	if written {
 		err = nil // what comes of it shows when the answer is read
 	}
 	if err != nil || upload == nil {
 		return err
 	}
-	e.post(uploading{a})
-	if _, err := link.WriteUpload(upload, e.world); err != nil {
+	e.post(uploadBegan{a})
+	if _, err := link.WriteUpload(upload, e.env); err != nil {
 		if errors.Is(err, httpwire.ErrDisconnected) {
 			e.post(foundDisconnected{a.Request})
 		}
 		return err
 	}
-	e.post(uploaded{a})
-	return link.SetReadDeadline(e.world.Now().Add(a.Request.Message.Remaining + readSlack))
+	e.post(uploadEnded{a})
+	return link.SetReadDeadline(e.env.Now().Add(a.Request.Message.Remaining + readSlack))
 }
 
-// uploading is an attempt that has begun to take the rest of a long body. It can't be
+// uploadBegan is an attempt that has begun to take the rest of a long body. It can't be
 // sent again; how fast its caller sends bounds it, not its deadline.
-type uploading struct{ attempt *state.Attempt }
+type uploadBegan struct{ attempt *state.Attempt }
 
-func (u uploading) handle(e *Engine) {
+func (u uploadBegan) handle(e *Engine) {
 	a := u.attempt
 	if a.Settled {
 		return
 	}
-	e.restart(a, mostUpload)
-	e.tell(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
+	e.restartTimeout(a, maxUploadTime)
+	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 }
 
-// mostUpload is past the time that the longest body takes at the least rate.
-const mostUpload = 20 * time.Minute
+// maxUploadTime is past the time that the longest body takes at the least rate.
+const maxUploadTime = 20 * time.Minute
 
-// uploaded is an attempt whose last byte is written: its time counts from here.
-type uploaded struct{ attempt *state.Attempt }
+// uploadEnded is an attempt whose last byte is written: its time counts from here.
+type uploadEnded struct{ attempt *state.Attempt }
 
-func (u uploaded) handle(e *Engine) {
+func (u uploadEnded) handle(e *Engine) {
 	if a := u.attempt; !a.Settled {
 		a.Sent = e.clock.Now()
-		e.restart(a, a.Request.Message.Remaining)
-		e.tell(decide.Event{Kind: decide.BodyReceived, Request: a.Request.ID, Attempt: a.Number})
+		e.restartTimeout(a, a.Request.Message.Remaining)
+		e.notifyModule(decide.Event{Kind: decide.BodyReceived, Request: a.Request.ID, Attempt: a.Number})
 	}
 }
 
-// restart gives an attempt, and its request, so much time from now on.
-func (e *Engine) restart(a *state.Attempt, left decide.Time) {
+// restartTimeout gives an attempt, and its request, so much time from now on.
+func (e *Engine) restartTimeout(a *state.Attempt, left decide.Time) {
 	e.timeouts.Remove(a)
 	a.TimeoutAt = e.clock.Now() + left
 	a.Request.Deadline = a.TimeoutAt
@@ -236,7 +236,7 @@
 // connect returns the idle connection that the owner took, or a new one where that is nil, and why it is of no use.
 func (e *Engine) connect(ctx context.Context, link *httpwire.Link, address string) (*httpwire.Link, httpwire.Reason) {
 	if link == nil {
-		link, err := httpwire.Dial(ctx, e.world, address, e.conf.ConnectTimeout)
+		link, err := httpwire.Dial(ctx, e.env, address, e.conf.ConnectTimeout)
 		if err != nil {
 			return nil, httpwire.ReasonDialFailed
 		}
--- a/internal/pipeline/takein.go
+++ b/internal/pipeline/takein.go
@@ -21,21 +21,21 @@
 	if conn == nil {
 		panic("pipeline: a connection that Callers did not accept")
 	}
-	taken, active := 0, int64(0)
+	reserved, active := 0, int64(0)
 	if string(ctx.Path()) == httpwire.ReadyPath && ctx.IsGet() {
 		e.answerReady(ctx)
 	} else {
 		answer, counted := e.takeIn(ctx, conn)
-		taken = answer.Reserved
+		reserved = answer.Reserved
 		if counted {
 			active = 1
 		}
-		if rest := answer.Stream; rest != nil && !ctx.Request.Header.IsHTTP11() && rest.Length < 0 {
-			rest.Close() // there is no way to tell its end but the connection's
+		if stream := answer.Stream; stream != nil && !ctx.Request.Header.IsHTTP11() && stream.Length < 0 {
+			stream.Close() // there is no way to tell its end but the connection's
 			answer.Verdict, answer.Stream, answer.CloseAfter = httpwire.Failed, nil, true
-		} else if rest != nil {
-			rest.WithLength = !ctx.Request.Header.IsHTTP11()
-			rest.SetConn(conn)
+		} else if stream != nil {
+			stream.WithLength = !ctx.Request.Header.IsHTTP11()
+			stream.SetConn(conn)
 		}
 		httpwire.EncodeAnswer(&answer, &ctx.Response)
 		// What follows what is malformed may be a part of it.
@@ -47,8 +47,8 @@
 		ctx.SetConnectionClose()
 	}
 	conn.MarkAnswered(func() {
-		e.room.Release(taken)
-		e.board.Active.Add(-active)
+		e.answerMemory.Release(reserved)
+		e.metrics.Active.Add(-active)
 	})
 }
 
@@ -64,7 +64,7 @@
 func (e *Engine) takeIn(ctx *fasthttp.RequestCtx, conn *httpwire.CallerConn) (answer httpwire.Answer, counted bool) {
 	message, err := httpwire.DecodeRequest(&ctx.Request)
 	if err == nil {
-		err = e.check(&message)
+		err = e.validate(&message)
 	}
 	if err == nil {
 		message.Body, message.Upload, err = httpwire.ReadBody(ctx, conn)
@@ -76,22 +76,22 @@
 		}
 		return httpwire.Answer{Verdict: httpwire.Malformed, Reason: err.Error()}, false
 	}
-	if most := e.conf.Classes[message.Class].Deadline; most > 0 {
+	if maxDeadline := e.conf.Classes[message.Class].Deadline; maxDeadline > 0 {
 		// Guards against times that no client of the class has: what is kept for a
 		// request, the module's timers with it, is kept until then.
-		message.Remaining = min(message.Remaining, most)
+		message.Remaining = min(message.Remaining, maxDeadline)
 	}
 	crowded := conn.Crowded()
 	if message.Upload == nil {
 		// From here on its caller is watched: a claim may take its time, too.
-		w := &waiting{}
-		conn.Watch(func() { w.leave(e) })
+		caller := &waitingCaller{}
+		conn.Watch(func() { caller.disconnect(e) })
 		defer conn.Unwatch()
-		return e.awaitWhole(&message, conn, crowded, w)
+		return e.awaitBuffered(&message, conn, crowded, caller)
 	}
 	if e.holdings != nil && e.holdings.Holds(message.Class) {
-		_, known := e.open(&message)
-		return *known, false
+		_, answer := e.claimKey(&message)
+		return *answer, false
 	}
 	in := &arrival{
 		message: &message, deadline: e.clock.Now() + message.Remaining, caller: conn, crowded: crowded,
@@ -100,50 +100,50 @@
 	return e.awaitUpload(in, conn)
 }
 
-// awaitWhole claims a request that has come whole, if its class is held, hands it over and waits for its answer.
-func (e *Engine) awaitWhole(message *httpwire.Request, conn *httpwire.CallerConn, crowded bool, w *waiting) (answer httpwire.Answer, counted bool) {
-	var hold Claim
+// awaitBuffered claims a request that has come whole, if its class is held, hands it over and waits for its answer.
+func (e *Engine) awaitBuffered(message *httpwire.Request, conn *httpwire.CallerConn, crowded bool, caller *waitingCaller) (answer httpwire.Answer, counted bool) {
+	var claim Claim
 	if e.holdings != nil && e.holdings.Holds(message.Class) {
-		var known *httpwire.Answer
-		if hold, known = e.open(message); known != nil {
-			return *known, false
+		var knownAnswer *httpwire.Answer
+		if claim, knownAnswer = e.claimKey(message); knownAnswer != nil {
+			return *knownAnswer, false
 		}
 	}
 	in := &arrival{
 		message: message, deadline: e.clock.Now() + message.Remaining, caller: conn, crowded: crowded,
-		answer: make(chan httpwire.Answer, 1), hold: hold,
+		answer: make(chan httpwire.Answer, 1), claim: claim,
 	}
-	e.board.Active.Add(1)
-	w.admit(e, in)
+	e.metrics.Active.Add(1)
+	caller.admit(e, in)
 	answer = e.await(in)
-	if hold != nil {
-		answer = hold.Finish(answer, answer.MayHaveRun, max(endTime, in.deadline-e.clock.Now()+endTime))
+	if claim != nil {
+		answer = claim.Finish(answer, answer.MayHaveRun, max(outcomeReserve, in.deadline-e.clock.Now()+outcomeReserve))
 	}
 	return answer, true
 }
 
-// waiting is a caller that waits, and what it waits for once that has been handed over.
-type waiting struct {
-	mu   sync.Mutex
-	gone bool
-	in   *arrival
+// waitingCaller is a caller that waits, and what it waits for once that has been handed over.
+type waitingCaller struct {
+	mu      sync.Mutex
+	gone    bool
+	arrival *arrival
 }
 
-// leave books that it has gone.
-func (w *waiting) leave(e *Engine) {
+// disconnect books that it has gone.
+func (w *waitingCaller) disconnect(e *Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.gone = true
-	if w.in != nil {
-		e.post(callerDisconnected{w.in})
+	if w.arrival != nil {
+		e.post(callerDisconnected{w.arrival})
 	}
 }
 
 // admit hands over what it waits for; the owner hears that it has gone before or behind that, never between.
-func (w *waiting) admit(e *Engine, in *arrival) {
+func (w *waitingCaller) admit(e *Engine, in *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.in, in.gone = in, w.gone
+	w.arrival, in.callerGone = in, w.gone
 	e.post(in)
 }
 
@@ -178,16 +178,16 @@
 		answer.CloseAfter = true
 		return answer, false
 	}
-	e.board.Active.Add(1)
+	e.metrics.Active.Add(1)
 	conn.Watch(func() { e.post(callerDisconnected{in}) })
 	defer conn.Unwatch()
 	return e.await(in), true
 }
 
-// check turns down what no endpoint may see: a class that the settings do not
+// validate turns down what no endpoint may see: a class that the settings do not
 // have, a method that is not the class's, and a keyed request whose repeats no
 // endpoint could drop.
-func (e *Engine) check(message *httpwire.Request) error {
+func (e *Engine) validate(message *httpwire.Request) error {
 	class, ok := e.conf.Classes[message.Class]
 	switch {
 	case !ok:
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -22,7 +22,7 @@
 // quick are times of calls that make a silence short to wait for, and nothing else short.
 var quick = callTimes{
 	dial: 10 * time.Second, fetch: 100 * time.Millisecond, wait: 100 * time.Millisecond, spread: time.Nanosecond,
-	overdue: 50 * time.Millisecond, fresh: 100 * time.Millisecond, rest: 100 * time.Millisecond,
+	overdue: 50 * time.Millisecond, check: 100 * time.Millisecond, body: 100 * time.Millisecond,
 }
 
 // watchAt returns an engine that has begun to watch at a door, with version 7 known, and its first call there.
@@ -31,9 +31,9 @@
 	door := scripted.Listen(t)
 	e := testEngine(t)
 	e.watch = newWatch(door.Address, times)
-	e.watch.known, e.watch.index = true, 7
+	e.watch.hasList, e.watch.version = true, 7
 	t.Cleanup(func() {
-		e.watch.end()
+		e.watch.cancel()
 		close(e.stopped)
 	})
 	e.startWatch()
@@ -85,8 +85,8 @@
 			}
 			fresh.Send(scripted.OK(drained))
 			next(t, e)
-			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.index != 8 {
-				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.index)
+			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.listVersion != 8 {
+				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.listVersion)
 			}
 			if asked := fresh.ReadRequest().URL.RawQuery; asked != "after=8&wait_ms=100" {
 				t.Errorf("after it came %q, want the watch to go on", asked)
@@ -100,11 +100,11 @@
 	door := scripted.Listen(t)
 	e := testEngine(t)
 	e.watch = newWatch(door.Address, quick)
-	e.watch.known, e.watch.index = true, 7
+	e.watch.hasList, e.watch.version = true, 7
 	dials := 0
-	e.world = dialing{refuse: func() bool { dials++; return dials == 2 }}
+	e.env = dialing{refuse: func() bool { dials++; return dials == 2 }}
 	defer func() {
-		e.watch.end()
+		e.watch.cancel()
 		close(e.stopped)
 	}()
 	e.startWatch()
@@ -138,7 +138,7 @@
 // the module says when to go on. What is answered with a fault, or by nobody, is not asked for at once.
 func TestFreshCallsAreBounded(t *testing.T) {
 	e, door, _ := watchAt(t, quick)
-	for range freshCalls {
+	for range maxChecks {
 		door.Accept().ReadRequest()
 	}
 	next(t, e)
@@ -184,8 +184,8 @@
 		t.Run(name, func(t *testing.T) {
 			e, door, first := watchAt(t, quick)
 			var log strings.Builder
-			e.ends = zerolog.New(&log)
-			e.takeList(listOf("s", "127.0.0.1:1", decide.Active), decide.ListReplaced)
+			e.connLog = zerolog.New(&log)
+			e.applyList(listOf("s", "127.0.0.1:1", decide.Active), decide.ListReplaced)
 			before := e.endpoints.List()
 			first.Send(answer)
 			next(t, e)
@@ -196,8 +196,8 @@
 				!strings.Contains(log.String(), `"reason":"broken"`) || !strings.Contains(log.String(), `"error":"answer: `) {
 				t.Errorf("the log has %d lines: %s", lines, &log)
 			}
-			if e.watch.known != true || e.watch.index != 7 || door.HasPending() {
-				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.index, e.watch.known, door.HasPending())
+			if e.watch.hasList != true || e.watch.version != 7 || door.HasPending() {
+				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.version, e.watch.hasList, door.HasPending())
 			}
 		})
 	}
@@ -208,8 +208,8 @@
 func TestFreshCallsEndInTime(t *testing.T) {
 	const told, slack = 2 * time.Second, 50 * time.Millisecond // protocol: Figures, The rules on sockets
 	for _, grace := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, time.Second, 2 * time.Second} {
-		times := usualTimes(1, grace)
-		if last := times.overdue + freshCalls*(freshSpread+times.fresh); last > told+grace+slack {
+		times := newCallTimes(1, grace)
+		if last := times.overdue + maxChecks*(checkSpread+times.check); last > told+grace+slack {
 			t.Errorf("news may come %v after the wait, and %v are left", last, told+grace+slack)
 		}
 	}
@@ -220,7 +220,7 @@
 func TestNewDiscoveryWhileACallIsOut(t *testing.T) {
 	e, _, first := watchAt(t, quick)
 	second := scripted.Listen(t)
-	moved{second.Address}.handle(e)
+	discoveryMoved{second.Address}.handle(e)
 	call := second.Accept()
 	if asked := call.ReadRequest().URL.RawQuery; asked != "" {
 		t.Errorf("asked %q, want the whole list", asked)
@@ -232,8 +232,8 @@
 	for e.counters.Lists == 0 {
 		next(t, e)
 	}
-	if e.index != 3 || e.counters.ListFailures != 0 {
-		t.Errorf("version %d, %d failures", e.index, e.counters.ListFailures)
+	if e.listVersion != 3 || e.counters.ListFailures != 0 {
+		t.Errorf("version %d, %d failures", e.listVersion, e.counters.ListFailures)
 	}
 }
 
@@ -241,15 +241,15 @@
 // told at once.
 func TestPushedListsAreAskedForSoonAfterAnOutage(t *testing.T) {
 	e := testEngine(t)
-	e.watch = newWatch(scripted.FreeAddress(t), usualTimes(1, time.Second))
-	for _, most := range []time.Duration{backoffLeast, 2 * backoffLeast, backoffMost, backoffMost} {
+	e.watch = newWatch(scripted.FreeAddress(t), newCallTimes(1, time.Second))
+	for _, most := range []time.Duration{minBackoff, 2 * minBackoff, maxBackoff, maxBackoff} {
 		e.watch.running = true
-		listFailed{from: e.watch, within: time.Minute}.handle(e)
+		listCallFailed{watch: e.watch, retryWithin: time.Minute}.handle(e)
 		if e.backoff != most {
 			t.Errorf("%v, want %v", e.backoff, most)
 		}
 	}
-	listCame{e.watch, &httpwire.List{Index: 1}}.handle(e)
+	listReceived{e.watch, &httpwire.List{Index: 1}}.handle(e)
 	if e.backoff != 0 {
 		t.Errorf("after an answer still %v", e.backoff)
 	}
@@ -279,10 +279,10 @@
 		peers   int
 		refused bool
 		want    time.Duration
-	}{{10, true, 2 * backoffLeast}, {376, false, 2 * backoffLeast}, {376, true, least + spread}} {
+	}{{10, true, 2 * minBackoff}, {376, false, 2 * minBackoff}, {376, true, least + spread}} {
 		e, world := testEngine(t), &timed{}
-		e.world, e.conf.Settings.Peers = world, c.peers
-		listFailed{from: e.watch, within: time.Minute, refused: c.refused}.handle(e)
+		e.env, e.conf.Settings.Peers = world, c.peers
+		listCallFailed{watch: e.watch, retryWithin: time.Minute, refused: c.refused}.handle(e)
 		if len(world.set) != 1 || world.set[0] != c.want {
 			t.Errorf("%d instances, refused %v: the next call comes within %v, want %v", c.peers, c.refused, world.set, c.want)
 		}
@@ -298,8 +298,8 @@
 		spread time.Duration
 	}{{62, true, 0}, {376, false, 0}, {376, true, decide.MoveSpread(376)}} {
 		e, world := testEngine(t), &timed{}
-		e.world, e.conf.Settings.Peers, e.conf.Settings.MustPoll = world, c.peers, c.asks
-		moved{"another"}.handle(e)
+		e.env, e.conf.Settings.Peers, e.conf.Settings.MustPoll = world, c.peers, c.asks
+		discoveryMoved{"another"}.handle(e)
 		switch {
 		case c.spread == 0 && (world.runs != 1 || len(world.set) != 0):
 			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.asks, world.runs, world.set)
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -13,22 +13,22 @@
 
 // One call to discovery, and how it can fail.
 
-// errSilent is the failure of a call whose answer is overdue, or stands still.
-var errSilent = errors.New("silent")
+// errNoAnswerInTime is the failure of a call whose answer is overdue, or stands still.
+var errNoAnswerInTime = errors.New("silent")
 
-// errBack is the fault of changes to a version before the one that is known: discovery has begun anew.
-var errBack = errors.New("changes of an earlier version")
+// errEarlierVersion is the fault of changes to a version before the one that is known: discovery has begun anew.
+var errEarlierVersion = errors.New("changes of an earlier version")
 
-// lost tells whether a call has ended with no answer, or with one that builds on what this sidecar does not have: a
+// answerLost tells whether a call has ended with no answer, or with one that builds on what this sidecar does not have: a
 // fresh call may have what it missed. What was answered with a fault would be so again.
-func lost(err error) bool {
+func answerLost(err error) bool {
 	var broken *net.OpError
-	return errors.Is(err, errSilent) || errors.Is(err, errBack) || errors.Is(err, io.EOF) ||
+	return errors.Is(err, errNoAnswerInTime) || errors.Is(err, errEarlierVersion) || errors.Is(err, io.EOF) ||
 		errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken)
 }
 
-func callReason(err error) httpwire.Reason {
-	if errors.Is(err, errSilent) {
+func linkEndReason(err error) httpwire.Reason {
+	if errors.Is(err, errNoAnswerInTime) {
 		return httpwire.ReasonSilent
 	}
 	return httpwire.ReasonBroken
@@ -36,64 +36,64 @@
 
 // call makes one call to discovery: it fetches the whole list while there is
 // none, and else waits for what is newer; a fresh one hardly waits.
-func (w *watch) call(world env.Env, fresh bool) (list *httpwire.List, keep bool, err error) {
-	w.heard, w.answered = false, false
+func (w *watch) call(environment env.Env, check bool) (list *httpwire.List, keep bool, err error) {
+	w.answerBegan, w.answered = false, false
 	dial, message, limit := w.times.dial, httpwire.EncodeFetch(), w.times.fetch
-	w.last.kind = listFetch
-	if w.known {
-		wait := w.times.wait + world.RandomDuration(w.times.spread)
+	w.newest.kind = listFetch
+	if w.hasList {
+		wait := w.times.wait + environment.RandomDuration(w.times.spread)
 		limit = wait + w.times.overdue
-		w.last.kind = listWatch
-		if fresh {
-			dial, wait, limit = w.times.fresh/2, freshWait, w.times.fresh
-			w.last.kind = listCheck
+		w.newest.kind = listWatch
+		if check {
+			dial, wait, limit = w.times.check/2, checkWait, w.times.check
+			w.newest.kind = listCheck
 		}
-		w.last.after, w.last.wait = w.index, wait
-		message = httpwire.EncodeWatch(w.index, wait)
+		w.newest.after, w.newest.wait = w.version, wait
+		message = httpwire.EncodeWatch(w.version, wait)
 	}
-	until := world.Now().Add(limit)
+	deadline := environment.Now().Add(limit)
 	if w.link == nil {
-		link, err := httpwire.Dial(w.ended, world, w.address, dial)
+		link, err := httpwire.Dial(w.ctx, environment, w.address, dial)
 		if err != nil {
 			return nil, false, err
 		}
 		w.link = link
 	}
-	stop := context.AfterFunc(w.ended, w.link.Close)
+	stop := context.AfterFunc(w.ctx, w.link.Close)
 	defer stop()
-	if w.known && !fresh {
-		until = world.Now().Add(limit) // discovery's wait begins when it has the call
+	if w.hasList && !check {
+		deadline = environment.Now().Add(limit) // discovery's wait begins when it has the call
 	}
-	if _, err := w.link.Send(message, until); err != nil {
-		return nil, false, fmt.Errorf("writing: %w", overdue(err))
+	if _, err := w.link.Send(message, deadline); err != nil {
+		return nil, false, fmt.Errorf("writing: %w", markTimeout(err))
 	}
 	// Guards against a silence that is taken for a wait: the answer is due when its wait is over, not when it would
 	// count as told, and its rest soon after its first byte.
 	if _, err := w.link.Reader().Peek(1); err != nil {
-		return nil, false, fmt.Errorf("answer: %w", overdue(err))
+		return nil, false, fmt.Errorf("answer: %w", markTimeout(err))
 	}
-	w.heard, w.last.firstByte = true, world.Now()
-	if err := w.link.SetReadDeadline(world.Now().Add(w.times.rest)); err != nil {
+	w.answerBegan, w.newest.firstByte = true, environment.Now()
+	if err := w.link.SetReadDeadline(environment.Now().Add(w.times.body)); err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
 	answer, keep, err := httpwire.DecodeListReply(w.link.Reader())
-	w.answered = err == nil || !lost(overdue(err))
+	w.answered = err == nil || !answerLost(markTimeout(err))
 	if err != nil {
-		return nil, false, fmt.Errorf("answer: %w", overdue(err))
+		return nil, false, fmt.Errorf("answer: %w", markTimeout(err))
 	}
-	if w.known && !answer.Whole && answer.Index < w.index {
-		w.known = false // the whole list is asked for
-		return nil, false, fmt.Errorf("answer: %w: %d after %d", errBack, answer.Index, w.index)
+	if w.hasList && !answer.Whole && answer.Index < w.version {
+		w.hasList = false // the whole list is asked for
+		return nil, false, fmt.Errorf("answer: %w: %d after %d", errEarlierVersion, answer.Index, w.version)
 	}
-	w.index, w.known = answer.Index, true
+	w.version, w.hasList = answer.Index, true
 	return &answer, keep, nil
 }
 
-// overdue marks a failure to hear of the other side in time.
-func overdue(err error) error {
-	var late net.Error // the codec has one of its own beside os.ErrDeadlineExceeded
-	if errors.As(err, &late) && late.Timeout() {
-		return fmt.Errorf("%w: %w", errSilent, err)
+// markTimeout marks a failure to hear of the other side in time.
+func markTimeout(err error) error {
+	var timeout net.Error // the codec has one of its own beside os.ErrDeadlineExceeded
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		return fmt.Errorf("%w: %w", errNoAnswerInTime, err)
 	}
 	return err
 }
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -14,16 +14,16 @@
 // Clock tells the module's time: since the Unix epoch, as starts of endpoints
 // are told, and monotonic from the process's start on.
 type Clock struct {
-	world   env.Env
+	env     env.Env
 	started time.Time
 }
 
 // NewClock returns a clock that begins now.
-func NewClock(world env.Env) Clock { return Clock{world: world, started: world.Now()} }
+func NewClock(world env.Env) Clock { return Clock{env: world, started: world.Now()} }
 
 // Now is the present time.
 func (c Clock) Now() decide.Time {
-	return c.FromWall(c.world.Now())
+	return c.FromWall(c.env.Now())
 }
 
 // Wall is the moment of a time, for deadlines of connections.
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -19,20 +19,20 @@
 	Listed bool
 	idle   []idleLink // the one used last at the end
 
-	shut atomic.Int64 // when nothing new may be written to it any more, as a decide.Time; 0 for never
+	closedFrom atomic.Int64 // when nothing new may be written to it any more, as a decide.Time; 0 for never
 }
 
 // ClosedForWrites tells whether nothing new may be written to the endpoint: it has drained, or been gone, for too long. Any
 // goroutine may ask.
 func (e *Endpoint) ClosedForWrites(now decide.Time) bool {
-	at := e.shut.Load()
+	at := e.closedFrom.Load()
 	return at > 0 && int64(now) >= at
 }
 
-// shutBy has the endpoint shut after a time, unless that is set; by 0 opens it again.
-func (e *Endpoint) shutBy(at decide.Time) {
-	if at == 0 || e.shut.Load() == 0 {
-		e.shut.Store(int64(at))
+// closeForWritesAt has the endpoint shut after a time, unless that is set; by 0 opens it again.
+func (e *Endpoint) closeForWritesAt(at decide.Time) {
+	if at == 0 || e.closedFrom.Load() == 0 {
+		e.closedFrom.Store(int64(at))
 	}
 }
 
@@ -41,28 +41,28 @@
 	byName map[string]*Endpoint
 	byID   map[decide.EndpointID]*Endpoint
 
-	banned map[string]decide.EndpointID // by hand; each keeps its id, listed or not
-	seen   map[uint64]struct{}          // hashes of names that have been listed
-	ring   []uint64                     // the same in their order: the oldest makes room
-	next   int
-	grace  decide.Time // between the news that one drains, or is gone, and its being shut
+	banned     map[string]decide.EndpointID // by hand; each keeps its id, listed or not
+	seen       map[uint64]struct{}          // hashes of names that have been listed
+	seenRing   []uint64                     // the same in their order: the oldest makes room
+	ringNext   int
+	drainGrace decide.Time // between the news that one drains, or is gone, and its being shut
 
 	lifted map[string]decide.Time // bans that have ended, and when; mostBanned of them
 
 	// Where being told gone does not bind, one that did not drain is still sent to; nil else. Each ends when it is
 	// listed again, or with the first list that comes absentTime after it was told gone.
-	absent map[string]decide.Time
+	goneSince map[string]decide.Time
 }
 
-// absentTime is a little more than the minute for which the module may send to what is told gone.
-const absentTime = 70 * time.Second
+// goneRetention is a little more than the minute for which the module may send to what is told gone.
+const goneRetention = 70 * time.Second
 
-// mostSeen bounds the names that are known to have been listed, some 40 bytes each.
+// maxSeen bounds the names that are known to have been listed, some 40 bytes each.
 // The oldest that makes room can still be banned once it is listed again.
-const mostSeen = 4096
+const maxSeen = 4096
 
-// mostBanned bounds bans that stand at once: far more than any maintenance needs.
-const mostBanned = 1024
+// maxBans bounds bans that stand at once: far more than any maintenance needs.
+const maxBans = 1024
 
 // NewEndpoints returns an empty registry.
 func NewEndpoints() *Endpoints {
@@ -74,28 +74,28 @@
 
 // SetGrace sets how long after the news that an endpoint drains, or is gone, an attempt on its way there may still be
 // written; at 0, which no settings have, that is not looked at.
-func (t *Endpoints) SetGrace(grace decide.Time) { t.grace = grace }
+func (t *Endpoints) SetGrace(grace decide.Time) { t.drainGrace = grace }
 
-// close has an endpoint shut once the grace is over.
-func (t *Endpoints) close(e *Endpoint, now decide.Time) {
-	if t.grace > 0 {
-		e.shutBy(now + t.grace)
+// closeAfterGrace has an endpoint shut once the grace is over.
+func (t *Endpoints) closeAfterGrace(e *Endpoint, now decide.Time) {
+	if t.drainGrace > 0 {
+		e.closeForWritesAt(now + t.drainGrace)
 	}
 }
 
 // KeepGone has endpoints that are told gone without draining stay known for a while (rules.removal_not_binding).
-func (t *Endpoints) KeepGone() { t.absent = map[string]decide.Time{} }
+func (t *Endpoints) KeepGone() { t.goneSince = map[string]decide.Time{} }
 
-// leave books that an endpoint was told gone, and reports whether its connections are of no use any more.
-func (t *Endpoints) leave(e *Endpoint, now decide.Time) bool {
-	if at, known := t.absent[e.Name]; t.absent != nil && e.State == decide.Active && (!known || now-at < absentTime) {
+// markGone books that an endpoint was told gone, and reports whether its connections are of no use any more.
+func (t *Endpoints) markGone(e *Endpoint, now decide.Time) bool {
+	if at, known := t.goneSince[e.Name]; t.goneSince != nil && e.State == decide.Active && (!known || now-at < goneRetention) {
 		if !known {
-			t.absent[e.Name] = now
+			t.goneSince[e.Name] = now
 		}
 		return false
 	}
-	delete(t.absent, e.Name)
-	t.close(e, now)
+	delete(t.goneSince, e.Name)
+	t.closeAfterGrace(e, now)
 	t.remove(e)
 	return true
 }
@@ -107,55 +107,55 @@
 func (t *Endpoints) Known(name string) bool { return t.byName[name] != nil }
 
 // Len is how many are listed.
-func (t *Endpoints) Len() int { return len(t.byName) - len(t.absent) }
+func (t *Endpoints) Len() int { return len(t.byName) - len(t.goneSince) }
 
 // Update takes over a list and returns it in the module's words, with the
 // endpoints whose connections are of no use any more: those that have left or
 // started again.
-func (t *Endpoints) Update(list *httpwire.List, now decide.Time) (lines []decide.Endpoint, stale []*Endpoint) {
-	named := make(map[string]bool, len(list.Endpoints))
-	for _, line := range list.Endpoints {
-		named[line.Name] = true
-		e := t.byName[line.Name]
-		if e == nil && line.State == decide.Gone {
+func (t *Endpoints) Update(list *httpwire.List, now decide.Time) (changes []decide.Endpoint, stale []*Endpoint) {
+	inList := make(map[string]bool, len(list.Endpoints))
+	for _, entry := range list.Endpoints {
+		inList[entry.Name] = true
+		e := t.byName[entry.Name]
+		if e == nil && entry.State == decide.Gone {
 			continue
 		}
 		if e == nil {
-			e = t.add(line.Name)
-		} else if line.State != decide.Gone && (e.Since != line.Since || e.Address != line.Address) {
+			e = t.add(entry.Name)
+		} else if entry.State != decide.Gone && (e.Since != entry.Since || e.Address != entry.Address) {
 			stale = append(stale, e)
 		}
-		lines = append(lines, toModule(e.ID, &line))
-		if line.State != decide.Gone {
-			if line.State == decide.Draining {
-				t.close(e, now)
+		changes = append(changes, toModule(e.ID, &entry))
+		if entry.State != decide.Gone {
+			if entry.State == decide.Draining {
+				t.closeAfterGrace(e, now)
 			} else {
-				e.shutBy(0)
+				e.closeForWritesAt(0)
 			}
-			e.ListedEndpoint = line
-			delete(t.absent, line.Name)
-		} else if t.leave(e, now) {
+			e.ListedEndpoint = entry
+			delete(t.goneSince, entry.Name)
+		} else if t.markGone(e, now) {
 			stale = append(stale, e)
 		}
 	}
 	if list.Whole {
 		for name, e := range t.byName {
-			if !named[name] && t.leave(e, now) {
+			if !inList[name] && t.markGone(e, now) {
 				stale = append(stale, e)
 			}
 		}
 	}
-	for name, at := range t.absent {
-		if e := t.byName[name]; now-at >= absentTime && t.leave(e, now) {
+	for name, at := range t.goneSince {
+		if e := t.byName[name]; now-at >= goneRetention && t.markGone(e, now) {
 			stale = append(stale, e)
 		}
 	}
-	return lines, stale
+	return changes, stale
 }
 
-func toModule(id decide.EndpointID, line *httpwire.ListedEndpoint) decide.Endpoint {
+func toModule(id decide.EndpointID, entry *httpwire.ListedEndpoint) decide.Endpoint {
 	return decide.Endpoint{
-		ID: id, Zone: line.Zone, Cell: line.Cell, State: line.State, Weight: line.Weight, Started: line.Since,
+		ID: id, Zone: entry.Zone, Cell: entry.Cell, State: entry.State, Weight: entry.Weight, Started: entry.Since,
 	}
 }
 
@@ -164,7 +164,7 @@
 func (t *Endpoints) add(name string) *Endpoint {
 	id, banned := t.banned[name]
 	if !banned {
-		id = t.free(name)
+		id = t.unusedID(name)
 	}
 	e := &Endpoint{ID: id, Listed: true}
 	t.byName[name], t.byID[id] = e, e
@@ -172,21 +172,21 @@
 	return e
 }
 
-// free is the id that a name gets: its hash, or the next that neither an endpoint nor
+// unusedID is the id that a name gets: its hash, or the next that neither an endpoint nor
 // a ban has.
-func (t *Endpoints) free(name string) decide.EndpointID {
+func (t *Endpoints) unusedID(name string) decide.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	id := decide.EndpointID(h.Sum32())
-	for t.byID[id] != nil || t.keeps(id) {
+	for t.byID[id] != nil || t.reservedByBan(id) {
 		id++
 	}
 	return id
 }
 
-func (t *Endpoints) keeps(id decide.EndpointID) bool {
-	for _, kept := range t.banned {
-		if kept == id {
+func (t *Endpoints) reservedByBan(id decide.EndpointID) bool {
+	for _, reserved := range t.banned {
+		if reserved == id {
 			return true
 		}
 	}
@@ -208,17 +208,17 @@
 		return
 	}
 	t.seen[hash] = struct{}{}
-	if len(t.ring) < mostSeen {
-		t.ring = append(t.ring, hash)
+	if len(t.seenRing) < maxSeen {
+		t.seenRing = append(t.seenRing, hash)
 		return
 	}
-	delete(t.seen, t.ring[t.next])
-	t.ring[t.next] = hash
-	t.next = (t.next + 1) % mostSeen
+	delete(t.seen, t.seenRing[t.ringNext])
+	t.seenRing[t.ringNext] = hash
+	t.ringNext = (t.ringNext + 1) % maxSeen
 }
 
 // SeenHashes returns the hashes of names that have been listed.
-func (t *Endpoints) SeenHashes() []uint64 { return slices.Clone(t.ring) }
+func (t *Endpoints) SeenHashes() []uint64 { return slices.Clone(t.seenRing) }
 
 // Banned returns the names that are banned.
 func (t *Endpoints) Banned() []string { return slices.Sorted(maps.Keys(t.banned)) }
@@ -236,16 +236,16 @@
 	case !seen:
 		return 0, fmt.Errorf("endpoint %.64q has never been listed", name)
 	default:
-		id = t.free(name)
+		id = t.unusedID(name)
 	}
 	switch {
 	case !on:
-		if banned && len(t.lifted) < mostBanned {
+		if banned && len(t.lifted) < maxBans {
 			t.lifted[name] = now
 		}
 		delete(t.banned, name)
-	case !banned && len(t.banned) >= mostBanned:
-		return 0, fmt.Errorf("%d endpoints are banned already, the most that may be", mostBanned)
+	case !banned && len(t.banned) >= maxBans:
+		return 0, fmt.Errorf("%d endpoints are banned already, the most that may be", maxBans)
 	default:
 		t.banned[name] = id
 	}
@@ -266,12 +266,12 @@
 
 // List returns the list as it stands, by name.
 func (t *Endpoints) List() []httpwire.ListedEndpoint {
-	lines := make([]httpwire.ListedEndpoint, 0, len(t.byName))
+	entries := make([]httpwire.ListedEndpoint, 0, len(t.byName))
 	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
-		if _, absent := t.absent[name]; absent {
+		if _, absent := t.goneSince[name]; absent {
 			continue
 		}
-		lines = append(lines, t.byName[name].ListedEndpoint)
+		entries = append(entries, t.byName[name].ListedEndpoint)
 	}
-	return lines
+	return entries
 }
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -15,30 +15,30 @@
 	since decide.Time
 }
 
-// restTime is how long a connection rests after an answer before it carries another
+// reuseDelay is how long a connection rests after an answer before it carries another
 // request, as long as another stands idle. Guards against bytes that come behind an
 // answer and would be taken for the next one's: they are seen by then. A new connection
 // in place of one that has not rested would cost calm days a handshake too often.
-const restTime = 5 * time.Millisecond
+const reuseDelay = 5 * time.Millisecond
 
 // Pool keeps the connections to endpoints within a bound. A connection counts
 // from before it is dialed until it has ended.
 type Pool struct {
-	most    int
-	open    int
-	idleFor decide.Time // a connection may stand idle for so long
-	holders map[*Endpoint]struct{}
-	ended   func(e *Endpoint, l *httpwire.Link, why httpwire.Reason)
+	limit       int
+	open        int
+	idleTimeout decide.Time // a connection may stand idle for so long
+	withIdle    map[*Endpoint]struct{}
+	onEnd       func(e *Endpoint, l *httpwire.Link, why httpwire.Reason)
 }
 
 // NewPool returns an empty pool. ended is called for each connection that ends.
-func NewPool(most int, idleFor decide.Time, ended func(*Endpoint, *httpwire.Link, httpwire.Reason)) *Pool {
-	return &Pool{most: most, idleFor: idleFor, holders: map[*Endpoint]struct{}{}, ended: ended}
+func NewPool(limit int, idleTimeout decide.Time, onEnd func(*Endpoint, *httpwire.Link, httpwire.Reason)) *Pool {
+	return &Pool{limit: limit, idleTimeout: idleTimeout, withIdle: map[*Endpoint]struct{}{}, onEnd: onEnd}
 }
 
 // SetLimit sets how many connections there may be; idle ones beyond that end.
-func (p *Pool) SetLimit(most int) {
-	for p.most = most; p.open > p.most && p.makeRoom(); {
+func (p *Pool) SetLimit(limit int) {
+	for p.limit = limit; p.open > p.limit && p.makeRoom(); {
 	}
 }
 
@@ -51,7 +51,7 @@
 	p.dropIdle(e, now)
 	for len(e.idle) > 0 {
 		at := len(e.idle) - 1
-		for at >= 0 && now-e.idle[at].since < restTime {
+		for at >= 0 && now-e.idle[at].since < reuseDelay {
 			at--
 		}
 		if at < 0 {
@@ -59,13 +59,13 @@
 		}
 		l = e.idle[at].link
 		e.idle = slices.Delete(e.idle, at, at+1)
-		p.forgetEmpty(e)
+		p.untrackIfEmpty(e)
 		if l.Usable() {
 			return l, true
 		}
 		p.Drop(e, l, httpwire.ReasonPeerClosed)
 	}
-	if p.open >= p.most && !p.makeRoom() {
+	if p.open >= p.limit && !p.makeRoom() {
 		return nil, false
 	}
 	p.open++
@@ -79,31 +79,31 @@
 		return
 	}
 	e.idle = append(e.idle, idleLink{l, now})
-	p.holders[e] = struct{}{}
+	p.withIdle[e] = struct{}{}
 }
 
 // Drop ends a connection; the link is nil if it never came up.
-func (p *Pool) Drop(e *Endpoint, l *httpwire.Link, why httpwire.Reason) {
+func (p *Pool) Drop(e *Endpoint, l *httpwire.Link, reason httpwire.Reason) {
 	if l != nil {
 		l.Close()
 	}
 	p.open--
-	p.ended(e, l, why)
+	p.onEnd(e, l, reason)
 }
 
 // DropAll ends the idle connections of an endpoint.
-func (p *Pool) DropAll(e *Endpoint, why httpwire.Reason) {
+func (p *Pool) DropAll(e *Endpoint, reason httpwire.Reason) {
 	idle := e.idle
 	e.idle = nil
-	p.forgetEmpty(e)
+	p.untrackIfEmpty(e)
 	for _, i := range idle {
-		p.Drop(e, i.link, why)
+		p.Drop(e, i.link, reason)
 	}
 }
 
 // Sweep ends what has been idle for too long.
 func (p *Pool) Sweep(now decide.Time) {
-	for e := range p.holders {
+	for e := range p.withIdle {
 		p.dropIdle(e, now)
 	}
 }
@@ -111,13 +111,13 @@
 // dropIdle ends the endpoint's connections that have been idle for too long:
 // the endpoint is about to end them, and a request that crosses that is lost.
 func (p *Pool) dropIdle(e *Endpoint, now decide.Time) {
-	fresh := slices.IndexFunc(e.idle, func(i idleLink) bool { return now-i.since < p.idleFor })
+	fresh := slices.IndexFunc(e.idle, func(i idleLink) bool { return now-i.since < p.idleTimeout })
 	if fresh < 0 {
 		fresh = len(e.idle)
 	}
 	old := slices.Clone(e.idle[:fresh])
 	e.idle = slices.Delete(e.idle, 0, fresh)
-	p.forgetEmpty(e)
+	p.untrackIfEmpty(e)
 	for _, i := range old {
 		p.Drop(e, i.link, httpwire.ReasonIdle)
 	}
@@ -126,7 +126,7 @@
 // makeRoom ends the connection that has been idle longest.
 func (p *Pool) makeRoom() bool {
 	var oldest *Endpoint
-	for e := range p.holders {
+	for e := range p.withIdle {
 		if oldest == nil || e.idle[0].since < oldest.idle[0].since {
 			oldest = e
 		}
@@ -136,21 +136,21 @@
 	}
 	l := oldest.idle[0].link
 	oldest.idle = slices.Delete(oldest.idle, 0, 1)
-	p.forgetEmpty(oldest)
+	p.untrackIfEmpty(oldest)
 	p.Drop(oldest, l, httpwire.ReasonConnLimit)
 	return true
 }
 
-func (p *Pool) forgetEmpty(e *Endpoint) {
+func (p *Pool) untrackIfEmpty(e *Endpoint) {
 	if len(e.idle) == 0 {
-		delete(p.holders, e)
+		delete(p.withIdle, e)
 	}
 }
 
 // Audit checks that what is kept adds up.
 func (p *Pool) Audit() error {
 	idle := 0
-	for e := range p.holders {
+	for e := range p.withIdle {
 		if len(e.idle) == 0 {
 			return fmt.Errorf("endpoint %s: no idle connection, and it counts as having some", e.Name)
 		}
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -26,7 +26,7 @@
 	Caller *httpwire.CallerConn
 	// MayWrite tells whether its key's claim still stands; nil where it has none. Any goroutine may ask.
 	MayWrite func() bool
-	out      int // attempts without an outcome
+	inFlight int // attempts without an outcome
 }
 
 // Attempt is one send of a request.
@@ -43,26 +43,26 @@
 	Outcome   decide.Outcome // once it is settled
 	Latency   decide.Time    // until then
 	// Generation is that of the rules by which it was decided on; 0 where there are none beside the settings.
-	Generation uint64
-	gate       atomic.Int32
-	place      int // in Timeouts, from 1; 0 when it is not there
+	Generation   uint64
+	writeState   atomic.Int32
+	heapPosition int // in Timeouts, from 1; 0 when it is not there
 }
 
 // The states of an attempt's gate.
 const (
-	gateOpen    = iota
-	gateWriting // its message is being written, or has been
-	gateBarred  // it must not be written any more
+	writeAllowed   = iota
+	writeStarted   // its message is being written, or has been
+	writePrevented // it must not be written any more
 )
 
 // Write tells whether the attempt may be written, and that it will be. The
 // goroutine that carries it asks once, when its connection stands.
-func (a *Attempt) Write() bool { return a.gate.CompareAndSwap(gateOpen, gateWriting) }
+func (a *Attempt) Write() bool { return a.writeState.CompareAndSwap(writeAllowed, writeStarted) }
 
 // PreventWrite keeps the attempt from being written, and tells whether it has never been:
 // what has begun to be written may come whole.
 func (a *Attempt) PreventWrite() bool {
-	return a.gate.CompareAndSwap(gateOpen, gateBarred) || a.gate.Load() == gateBarred
+	return a.writeState.CompareAndSwap(writeAllowed, writePrevented) || a.writeState.Load() == writePrevented
 }
 
 // WindowEnd is when the window ends in which a repeat of a keyed request may be written: so long after the first of its
@@ -87,28 +87,28 @@
 
 // Requests are those that are kept.
 type Requests struct {
-	byID map[decide.RequestID]*Request // until Release
-	open map[string]struct{}           // callers' ids of those without a final answer
-	last decide.RequestID
+	byID       map[decide.RequestID]*Request // until Release
+	pendingIDs map[string]struct{}           // callers' ids of those without a final answer
+	lastID     decide.RequestID
 }
 
 // NewRequests returns an empty table.
 func NewRequests() *Requests {
-	return &Requests{byID: map[decide.RequestID]*Request{}, open: map[string]struct{}{}}
+	return &Requests{byID: map[decide.RequestID]*Request{}, pendingIDs: map[string]struct{}{}}
 }
 
 // Open tells whether a request with a caller's id is without its final answer.
 func (t *Requests) Open(id string) bool {
-	_, open := t.open[id]
+	_, open := t.pendingIDs[id]
 	return open
 }
 
 // Add keeps a new request and numbers it.
 func (t *Requests) Add(message *httpwire.Request, deadline decide.Time, answer chan httpwire.Answer) *Request {
-	t.last++
-	r := &Request{ID: t.last, Message: message, Deadline: deadline, Answer: answer}
+	t.lastID++
+	r := &Request{ID: t.lastID, Message: message, Deadline: deadline, Answer: answer}
 	t.byID[r.ID] = r
-	t.open[message.ID] = struct{}{}
+	t.pendingIDs[message.ID] = struct{}{}
 	return r
 }
 
@@ -122,13 +122,13 @@
 }
 
 // Pending is how many requests are without a final answer.
-func (t *Requests) Pending() int { return len(t.open) }
+func (t *Requests) Pending() int { return len(t.pendingIDs) }
 
 // Begin books a new attempt.
-func (t *Requests) Begin(r *Request, to *Endpoint, sent, until decide.Time) *Attempt {
-	a := &Attempt{Request: r, Number: len(r.Attempts), Endpoint: to, Sent: sent, TimeoutAt: until}
+func (t *Requests) Begin(r *Request, endpoint *Endpoint, sent, timeoutAt decide.Time) *Attempt {
+	a := &Attempt{Request: r, Number: len(r.Attempts), Endpoint: endpoint, Sent: sent, TimeoutAt: timeoutAt}
 	r.Attempts = append(r.Attempts, a)
-	r.out++
+	r.inFlight++
 	return a
 }
 
@@ -138,7 +138,7 @@
 		return false
 	}
 	a.Settled = true
-	a.Request.out--
+	a.Request.inFlight--
 	return true
 }
 
@@ -150,7 +150,7 @@
 		return false
 	}
 	r.Done = true
-	delete(t.open, r.Message.ID)
+	delete(t.pendingIDs, r.Message.ID)
 	for _, a := range r.Attempts {
 		a.PreventWrite()
 	}
@@ -159,7 +159,7 @@
 
 // Release forgets a request that is over and has nothing out.
 func (t *Requests) Release(r *Request) {
-	if r.Done && r.out == 0 {
+	if r.Done && r.inFlight == 0 {
 		delete(t.byID, r.ID)
 	}
 }
@@ -167,19 +167,19 @@
 // Audit checks that what is kept adds up.
 func (t *Requests) Audit() error {
 	for id, r := range t.byID {
-		out := 0
+		inFlight := 0
 		for _, a := range r.Attempts {
 			if !a.Settled {
-				out++
+				inFlight++
 			}
 		}
-		if out != r.out {
-			return fmt.Errorf("request %d: %d attempts are out, and %d are counted", id, out, r.out)
+		if inFlight != r.inFlight {
+			return fmt.Errorf("request %d: %d attempts are out, and %d are counted", id, inFlight, r.inFlight)
 		}
-		if r.Done && out == 0 {
+		if r.Done && inFlight == 0 {
 			return fmt.Errorf("request %d: it is over and kept", id)
 		}
-		if _, open := t.open[r.Message.ID]; !open && !r.Done {
+		if _, open := t.pendingIDs[r.Message.ID]; !open && !r.Done {
 			return fmt.Errorf("request %d: its caller's id %q is not open", id, r.Message.ID)
 		}
 	}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -14,7 +14,7 @@
 	return httpwire.ListedEndpoint{Name: name, Address: "127.0.0.1:1", Weight: 1}
 }
 
-func whole(names ...string) *httpwire.List {
+func fullList(names ...string) *httpwire.List {
 	list := &httpwire.List{Whole: true}
 	for _, name := range names {
 		list.Endpoints = append(list.Endpoints, listed(name))
@@ -24,11 +24,11 @@
 
 // Sidecars order endpoints by id, each beginning elsewhere: the ids must not
 // depend on the order in which one has heard of them.
-func TestIDsAreTheSameEverywhere(t *testing.T) {
+func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
 	one, other := NewEndpoints(), NewEndpoints()
-	one.Update(whole("a", "b", "c"), 0)
-	other.Update(whole("c"), 0)
-	other.Update(whole("b", "a", "c"), 0)
+	one.Update(fullList("a", "b", "c"), 0)
+	other.Update(fullList("c"), 0)
+	other.Update(fullList("b", "a", "c"), 0)
 	for _, name := range []string{"a", "b", "c"} {
 		if x, y := one.byName[name].ID, other.byName[name].ID; x != y {
 			t.Errorf("%s: %d at one, %d at the other", name, x, y)
@@ -36,9 +36,9 @@
 	}
 }
 
-func TestUpdateTellsWhatIsStale(t *testing.T) {
+func TestUpdateReportsStaleEndpoints(t *testing.T) {
 	table := NewEndpoints()
-	table.Update(whole("a", "b", "c", "d"), 0)
+	table.Update(fullList("a", "b", "c", "d"), 0)
 	a, b, c := table.byName["a"], table.byName["b"], table.byName["c"]
 	again, gone, unknown := listed("a"), listed("b"), listed("x")
 	again.Since = time.Second
@@ -50,7 +50,7 @@
 	if len(stale) != 2 || stale[0] != a || stale[1] != b || b.Listed || table.Get(b.ID) != nil {
 		t.Errorf("stale: %+v", stale)
 	}
-	if _, stale = table.Update(whole("a", "d"), 0); len(stale) == 0 || stale[0] != a && stale[0] != c {
+	if _, stale = table.Update(fullList("a", "d"), 0); len(stale) == 0 || stale[0] != a && stale[0] != c {
 		t.Errorf("what a whole list leaves out is not stale: %+v", stale)
 	}
 	if table.Len() != 2 || c.Listed {
@@ -60,28 +60,28 @@
 
 // Where only draining binds, an endpoint that is told gone has to stay within reach of what is sent to it, and to end
 // some time: nothing else would end its entry.
-func TestGoneStaysKnownWhereItDoesNotBind(t *testing.T) {
+func TestGoneEndpointStaysKnownWhereRemovalDoesNotBind(t *testing.T) {
 	table := NewEndpoints()
 	table.KeepGone()
-	table.Update(whole("a", "b", "c"), 0)
+	table.Update(fullList("a", "b", "c"), 0)
 	a, b, c := table.byName["a"], table.byName["b"], table.byName["c"]
 	drains := listed("b")
 	drains.State = decide.Draining
 	table.Update(&httpwire.List{Endpoints: []httpwire.ListedEndpoint{drains}}, 0)
-	_, stale := table.Update(whole("c"), time.Second)
+	_, stale := table.Update(fullList("c"), time.Second)
 	if len(stale) != 1 || stale[0] != b || table.Get(a.ID) != a || table.Get(b.ID) != nil || table.Len() != 1 || len(table.List()) != 1 {
 		t.Errorf("stale %v; %d listed", stale, table.Len())
 	}
-	if _, stale = table.Update(whole("c"), time.Second+absentTime); len(stale) != 1 || stale[0] != a || table.Get(a.ID) != nil || c != table.Get(c.ID) {
-		t.Errorf("%v ended after %v", stale, absentTime)
+	if _, stale = table.Update(fullList("c"), time.Second+goneRetention); len(stale) != 1 || stale[0] != a || table.Get(a.ID) != nil || c != table.Get(c.ID) {
+		t.Errorf("%v ended after %v", stale, goneRetention)
 	}
-	if len(table.absent) != 0 {
-		t.Errorf("absent ones stay: %v", table.absent)
+	if len(table.goneSince) != 0 {
+		t.Errorf("absent ones stay: %v", table.goneSince)
 	}
 }
 
-// pair returns a link and the other end of its connection.
-func pair(t *testing.T) (*httpwire.Link, net.Conn) {
+// connectedPair returns a link and the other end of its connection.
+func connectedPair(t *testing.T) (*httpwire.Link, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,56 +101,56 @@
 	return link, other
 }
 
-// poolOf returns a pool and a count of why its connections ended.
-func poolOf(most int) (*Pool, map[httpwire.Reason]int) {
-	why := map[httpwire.Reason]int{}
-	return NewPool(most, time.Second, func(_ *Endpoint, _ *httpwire.Link, r httpwire.Reason) { why[r]++ }), why
+// newTestPool returns a pool and a count of why its connections ended.
+func newTestPool(limit int) (*Pool, map[httpwire.Reason]int) {
+	reasons := map[httpwire.Reason]int{}
+	return NewPool(limit, time.Second, func(_ *Endpoint, _ *httpwire.Link, r httpwire.Reason) { reasons[r]++ }), reasons
 }
 
 func TestPoolReusesTheNewest(t *testing.T) {
-	pool, _ := poolOf(4)
+	pool, _ := newTestPool(4)
 	e := &Endpoint{Listed: true}
 	var links []*httpwire.Link
 	for range 2 {
 		if l, ok := pool.Take(e, 1); l != nil || !ok {
 			t.Fatalf("an empty pool gave %v, %v", l, ok)
 		}
-		l, _ := pair(t)
+		l, _ := connectedPair(t)
 		links = append(links, l)
 	}
 	pool.Put(e, links[0], 1)
 	pool.Put(e, links[1], 2)
-	if l, _ := pool.Take(e, 2+restTime); l != links[1] {
+	if l, _ := pool.Take(e, 2+reuseDelay); l != links[1] {
 		t.Error("not the one used last")
 	}
 }
 
 // Guards against a connection that is used again before what comes behind its answer
 // can be seen.
-func TestPoolLetsConnectionsRest(t *testing.T) {
-	pool, _ := poolOf(2)
+func TestPoolPrefersConnectionsPastReuseDelay(t *testing.T) {
+	pool, _ := newTestPool(2)
 	e := &Endpoint{Listed: true}
 	pool.Take(e, 1)
 	pool.Take(e, 1)
-	rested, _ := pair(t)
-	fresh, _ := pair(t)
+	rested, _ := connectedPair(t)
+	fresh, _ := connectedPair(t)
 	pool.Put(e, rested, 1)
-	pool.Put(e, fresh, 1+restTime)
-	if l, _ := pool.Take(e, 1+restTime); l != rested {
+	pool.Put(e, fresh, 1+reuseDelay)
+	if l, _ := pool.Take(e, 1+reuseDelay); l != rested {
 		t.Error("not the one at rest")
 	}
-	if l, ok := pool.Take(e, 1+restTime); l != fresh || !ok {
+	if l, ok := pool.Take(e, 1+reuseDelay); l != fresh || !ok {
 		t.Error("where no other stands idle, the one that has not rested is not used")
 	}
 }
 
 // Guards against a request that is written to a connection which its endpoint
 // has ended or is about to end: it would count as one that may have run.
-func TestPoolPassesOverWhatHasEnded(t *testing.T) {
-	pool, why := poolOf(4)
+func TestPoolSkipsEndedConnections(t *testing.T) {
+	pool, reasons := newTestPool(4)
 	e := &Endpoint{Listed: true}
 	pool.Take(e, 1)
-	ended, other := pair(t)
+	ended, other := connectedPair(t)
 	pool.Put(e, ended, 1)
 	other.Close()
 	for end := time.Now().Add(10 * time.Second); ended.Usable(); time.Sleep(time.Millisecond) {
@@ -158,39 +158,39 @@
 			t.Fatal("the end of the connection is not seen")
 		}
 	}
-	if l, ok := pool.Take(e, 1+restTime); l != nil || !ok || why[httpwire.ReasonPeerClosed] != 1 {
-		t.Errorf("got %v, %v, ended %v", l, ok, why)
+	if l, ok := pool.Take(e, 1+reuseDelay); l != nil || !ok || reasons[httpwire.ReasonPeerClosed] != 1 {
+		t.Errorf("got %v, %v, ended %v", l, ok, reasons)
 	}
-	old, _ := pair(t)
+	old, _ := connectedPair(t)
 	pool.Put(e, old, 2)
-	if l, _ := pool.Take(e, 2+time.Second); l != nil || why[httpwire.ReasonIdle] != 1 {
-		t.Errorf("one that stood idle for too long was used: %v, ended %v", l, why)
+	if l, _ := pool.Take(e, 2+time.Second); l != nil || reasons[httpwire.ReasonIdle] != 1 {
+		t.Errorf("one that stood idle for too long was used: %v, ended %v", l, reasons)
 	}
-	swept, _ := pair(t)
+	swept, _ := connectedPair(t)
 	pool.Put(e, swept, 3)
 	pool.Sweep(3 + time.Second)
-	if why[httpwire.ReasonIdle] != 2 || pool.Open() != 0 || len(pool.holders) != 0 {
-		t.Errorf("swept: ended %v, %d open", why, pool.Open())
+	if reasons[httpwire.ReasonIdle] != 2 || pool.Open() != 0 || len(pool.withIdle) != 0 {
+		t.Errorf("swept: ended %v, %d open", reasons, pool.Open())
 	}
 }
 
 // Guards against descriptors that run out.
-func TestPoolKeepsItsBound(t *testing.T) {
-	pool, why := poolOf(1)
+func TestPoolKeepsItsLimit(t *testing.T) {
+	pool, reasons := newTestPool(1)
 	a, b := &Endpoint{Listed: true}, &Endpoint{Listed: true}
 	pool.Take(a, 1)
 	if _, ok := pool.Take(b, 1); ok {
 		t.Error("a second connection where one is allowed")
 	}
-	l, _ := pair(t)
+	l, _ := connectedPair(t)
 	pool.Put(a, l, 1)
-	if _, ok := pool.Take(b, 1); !ok || why[httpwire.ReasonConnLimit] != 1 || pool.Open() != 1 {
-		t.Errorf("no room was made: %v, %d open", why, pool.Open())
+	if _, ok := pool.Take(b, 1); !ok || reasons[httpwire.ReasonConnLimit] != 1 || pool.Open() != 1 {
+		t.Errorf("no room was made: %v, %d open", reasons, pool.Open())
 	}
-	l, _ = pair(t)
+	l, _ = connectedPair(t)
 	b.Listed = false
-	if pool.Put(b, l, 1); pool.Open() != 0 || why[httpwire.ReasonUnlisted] != 1 {
-		t.Errorf("a connection to one that has left is kept: %v", why)
+	if pool.Put(b, l, 1); pool.Open() != 0 || reasons[httpwire.ReasonUnlisted] != 1 {
+		t.Errorf("a connection to one that has left is kept: %v", reasons)
 	}
 }
 
@@ -225,7 +225,7 @@
 }
 
 // A request has one final answer and is kept until its attempts have ended.
-func TestRequestIsKeptUntilAllHasEnded(t *testing.T) {
+func TestRequestIsKeptUntilItsAttemptsAreSettled(t *testing.T) {
 	table := NewRequests()
 	r := table.Add(&httpwire.Request{}, 10, nil)
 	a := table.Begin(r, nil, 1, 10)
