--- a/internal/pipeline/beforewrite_test.go
+++ b/internal/pipeline/beforewrite_test.go
@@ -19,27 +19,27 @@
 	"heathgap/internal/metrics"
 )
 
-// barrier is a world in which connections come up when the test says so.
-type barrier struct {
+// dialBarrier is a world in which connections come up when the test says so.
+type dialBarrier struct {
 	env.Real
-	begun chan struct{} // a dial has begun
-	goOn  chan struct{} // closed: it may come up
+	dialBegan chan struct{} // a dial has begun
+	proceed   chan struct{} // closed: it may come up
 }
 
 // Dial is env.Env's.
-func (b *barrier) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	b.begun <- struct{}{}
-	<-b.goOn
+func (b *dialBarrier) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	b.dialBegan <- struct{}{}
+	<-b.proceed
 	return b.Real.Dial(ctx, address, timeout)
 }
 
-// lateEngine is an engine whose connections come up at a barrier, and an endpoint's address.
-func lateEngine(t *testing.T) (*Engine, *barrier, *scripted.Listener) {
+// newDialBarrierEngine is an engine whose connections come up at a barrier, and an endpoint's address.
+func newDialBarrierEngine(t *testing.T) (*Engine, *dialBarrier, *scripted.Listener) {
 	t.Helper()
-	e := testEngine(t)
-	world := &barrier{begun: make(chan struct{}, 1), goOn: make(chan struct{})}
-	e.env, e.answerMemory = world, httpwire.NewMemoryBudget(1<<20)
-	return e, world, scripted.Listen(t)
+	e := newTestEngine(t)
+	environment := &dialBarrier{dialBegan: make(chan struct{}, 1), proceed: make(chan struct{})}
+	e.env, e.answerMemory = environment, httpwire.NewMemoryBudget(1<<20)
+	return e, environment, scripted.Listen(t)
 }
 
 func listOf(name, address string, state decide.EndpointState) *httpwire.List {
@@ -48,7 +48,7 @@
 
 // Guards against a request that is written to an endpoint which began to drain, or left, while the connection to it
 // was coming up late: what was true when it was chosen is looked at again where the first byte leaves.
-func TestEndpointThatDrainsWhileTheConnectionComesUp(t *testing.T) {
+func TestEndpointDrainsWhileConnecting(t *testing.T) {
 	for name, c := range map[string]struct {
 		news    decide.EndpointState
 		grace   time.Duration
@@ -60,23 +60,23 @@
 		"serves on":           {decide.Active, 1, decide.Served},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, world, door := lateEngine(t)
+			e, environment, listener := newDialBarrierEngine(t)
 			e.endpoints.SetGrace(c.grace)
-			e.applyList(listOf("s", door.Address, decide.Active), decide.ListReplaced)
+			e.applyList(listOf("s", listener.Address, decide.Active), decide.ListReplaced)
 			to := e.endpoints.List()[0]
 			id := e.updateEndpoints(listOf("s", to.Address, decide.Active))[0].ID
-			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
+			deadline := e.clock.Now() + 10*time.Second
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, deadline, make(chan httpwire.Answer, 1))
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
-			<-world.begun
+			<-environment.dialBegan
 			e.updateEndpoints(listOf("s", to.Address, c.news))
-			close(world.goOn)
-			peer := door.Accept()
+			close(environment.proceed)
+			peer := listener.Accept()
 			if c.outcome == decide.Served {
 				peer.ReadRequest()
 			}
 			peer.Send(scripted.OK("x"))
-			next(t, e)
+			handleNext(t, e)
 			if e.counters.Outcomes[c.outcome] != 1 {
 				t.Errorf("outcomes %v", e.counters.Outcomes)
 			}
@@ -93,7 +93,7 @@
 
 // Guards against a request that is written to an endpoint which counts as gone by then, though nothing was heard of that: the
 // module says until when an attempt may begin, and its connection comes up later.
-func TestAttemptThatMayNotBeginAnyMore(t *testing.T) {
+func TestAttemptIsNotWrittenAfterItsBound(t *testing.T) {
 	for name, c := range map[string]struct {
 		bound   time.Duration // after the attempt is decided on; 0 for none
 		outcome decide.Outcome
@@ -103,23 +103,23 @@
 		"when it is over": {1, decide.ConnectFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, world, door := lateEngine(t)
-			id := e.updateEndpoints(listOf("s", door.Address, decide.Active))[0].ID
-			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, until, make(chan httpwire.Answer, 1))
+			e, environment, listener := newDialBarrierEngine(t)
+			id := e.updateEndpoints(listOf("s", listener.Address, decide.Active))[0].ID
+			deadline := e.clock.Now() + 10*time.Second
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, deadline, make(chan httpwire.Answer, 1))
 			action := decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id}
 			if c.bound > 0 {
 				action.NotAfter = e.clock.Now() + c.bound
 			}
 			e.send(r, action)
-			<-world.begun
-			close(world.goOn)
-			peer := door.Accept()
+			<-environment.dialBegan
+			close(environment.proceed)
+			peer := listener.Accept()
 			if c.outcome == decide.Served {
 				peer.ReadRequest()
 			}
 			peer.Send(scripted.OK("x"))
-			next(t, e)
+			handleNext(t, e)
 			if e.counters.Outcomes[c.outcome] != 1 {
 				t.Errorf("outcomes %v", e.counters.Outcomes)
 			}
@@ -136,7 +136,7 @@
 
 // Guards against an effect that comes twice: the window of a key ends while the connection for its resend comes up. What
 // the first attempt's outcome says about having run decides whether there is a window at all.
-func TestWindowThatEndsWhileTheConnectionComesUp(t *testing.T) {
+func TestKeyWindowEndsWhileConnecting(t *testing.T) {
 	const window = 50 * time.Millisecond
 	for name, c := range map[string]struct {
 		effect  decide.Effect
@@ -151,29 +151,29 @@
 		"ruled to be keyed":     {decide.Safe, decide.Reset, &decide.DynamicSettings{Classes: map[string]decide.DynamicClass{"look": {Effect: decide.Keyed, Window: window}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, world, door := lateEngine(t)
+			e, environment, listener := newDialBarrierEngine(t)
 			e.conf.Classes = map[string]decide.Class{"look": {Name: "look", Effect: c.effect, Window: window}}
 			if c.ruled != nil {
 				e.effective = &EffectiveRules{Dynamic: c.ruled}
 			}
-			id := e.updateEndpoints(listOf("s", door.Address, decide.Active))[0].ID
-			until := e.clock.Now() + 10*time.Second
-			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look", Class: "look"}, until, make(chan httpwire.Answer, 1))
-			first := e.requests.Begin(r, nil, e.clock.Now(), until)
+			id := e.updateEndpoints(listOf("s", listener.Address, decide.Active))[0].ID
+			deadline := e.clock.Now() + 10*time.Second
+			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look", Class: "look"}, deadline, make(chan httpwire.Answer, 1))
+			first := e.requests.Begin(r, nil, e.clock.Now(), deadline)
 			first.GiveUp = func() {}
 			e.settle(first, c.first, nil)
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
-			<-world.begun
+			<-environment.dialBegan
 			for e.clock.Now() < first.Sent+window { // the window ends
 				time.Sleep(time.Millisecond)
 			}
-			close(world.goOn)
-			peer := door.Accept()
+			close(environment.proceed)
+			peer := listener.Accept()
 			if c.written {
 				peer.ReadRequest()
 			}
 			peer.Send(scripted.OK("x"))
-			next(t, e)
+			handleNext(t, e)
 			want := decide.ConnectFailed
 			if c.written {
 				want = decide.Served
@@ -185,15 +185,15 @@
 	}
 }
 
-// watchful is a world that tells when a goroutine of a name has ended.
-type watchful struct {
+// goroutineWatcher is a world that tells when a goroutine of a name has ended.
+type goroutineWatcher struct {
 	env.Real
 	name  string
 	ended chan struct{}
 }
 
 // Go is env.Env's.
-func (w *watchful) Go(name string, f func()) {
+func (w *goroutineWatcher) Go(name string, f func()) {
 	w.Real.Go(name, func() {
 		f()
 		if name == w.name {
@@ -204,16 +204,16 @@
 
 // slowClaims are holdings whose claims come when the test says so.
 type slowClaims struct {
-	asked chan struct{}
-	goOn  chan struct{}
-	ended chan httpwire.Answer
+	requested chan struct{}
+	proceed   chan struct{}
+	finished  chan httpwire.Answer
 }
 
 func (*slowClaims) Holds(string) bool { return true }
 
 func (h *slowClaims) Claim(*httpwire.Request, [16]byte, time.Duration) ClaimResult {
-	h.asked <- struct{}{}
-	<-h.goOn
+	h.requested <- struct{}{}
+	<-h.proceed
 	return ClaimResult{Claim: h}
 }
 
@@ -221,21 +221,21 @@
 
 func (h *slowClaims) Finish(answer httpwire.Answer, ran bool, _ time.Duration) httpwire.Answer {
 	answer.MayHaveRun = ran
-	h.ended <- answer
+	h.finished <- answer
 	return answer
 }
 
 // Guards against a request that is sent on though its caller left while its key was being claimed; one whose caller stays
 // is sent.
-func TestCallerThatLeavesWhileItsKeyIsClaimed(t *testing.T) {
+func TestCallerDisconnectsDuringClaim(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
-		door := scripted.Listen(t)
-		e := testEngine(t)
+		endpoint := scripted.Listen(t)
+		e := newTestEngine(t)
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
 		e.conf.Settings.MustPoll = true // nothing is asked here
-		e.conf.KnownList = listOf("s", door.Address, decide.Active)
+		e.conf.KnownList = listOf("s", endpoint.Address, decide.Active)
 		e.answerMemory = httpwire.NewMemoryBudget(1 << 20)
-		claims := &slowClaims{asked: make(chan struct{}, 1), goOn: make(chan struct{}), ended: make(chan httpwire.Answer, 1)}
+		claims := &slowClaims{requested: make(chan struct{}, 1), proceed: make(chan struct{}), finished: make(chan httpwire.Answer, 1)}
 		e.SetHoldings(claims)
 		ctx, stop := context.WithCancel(t.Context())
 		go e.Run(ctx)
@@ -243,27 +243,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		world := &watchful{name: "watch", ended: make(chan struct{}, 1)}
-		callers := httpwire.NewCallers(listener, world, 10, func(*httpwire.CallerConn, httpwire.Reason) {})
+		environment := &goroutineWatcher{name: "watch", ended: make(chan struct{}, 1)}
+		callers := httpwire.NewCallers(listener, environment, 10, func(*httpwire.CallerConn, httpwire.Reason) {})
 		server := &fasthttp.Server{Handler: e.Handle, StreamRequestBody: true}
 		go server.Serve(callers) //nolint:errcheck // it ends with the listener
 
 		peer := scripted.Connect(t, listener.Addr().String())
 		peer.Send("GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 5\r\n\r\n")
-		<-claims.asked
+		<-claims.requested
 		if leaves {
 			peer.Close()
-			<-world.ended // its caller is seen to have gone
+			<-environment.ended // its caller is seen to have gone
 		}
-		close(claims.goOn)
+		close(claims.proceed)
 		if !leaves {
-			to := door.Accept()
+			to := endpoint.Accept()
 			to.ReadRequest()
 			to.Send(scripted.OK("x"))
 		}
 		want := map[bool]httpwire.Verdict{true: httpwire.Abandoned, false: httpwire.Served}[leaves]
-		if answer := <-claims.ended; answer.Verdict != want || answer.MayHaveRun == leaves || door.HasPending() {
-			t.Errorf("leaves %v: %+v, sent on %v", leaves, answer, door.HasPending())
+		if answer := <-claims.finished; answer.Verdict != want || answer.MayHaveRun == leaves || endpoint.HasPending() {
+			t.Errorf("leaves %v: %+v, sent on %v", leaves, answer, endpoint.HasPending())
 		}
 		callers.CloseNow() //nolint:errcheck // it listens no more
 		stop()
@@ -271,46 +271,48 @@
 	}
 }
 
-// planned decides what a test says, in place of the module.
-type planned func(ev *decide.Event) []decide.Action
+// decisionFunc decides what a test says, in place of the module.
+type decisionFunc func(ev *decide.Event) []decide.Action
 
 // Handle is Decider's.
-func (p planned) Handle(_ decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
+func (p decisionFunc) Handle(_ decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	return append(actions, p(ev)...)
 }
 
-// step is a barrier: who comes to it tells so and stands until the test lets it go on.
-type step struct {
+// pausePoint is a barrier: who comes to it tells so and stands until the test lets it go on.
+type pausePoint struct {
 	reached chan struct{}
-	goOn    chan struct{}
+	proceed chan struct{}
 }
 
-func newStep() *step { return &step{reached: make(chan struct{}, 1), goOn: make(chan struct{})} }
+func newPausePoint() *pausePoint {
+	return &pausePoint{reached: make(chan struct{}, 1), proceed: make(chan struct{})}
+}
 
-func (s *step) stand() {
+func (s *pausePoint) wait() {
 	s.reached <- struct{}{}
-	<-s.goOn
+	<-s.proceed
 }
 
-// stage is a world whose dials to one address, or second writes to it, stand at a step, whose watches of callers may be
+// stagedEnv is a world whose dials to one address, or second writes to it, stand at a step, whose watches of callers may be
 // kept from running, and which counts what came up.
-type stage struct {
+type stagedEnv struct {
 	env.Real
-	late     string // dials to it stand
-	slow     string // the second write to it stands
-	at       *step
-	watch    chan struct{} // closed: watches run
-	watched  chan struct{} // one has ended
-	exchange sync.WaitGroup
-	mu       sync.Mutex
-	up       map[string]int // connections by address
-	wrote    map[string]int // writes by address
+	pausedDial  string // dials to it stand
+	pausedWrite string // the second write to it stands
+	pause       *pausePoint
+	allowWatch  chan struct{} // closed: watches run
+	watchEnded  chan struct{} // one has ended
+	exchanges   sync.WaitGroup
+	mu          sync.Mutex
+	connections map[string]int // connections by address
+	writeCounts map[string]int // writes by address
 }
 
 // Dial is env.Env's.
-func (s *stage) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	if address == s.late {
-		s.at.stand()
+func (s *stagedEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	if address == s.pausedDial {
+		s.pause.wait()
 	}
 	conn, err := s.Real.Dial(ctx, address, timeout)
 	if err != nil {
@@ -318,80 +320,80 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.up[address]++
-	return &stagedConn{TCPConn: conn.(*net.TCPConn), stage: s, address: address}, nil
+	s.connections[address]++
+	return &stagedConn{TCPConn: conn.(*net.TCPConn), env: s, address: address}, nil
 }
 
 // Go is env.Env's.
-func (s *stage) Go(name string, f func()) {
+func (s *stagedEnv) Go(name string, f func()) {
 	switch name {
 	case "watch":
 		s.Real.Go(name, func() {
-			<-s.watch
+			<-s.allowWatch
 			f()
-			s.watched <- struct{}{}
+			s.watchEnded <- struct{}{}
 		})
 	case "exchange":
-		s.exchange.Go(f)
+		s.exchanges.Go(f)
 	default:
 		s.Real.Go(name, f)
 	}
 }
 
 // writes is how many writes there have been to an address.
-func (s *stage) writes(address string) int {
+func (s *stagedEnv) writes(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.wrote[address]
+	return s.writeCounts[address]
 }
 
 // stagedConn is a connection to an endpoint.
 type stagedConn struct {
 	*net.TCPConn
-	stage   *stage
+	env     *stagedEnv
 	address string
 }
 
 // Write is net.Conn's.
 func (c *stagedConn) Write(b []byte) (int, error) {
-	c.stage.mu.Lock()
-	c.stage.wrote[c.address]++
-	stands := c.address == c.stage.slow && c.stage.wrote[c.address] == 2
-	c.stage.mu.Unlock()
-	if stands {
-		c.stage.at.stand()
+	c.env.mu.Lock()
+	c.env.writeCounts[c.address]++
+	pauses := c.address == c.env.pausedWrite && c.env.writeCounts[c.address] == 2
+	c.env.mu.Unlock()
+	if pauses {
+		c.env.pause.wait()
 	}
 	return c.TCPConn.Write(b)
 }
 
-// staged is an engine that does what a test says, two endpoints, and a server before it.
-type staged struct {
+// stagedSidecar is an engine that does what a test says, two endpoints, and a server before it.
+type stagedSidecar struct {
 	*Engine
-	world     *stage
-	doors     [2]*scripted.Listener
+	env       *stagedEnv
+	listeners [2]*scripted.Listener
 	endpoints [2]decide.EndpointID
 	address   string
 	stop      context.CancelFunc
 }
 
-// startStaged starts one; set is called before the engine runs.
-func startStaged(t *testing.T, set func(s *staged)) *staged {
+// startStagedSidecar starts one; set is called before the engine runs.
+func startStagedSidecar(t *testing.T, configure func(s *stagedSidecar)) *stagedSidecar {
 	t.Helper()
-	s := &staged{Engine: testEngine(t), doors: [2]*scripted.Listener{scripted.Listen(t), scripted.Listen(t)}}
-	s.world = &stage{at: newStep(), watch: make(chan struct{}), watched: make(chan struct{}, 1), up: map[string]int{}, wrote: map[string]int{}}
-	s.Engine.env, s.answerMemory = s.world, httpwire.NewMemoryBudget(1<<20)
+	s := &stagedSidecar{Engine: newTestEngine(t), listeners: [2]*scripted.Listener{scripted.Listen(t), scripted.Listen(t)}}
+	s.env = &stagedEnv{pause: newPausePoint(), allowWatch: make(chan struct{}), watchEnded: make(chan struct{}, 1), connections: map[string]int{}, writeCounts: map[string]int{}}
+	s.Engine.env, s.answerMemory = s.env, httpwire.NewMemoryBudget(1<<20)
 	s.conf.Classes = map[string]decide.Class{
 		"look": s.conf.Settings.Classes[0], "burn": {Name: "burn", Effect: decide.Unsafe},
 	}
 	s.metrics = metrics.New([]string{"look", "burn"})
 	s.conf.Settings.MustPoll = true // nothing is asked here
-	known := listOf("s0", s.doors[0].Address, decide.Active)
-	known.Endpoints = append(known.Endpoints, listOf("s1", s.doors[1].Address, decide.Active).Endpoints...)
+	known := listOf("s0", s.listeners[0].Address, decide.Active)
+	known.Endpoints = append(known.Endpoints, listOf("s1", s.listeners[1].Address, decide.Active).Endpoints...)
 	s.conf.KnownList = known
 	for i, change := range s.updateEndpoints(known) {
 		s.endpoints[i] = change.ID
 	}
-	set(s)
+	configure(s)
 	var ctx context.Context
 	ctx, s.stop = context.WithCancel(t.Context())
 	go s.Run(ctx)
@@ -400,7 +402,7 @@
 		t.Fatal(err)
 	}
 	s.address = listener.Addr().String()
-	callers := httpwire.NewCallers(listener, s.world, 10, func(*httpwire.CallerConn, httpwire.Reason) {})
+	callers := httpwire.NewCallers(listener, s.env, 10, func(*httpwire.CallerConn, httpwire.Reason) {})
 	t.Cleanup(func() { callers.CloseNow() }) //nolint:errcheck // it listens no more
 	server := &fasthttp.Server{Handler: s.Handle, StreamRequestBody: true}
 	go server.Serve(callers) //nolint:errcheck // it ends with the listener
@@ -408,20 +410,20 @@
 }
 
 // end stops it when its exchanges have ended.
-func (s *staged) end() {
+func (s *stagedSidecar) end() {
 	s.stop()
 	<-s.stopped
-	s.world.exchange.Wait()
+	s.env.exchanges.Wait()
 }
 
-// written is what came to an endpoint, none of whose connections has been taken.
-func (s *staged) written(i int) string {
+// receivedBy is what came to an endpoint, none of whose connections has been taken.
+func (s *stagedSidecar) receivedBy(i int) string {
 	var all strings.Builder
-	s.world.mu.Lock()
-	up := s.world.up[s.doors[i].Address]
-	s.world.mu.Unlock()
+	s.env.mu.Lock()
+	up := s.env.connections[s.listeners[i].Address]
+	s.env.mu.Unlock()
 	for range up {
-		peer := s.doors[i].Accept()
+		peer := s.listeners[i].Accept()
 		const short = 20 * time.Millisecond         // what was written has come: on loopback a write brings it
 		peer.SetReadDeadline(time.Now().Add(short)) //nolint:errcheck // the read that meets it fails
 		b := make([]byte, 64)
@@ -431,29 +433,29 @@
 	return all.String()
 }
 
-func send(s *staged, request decide.RequestID, endpoint int) decide.Action {
+func sendTo(s *stagedSidecar, request decide.RequestID, endpoint int) decide.Action {
 	return decide.Action{Kind: decide.Send, Request: request, Endpoint: s.endpoints[endpoint]}
 }
 
-// heldBack decides to send a request to the second endpoint when a timer is due that stands at the step; begin is the
+// delayedSend decides to send a request to the second endpoint when a timer is due that stands at the step; begin is the
 // event behind which that timer is set.
-func heldBack(s *staged, begin decide.EventKind, before func(ev *decide.Event) []decide.Action) planned {
-	var held decide.RequestID
+func delayedSend(s *stagedSidecar, trigger decide.EventKind, otherwise func(ev *decide.Event) []decide.Action) decisionFunc {
+	var delayed decide.RequestID
 	return func(ev *decide.Event) []decide.Action {
 		switch {
-		case ev.Kind == begin && held == 0:
-			held = ev.Request
+		case ev.Kind == trigger && delayed == 0:
+			delayed = ev.Request
 			return []decide.Action{{Kind: decide.SetTimer, After: 1}}
 		case ev.Kind == decide.TimerDue:
-			s.world.at.stand()
-			return []decide.Action{send(s, held, 1)}
+			s.env.pause.wait()
+			return []decide.Action{sendTo(s, delayed, 1)}
 		}
-		return before(ev)
+		return otherwise(ev)
 	}
 }
 
-// ask is a request as a caller writes it; with a body, its head and as much of the body as has the sidecar pass it on.
-func ask(body int) string {
+// callerRequest is a request as a caller writes it; with a body, its head and as much of the body as has the sidecar pass it on.
+func callerRequest(body int) string {
 	if body == 0 {
 		return "GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 9\r\n\r\n"
 	}
@@ -464,62 +466,62 @@
 // Guards against an attempt, first or further, that begins though its caller has gone, wherever it stands then and
 // however its caller goes. With its watch kept from running, nobody but the look at the first byte can see it; with the
 // watch, word of it comes to the owner behind what is decided. One whose caller stays is written.
-func TestCallerThatLeavesBeforeAnAttemptBegins(t *testing.T) {
+func TestCallerDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	const long = 200 << 10
 	none := func(*decide.Event) []decide.Action { return nil }
-	steps := map[string]struct {
+	situations := map[string]struct {
 		body  int
 		first bool // an attempt is out at the first endpoint
-		set   func(s *staged)
+		set   func(s *stagedSidecar)
 	}{
-		"a dial is out": {set: func(s *staged) {
-			s.world.late = s.doors[1].Address
-			s.balancer = planned(func(ev *decide.Event) []decide.Action {
+		"a dial is out": {set: func(s *stagedSidecar) {
+			s.env.pausedDial = s.listeners[1].Address
+			s.balancer = decisionFunc(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 1)}
+					return []decide.Action{sendTo(s, ev.Request, 1)}
 				}
 				return nil
 			})
 		}},
-		"a second copy's dial is out": {first: true, set: func(s *staged) {
-			s.world.late = s.doors[1].Address
-			s.balancer = planned(func(ev *decide.Event) []decide.Action {
+		"a second copy's dial is out": {first: true, set: func(s *stagedSidecar) {
+			s.env.pausedDial = s.listeners[1].Address
+			s.balancer = decisionFunc(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 0), send(s, ev.Request, 1)}
+					return []decide.Action{sendTo(s, ev.Request, 0), sendTo(s, ev.Request, 1)}
 				}
 				return nil
 			})
 		}},
-		"held for an endpoint": {set: func(s *staged) { s.balancer = heldBack(s, decide.Arrived, none) }},
-		"a retry waits for the bucket": {first: true, set: func(s *staged) {
-			s.balancer = heldBack(s, decide.Finished, func(ev *decide.Event) []decide.Action {
+		"held for an endpoint": {set: func(s *stagedSidecar) { s.balancer = delayedSend(s, decide.Arrived, none) }},
+		"a retry waits for the bucket": {first: true, set: func(s *stagedSidecar) {
+			s.balancer = delayedSend(s, decide.Finished, func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 0)}
+					return []decide.Action{sendTo(s, ev.Request, 0)}
 				}
 				return nil
 			})
 		}},
-		"its key is claimed": {set: func(s *staged) {
-			s.SetHoldings(&slowClaims{asked: s.world.at.reached, goOn: s.world.at.goOn, ended: make(chan httpwire.Answer, 1)})
-			s.balancer = planned(func(ev *decide.Event) []decide.Action {
+		"its key is claimed": {set: func(s *stagedSidecar) {
+			s.SetHoldings(&slowClaims{requested: s.env.pause.reached, proceed: s.env.pause.proceed, finished: make(chan httpwire.Answer, 1)})
+			s.balancer = decisionFunc(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 1)}
+					return []decide.Action{sendTo(s, ev.Request, 1)}
 				}
 				return nil
 			})
 		}},
-		"its body still comes, a dial is out": {body: long, set: func(s *staged) {
-			s.world.late = s.doors[1].Address
-			s.balancer = planned(func(ev *decide.Event) []decide.Action {
+		"its body still comes, a dial is out": {body: long, set: func(s *stagedSidecar) {
+			s.env.pausedDial = s.listeners[1].Address
+			s.balancer = decisionFunc(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 1)}
+					return []decide.Action{sendTo(s, ev.Request, 1)}
 				}
 				return nil
 			})
 		}},
-		"its body still comes, held": {body: long, set: func(s *staged) { s.balancer = heldBack(s, decide.Arrived, none) }},
+		"its body still comes, held": {body: long, set: func(s *stagedSidecar) { s.balancer = delayedSend(s, decide.Arrived, none) }},
 	}
-	ways := map[string]func(p *scripted.Peer, ahead string){
+	departures := map[string]func(p *scripted.Peer, ahead string){
 		"ends":              func(p *scripted.Peer, _ string) { p.Close() },
 		"half-ends":         func(p *scripted.Peer, _ string) { p.CloseWrite() }, //nolint:errcheck // the test sees it
 		"resets":            func(p *scripted.Peer, _ string) { p.Reset() },
@@ -528,40 +530,40 @@
 		"stays":             nil,
 		"stays with bytes":  func(p *scripted.Peer, ahead string) { p.Send(ahead[:2]) },
 	}
-	for at, c := range steps {
-		for way, leave := range ways {
+	for situation, c := range situations {
+		for departure, leave := range departures {
 			for _, watched := range []bool{false, true} {
 				if watched && c.body > 0 {
 					continue // nobody watches while the body comes
 				}
-				t.Run(fmt.Sprintf("%s/%s/watched %v", at, way, watched), func(t *testing.T) {
-					s := startStaged(t, c.set)
+				t.Run(fmt.Sprintf("%s/%s/watched %v", situation, departure, watched), func(t *testing.T) {
+					s := startStagedSidecar(t, c.set)
 					if watched {
-						close(s.world.watch)
+						close(s.env.allowWatch)
 					}
 					peer := scripted.Connect(t, s.address)
-					peer.Send(ask(c.body))
+					peer.Send(callerRequest(c.body))
 					var first *scripted.Peer
 					if c.first {
-						first = s.doors[0].Accept()
+						first = s.listeners[0].Accept()
 						first.ReadRequest()
-						if strings.HasPrefix(at, "a retry") {
+						if strings.HasPrefix(situation, "a retry") {
 							first.Send("HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 						}
 					}
-					<-s.world.at.reached
-					stays := strings.HasPrefix(way, "stays")
-					ahead := ask(0)
+					<-s.env.pause.reached
+					stays := strings.HasPrefix(departure, "stays")
+					extra := callerRequest(0)
 					if c.body > 0 {
-						ahead = "xxxx"
+						extra = "xxxx"
 					}
 					if leave != nil {
-						leave(peer, ahead)
+						leave(peer, extra)
 					}
 					if watched && !stays {
-						<-s.world.watched // it is seen, and the owner may have heard of it
+						<-s.env.watchEnded // it is seen, and the owner may have heard of it
 					}
-					close(s.world.at.goOn)
+					close(s.env.pause.proceed)
 					if stays {
 						if c.body > 0 {
 							rest := strings.Repeat("x", c.body-httpwire.MaxBuffered-1)
@@ -570,11 +572,11 @@
 							}
 							peer.Send(rest)
 						}
-						to := s.doors[1].Accept()
+						to := s.listeners[1].Accept()
 						to.ReadRequest()
 						to.Send(scripted.OK("x"))
 						if !watched {
-							close(s.world.watch)
+							close(s.env.allowWatch)
 						}
 						if status, _ := peer.ReadAnswer(); status != 200 {
 							t.Errorf("answered %d", status)
@@ -586,7 +588,7 @@
 						return
 					}
 					for s.Snapshot().Left != 1 {
-						if s.world.writes(s.doors[1].Address) > 0 {
+						if s.env.writes(s.listeners[1].Address) > 0 {
 							t.Fatal("an attempt has begun for nobody")
 						}
 						time.Sleep(time.Millisecond)
@@ -596,9 +598,9 @@
 					}
 					s.end()
 					if !watched {
-						close(s.world.watch)
+						close(s.env.allowWatch)
 					}
-					if text := s.written(1); text != "" {
+					if text := s.receivedBy(1); text != "" {
 						t.Errorf("written for nobody: %q", text)
 					}
 				})
@@ -609,30 +611,30 @@
 
 // Guards against an effect for nobody: a long body comes whole, and its caller goes before the last byte is passed on. An
 // endpoint begins with that byte.
-func TestCallerThatLeavesBeforeTheLastByteOfABody(t *testing.T) {
+func TestCallerDisconnectsBeforeLastByteOfBody(t *testing.T) {
 	const long = 200 << 10
 	for name, leave := range map[string]func(*scripted.Peer){
 		"half-ends": func(p *scripted.Peer) { p.CloseWrite() }, //nolint:errcheck // the test sees it
 		"stays":     func(*scripted.Peer) {},
 	} {
 		leaves := name != "stays"
-		s := startStaged(t, func(s *staged) {
-			s.world.slow = s.doors[0].Address
-			close(s.world.watch)
-			s.balancer = planned(func(ev *decide.Event) []decide.Action {
+		s := startStagedSidecar(t, func(s *stagedSidecar) {
+			s.env.pausedWrite = s.listeners[0].Address
+			close(s.env.allowWatch)
+			s.balancer = decisionFunc(func(ev *decide.Event) []decide.Action {
 				if ev.Kind == decide.Arrived {
-					return []decide.Action{send(s, ev.Request, 0)}
+					return []decide.Action{sendTo(s, ev.Request, 0)}
 				}
 				return nil
 			})
 		})
 		peer := scripted.Connect(t, s.address)
-		peer.Send(ask(long) + strings.Repeat("x", 100))
-		<-s.world.at.reached // some of it is on its way
+		peer.Send(callerRequest(long) + strings.Repeat("x", 100))
+		<-s.env.pause.reached // some of it is on its way
 		peer.Send(strings.Repeat("x", long-httpwire.MaxBuffered-1-100))
 		leave(peer)
-		close(s.world.at.goOn)
-		to := s.doors[0].Accept()
+		close(s.env.pause.proceed)
+		to := s.listeners[0].Accept()
 		if !leaves {
 			to.ReadRequest()
 			to.Send(scripted.OK("x"))
@@ -657,26 +659,26 @@
 
 // Guards against an effect for nobody where the end of a caller can't be seen at the first byte: more of its body than
 // the kernel takes stands before it, and nobody has read that. The end comes with the last byte.
-func TestCallerThatLeavesBehindMoreThanBuffersTake(t *testing.T) {
+func TestCallerDisconnectsBehindMoreThanKernelBuffers(t *testing.T) {
 	const long = 700 << 10 // on loopback a sender's buffer takes over 1 MiB, a receiver's a tenth of that
-	s := startStaged(t, func(s *staged) {
-		close(s.world.watch)
-		s.balancer = heldBack(s, decide.Arrived, func(*decide.Event) []decide.Action { return nil })
+	s := startStagedSidecar(t, func(s *stagedSidecar) {
+		close(s.env.allowWatch)
+		s.balancer = delayedSend(s, decide.Arrived, func(*decide.Event) []decide.Action { return nil })
 	})
 	peer := scripted.Connect(t, s.address)
-	peer.Send(ask(long))
-	<-s.world.at.reached
+	peer.Send(callerRequest(long))
+	<-s.env.pause.reached
 	peer.Send(strings.Repeat("x", long-httpwire.MaxBuffered-1))
 	peer.Close()
-	close(s.world.at.goOn)
+	close(s.env.pause.proceed)
 	for s.Snapshot().Left != 1 {
 		time.Sleep(time.Millisecond)
 	}
 	s.end()
-	if s.world.writes(s.doors[1].Address) == 0 {
+	if s.env.writes(s.listeners[1].Address) == 0 {
 		return // its end was seen before the first byte
 	}
-	if text, _ := s.doors[1].Accept().ReadToEnd(); len(text) >= long {
+	if text, _ := s.listeners[1].Accept().ReadToEnd(); len(text) >= long {
 		t.Errorf("%d bytes came to the endpoint: its whole request", len(text))
 	}
 }
--- a/internal/pipeline/delivery_test.go
+++ b/internal/pipeline/delivery_test.go
@@ -26,68 +26,68 @@
 // When a change is in force after discovery had it and could be reached. The clock is the bubble's, so that each case takes
 // the longest way that the code can take, to the millisecond.
 
-// patience is how long a call may wait its turn at a discovery that then refuses it.
-const patience = 2 * time.Second
+// maxQueueWait is how long a call may wait its turn at a discovery that then refuses it.
+const maxQueueWait = 2 * time.Second
 
-// fate is what becomes of a call to a discovery that can't answer it.
-type fate uint8
+// callFailure is what becomes of a call to a discovery that can't answer it.
+type callFailure uint8
 
 const (
-	refused fate = iota // its connection is refused
-	deaf                // its connection never comes up
-	silent              // it is read, and nothing comes
-	overrun             // it is answered 503 at once
-	soon503             // it is answered 503 after 1 s
-	late503             // it is answered 503 after 2 s in turn
-	broken              // it is answered with half a list
-	stalled             // half an answer comes
-	reset               // it is read, and its connection ends after a second
+	dialRefused    callFailure = iota // its connection is refused
+	dialHangs                         // its connection never comes up
+	noAnswer                          // it is read, and nothing comes
+	refusedAtOnce                     // it is answered 503 at once
+	refusedAfter1s                    // it is answered 503 after 1 s
+	refusedAfter2s                    // it is answered 503 after 2 s in turn
+	invalidAnswer                     // it is answered with half a list
+	answerStalls                      // half an answer comes
+	connReset                         // it is read, and its connection ends after a second
 )
 
-// doomed is a world of one discovery: the first calls there have one fate, and as the last of them meets it, discovery has
+// failingDiscovery is a world of one discovery: the first calls there have one fate, and as the last of them meets it, discovery has
 // the change and can be reached. From then on each call is answered when its turn has come.
-type doomed struct {
+type failingDiscovery struct {
 	env.Real
 	serving        sync.WaitGroup
 	address        string // where the calls that count go
-	fate           fate
-	calls          int           // that meet it
-	turn           time.Duration // the wait of each call behind them
+	failure        callFailure
+	failingCalls   int           // that meet it
+	queueTime      time.Duration // the wait of each call behind them
 	mu             sync.Mutex
-	came           int
-	open, mostOpen int       // connections
-	since          time.Time // discovery has the change and can be reached
+	callsSeen      int
+	open, maxOpen  int       // connections
+	availableSince time.Time // discovery has the change and can be reached
 }
 
 // RandomDuration is env.Env's: as long as can be.
-func (d *doomed) RandomDuration(most time.Duration) time.Duration { return most - 1 }
+func (d *failingDiscovery) RandomDuration(most time.Duration) time.Duration { return most - 1 }
 
-// meet books a call and tells whether it is doomed.
-func (d *doomed) meet() bool {
+// countCall books a call and tells whether it is doomed.
+func (d *failingDiscovery) countCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.came++
-	d.met()
-	return d.came <= d.calls
+	d.callsSeen++
+	d.noteAvailable()
+	return d.callsSeen <= d.failingCalls
 }
 
-// met notes when the last doomed call has met its fate.
-func (d *doomed) met() {
-	if d.came == d.calls {
-		d.since = time.Now()
+// noteAvailable notes when the last doomed call has met its fate.
+func (d *failingDiscovery) noteAvailable() {
+	if d.callsSeen == d.failingCalls {
+		d.availableSince = time.Now()
 	}
 }
 
 // Dial is env.Env's.
-func (d *doomed) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	lost := false
+func (d *failingDiscovery) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	fails := false
 	if address == d.address {
-		lost = d.meet()
+		fails = d.countCall()
 	}
-	if lost && d.fate == refused {
+	if fails && d.failure == dialRefused {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	if lost && d.fate == deaf {
+	if fails && d.failure == dialHangs {
 		select {
 		case <-ctx.Done():
 		case <-time.After(timeout):
@@ -95,16 +95,16 @@
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 	}
 	here, there := net.Pipe()
-	d.serving.Go(func() { d.serve(there, address == d.address, lost) })
+	d.serving.Go(func() { d.serve(there, address == d.address, fails) })
 	return here, nil
 }
 
 // serve is discovery's side of a connection.
-func (d *doomed) serve(conn net.Conn, counts, lost bool) {
+func (d *failingDiscovery) serve(conn net.Conn, counts, fails bool) {
 	defer conn.Close()
 	if counts {
-		d.count(1)
-		defer d.count(-1)
+		d.trackConn(1)
+		defer d.trackConn(-1)
 	}
 	r := bufio.NewReader(conn)
 	for {
@@ -112,8 +112,8 @@
 		if err != nil {
 			return
 		}
-		if lost {
-			d.doom(conn, r)
+		if fails {
+			d.failCall(conn, r)
 			return
 		}
 		after := q.URL.Query().Get("after")
@@ -121,8 +121,8 @@
 			r.ReadByte() //nolint:errcheck // nothing is newer: until the other side ends it
 			return
 		}
-		time.Sleep(d.turn)
-		body := drained
+		time.Sleep(d.queueTime)
+		body := drainingList
 		if after == "" {
 			body = `{"index":8,"snapshot":true,"endpoints":[]}`
 		}
@@ -132,67 +132,67 @@
 	}
 }
 
-// count counts the connections that are open.
-func (d *doomed) count(change int) {
+// trackConn counts the connections that are open.
+func (d *failingDiscovery) trackConn(change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.open += change
-	d.mostOpen = max(d.mostOpen, d.open)
+	d.maxOpen = max(d.maxOpen, d.open)
 }
 
-// doom does to a call what its fate is.
-func (d *doomed) doom(conn net.Conn, r *bufio.Reader) {
-	half := scripted.OK(drained)
+// failCall does to a call what its fate is.
+func (d *failingDiscovery) failCall(conn net.Conn, r *bufio.Reader) {
+	half := scripted.OK(drainingList)
 	half = half[:len(half)-20]
-	switch d.fate {
-	case silent:
+	switch d.failure {
+	case noAnswer:
 		r.ReadByte() //nolint:errcheck // until it is given up
-	case overrun, soon503, late503:
-		time.Sleep(map[fate]time.Duration{soon503: time.Second, late503: patience}[d.fate])
+	case refusedAtOnce, refusedAfter1s, refusedAfter2s:
+		time.Sleep(map[callFailure]time.Duration{refusedAfter1s: time.Second, refusedAfter2s: maxQueueWait}[d.failure])
 		conn.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) //nolint:errcheck // a call may be given up
 		r.ReadByte()                                                      //nolint:errcheck // the caller ends it
-	case broken:
+	case invalidAnswer:
 		conn.Write([]byte(scripted.OK(`{"index":`))) //nolint:errcheck // the same
-	case stalled, reset:
+	case answerStalls, connReset:
 		time.Sleep(time.Second)
-		if d.fate == stalled {
+		if d.failure == answerStalls {
 			conn.Write([]byte(half)) //nolint:errcheck // the same
 		}
 		d.mu.Lock()
-		d.met()
+		d.noteAvailable()
 		d.mu.Unlock()
-		if d.fate == stalled {
+		if d.failure == answerStalls {
 			r.ReadByte() //nolint:errcheck // until it is given up
 		}
 	}
 }
 
-// told is the module, and tells when a list has been put in force that is not the one of the start.
-type told struct {
+// listRecorder is the module, and tells when a list has been put in force that is not the one of the start.
+type listRecorder struct {
 	Decider
-	at chan time.Time
+	applied chan time.Time
 }
 
 // Handle is Decider's.
-func (d *told) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
+func (d *listRecorder) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	actions = d.Decider.Handle(now, ev, actions)
 	if ev.Kind == decide.ListChanged || ev.Kind == decide.ListReplaced {
 		select {
-		case d.at <- time.Now():
+		case d.applied <- time.Now():
 		default:
 		}
 	}
 	return actions
 }
 
-// toldEngine is an engine at a discovery; known for a list of version 7 at the start.
-func toldEngine(t *testing.T, world env.Env, address string, known, asks bool, seed uint64) (*Engine, *told) {
+// newListEngine is an engine at a discovery; known for a list of version 7 at the start.
+func newListEngine(t *testing.T, environment env.Env, address string, known, polls bool, seed uint64) (*Engine, *listRecorder) {
 	t.Helper()
 	conf := &config.Config{
 		Discovery: address,
 		Settings: decide.Settings{
 			Classes:  []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}},
-			MustPoll: asks, Rules: decide.Rules{DrainGrace: time.Second},
+			MustPoll: polls, Rules: decide.Rules{DrainGrace: time.Second},
 		},
 		ConnectTimeout: time.Second, EndpointConns: 10, IdleTimeout: time.Minute, Seed: seed,
 	}
@@ -203,12 +203,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	module := &told{Decider: balancer, at: make(chan time.Time, 1)}
-	return New(conf, world, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, module), module
+	module := &listRecorder{Decider: balancer, applied: make(chan time.Time, 1)}
+	return New(conf, environment, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, module), module
 }
 
-// way is how long the change takes from when it can be had to when it is in force.
-func (d *doomed) way(t *testing.T, known, asks, moves bool, seed uint64) (took time.Duration) {
+// deliveryTime is how long the change takes from when it can be had to when it is in force.
+func (d *failingDiscovery) deliveryTime(t *testing.T, known, polls, moves bool, seed uint64) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		start := "discovery"
@@ -216,7 +216,7 @@
 			start = "former"
 		}
 		d.address = "discovery"
-		e, module := toldEngine(t, d, start, known, asks, seed)
+		e, module := newListEngine(t, d, start, known, polls, seed)
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		if moves {
@@ -224,11 +224,11 @@
 			e.MoveDiscovery("discovery")
 		}
 		select {
-		case at := <-module.at:
+		case at := <-module.applied:
 			d.mu.Lock()
-			took = at.Sub(d.since)
-			if d.came < d.calls {
-				t.Errorf("in force after %d calls, of which %d were to be lost", d.came, d.calls)
+			took = at.Sub(d.availableSince)
+			if d.callsSeen < d.failingCalls {
+				t.Errorf("in force after %d calls, of which %d were to be lost", d.callsSeen, d.failingCalls)
 			}
 			d.mu.Unlock()
 		case <-time.After(5 * time.Minute):
@@ -244,53 +244,53 @@
 // Guards against requests to endpoints that drain: what discovery has counts as told 6 s after it could be had, whatever a
 // failed, refused or given-up call allows otherwise. A call goes out in the very moment before, comes to nothing in each of
 // the ways that there are, after any number of others, and the next one has to wait its turn for 3 s.
-func TestChangeIsInForceInTime(t *testing.T) {
+func TestChangeIsAppliedInTime(t *testing.T) {
 	const (
-		protocol = 6 * time.Second        // when it counts as told (protocol: Figures)
-		margin   = 400 * time.Millisecond // for a busy machine
-		turn     = 3 * time.Second        // the longest that a discovery keeps a call in turn
-		sown     = 20                     // seeds, where the module draws the pauses
-		most     = 5                      // calls that fail in a row
+		protocol    = 6 * time.Second        // when it counts as told (protocol: Figures)
+		margin      = 400 * time.Millisecond // for a busy machine
+		turn        = 3 * time.Second        // the longest that a discovery keeps a call in turn
+		seedCount   = 20                     // seeds, where the module draws the pauses
+		maxFailures = 5                      // calls that fail in a row
 	)
 	for _, c := range []struct {
 		name  string
-		fate  fate
+		fate  callFailure
 		known bool
 		moves bool
 	}{
-		{"refused dial", refused, true, false}, {"dial that hangs", deaf, true, false},
-		{"503 at once", overrun, true, false}, {"503 after 1 s", soon503, true, false}, {"503 after 2 s in turn", late503, true, false},
-		{"broken list", broken, true, false}, {"lost watch", reset, true, false},
-		{"watch that stands still in its answer", stalled, true, false},
-		{"fetch, refused dial", refused, false, false}, {"fetch, dial that hangs", deaf, false, false},
-		{"fetch, silent", silent, false, false}, {"fetch, 503 after 2 s in turn", late503, false, false},
-		{"fetch, stands still in its answer", stalled, false, false},
-		{"reload, refused dial", refused, true, true}, {"reload, dial that hangs", deaf, true, true},
-		{"reload, silent", silent, true, true}, {"reload, 503 at once", overrun, true, true},
+		{"refused dial", dialRefused, true, false}, {"dial that hangs", dialHangs, true, false},
+		{"503 at once", refusedAtOnce, true, false}, {"503 after 1 s", refusedAfter1s, true, false}, {"503 after 2 s in turn", refusedAfter2s, true, false},
+		{"broken list", invalidAnswer, true, false}, {"lost watch", connReset, true, false},
+		{"watch that stands still in its answer", answerStalls, true, false},
+		{"fetch, refused dial", dialRefused, false, false}, {"fetch, dial that hangs", dialHangs, false, false},
+		{"fetch, silent", noAnswer, false, false}, {"fetch, 503 after 2 s in turn", refusedAfter2s, false, false},
+		{"fetch, stands still in its answer", answerStalls, false, false},
+		{"reload, refused dial", dialRefused, true, true}, {"reload, dial that hangs", dialHangs, true, true},
+		{"reload, silent", noAnswer, true, true}, {"reload, 503 at once", refusedAtOnce, true, true},
 	} {
-		for _, asks := range []bool{false, true} {
+		for _, polls := range []bool{false, true} {
 			longest, worst := time.Duration(0), 0
 			seeds := uint64(1)
-			if asks {
-				seeds = sown
+			if polls {
+				seeds = seedCount
 			}
-			for calls := 1; calls <= most; calls++ {
-				if calls > 1 && (c.fate == stalled || c.fate == reset) {
+			for calls := 1; calls <= maxFailures; calls++ {
+				if calls > 1 && (c.fate == answerStalls || c.fate == connReset) {
 					break // the call that was out; what comes after it is reached
 				}
 				for seed := range seeds {
-					world := &doomed{fate: c.fate, calls: calls, turn: turn}
-					if c.fate == late503 {
-						world.turn = patience // it keeps no call for longer
+					discovery := &failingDiscovery{failure: c.fate, failingCalls: calls, queueTime: turn}
+					if c.fate == refusedAfter2s {
+						discovery.queueTime = maxQueueWait // it keeps no call for longer
 					}
-					if took := world.way(t, c.known, asks, c.moves, seed); took > longest {
+					if took := discovery.deliveryTime(t, c.known, polls, c.moves, seed); took > longest {
 						longest, worst = took, calls
 					}
 				}
 			}
-			t.Logf("%-40s asks %-5v %5d ms, behind %d lost calls", c.name, asks, longest.Milliseconds(), worst)
+			t.Logf("%-40s asks %-5v %5d ms, behind %d lost calls", c.name, polls, longest.Milliseconds(), worst)
 			if longest > protocol-margin {
-				t.Errorf("%s, asks %v: in force %v after it could be had, behind %d lost calls", c.name, asks, longest, worst)
+				t.Errorf("%s, asks %v: in force %v after it could be had, behind %d lost calls", c.name, polls, longest, worst)
 			}
 		}
 	}
@@ -298,18 +298,18 @@
 
 // Guards against a silent watch whose loss is learned of late: the fresh calls behind its wait end in time where discovery
 // answers at once, and where that is slow, the next call is answered in time, counted from when the watch was given up.
-func TestChangeThatASilentWatchMissed(t *testing.T) {
+func TestChangeMissedByASilentWatch(t *testing.T) {
 	times := newCallTimes(1, time.Second)
 	wait := times.wait + times.spread
-	for _, asks := range []bool{false, true} {
-		for turn, most := range map[time.Duration]time.Duration{
+	for _, polls := range []bool{false, true} {
+		for turn, limit := range map[time.Duration]time.Duration{
 			0:               deliveryAfterWait + time.Second, // as told, and the grace
 			3 * time.Second: overdueTime + 5600*time.Millisecond,
 		} {
-			took := (&doomed{fate: silent, calls: 1, turn: turn}).way(t, true, asks, false, 1)
-			t.Logf("asks %v, turn %v: in force %d ms behind the wait", asks, turn, (took - wait).Milliseconds())
-			if took-wait > most {
-				t.Errorf("asks %v, turn %v: in force %v behind the wait, %v at most", asks, turn, took-wait, most)
+			took := (&failingDiscovery{failure: noAnswer, failingCalls: 1, queueTime: turn}).deliveryTime(t, true, polls, false, 1)
+			t.Logf("asks %v, turn %v: in force %d ms behind the wait", polls, turn, (took - wait).Milliseconds())
+			if took-wait > limit {
+				t.Errorf("asks %v, turn %v: in force %v behind the wait, %v at most", polls, turn, took-wait, limit)
 			}
 		}
 	}
@@ -317,21 +317,21 @@
 
 // Guards against a slow discovery that is asked from the back of its turn again and again: the fetch that has waited longer
 // is answered first and counts, and the other one is ended.
-func TestSlowAnswerToAFetchCounts(t *testing.T) {
+func TestSlowFetchAnswerIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const turn = 3 * time.Second
-		d := &doomed{address: "discovery", turn: turn}
-		e, module := toldEngine(t, d, d.address, false, false, 1)
+		d := &failingDiscovery{address: "discovery", queueTime: turn}
+		e, module := newListEngine(t, d, d.address, false, false, 1)
 		ctx, stop := context.WithCancel(context.Background())
 		begun := time.Now()
 		go e.Run(ctx)
-		if took := (<-module.at).Sub(begun); took != turn {
+		if took := (<-module.applied).Sub(begun); took != turn {
 			t.Errorf("in force after %v, want %v", took, turn)
 		}
 		time.Sleep(fetchTimeout) // had the other one gone on, it would have told by now
 		s := e.Snapshot()
-		if d.mu.Lock(); d.came != 2 || d.open != 1 || s.Lists != 1 || s.ListFailures != 0 {
-			t.Errorf("%d connections, %d open, %d lists, %d failures", d.came, d.open, s.Lists, s.ListFailures)
+		if d.mu.Lock(); d.callsSeen != 2 || d.open != 1 || s.Lists != 1 || s.ListFailures != 0 {
+			t.Errorf("%d connections, %d open, %d lists, %d failures", d.callsSeen, d.open, s.Lists, s.ListFailures)
 		}
 		d.mu.Unlock()
 		stop()
@@ -345,15 +345,15 @@
 func TestFetchesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = time.Minute
-		d := &doomed{address: "discovery", fate: silent, calls: 1000}
-		e, _ := toldEngine(t, d, d.address, false, false, 1)
+		d := &failingDiscovery{address: "discovery", failure: noAnswer, failingCalls: 1000}
+		e, _ := newListEngine(t, d, d.address, false, false, 1)
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		time.Sleep(long)
 		s := e.Snapshot()
 		d.mu.Lock()
-		if most := int(long/hedgeDelay) + 1; d.came > most || d.came < most-1 || d.mostOpen != 2 || s.ListFailures < d.came-2 {
-			t.Errorf("%d fetches, %d at a time, %d failures; %d at most", d.came, d.mostOpen, s.ListFailures, most)
+		if most := int(long/hedgeDelay) + 1; d.callsSeen > most || d.callsSeen < most-1 || d.maxOpen != 2 || s.ListFailures < d.callsSeen-2 {
+			t.Errorf("%d fetches, %d at a time, %d failures; %d at most", d.callsSeen, d.maxOpen, s.ListFailures, most)
 		}
 		d.mu.Unlock()
 		stop()
@@ -362,36 +362,36 @@
 	})
 }
 
-// crowd is a world of many sidecars at one discovery that works through calls in turn, and refuses those that wait too long.
-type crowd struct {
+// crowdedDiscovery is a world of many sidecars at one discovery that works through calls in turn, and refuses those that wait too long.
+type crowdedDiscovery struct {
 	env.Real
 	serving  sync.WaitGroup
 	mu       sync.Mutex
 	up       bool
 	version  int
 	news     chan struct{} // closed at the next change
-	falls    chan struct{} // closed as it goes down
-	queue    []*queued
+	wentDown chan struct{} // closed as it goes down
+	queue    []*queuedCall
 	calls    int
 	refusals int
 	bySecond map[int]int
 	begun    time.Time
 }
 
-// queued is a call that waits for its turn.
-type queued struct {
-	turn  chan struct{}
-	ended bool
+// queuedCall is a call that waits for its turn.
+type queuedCall struct {
+	served  chan struct{}
+	refused bool
 }
 
 // Dial is env.Env's.
-func (c *crowd) Dial(context.Context, string, time.Duration) (net.Conn, error) {
+func (c *crowdedDiscovery) Dial(context.Context, string, time.Duration) (net.Conn, error) {
 	here, there := net.Pipe()
 	c.serving.Go(func() { c.serve(there) })
 	return here, nil
 }
 
-func (c *crowd) serve(conn net.Conn) {
+func (c *crowdedDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -402,7 +402,7 @@
 		c.mu.Lock()
 		c.calls++
 		c.bySecond[int(time.Since(c.begun).Seconds())]++
-		w, up, came := &queued{turn: make(chan struct{})}, c.up, time.Now()
+		w, up, came := &queuedCall{served: make(chan struct{})}, c.up, time.Now()
 		if up {
 			c.queue = append(c.queue, w)
 		}
@@ -410,14 +410,14 @@
 		served := false
 		if up {
 			select {
-			case <-w.turn:
+			case <-w.served:
 				served = true
-			case <-time.After(patience):
+			case <-time.After(maxQueueWait):
 			}
 		}
 		if !served {
 			c.mu.Lock()
-			w.ended = true
+			w.refused = true
 			c.refusals++
 			c.mu.Unlock()
 			conn.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) //nolint:errcheck // it may have been given up
@@ -431,7 +431,7 @@
 			news := c.news
 			c.mu.Unlock()
 			select {
-			case <-c.falls:
+			case <-c.wentDown:
 				return
 			case <-news:
 				c.mu.Lock()
@@ -450,15 +450,15 @@
 }
 
 // work serves calls one after another until the context ends.
-func (c *crowd) work(ctx context.Context, each time.Duration) {
+func (c *crowdedDiscovery) work(ctx context.Context, each time.Duration) {
 	for ctx.Err() == nil {
 		time.Sleep(each)
 		c.mu.Lock()
 		for len(c.queue) > 0 {
 			first := c.queue[0]
 			c.queue = c.queue[1:]
-			if !first.ended {
-				close(first.turn)
+			if !first.refused {
+				close(first.served)
 				break
 			}
 		}
@@ -468,30 +468,30 @@
 
 // Guards against calls without measure at a discovery that is away, or that many sidecars call at once: all are told in
 // the end, and none calls more often than once a second for long.
-func TestCrowdedDiscoveryIsNotStormed(t *testing.T) {
+func TestBusyDiscoveryIsNotFlooded(t *testing.T) {
 	const (
-		sidecars = 300
-		each     = 20 * time.Millisecond // all take 6 s
-		away     = 8 * time.Second
-		changes  = 10
-		step     = 620 * time.Millisecond
-		whole    = 40 * time.Second
-		perCall  = 1100 * time.Millisecond // least mean time between calls of a sidecar while discovery is away
+		sidecars        = 300
+		each            = 20 * time.Millisecond // all take 6 s
+		outage          = 8 * time.Second
+		changes         = 10
+		step            = 620 * time.Millisecond
+		limit           = 40 * time.Second
+		minCallInterval = 1100 * time.Millisecond // least mean time between calls of a sidecar while discovery is away
 	)
-	for _, asks := range []bool{false, true} {
+	for _, polls := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &crowd{news: make(chan struct{}), falls: make(chan struct{}), version: 7, up: true, begun: time.Now(), bySecond: map[int]int{}}
+			c := &crowdedDiscovery{news: make(chan struct{}), wentDown: make(chan struct{}), version: 7, up: true, begun: time.Now(), bySecond: map[int]int{}}
 			ctx, stop := context.WithCancel(context.Background())
 			go c.work(ctx, each)
 			var engines []*Engine
 			for i := range sidecars {
-				e, _ := toldEngine(t, c, "discovery", true, asks, uint64(i))
+				e, _ := newListEngine(t, c, "discovery", true, polls, uint64(i))
 				e.conf.Settings.Peers = 1
 				engines = append(engines, e)
 				go e.Run(ctx)
 			}
 			time.Sleep(2 * time.Second)
-			set := func(change func()) {
+			publish := func(change func()) {
 				c.mu.Lock()
 				change()
 				close(c.news)
@@ -500,16 +500,16 @@
 			}
 			c.mu.Lock()
 			c.up = false
-			close(c.falls)
+			close(c.wentDown)
 			before := c.calls
 			c.mu.Unlock()
-			time.Sleep(away)
+			time.Sleep(outage)
 			c.mu.Lock()
-			c.up, c.falls = true, nil
+			c.up, c.wentDown = true, nil
 			down := c.calls - before
 			c.mu.Unlock()
 			for range changes {
-				set(func() { c.version++ })
+				publish(func() { c.version++ })
 				time.Sleep(step)
 			}
 			last := time.Now()
@@ -517,11 +517,11 @@
 			for _, e := range engines {
 				for {
 					index := make(chan int64, 1)
-					e.post(asked(func() { index <- e.listVersion }))
+					e.post(ownerFunc(func() { index <- e.listVersion }))
 					if <-index == int64(7+changes) {
 						break
 					}
-					if time.Since(last) > whole {
+					if time.Since(last) > limit {
 						t.Fatal("a sidecar is never told")
 					}
 					time.Sleep(10 * time.Millisecond)
@@ -530,10 +530,10 @@
 			}
 			c.mu.Lock()
 			t.Logf("asks %v: %d calls in all, %d while it was away, %d refused; all told %v after the last change; busiest second %d",
-				asks, c.calls, down, c.refusals, slowest, busiest(c.bySecond))
+				polls, c.calls, down, c.refusals, slowest, maxCount(c.bySecond))
 			c.mu.Unlock()
-			if most := int(sidecars * away / perCall); down > most {
-				t.Errorf("asks %v: %d calls while it was away, %d at most", asks, down, most)
+			if most := int(sidecars * outage / minCallInterval); down > most {
+				t.Errorf("asks %v: %d calls while it was away, %d at most", polls, down, most)
 			}
 			stop()
 			for _, e := range engines {
@@ -544,14 +544,14 @@
 	}
 }
 
-func busiest(counts map[int]int) (most int) {
+func maxCount(counts map[int]int) (most int) {
 	for _, n := range counts {
 		most = max(most, n)
 	}
 	return most
 }
 
-// asked has the owner do something for the test.
-type asked func()
+// ownerFunc has the owner do something for the test.
+type ownerFunc func()
 
-func (f asked) handle(*Engine) { f() }
+func (f ownerFunc) handle(*Engine) { f() }
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -24,7 +24,7 @@
 	const short = 50 * time.Millisecond
 	for _, known := range []bool{false, true} {
 		var log strings.Builder
-		e := testEngine(t)
+		e := newTestEngine(t)
 		e.connLog = zerolog.New(&log)
 		e.watch = newWatch(listener.Addr().String(),
 			callTimes{dial: 10 * time.Second, fetch: short, wait: short, spread: short, overdue: short, check: short, body: short})
@@ -53,7 +53,7 @@
 		ctx.SetBodyString(`{"index":7,"snapshot":false,"endpoints":[]}`)
 	}}
 	go server.Serve(listener)
-	e := testEngine(t)
+	e := newTestEngine(t)
 	e.watch = newWatch(listener.Addr().String(), newCallTimes(1, time.Second))
 	e.watch.hasList, e.watch.version = true, 7
 	begin := time.Now()
@@ -70,7 +70,7 @@
 
 // Guards against a sidecar that is blind for long behind one lost answer, and against
 // a discovery that many sidecars ask too often.
-func TestTimesOfAWatch(t *testing.T) {
+func TestWatchWaitGrowsWithPeers(t *testing.T) {
 	for peers, want := range map[int]time.Duration{0: 4 * time.Second, 2: 4 * time.Second, 10: 10 * time.Second, 900: 16 * time.Second} {
 		if got := newCallTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
 			t.Errorf("%d peers: %+v, want to wait %v", peers, got, want)
@@ -80,8 +80,8 @@
 
 // Guards against news of a discovery that was left behind: its versions and
 // failures mean nothing to the next, whose whole list replaces them.
-func TestNewsOfTheFormerDiscovery(t *testing.T) {
-	e := testEngine(t)
+func TestAnswersOfTheFormerDiscoveryAreIgnored(t *testing.T) {
+	e := newTestEngine(t)
 	former := e.watch
 	former.running = true
 	discoveryMoved{scripted.FreeAddress(t)}.handle(e)
--- a/internal/pipeline/fleet_test.go
+++ b/internal/pipeline/fleet_test.go
@@ -24,69 +24,69 @@
 
 // A fleet of callers before one discovery, on the bubble's clock.
 
-// inTurn is a discovery that works through its callers' calls one after the other. A call that waits for longer than patience
+// queueingDiscovery is a discovery that works through its callers' calls one after the other. A call that waits for longer than patience
 // is refused then, and has cost its part of the work all the same.
-type inTurn struct {
+type queueingDiscovery struct {
 	env.Real
-	each    time.Duration // work of a call
-	serving sync.WaitGroup
+	workPerCall time.Duration // work of a call
+	serving     sync.WaitGroup
 
-	mu      sync.Mutex
-	draws   *rand.Rand
-	down    bool
-	ends    chan struct{} // closed when it goes down: watches end
-	until   time.Time     // when what it has taken on is done
-	version int           // of the list
-	refused int
+	mu        sync.Mutex
+	random    *rand.Rand
+	down      bool
+	wentDown  chan struct{} // closed when it goes down: watches end
+	busyUntil time.Time     // when what it has taken on is done
+	version   int           // of the list
+	refused   int
 }
 
 // RandomDuration is env.Env's.
-func (d *inTurn) RandomDuration(most time.Duration) time.Duration {
+func (d *queueingDiscovery) RandomDuration(most time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Duration(d.draws.Int64N(int64(most)))
+	return time.Duration(d.random.Int64N(int64(most)))
 }
 
 // Dial is env.Env's.
-func (d *inTurn) Dial(context.Context, string, time.Duration) (net.Conn, error) {
+func (d *queueingDiscovery) Dial(context.Context, string, time.Duration) (net.Conn, error) {
 	here, there := net.Pipe()
 	d.serving.Go(func() { d.serve(there) })
 	return here, nil
 }
 
-// turn takes a call on and returns when its turn comes; false if it is to be refused by then.
-func (d *inTurn) turn() (at time.Time, ok bool) {
+// enqueue takes a call on and returns when its turn comes; false if it is to be refused by then.
+func (d *queueingDiscovery) enqueue() (at time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	if d.until.Before(now) {
-		d.until = now
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	if d.down || d.until.Sub(now) > patience {
+	if d.down || d.busyUntil.Sub(now) > maxQueueWait {
 		d.refused++
 		if !d.down {
-			d.until = d.until.Add(d.each)
+			d.busyUntil = d.busyUntil.Add(d.workPerCall)
 		}
-		return now.Add(patience), false
+		return now.Add(maxQueueWait), false
 	}
-	d.until = d.until.Add(d.each)
-	return d.until, true
+	d.busyUntil = d.busyUntil.Add(d.workPerCall)
+	return d.busyUntil, true
 }
 
-func (d *inTurn) setDown(down bool) {
+func (d *queueingDiscovery) setDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down, d.until = down, time.Now()
+	d.down, d.busyUntil = down, time.Now()
 	d.version++ // there are news at each change
 	if down {
-		close(d.ends)
+		close(d.wentDown)
 	} else {
-		d.ends = make(chan struct{})
+		d.wentDown = make(chan struct{})
 	}
 }
 
 // serve answers the calls that come on a connection; a goroutine reads ahead, so that a caller that goes is seen.
-func (d *inTurn) serve(conn net.Conn) {
+func (d *queueingDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	calls := make(chan *http.Request)
 	gone := make(chan struct{})
@@ -114,11 +114,11 @@
 }
 
 // answer answers one call; false if the connection ends with it.
-func (d *inTurn) answer(conn net.Conn, q *http.Request, gone <-chan struct{}) bool {
+func (d *queueingDiscovery) answer(conn net.Conn, q *http.Request, gone <-chan struct{}) bool {
 	d.mu.Lock()
-	ends := d.ends
+	ends := d.wentDown
 	d.mu.Unlock()
-	at, ok := d.turn()
+	at, ok := d.enqueue()
 	time.Sleep(time.Until(at))
 	if !ok {
 		conn.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) //nolint:errcheck // its caller may have gone
@@ -145,8 +145,8 @@
 	return err == nil
 }
 
-// fleetOf starts so many engines before a discovery, all at once, and returns them with what ends them.
-func fleetOf(t *testing.T, d *inTurn, count int) (fleet []*Engine, stop func()) {
+// startFleet starts so many engines before a discovery, all at once, and returns them with what ends them.
+func startFleet(t *testing.T, d *queueingDiscovery, count int) (fleet []*Engine, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	for n := range count {
@@ -176,8 +176,8 @@
 	}
 }
 
-// unheard is how many of a fleet may have missed news.
-func unheard(fleet []*Engine) int {
+// countStale is how many of a fleet may have missed news.
+func countStale(fleet []*Engine) int {
 	n := 0
 	for _, e := range fleet {
 		if e.metrics.ListStaleMS.Load() > 0 {
@@ -187,23 +187,23 @@
 	return n
 }
 
-// allHeard waits until none of a fleet may have missed news, and returns how long that took and how many had not heard after each
+// waitAllCurrent waits until none of a fleet may have missed news, and returns how long that took and how many had not heard after each
 // second.
-func allHeard(fleet []*Engine, most time.Duration) (took time.Duration, each []int) {
-	const look = 100 * time.Millisecond
+func waitAllCurrent(fleet []*Engine, limit time.Duration) (took time.Duration, stalePerSecond []int) {
+	const pollInterval = 100 * time.Millisecond
 	begin := time.Now()
-	for n := 1; n > 0 && took < most; {
-		time.Sleep(look)
-		took, n = time.Since(begin), unheard(fleet)
+	for n := 1; n > 0 && took < limit; {
+		time.Sleep(pollInterval)
+		took, n = time.Since(begin), countStale(fleet)
 		if took%time.Second == 0 {
-			each = append(each, n)
+			stalePerSecond = append(stalePerSecond, n)
 		}
 	}
-	return took, each
+	return took, stalePerSecond
 }
 
-// longestPause is the longest behind a refused call.
-func longestPause(peers int) time.Duration {
+// maxRefusedPause is the longest behind a refused call.
+func maxRefusedPause(peers int) time.Duration {
 	least, spread := decide.ListRetryDelay(0, peers, true)
 	return least + spread
 }
@@ -212,7 +212,7 @@
 // most callers are refused for as long as that lasts (report 4547c5). A caller that is refused, and refused once more, is heard
 // within two of its longest pauses, or before news bind: when discovery returns from an outage, and when a fleet has started
 // together, or been led to another discovery together, and all of it has called once.
-func TestFleetIsHeardByADiscoveryWithManyCallers(t *testing.T) {
+func TestFleetGetsTheListFromABusyDiscovery(t *testing.T) {
 	const (
 		outage  = 8 * time.Second
 		settled = 30 * time.Second        // all wait for news
@@ -225,33 +225,33 @@
 		{10, 18 * time.Millisecond}, {50, 18 * time.Millisecond}, {150, 18 * time.Millisecond}, {376, 18 * time.Millisecond},
 		{900, 9 * time.Millisecond},
 	} {
-		most := max(2*longestPause(c.count), deliveryWhenPolled)
+		limit := max(2*maxRefusedPause(c.count), deliveryWhenPolled)
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%d callers, seed %d", c.count, seed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					d := &inTurn{each: c.each, version: 2, ends: make(chan struct{}), draws: rand.New(rand.NewPCG(seed, 0))}
-					fleet, stop := fleetOf(t, d, c.count)
+					d := &queueingDiscovery{workPerCall: c.each, version: 2, wentDown: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 0))}
+					fleet, stop := startFleet(t, d, c.count)
 					defer stop()
-					first, left := allHeard(fleet, 2*most)
-					if first > started+most {
-						t.Errorf("all start together: heard after %v, want %v; not heard after each second: %v", first, started+most, left)
+					first, left := waitAllCurrent(fleet, 2*limit)
+					if first > started+limit {
+						t.Errorf("all start together: heard after %v, want %v; not heard after each second: %v", first, started+limit, left)
 					}
 					time.Sleep(settled)
 					d.setDown(true)
 					time.Sleep(outage)
 					d.setDown(false)
-					took, left := allHeard(fleet, 2*most)
-					if took > most {
-						t.Errorf("behind an outage: heard after %v, want %v; not heard after each second: %v", took, most, left)
+					took, left := waitAllCurrent(fleet, 2*limit)
+					if took > limit {
+						t.Errorf("behind an outage: heard after %v, want %v; not heard after each second: %v", took, limit, left)
 					}
 					time.Sleep(settled)
 					for _, e := range fleet {
 						e.MoveDiscovery("another discovery")
 					}
 					synctest.Wait()
-					moved, left := allHeard(fleet, 2*most)
-					if moved > started+most {
-						t.Errorf("behind a reload: heard after %v, want %v; not heard after each second: %v", moved, started+most, left)
+					moved, left := waitAllCurrent(fleet, 2*limit)
+					if moved > started+limit {
+						t.Errorf("behind a reload: heard after %v, want %v; not heard after each second: %v", moved, started+limit, left)
 					}
 					t.Logf("%d calls refused; heard %v behind the start, %v behind the outage, %v behind the reload",
 						d.refused, first, took, moved)
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -13,22 +13,22 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// successor returns an engine whose discovery is at a door, that begins with what a predecessor left.
-func successor(t *testing.T, left Handover) (*Engine, *scripted.Listener, *strings.Builder) {
+// newSuccessor returns an engine whose discovery is at a door, that begins with what a predecessor left.
+func newSuccessor(t *testing.T, handover Handover) (*Engine, *scripted.Listener, *strings.Builder) {
 	t.Helper()
-	door := scripted.Listen(t)
-	e := testEngine(t)
+	discovery := scripted.Listen(t)
+	e := newTestEngine(t)
 	var log strings.Builder
 	e.log = zerolog.New(&log)
 	e.conf.Classes = map[string]decide.Class{"look": {}}
 	e.conf.KnownList = listOf("own", "127.0.0.1:1", decide.Active)
 	e.conf.KnownList.Endpoints = append(e.conf.KnownList.Endpoints, listOf("both", "127.0.0.1:2", decide.Active).Endpoints...)
 	e.conf.KnownList.Index = 5
-	e.watch = newWatch(door.Address, quick)
-	if left.From == "here" {
-		left.From = door.Address
+	e.watch = newWatch(discovery.Address, shortTimes)
+	if handover.From == "here" {
+		handover.From = discovery.Address
 	}
-	text, err := json.Marshal(left)
+	text, err := json.Marshal(handover)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,12 +40,12 @@
 		close(e.stopped)
 	})
 	e.startList()
-	return e, door, &log
+	return e, discovery, &log
 }
 
 // Guards against what one installation leaves to another: versions that are another discovery's own, a list of endpoints
 // that are not there, bans of names that mean something else. Drains of endpoints that both know stay known.
-func TestWhatAPredecessorLeavesToAnother(t *testing.T) {
+func TestSuccessorImportsHandover(t *testing.T) {
 	list := httpwire.List{Index: 40, Endpoints: []httpwire.ListedEndpoint{
 		{Name: "both", Address: "127.0.0.1:2", State: decide.Draining}, {Name: "theirs", Address: "127.0.0.1:3"},
 	}}
@@ -69,8 +69,8 @@
 			Handover{List: list}, "", []string{"both", "theirs"}, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, door, log := successor(t, c.left)
-			if asked := door.Accept().ReadRequest().URL.RawQuery; asked != c.asked {
+			e, discovery, log := newSuccessor(t, c.left)
+			if asked := discovery.Accept().ReadRequest().URL.RawQuery; asked != c.asked {
 				t.Errorf("asked %q, want %q", asked, c.asked)
 			}
 			var names []string
@@ -85,7 +85,7 @@
 			if got := len(e.endpoints.Banned()); got != c.banned {
 				t.Errorf("%d bans, want %d", got, c.banned)
 			}
-			if said := strings.Contains(log.String(), "other classes"); said != (name == "other classes") {
+			if logged := strings.Contains(log.String(), "other classes"); logged != (name == "other classes") {
 				t.Errorf("log: %s", log)
 			}
 		})
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -17,8 +17,8 @@
 	"heathgap/internal/metrics"
 )
 
-// logged is what a test reads of a log line.
-type logged struct {
+// logLine is what a test reads of a log line.
+type logLine struct {
 	Message, Kind, End string
 	Call, Version      int64
 	Lines              int
@@ -28,10 +28,10 @@
 	Took               int64 `json:"took_ms"`
 }
 
-func readLog(t *testing.T, text []byte) (lines []logged) {
+func parseLog(t *testing.T, text []byte) (lines []logLine) {
 	t.Helper()
 	for line := range bytes.Lines(text) {
-		var l logged
+		var l logLine
 		if err := json.Unmarshal(line, &l); err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
@@ -46,23 +46,23 @@
 	const refusals = 3
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
-		d := &doomed{address: "discovery", fate: late503, calls: refusals}
-		e, module := toldEngine(t, d, d.address, true, true, 1)
+		d := &failingDiscovery{address: "discovery", failure: refusedAfter2s, failingCalls: refusals}
+		e, module := newListEngine(t, d, d.address, true, true, 1)
 		e.log = zerolog.New(zerolog.SyncWriter(&log))
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
-		<-module.at
+		<-module.applied
 		if unheard := e.metrics.ListStaleMS.Load(); unheard != 0 {
 			t.Errorf("%d ms unheard of behind an answer", unheard)
 		}
-		figures := string(e.metrics.Append(nil))
+		output := string(e.metrics.Append(nil))
 		stop()
 		<-e.stopped
 		d.serving.Wait()
 		synctest.Wait() // the watch writes its last line
 
-		var calls, states []logged
-		for _, l := range readLog(t, log.Bytes()) {
+		var calls, states []logLine
+		for _, l := range parseLog(t, log.Bytes()) {
 			switch {
 			case l.Message == "list call":
 				calls = append(calls, l)
@@ -71,7 +71,7 @@
 			}
 		}
 		for i, call := range calls {
-			want := logged{Message: "list call", Kind: "watch", End: "refused", Call: int64(i + 1), Took: patience.Milliseconds()}
+			want := logLine{Message: "list call", Kind: "watch", End: "refused", Call: int64(i + 1), Took: maxQueueWait.Milliseconds()}
 			switch {
 			case i == refusals:
 				want.End, want.Version, want.Lines, want.Took = "answered", 8, 1, 0
@@ -92,23 +92,23 @@
 			t.Errorf("stale after %d ms", states[0].Unheard)
 		}
 		for _, line := range []string{"sidecar.list_calls.refused:3|c\n", "sidecar.list_calls.answered:1|c\n", "sidecar.list_unheard_ms:0|g\n"} {
-			if !strings.Contains(figures, line) {
-				t.Errorf("no %q in %s", line, figures)
+			if !strings.Contains(output, line) {
+				t.Errorf("no %q in %s", line, output)
 			}
 		}
 	})
 }
 
 // Guards against calls that are counted as something else: what an end means decides what staff look at.
-func TestEndsOfListCalls(t *testing.T) {
-	for fate, want := range map[fate]metrics.ListCallEnd{
-		refused: metrics.ListNotConnected, deaf: metrics.ListNotConnected, silent: metrics.ListTimedOut, overrun: metrics.ListRefused,
-		broken: metrics.ListMalformed, stalled: metrics.ListTimedOut, reset: metrics.ListBroken,
+func TestListCallEndsAreClassified(t *testing.T) {
+	for fate, want := range map[callFailure]metrics.ListCallEnd{
+		dialRefused: metrics.ListNotConnected, dialHangs: metrics.ListNotConnected, noAnswer: metrics.ListTimedOut, refusedAtOnce: metrics.ListRefused,
+		invalidAnswer: metrics.ListMalformed, answerStalls: metrics.ListTimedOut, connReset: metrics.ListBroken,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
-			d := &doomed{address: "discovery", fate: fate, calls: 1}
-			e, _ := toldEngine(t, d, d.address, true, false, 1)
+			d := &failingDiscovery{address: "discovery", failure: fate, failingCalls: 1}
+			e, _ := newListEngine(t, d, d.address, true, false, 1)
 			e.log = zerolog.New(zerolog.SyncWriter(&log))
 			w := e.watch
 			ctx, stop := context.WithCancel(context.Background())
@@ -121,7 +121,7 @@
 			if w.ctx.Err() == nil {
 				t.Error("the watch goes on behind its engine")
 			}
-			for _, l := range readLog(t, log.Bytes()) {
+			for _, l := range parseLog(t, log.Bytes()) {
 				if l.Call == 1 && l.End != want.String() {
 					t.Errorf("fate %d: the call ends as %q, want %q", fate, l.End, want)
 				}
@@ -137,8 +137,8 @@
 // waits its turn has been taken, and with it all that discovery had.
 func TestWatchThatWaitsConfirmsTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := &doomed{address: "discovery", fate: silent, calls: 0}
-		e, _ := toldEngine(t, d, d.address, true, true, 1)
+		d := &failingDiscovery{address: "discovery", failure: noAnswer, failingCalls: 0}
+		e, _ := newListEngine(t, d, d.address, true, true, 1)
 		e.conf.KnownList.Index = 8 // nothing is newer
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
@@ -157,52 +157,52 @@
 	})
 }
 
-// noting is a module; what it is told of the list's age is noted.
-type noting struct {
+// staleRecorder is a module; what it is told of the list's age is noted.
+type staleRecorder struct {
 	Decider
-	begun time.Time
-	got   []string
+	began time.Time
+	notes []string
 }
 
 // Handle is Decider's.
-func (n *noting) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
-	at := time.Since(n.begun).Round(time.Millisecond)
+func (n *staleRecorder) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
+	at := time.Since(n.began).Round(time.Millisecond)
 	switch ev.Kind {
 	case decide.ListMissed:
-		n.got = append(n.got, fmt.Sprintf("%v: missed since %v ago, told %v after that", at, now-ev.Since, ev.DeliveredBy-ev.Since))
+		n.notes = append(n.notes, fmt.Sprintf("%v: missed since %v ago, told %v after that", at, now-ev.Since, ev.DeliveredBy-ev.Since))
 	case decide.ListConfirmed:
-		n.got = append(n.got, fmt.Sprintf("%v: confirmed", at))
+		n.notes = append(n.notes, fmt.Sprintf("%v: confirmed", at))
 	}
 	return n.Decider.Handle(now, ev, actions)
 }
 
 // Guards against a module that takes an old list for a true one: it is told since when news may have been missed, when they
 // count as told, and when nothing is missed any more.
-func TestModuleIsToldThatNewsMayBeMissed(t *testing.T) {
-	const old, newest = 7, 8 // versions; the first call comes 0.238 s behind the start, by the seed
+func TestModuleIsNotifiedOfAStaleList(t *testing.T) {
+	const oldVersion, newestVersion = 7, 8 // versions; the first call comes 0.238 s behind the start, by the seed
 	for name, c := range map[string]struct {
 		asks  bool
 		known int64
-		fate  fate
+		fate  callFailure
 		moves bool
 		want  []string
 	}{
-		"asked for, nothing is newer": {true, newest, silent, false, []string{"0s: missed since 0s ago, told 6s after that", "3.238s: confirmed"}},
-		"asked for, refused at first": {true, old, late503, false, []string{"0s: missed since 0s ago, told 6s after that"}},
-		"pushed, nothing is newer":    {false, newest, silent, false, nil},
-		"pushed, refused at first":    {false, old, late503, false, []string{"2s: missed since 2s ago, told 0s after that"}},
-		"another discovery":           {false, newest, silent, true, []string{"5s: missed since 0s ago, told 4s after that"}},
+		"asked for, nothing is newer": {true, newestVersion, noAnswer, false, []string{"0s: missed since 0s ago, told 6s after that", "3.238s: confirmed"}},
+		"asked for, refused at first": {true, oldVersion, refusedAfter2s, false, []string{"0s: missed since 0s ago, told 6s after that"}},
+		"pushed, nothing is newer":    {false, newestVersion, noAnswer, false, nil},
+		"pushed, refused at first":    {false, oldVersion, refusedAfter2s, false, []string{"2s: missed since 2s ago, told 0s after that"}},
+		"another discovery":           {false, newestVersion, noAnswer, true, []string{"5s: missed since 0s ago, told 4s after that"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &doomed{address: "discovery", fate: c.fate}
-				if c.fate == late503 {
-					d.calls = 1
+				d := &failingDiscovery{address: "discovery", failure: c.fate}
+				if c.fate == refusedAfter2s {
+					d.failingCalls = 1
 				}
-				e, module := toldEngine(t, d, d.address, true, c.asks, 1)
+				e, module := newListEngine(t, d, d.address, true, c.asks, 1)
 				e.conf.KnownList.Index = c.known
-				noted := &noting{Decider: module, begun: time.Now()}
-				e.balancer = noted
+				recorder := &staleRecorder{Decider: module, began: time.Now()}
+				e.balancer = recorder
 				ctx, stop := context.WithCancel(context.Background())
 				go e.Run(ctx)
 				time.Sleep(5 * time.Second)
@@ -214,8 +214,8 @@
 				<-e.stopped
 				d.serving.Wait()
 				synctest.Wait()
-				if !slices.Equal(noted.got, c.want) {
-					t.Errorf("%q, want %q", noted.got, c.want)
+				if !slices.Equal(recorder.notes, c.want) {
+					t.Errorf("%q, want %q", recorder.notes, c.want)
 				}
 			})
 		})
--- a/internal/pipeline/requestlog_test.go
+++ b/internal/pipeline/requestlog_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/httpwire"
 )
 
-// requestLine is what the tests read of a line on a request.
-type requestLine struct {
+// loggedRequest is what the tests read of a line on a request.
+type loggedRequest struct {
 	Message, Request, End, Reason, To string
 	List                              int64
 	Suppressed                        int
@@ -25,7 +25,7 @@
 // and the version of the list, and a flood of them is counted in place of written.
 func TestRequestsThatAreNotServedAreLogged(t *testing.T) {
 	var log bytes.Buffer
-	e := testEngine(t)
+	e := newTestEngine(t)
 	e.log, e.listVersion = zerolog.New(&log), 7
 	id := e.updateEndpoints(listOf("s", "127.0.0.1:1", decide.Active))[0].ID
 	until := e.clock.Now() + time.Minute
@@ -41,13 +41,13 @@
 		t.Errorf("counted %d times, want once", n)
 	}
 	attempts := []struct{ To, Outcome string }{{"s", "rejected"}}
-	want := []requestLine{
+	want := []loggedRequest{
 		{Message: "request sent again", Request: "txn-1", Reason: "retried", To: "s", List: 7, Attempts: attempts},
 		{Message: "request not served", Request: "txn-1", Reason: "no_retry_token", End: "refused", List: 7, Attempts: attempts},
 	}
-	var got []requestLine
+	var got []loggedRequest
 	for line := range bytes.Lines(log.Bytes()) {
-		var l requestLine
+		var l loggedRequest
 		if err := json.Unmarshal(line, &l); err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestLinesOnRequestsAreBounded(t *testing.T) {
+func TestRequestLinesAreLimited(t *testing.T) {
 	var budget logLimiter
 	written, suppressed := 0, 0
 	for now := decide.Time(0); now < 3*time.Second; now += time.Millisecond {
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -61,8 +61,8 @@
 
 // applyClusterBan books a ban that the crew has agreed on, or its end. One by hand stands beside it.
 func (e *Engine) applyClusterBan(events []decide.Event, name string, on bool) []decide.Event {
-	byHand, byCrew := e.clusterBans[name]
-	if !byCrew {
+	byHand, byCluster := e.clusterBans[name]
+	if !byCluster {
 		byHand = slices.Contains(e.endpoints.Banned(), name)
 	}
 	if e.clusterBans[name] = byHand; !on {
@@ -89,7 +89,7 @@
 
 // banByHand tells whether a ban by hand, or its end, is settled by what the crew bans.
 func (e *Engine) banByHand(c *banCall) (settled bool) {
-	if _, byCrew := e.clusterBans[c.name]; !byCrew {
+	if _, byCluster := e.clusterBans[c.name]; !byCluster {
 		return false
 	}
 	e.clusterBans[c.name] = c.on
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -10,38 +10,38 @@
 	"heathgap/internal/state"
 )
 
-// toldRules say what a test has them say.
-type toldRules struct{ acting *EffectiveRules }
+// fixedRules say what a test has them say.
+type fixedRules struct{ effective *EffectiveRules }
 
 // Effective is Rules'.
-func (r *toldRules) Effective() *EffectiveRules { return r.acting }
+func (r *fixedRules) Effective() *EffectiveRules { return r.effective }
 
-// heedEngine is an engine in a crew, with the events that its module is told.
-func heedEngine(t *testing.T) (*Engine, *toldRules, *[]decide.Event) {
+// newClusterEngine is an engine in a crew, with the events that its module is told.
+func newClusterEngine(t *testing.T) (*Engine, *fixedRules, *[]decide.Event) {
 	t.Helper()
-	e := testEngine(t)
-	rules := &toldRules{&EffectiveRules{Generation: 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}}}
+	e := newTestEngine(t)
+	rules := &fixedRules{&EffectiveRules{Generation: 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}}}
 	e.SetRules(rules)
-	told := &[]decide.Event{}
-	e.balancer = tapped{e.balancer, told}
-	return e, rules, told
+	events := &[]decide.Event{}
+	e.balancer = eventRecorder{e.balancer, events}
+	return e, rules, events
 }
 
-type tapped struct {
+type eventRecorder struct {
 	Decider
-	told *[]decide.Event
+	events *[]decide.Event
 }
 
 // Handle is Decider's.
-func (d tapped) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
-	*d.told = append(*d.told, *ev)
+func (d eventRecorder) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+	*d.events = append(*d.events, *ev)
 	return d.Decider.Handle(now, ev, out)
 }
 
 // Guards against an attempt that was decided on under rules that are no more, and written after a pause: a repeat, or
 // anything to an endpoint that has been banned since.
-func TestRulesAreLookedAtWhereItIsWritten(t *testing.T) {
-	e, rules, _ := heedEngine(t)
+func TestRulesAreCheckedBeforeWriting(t *testing.T) {
+	e, rules, _ := newClusterEngine(t)
 	to := &state.Endpoint{ListedEndpoint: httpwire.ListedEndpoint{Name: "e"}}
 	for _, c := range []struct {
 		name   string
@@ -54,7 +54,7 @@
 		{"a first attempt", 0, EffectiveRules{Generation: 2}, true},
 		{"its endpoint is banned", 0, EffectiveRules{Generation: 2, Banned: map[string]bool{"e": true}}, false},
 	} {
-		rules.acting = &c.now
+		rules.effective = &c.now
 		if got := e.rulesAllowWrite(&state.Attempt{Number: c.number, Endpoint: to, Generation: 1}); got != c.want {
 			t.Errorf("%s: %v", c.name, got)
 		}
@@ -62,26 +62,26 @@
 }
 
 // What holds is told to the module ahead of what comes next; bans of the crew and by hand stand beside each other.
-func TestHeed(t *testing.T) {
-	e, rules, told := heedEngine(t)
+func TestRuleChangesReachTheModuleFirst(t *testing.T) {
+	e, rules, events := newClusterEngine(t)
 	kinds := func() (out []decide.EventKind) {
-		for _, ev := range *told {
+		for _, ev := range *events {
 			out = append(out, ev.Kind)
 		}
-		*told = nil
+		*events = nil
 		return out
 	}
-	hand := func(on bool) error {
+	banByHand := func(on bool) error {
 		c := banCall{name: "e", on: on, known: true, done: make(chan error, 1)}
 		c.handle(e)
 		return <-c.done
 	}
-	next := func(banned ...string) {
-		a := &EffectiveRules{Generation: rules.acting.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Banned: map[string]bool{}}
+	banByCluster := func(banned ...string) {
+		a := &EffectiveRules{Generation: rules.effective.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Banned: map[string]bool{}}
 		for _, name := range banned {
 			a.Banned[name] = true
 		}
-		rules.acting = a
+		rules.effective = a
 		e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	}
 	const due = decide.TimerDue
@@ -89,19 +89,19 @@
 		do   func()
 		want []decide.EventKind
 	}{
-		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}},
+		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, due}},
 		{func() { e.notifyModule(decide.Event{Kind: due}) }, []decide.EventKind{due}},
-		{func() { next("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
-		{func() { hand(true) }, nil},
-		{func() { next() }, []decide.EventKind{decide.SettingsChanged, due}}, // by hand it stays banned
-		{func() { hand(false) }, []decide.EventKind{decide.Unbanned}},
-		{func() { next("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
+		{func() { banByCluster("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
+		{func() { banByHand(true) }, nil},
+		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, due}}, // by hand it stays banned
+		{func() { banByHand(false) }, []decide.EventKind{decide.Unbanned}},
+		{func() { banByCluster("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() {
-			if err := hand(false); err == nil || !strings.Contains(err.Error(), "propose one without") {
+			if err := banByHand(false); err == nil || !strings.Contains(err.Error(), "propose one without") {
 				t.Errorf("the crew's ban was lifted by hand: %v", err)
 			}
 		}, nil},
-		{func() { next() }, []decide.EventKind{decide.SettingsChanged, decide.Unbanned, due}},
+		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, decide.Unbanned, due}},
 	} {
 		step.do()
 		if got := kinds(); !slices.Equal(got, step.want) {
@@ -111,8 +111,8 @@
 }
 
 // Cut off, endpoints that come new to the list wait until the lease is back; those that are known still drain.
-func TestWithhold(t *testing.T) {
-	e, rules, _ := heedEngine(t)
+func TestNewEndpointsAreWithheldWhileCautious(t *testing.T) {
+	e, rules, _ := newClusterEngine(t)
 	list := func(whole bool, names ...string) *httpwire.List {
 		l := &httpwire.List{Whole: whole}
 		for _, name := range names {
@@ -126,23 +126,23 @@
 		}
 		return out
 	}
-	say := func(cautious bool) {
-		rules.acting = &EffectiveRules{Generation: rules.acting.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Cautious: cautious}
+	setCautious := func(cautious bool) {
+		rules.effective = &EffectiveRules{Generation: rules.effective.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Cautious: cautious}
 	}
-	say(true)
+	setCautious(true)
 	e.applyList(list(true, "a", "b"), decide.ListReplaced) // a process's first list is taken whole
 	e.applyList(list(false, "c"), decide.ListChanged)
 	if got := names(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("cut off: %v", got)
 	}
-	say(false)
+	setCautious(false)
 	e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	if got := names(); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("whole again: %v", got)
 	}
-	say(true)
+	setCautious(true)
 	e.applyList(list(false, "d"), decide.ListChanged)
-	say(false)
+	setCautious(false)
 	e.applyList(list(true, "a"), decide.ListReplaced) // d has left meanwhile
 	if got := names(); !slices.Equal(got, []string{"a"}) || len(e.withheld) != 0 {
 		t.Errorf("a whole list: %v, %v withheld", got, e.withheld)
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -15,7 +15,7 @@
 	"heathgap/internal/state"
 )
 
-func testEngine(t *testing.T) *Engine {
+func newTestEngine(t *testing.T) *Engine {
 	t.Helper()
 	conf := &config.Config{
 		Settings:       decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}}},
@@ -30,9 +30,9 @@
 
 // An attempt whose time is up while its connection is still being made has never
 // run: its caller may be told that trying again is harmless.
-func TestTimeOutBeforeTheConnection(t *testing.T) {
+func TestTimeoutBeforeConnecting(t *testing.T) {
 	for outcome, written := range map[decide.Outcome]bool{decide.ConnectFailed: false, decide.TimedOut: true} {
-		e := testEngine(t)
+		e := newTestEngine(t)
 		now := e.clock.Now()
 		r := e.requests.Add(&httpwire.Request{}, now, make(chan httpwire.Answer, 1))
 		a := e.requests.Begin(r, nil, now, now)
@@ -50,13 +50,13 @@
 
 // Guards against an attempt that is written after its request has ended, because
 // its connection was still being made then.
-func TestNothingIsWrittenAfterTheEnd(t *testing.T) {
+func TestNothingIsWrittenAfterTheRequestEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	e := testEngine(t)
+	e := newTestEngine(t)
 	to := &state.Endpoint{Listed: true}
 	if _, ok := e.pool.Take(to, 0); !ok {
 		t.Fatal("no room in an empty pool")
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -19,33 +19,33 @@
 
 // What crosses a watch of the list: the discovery here is the test itself, a step at a time.
 
-// quick are times of calls that make a silence short to wait for, and nothing else short.
-var quick = callTimes{
+// shortTimes are times of calls that make a silence short to wait for, and nothing else short.
+var shortTimes = callTimes{
 	dial: 10 * time.Second, fetch: 100 * time.Millisecond, wait: 100 * time.Millisecond, spread: time.Nanosecond,
 	overdue: 50 * time.Millisecond, check: 100 * time.Millisecond, body: 100 * time.Millisecond,
 }
 
-// watchAt returns an engine that has begun to watch at a door, with version 7 known, and its first call there.
-func watchAt(t *testing.T, times callTimes) (*Engine, *scripted.Listener, *scripted.Peer) {
+// startTestWatch returns an engine that has begun to watch at a door, with version 7 known, and its first call there.
+func startTestWatch(t *testing.T, times callTimes) (*Engine, *scripted.Listener, *scripted.Peer) {
 	t.Helper()
-	door := scripted.Listen(t)
-	e := testEngine(t)
-	e.watch = newWatch(door.Address, times)
+	discovery := scripted.Listen(t)
+	e := newTestEngine(t)
+	e.watch = newWatch(discovery.Address, times)
 	e.watch.hasList, e.watch.version = true, 7
 	t.Cleanup(func() {
 		e.watch.cancel()
 		close(e.stopped)
 	})
 	e.startWatch()
-	first := door.Accept()
-	if asked := first.ReadRequest().URL.RawQuery; !strings.HasPrefix(asked, "after=7&") {
-		t.Fatalf("asked %q", asked)
+	first := discovery.Accept()
+	if requested := first.ReadRequest().URL.RawQuery; !strings.HasPrefix(requested, "after=7&") {
+		t.Fatalf("asked %q", requested)
 	}
-	return e, door, first
+	return e, discovery, first
 }
 
-// next handles the next event of a watch.
-func next(t *testing.T, e *Engine) {
+// handleNext handles the next event of a watch.
+func handleNext(t *testing.T, e *Engine) {
 	t.Helper()
 	select {
 	case ev := <-e.events:
@@ -55,14 +55,14 @@
 	}
 }
 
-const drained = `{"index":8,"snapshot":false,"endpoints":[
+const drainingList = `{"index":8,"snapshot":false,"endpoints":[
 	{"name":"s", "address":"127.0.0.1:1", "zone":"z", "type":"k", "group":1, "status":"DRAINING", "weight":1.0, "since_ms":0}
 ]}`
 
 // Guards against requests to endpoints that drain: what a watch missed as it fell silent, broke or stood still counts as
 // told soon after, so a fresh call asks for it at once, on a connection of its own, and hardly waits.
-func TestWhatALostWatchMissedIsAskedForAtOnce(t *testing.T) {
-	half := scripted.OK(drained)
+func TestCheckCallFollowsALostWatch(t *testing.T) {
+	half := scripted.OK(drainingList)
 	for name, lose := range map[string]func(*scripted.Peer){
 		"silent":             func(*scripted.Peer) {},
 		"half a head":        func(p *scripted.Peer) { p.Send(half[:12]) },
@@ -73,22 +73,22 @@
 		"an earlier version": func(p *scripted.Peer) { p.Send(scripted.OK(`{"index":3,"snapshot":false,"endpoints":[]}`)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, door, first := watchAt(t, quick)
-			lose(first)
-			fresh := door.Accept()
+			e, discovery, watchCall := startTestWatch(t, shortTimes)
+			lose(watchCall)
+			check := discovery.Accept()
 			want := "after=7&wait_ms=1"
 			if name == "an earlier version" {
 				want = "" // the whole list: versions have begun anew
 			}
-			if asked := fresh.ReadRequest().URL.RawQuery; asked != want {
+			if asked := check.ReadRequest().URL.RawQuery; asked != want {
 				t.Errorf("asked %q, want %q", asked, want)
 			}
-			fresh.Send(scripted.OK(drained))
-			next(t, e)
+			check.Send(scripted.OK(drainingList))
+			handleNext(t, e)
 			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.listVersion != 8 {
 				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.listVersion)
 			}
-			if asked := fresh.ReadRequest().URL.RawQuery; asked != "after=8&wait_ms=100" {
+			if asked := check.ReadRequest().URL.RawQuery; asked != "after=8&wait_ms=100" {
 				t.Errorf("after it came %q, want the watch to go on", asked)
 			}
 		})
@@ -96,38 +96,38 @@
 }
 
 // Guards against a fresh call that is given up because its connection does not come up: there is one more.
-func TestFreshCallWhoseConnectionDoesNotComeUp(t *testing.T) {
-	door := scripted.Listen(t)
-	e := testEngine(t)
-	e.watch = newWatch(door.Address, quick)
+func TestCheckCallIsRepeatedAfterAFailedDial(t *testing.T) {
+	discovery := scripted.Listen(t)
+	e := newTestEngine(t)
+	e.watch = newWatch(discovery.Address, shortTimes)
 	e.watch.hasList, e.watch.version = true, 7
 	dials := 0
-	e.env = dialing{refuse: func() bool { dials++; return dials == 2 }}
+	e.env = refusingEnv{refuse: func() bool { dials++; return dials == 2 }}
 	defer func() {
 		e.watch.cancel()
 		close(e.stopped)
 	}()
 	e.startWatch()
-	first := door.Accept()
+	first := discovery.Accept()
 	first.ReadRequest() // it stands: a reset before that is a dial that fails
 	first.Reset()
-	fresh := door.Accept()
-	fresh.ReadRequest()
-	fresh.Send(scripted.OK(drained))
-	next(t, e)
+	check := discovery.Accept()
+	check.ReadRequest()
+	check.Send(scripted.OK(drainingList))
+	handleNext(t, e)
 	if e.counters.Lists != 1 || e.counters.ListFailures != 0 || dials != 3 {
 		t.Errorf("%d lists, %d failures after %d connections", e.counters.Lists, e.counters.ListFailures, dials)
 	}
 }
 
-// dialing is a world in which some connections are refused.
-type dialing struct {
+// refusingEnv is a world in which some connections are refused.
+type refusingEnv struct {
 	env.Real
 	refuse func() bool
 }
 
 // Dial is env.Env's.
-func (d dialing) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func (d refusingEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if d.refuse() {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
@@ -136,30 +136,30 @@
 
 // Guards against calls without end at a discovery that says nothing, or has too many callers: after two fresh calls
 // the module says when to go on. What is answered with a fault, or by nobody, is not asked for at once.
-func TestFreshCallsAreBounded(t *testing.T) {
-	e, door, _ := watchAt(t, quick)
+func TestCheckCallsAreLimited(t *testing.T) {
+	e, discovery, _ := startTestWatch(t, shortTimes)
 	for range maxChecks {
-		door.Accept().ReadRequest()
+		discovery.Accept().ReadRequest()
 	}
-	next(t, e)
-	if e.counters.ListFailures != 1 || e.watch.running || door.HasPending() {
-		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFailures, e.watch.running, door.HasPending())
+	handleNext(t, e)
+	if e.counters.ListFailures != 1 || e.watch.running || discovery.HasPending() {
+		t.Errorf("silent: %d failures, running %v, one more call %v", e.counters.ListFailures, e.watch.running, discovery.HasPending())
 	}
 	for name, answer := range map[string]string{
 		"overrun": "HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n", "broken": scripted.OK(`{"index":`),
 	} {
-		e, door, first := watchAt(t, quick)
+		e, discovery, first := startTestWatch(t, shortTimes)
 		first.Send(answer)
-		next(t, e)
-		if e.counters.ListFailures != 1 || door.HasPending() {
-			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFailures, door.HasPending())
+		handleNext(t, e)
+		if e.counters.ListFailures != 1 || discovery.HasPending() {
+			t.Errorf("%s: %d failures, one more call %v", name, e.counters.ListFailures, discovery.HasPending())
 		}
 	}
 }
 
 // Guards against a list that is put in force by half: whatever is wrong with an answer, the one before stays whole, and one
 // line of the log says why.
-func TestBrokenListLeavesTheOneBefore(t *testing.T) {
+func TestInvalidListKeepsThePreviousOne(t *testing.T) {
 	line := func(with string) string {
 		return scripted.OK(`{"index":8,"snapshot":true,"endpoints":[{"name":"new","address":"127.0.0.1:2","status":"SERVING"},{` + with + `}]}`)
 	}
@@ -182,13 +182,13 @@
 		"no HTTP":          "+OK list follows\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			e, door, first := watchAt(t, quick)
+			e, discovery, first := startTestWatch(t, shortTimes)
 			var log strings.Builder
 			e.connLog = zerolog.New(&log)
 			e.applyList(listOf("s", "127.0.0.1:1", decide.Active), decide.ListReplaced)
 			before := e.endpoints.List()
 			first.Send(answer)
-			next(t, e)
+			handleNext(t, e)
 			if now := e.endpoints.List(); !reflect.DeepEqual(now, before) || e.counters.Lists != 0 || e.counters.ListFailures != 1 {
 				t.Errorf("%+v in force, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFailures)
 			}
@@ -196,8 +196,8 @@
 				!strings.Contains(log.String(), `"reason":"broken"`) || !strings.Contains(log.String(), `"error":"answer: `) {
 				t.Errorf("the log has %d lines: %s", lines, &log)
 			}
-			if e.watch.hasList != true || e.watch.version != 7 || door.HasPending() {
-				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.version, e.watch.hasList, door.HasPending())
+			if e.watch.hasList != true || e.watch.version != 7 || discovery.HasPending() {
+				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.version, e.watch.hasList, discovery.HasPending())
 			}
 		})
 	}
@@ -205,7 +205,7 @@
 
 // Guards against figures that add up to news that come too late: the second fresh call's answer is there, or is given
 // up, before the grace has passed after what was missed counts as told.
-func TestFreshCallsEndInTime(t *testing.T) {
+func TestCheckCallsEndInTime(t *testing.T) {
 	const told, slack = 2 * time.Second, 50 * time.Millisecond // protocol: Figures, The rules on sockets
 	for _, grace := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, time.Second, 2 * time.Second} {
 		times := newCallTimes(1, grace)
@@ -217,8 +217,8 @@
 
 // Guards against a reload that is lost while the former discovery's call is out and silent: the new one is asked for
 // the whole list at once, and what the old one says then is nothing.
-func TestNewDiscoveryWhileACallIsOut(t *testing.T) {
-	e, _, first := watchAt(t, quick)
+func TestMoveToAnotherDiscoveryDuringACall(t *testing.T) {
+	e, _, first := startTestWatch(t, shortTimes)
 	second := scripted.Listen(t)
 	discoveryMoved{second.Address}.handle(e)
 	call := second.Accept()
@@ -230,7 +230,7 @@
 	}
 	call.Send(scripted.OK(`{"index":3,"snapshot":true,"endpoints":[]}`))
 	for e.counters.Lists == 0 {
-		next(t, e)
+		handleNext(t, e)
 	}
 	if e.listVersion != 3 || e.counters.ListFailures != 0 {
 		t.Errorf("version %d, %d failures", e.listVersion, e.counters.ListFailures)
@@ -239,8 +239,8 @@
 
 // Guards against a sidecar that is told by pushes and calls nobody for long: what discovery has at its return counts as
 // told at once.
-func TestPushedListsAreAskedForSoonAfterAnOutage(t *testing.T) {
-	e := testEngine(t)
+func TestBackoffForPushedListsIsShort(t *testing.T) {
+	e := newTestEngine(t)
 	e.watch = newWatch(scripted.FreeAddress(t), newCallTimes(1, time.Second))
 	for _, most := range []time.Duration{minBackoff, 2 * minBackoff, maxBackoff, maxBackoff} {
 		e.watch.running = true
@@ -255,36 +255,36 @@
 	}
 }
 
-// timed is a world in which timers never fire, and nothing else runs; what timers were set for is noted, by chance at its
+// frozenEnv is a world in which timers never fire, and nothing else runs; what timers were set for is noted, by chance at its
 // most, and what was to run is counted.
-type timed struct {
+type frozenEnv struct {
 	env.Real
-	set  []time.Duration
-	runs int
+	timers     []time.Duration
+	goroutines int
 }
 
 // Go is env.Env's.
-func (w *timed) Go(string, func()) { w.runs++ }
+func (w *frozenEnv) Go(string, func()) { w.goroutines++ }
 
 // AfterFunc is env.Env's.
-func (w *timed) AfterFunc(d time.Duration, _ func()) { w.set = append(w.set, d) }
+func (w *frozenEnv) AfterFunc(d time.Duration, _ func()) { w.timers = append(w.timers, d) }
 
 // RandomDuration is env.Env's.
-func (w *timed) RandomDuration(most time.Duration) time.Duration { return most }
+func (w *frozenEnv) RandomDuration(most time.Duration) time.Duration { return most }
 
 // Guards against a large fleet with pushed lists that keeps its discovery overrun: refused calls are made again later.
-func TestRefusedCallsForPushedListsComeAgainByTheFleet(t *testing.T) {
+func TestRetryDelayAfterARefusalGrowsWithTheFleet(t *testing.T) {
 	least, spread := decide.ListRetryDelay(0, 376, true)
 	for _, c := range []struct {
 		peers   int
 		refused bool
 		want    time.Duration
 	}{{10, true, 2 * minBackoff}, {376, false, 2 * minBackoff}, {376, true, least + spread}} {
-		e, world := testEngine(t), &timed{}
-		e.env, e.conf.Settings.Peers = world, c.peers
+		e, environment := newTestEngine(t), &frozenEnv{}
+		e.env, e.conf.Settings.Peers = environment, c.peers
 		listCallFailed{watch: e.watch, retryWithin: time.Minute, refused: c.refused}.handle(e)
-		if len(world.set) != 1 || world.set[0] != c.want {
-			t.Errorf("%d instances, refused %v: the next call comes within %v, want %v", c.peers, c.refused, world.set, c.want)
+		if len(environment.timers) != 1 || environment.timers[0] != c.want {
+			t.Errorf("%d instances, refused %v: the next call comes within %v, want %v", c.peers, c.refused, environment.timers, c.want)
 		}
 	}
 }
@@ -297,14 +297,14 @@
 		asks   bool
 		spread time.Duration
 	}{{62, true, 0}, {376, false, 0}, {376, true, decide.MoveSpread(376)}} {
-		e, world := testEngine(t), &timed{}
-		e.env, e.conf.Settings.Peers, e.conf.Settings.MustPoll = world, c.peers, c.asks
+		e, environment := newTestEngine(t), &frozenEnv{}
+		e.env, e.conf.Settings.Peers, e.conf.Settings.MustPoll = environment, c.peers, c.asks
 		discoveryMoved{"another"}.handle(e)
 		switch {
-		case c.spread == 0 && (world.runs != 1 || len(world.set) != 0):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.asks, world.runs, world.set)
-		case c.spread > 0 && (world.runs != 0 || len(world.set) != 1 || world.set[0] != c.spread):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.asks, world.runs, world.set, c.spread)
+		case c.spread == 0 && (environment.goroutines != 1 || len(environment.timers) != 0):
+			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.asks, environment.goroutines, environment.timers)
+		case c.spread > 0 && (environment.goroutines != 0 || len(environment.timers) != 1 || environment.timers[0] != c.spread):
+			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.asks, environment.goroutines, environment.timers, c.spread)
 		}
 	}
 	if got := decide.MoveSpread(376); got <= 0 {
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -19,7 +19,7 @@
 }
 
 // NewClock returns a clock that begins now.
-func NewClock(world env.Env) Clock { return Clock{env: world, started: world.Now()} }
+func NewClock(environment env.Env) Clock { return Clock{env: environment, started: environment.Now()} }
 
 // Now is the present time.
 func (c Clock) Now() decide.Time {
