--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -1,7 +1,7 @@
-// Package state holds what a sidecar keeps in memory: its clock, the requests
-// it has taken, the endpoints it knows with their connections, and counters.
+// Package state holds what a sidecar keeps in memory: its clock, the requests it has accepted, the endpoints it knows with
+// their connections, and counters.
 //
-// All but the clock belongs to the one goroutine that runs the balancer.
+// Everything except the clock, and the methods that say otherwise, may be used only by the goroutine that runs the balancer.
 package state
 
 import (
@@ -11,27 +11,27 @@
 	"heathgap/internal/env"
 )
 
-// Clock tells the module's time: since the Unix epoch, as starts of endpoints
-// are told, and monotonic from the process's start on.
+// Clock converts between wall-clock time and the decision module's time. Module time counts from the Unix epoch, because
+// discovery reports the start of an endpoint so, and grows monotonically from the start of the process on.
 type Clock struct {
 	env     env.Env
 	started time.Time
 }
 
-// NewClock returns a clock that begins now.
+// NewClock returns a clock that starts now.
 func NewClock(environment env.Env) Clock { return Clock{env: environment, started: environment.Now()} }
 
-// Now is the present time.
+// Now returns the current module time.
 func (c Clock) Now() decide.Time {
 	return c.FromWall(c.env.Now())
 }
 
-// Wall is the moment of a time, for deadlines of connections.
+// Wall converts module time to a time.Time, for the deadlines of connections.
 func (c Clock) Wall(t decide.Time) time.Time {
 	return c.started.Add(t - decide.Time(c.started.UnixNano()))
 }
 
-// FromWall is a moment's time.
+// FromWall converts a time.Time to module time.
 func (c Clock) FromWall(at time.Time) decide.Time {
 	return decide.Time(c.started.UnixNano()) + at.Sub(c.started)
 }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -6,26 +6,26 @@
 	"heathgap/decide"
 )
 
-// Counters count what the sidecar takes in, sends and answers.
+// Counters counts what the sidecar accepts, sends and answers.
 type Counters struct {
-	Malformed    int // answered 400; no request was taken
-	Taken        int
-	OverLimit    int // turned away before the module: too many were open
-	Sent         int // attempts begun
-	Probed       int // probes begun
-	Dialed       int // connections to endpoints begun
+	Malformed    int // requests answered 400; not counted in Taken
+	Taken        int // requests accepted
+	OverLimit    int // requests rejected without asking the module, because too many were pending
+	Sent         int // attempts started
+	Probed       int // probes started
+	Dialed       int // connections to endpoints whose dial was started
 	Outcomes     [decide.NotSent + 1]int
 	Served       int
 	Refused      int
 	Failed       int
-	Left         int                    // callers that went before their answer
-	HandedOver   int                    // long answers that another process took and this one ended; among the three ends above
+	Left         int                    // callers that disconnected before their answer
+	HandedOver   int                    // streamed answers that another process handed over and this one ended; each also counts in Served, Failed or Left
 	Lists        int                    // answers of discovery
 	ListFailures int                    // failed calls to discovery
-	Reasons      [decide.NumReasons]int // why the module refused, failed or sent again
+	Reasons      [decide.NumReasons]int // why the module refused or failed a request, or sent it again
 }
 
-// outcomeNames are the log's names of outcomes.
+// outcomeNames are the names of outcomes in the log.
 var outcomeNames = [...]string{
 	decide.Served:        "served",
 	decide.ServerError:   "server_error",
@@ -37,7 +37,7 @@
 	decide.NotSent:       "not_sent",
 }
 
-// OutcomeName is an outcome's name in the log.
+// OutcomeName returns the name of an outcome in the log.
 func OutcomeName(o decide.Outcome) string { return outcomeNames[o] }
 
 // MarshalZerologObject writes the counters into a log line.
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -12,56 +12,57 @@
 	"heathgap/internal/httpwire"
 )
 
-// Endpoint is one line of the list, as it last was, with its idle connections.
+// Endpoint is one endpoint of the list as discovery last reported it, with its idle connections.
 type Endpoint struct {
 	httpwire.ListedEndpoint
 	ID     decide.EndpointID
 	Listed bool
-	idle   []idleLink // the one used last at the end
+	idle   []idleLink // ordered by when they became idle; the most recent is last
 
-	closedFrom atomic.Int64 // when nothing new may be written to it any more, as a decide.Time; 0 for never
+	closedFrom atomic.Int64 // module time from which no new request may be written to it; 0 for no such time
 }
 
-// ClosedForWrites tells whether nothing new may be written to the endpoint: it has drained, or been gone, for too long. Any
-// goroutine may ask.
+// ClosedForWrites reports whether no new request may be written to the endpoint, because it has been draining or gone for
+// longer than the grace. Any goroutine may call it.
 func (e *Endpoint) ClosedForWrites(now decide.Time) bool {
 	at := e.closedFrom.Load()
 	return at > 0 && int64(now) >= at
 }
 
-// closeForWritesAt has the endpoint shut after a time, unless that is set; by 0 opens it again.
+// closeForWritesAt closes the endpoint for writes from at on; an earlier call's time stays. With 0 it opens the endpoint again.
 func (e *Endpoint) closeForWritesAt(at decide.Time) {
 	if at == 0 || e.closedFrom.Load() == 0 {
 		e.closedFrom.Store(int64(at))
 	}
 }
 
-// Endpoints are those that are known, by name and by the module's id.
+// Endpoints is the registry of known endpoints, by name and by the module's id.
 type Endpoints struct {
 	byName map[string]*Endpoint
 	byID   map[decide.EndpointID]*Endpoint
 
-	banned     map[string]decide.EndpointID // by hand; each keeps its id, listed or not
+	banned     map[string]decide.EndpointID // endpoints banned by hand; each keeps its id while it is banned, listed or not
 	seen       map[uint64]struct{}          // hashes of names that have been listed
-	seenRing   []uint64                     // the same in their order: the oldest makes room
-	ringNext   int
-	drainGrace decide.Time // between the news that one drains, or is gone, and its being shut
+	seenRing   []uint64                     // the same hashes in the order of insertion; a new one replaces the oldest
+	ringNext   int                          // index of the oldest hash once seenRing is full
+	drainGrace decide.Time                  // time from the report that an endpoint drains, or is gone, until it is closed for writes
 
-	lifted map[string]decide.Time // bans that have ended, and when; mostBanned of them
+	lifted map[string]decide.Time // bans that have ended, and when; at most maxBans
 
-	// Where being told gone does not bind, one that did not drain is still sent to; nil else. Each ends when it is
-	// listed again, or with the first list that comes absentTime after it was told gone.
+	// When each endpoint was first reported gone without having drained, by name; nil unless KeepGone was called. Such an
+	// endpoint still gets requests. Its entry ends when it is listed again, or with the first list that comes goneRetention
+	// later.
 	goneSince map[string]decide.Time
 }
 
-// goneRetention is a little more than the minute for which the module may send to what is told gone.
+// goneRetention is a little more than the minute for which the module may still send to an endpoint that was reported gone.
 const goneRetention = 70 * time.Second
 
-// maxSeen bounds the names that are known to have been listed, some 40 bytes each.
-// The oldest that makes room can still be banned once it is listed again.
+// maxSeen bounds the hashes of names that have been listed, some 40 bytes each. An endpoint whose hash was replaced can be
+// banned again once it is listed again.
 const maxSeen = 4096
 
-// maxBans bounds bans that stand at once: far more than any maintenance needs.
+// maxBans bounds the bans that exist at the same time: far more than any maintenance needs.
 const maxBans = 1024
 
 // NewEndpoints returns an empty registry.
@@ -72,21 +73,22 @@
 	}
 }
 
-// SetGrace sets how long after the news that an endpoint drains, or is gone, an attempt on its way there may still be
-// written; at 0, which no settings have, that is not looked at.
+// SetGrace sets how long, after the report that an endpoint drains or is gone, an attempt that is already on its way may still
+// be written to it. At 0, which settings never have, endpoints are not closed for writes.
 func (t *Endpoints) SetGrace(grace decide.Time) { t.drainGrace = grace }
 
-// closeAfterGrace has an endpoint shut once the grace is over.
+// closeAfterGrace closes an endpoint for writes once the grace is over.
 func (t *Endpoints) closeAfterGrace(e *Endpoint, now decide.Time) {
 	if t.drainGrace > 0 {
 		e.closeForWritesAt(now + t.drainGrace)
 	}
 }
 
-// KeepGone has endpoints that are told gone without draining stay known for a while (rules.removal_not_binding).
+// KeepGone keeps endpoints known for goneRetention when they are reported gone without having drained. It serves the rule
+// removal_not_binding, under which such endpoints may still get requests.
 func (t *Endpoints) KeepGone() { t.goneSince = map[string]decide.Time{} }
 
-// markGone books that an endpoint was told gone, and reports whether its connections are of no use any more.
+// markGone records that an endpoint was reported gone, and reports whether it was removed and its connections can be closed.
 func (t *Endpoints) markGone(e *Endpoint, now decide.Time) bool {
 	if at, known := t.goneSince[e.Name]; t.goneSince != nil && e.State == decide.Active && (!known || now-at < goneRetention) {
 		if !known {
@@ -103,15 +105,14 @@
 // Get returns the endpoint with an id, or nil.
 func (t *Endpoints) Get(id decide.EndpointID) *Endpoint { return t.byID[id] }
 
-// Known tells whether an endpoint of that name is listed, or still sent to.
+// Known reports whether an endpoint of that name is listed, or is gone but still usable.
 func (t *Endpoints) Known(name string) bool { return t.byName[name] != nil }
 
-// Len is how many are listed.
+// Len returns how many endpoints are listed.
 func (t *Endpoints) Len() int { return len(t.byName) - len(t.goneSince) }
 
-// Update takes over a list and returns it in the module's words, with the
-// endpoints whose connections are of no use any more: those that have left or
-// started again.
+// Update applies a list from discovery. It returns the changes for the module, and the endpoints whose idle connections are
+// to be closed: those that were removed, have restarted or have a new address.
 func (t *Endpoints) Update(list *httpwire.List, now decide.Time) (changes []decide.Endpoint, stale []*Endpoint) {
 	inList := make(map[string]bool, len(list.Endpoints))
 	for _, entry := range list.Endpoints {
@@ -159,8 +160,8 @@
 	}
 }
 
-// add gives a name an id that is the same at every sidecar, as long as no two
-// names share one: instances order endpoints by id, each beginning elsewhere.
+// add registers a name. Its id is the same in every sidecar unless the ids of two names collide: balancers order endpoints by
+// id, each from another starting point.
 func (t *Endpoints) add(name string) *Endpoint {
 	id, banned := t.banned[name]
 	if !banned {
@@ -172,8 +173,7 @@
 	return e
 }
 
-// unusedID is the id that a name gets: its hash, or the next that neither an endpoint nor
-// a ban has.
+// unusedID returns the id for a new name: the hash of the name, or the next number that neither an endpoint nor a ban uses.
 func (t *Endpoints) unusedID(name string) decide.EndpointID {
 	h := fnv.New32a()
 	h.Write([]byte(name))
@@ -199,10 +199,10 @@
 	return h.Sum64()
 }
 
-// MarkSeen remembers that a name has been listed.
+// MarkSeen records that a name has been listed.
 func (t *Endpoints) MarkSeen(name string) { t.MarkSeenHash(hashOf(name)) }
 
-// MarkSeenHash is See for what a process before has told, by the name's hash.
+// MarkSeenHash does the same by the hash of the name, for names that a predecessor process handed over.
 func (t *Endpoints) MarkSeenHash(hash uint64) {
 	if _, known := t.seen[hash]; known {
 		return
@@ -217,14 +217,14 @@
 	t.ringNext = (t.ringNext + 1) % maxSeen
 }
 
-// SeenHashes returns the hashes of names that have been listed.
+// SeenHashes returns the hashes of the names that have been listed, maxSeen at most.
 func (t *Endpoints) SeenHashes() []uint64 { return slices.Clone(t.seenRing) }
 
-// Banned returns the names that are banned.
+// Banned returns the banned names in order.
 func (t *Endpoints) Banned() []string { return slices.Sorted(maps.Keys(t.banned)) }
 
-// Ban books a ban by hand, or its end, and returns the endpoint's id. It fails where
-// the name has never been listed, or bans are too many.
+// Ban adds or ends a ban by hand and returns the id of the endpoint. It fails if the name has never been listed, or if there
+// are maxBans bans already.
 func (t *Endpoints) Ban(name string, on bool, now decide.Time) (decide.EndpointID, error) {
 	id, banned := t.banned[name]
 	e := t.byName[name]
@@ -258,13 +258,13 @@
 	delete(t.byID, e.ID)
 }
 
-// LiftedBans returns the names whose bans have ended since a time, and forgets the others.
+// LiftedBans returns the names whose bans have ended since a time, and forgets earlier ones.
 func (t *Endpoints) LiftedBans(since decide.Time) []string {
 	maps.DeleteFunc(t.lifted, func(_ string, at decide.Time) bool { return at < since })
 	return slices.Sorted(maps.Keys(t.lifted))
 }
 
-// List returns the list as it stands, by name.
+// List returns the listed endpoints in the order of their names.
 func (t *Endpoints) List() []httpwire.ListedEndpoint {
 	entries := make([]httpwire.ListedEndpoint, 0, len(t.byName))
 	for _, name := range slices.Sorted(maps.Keys(t.byName)) {
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -9,44 +9,45 @@
 	"heathgap/internal/httpwire"
 )
 
-// idleLink is a connection that carries nothing, and since when.
+// idleLink is an idle connection and the time since when it is idle.
 type idleLink struct {
 	link  *httpwire.Link
 	since decide.Time
 }
 
-// reuseDelay is how long a connection rests after an answer before it carries another
-// request, as long as another stands idle. Guards against bytes that come behind an
-// answer and would be taken for the next one's: they are seen by then. A new connection
-// in place of one that has not rested would cost calm days a handshake too often.
+// reuseDelay is how long a connection should be idle after an answer before it carries another request. By then extra bytes
+// behind the answer have arrived and are noticed; otherwise they would be taken for the answer to the next request. If no
+// connection of the endpoint has been idle for that long, a more recent one is used all the same: a new connection instead
+// would cost a handshake too often under normal load.
 const reuseDelay = 5 * time.Millisecond
 
-// Pool keeps the connections to endpoints within a bound. A connection counts
-// from before it is dialed until it has ended.
+// Pool limits the connections to all endpoints and keeps the idle ones. A connection counts from before it is dialed until it
+// has ended.
 type Pool struct {
 	limit       int
 	open        int
-	idleTimeout decide.Time // a connection may stand idle for so long
-	withIdle    map[*Endpoint]struct{}
+	idleTimeout decide.Time            // idle connections are closed after this time
+	withIdle    map[*Endpoint]struct{} // endpoints that have idle connections
 	onEnd       func(e *Endpoint, l *httpwire.Link, why httpwire.Reason)
 }
 
-// NewPool returns an empty pool. ended is called for each connection that ends.
+// NewPool returns an empty pool for at most limit connections. onEnd is called for each connection that ends.
 func NewPool(limit int, idleTimeout decide.Time, onEnd func(*Endpoint, *httpwire.Link, httpwire.Reason)) *Pool {
 	return &Pool{limit: limit, idleTimeout: idleTimeout, withIdle: map[*Endpoint]struct{}{}, onEnd: onEnd}
 }
 
-// SetLimit sets how many connections there may be; idle ones beyond that end.
+// SetLimit sets how many connections there may be. If there are more, the ones that have been idle longest are closed.
 func (p *Pool) SetLimit(limit int) {
 	for p.limit = limit; p.open > p.limit && p.makeRoom(); {
 	}
 }
 
-// Open is how many connections there are, those being dialed included.
+// Open returns how many connections there are, including those being dialed.
 func (p *Pool) Open() int { return p.open }
 
-// Take returns an idle connection to the endpoint, of those at rest the one used
-// last, or nil if a new one is to be dialed. ok is false if there is no room for one.
+// Take returns an idle connection to the endpoint: the most recently used of those that have been idle for reuseDelay, else
+// the most recently used. It returns nil if the caller is to dial a new one; that one counts as open from now on. ok is false
+// if the limit is reached and no idle connection can be closed.
 func (p *Pool) Take(e *Endpoint, now decide.Time) (l *httpwire.Link, ok bool) {
 	p.dropIdle(e, now)
 	for len(e.idle) > 0 {
@@ -72,7 +73,7 @@
 	return nil, true
 }
 
-// Put returns a connection that may carry another exchange.
+// Put returns a connection that may carry another exchange. It is closed if its endpoint has left the list.
 func (p *Pool) Put(e *Endpoint, l *httpwire.Link, now decide.Time) {
 	if !e.Listed {
 		p.Drop(e, l, httpwire.ReasonUnlisted)
@@ -82,7 +83,7 @@
 	p.withIdle[e] = struct{}{}
 }
 
-// Drop ends a connection; the link is nil if it never came up.
+// Drop closes a connection that was taken. The link is nil if the dial failed.
 func (p *Pool) Drop(e *Endpoint, l *httpwire.Link, reason httpwire.Reason) {
 	if l != nil {
 		l.Close()
@@ -91,7 +92,7 @@
 	p.onEnd(e, l, reason)
 }
 
-// DropAll ends the idle connections of an endpoint.
+// DropAll closes the idle connections of an endpoint.
 func (p *Pool) DropAll(e *Endpoint, reason httpwire.Reason) {
 	idle := e.idle
 	e.idle = nil
@@ -101,15 +102,15 @@
 	}
 }
 
-// Sweep ends what has been idle for too long.
+// Sweep closes the connections that have been idle for too long.
 func (p *Pool) Sweep(now decide.Time) {
 	for e := range p.withIdle {
 		p.dropIdle(e, now)
 	}
 }
 
-// dropIdle ends the endpoint's connections that have been idle for too long:
-// the endpoint is about to end them, and a request that crosses that is lost.
+// dropIdle closes the connections of an endpoint that have been idle for too long. The endpoint is about to close them
+// itself, and a request written at that moment would be lost.
 func (p *Pool) dropIdle(e *Endpoint, now decide.Time) {
 	fresh := slices.IndexFunc(e.idle, func(i idleLink) bool { return now-i.since < p.idleTimeout })
 	if fresh < 0 {
@@ -123,7 +124,7 @@
 	}
 }
 
-// makeRoom ends the connection that has been idle longest.
+// makeRoom closes the connection that has been idle longest, and reports whether there was one.
 func (p *Pool) makeRoom() bool {
 	var oldest *Endpoint
 	for e := range p.withIdle {
@@ -147,7 +148,7 @@
 	}
 }
 
-// Audit checks that what is kept adds up.
+// Audit checks that the counts of connections are consistent.
 func (p *Pool) Audit() error {
 	idle := 0
 	for e := range p.withIdle {
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -13,60 +13,59 @@
 	"heathgap/internal/httpwire"
 )
 
-// Request is one request that was taken and its attempts. It is kept until it
-// has its final answer and every attempt its outcome.
+// Request is an accepted request with its attempts. It is kept until it has its final answer and every attempt has its outcome.
 type Request struct {
 	ID       decide.RequestID
-	Message  *httpwire.Request // read by the goroutines of attempts: never written to
+	Message  *httpwire.Request // shared with the goroutines of attempts: never modified
 	Deadline decide.Time       // when the caller stops waiting
 	Answer   chan httpwire.Answer
-	Done     bool // the final answer is given, or nobody waits for one
+	Done     bool // the final answer is given, or the caller has gone
 	Attempts []*Attempt
-	// Caller is the connection on which it came; nil where there is none to look at. Goroutines of attempts ask it.
+	// Caller is the connection on which the request came; nil if there is none to check. Goroutines of attempts use it.
 	Caller *httpwire.CallerConn
-	// MayWrite tells whether its key's claim still stands; nil where it has none. Any goroutine may ask.
+	// MayWrite reports whether the claim on the request's key is still valid; nil without a claim. Any goroutine may call it.
 	MayWrite func() bool
 	inFlight int // attempts without an outcome
 }
 
-// Attempt is one send of a request.
+// Attempt is one sending of a request to an endpoint.
 type Attempt struct {
 	Request   *Request
 	Number    int
 	Endpoint  *Endpoint
 	Sent      decide.Time
-	TimeoutAt decide.Time // when it times out
-	NotAfter  decide.Time // nothing of it is written from then on; 0 for no such bound
+	TimeoutAt decide.Time // when its outcome becomes TimedOut or ConnectFailed
+	NotAfter  decide.Time // from then on its first byte may not be written; 0 for no such bound
 	GiveUp    context.CancelFunc
-	Settled   bool           // it has its outcome
-	Ran       bool           // by that it may have run
-	Outcome   decide.Outcome // once it is settled
-	Latency   decide.Time    // until then
-	// Generation is that of the rules by which it was decided on; 0 where there are none beside the settings.
+	Settled   bool           // its outcome is known
+	Ran       bool           // it may have run, judging by its outcome
+	Outcome   decide.Outcome // valid once it is settled
+	Latency   decide.Time    // from Sent until it was settled
+	// Generation identifies the cluster's rules under which it was decided; 0 without a cluster.
 	Generation   uint64
 	writeState   atomic.Int32
-	heapPosition int // in Timeouts, from 1; 0 when it is not there
+	heapPosition int // index in the heap of Timeouts plus 1; 0 if it is not there
 }
 
-// The states of an attempt's gate.
+// The write states of an attempt.
 const (
 	writeAllowed   = iota
-	writeStarted   // its message is being written, or has been
-	writePrevented // it must not be written any more
+	writeStarted   // the message is being written, or has been
+	writePrevented // the attempt must not be written any more
 )
 
-// Write tells whether the attempt may be written, and that it will be. The
-// goroutine that carries it asks once, when its connection stands.
+// Write reports whether the attempt may be written, and if so marks it as being written. The goroutine that carries the
+// attempt calls it once, when its connection is up.
 func (a *Attempt) Write() bool { return a.writeState.CompareAndSwap(writeAllowed, writeStarted) }
 
-// PreventWrite keeps the attempt from being written, and tells whether it has never been:
-// what has begun to be written may come whole.
+// PreventWrite prevents the attempt from being written. It returns false if writing has started already: the endpoint may then
+// receive the whole message.
 func (a *Attempt) PreventWrite() bool {
 	return a.writeState.CompareAndSwap(writeAllowed, writePrevented) || a.writeState.Load() == writePrevented
 }
 
-// WindowEnd is when the window ends in which a repeat of a keyed request may be written: so long after the first of its
-// attempts that may have run was sent. It is 0 before one may have.
+// WindowEnd returns until when a repeat of a keyed request may be written: window after the sending of its first attempt that
+// may have run. It returns 0 if none may have run.
 func (r *Request) WindowEnd(window time.Duration) decide.Time {
 	for _, a := range r.Attempts {
 		if !a.Settled || a.Ran {
@@ -76,8 +75,8 @@
 	return 0
 }
 
-// MayHaveRun tells whether it may have come to its endpoint: by its outcome, or, while it has none, because it has begun to be
-// written.
+// MayHaveRun reports whether the attempt may have run at its endpoint: judging by its outcome or, without one, by whether
+// writing has started. An attempt whose writing has not started is prevented from being written.
 func (a *Attempt) MayHaveRun() bool {
 	if a.Settled {
 		return a.Ran
@@ -85,10 +84,10 @@
 	return !a.PreventWrite()
 }
 
-// Requests are those that are kept.
+// Requests is the table of requests that are not released yet.
 type Requests struct {
 	byID       map[decide.RequestID]*Request // until Release
-	pendingIDs map[string]struct{}           // callers' ids of those without a final answer
+	pendingIDs map[string]struct{}           // the callers' ids of requests without a final answer
 	lastID     decide.RequestID
 }
 
@@ -97,13 +96,13 @@
 	return &Requests{byID: map[decide.RequestID]*Request{}, pendingIDs: map[string]struct{}{}}
 }
 
-// Open tells whether a request with a caller's id is without its final answer.
+// Open reports whether a request with this caller's id has no final answer yet.
 func (t *Requests) Open(id string) bool {
 	_, open := t.pendingIDs[id]
 	return open
 }
 
-// Add keeps a new request and numbers it.
+// Add adds a new request and gives it an id.
 func (t *Requests) Add(message *httpwire.Request, deadline decide.Time, answer chan httpwire.Answer) *Request {
 	t.lastID++
 	r := &Request{ID: t.lastID, Message: message, Deadline: deadline, Answer: answer}
@@ -112,19 +111,18 @@
 	return r
 }
 
-// Get returns a kept request, or nil.
+// Get returns the request with an id, or nil if it is unknown or released.
 func (t *Requests) Get(id decide.RequestID) *Request { return t.byID[id] }
 
-// All returns the kept requests, the oldest first: a map's order must not decide
-// what any of them gets.
+// All returns the requests, oldest first: what happens to each must not depend on the order of a map.
 func (t *Requests) All() []*Request {
 	return slices.SortedFunc(maps.Values(t.byID), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Pending is how many requests are without a final answer.
+// Pending returns how many requests have no final answer.
 func (t *Requests) Pending() int { return len(t.pendingIDs) }
 
-// Begin books a new attempt.
+// Begin adds a new attempt to a request.
 func (t *Requests) Begin(r *Request, endpoint *Endpoint, sent, timeoutAt decide.Time) *Attempt {
 	a := &Attempt{Request: r, Number: len(r.Attempts), Endpoint: endpoint, Sent: sent, TimeoutAt: timeoutAt}
 	r.Attempts = append(r.Attempts, a)
@@ -132,7 +130,7 @@
 	return a
 }
 
-// Settle books that an attempt has its outcome; false if it had one already.
+// Settle records that an attempt has its outcome; it returns false if that was recorded before.
 func (t *Requests) Settle(a *Attempt) bool {
 	if a.Settled {
 		return false
@@ -142,9 +140,8 @@
 	return true
 }
 
-// End books that a request has its final answer; false if it had one already.
-// Nothing is sent for it afterwards: an attempt whose connection is still being
-// made is barred.
+// End records that a request has its final answer; it returns false if it had one already. Attempts whose connection is still
+// being made are prevented from being written.
 func (t *Requests) End(r *Request) bool {
 	if r.Done {
 		return false
@@ -157,14 +154,14 @@
 	return true
 }
 
-// Release forgets a request that is over and has nothing out.
+// Release removes a request that is done and has no attempt in flight.
 func (t *Requests) Release(r *Request) {
 	if r.Done && r.inFlight == 0 {
 		delete(t.byID, r.ID)
 	}
 }
 
-// Audit checks that what is kept adds up.
+// Audit checks that the table is consistent.
 func (t *Requests) Audit() error {
 	for id, r := range t.byID {
 		inFlight := 0
--- a/internal/state/timeouts.go
+++ b/internal/state/timeouts.go
@@ -6,21 +6,20 @@
 	"heathgap/decide"
 )
 
-// Timeouts are the attempts that are out, the one that times out first in front.
+// Timeouts holds the attempts in flight, ordered by when they time out.
 type Timeouts struct{ byTimeout attemptHeap }
 
-// Add takes in an attempt.
+// Add adds an attempt.
 func (t *Timeouts) Add(a *Attempt) { heap.Push(&t.byTimeout, a) }
 
-// Remove forgets an attempt that has its outcome; one that is not there is
-// passed over.
+// Remove removes an attempt that is settled. It does nothing if the attempt is not there.
 func (t *Timeouts) Remove(a *Attempt) {
 	if a.heapPosition > 0 {
 		heap.Remove(&t.byTimeout, a.heapPosition-1)
 	}
 }
 
-// Next is when the first attempt times out; 0 if none is out.
+// Next returns when the next attempt times out; 0 if none is in flight.
 func (t *Timeouts) Next() decide.Time {
 	if len(t.byTimeout) == 0 {
 		return 0
@@ -28,7 +27,7 @@
 	return t.byTimeout[0].TimeoutAt
 }
 
-// Due removes and returns an attempt whose time is up, or nil.
+// Due removes and returns an attempt whose timeout has passed, or nil if there is none.
 func (t *Timeouts) Due(now decide.Time) *Attempt {
 	if len(t.byTimeout) == 0 || t.byTimeout[0].TimeoutAt > now {
 		return nil
@@ -36,7 +35,7 @@
 	return heap.Pop(&t.byTimeout).(*Attempt)
 }
 
-// attemptHeap orders attempts by their time-outs; each knows its place, from 1.
+// attemptHeap orders attempts by their timeouts. Each attempt holds its position, counted from 1.
 type attemptHeap []*Attempt
 
 func (h attemptHeap) Len() int           { return len(h) }
@@ -46,14 +45,14 @@
 	h[i].heapPosition, h[j].heapPosition = i+1, j+1
 }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (h *attemptHeap) Push(x any) {
 	a := x.(*Attempt)
 	*h = append(*h, a)
 	a.heapPosition = len(*h)
 }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (h *attemptHeap) Pop() any {
 	last := len(*h) - 1
 	a := (*h)[last]
@@ -63,5 +62,5 @@
 	return a
 }
 
-// Len is how many attempts are out.
+// Len returns how many attempts are in flight.
 func (t *Timeouts) Len() int { return len(t.byTimeout) }
