--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -7,32 +7,31 @@
 	"heathgap/internal/state"
 )
 
-// Admit: the owner books a request that was taken in and asks the module about
-// it.
+// Admit: the owner adds a received request to its table and notifies the module of it.
 
-// arrival is a request that a caller has sent whole.
+// arrival is a request that a caller has sent, handed over to the owner.
 type arrival struct {
 	message    *httpwire.Request
 	deadline   decide.Time
 	caller     *httpwire.CallerConn
-	callerGone bool // its caller has gone already
-	crowded    bool // its connection is one more than there is room for
+	callerGone bool // the caller disconnected before the hand-over
+	crowded    bool // the caller's connection exceeds the number that may be in use
 	answer     chan httpwire.Answer
-	request    *state.Request // the owner's, once it is admitted
-	claim      Claim          // its key's claim; nil where it has none
+	request    *state.Request // set by the owner once the request is admitted
+	claim      Claim // the claim on its key; nil without one
 }
 
 func (a *arrival) handle(e *Engine) {
 	if e.requests.Open(a.message.ID) {
-		// Guards against callers that take another's id: an endpoint would take the
-		// one request for a repeat of the other.
+		// Guards against callers that use the id of another caller's request: an endpoint would take one request for a
+		// repeat of the other.
 		e.malformed.Add(1)
 		a.answer <- httpwire.Answer{Verdict: httpwire.Malformed, Reason: "id: that of an open request"}
 		return
 	}
 	if a.crowded || e.stopping || e.full() {
-		// What the settings and the limits leave no room for is turned away unseen:
-		// the module is not asked, as in the simulator.
+		// A request beyond the limits, or while the process is stopping, is rejected without asking the module, as in the
+		// simulator.
 		e.counters.OverLimit++
 		e.logRejected(a)
 		e.metrics.Count(a.message.Class, metrics.Refused)
@@ -45,7 +44,7 @@
 	if a.claim != nil {
 		a.request.MayWrite = a.claim.MayWrite
 	}
-	if a.callerGone { // nobody waits: nothing is sent
+	if a.callerGone { // nobody waits for an answer, so nothing is sent
 		e.relay(a.request, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
 		return
 	}
@@ -55,7 +54,7 @@
 	})
 }
 
-// full tells whether as many requests are open as the settings allow.
+// full reports whether the settings allow no further pending request.
 func (e *Engine) full() bool {
 	limit := e.conf.Transport.MaxPending
 	return limit > 0 && e.requests.Pending() >= limit
--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Audit checks that what the engine keeps adds up. It is for tests and simulations:
-// it reads the owner's state, which must stand still meanwhile.
+// Audit checks that the engine's state is consistent. It is for tests and simulations: it reads the state of the owner, which
+// must not be running meanwhile.
 func (e *Engine) Audit() error {
 	if limit := e.conf.Transport.MaxPending; limit > 0 && e.requests.Pending() > limit {
 		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), limit)
--- a/internal/pipeline/calltimes.go
+++ b/internal/pipeline/calltimes.go
@@ -2,61 +2,65 @@
 
 import "time"
 
-// The times of calls to discovery, and of the pauses between them.
+// How long calls to discovery may take, and the pauses between them.
 
-// callTimes are the times of calls to discovery.
+// callTimes are the time limits of calls to discovery.
 type callTimes struct {
-	dial    time.Duration // for a connection
-	fetch   time.Duration // for the first byte of the whole list, asked for while there is none
-	hedge   time.Duration // after which it is asked for a second time, beside a fetch that has had no answer; 0 for never
-	wait    time.Duration // a watch waits so long for news, at least
-	spread  time.Duration // and up to so much longer: discovery serves all sidecars in turn
-	overdue time.Duration // an answer's first byte may come so long after the wait: then the call has fallen silent
-	check   time.Duration // the same where a fresh call asks what one that broke or fell silent has missed
-	body    time.Duration // for what follows an answer's first byte
+	dial    time.Duration // limit for a dial
+	fetch   time.Duration // limit for the first byte of the full list, which is fetched while no list is known
+	hedge   time.Duration // a fetch without an answer for so long is hedged by a second one; 0 for never
+	wait    time.Duration // minimum time for which discovery is asked to hold a watch until there is a change
+	spread  time.Duration // random addition to wait: discovery works through the calls of all sidecars one after another
+	overdue time.Duration // limit for an answer's first byte, counted from the end of the wait; then the call has timed out
+	check   time.Duration // limit for the first byte of a check call, which asks for what a broken or timed-out watch missed
+	body    time.Duration // limit for the rest of an answer after its first byte
 }
 
-// Figures of a watch. An answer may be lost on its way, and nothing tells: until its
-// wait is over the sidecar is blind. Discovery works through all sidecars' calls in
-// turn: the more there are, the longer each waits.
+// Time limits of watches and other calls. An answer to a watch can be lost without any sign of it, and the sidecar gets no
+// changes until the wait is over. Discovery works through the calls of all sidecars one after another: the more sidecars
+// there are, the longer each call must wait, so that discovery gets fewer of them.
 const (
 	waitPerPeer = time.Second // for each instance of the tier
 	minWait     = 4 * time.Second
 	maxWait     = 16 * time.Second
 
-	// What a silent watch has missed counts as told toldTime after its wait (protocol: Figures), and then the grace for
-	// drains runs. Two fresh calls, the second for a first that is lost as well, are answered or over by the end of that.
+	// What a silent watch has missed counts as delivered deliveryAfterWait after its wait (protocol: Figures); the grace for
+	// drains starts then. Two check calls, the second in case the first is lost too, end before that grace does.
 	deliveryAfterWait = 2 * time.Second
 	overdueTime       = 800 * time.Millisecond
-	maxChecks         = 2                      // in a row; then the module, or a pause, says when to go on
-	checkSpread       = 100 * time.Millisecond // ahead of each: sidecars whose watches break together do not call together
-	maxCheckTime      = time.Second            // for one: half of the shortest time for which a discovery keeps calls in turn
-	minCheckTime      = 300 * time.Millisecond // with no grace at all: the news may then come late
+	maxChecks         = 2 // in a row; after that the module, or the backoff, decides when the next call is made
+	checkSpread       = 100 * time.Millisecond // random pause before each: sidecars whose watches break at the same time do not call at the same time
+	maxCheckTime      = time.Second // limit of one check call: half of the shortest time for which a discovery keeps calls in its queue
+	minCheckTime      = 300 * time.Millisecond // the same where the grace for drains is short or 0; changes may then come too late
 
-	// checkWait is what a fresh call waits for news: it asks whether there are any, and whether discovery is there.
+	// checkWait is how long a check call asks discovery to wait for a change: it only asks whether there are any, and whether
+	// discovery is reachable.
 	checkWait = time.Millisecond
 
-	// Whatever a failed call allows, a change counts as told 6 s after discovery had it and could be reached. The way there
-	// is what was left of a call that came to nothing, a pause, and the turn of the next call: 3 s at most, as far as is known.
-	maxListDelay = 5500 * time.Millisecond // half a second is left to a busy machine
+	// maxListDelay bounds how late a change may arrive despite failed calls: it counts as delivered 6 s after discovery had it
+	// and could be reached. That time consists of the rest of a failed call, a pause, and the time that the next call spends in
+	// discovery's queue, which is 3 s at most as far as is known.
+	maxListDelay = 5500 * time.Millisecond // half a second is left as a margin for a busy machine
 	maxQueueTime = 3 * time.Second
-	// A discovery that refuses calls late in their turn has too many callers, and pauses that are too short keep it so. One
-	// that refuses them after 2 s keeps none for longer, which leaves as much time; one that does after 2.3 s or more, and
-	// keeps the next call as long, is not in time.
+	// overloadedPause is the minimum for the longest pause after a call that discovery refused or answered with an invalid
+	// list. A discovery that refuses calls late in its queue has too many callers, and shorter pauses would keep it so.
+	// One that refuses calls after 2 s in the queue keeps none for longer, which leaves time for this pause. With one that
+	// refuses them after 2.3 s or more, and keeps the next call as long, the change does not arrive in time.
 	overloadedPause = 1400 * time.Millisecond
-	lateRetryPause  = 200 * time.Millisecond // longest pause where the way before has taken all the time
+	lateRetryPause  = 200 * time.Millisecond // minimum for the longest pause after any other failed call, when the failed call has taken all the time
 
-	// A fetch is overdue past the longest time in turn. That is too late to ask anew, so it is hedged: a second one goes
-	// out beside it and the first answer counts. A discovery that is only slow is not asked from the back of its turn.
+	// A fetch times out after the longest time that a call waits in discovery's queue. A new call would then come too late,
+	// so a second fetch is sent beside the first after hedgeDelay and the first answer counts. A discovery that is merely
+	// slow is thus not called again and again from the end of its queue.
 	fetchTimeout = 3500 * time.Millisecond
 	hedgeDelay   = 2200 * time.Millisecond
 
-	dialTimeout = 1500 * time.Millisecond // a lost SYN is sent again after a second
-	bodyTime    = 1200 * time.Millisecond // an answer is written at once, unless its way has broken
+	dialTimeout = 1500 * time.Millisecond // longer than a second, after which the kernel sends a lost SYN again
+	bodyTime    = 1200 * time.Millisecond // an answer is written at once unless the connection is broken
 )
 
-// newCallTimes are those of a sidecar with so many peers, itself included, where sends to a draining endpoint end within
-// a grace.
+// newCallTimes returns the time limits for a sidecar in a tier of so many instances, itself included, where grace is the time
+// within which sending to a draining endpoint must end.
 func newCallTimes(peers int, grace time.Duration) callTimes {
 	wait := min(max(time.Duration(peers)*waitPerPeer, minWait), maxWait)
 	check := (deliveryAfterWait+grace-overdueTime)/maxChecks - checkSpread
@@ -66,22 +70,21 @@
 	}
 }
 
-// Pauses after a failure where the module does not ask: lists are pushed, and what discovery has counts as told
-// whether or not anybody listens. The first is short, since it is nobody's turn while discovery is away; they grow,
-// since a discovery with too many callers is not helped by more calls. As much comes by chance. See nextWithin for what bounds
-// them besides, here and where the module asks.
+// The backoff after a failed call where lists are pushed and the module does not decide on retries. There, a change counts as
+// delivered whether or not the sidecar is connected. The first pause is short: while discovery is away no call waits in its
+// queue. The pauses grow, because more calls do not help a discovery that has too many callers. A random time of the same
+// size is added. maxRetryDelay bounds the pauses too, with and without the module.
 const (
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// noNewsPause comes before the next watch when one has told nothing new: a
-// discovery that does not wait must not keep a sidecar busy. A watch goes on if
-// its next call comes within 200 ms.
+// noNewsPause is the pause before the next watch when the last one returned no change, so that a discovery that answers
+// watches at once does not keep a sidecar busy. A watch counts as uninterrupted if its next call comes within 200 ms.
 const noNewsPause = 100 * time.Millisecond
 
-// maxRetryDelay is the longest pause behind a failed call that leaves the change time: took is how long nothing has come, and
-// answered tells whether discovery refused the call, or answered it with a fault.
+// maxRetryDelay returns the longest pause after a failed call with which a change still arrives in time. took is for how long
+// nothing has been received; answered reports whether discovery refused the call or answered it with an invalid list.
 func maxRetryDelay(took time.Duration, answered bool) time.Duration {
 	floor := lateRetryPause
 	if answered {
--- a/internal/pipeline/claim.go
+++ b/internal/pipeline/claim.go
@@ -9,41 +9,46 @@
 	"heathgap/internal/state"
 )
 
-// Hold: a request of a class whose keys sidecars hold for one another is claimed before it is handed to the owner, and its
-// outcome is copied before its caller hears it. Both are I/O, and belong to the goroutine of the caller's connection.
+// Claim: in classes whose requests the sidecars replicate, the key of a request is claimed before the request is handed to the
+// owner, and its outcome is replicated before its caller gets the answer. Both are I/O and run in the goroutine of the caller's
+// connection.
 
-// Holdings are what sidecars hold for one another.
+// Holdings is the replicated record of keyed requests and their outcomes.
 type Holdings interface {
-	// Holds tells whether requests of a class are held.
+	// Holds reports whether requests of a class are recorded.
 	Holds(class string) bool
-	// Claim claims a request's key within a time, or tells what is known of it.
+	// Claim claims the key of a request within a time limit, or returns the answer that is known for it. print is the
+	// fingerprint of the request.
 	Claim(message *httpwire.Request, print [16]byte, within time.Duration) ClaimResult
 }
 
-// ClaimResult is what came of a claim. Answer is the request's answer where nothing is to be sent.
+// ClaimResult is the result of a claim. Answer is the answer to the request if no attempt may be sent.
 type ClaimResult struct {
-	Claim          Claim // nil where nothing was promised, or nothing is to be sent
+	Claim          Claim // nil if nothing was claimed, or if Answer is set
 	Answer         *httpwire.Answer
-	AttemptsWithin time.Duration // all attempts have to have ended by then; 0 for no bound but the request's
+	AttemptsWithin time.Duration // limit within which all attempts must end; 0 for no limit but the request's own
 }
 
-// Claim is one claim.
+// Claim is a valid claim on a key.
 type Claim interface {
-	// MayWrite tells whether the claim still stands: it is looked at just before a first byte leaves. Any goroutine may ask.
+	// MayWrite reports whether the claim is still valid. It is checked just before the first byte of an attempt is written.
+	// Any goroutine may call it.
 	MayWrite() bool
-	// Finish has it known how the request ended, within a time, and returns what its caller hears.
+	// Finish records within a time limit how the request ended, and returns the answer for its caller. ran reports whether an
+	// attempt may have run.
 	Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer
 }
 
-// SetHoldings has the engine hold keys. It is called before Run.
+// SetHoldings makes the engine claim the keys of requests. It is called before Run.
 func (e *Engine) SetHoldings(h Holdings) { e.holdings = h }
 
-// outcomeReserve is a held request's time that is kept for its outcome: a tenth, up to that.
+// outcomeReserve is the part of a claimed request's time that is kept for recording its outcome: a tenth, but at most this.
 const outcomeReserve = 50 * time.Millisecond
 
 var errBodyTooLong = errors.New("body: over 64 KiB, in a class whose requests are held")
 
-// claimKey claims a request's key, and takes its time from the request's. An answer is the request's.
+// claimKey claims the key of a request and subtracts the time that this took from the request's remaining time. If it returns
+// an answer, that is the request's final answer.
 func (e *Engine) claimKey(message *httpwire.Request) (Claim, *httpwire.Answer) {
 	if message.Upload != nil {
 		return nil, &httpwire.Answer{Verdict: httpwire.Malformed, Reason: errBodyTooLong.Error(), CloseAfter: true}
@@ -64,7 +69,7 @@
 	return result.Claim, nil
 }
 
-// fingerprintOf identifies what a request asks for: not its id, which each repeat has anew, nor the time that it has.
+// fingerprintOf identifies what a request asks for. Its id and its remaining time are left out: each repeat has others.
 func fingerprintOf(m *httpwire.Request) (fingerprint [16]byte) {
 	h := sha256.New()
 	for _, part := range []string{m.Method, m.URI, m.Type, string(m.Body)} {
@@ -75,7 +80,7 @@
 	return fingerprint
 }
 
-// mayHaveRun tells whether any attempt of a request that is over may have come to an endpoint.
+// mayHaveRun reports whether any attempt of a request that is done may have run at an endpoint.
 func mayHaveRun(r *state.Request) bool {
 	for _, a := range r.Attempts {
 		if a.MayHaveRun() {
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -6,7 +6,7 @@
 	"heathgap/internal/state"
 )
 
-// Book: how an attempt has ended goes into the books, and to the module.
+// Record: the outcome of an attempt is recorded and the module is notified of it.
 
 func (x exchangeEnded) handle(e *Engine) {
 	endpoint := x.attempt.Endpoint
@@ -15,14 +15,14 @@
 	} else {
 		e.pool.Drop(endpoint, x.link, x.endReason)
 	}
-	x.attempt.GiveUp() // frees what belongs to its context
+	x.attempt.GiveUp() // releases the resources of its context
 	if r := x.attempt.Request; x.reply != nil && (r.Done || x.attempt.Settled || x.outcome != decide.Served) {
-		e.answerMemory.Release(x.reply.Reserved) // its body goes to nobody
+		e.answerMemory.Release(x.reply.Reserved) // its body is not passed to a caller
 	}
 	e.settle(x.attempt, x.outcome, x.reply)
 }
 
-// settle books an attempt's outcome, unless it has had one. The first that is
+// settle records the outcome of an attempt, unless it has one already, and notifies the module. The first attempt that is
 // served answers its request.
 func (e *Engine) settle(a *state.Attempt, outcome decide.Outcome, reply *httpwire.Reply) {
 	if !e.requests.Settle(a) {
