--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -18,7 +18,7 @@
 	crowded    bool // the caller's connection exceeds the number that may be in use
 	answer     chan httpwire.Answer
 	request    *state.Request // set by the owner once the request is admitted
-	claim      Claim // the claim on its key; nil without one
+	claim      Claim          // the claim on its key; nil without one
 }
 
 func (a *arrival) handle(e *Engine) {
--- a/internal/pipeline/calltimes.go
+++ b/internal/pipeline/calltimes.go
@@ -28,9 +28,9 @@
 	// drains starts then. Two check calls, the second in case the first is lost too, end before that grace does.
 	deliveryAfterWait = 2 * time.Second
 	overdueTime       = 800 * time.Millisecond
-	maxChecks         = 2 // in a row; after that the module, or the backoff, decides when the next call is made
+	maxChecks         = 2                      // in a row; after that the module, or the backoff, decides when the next call is made
 	checkSpread       = 100 * time.Millisecond // random pause before each: sidecars whose watches break at the same time do not call at the same time
-	maxCheckTime      = time.Second // limit of one check call: half of the shortest time for which a discovery keeps calls in its queue
+	maxCheckTime      = time.Second            // limit of one check call: half of the shortest time for which a discovery keeps calls in its queue
 	minCheckTime      = 300 * time.Millisecond // the same where the grace for drains is short or 0; changes may then come too late
 
 	// checkWait is how long a check call asks discovery to wait for a change: it only asks whether there are any, and whether
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -14,28 +14,28 @@
 	"heathgap/internal/httpwire"
 )
 
-// Discover: the list of endpoints is watched, and what is told goes to the
-// module. How to go on after a failed call is the module's to say.
+// Discover: the list of endpoints is watched at discovery, and the module is notified of its changes. Where lists are polled,
+// the module decides when to retry after a failed call.
 
-// watch is the watch of the list at one discovery. While it runs, its goroutine
-// owns it, but for running and ended.
+// watch is the watch of the list at one discovery. While it runs, its goroutine owns it, except for the fields that say
+// otherwise and the atomic ones.
 type watch struct {
 	address     string
 	times       callTimes
-	running     bool            // the owner's
-	ctx         context.Context // its end calls off the call at work
+	running     bool            // owned by the engine's owner: the goroutine of the watch runs
+	ctx         context.Context // canceled when the watch is ended; that interrupts the call in progress
 	cancel      context.CancelFunc
-	version     int64
-	hasList     bool // there is a list that index names
-	answerBegan bool // the newest call's answer has begun
-	answered    bool // it came whole
+	version     int64 // the version of the list that was received last
+	hasList     bool  // a list of that version was received
+	answerBegan bool  // the answer to the newest call has begun
+	answered    bool  // discovery answered the newest call completely, with a list, a refusal or an invalid answer
 	link        *httpwire.Link
 	newest      listCall // the newest call
 
-	fetchCount    int64        // of the whole list
-	fetchInFlight atomic.Int64 // the number of the one that is out; 0 while none is
-	waitingCall   atomic.Int64 // the number of the call that waits for news; 0 while none does
-	older         *watch       // the owner's: one of the same discovery whose fetch is out too; nil without one
+	fetchCount    int64        // fetches of the full list so far
+	fetchInFlight atomic.Int64 // the number of the fetch in progress; 0 without one
+	waitingCall   atomic.Int64 // the number of the watch call that waits for changes; 0 without one
+	older         *watch       // owned by the engine's owner: an earlier watch of the same discovery whose fetch is in progress too; nil without one
 }
 
 func newWatch(address string, times callTimes) *watch {
@@ -52,15 +52,14 @@
 	}
 }
 
-// MoveDiscovery goes on with the list of another discovery.
+// MoveDiscovery switches to the list of another discovery.
 func (e *Engine) MoveDiscovery(address string) { e.post(discoveryMoved{address}) }
 
 type discoveryMoved struct{ address string }
 
-// handle ends the running watch and its wait, and asks the new discovery for the
-// whole list: versions are each discovery's own. Requests and the balancer go on
-// with the list as it is until then. A large fleet that is told to move at once
-// does not call at once.
+// handle ends the running watch and fetches the full list from the new discovery, since each discovery numbers its versions
+// itself. Until that list arrives, requests and the balancer use the present one. In a large fleet the first call comes after a
+// random delay, because all its sidecars move at once.
 func (m discoveryMoved) handle(e *Engine) {
 	if m.address == e.watch.address {
 		return
@@ -68,18 +67,18 @@
 	e.watch.cancelAll()
 	now := e.clock.Now()
 	e.markListStale(now, now+deliveryAfterMove)
-	e.backoff = 0 // the former one's failures are not this one's
+	e.backoff = 0 // it counts the failures of the former discovery
 	e.watch = newWatch(m.address, e.watch.times)
 	spread := decide.MoveSpread(e.conf.Settings.Peers)
-	if spread == 0 || !e.conf.Settings.MustPoll { // pushed news bind 4 s behind a reload
+	if spread == 0 || !e.conf.Settings.MustPoll { // where lists are pushed, a change counts as delivered 4 s after a reload
 		e.startWatch()
 		return
 	}
 	e.env.AfterFunc(e.env.RandomDuration(spread), func() { e.post(restartWatch{}) })
 }
 
-// startList takes over the list as last known, and watches where the module
-// expects changes to come by themselves.
+// startList applies the list that was known last, and starts a watch where lists are pushed. Where they are polled, the
+// module decides when the first call is made.
 func (e *Engine) startList() {
 	known, from := e.conf.KnownList, e.watch.address
 	if e.handover != nil {
@@ -103,12 +102,12 @@
 		return
 	}
 	now := e.clock.Now()
-	e.markListStale(now, now+deliveryWhenPolled) // a list from before the start may be old
+	e.markListStale(now, now+deliveryWhenPolled) // a list from before the start may be outdated
 }
 
-// startList is what a successor begins with: the predecessor's list, or, where another discovery has told that, its own with
-// what the predecessor knows of the same endpoints. Guards against a list that belongs to another installation, and
-// against drains that are forgotten because discovery has moved.
+// startList returns the list with which a successor starts. That is the predecessor's list or, if it came from another
+// discovery, the successor's own list, updated with what the predecessor knows of the same endpoints. This guards against the
+// list of another installation, and against drains that are forgotten because discovery has moved.
 func (l *Handover) startList(own *httpwire.List, address string) *httpwire.List {
 	if l.From == address || l.From == "" || own == nil {
 		return &l.List
@@ -127,7 +126,7 @@
 	return &merged
 }
 
-// startWatch begins a watch unless one goes on.
+// startWatch starts a watch unless one is running.
 func (e *Engine) startWatch() {
 	if e.watch.running {
 		return
@@ -137,10 +136,10 @@
 	e.env.Go("discovery", func() { e.runWatch(w) })
 }
 
-// runWatch watches until calls fail or the watch is ended. A call that broke or fell silent is followed at once by a
-// fresh one, which asks what was missed: what discovery had to tell meanwhile counts as told, whether or not it came.
+// runWatch makes watch calls until one fails or the watch is ended. A call that broke or timed out is followed at once by check
+// calls, which ask for what it missed: that counts as delivered soon, whether or not it is received.
 func (e *Engine) runWatch(w *watch) {
-	var missedSince time.Time // what discovery has since then has not come
+	var missedSince time.Time // changes that discovery has had since then have not been received
 	for checks := 0; ; {
 		before, known, begun := w.version, w.hasList, e.env.Now()
 		if !known {
@@ -163,20 +162,20 @@
 		e.logListCall(w, &w.newest, list, err)
 		w.fetchInFlight.Store(0)
 		if err != nil {
-			reachable := w.link != nil || checks > 0 // else there is nobody, and no fresh call finds one
+			reachable := w.link != nil || checks > 0 // otherwise nothing answers at the address, and a check call would not connect either
 			e.closeWatchLink(w, linkEndReason(err), err)
 			if checks == 0 {
 				missedSince = begun
 				if known && e.env.Now().Sub(begun) > fetchTimeout {
-					missedSince = e.env.Now() // it was a watch that waited
+					missedSince = e.env.Now() // it was a watch, and it waited for changes
 				}
 			}
 			switch timedOut := errors.Is(err, errNoAnswerInTime); {
 			case timedOut && w.answerBegan:
-				checks++ // an answer that stands still has taken the time of one
+				checks++ // an answer that stopped halfway has taken the time of one check call
 				missedSince = e.env.Now().Add(-w.times.body)
 			case timedOut && !known && w.times.hedge > 0:
-				checks = maxChecks // another fetch is out
+				checks = maxChecks // a hedged fetch is in progress
 			}
 			if checks++; reachable && answerLost(err) && checks <= maxChecks && w.pause(e.env, e.env.RandomDuration(checkSpread)) {
 				continue
@@ -195,7 +194,7 @@
 	}
 }
 
-// pause waits, and tells whether the watch goes on.
+// pause waits, and reports whether the watch goes on.
 func (w *watch) pause(environment env.Env, d time.Duration) bool {
 	timer := environment.NewTimer(d)
 	select {
@@ -206,8 +205,7 @@
 	return w.ctx.Err() == nil
 }
 
-// closeWatchLink ends the connection to discovery with its log line; err is the
-// failure that ended it, if one did.
+// closeWatchLink closes the connection to discovery and writes its log line. err is the failure that ended it, or nil.
 func (e *Engine) closeWatchLink(w *watch, reason httpwire.Reason, err error) {
 	uses := 0
 	if w.link == nil {
@@ -228,7 +226,7 @@
 		Int("requests", uses).AnErr("error", err).Msg("connection ended")
 }
 
-// listReceived is an answer of discovery.
+// listReceived is the event of an answer from discovery.
 type listReceived struct {
 	watch *watch
 	list  *httpwire.List
@@ -236,10 +234,10 @@
 
 func (c listReceived) handle(e *Engine) {
 	switch older := e.watch.older; {
-	case older != nil && c.watch == older: // the fetch that has waited longer is answered first
+	case older != nil && c.watch == older: // the older fetch was answered first
 		e.watch.cancel()
 		e.watch = older
-	case c.watch != e.watch: // the new discovery tells the whole list
+	case c.watch != e.watch: // from a former discovery: the new one sends its full list
 		return
 	case older != nil:
 		older.cancel()
@@ -256,7 +254,7 @@
 	e.applyList(c.list, kind)
 }
 
-// applyList books a list and tells the module.
+// applyList applies a list and notifies the module.
 func (e *Engine) applyList(list *httpwire.List, kind decide.EventKind) {
 	if e.rules != nil {
 		list = e.withhold(list)
@@ -266,7 +264,7 @@
 	e.updateListMetrics()
 }
 
-// updateEndpoints books a list and returns it in the module's words.
+// updateEndpoints applies a list to the registry and returns the changes for the module.
 func (e *Engine) updateEndpoints(list *httpwire.List) []decide.Endpoint {
 	changes, stale := e.endpoints.Update(list, e.clock.Now())
 	for _, s := range stale {
@@ -275,7 +273,7 @@
 	return changes
 }
 
-// updateListMetrics brings the figures of the list up to date.
+// updateListMetrics updates the metrics on the list.
 func (e *Engine) updateListMetrics() {
 	e.metrics.Pool.Store(int64(e.endpoints.Len()))
 	if m, ok := e.balancer.(interface{ Avoided() int }); ok {
@@ -283,15 +281,15 @@
 	}
 }
 
-// fetchPending is a fetch of the whole list that may still be without an answer.
+// fetchPending is the event that a fetch of the full list has reached hedgeDelay; it may have been answered since.
 type fetchPending struct {
 	watch  *watch
 	number int64
 }
 
-// handle asks for the list beside a fetch with no answer yet, on a watch of its own. Guards against a list that comes too
-// late because one call was lost, and against one that never comes because a slow discovery is asked from the back of its
-// turn again and again: a call every hedgeAfter, two at a time.
+// handle starts a second fetch, on a watch of its own, if the first has no answer yet. Guards against a list that comes too late
+// because one call was lost, and against one that never comes because a slow discovery is called again and again from the end
+// of its queue. There is one new call each hedgeDelay, and at most two are in progress.
 func (f fetchPending) handle(e *Engine) {
 	if f.watch != e.watch || f.watch.fetchInFlight.Load() != f.number {
 		return
@@ -305,14 +303,14 @@
 	e.startWatch()
 }
 
-// watchWaiting is a watch that may still be waiting for news.
+// watchWaiting is the event that a watch call has reached maxQueueTime; it may have ended since.
 type watchWaiting struct {
 	watch  *watch
-	number int64 // of its call
+	number int64 // the number of the call
 }
 
-// handle takes a watch that has been waiting for longer than any call waits its turn for one that discovery has taken: had
-// there been news, they would have come.
+// handle treats the list as current if the call still waits for changes. No call waits in discovery's queue for so long, so
+// discovery has processed this one, and would have answered if there had been a change.
 func (s watchWaiting) handle(e *Engine) {
 	if s.watch != e.watch || s.watch.waitingCall.Load() != s.number || e.staleness.since == 0 {
 		return
@@ -321,21 +319,21 @@
 	e.notifyModule(decide.Event{Kind: decide.ListConfirmed})
 }
 
-// listCallFailed is a call to discovery that has failed.
+// listCallFailed is the event of a failed call to discovery.
 type listCallFailed struct {
 	watch       *watch
-	retryWithin time.Duration // the next call should be out by then
-	missedSince time.Time     // what discovery has had since then has not come
+	retryWithin time.Duration // the next call should be sent within this time
+	missedSince time.Time     // changes that discovery has had since then have not been received
 
-	refused bool // discovery answered, and not with a list
+	refused bool // discovery answered with a refusal or an invalid list
 }
 
 func (f listCallFailed) handle(e *Engine) {
-	if f.watch == e.watch.older { // the other one goes on
+	if f.watch == e.watch.older { // the watch that hedged it goes on
 		e.counters.ListFailures++
 		e.watch.older = nil
 	}
-	if f.watch != e.watch { // it was ended, and another goes on
+	if f.watch != e.watch { // it was ended, and another one runs
 		return
 	}
 	e.counters.ListFailures++
@@ -351,7 +349,7 @@
 	e.env.AfterFunc(least+e.env.RandomDuration(spread), func() { e.post(restartWatch{}) })
 }
 
-// restartWatch begins a new watch after a pause.
+// restartWatch is the event that starts a watch after a pause.
 type restartWatch struct{}
 
 func (restartWatch) handle(e *Engine) { e.startWatch() }
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -1,9 +1,8 @@
-// Package pipeline carries requests from their callers to endpoints and the
-// answers back. A request passes the stages take in, admit, route, send, relay
-// and book, a file each. They ask the decision module and decide nothing.
+// Package pipeline carries requests from their callers to endpoints and the answers back. A request passes through the stages
+// take in, admit, route, send, relay and record, one file each. The stages carry out what the decision module decides.
 //
-// One goroutine, Run's, owns the balancer, the requests, the endpoints and the
-// one timer. Goroutines that read and write sockets hand it typed events.
+// One goroutine, which runs Run and is called the owner, owns the balancer, the requests, the endpoints and the one timer.
+// Goroutines that read and write sockets pass typed events to it.
 package pipeline
 
 import (
@@ -22,85 +21,84 @@
 	"heathgap/internal/state"
 )
 
-// Figures of the engine.
+// Sizes and intervals of the engine.
 const (
-	eventQueueSize    = 1024        // events that may wait for the owner before their senders do
-	urgentQueueSize   = 8           // the same for operators' calls
-	sweepInterval     = time.Second // idle connections are looked at so often
-	drainGraceDivisor = 2           // news come late: of the grace for drains so large a part is left when they are here
+	eventQueueSize    = 1024        // events that may wait for the owner; beyond that their senders block
+	urgentQueueSize   = 8           // the same for calls of operators
+	sweepInterval     = time.Second // interval at which idle connections are checked
+	drainGraceDivisor = 2           // reports of drains may arrive late: by then only DrainGrace divided by this is taken as left of the grace
 )
 
-// Decider decides what is done with each request: the module, or what the lab puts
-// in its place to compare it with.
+// Decider decides what is done with each request. It is the decision module, or a policy that the lab compares with the module.
 type Decider interface {
-	// Handle takes one event at a time that only grows, and appends what is to be done.
+	// Handle takes one event, at a time that never decreases, and appends the actions to be done.
 	Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action
 }
 
-// Logs are where the engine writes its lines.
+// Logs are the loggers of the engine.
 type Logs struct {
 	All      zerolog.Logger
-	ConnEnds zerolog.Logger // for ends of connections, one line each: may be sampled
+	ConnEnds zerolog.Logger // for the ends of connections, one line each; may be sampled
 }
 
-// event is something that an I/O goroutine hands to the owner.
+// event is something that another goroutine passes to the owner.
 type event interface{ handle(*Engine) }
 
 // Engine runs one balancer on sockets.
 type Engine struct {
 	conf            *config.Config
 	log             zerolog.Logger
-	connLog         zerolog.Logger // for ends of connections
+	connLog         zerolog.Logger // for the ends of connections
 	env             env.Env
 	clock           state.Clock
 	events          chan event
-	urgent          chan event    // of operators: looked at before all others, however many wait
-	metrics         *metrics.Set  // read at any time
-	listed          atomic.Bool   // there has been a list
-	resuming        atomic.Int64  // long answers of another process that are on their way here
-	resumed         atomic.Int64  // long answers of another process that ended here
+	urgent          chan event    // from operators; handled before all other events
+	metrics         *metrics.Set  // may be read at any time
+	listed          atomic.Bool   // a list was applied
+	resuming        atomic.Int64  // streamed answers of another process that are being resumed here
+	resumed         atomic.Int64  // streamed answers of another process that were resumed and have ended here
 	serving         atomic.Bool   // callers are accepted
 	stopped         chan struct{} // closed when Run has returned
-	unready         atomic.Bool   // the process is stopping: callers should look elsewhere
+	unready         atomic.Bool   // the process is stopping: callers should use another sidecar
 	draining        atomic.Bool   // each answer is the last on its connection
-	malformed       atomic.Int64  // requests answered 400: a flood of them must not fill the queue
+	malformed       atomic.Int64  // requests answered 400; counted here and not by the owner, so that a flood of them does not fill its queue
 	balancer        Decider
 	requests        *state.Requests
 	endpoints       *state.Endpoints
 	pool            *state.Pool
-	answerMemory    *httpwire.MemoryBudget // for bodies of answers
+	answerMemory    *httpwire.MemoryBudget // memory budget for bodies of answers
 	timeouts        state.Timeouts
 	counters        state.Counters
-	watch           *watch        // of the present discovery
-	backoff         time.Duration // the pause after the newest failed call, where the module does not ask; 0 after an answer
-	listVersion     int64         // the list's version
+	watch           *watch        // the watch at the present discovery
+	backoff         time.Duration // base of the pause after the latest failed call, where lists are pushed; 0 after an answer
+	listVersion     int64         // version of the list that was received last
 	staleness       listStaleness
 	requestLogLimit logLimiter
-	listCalls       atomic.Int64 // calls to discovery that have begun
-	handover        *Handover    // of a predecessor; nil without one
-	moduleTimerAt   decide.Time  // when the module wants to be woken; 0 when it does not
+	listCalls       atomic.Int64 // calls to discovery so far
+	handover        *Handover    // from a predecessor, until the owner has applied it; nil without one
+	moduleTimerAt   decide.Time  // when the module wants to be woken; 0 for not at all
 	sweepAt         decide.Time
-	pendingEvents   []decide.Event // for the module, behind the one it is being told
-	handlingEvents  bool
-	handOverFunc    httpwire.HandOverFunc               // for long answers, once they go to another process
-	streams         map[*httpwire.AnswerStream]struct{} // long answers whose rest is on its way
-	stopping        bool                                // nothing is taken any more
+	pendingEvents   []decide.Event                      // events for the module, behind the one that it is handling
+	handlingEvents  bool                                // notifyModule is running
+	handOverFunc    httpwire.HandOverFunc               // how streamed answers are handed to another process; nil until that begins
+	streams         map[*httpwire.AnswerStream]struct{} // streamed answers in progress
+	stopping        bool                                // no request is accepted any more
 	actions         []decide.Action
 
-	holdings    Holdings    // nil where nothing is held
-	rules       RulesSource // nil where the sidecar is in no crew
+	holdings    Holdings    // nil if no keys are claimed
+	rules       RulesSource // nil if the sidecar is in no cluster
 	effective   *EffectiveRules
-	clusterBans map[string]bool                    // endpoints that the crew's version bans; true where one by hand stands beside it
-	withheld    map[string]httpwire.ListedEndpoint // lines of the list that are not taken yet, by name
+	clusterBans map[string]bool                    // endpoints that the cluster's version bans; the value is true if the endpoint is banned by hand too
+	withheld    map[string]httpwire.ListedEndpoint // entries of the list that are not applied yet, by name
 }
 
-// SetRules has the engine act on rules that others agree on. It is called before Run.
+// SetRules makes the engine apply the rules that the cluster agrees on. It is called before Run.
 func (e *Engine) SetRules(rules RulesSource) {
 	e.rules, e.effective = rules, &EffectiveRules{}
 	e.clusterBans, e.withheld = map[string]bool{}, map[string]httpwire.ListedEndpoint{}
 }
 
-// New returns an engine that has not started.
+// New returns an engine; Run starts it.
 func New(conf *config.Config, environment env.Env, logs Logs, balancer Decider) *Engine {
 	e := &Engine{
 		conf: conf, log: logs.All, connLog: logs.ConnEnds, env: environment, clock: state.NewClock(environment), balancer: balancer,
@@ -147,13 +145,13 @@
 			return
 		case <-timer.C():
 		case ev := <-e.events:
-			e.runDue() // what is late is late, whatever has come in the meantime
+			e.runDue() // timeouts that are due come before the event, however long it has waited
 			ev.handle(e)
 		}
 	}
 }
 
-// post hands an event to the owner.
+// post passes an event to the owner. The event is lost once Run has returned.
 func (e *Engine) post(ev event) {
 	select {
 	case e.events <- ev:
@@ -161,7 +159,7 @@
 	}
 }
 
-// nextDue is when the one timer must fire.
+// nextDue returns when the timer must fire next.
 func (e *Engine) nextDue() decide.Time {
 	next := e.sweepAt
 	if at := e.timeouts.Next(); at > 0 {
@@ -173,12 +171,12 @@
 	return next
 }
 
-// runDue does what is due.
+// runDue handles the timeouts, the module's timer and the sweep if they are due.
 func (e *Engine) runDue() {
 	now := e.clock.Now()
 	for a := e.timeouts.Due(now); a != nil; a = e.timeouts.Due(now) {
 		outcome := decide.TimedOut
-		if a.PreventWrite() { // no connection has come up: it has never run
+		if a.PreventWrite() { // no connection came up, so the attempt never ran
 			outcome = decide.ConnectFailed
 		}
 		a.GiveUp()
@@ -195,15 +193,14 @@
 	}
 }
 
-// MarkUnready has GET /up say that the sidecar takes no new callers.
+// MarkUnready makes GET /up report that the sidecar takes no new callers.
 func (e *Engine) MarkUnready() { e.unready.Store(true) }
 
-// Drain makes every answer from now on the last on its connection, or no more.
+// Drain sets whether each answer from now on is the last on its connection.
 func (e *Engine) Drain(on bool) { e.draining.Store(on) }
 
-// FailPending fails what is still held: the process is about to end, or to be killed,
-// and what it leaves unanswered is lost. A failure promises nothing, so that it
-// is true whatever has run.
+// FailPending fails all requests that are pending, because the process is about to end and would leave them unanswered. A
+// failure does not tell the caller whether the request ran, so it is true in either case.
 func (e *Engine) FailPending() { e.post(failPending{}) }
 
 type failPending struct{}
@@ -223,20 +220,20 @@
 	}
 }
 
-// Streaming tells whether long answers are on their way.
+// Streaming reports whether streamed answers are in progress.
 func (e *Engine) Streaming() bool { return e.Resuming() || e.Snapshot().Streaming > 0 }
 
-// Resuming tells whether long answers of another process are on their way here.
+// Resuming reports whether streamed answers of another process are being resumed here.
 func (e *Engine) Resuming() bool { return e.resuming.Load() > 0 }
 
-// Snapshot is what the engine counts and holds.
+// Snapshot is a copy of the engine's counters and gauges.
 type Snapshot struct {
 	state.Counters
 	ListCalls *metrics.ListCalls
-	Shadow    *shadow.Counts // what other settings would have done; nil where nothing is watched
-	Pending   int            // requests without a final answer, or one that is not whole yet
-	Streaming int            // of those held, the ones whose answer is on its way
-	Endpoints int            // listed
+	Shadow    *shadow.Counts // what other settings would have decided; nil without a shadow
+	Pending   int            // requests without a final answer, or with one that is still being streamed
+	Streaming int            // those of Pending whose answer is being streamed
+	Endpoints int            // listed endpoints
 	Links     int            // connections to endpoints
 }
 
@@ -252,7 +249,7 @@
 	ev.Int("held", s.Pending).Int("endpoints", s.Endpoints).Int("links", s.Links)
 }
 
-// snapshotRequest asks the owner for a snapshot.
+// snapshotRequest is the event that requests a snapshot from the owner.
 type snapshotRequest struct{ reply chan Snapshot }
 
 func (w snapshotRequest) handle(e *Engine) { w.reply <- e.snapshot() }
@@ -273,7 +270,7 @@
 	}
 }
 
-// Snapshot returns what the engine counts and holds, also when it has stopped.
+// Snapshot returns the engine's counters and gauges, also after it has stopped.
 func (e *Engine) Snapshot() Snapshot {
 	reply := make(chan Snapshot, 1)
 	e.post(snapshotRequest{reply})
@@ -285,7 +282,7 @@
 	}
 }
 
-// logLinkEnd writes the log line of a connection to an endpoint.
+// logLinkEnd writes the log line on the end of a connection to an endpoint. The link is nil if the dial failed.
 func (e *Engine) logLinkEnd(endpoint *state.Endpoint, link *httpwire.Link, reason httpwire.Reason) {
 	uses := 0
 	if link != nil {
