--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -10,31 +10,31 @@
 	"heathgap/internal/metrics"
 )
 
-// Each call to discovery has a number and one log line that says what was asked and how it ended; the counts by end stand
-// in the figures. What discovery may have had to tell since the last answer is timed, and its going stale is logged.
+// Each call to discovery has a number and one log line that says what was requested and how the call ended. The metrics count
+// the calls by how they ended. The staleness of the list is measured, and logged when it begins to count.
 
-// listCallKind is what a call to discovery asks for.
+// listCallKind is what a call to discovery requests.
 type listCallKind string
 
-// The kinds of call, as the log names them.
+// The kinds of call. The texts are written to the log.
 const (
-	listFetch listCallKind = "fetch" // the whole list
-	listWatch listCallKind = "watch" // what is newer than a version, once there is something
-	listCheck listCallKind = "check" // what is newer now: behind a watch that broke or fell silent
+	listFetch listCallKind = "fetch" // the full list
+	listWatch listCallKind = "watch" // the changes after a version, as soon as there is one
+	listCheck listCallKind = "check" // the changes after a version that exist now: follows a watch that broke or timed out
 )
 
 // listCall is one call to discovery.
 type listCall struct {
 	number    int64 // from 1 at the start of the process
 	kind      listCallKind
-	after     int64         // the version whose changes are asked for; 0 for the whole list
-	wait      time.Duration // for which discovery was asked to wait for news
+	after     int64         // the version whose changes are requested; 0 for the full list
+	wait      time.Duration // how long discovery was asked to wait for a change
 	begun     time.Time
-	firstByte time.Time // of its answer; zero without one
+	firstByte time.Time // when the first byte of the answer came; zero without one
 	ended     time.Time
 }
 
-// classifyListCall reads how a call ended from its error.
+// classifyListCall returns how a call ended, given its error, whether it had a connection, and whether it was canceled.
 func classifyListCall(err error, connected, canceled bool) metrics.ListCallEnd {
 	var status httpwire.StatusError
 	switch {
@@ -54,7 +54,7 @@
 	return metrics.ListMalformed
 }
 
-// logListCall counts a call that has ended and writes its log line. The list is what it brought; nil if it failed.
+// logListCall counts a call that has ended and writes its log line. list is what it returned; nil if it failed.
 func (e *Engine) logListCall(w *watch, call *listCall, list *httpwire.List, err error) {
 	end := classifyListCall(err, w.link != nil, w.ctx.Err() != nil)
 	e.metrics.ListCalls.Count(end)
@@ -77,13 +77,13 @@
 	line.AnErr("error", err).Msg("list call")
 }
 
-// When what discovery has counts as told, whether or not it has come (STANDING: Days at full size).
+// When a change that discovery has counts as delivered, whether or not it was received (STANDING: Days at full size).
 const (
-	deliveryWhenPolled = 6 * time.Second // where lists are asked for
-	deliveryAfterMove  = 4 * time.Second // behind a reload that names another discovery
+	deliveryWhenPolled = 6 * time.Second // after discovery had it, where lists are polled
+	deliveryAfterMove  = 4 * time.Second // after a reload that names another discovery
 )
 
-// deliveryDelay is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
+// deliveryDelay returns how long after discovery had it a change counts as delivered. Where lists are pushed that is at once.
 func (e *Engine) deliveryDelay() time.Duration {
 	if e.conf.Settings.MustPoll {
 		return deliveryWhenPolled
@@ -91,15 +91,15 @@
 	return 0
 }
 
-// listStaleness times how long discovery may have had news that have not come.
+// listStaleness measures for how long discovery may have had changes that were not received.
 type listStaleness struct {
-	since       decide.Time // 0 while the newest call was answered
-	deliveredBy decide.Time // when they count as told
-	logged      bool        // that has been logged
+	since       decide.Time // 0 if the newest call was answered
+	deliveredBy decide.Time // when those changes count as delivered
+	logged      bool        // that the list is stale has been logged
 }
 
-// markListStale books that what discovery has had since a time may not have come, and when it counts as told. It stands until
-// a call is answered.
+// markListStale records that changes which discovery has had since a time may not have been received, and when they count as
+// delivered. The record stays until a call is answered.
 func (e *Engine) markListStale(since, deliveredBy decide.Time) {
 	if e.staleness.since == 0 {
 		e.staleness = listStaleness{since: since, deliveredBy: deliveredBy}
@@ -108,7 +108,7 @@
 	e.updateStaleness()
 }
 
-// markListCurrent books that a call was answered with all that discovery had.
+// markListCurrent records that a call was answered with every change that discovery had.
 func (e *Engine) markListCurrent() {
 	if e.staleness.logged {
 		e.log.Info().Int64("version", e.listVersion).Int64("stale_ms", (e.clock.Now() - e.staleness.deliveredBy).Milliseconds()).
@@ -118,10 +118,10 @@
 	e.updateStaleness()
 }
 
-// updateStaleness brings the figure up to date and logs the moment in which the list goes stale.
+// updateStaleness updates the metric, and logs once that the list is stale when missed changes count as delivered.
 func (e *Engine) updateStaleness() {
 	stale := decide.Time(0)
-	if e.staleness.since > 0 { // 0 is for none
+	if e.staleness.since > 0 { // 0 means that the list is current
 		stale = max(time.Millisecond, e.clock.Now()-e.staleness.since)
 	}
 	e.metrics.ListStaleMS.Store(stale.Milliseconds())
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -10,28 +10,28 @@
 	"heathgap/internal/httpwire"
 )
 
-// Operate: what operators ask for through the console.
+// Operate: the calls of operators through the console, and the hand-over to a successor process.
 
-// errEnded is the answer to operators' calls when the owner has stopped.
+// errEnded is the answer to operators' calls after the owner has stopped.
 var errEnded = errors.New("this process is ending")
 
-// SetServing says that callers are accepted from now on, or no more.
+// SetServing sets whether callers are accepted.
 func (e *Engine) SetServing(on bool) { e.serving.Store(on) }
 
-// Ready tells whether this process serves: it accepts callers and has had a list.
+// Ready reports whether this process serves: it accepts callers, has applied a list and is not stopping.
 func (e *Engine) Ready() bool { return e.serving.Load() && e.listed.Load() && !e.unready.Load() }
 
-// Metrics returns the figures, a line each.
+// Metrics returns the metrics, one per line.
 func (e *Engine) Metrics() []byte { return e.metrics.Append(nil) }
 
-// Disable bans an endpoint by hand. When it returns, the module knows.
+// Disable bans an endpoint by hand. The module has been notified when it returns.
 func (e *Engine) Disable(name string) error { return e.ban(name, true) }
 
-// Enable ends a ban.
+// Enable ends a ban by hand.
 func (e *Engine) Enable(name string) error { return e.ban(name, false) }
 
-// AdoptBan takes over a ban by hand, or its end, from the other process of an upgrade,
-// which knows that the endpoint has been listed.
+// AdoptBan takes over a ban by hand, or its end, from the other process of an upgrade. That process knows that the endpoint
+// has been listed.
 func (e *Engine) AdoptBan(name string, on bool) error {
 	return e.call(banCall{name: name, on: on, known: true, done: make(chan error, 1)})
 }
@@ -40,7 +40,7 @@
 	return e.call(banCall{name: name, on: on, done: make(chan error, 1)})
 }
 
-// call has the owner do something at once, and waits until it has.
+// call passes a ban to the owner ahead of other events, and waits until it is done.
 func (e *Engine) call(call banCall) error {
 	select {
 	case e.urgent <- call:
@@ -55,11 +55,11 @@
 	}
 }
 
-// banCall is a ban by hand, or its end.
+// banCall is the event of a ban by hand, or of its end.
 type banCall struct {
 	name  string
 	on    bool
-	known bool // another process knows the name
+	known bool // another process knows that the endpoint has been listed
 	done  chan error
 }
 
@@ -75,7 +75,7 @@
 		kind := decide.Unbanned
 		if c.on {
 			kind = decide.Banned
-			if endpoint := e.endpoints.Get(id); endpoint != nil { // it is about to be restarted
+			if endpoint := e.endpoints.Get(id); endpoint != nil { // the endpoint is about to be restarted
 				e.pool.DropAll(endpoint, httpwire.ReasonBanned)
 			}
 		}
@@ -85,17 +85,17 @@
 	c.done <- err
 }
 
-// Handover is what a process leaves to the one that takes its place.
+// Handover is the state that a process hands over to its successor, as JSON under these field names.
 type Handover struct {
-	List   httpwire.List // as last known
-	From   string        // the discovery that told it: versions are each discovery's own
-	Of     []string      // the classes that the settings name
+	List   httpwire.List // the list as last known
+	From   string        // address of the discovery that sent the list: each discovery numbers its versions itself
+	Of     []string      // the classes of the predecessor's settings
 	Seen   []uint64      // hashes of names that have been listed
-	Banned []string
-	Lifted []string // whose bans have ended lately: they may still be cold
+	Banned []string      // endpoints banned by hand
+	Lifted []string      // endpoints whose bans have ended recently: they may still be cold
 }
 
-// ExportHandover returns what a successor must know, as text.
+// ExportHandover returns the state for a successor as JSON.
 func (e *Engine) ExportHandover() ([]byte, error) {
 	reply := make(chan Handover, 1)
 	select {
@@ -117,7 +117,7 @@
 	endpoints := e.endpoints
 	bansByHand := slices.DeleteFunc(endpoints.Banned(), func(name string) bool {
 		byHand, byCluster := e.clusterBans[name]
-		return byCluster && !byHand // the successor hears of it from the crew
+		return byCluster && !byHand // the successor gets it from the cluster
 	})
 	w.reply <- Handover{
 		List: httpwire.List{Index: e.listVersion, Whole: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
@@ -126,14 +126,14 @@
 	}
 }
 
-// ImportHandover has the engine start with what a predecessor has left. It is called before Run.
+// ImportHandover makes the engine start with the state that a predecessor handed over. It is called before Run.
 func (e *Engine) ImportHandover(text []byte) error {
 	var handover Handover
 	if err := json.Unmarshal(text, &handover); err != nil {
 		return fmt.Errorf("what the predecessor left: %w", err)
 	}
-	// Guards against a list, bans and a version that outlive the customer whose they were, where a name and an address
-	// are used again.
+	// Guards against a list, bans and a version that belong to another customer, whose sidecar had the same name and address
+	// before.
 	if e.conf.IsForeign(handover.Of) {
 		e.log.Warn().Strs("its_classes", handover.Of).Msg("the predecessor served other classes, nothing that it knew is taken over")
 		return nil
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// applyHandover takes over a predecessor's list and bans.
+// applyHandover applies a predecessor's bans, and the names that it knows to have been listed.
 func (e *Engine) applyHandover(handover *Handover) {
 	for _, hash := range handover.Seen {
 		e.endpoints.MarkSeenHash(hash)
@@ -156,6 +156,7 @@
 	}
 }
 
+// importBan applies a predecessor's ban, or its end.
 func (e *Engine) importBan(name string, on bool) {
 	c := banCall{name: name, on: on, known: true, done: make(chan error, 1)}
 	c.handle(e)
@@ -164,8 +165,7 @@
 	}
 }
 
-// SetConnShare bounds connections to endpoints by a part of what one process may hold, while
-// two processes share the limits.
+// SetConnShare limits the connections to endpoints to one of so many parts of the usual limit, while two processes share it.
 func (e *Engine) SetConnShare(parts int) { e.post(connShare{parts}) }
 
 type connShare struct{ parts int }
--- a/internal/pipeline/probe.go
+++ b/internal/pipeline/probe.go
@@ -11,15 +11,15 @@
 
 // Probe: an endpoint is asked for its load, and its answer goes to the module.
 
-// probeTimeout is how long an answer to a probe is waited for. By then most aims have passed, and the module has
-// looked elsewhere.
+// probeTimeout is how long the answer to a probe is awaited. Most aims are shorter, so that by then the module has chosen
+// another endpoint.
 const probeTimeout = time.Second
 
-// probe asks an endpoint. The module is told in any case, once.
+// probe starts a probe of an endpoint. The module is notified of its end exactly once, also if it could not be started.
 func (e *Engine) probe(id decide.EndpointID) {
 	now := e.clock.Now()
 	endpoint := e.endpoints.Get(id)
-	if endpoint == nil { // it has left the list since
+	if endpoint == nil { // it has left the list since the module decided
 		e.notifyModule(decide.Event{Kind: decide.ProbeFinished, Endpoint: id, Outcome: decide.ConnectFailed})
 		return
 	}
@@ -36,17 +36,17 @@
 	e.env.Go("probe", func() { e.sendProbe(&probeEnded{endpoint: endpoint, link: link, sent: now}, address) })
 }
 
-// probeEnded is how a probe has ended: its connection, and its outcome.
+// probeEnded is the event of a probe that has ended.
 type probeEnded struct {
 	endpoint  *state.Endpoint
-	link      *httpwire.Link // nil if it never came up
+	link      *httpwire.Link // nil if the dial failed
 	endReason httpwire.Reason
 	outcome   decide.Outcome
 	reply     *httpwire.Reply // nil without an answer
 	sent      decide.Time
 }
 
-// sendProbe carries one probe in a goroutine of its own, which ends with the answer or after connect and probe time.
+// sendProbe makes one probe, in a goroutine of its own. It takes the connect timeout and probeTimeout at most.
 func (e *Engine) sendProbe(p *probeEnded, address string) {
 	defer func() { e.post(p) }()
 	if p.link, p.endReason = e.connect(context.Background(), p.link, address); p.endReason != "" {
@@ -63,7 +63,7 @@
 		return
 	}
 	p.outcome, p.reply = reply.Outcome, &reply
-	if reply.Close || reply.Stream != nil { // no report is so long
+	if reply.Close || reply.Stream != nil { // a load report is never long enough to be streamed
 		p.endReason = httpwire.ReasonPeerClose
 	}
 }
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -9,9 +9,9 @@
 	"heathgap/internal/state"
 )
 
-// Relay: a request's one final answer goes to its caller.
+// Relay: the one final answer of a request goes to its caller.
 
-// endOfVerdict are what verdicts count as.
+// endOfVerdict maps verdicts to the metrics that count them.
 var endOfVerdict = [...]metrics.End{
 	httpwire.Served: metrics.Served, httpwire.Refused: metrics.Refused, httpwire.Failed: metrics.Failed,
 	httpwire.Abandoned: metrics.CallerLeft,
@@ -22,17 +22,17 @@
 	if !e.requests.End(r) {
 		return
 	}
-	if answer.Stream == nil { // else it ends when the rest has
+	if answer.Stream == nil { // a streamed answer is counted when the stream ends
 		e.metrics.Count(r.Message.Class, endOfVerdict[answer.Verdict])
 	}
-	if r.MayWrite != nil { // its key is held: what becomes of the claim rests on it
+	if r.MayWrite != nil { // what becomes of the claim on its key depends on this
 		answer.MayHaveRun = answer.Verdict == httpwire.Served || mayHaveRun(r)
 	}
 	r.Answer <- answer
 	e.requests.Release(r)
 }
 
-// callerDisconnected tells that the caller of a request has gone.
+// callerDisconnected is the event that the caller of a request has disconnected.
 type callerDisconnected struct{ in *arrival }
 
 func (c callerDisconnected) handle(e *Engine) {
@@ -41,12 +41,12 @@
 	}
 }
 
-// foundDisconnected is a request whose caller was found to be gone where an attempt was about to be written.
+// foundDisconnected is the event that a request's caller was found to have disconnected when an attempt was about to be written.
 type foundDisconnected struct{ request *state.Request }
 
 func (s foundDisconnected) handle(e *Engine) { e.abandon(s.request) }
 
-// abandon ends a request whose caller has gone.
+// abandon ends a request whose caller has disconnected.
 func (e *Engine) abandon(r *state.Request) {
 	if r.Done {
 		return
@@ -55,14 +55,14 @@
 	e.notifyModule(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
 }
 
-// streamBegan is a long answer whose beginning has come.
+// streamBegan is the event that the beginning of a streamed answer has come.
 type streamBegan struct {
 	attempt *state.Attempt
 	link    *httpwire.Link
 	reply   *httpwire.Reply
 }
 
-// handle gives it to its caller, who takes the rest from the endpoint's connection.
+// handle passes the answer to the caller's goroutine, which reads the rest from the connection to the endpoint.
 func (b streamBegan) handle(e *Engine) {
 	a := b.attempt
 	if a.Settled || a.Request.Done {
@@ -81,7 +81,7 @@
 	}
 }
 
-// streamEnded is a long answer that has come to an end.
+// streamEnded is the event that a streamed answer has ended.
 type streamEnded struct {
 	streamBegan
 	end httpwire.AnswerEnd
@@ -94,7 +94,7 @@
 	case p.end == httpwire.AnswerBrokenOff:
 		endReason, counted = httpwire.ReasonBroken, metrics.Failed
 	case p.end == httpwire.AnswerHandedOver:
-		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // it counts where it ends
+		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // the process that resumes it counts how it ends
 	case p.end == httpwire.AnswerCallerGone:
 		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
 	case p.reply.Close:
@@ -105,15 +105,14 @@
 	} else {
 		e.pool.Drop(endpoint, p.link, endReason)
 	}
-	p.attempt.GiveUp() // frees what belongs to its context
+	p.attempt.GiveUp() // releases the resources of its context
 	e.metrics.Count(p.attempt.Request.Message.Class, counted)
 	if p.end == httpwire.AnswerBrokenOff {
 		e.notifyModule(decide.Event{Kind: decide.StreamBroke, Endpoint: endpoint.ID})
 	}
 }
 
-// HandOverAnswers has all long answers on their way given to another process, and those that
-// begin from now on.
+// HandOverAnswers makes all streamed answers go on in another process: those in progress and those that begin from now on.
 func (e *Engine) HandOverAnswers(handOverFunc httpwire.HandOverFunc) {
 	e.post(handOverStreams{handOverFunc})
 }
@@ -127,8 +126,8 @@
 	}
 }
 
-// ResumeAnswer passes on, in a goroutine of its own, what another process has begun to. It
-// ends with the answer, or when one side stands still.
+// ResumeAnswer streams, in a goroutine of its own, the rest of an answer that another process began to stream. It ends with the
+// answer, or when the endpoint or the caller makes no progress.
 func (e *Engine) ResumeAnswer(handover *httpwire.AnswerHandover, caller, endpoint net.Conn) {
 	e.metrics.Active.Add(1)
 	e.resuming.Add(1)
--- a/internal/pipeline/requestlog.go
+++ b/internal/pipeline/requestlog.go
@@ -9,27 +9,27 @@
 	"heathgap/internal/state"
 )
 
-// A request that is not served, or is sent again, leaves a log line with its caller's id: why, and what became of its
-// attempts. What is served at the first attempt leaves none.
+// A request that is not served, or is sent again, gets a log line with its caller's id, the reason and the outcomes of its
+// attempts. A request that is served at the first attempt gets none.
 
-// Reasons of requests that end without the module's word.
+// Reasons of requests that end without a decision of the module. They are written to the log.
 const (
-	reasonProcessEnds    = "process_ends"     // what a stopping process still holds fails
-	reasonTooManyOpen    = "too_many_open"    // more open requests than the settings allow
-	reasonTooManyCallers = "too_many_callers" // more callers' connections in use than there is room for
+	reasonProcessEnds    = "process_ends"     // the process is stopping
+	reasonTooManyOpen    = "too_many_open"    // more pending requests than the settings allow
+	reasonTooManyCallers = "too_many_callers" // more connections of callers in use than are allowed
 )
 
-// maxRequestLinesPerSecond bounds the lines on requests in a second: a flood of refusals must not cost what serving does.
+// maxRequestLinesPerSecond bounds the log lines on requests: logging a flood of refusals must not cost as much as serving.
 const maxRequestLinesPerSecond = 20
 
-// logLimiter lets so many lines a second through and counts the others.
+// logLimiter allows a number of lines per second and counts the ones that it does not allow.
 type logLimiter struct {
-	windowStart decide.Time // when the present second began
+	windowStart decide.Time // when the current second began
 	written     int
-	suppressed  int // since the last line that was written
+	suppressed  int // lines that were not allowed since the last one that was
 }
 
-// allow tells whether a line may be written, and how many were not since the last one.
+// allow reports whether a line may be written and, if so, how many were not allowed since the last one.
 func (b *logLimiter) allow(now decide.Time) (suppressed int, ok bool) {
 	if now-b.windowStart >= time.Second {
 		b.windowStart, b.written = now, 0
@@ -43,7 +43,7 @@
 	return suppressed, true
 }
 
-// logNotServed writes the line of a request that is refused or failed.
+// logNotServed writes the line of a request that was refused or failed.
 func (e *Engine) logNotServed(r *state.Request, end, reason string) {
 	if suppressed, ok := e.requestLogLimit.allow(e.clock.Now()); ok {
 		e.requestLine(r, suppressed).Str("end", end).Str("reason", reason).Msg("request not served")
@@ -64,7 +64,7 @@
 	}
 }
 
-// logRejected writes the line of a request that the module is not asked about.
+// logRejected writes the line of a request that is rejected without asking the module.
 func (e *Engine) logRejected(a *arrival) {
 	reason := reasonTooManyOpen
 	switch {
@@ -79,7 +79,7 @@
 	}
 }
 
-// requestLine begins a line on a request: its attempts, and the list by which they were sent.
+// requestLine begins a log line on a request with its attempts and the version and staleness of the list.
 func (e *Engine) requestLine(r *state.Request, suppressed int) *zerolog.Event {
 	line := e.log.Info().Str("request", r.Message.ID).Str("class", r.Message.Class).
 		Int64("left_ms", (r.Deadline-e.clock.Now()).Milliseconds()).Int64("list", e.listVersion)
@@ -96,10 +96,10 @@
 	return line.Array("attempts", attempts)
 }
 
-// attemptLine is an attempt as the log tells it.
+// attemptLine writes an attempt to a log line.
 type attemptLine struct{ *state.Attempt }
 
-// MarshalZerologObject writes it into a log line.
+// MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (a attemptLine) MarshalZerologObject(ev *zerolog.Event) {
 	if a.Endpoint != nil {
 		ev.Str("to", a.Endpoint.Name)
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -7,10 +7,10 @@
 	"heathgap/internal/httpwire"
 )
 
-// Route: the module is told what has happened, and what it decides is done.
+// Route: the module is notified of events, and the actions that it decides on are done.
 
-// notifyModule hands an event to the module and does what it decides. What comes of
-// that, such as the outcome of a canceled attempt, is told after it.
+// notifyModule passes an event to the module and does the actions that it decides on. Events that result from those actions,
+// such as the outcome of a canceled attempt, are passed on after them.
 func (e *Engine) notifyModule(ev decide.Event) {
 	e.pendingEvents = append(e.pendingEvents, ev)
 	if e.handlingEvents {
@@ -32,12 +32,11 @@
 	e.handlingEvents = false
 }
 
-// perform does one thing that the module has decided.
+// perform does one action of the module.
 func (e *Engine) perform(a decide.Action) {
 	switch a.Kind {
 	case decide.SetTimer:
-		// The module arms its timer anew each time that one is due, so that only
-		// the newest counts.
+		// The module sets its timer anew each time that it is due, so that only the newest timer counts.
 		e.moduleTimerAt = e.clock.Now() + a.After
 		return
 	case decide.WatchList:
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -11,24 +11,24 @@
 	"heathgap/internal/state"
 )
 
-// Rules: what the sidecars of a crew agree on is put in force before anything is decided, and looked at again where a
+// Rules: what the sidecars of a cluster agree on is applied before the module decides anything, and checked again just before a
 // request is written.
 
-// EffectiveRules is what a sidecar acts on. It is never changed once it is handed out.
+// EffectiveRules is the set of rules that a sidecar applies. It is never modified after it was returned.
 type EffectiveRules struct {
-	Generation uint64 // differs from that of any other, and is never 0
+	Generation uint64 // differs from that of any other rules, and is never 0
 	Dynamic    *decide.DynamicSettings
-	Banned     map[string]bool // names of endpoints
-	Cautious   bool            // nobody vouches for the rules: nothing new is begun with
+	Banned     map[string]bool // names of endpoints that the version bans
+	Cautious   bool            // there is no lease: only what every possible version allows may be done
 }
 
-// RulesSource tell what holds now. They cost no I/O, and any goroutine may ask.
+// RulesSource returns the rules in effect. It does no I/O, and any goroutine may call it.
 type RulesSource interface{ Effective() *EffectiveRules }
 
-// errBannedByCluster is the answer to who would lift by hand what all have agreed on.
+// errBannedByCluster is the answer to an operator who tries to end by hand a ban of the cluster's version.
 var errBannedByCluster = errors.New("the crew's version bans it; propose one without")
 
-// applyRules puts in force what holds now, ahead of all that the module is still to be told.
+// applyRules applies the rules in effect if they have changed. The module gets them before all pending events.
 func (e *Engine) applyRules() {
 	effective := e.rules.Effective()
 	if effective.Generation == e.effective.Generation {
@@ -59,7 +59,8 @@
 	e.updateListMetrics()
 }
 
-// applyClusterBan books a ban that the crew has agreed on, or its end. One by hand stands beside it.
+// applyClusterBan starts or ends a ban of the cluster's version and appends the event for the module. A ban by hand of the same
+// endpoint is independent of it.
 func (e *Engine) applyClusterBan(events []decide.Event, name string, on bool) []decide.Event {
 	byHand, byCluster := e.clusterBans[name]
 	if !byCluster {
@@ -87,7 +88,7 @@
 	return append(events, decide.Event{Kind: kind, Endpoint: id})
 }
 
-// banByHand tells whether a ban by hand, or its end, is settled by what the crew bans.
+// banByHand handles a ban by hand, or its end, of an endpoint that the cluster's version bans. It reports whether that was so.
 func (e *Engine) banByHand(c *banCall) (settled bool) {
 	if _, byCluster := e.clusterBans[c.name]; !byCluster {
 		return false
@@ -101,16 +102,17 @@
 	return true
 }
 
-// rulesAllowWrite tells whether an attempt may still be written under what holds now: it may have been decided on long ago, by a
-// process that was paused since. A first attempt may, but for a ban; what comes after it was allowed by rules that are no
-// more, and is decided anew.
+// rulesAllowWrite reports whether an attempt may be written under the rules in effect now. The process may have been paused
+// since the attempt was decided on. A first attempt is allowed unless its endpoint is banned. A further attempt under rules that
+// are no longer in effect is not: the module decides anew.
 func (e *Engine) rulesAllowWrite(a *state.Attempt) bool {
 	effective := e.rules.Effective()
 	return effective.Generation == a.Generation || a.Number == 0 && !effective.Banned[a.Endpoint.Name]
 }
 
-// withhold keeps back the lines of a list that would bring in endpoints while nobody can tell whether a version bans or
-// drains them. The first list is taken whole: without it nothing could be served.
+// withhold removes from a list, while the sidecar is cautious, the endpoints that it does not know yet, because a version that it
+// has not received may ban or drain them. They are kept until it is no longer cautious. The first list is applied in full:
+// without it nothing could be served.
 func (e *Engine) withhold(list *httpwire.List) *httpwire.List {
 	if !e.rules.Effective().Cautious || !e.listed.Load() {
 		maps.DeleteFunc(e.withheld, func(name string, _ httpwire.ListedEndpoint) bool {
