--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -10,13 +10,13 @@
 	"heathgap/internal/state"
 )
 
-// Send: an attempt is written to an endpoint, once, and its answer read.
+// Send: an attempt is written to an endpoint, once, and its answer is read.
 
-// readSlack is how long an exchange may go on past its time-out before its
-// connection ends it by itself: the owner is to do that first.
+// readSlack is how long an exchange may go on after its attempt timed out before the connection ends it. Normally the owner ends
+// it earlier.
 const readSlack = time.Second
 
-// send begins an attempt.
+// send starts an attempt.
 func (e *Engine) send(r *state.Request, a decide.Action) {
 	now := e.clock.Now()
 	timeoutAt := r.Deadline
@@ -34,7 +34,7 @@
 	case r.Done, r.Deadline <= now:
 		e.settle(attempt, decide.NotSent, nil)
 		return
-	case endpoint == nil: // it has left the list since
+	case endpoint == nil: // it has left the list since the module decided
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
@@ -51,11 +51,11 @@
 	var ctx context.Context
 	ctx, attempt.GiveUp = context.WithCancel(context.Background())
 	e.timeouts.Add(attempt)
-	address := endpoint.Address // as it is now: the line may change
+	address := endpoint.Address // copied now, since the owner may change it
 	e.env.Go("exchange", func() { e.exchange(ctx, attempt, link, address) })
 }
 
-// earlier is the earlier of two bounds, each 0 for none.
+// earlier returns the earlier of two bounds, each 0 for none.
 func earlier(a, b decide.Time) decide.Time {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -63,7 +63,7 @@
 	return a
 }
 
-// windowEnd is when the window of a keyed request ends, once an attempt of it may have run; 0 for no window.
+// windowEnd returns when the window of a keyed request ends, if an attempt of it may have run; 0 for no window.
 func (e *Engine) windowEnd(r *state.Request) decide.Time {
 	if len(r.Attempts) == 0 {
 		return 0
@@ -81,17 +81,16 @@
 	return r.WindowEnd(rule.Window)
 }
 
-// exchangeEnded is how an exchange has ended: its connection, and its outcome.
+// exchangeEnded is the event of an exchange that has ended.
 type exchangeEnded struct {
 	attempt   *state.Attempt
-	link      *httpwire.Link // nil if it never came up
+	link      *httpwire.Link // nil if the dial failed
 	endReason httpwire.Reason
 	outcome   decide.Outcome
 	reply     *httpwire.Reply // nil without an answer
 }
 
-// exchange carries one attempt in a goroutine of its own. The end of ctx, which
-// gives it up, ends its connection.
+// exchange carries one attempt, in a goroutine of its own. When ctx ends, the attempt is given up and its connection is closed.
 func (e *Engine) exchange(ctx context.Context, a *state.Attempt, link *httpwire.Link, address string) {
 	end := exchangeEnded{attempt: a, link: link}
 	defer func() {
@@ -115,7 +114,7 @@
 		return
 	}
 	if !a.Write() || upload != nil && !upload.Claim() {
-		end.outcome = decide.NotSent // its request has ended while the connection was being made
+		end.outcome = decide.NotSent // the request ended while the connection was being made
 		return
 	}
 	stop := context.AfterFunc(ctx, link.Close)
@@ -136,38 +135,38 @@
 	}
 }
 
-// checkBeforeWrite tells whether what allowed an attempt still holds where its first byte is about to leave, and its outcome if
-// not: nothing has run then.
+// checkBeforeWrite reports whether an attempt may still be written, just before its first byte is, and otherwise returns its
+// outcome: the attempt has not run then.
 func (e *Engine) checkBeforeWrite(a *state.Attempt) (outcome decide.Outcome, mayWrite bool) {
 	if e.rules != nil && !e.rulesAllowWrite(a) {
 		return decide.NotSent, false
 	}
 	now := e.clock.Now()
-	// Guards against a process that was paused with a claim that another one has taken over since: its time, and its lease, are
-	// looked at where the first byte leaves.
+	// Guards against a process that was paused while another one took over the claim: the deadline, and the lease behind the
+	// claim, are checked just before the first byte is written.
 	if claimed := a.Request.MayWrite; claimed != nil && (now >= a.Request.Deadline || !claimed()) {
 		return decide.NotSent, false
 	}
-	// Guards against a connection that comes up late: the endpoint may have begun to drain since it was chosen, and
-	// nothing new goes to it after the grace (rule 3 counts from the first byte).
+	// Guards against a connection that comes up late: the endpoint may have begun to drain since it was chosen, and no new
+	// request may go to it after the grace (rule 3, which counts from the first byte).
 	if a.Endpoint.ClosedForWrites(now) {
 		return decide.ConnectFailed, false
 	}
-	// Guards against an effect that comes twice: this attempt was allowed while its key's window was open, and the
-	// endpoints have forgotten the key by the time when its connection is up. Also against an endpoint that counts as
-	// gone by then though nothing was heard of it.
+	// Guards against an effect that happens twice: this attempt was allowed while the window of its key was open, but the
+	// endpoints may have forgotten the key when the connection is up. Also guards against an endpoint that counts as gone by
+	// then although no list has said so.
 	if a.NotAfter > 0 && now >= a.NotAfter {
 		return decide.ConnectFailed, false
 	}
-	// Guards against an attempt for a caller that has gone, however late its connection came up and however long word of
-	// that takes to the owner: it hears of it ahead of the attempt's outcome.
+	// Guards against an attempt for a caller that has disconnected, however late the connection came up and however long the
+	// owner takes to process the disconnection. The owner is notified of it before it gets the outcome of the attempt.
 	if !e.callerConnected(a) {
 		return decide.NotSent, false
 	}
 	return 0, true
 }
 
-// callerConnected tells whether an attempt's caller is still there. If not, the owner is told.
+// callerConnected reports whether the attempt's caller is still connected. If not, the owner is notified.
 func (e *Engine) callerConnected(a *state.Attempt) bool {
 	if a.Request.Caller == nil || !a.Request.Caller.Disconnected() {
 		return true
@@ -176,13 +175,13 @@
 	return false
 }
 
-// write writes an attempt. On an error its last byte is not written: it has never run.
+// write writes an attempt. If it returns an error, the last byte has not been written, so the attempt has not run.
 func (e *Engine) write(a *state.Attempt, link *httpwire.Link, upload *httpwire.Upload) error {
 	wait := a.TimeoutAt - e.clock.Now()
 	message := httpwire.EncodeAttempt(a.Request.Message, wait)
 	written, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
 	if written {
-		err = nil // what comes of it shows when the answer is read
+		err = nil // an error after the last byte shows when the answer is read
 	}
 	if err != nil || upload == nil {
 		return err
@@ -198,8 +197,8 @@
 	return link.SetReadDeadline(e.env.Now().Add(a.Request.Message.Remaining + readSlack))
 }
 
-// uploadBegan is an attempt that has begun to take the rest of a long body. It can't be
-// sent again; how fast its caller sends bounds it, not its deadline.
+// uploadBegan is the event that an attempt has begun to stream the rest of a long body. It can't be sent again from then on, and
+// the minimum rate of its caller limits it in place of its deadline.
 type uploadBegan struct{ attempt *state.Attempt }
 
 func (u uploadBegan) handle(e *Engine) {
@@ -211,10 +210,10 @@
 	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 }
 
-// maxUploadTime is past the time that the longest body takes at the least rate.
+// maxUploadTime is more than the longest body takes at the minimum rate.
 const maxUploadTime = 20 * time.Minute
 
-// uploadEnded is an attempt whose last byte is written: its time counts from here.
+// uploadEnded is the event that the last byte of an attempt's body is written. Its time counts from then on.
 type uploadEnded struct{ attempt *state.Attempt }
 
 func (u uploadEnded) handle(e *Engine) {
@@ -225,7 +224,7 @@
 	}
 }
 
-// restartTimeout gives an attempt, and its request, so much time from now on.
+// restartTimeout sets the timeout of an attempt, and the deadline of its request, to a time from now.
 func (e *Engine) restartTimeout(a *state.Attempt, left decide.Time) {
 	e.timeouts.Remove(a)
 	a.TimeoutAt = e.clock.Now() + left
@@ -233,7 +232,7 @@
 	e.timeouts.Add(a)
 }
 
-// connect returns the idle connection that the owner took, or a new one where that is nil, and why it is of no use.
+// connect returns the idle connection that the owner took, or a new one if that is nil, and the reason if it can't be used.
 func (e *Engine) connect(ctx context.Context, link *httpwire.Link, address string) (*httpwire.Link, httpwire.Reason) {
 	if link == nil {
 		link, err := httpwire.Dial(ctx, e.env, address, e.conf.ConnectTimeout)
@@ -243,14 +242,14 @@
 		return link, ""
 	}
 	if !link.Usable() {
-		// Guards against a connection that was ended, or brought more than its answer,
-		// after the owner took it: what is not written has never run.
+		// Guards against a connection that the endpoint closed, or that received extra bytes, after the owner took it. Nothing is
+		// written to it, so the attempt has not run.
 		return link, httpwire.ReasonPeerClosed
 	}
 	return link, ""
 }
 
-// cancel gives up an attempt because the module says so.
+// cancel gives up an attempt because the module, or the end of the process, requires it.
 func (e *Engine) cancel(r *state.Request, number int) {
 	if number < 0 || number >= len(r.Attempts) || r.Attempts[number].Settled {
 		return
--- a/internal/pipeline/takein.go
+++ b/internal/pipeline/takein.go
@@ -11,11 +11,9 @@
 	"heathgap/internal/httpwire"
 )
 
-// Take in: a caller's request is read, checked and handed to the owner, and its
-// answer is written when the owner has one.
+// Take in: a request of a caller is read, checked and passed to the owner, and its answer is written when the owner has one.
 
-// Handle serves one request of a caller. It is fasthttp's handler and runs in
-// the goroutine of the caller's connection.
+// Handle serves one request of a caller. It is the handler of fasthttp and runs in the goroutine of the caller's connection.
 func (e *Engine) Handle(ctx *fasthttp.RequestCtx) {
 	conn, _ := ctx.Conn().(*httpwire.CallerConn)
 	if conn == nil {
@@ -31,14 +29,14 @@
 			active = 1
 		}
 		if stream := answer.Stream; stream != nil && !ctx.Request.Header.IsHTTP11() && stream.Length < 0 {
-			stream.Close() // there is no way to tell its end but the connection's
+			stream.Close() // HTTP/1.0 has no chunks: only the end of the connection could mark the end of the answer
 			answer.Verdict, answer.Stream, answer.CloseAfter = httpwire.Failed, nil, true
 		} else if stream != nil {
 			stream.WithLength = !ctx.Request.Header.IsHTTP11()
 			stream.SetConn(conn)
 		}
 		httpwire.EncodeAnswer(&answer, &ctx.Response)
-		// What follows what is malformed may be a part of it.
+		// The bytes behind a malformed request may be a part of it.
 		if answer.CloseAfter || answer.Verdict == httpwire.Malformed {
 			ctx.SetConnectionClose()
 		}
@@ -52,15 +50,15 @@
 	})
 }
 
-// answerReady tells whether the sidecar takes requests.
+// answerReady answers GET /up: whether the sidecar takes requests.
 func (e *Engine) answerReady(ctx *fasthttp.RequestCtx) {
 	if e.unready.Load() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// takeIn hands a request over and waits for its answer. counted tells whether the
-// request counts as active until that is written.
+// takeIn passes a request to the owner and waits for its answer. counted reports whether the request counts as active until the
+// answer is written.
 func (e *Engine) takeIn(ctx *fasthttp.RequestCtx, conn *httpwire.CallerConn) (answer httpwire.Answer, counted bool) {
 	message, err := httpwire.DecodeRequest(&ctx.Request)
 	if err == nil {
@@ -77,13 +75,13 @@
 		return httpwire.Answer{Verdict: httpwire.Malformed, Reason: err.Error()}, false
 	}
 	if maxDeadline := e.conf.Classes[message.Class].Deadline; maxDeadline > 0 {
-		// Guards against times that no client of the class has: what is kept for a
-		// request, the module's timers with it, is kept until then.
+		// Guards against remaining times that no client of the class uses: the state of a request, including the module's
+		// timers, is kept that long.
 		message.Remaining = min(message.Remaining, maxDeadline)
 	}
 	crowded := conn.Crowded()
 	if message.Upload == nil {
-		// From here on its caller is watched: a claim may take its time, too.
+		// From here on the caller's connection is watched, because a claim may take time too.
 		caller := &waitingCaller{}
 		conn.Watch(func() { caller.disconnect(e) })
 		defer conn.Unwatch()
@@ -100,7 +98,8 @@
 	return e.awaitUpload(in, conn)
 }
 
-// awaitBuffered claims a request that has come whole, if its class is held, hands it over and waits for its answer.
+// awaitBuffered handles a request whose body is complete: it claims the key where the class requires it, passes the request to
+// the owner and waits for its answer.
 func (e *Engine) awaitBuffered(message *httpwire.Request, conn *httpwire.CallerConn, crowded bool, caller *waitingCaller) (answer httpwire.Answer, counted bool) {
 	var claim Claim
 	if e.holdings != nil && e.holdings.Holds(message.Class) {
@@ -122,14 +121,14 @@
 	return answer, true
 }
 
-// waitingCaller is a caller that waits, and what it waits for once that has been handed over.
+// waitingCaller is a caller that waits for an answer, and its request once that has been passed to the owner.
 type waitingCaller struct {
 	mu      sync.Mutex
 	gone    bool
 	arrival *arrival
 }
 
-// disconnect books that it has gone.
+// disconnect records that the caller has disconnected.
 func (w *waitingCaller) disconnect(e *Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,7 +138,7 @@
 	}
 }
 
-// admit hands over what it waits for; the owner hears that it has gone before or behind that, never between.
+// admit passes the request to the owner. The owner learns of a disconnection either with the request or after it.
 func (w *waitingCaller) admit(e *Engine, in *arrival) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -147,18 +146,18 @@
 	e.post(in)
 }
 
-// await waits for a request's answer.
+// await waits for the answer to a request.
 func (e *Engine) await(in *arrival) httpwire.Answer {
 	select {
 	case answer := <-in.answer:
 		return answer
 	case <-e.stopped:
-		return httpwire.Answer{Verdict: httpwire.Failed, MayHaveRun: true} // nobody knows
+		return httpwire.Answer{Verdict: httpwire.Failed, MayHaveRun: true} // nobody knows whether it ran
 	}
 }
 
-// awaitUpload waits for the answer to a request whose body still comes. Its caller is
-// watched when all of that is there.
+// awaitUpload waits for the answer to a request whose body is still being received. The caller's connection is watched once the
+// whole body has been received.
 func (e *Engine) awaitUpload(in *arrival, conn *httpwire.CallerConn) (answer httpwire.Answer, counted bool) {
 	upload := in.message.Upload
 	conn.MarkPending()
@@ -166,7 +165,7 @@
 	defer upload.Stop()
 	select {
 	case answer = <-in.answer:
-		answer.CloseAfter = true // more of the body may come
+		answer.CloseAfter = true // more of the body may follow
 		return answer, false
 	case <-e.stopped:
 		return httpwire.Answer{Verdict: httpwire.Failed, CloseAfter: true}, false
@@ -184,9 +183,8 @@
 	return e.await(in), true
 }
 
-// validate turns down what no endpoint may see: a class that the settings do not
-// have, a method that is not the class's, and a keyed request whose repeats no
-// endpoint could drop.
+// validate rejects requests that no endpoint may get: those of an unknown class, with a method that the class does not allow, or
+// of a keyed class without a key, since endpoints could not recognize repeats.
 func (e *Engine) validate(message *httpwire.Request) error {
 	class, ok := e.conf.Classes[message.Class]
 	switch {
@@ -201,7 +199,7 @@
 	return nil
 }
 
-// Unreadable answers what fasthttp could not read as a request.
+// Unreadable answers what fasthttp could not parse as a request.
 func (e *Engine) Unreadable(ctx *fasthttp.RequestCtx, err error) {
 	e.malformed.Add(1)
 	if conn, ok := ctx.Conn().(*httpwire.CallerConn); ok {
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -13,14 +13,15 @@
 
 // One call to discovery, and how it can fail.
 
-// errNoAnswerInTime is the failure of a call whose answer is overdue, or stands still.
+// errNoAnswerInTime is the failure of a call whose answer did not begin, or did not go on, in time.
 var errNoAnswerInTime = errors.New("silent")
 
-// errEarlierVersion is the fault of changes to a version before the one that is known: discovery has begun anew.
+// errEarlierVersion is the failure of an answer with changes to a version before the known one: discovery has restarted its
+// numbering.
 var errEarlierVersion = errors.New("changes of an earlier version")
 
-// answerLost tells whether a call has ended with no answer, or with one that builds on what this sidecar does not have: a
-// fresh call may have what it missed. What was answered with a fault would be so again.
+// answerLost reports whether a call ended without an answer, or with changes to a version that this sidecar does not have. A check
+// call may then get what was missed. A call that was answered with a refusal or an invalid list would be answered so again.
 func answerLost(err error) bool {
 	var broken *net.OpError
 	return errors.Is(err, errNoAnswerInTime) || errors.Is(err, errEarlierVersion) || errors.Is(err, io.EOF) ||
@@ -34,8 +35,8 @@
 	return httpwire.ReasonBroken
 }
 
-// call makes one call to discovery: it fetches the whole list while there is
-// none, and else waits for what is newer; a fresh one hardly waits.
+// call makes one call to discovery. While no list is known it fetches the full list; otherwise it waits for changes, or, for a
+// check call, asks for those that exist. keep reports whether the connection can be used again.
 func (w *watch) call(environment env.Env, check bool) (list *httpwire.List, keep bool, err error) {
 	w.answerBegan, w.answered = false, false
 	dial, message, limit := w.times.dial, httpwire.EncodeFetch(), w.times.fetch
@@ -62,13 +63,13 @@
 	stop := context.AfterFunc(w.ctx, w.link.Close)
 	defer stop()
 	if w.hasList && !check {
-		deadline = environment.Now().Add(limit) // discovery's wait begins when it has the call
+		deadline = environment.Now().Add(limit) // discovery counts its wait from when it has the call
 	}
 	if _, err := w.link.Send(message, deadline); err != nil {
 		return nil, false, fmt.Errorf("writing: %w", markTimeout(err))
 	}
-	// Guards against a silence that is taken for a wait: the answer is due when its wait is over, not when it would
-	// count as told, and its rest soon after its first byte.
+	// Guards against a silent connection that is taken for a wait: the answer must begin soon after the wait is over, well before
+	// changes count as delivered, and must be complete soon after its first byte.
 	if _, err := w.link.Reader().Peek(1); err != nil {
 		return nil, false, fmt.Errorf("answer: %w", markTimeout(err))
 	}
@@ -82,16 +83,16 @@
 		return nil, false, fmt.Errorf("answer: %w", markTimeout(err))
 	}
 	if w.hasList && !answer.Whole && answer.Index < w.version {
-		w.hasList = false // the whole list is asked for
+		w.hasList = false // the full list is fetched next
 		return nil, false, fmt.Errorf("answer: %w: %d after %d", errEarlierVersion, answer.Index, w.version)
 	}
 	w.version, w.hasList = answer.Index, true
 	return &answer, keep, nil
 }
 
-// markTimeout marks a failure to hear of the other side in time.
+// markTimeout wraps an error that is a timeout in errNoAnswerInTime.
 func markTimeout(err error) error {
-	var timeout net.Error // the codec has one of its own beside os.ErrDeadlineExceeded
+	var timeout net.Error // fasthttp has a timeout error of its own besides os.ErrDeadlineExceeded
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return fmt.Errorf("%w: %w", errNoAnswerInTime, err)
 	}
