--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -6,7 +6,7 @@
 // must not be running meanwhile.
 func (e *Engine) Audit() error {
 	if limit := e.conf.Transport.MaxPending; limit > 0 && e.requests.Pending() > limit {
-		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), limit)
+		return fmt.Errorf("%d requests are pending, and the limit is %d", e.requests.Pending(), limit)
 	}
 	if err := e.requests.Audit(); err != nil {
 		return err
@@ -20,7 +20,7 @@
 		}
 	}
 	if n := e.timeouts.Len(); n != inFlight {
-		return fmt.Errorf("%d attempts are out, and %d wait for their time-outs", inFlight, n)
+		return fmt.Errorf("%d attempts are in flight, and %d have a timeout set", inFlight, n)
 	}
 	if module, ok := e.balancer.(interface{ Audit() (int, error) }); ok {
 		moduleCount, err := module.Audit()
@@ -37,10 +37,10 @@
 	c := e.snapshot()
 	ends := c.Served + c.Refused + c.Failed + c.Left
 	if ends+c.Pending != e.counters.Taken+c.HandedOver {
-		return fmt.Errorf("%d requests taken, %d ended, %d held", e.counters.Taken, ends, c.Pending)
+		return fmt.Errorf("%d requests accepted, %d ended, %d pending", e.counters.Taken, ends, c.Pending)
 	}
 	if available, total := e.answerMemory.Available(), e.conf.AnswerBytes; available < 0 || available > total {
-		return fmt.Errorf("room for answers: %d of %d left", available, total)
+		return fmt.Errorf("memory budget for answers: %d of %d bytes available", available, total)
 	}
 	return nil
 }
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -130,7 +130,7 @@
 func (e *Engine) ImportHandover(text []byte) error {
 	var handover Handover
 	if err := json.Unmarshal(text, &handover); err != nil {
-		return fmt.Errorf("what the predecessor left: %w", err)
+		return fmt.Errorf("state handed over by the predecessor: %w", err)
 	}
 	// Guards against a list, bans and a version that belong to another customer, whose sidecar had the same name and address
 	// before.
@@ -161,7 +161,7 @@
 	c := banCall{name: name, on: on, known: true, done: make(chan error, 1)}
 	c.handle(e)
 	if err := <-c.done; err != nil {
-		e.log.Warn().Err(err).Msg("a predecessor's ban")
+		e.log.Warn().Err(err).Msg("can't import a ban of the predecessor")
 	}
 }
 
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -143,6 +143,6 @@
 		e.metrics.Active.Add(-1)
 		e.metrics.Count(handover.Class, end)
 		e.resumed.Add(1)
-		e.log.Info().Str("class", handover.Class).Uint8("end", uint8(end)).Msg("went on with a long answer")
+		e.log.Info().Str("class", handover.Class).Uint8("end", uint8(end)).Msg("resumed a streamed answer of another process")
 	})
 }
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -48,7 +48,7 @@
 	}
 	r := e.requests.Get(a.Request)
 	if r == nil {
-		e.log.Error().Uint64("request", uint64(a.Request)).Msg("the module names a request that is not held")
+		e.log.Error().Uint64("request", uint64(a.Request)).Msg("the decision module names an unknown request")
 		return
 	}
 	e.counters.Reasons[a.Reason]++
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -75,7 +75,7 @@
 	e.endpoints.MarkSeen(name)
 	id, err := e.endpoints.Ban(name, on, e.clock.Now())
 	if err != nil {
-		e.log.Error().Err(err).Str("endpoint", name).Msg("a ban of the crew's version can't be kept")
+		e.log.Error().Err(err).Str("endpoint", name).Msg("can't apply a ban of the cluster's version")
 		return events
 	}
 	kind := decide.Unbanned
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -40,7 +40,7 @@
 	}
 	link, ok := e.pool.Take(endpoint, now)
 	if !ok {
-		e.log.Warn().Str("peer", endpoint.Name).Int("open", e.pool.Open()).Msg("no room for a connection")
+		e.log.Warn().Str("peer", endpoint.Name).Int("open", e.pool.Open()).Msg("attempt not sent: the limit of connections to endpoints is reached")
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -14,7 +14,7 @@
 // One call to discovery, and how it can fail.
 
 // errNoAnswerInTime is the failure of a call whose answer did not begin, or did not go on, in time.
-var errNoAnswerInTime = errors.New("silent")
+var errNoAnswerInTime = errors.New("no answer in time")
 
 // errEarlierVersion is the failure of an answer with changes to a version before the known one: discovery has restarted its
 // numbering.
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -153,15 +153,15 @@
 	idle := 0
 	for e := range p.withIdle {
 		if len(e.idle) == 0 {
-			return fmt.Errorf("endpoint %s: no idle connection, and it counts as having some", e.Name)
+			return fmt.Errorf("endpoint %s: recorded as having idle connections, but has none", e.Name)
 		}
 		if !e.Listed {
-			return fmt.Errorf("endpoint %s: it has left, and keeps idle connections", e.Name)
+			return fmt.Errorf("endpoint %s: it has left the list, but has idle connections", e.Name)
 		}
 		idle += len(e.idle)
 	}
 	if p.open < idle {
-		return fmt.Errorf("%d connections are counted, and %d are idle", p.open, idle)
+		return fmt.Errorf("%d connections are counted as open, but %d are idle", p.open, idle)
 	}
 	return nil
 }
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -171,13 +171,13 @@
 			}
 		}
 		if inFlight != r.inFlight {
-			return fmt.Errorf("request %d: %d attempts are out, and %d are counted", id, inFlight, r.inFlight)
+			return fmt.Errorf("request %d: %d attempts are in flight, and %d are counted", id, inFlight, r.inFlight)
 		}
 		if r.Done && inFlight == 0 {
-			return fmt.Errorf("request %d: it is over and kept", id)
+			return fmt.Errorf("request %d: it is done and has no attempt in flight, but was not released", id)
 		}
 		if _, open := t.pendingIDs[r.Message.ID]; !open && !r.Done {
-			return fmt.Errorf("request %d: its caller's id %q is not open", id, r.Message.ID)
+			return fmt.Errorf("request %d: it is not done, but its caller's id %q is not recorded as pending", id, r.Message.ID)
 		}
 	}
 	return nil
