--- a/internal/pipeline/beforewrite_test.go
+++ b/internal/pipeline/beforewrite_test.go
@@ -50,7 +50,7 @@
 // was coming up late: what was true when it was chosen is looked at again where the first byte leaves.
 func TestEndpointDrainsWhileConnecting(t *testing.T) {
 	for name, c := range map[string]struct {
-		news    decide.EndpointState
+		change  decide.EndpointState
 		grace   time.Duration
 		outcome decide.Outcome
 	}{
@@ -69,7 +69,7 @@
 			r := e.requests.Add(&httpwire.Request{Method: "GET", URI: "/look"}, deadline, make(chan httpwire.Answer, 1))
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
 			<-environment.dialBegan
-			e.updateEndpoints(listOf("s", to.Address, c.news))
+			e.updateEndpoints(listOf("s", to.Address, c.change))
 			close(environment.proceed)
 			peer := listener.Accept()
 			if c.outcome == decide.Served {
@@ -141,7 +141,7 @@
 	for name, c := range map[string]struct {
 		effect  decide.Effect
 		first   decide.Outcome
-		ruled   *decide.DynamicSettings
+		dynamic *decide.DynamicSettings
 		written bool
 	}{
 		"may have run":          {decide.Keyed, decide.Reset, nil, false},
@@ -153,8 +153,8 @@
 		t.Run(name, func(t *testing.T) {
 			e, environment, listener := newDialBarrierEngine(t)
 			e.conf.Classes = map[string]decide.Class{"look": {Name: "look", Effect: c.effect, Window: window}}
-			if c.ruled != nil {
-				e.effective = &EffectiveRules{Dynamic: c.ruled}
+			if c.dynamic != nil {
+				e.effective = &EffectiveRules{Dynamic: c.dynamic}
 			}
 			id := e.updateEndpoints(listOf("s", listener.Address, decide.Active))[0].ID
 			deadline := e.clock.Now() + 10*time.Second
--- a/internal/pipeline/delivery_test.go
+++ b/internal/pipeline/delivery_test.go
@@ -108,7 +108,7 @@
 	}
 	r := bufio.NewReader(conn)
 	for {
-		q, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
@@ -116,7 +116,7 @@
 			d.failCall(conn, r)
 			return
 		}
-		after := q.URL.Query().Get("after")
+		after := request.URL.Query().Get("after")
 		if !counts || after == "8" {
 			r.ReadByte() //nolint:errcheck // nothing is newer: until the other side ends it
 			return
@@ -253,10 +253,10 @@
 		maxFailures = 5                      // calls that fail in a row
 	)
 	for _, c := range []struct {
-		name  string
-		fate  callFailure
-		known bool
-		moves bool
+		name    string
+		failure callFailure
+		known   bool
+		moves   bool
 	}{
 		{"refused dial", dialRefused, true, false}, {"dial that hangs", dialHangs, true, false},
 		{"503 at once", refusedAtOnce, true, false}, {"503 after 1 s", refusedAfter1s, true, false}, {"503 after 2 s in turn", refusedAfter2s, true, false},
@@ -275,12 +275,12 @@
 				seeds = seedCount
 			}
 			for calls := 1; calls <= maxFailures; calls++ {
-				if calls > 1 && (c.fate == answerStalls || c.fate == connReset) {
+				if calls > 1 && (c.failure == answerStalls || c.failure == connReset) {
 					break // the call that was out; what comes after it is reached
 				}
 				for seed := range seeds {
-					discovery := &failingDiscovery{failure: c.fate, failingCalls: calls, queueTime: turn}
-					if c.fate == refusedAfter2s {
+					discovery := &failingDiscovery{failure: c.failure, failingCalls: calls, queueTime: turn}
+					if c.failure == refusedAfter2s {
 						discovery.queueTime = maxQueueWait // it keeps no call for longer
 					}
 					if took := discovery.deliveryTime(t, c.known, polls, c.moves, seed); took > longest {
@@ -369,7 +369,7 @@
 	mu       sync.Mutex
 	up       bool
 	version  int
-	news     chan struct{} // closed at the next change
+	changed  chan struct{} // closed at the next change
 	wentDown chan struct{} // closed as it goes down
 	queue    []*queuedCall
 	calls    int
@@ -395,7 +395,7 @@
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
-		q, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
@@ -423,12 +423,12 @@
 			conn.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) //nolint:errcheck // it may have been given up
 			return
 		}
-		after, _ := strconv.Atoi(q.URL.Query().Get("after"))
-		wait, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
+		after, _ := strconv.Atoi(request.URL.Query().Get("after"))
+		wait, _ := strconv.Atoi(request.URL.Query().Get("wait_ms"))
 		over := time.After(time.Duration(wait)*time.Millisecond - time.Since(came))
 		c.mu.Lock()
 		for c.version <= after {
-			news := c.news
+			news := c.changed
 			c.mu.Unlock()
 			select {
 			case <-c.wentDown:
@@ -480,7 +480,7 @@
 	)
 	for _, polls := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			c := &crowdedDiscovery{news: make(chan struct{}), wentDown: make(chan struct{}), version: 7, up: true, begun: time.Now(), bySecond: map[int]int{}}
+			c := &crowdedDiscovery{changed: make(chan struct{}), wentDown: make(chan struct{}), version: 7, up: true, begun: time.Now(), bySecond: map[int]int{}}
 			ctx, stop := context.WithCancel(context.Background())
 			go c.work(ctx, each)
 			var engines []*Engine
@@ -494,8 +494,8 @@
 			publish := func(change func()) {
 				c.mu.Lock()
 				change()
-				close(c.news)
-				c.news = make(chan struct{})
+				close(c.changed)
+				c.changed = make(chan struct{})
 				c.mu.Unlock()
 			}
 			c.mu.Lock()
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -290,16 +290,16 @@
 // handle starts a second fetch, on a watch of its own, if the first has no answer yet. Guards against a list that comes too late
 // because one call was lost, and against one that never comes because a slow discovery is called again and again from the end
 // of its queue. There is one new call each hedgeDelay, and at most two are in progress.
-func (f fetchPending) handle(e *Engine) {
-	if f.watch != e.watch || f.watch.fetchInFlight.Load() != f.number {
+func (p fetchPending) handle(e *Engine) {
+	if p.watch != e.watch || p.watch.fetchInFlight.Load() != p.number {
 		return
 	}
-	if f.watch.older != nil {
-		f.watch.older.cancel()
-		f.watch.older = nil
+	if p.watch.older != nil {
+		p.watch.older.cancel()
+		p.watch.older = nil
 	}
-	e.watch = newWatch(f.watch.address, f.watch.times)
-	e.watch.older = f.watch
+	e.watch = newWatch(p.watch.address, p.watch.times)
+	e.watch.older = p.watch
 	e.startWatch()
 }
 
@@ -311,8 +311,8 @@
 
 // handle treats the list as current if the call still waits for changes. No call waits in discovery's queue for so long, so
 // discovery has processed this one, and would have answered if there had been a change.
-func (s watchWaiting) handle(e *Engine) {
-	if s.watch != e.watch || s.watch.waitingCall.Load() != s.number || e.staleness.since == 0 {
+func (w watchWaiting) handle(e *Engine) {
+	if w.watch != e.watch || w.watch.waitingCall.Load() != w.number || e.staleness.since == 0 {
 		return
 	}
 	e.markListCurrent()
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -252,7 +252,7 @@
 // snapshotRequest is the event that requests a snapshot from the owner.
 type snapshotRequest struct{ reply chan Snapshot }
 
-func (w snapshotRequest) handle(e *Engine) { w.reply <- e.snapshot() }
+func (r snapshotRequest) handle(e *Engine) { r.reply <- e.snapshot() }
 
 func (e *Engine) snapshot() Snapshot {
 	counters := e.counters
--- a/internal/pipeline/fleet_test.go
+++ b/internal/pipeline/fleet_test.go
@@ -94,19 +94,19 @@
 		defer close(gone)
 		r := bufio.NewReader(conn)
 		for {
-			q, err := http.ReadRequest(r)
+			request, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			calls <- q
+			calls <- request
 		}
 	})
 	for {
 		select {
 		case <-gone:
 			return
-		case q := <-calls:
-			if !d.answer(conn, q, gone) {
+		case request := <-calls:
+			if !d.answer(conn, request, gone) {
 				return
 			}
 		}
@@ -114,7 +114,7 @@
 }
 
 // answer answers one call; false if the connection ends with it.
-func (d *queueingDiscovery) answer(conn net.Conn, q *http.Request, gone <-chan struct{}) bool {
+func (d *queueingDiscovery) answer(conn net.Conn, request *http.Request, gone <-chan struct{}) bool {
 	d.mu.Lock()
 	ends := d.wentDown
 	d.mu.Unlock()
@@ -124,8 +124,8 @@
 		conn.Write([]byte("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")) //nolint:errcheck // its caller may have gone
 		return false
 	}
-	after, _ := strconv.Atoi(q.URL.Query().Get("after"))
-	ms, _ := strconv.Atoi(q.URL.Query().Get("wait_ms"))
+	after, _ := strconv.Atoi(request.URL.Query().Get("after"))
+	ms, _ := strconv.Atoi(request.URL.Query().Get("wait_ms"))
 	d.mu.Lock()
 	news := d.version > after
 	d.mu.Unlock()
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -51,7 +51,7 @@
 	}}
 	for name, c := range map[string]struct {
 		left      Handover
-		asked     string
+		query     string
 		endpoints []string
 		draining  bool
 		banned    int
@@ -70,8 +70,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e, discovery, log := newSuccessor(t, c.left)
-			if asked := discovery.Accept().ReadRequest().URL.RawQuery; asked != c.asked {
-				t.Errorf("asked %q, want %q", asked, c.asked)
+			if requested := discovery.Accept().ReadRequest().URL.RawQuery; requested != c.query {
+				t.Errorf("asked %q, want %q", requested, c.query)
 			}
 			var names []string
 			draining := false
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -52,8 +52,8 @@
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		<-module.applied
-		if unheard := e.metrics.ListStaleMS.Load(); unheard != 0 {
-			t.Errorf("%d ms unheard of behind an answer", unheard)
+		if stale := e.metrics.ListStaleMS.Load(); stale != 0 {
+			t.Errorf("%d ms unheard of behind an answer", stale)
 		}
 		output := string(e.metrics.Append(nil))
 		stop()
@@ -101,13 +101,13 @@
 
 // Guards against calls that are counted as something else: what an end means decides what staff look at.
 func TestListCallEndsAreClassified(t *testing.T) {
-	for fate, want := range map[callFailure]metrics.ListCallEnd{
+	for failure, want := range map[callFailure]metrics.ListCallEnd{
 		dialRefused: metrics.ListNotConnected, dialHangs: metrics.ListNotConnected, noAnswer: metrics.ListTimedOut, refusedAtOnce: metrics.ListRefused,
 		invalidAnswer: metrics.ListMalformed, answerStalls: metrics.ListTimedOut, connReset: metrics.ListBroken,
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var log bytes.Buffer
-			d := &failingDiscovery{address: "discovery", failure: fate, failingCalls: 1}
+			d := &failingDiscovery{address: "discovery", failure: failure, failingCalls: 1}
 			e, _ := newListEngine(t, d, d.address, true, false, 1)
 			e.log = zerolog.New(zerolog.SyncWriter(&log))
 			w := e.watch
@@ -123,11 +123,11 @@
 			}
 			for _, l := range parseLog(t, log.Bytes()) {
 				if l.Call == 1 && l.End != want.String() {
-					t.Errorf("fate %d: the call ends as %q, want %q", fate, l.End, want)
+					t.Errorf("fate %d: the call ends as %q, want %q", failure, l.End, want)
 				}
 			}
 			if e.metrics.ListCalls[want].Load() == 0 {
-				t.Errorf("fate %d: no call counts as %v", fate, want)
+				t.Errorf("fate %d: no call counts as %v", failure, want)
 			}
 		})
 	}
@@ -143,12 +143,12 @@
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		for _, c := range []struct {
-			at      time.Duration
-			unheard bool
+			at    time.Duration
+			stale bool
 		}{{2 * sweepInterval, true}, {maxQueueTime + sweepInterval, false}, {deliveryWhenPolled + sweepInterval, false}} {
 			time.Sleep(c.at - 2*time.Millisecond)
-			if ms := e.metrics.ListStaleMS.Load(); (ms > 0) != c.unheard {
-				t.Errorf("%v behind the start, or the last look: %d ms unheard of, want any: %v", c.at, ms, c.unheard)
+			if ms := e.metrics.ListStaleMS.Load(); (ms > 0) != c.stale {
+				t.Errorf("%v behind the start, or the last look: %d ms unheard of, want any: %v", c.at, ms, c.stale)
 			}
 		}
 		stop()
@@ -181,11 +181,11 @@
 func TestModuleIsNotifiedOfAStaleList(t *testing.T) {
 	const oldVersion, newestVersion = 7, 8 // versions; the first call comes 0.238 s behind the start, by the seed
 	for name, c := range map[string]struct {
-		asks  bool
-		known int64
-		fate  callFailure
-		moves bool
-		want  []string
+		polls   bool
+		known   int64
+		failure callFailure
+		moves   bool
+		want    []string
 	}{
 		"asked for, nothing is newer": {true, newestVersion, noAnswer, false, []string{"0s: missed since 0s ago, told 6s after that", "3.238s: confirmed"}},
 		"asked for, refused at first": {true, oldVersion, refusedAfter2s, false, []string{"0s: missed since 0s ago, told 6s after that"}},
@@ -195,11 +195,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := &failingDiscovery{address: "discovery", failure: c.fate}
-				if c.fate == refusedAfter2s {
+				d := &failingDiscovery{address: "discovery", failure: c.failure}
+				if c.failure == refusedAfter2s {
 					d.failingCalls = 1
 				}
-				e, module := newListEngine(t, d, d.address, true, c.asks, 1)
+				e, module := newListEngine(t, d, d.address, true, c.polls, 1)
 				e.conf.KnownList.Index = c.known
 				recorder := &staleRecorder{Decider: module, began: time.Now()}
 				e.balancer = recorder
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -113,13 +113,13 @@
 
 type handoverRequest struct{ reply chan Handover }
 
-func (w handoverRequest) handle(e *Engine) {
+func (r handoverRequest) handle(e *Engine) {
 	endpoints := e.endpoints
 	bansByHand := slices.DeleteFunc(endpoints.Banned(), func(name string) bool {
 		byHand, byCluster := e.clusterBans[name]
 		return byCluster && !byHand // the successor gets it from the cluster
 	})
-	w.reply <- Handover{
+	r.reply <- Handover{
 		List: httpwire.List{Index: e.listVersion, Whole: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
 		From: e.watch.address, Of: e.conf.ClassNames(),
 		Lifted: endpoints.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -44,7 +44,7 @@
 // foundDisconnected is the event that a request's caller was found to have disconnected when an attempt was about to be written.
 type foundDisconnected struct{ request *state.Request }
 
-func (s foundDisconnected) handle(e *Engine) { e.abandon(s.request) }
+func (f foundDisconnected) handle(e *Engine) { e.abandon(f.request) }
 
 // abandon ends a request whose caller has disconnected.
 func (e *Engine) abandon(r *state.Request) {
@@ -87,27 +87,27 @@
 	end httpwire.AnswerEnd
 }
 
-func (p streamEnded) handle(e *Engine) {
-	delete(e.streams, p.reply.Stream)
-	endpoint, endReason, counted := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
+func (s streamEnded) handle(e *Engine) {
+	delete(e.streams, s.reply.Stream)
+	endpoint, endReason, counted := s.attempt.Endpoint, httpwire.Reason(""), metrics.Served
 	switch {
-	case p.end == httpwire.AnswerBrokenOff:
+	case s.end == httpwire.AnswerBrokenOff:
 		endReason, counted = httpwire.ReasonBroken, metrics.Failed
-	case p.end == httpwire.AnswerHandedOver:
+	case s.end == httpwire.AnswerHandedOver:
 		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // the process that resumes it counts how it ends
-	case p.end == httpwire.AnswerCallerGone:
+	case s.end == httpwire.AnswerCallerGone:
 		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
-	case p.reply.Close:
+	case s.reply.Close:
 		endReason = httpwire.ReasonPeerClose
 	}
 	if endReason == "" {
-		e.pool.Put(endpoint, p.link, e.clock.Now())
+		e.pool.Put(endpoint, s.link, e.clock.Now())
 	} else {
-		e.pool.Drop(endpoint, p.link, endReason)
+		e.pool.Drop(endpoint, s.link, endReason)
 	}
-	p.attempt.GiveUp() // releases the resources of its context
-	e.metrics.Count(p.attempt.Request.Message.Class, counted)
-	if p.end == httpwire.AnswerBrokenOff {
+	s.attempt.GiveUp() // releases the resources of its context
+	e.metrics.Count(s.attempt.Request.Message.Class, counted)
+	if s.end == httpwire.AnswerBrokenOff {
 		e.notifyModule(decide.Event{Kind: decide.StreamBroke, Endpoint: endpoint.ID})
 	}
 }
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -80,16 +80,16 @@
 			if name == "an earlier version" {
 				want = "" // the whole list: versions have begun anew
 			}
-			if asked := check.ReadRequest().URL.RawQuery; asked != want {
-				t.Errorf("asked %q, want %q", asked, want)
+			if requested := check.ReadRequest().URL.RawQuery; requested != want {
+				t.Errorf("asked %q, want %q", requested, want)
 			}
 			check.Send(scripted.OK(drainingList))
 			handleNext(t, e)
 			if e.counters.Lists != 1 || e.counters.ListFailures != 0 || e.listVersion != 8 {
 				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.listVersion)
 			}
-			if asked := check.ReadRequest().URL.RawQuery; asked != "after=8&wait_ms=100" {
-				t.Errorf("after it came %q, want the watch to go on", asked)
+			if requested := check.ReadRequest().URL.RawQuery; requested != "after=8&wait_ms=100" {
+				t.Errorf("after it came %q, want the watch to go on", requested)
 			}
 		})
 	}
@@ -206,11 +206,11 @@
 // Guards against figures that add up to news that come too late: the second fresh call's answer is there, or is given
 // up, before the grace has passed after what was missed counts as told.
 func TestCheckCallsEndInTime(t *testing.T) {
-	const told, slack = 2 * time.Second, 50 * time.Millisecond // protocol: Figures, The rules on sockets
+	const delivery, slack = 2 * time.Second, 50 * time.Millisecond // protocol: Figures, The rules on sockets
 	for _, grace := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, time.Second, 2 * time.Second} {
 		times := newCallTimes(1, grace)
-		if last := times.overdue + maxChecks*(checkSpread+times.check); last > told+grace+slack {
-			t.Errorf("news may come %v after the wait, and %v are left", last, told+grace+slack)
+		if last := times.overdue + maxChecks*(checkSpread+times.check); last > delivery+grace+slack {
+			t.Errorf("news may come %v after the wait, and %v are left", last, delivery+grace+slack)
 		}
 	}
 }
@@ -222,8 +222,8 @@
 	second := scripted.Listen(t)
 	discoveryMoved{second.Address}.handle(e)
 	call := second.Accept()
-	if asked := call.ReadRequest().URL.RawQuery; asked != "" {
-		t.Errorf("asked %q, want the whole list", asked)
+	if requested := call.ReadRequest().URL.RawQuery; requested != "" {
+		t.Errorf("asked %q, want the whole list", requested)
 	}
 	if text, err := first.ReadToEnd(); text != "" || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("the former call goes on: %q, %v", text, err)
@@ -294,17 +294,17 @@
 func TestFirstCallsToAnotherDiscoveryAreSpread(t *testing.T) {
 	for _, c := range []struct {
 		peers  int
-		asks   bool
+		polls  bool
 		spread time.Duration
 	}{{62, true, 0}, {376, false, 0}, {376, true, decide.MoveSpread(376)}} {
 		e, environment := newTestEngine(t), &frozenEnv{}
-		e.env, e.conf.Settings.Peers, e.conf.Settings.MustPoll = environment, c.peers, c.asks
+		e.env, e.conf.Settings.Peers, e.conf.Settings.MustPoll = environment, c.peers, c.polls
 		discoveryMoved{"another"}.handle(e)
 		switch {
 		case c.spread == 0 && (environment.goroutines != 1 || len(environment.timers) != 0):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.asks, environment.goroutines, environment.timers)
+			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.polls, environment.goroutines, environment.timers)
 		case c.spread > 0 && (environment.goroutines != 0 || len(environment.timers) != 1 || environment.timers[0] != c.spread):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.asks, environment.goroutines, environment.timers, c.spread)
+			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.polls, environment.goroutines, environment.timers, c.spread)
 		}
 	}
 	if got := decide.MoveSpread(376); got <= 0 {
