--- a/internal/pipeline/beforewrite_test.go
+++ b/internal/pipeline/beforewrite_test.go
@@ -19,21 +19,21 @@
 	"heathgap/internal/metrics"
 )
 
-// dialBarrier is a world in which connections come up when the test says so.
+// dialBarrier is an environment in which connections come up when the test allows it.
 type dialBarrier struct {
 	env.Real
-	dialBegan chan struct{} // a dial has begun
-	proceed   chan struct{} // closed: it may come up
+	dialBegan chan struct{} // receives when a dial has begun
+	proceed   chan struct{} // closed to let connections come up
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (b *dialBarrier) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	b.dialBegan <- struct{}{}
 	<-b.proceed
 	return b.Real.Dial(ctx, address, timeout)
 }
 
-// newDialBarrierEngine is an engine whose connections come up at a barrier, and an endpoint's address.
+// newDialBarrierEngine returns an engine whose dials wait at a barrier, the barrier, and the listener of an endpoint.
 func newDialBarrierEngine(t *testing.T) (*Engine, *dialBarrier, *scripted.Listener) {
 	t.Helper()
 	e := newTestEngine(t)
@@ -46,8 +46,8 @@
 	return &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: name, Address: address, State: state}}}
 }
 
-// Guards against a request that is written to an endpoint which began to drain, or left, while the connection to it
-// was coming up late: what was true when it was chosen is looked at again where the first byte leaves.
+// Guards against a request that is written to an endpoint which began to drain, or left the list, while the connection to it was
+// coming up: its state must be checked again before the first byte.
 func TestEndpointDrainsWhileConnecting(t *testing.T) {
 	for name, c := range map[string]struct {
 		change  decide.EndpointState
@@ -91,11 +91,11 @@
 	}
 }
 
-// Guards against a request that is written to an endpoint which counts as gone by then, though nothing was heard of that: the
-// module says until when an attempt may begin, and its connection comes up later.
+// Guards against a request that is written to an endpoint which counts as gone by then, although no list has said so: the module
+// gives a bound for the first byte, and the connection comes up after it.
 func TestAttemptIsNotWrittenAfterItsBound(t *testing.T) {
 	for name, c := range map[string]struct {
-		bound   time.Duration // after the attempt is decided on; 0 for none
+		bound   time.Duration // after the time of the decision; 0 for none
 		outcome decide.Outcome
 	}{
 		"no bound":        {0, decide.Served},
@@ -134,8 +134,8 @@
 	}
 }
 
-// Guards against an effect that comes twice: the window of a key ends while the connection for its resend comes up. What
-// the first attempt's outcome says about having run decides whether there is a window at all.
+// Guards against an effect that happens twice: the window of a key ends while the connection for its resend comes up. There is a
+// window only if the first attempt may have run.
 func TestKeyWindowEndsWhileConnecting(t *testing.T) {
 	const window = 50 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -164,7 +164,7 @@
 			e.settle(first, c.first, nil)
 			e.send(r, decide.Action{Kind: decide.Send, Request: r.ID, Endpoint: id})
 			<-environment.dialBegan
-			for e.clock.Now() < first.Sent+window { // the window ends
+			for e.clock.Now() < first.Sent+window { // until the window has ended
 				time.Sleep(time.Millisecond)
 			}
 			close(environment.proceed)
@@ -185,14 +185,14 @@
 	}
 }
 
-// goroutineWatcher is a world that tells when a goroutine of a name has ended.
+// goroutineWatcher is an environment that signals when a goroutine of a name has ended.
 type goroutineWatcher struct {
 	env.Real
 	name  string
 	ended chan struct{}
 }
 
-// Go is env.Env's.
+// Go implements env.Env.
 func (w *goroutineWatcher) Go(name string, f func()) {
 	w.Real.Go(name, func() {
 		f()
@@ -202,7 +202,7 @@
 	})
 }
 
-// slowClaims are holdings whose claims come when the test says so.
+// slowClaims are holdings whose claims succeed when the test allows it.
 type slowClaims struct {
 	requested chan struct{}
 	proceed   chan struct{}
@@ -225,14 +225,14 @@
 	return answer
 }
 
-// Guards against a request that is sent on though its caller left while its key was being claimed; one whose caller stays
-// is sent.
+// Guards against a request that is sent although its caller disconnected while its key was being claimed. If the caller stays
+// connected, the request is sent.
 func TestCallerDisconnectsDuringClaim(t *testing.T) {
 	for _, leaves := range []bool{true, false} {
 		endpoint := scripted.Listen(t)
 		e := newTestEngine(t)
 		e.conf.Classes = map[string]decide.Class{"look": e.conf.Settings.Classes[0]}
-		e.conf.Settings.MustPoll = true // nothing is asked here
+		e.conf.Settings.MustPoll = true // the engine makes no call to discovery by itself
 		e.conf.KnownList = listOf("s", endpoint.Address, decide.Active)
 		e.answerMemory = httpwire.NewMemoryBudget(1 << 20)
 		claims := &slowClaims{requested: make(chan struct{}, 1), proceed: make(chan struct{}), finished: make(chan httpwire.Answer, 1)}
@@ -253,7 +253,7 @@
 		<-claims.requested
 		if leaves {
 			peer.Close()
-			<-environment.ended // its caller is seen to have gone
+			<-environment.ended // the disconnection has been noticed
 		}
 		close(claims.proceed)
 		if !leaves {
@@ -271,15 +271,15 @@
 	}
 }
 
-// decisionFunc decides what a test says, in place of the module.
+// decisionFunc is a Decider whose decisions are set by the test.
 type decisionFunc func(ev *decide.Event) []decide.Action
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (p decisionFunc) Handle(_ decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	return append(actions, p(ev)...)
 }
 
-// pausePoint is a barrier: who comes to it tells so and stands until the test lets it go on.
+// pausePoint blocks a goroutine that reaches it until the test lets it proceed.
 type pausePoint struct {
 	reached chan struct{}
 	proceed chan struct{}
@@ -294,22 +294,22 @@
 	<-s.proceed
 }
 
-// stagedEnv is a world whose dials to one address, or second writes to it, stand at a step, whose watches of callers may be
-// kept from running, and which counts what came up.
+// stagedEnv is an environment that pauses dials to one address, or the second write to one, can keep the watches of callers'
+// connections from running, and counts connections and writes.
 type stagedEnv struct {
 	env.Real
-	pausedDial  string // dials to it stand
-	pausedWrite string // the second write to it stands
+	pausedDial  string // dials to this address pause
+	pausedWrite string // the second write to this address pauses
 	pause       *pausePoint
-	allowWatch  chan struct{} // closed: watches run
-	watchEnded  chan struct{} // one has ended
+	allowWatch  chan struct{} // closed to let watches run
+	watchEnded  chan struct{} // receives when a watch has ended
 	exchanges   sync.WaitGroup
 	mu          sync.Mutex
 	connections map[string]int // connections by address
 	writeCounts map[string]int // writes by address
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (s *stagedEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if address == s.pausedDial {
 		s.pause.wait()
@@ -324,7 +324,7 @@
 	return &stagedConn{TCPConn: conn.(*net.TCPConn), env: s, address: address}, nil
 }
 
-// Go is env.Env's.
+// Go implements env.Env.
 func (s *stagedEnv) Go(name string, f func()) {
 	switch name {
 	case "watch":
@@ -340,21 +340,21 @@
 	}
 }
 
-// writes is how many writes there have been to an address.
+// writes returns how many writes there have been to an address.
 func (s *stagedEnv) writes(address string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writeCounts[address]
 }
 
-// stagedConn is a connection to an endpoint.
+// stagedConn is a connection to an endpoint whose writes are counted and may pause.
 type stagedConn struct {
 	*net.TCPConn
 	env     *stagedEnv
 	address string
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *stagedConn) Write(b []byte) (int, error) {
 	c.env.mu.Lock()
 	c.env.writeCounts[c.address]++
@@ -366,7 +366,7 @@
 	return c.TCPConn.Write(b)
 }
 
-// stagedSidecar is an engine that does what a test says, two endpoints, and a server before it.
+// stagedSidecar is an engine whose decisions are set by the test, with two endpoints and a server for callers.
 type stagedSidecar struct {
 	*Engine
 	env       *stagedEnv
@@ -376,7 +376,7 @@
 	stop      context.CancelFunc
 }
 
-// startStagedSidecar starts one; set is called before the engine runs.
+// startStagedSidecar starts one. configure is called before the engine runs.
 func startStagedSidecar(t *testing.T, configure func(s *stagedSidecar)) *stagedSidecar {
 	t.Helper()
 	s := &stagedSidecar{Engine: newTestEngine(t), listeners: [2]*scripted.Listener{scripted.Listen(t), scripted.Listen(t)}}
@@ -386,7 +386,7 @@
 		"look": s.conf.Settings.Classes[0], "burn": {Name: "burn", Effect: decide.Unsafe},
 	}
 	s.metrics = metrics.New([]string{"look", "burn"})
-	s.conf.Settings.MustPoll = true // nothing is asked here
+	s.conf.Settings.MustPoll = true // the engine makes no call to discovery by itself
 	known := listOf("s0", s.listeners[0].Address, decide.Active)
 	known.Endpoints = append(known.Endpoints, listOf("s1", s.listeners[1].Address, decide.Active).Endpoints...)
 	s.conf.KnownList = known
@@ -409,14 +409,14 @@
 	return s
 }
 
-// end stops it when its exchanges have ended.
+// end stops the sidecar and waits until its exchanges have ended.
 func (s *stagedSidecar) end() {
 	s.stop()
 	<-s.stopped
 	s.env.exchanges.Wait()
 }
 
-// receivedBy is what came to an endpoint, none of whose connections has been taken.
+// receivedBy returns what an endpoint has received. None of its connections may have been accepted yet.
 func (s *stagedSidecar) receivedBy(i int) string {
 	var all strings.Builder
 	s.env.mu.Lock()
@@ -424,7 +424,7 @@
 	s.env.mu.Unlock()
 	for range up {
 		peer := s.listeners[i].Accept()
-		const short = 20 * time.Millisecond         // what was written has come: on loopback a write brings it
+		const short = 20 * time.Millisecond         // on loopback, what was written has been received by then
 		peer.SetReadDeadline(time.Now().Add(short)) //nolint:errcheck // the read that meets it fails
 		b := make([]byte, 64)
 		n, _ := peer.Read(b)
@@ -437,8 +437,8 @@
 	return decide.Action{Kind: decide.Send, Request: request, Endpoint: s.endpoints[endpoint]}
 }
 
-// delayedSend decides to send a request to the second endpoint when a timer is due that stands at the step; begin is the
-// event behind which that timer is set.
+// delayedSend returns a Decider that sets a timer at the first event of a kind, and when it is due waits at the pause point and
+// then sends the request of that event to the second endpoint. otherwise decides on all other events.
 func delayedSend(s *stagedSidecar, trigger decide.EventKind, otherwise func(ev *decide.Event) []decide.Action) decisionFunc {
 	var delayed decide.RequestID
 	return func(ev *decide.Event) []decide.Action {
@@ -454,7 +454,8 @@
 	}
 }
 
-// callerRequest is a request as a caller writes it; with a body, its head and as much of the body as has the sidecar pass it on.
+// callerRequest returns a request as a caller writes it: without a body, or with its head and so much of a body of that size that
+// the sidecar streams it.
 func callerRequest(body int) string {
 	if body == 0 {
 		return "GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 9\r\n\r\n"
@@ -463,15 +464,16 @@
 		strings.Repeat("x", httpwire.MaxBuffered+1)
 }
 
-// Guards against an attempt, first or further, that begins though its caller has gone, wherever it stands then and
-// however its caller goes. With its watch kept from running, nobody but the look at the first byte can see it; with the
-// watch, word of it comes to the owner behind what is decided. One whose caller stays is written.
+// Guards against an attempt that is written although its caller has disconnected, whatever the request is waiting for and however
+// the caller disconnects. If the watch of the caller's connection is kept from running, only the check before the first byte can
+// notice it. If the watch runs, the owner learns of the disconnection after the decision. If the caller stays, the attempt is
+// written.
 func TestCallerDisconnectsBeforeAttemptIsWritten(t *testing.T) {
 	const long = 200 << 10
 	none := func(*decide.Event) []decide.Action { return nil }
 	situations := map[string]struct {
 		body  int
-		first bool // an attempt is out at the first endpoint
+		first bool // another attempt is in flight at the first endpoint
 		set   func(s *stagedSidecar)
 	}{
 		"a dial is out": {set: func(s *stagedSidecar) {
@@ -534,7 +536,7 @@
 		for departure, leave := range departures {
 			for _, watched := range []bool{false, true} {
 				if watched && c.body > 0 {
-					continue // nobody watches while the body comes
+					continue // the connection is not watched while the body is received
 				}
 				t.Run(fmt.Sprintf("%s/%s/watched %v", situation, departure, watched), func(t *testing.T) {
 					s := startStagedSidecar(t, c.set)
@@ -561,13 +563,13 @@
 						leave(peer, extra)
 					}
 					if watched && !stays {
-						<-s.env.watchEnded // it is seen, and the owner may have heard of it
+						<-s.env.watchEnded // the disconnection has been noticed, and the owner may have been notified
 					}
 					close(s.env.pause.proceed)
 					if stays {
 						if c.body > 0 {
 							rest := strings.Repeat("x", c.body-httpwire.MaxBuffered-1)
-							if leave != nil { // two bytes of it came ahead
+							if leave != nil { // two bytes of it have been sent already
 								rest = rest[2:]
 							}
 							peer.Send(rest)
@@ -609,8 +611,8 @@
 	}
 }
 
-// Guards against an effect for nobody: a long body comes whole, and its caller goes before the last byte is passed on. An
-// endpoint begins with that byte.
+// Guards against an effect for a caller that is gone: a long body arrives in full, but its caller disconnects before the sidecar has
+// passed on the last byte. An endpoint starts the work with that byte.
 func TestCallerDisconnectsBeforeLastByteOfBody(t *testing.T) {
 	const long = 200 << 10
 	for name, leave := range map[string]func(*scripted.Peer){
@@ -630,7 +632,7 @@
 		})
 		peer := scripted.Connect(t, s.address)
 		peer.Send(callerRequest(long) + strings.Repeat("x", 100))
-		<-s.env.pause.reached // some of it is on its way
+		<-s.env.pause.reached // a part of the body is being passed on
 		peer.Send(strings.Repeat("x", long-httpwire.MaxBuffered-1-100))
 		leave(peer)
 		close(s.env.pause.proceed)
@@ -657,10 +659,10 @@
 	}
 }
 
-// Guards against an effect for nobody where the end of a caller can't be seen at the first byte: more of its body than
-// the kernel takes stands before it, and nobody has read that. The end comes with the last byte.
+// Guards against an effect for a caller that is gone, where the disconnection can't be noticed before the first byte: it is behind
+// more of the body than the kernel's buffers hold. It must be noticed before the last byte is written.
 func TestCallerDisconnectsBehindMoreThanKernelBuffers(t *testing.T) {
-	const long = 700 << 10 // on loopback a sender's buffer takes over 1 MiB, a receiver's a tenth of that
+	const long = 700 << 10 // on loopback the buffer of a sender holds over 1 MiB, that of a receiver a tenth of that
 	s := startStagedSidecar(t, func(s *stagedSidecar) {
 		close(s.env.allowWatch)
 		s.balancer = delayedSend(s, decide.Arrived, func(*decide.Event) []decide.Action { return nil })
@@ -676,7 +678,7 @@
 	}
 	s.end()
 	if s.env.writes(s.listeners[1].Address) == 0 {
-		return // its end was seen before the first byte
+		return // the disconnection was noticed before the first byte
 	}
 	if text, _ := s.listeners[1].Accept().ReadToEnd(); len(text) >= long {
 		t.Errorf("%d bytes came to the endpoint: its whole request", len(text))
--- a/internal/pipeline/delivery_test.go
+++ b/internal/pipeline/delivery_test.go
@@ -23,46 +23,46 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// When a change is in force after discovery had it and could be reached. The clock is the bubble's, so that each case takes
-// the longest way that the code can take, to the millisecond.
+// These tests measure how long it takes until a change is applied, from when discovery has it and can be reached. They run on a
+// simulated clock, and random times take their maximum, so that each case takes the longest time that the code allows.
 
-// maxQueueWait is how long a call may wait its turn at a discovery that then refuses it.
+// maxQueueWait is how long a call may wait in the queue of a discovery before it is refused.
 const maxQueueWait = 2 * time.Second
 
-// callFailure is what becomes of a call to a discovery that can't answer it.
+// callFailure is how a call to discovery fails.
 type callFailure uint8
 
 const (
-	dialRefused    callFailure = iota // its connection is refused
-	dialHangs                         // its connection never comes up
-	noAnswer                          // it is read, and nothing comes
-	refusedAtOnce                     // it is answered 503 at once
-	refusedAfter1s                    // it is answered 503 after 1 s
-	refusedAfter2s                    // it is answered 503 after 2 s in turn
-	invalidAnswer                     // it is answered with half a list
-	answerStalls                      // half an answer comes
-	connReset                         // it is read, and its connection ends after a second
+	dialRefused    callFailure = iota // the connection is refused
+	dialHangs                         // the connection never comes up
+	noAnswer                          // the call is received, and there is no answer
+	refusedAtOnce                     // answered 503 at once
+	refusedAfter1s                    // answered 503 after 1 s
+	refusedAfter2s                    // answered 503 after 2 s in the queue
+	invalidAnswer                     // answered with half a list
+	answerStalls                      // half an answer comes, and the connection stays open
+	connReset                         // the call is received, and the connection ends after a second
 )
 
-// failingDiscovery is a world of one discovery: the first calls there have one fate, and as the last of them meets it, discovery has
-// the change and can be reached. From then on each call is answered when its turn has come.
+// failingDiscovery is an environment with one discovery. Its first calls fail in one way. When the last of them has failed,
+// discovery has the change and can be reached: from then on each call is answered after its time in the queue.
 type failingDiscovery struct {
 	env.Real
 	serving        sync.WaitGroup
-	address        string // where the calls that count go
+	address        string // of this discovery; calls to other addresses do not count
 	failure        callFailure
-	failingCalls   int           // that meet it
-	queueTime      time.Duration // the wait of each call behind them
+	failingCalls   int           // number of calls that fail
+	queueTime      time.Duration // how long each further call waits
 	mu             sync.Mutex
 	callsSeen      int
-	open, maxOpen  int       // connections
-	availableSince time.Time // discovery has the change and can be reached
+	open, maxOpen  int       // connections that are open, and the most at a time
+	availableSince time.Time // when discovery had the change and could be reached
 }
 
-// RandomDuration is env.Env's: as long as can be.
+// RandomDuration implements env.Env. It returns the longest duration possible.
 func (d *failingDiscovery) RandomDuration(most time.Duration) time.Duration { return most - 1 }
 
-// countCall books a call and tells whether it is doomed.
+// countCall counts a call and reports whether it is to fail.
 func (d *failingDiscovery) countCall() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -71,14 +71,14 @@
 	return d.callsSeen <= d.failingCalls
 }
 
-// noteAvailable notes when the last doomed call has met its fate.
+// noteAvailable records the time when the last failing call has failed.
 func (d *failingDiscovery) noteAvailable() {
 	if d.callsSeen == d.failingCalls {
 		d.availableSince = time.Now()
 	}
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (d *failingDiscovery) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	fails := false
 	if address == d.address {
@@ -99,7 +99,7 @@
 	return here, nil
 }
 
-// serve is discovery's side of a connection.
+// serve handles a connection to discovery.
 func (d *failingDiscovery) serve(conn net.Conn, counts, fails bool) {
 	defer conn.Close()
 	if counts {
@@ -132,7 +132,7 @@
 	}
 }
 
-// trackConn counts the connections that are open.
+// trackConn counts open connections.
 func (d *failingDiscovery) trackConn(change int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -140,7 +140,7 @@
 	d.maxOpen = max(d.maxOpen, d.open)
 }
 
-// failCall does to a call what its fate is.
+// failCall makes a call fail in the discovery's way.
 func (d *failingDiscovery) failCall(conn net.Conn, r *bufio.Reader) {
 	half := scripted.OK(drainingList)
 	half = half[:len(half)-20]
@@ -167,13 +167,13 @@
 	}
 }
 
-// listRecorder is the module, and tells when a list has been put in force that is not the one of the start.
+// listRecorder passes events to the module, and records when a list other than the one of the start was applied.
 type listRecorder struct {
 	Decider
 	applied chan time.Time
 }
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (d *listRecorder) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	actions = d.Decider.Handle(now, ev, actions)
 	if ev.Kind == decide.ListChanged || ev.Kind == decide.ListReplaced {
@@ -185,7 +185,7 @@
 	return actions
 }
 
-// newListEngine is an engine at a discovery; known for a list of version 7 at the start.
+// newListEngine returns an engine at a discovery. With known it starts with a list of version 7.
 func newListEngine(t *testing.T, environment env.Env, address string, known, polls bool, seed uint64) (*Engine, *listRecorder) {
 	t.Helper()
 	conf := &config.Config{
@@ -207,7 +207,7 @@
 	return New(conf, environment, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, module), module
 }
 
-// deliveryTime is how long the change takes from when it can be had to when it is in force.
+// deliveryTime returns how long it takes from when discovery has the change and can be reached until it is applied.
 func (d *failingDiscovery) deliveryTime(t *testing.T, known, polls, moves bool, seed uint64) (took time.Duration) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -220,7 +220,7 @@
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		if moves {
-			time.Sleep(3 * time.Second) // where it asks, the watch of the former one has begun
+			time.Sleep(3 * time.Second) // where lists are polled, the watch at the former discovery has started by then
 			e.MoveDiscovery("discovery")
 		}
 		select {
@@ -241,16 +241,16 @@
 	return took
 }
 
-// Guards against requests to endpoints that drain: what discovery has counts as told 6 s after it could be had, whatever a
-// failed, refused or given-up call allows otherwise. A call goes out in the very moment before, comes to nothing in each of
-// the ways that there are, after any number of others, and the next one has to wait its turn for 3 s.
+// Guards against requests to draining endpoints: what discovery has counts as delivered 6 s after it could be had, whatever calls
+// failed. In each case a call is made just before discovery can be reached and fails in one of the ways, after a number of other
+// failures, and the next call waits in the queue for 3 s.
 func TestChangeIsAppliedInTime(t *testing.T) {
 	const (
-		protocol    = 6 * time.Second        // when it counts as told (protocol: Figures)
+		protocol    = 6 * time.Second        // when a change counts as delivered (protocol: Figures)
 		margin      = 400 * time.Millisecond // for a busy machine
-		turn        = 3 * time.Second        // the longest that a discovery keeps a call in turn
-		seedCount   = 20                     // seeds, where the module draws the pauses
-		maxFailures = 5                      // calls that fail in a row
+		turn        = 3 * time.Second        // the longest time that a discovery keeps a call in its queue
+		seedCount   = 20                     // random seeds, where the module chooses the pauses at random
+		maxFailures = 5                      // calls that fail one after another
 	)
 	for _, c := range []struct {
 		name    string
@@ -276,12 +276,12 @@
 			}
 			for calls := 1; calls <= maxFailures; calls++ {
 				if calls > 1 && (c.failure == answerStalls || c.failure == connReset) {
-					break // the call that was out; what comes after it is reached
+					break // this failure applies only to a call in progress; later calls reach the discovery
 				}
 				for seed := range seeds {
 					discovery := &failingDiscovery{failure: c.failure, failingCalls: calls, queueTime: turn}
 					if c.failure == refusedAfter2s {
-						discovery.queueTime = maxQueueWait // it keeps no call for longer
+						discovery.queueTime = maxQueueWait // such a discovery keeps no call for longer
 					}
 					if took := discovery.deliveryTime(t, c.known, polls, c.moves, seed); took > longest {
 						longest, worst = took, calls
@@ -296,14 +296,14 @@
 	}
 }
 
-// Guards against a silent watch whose loss is learned of late: the fresh calls behind its wait end in time where discovery
-// answers at once, and where that is slow, the next call is answered in time, counted from when the watch was given up.
+// Guards against a change that a silent watch missed and that comes too late. Where discovery answers at once, the check calls after
+// the wait bring it in time. Where discovery is slow, the next call is answered in time, counted from the end of the watch.
 func TestChangeMissedByASilentWatch(t *testing.T) {
 	times := newCallTimes(1, time.Second)
 	wait := times.wait + times.spread
 	for _, polls := range []bool{false, true} {
 		for turn, limit := range map[time.Duration]time.Duration{
-			0:               deliveryAfterWait + time.Second, // as told, and the grace
+			0:               deliveryAfterWait + time.Second, // when it counts as delivered, plus the grace
 			3 * time.Second: overdueTime + 5600*time.Millisecond,
 		} {
 			took := (&failingDiscovery{failure: noAnswer, failingCalls: 1, queueTime: turn}).deliveryTime(t, true, polls, false, 1)
@@ -315,8 +315,8 @@
 	}
 }
 
-// Guards against a slow discovery that is asked from the back of its turn again and again: the fetch that has waited longer
-// is answered first and counts, and the other one is ended.
+// Guards against a slow discovery that is called again and again from the end of its queue: the fetch that has waited longer is
+// answered first and counts, and the other one is ended.
 func TestSlowFetchAnswerIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const turn = 3 * time.Second
@@ -328,7 +328,7 @@
 		if took := (<-module.applied).Sub(begun); took != turn {
 			t.Errorf("in force after %v, want %v", took, turn)
 		}
-		time.Sleep(fetchTimeout) // had the other one gone on, it would have told by now
+		time.Sleep(fetchTimeout) // if the other fetch had gone on, it would have been answered by now
 		s := e.Snapshot()
 		if d.mu.Lock(); d.callsSeen != 2 || d.open != 1 || s.Lists != 1 || s.ListFailures != 0 {
 			t.Errorf("%d connections, %d open, %d lists, %d failures", d.callsSeen, d.open, s.Lists, s.ListFailures)
@@ -340,8 +340,8 @@
 	})
 }
 
-// Guards against fetches without measure at a discovery that says nothing: one each hedgeAfter, two at a time, and each
-// that is given up is counted.
+// Guards against unlimited fetches at a discovery that does not answer: there is one each hedgeDelay, two are in progress at most,
+// and each one that is given up is counted.
 func TestFetchesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const long = time.Minute
@@ -362,15 +362,16 @@
 	})
 }
 
-// crowdedDiscovery is a world of many sidecars at one discovery that works through calls in turn, and refuses those that wait too long.
+// crowdedDiscovery is an environment of many sidecars with one discovery, which processes calls one after another and refuses
+// those that wait too long.
 type crowdedDiscovery struct {
 	env.Real
 	serving  sync.WaitGroup
 	mu       sync.Mutex
 	up       bool
 	version  int
-	changed  chan struct{} // closed at the next change
-	wentDown chan struct{} // closed as it goes down
+	changed  chan struct{} // closed at the next change of the list
+	wentDown chan struct{} // closed when discovery goes down
 	queue    []*queuedCall
 	calls    int
 	refusals int
@@ -378,13 +379,13 @@
 	begun    time.Time
 }
 
-// queuedCall is a call that waits for its turn.
+// queuedCall is a call in the queue of discovery.
 type queuedCall struct {
 	served  chan struct{}
 	refused bool
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (c *crowdedDiscovery) Dial(context.Context, string, time.Duration) (net.Conn, error) {
 	here, there := net.Pipe()
 	c.serving.Go(func() { c.serve(there) })
@@ -449,7 +450,7 @@
 	}
 }
 
-// work serves calls one after another until the context ends.
+// work processes calls one after another until the context ends.
 func (c *crowdedDiscovery) work(ctx context.Context, each time.Duration) {
 	for ctx.Err() == nil {
 		time.Sleep(each)
@@ -466,17 +467,17 @@
 	}
 }
 
-// Guards against calls without measure at a discovery that is away, or that many sidecars call at once: all are told in
-// the end, and none calls more often than once a second for long.
+// Guards against unlimited calls at a discovery that is down, or that many sidecars call at once: all sidecars get the list
+// eventually, and none calls more often than about once a second for long.
 func TestBusyDiscoveryIsNotFlooded(t *testing.T) {
 	const (
 		sidecars        = 300
-		each            = 20 * time.Millisecond // all take 6 s
+		each            = 20 * time.Millisecond // for all sidecars together 6 s
 		outage          = 8 * time.Second
 		changes         = 10
 		step            = 620 * time.Millisecond
 		limit           = 40 * time.Second
-		minCallInterval = 1100 * time.Millisecond // least mean time between calls of a sidecar while discovery is away
+		minCallInterval = 1100 * time.Millisecond // minimum mean interval between the calls of a sidecar during the outage
 	)
 	for _, polls := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -551,7 +552,7 @@
 	return most
 }
 
-// ownerFunc has the owner do something for the test.
+// ownerFunc is an event that runs a function in the owner's goroutine.
 type ownerFunc func()
 
 func (f ownerFunc) handle(*Engine) { f() }
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// Guards against a discovery that is cut off and says nothing: a call must end,
-// so that the module hears of it and asks again.
+// Guards against a discovery that accepts a call and never answers: the call must time out, so that the module is notified and
+// retries.
 func TestSilentDiscovery(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,8 +40,7 @@
 	}
 }
 
-// Guards against a discovery that answers watches at once with nothing new: the
-// sidecar must not spend its core on that.
+// Guards against a discovery that answers watches at once without a change: the sidecar must not call it in a busy loop.
 func TestDiscoveryThatDoesNotWait(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,8 +67,8 @@
 	close(e.stopped)
 }
 
-// Guards against a sidecar that is blind for long behind one lost answer, and against
-// a discovery that many sidecars ask too often.
+// Guards against a sidecar that gets no changes for long after one lost answer, and against many sidecars that call discovery too
+// often.
 func TestWatchWaitGrowsWithPeers(t *testing.T) {
 	for peers, want := range map[int]time.Duration{0: 4 * time.Second, 2: 4 * time.Second, 10: 10 * time.Second, 900: 16 * time.Second} {
 		if got := newCallTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
@@ -78,8 +77,8 @@
 	}
 }
 
-// Guards against news of a discovery that was left behind: its versions and
-// failures mean nothing to the next, whose whole list replaces them.
+// Guards against answers of a discovery that the sidecar has moved away from: its versions and failures mean nothing for the next
+// one, whose full list replaces them.
 func TestAnswersOfTheFormerDiscoveryAreIgnored(t *testing.T) {
 	e := newTestEngine(t)
 	former := e.watch
--- a/internal/pipeline/fleet_test.go
+++ b/internal/pipeline/fleet_test.go
@@ -22,39 +22,39 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// A fleet of callers before one discovery, on the bubble's clock.
+// Tests of a fleet of sidecars at one discovery, on a simulated clock.
 
-// queueingDiscovery is a discovery that works through its callers' calls one after the other. A call that waits for longer than patience
-// is refused then, and has cost its part of the work all the same.
+// queueingDiscovery is a discovery that processes calls one after another. A call that waits for longer than maxQueueWait is
+// refused then, but has cost its processing time all the same.
 type queueingDiscovery struct {
 	env.Real
-	workPerCall time.Duration // work of a call
+	workPerCall time.Duration // processing time of a call
 	serving     sync.WaitGroup
 
 	mu        sync.Mutex
 	random    *rand.Rand
 	down      bool
-	wentDown  chan struct{} // closed when it goes down: watches end
-	busyUntil time.Time     // when what it has taken on is done
+	wentDown  chan struct{} // closed when discovery goes down, which ends its watches
+	busyUntil time.Time     // when all accepted calls are processed
 	version   int           // of the list
 	refused   int
 }
 
-// RandomDuration is env.Env's.
+// RandomDuration implements env.Env.
 func (d *queueingDiscovery) RandomDuration(most time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(d.random.Int64N(int64(most)))
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (d *queueingDiscovery) Dial(context.Context, string, time.Duration) (net.Conn, error) {
 	here, there := net.Pipe()
 	d.serving.Go(func() { d.serve(there) })
 	return here, nil
 }
 
-// enqueue takes a call on and returns when its turn comes; false if it is to be refused by then.
+// enqueue adds a call to the queue and returns when it is processed, or, with ok false, when it is refused.
 func (d *queueingDiscovery) enqueue() (at time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,7 +77,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down, d.busyUntil = down, time.Now()
-	d.version++ // there are news at each change
+	d.version++ // each outage and each return brings a change of the list
 	if down {
 		close(d.wentDown)
 	} else {
@@ -85,7 +85,7 @@
 	}
 }
 
-// serve answers the calls that come on a connection; a goroutine reads ahead, so that a caller that goes is seen.
+// serve answers the calls on a connection. A goroutine reads ahead, so that the end of the connection is noticed.
 func (d *queueingDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	calls := make(chan *http.Request)
@@ -113,7 +113,7 @@
 	}
 }
 
-// answer answers one call; false if the connection ends with it.
+// answer answers one call. It returns false if the connection ends with it.
 func (d *queueingDiscovery) answer(conn net.Conn, request *http.Request, gone <-chan struct{}) bool {
 	d.mu.Lock()
 	ends := d.wentDown
@@ -145,7 +145,7 @@
 	return err == nil
 }
 
-// startFleet starts so many engines before a discovery, all at once, and returns them with what ends them.
+// startFleet starts so many engines at a discovery at the same time, and returns them with a function that stops them.
 func startFleet(t *testing.T, d *queueingDiscovery, count int) (fleet []*Engine, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -176,7 +176,7 @@
 	}
 }
 
-// countStale is how many of a fleet may have missed news.
+// countStale returns how many sidecars of a fleet may have missed changes.
 func countStale(fleet []*Engine) int {
 	n := 0
 	for _, e := range fleet {
@@ -187,8 +187,8 @@
 	return n
 }
 
-// waitAllCurrent waits until none of a fleet may have missed news, and returns how long that took and how many had not heard after each
-// second.
+// waitAllCurrent waits until no sidecar of a fleet may have missed changes, limit at most. It returns how long that took, and how
+// many might have missed changes after each second.
 func waitAllCurrent(fleet []*Engine, limit time.Duration) (took time.Duration, stalePerSecond []int) {
 	const pollInterval = 100 * time.Millisecond
 	begin := time.Now()
@@ -202,25 +202,25 @@
 	return took, stalePerSecond
 }
 
-// maxRefusedPause is the longest behind a refused call.
+// maxRefusedPause returns the longest pause after a refused call.
 func maxRefusedPause(peers int) time.Duration {
 	least, spread := decide.ListRetryDelay(0, peers, true)
 	return least + spread
 }
 
-// Guards against a fleet that keeps its discovery overrun: refused calls that come again at once cost it all that it can do, and
-// most callers are refused for as long as that lasts (report 4547c5). A caller that is refused, and refused once more, is heard
-// within two of its longest pauses, or before news bind: when discovery returns from an outage, and when a fleet has started
-// together, or been led to another discovery together, and all of it has called once.
+// Guards against a fleet that keeps its discovery overloaded: if refused calls are repeated at once, they take all of its capacity,
+// and most sidecars are refused for as long as that lasts (report 4547c5). A sidecar that is refused twice must get the list within
+// two of its longest pauses, or before changes count as delivered. This is checked after an outage of discovery, and when a fleet
+// has started, or moved to another discovery, at the same time and all of it has called once.
 func TestFleetGetsTheListFromABusyDiscovery(t *testing.T) {
 	const (
 		outage  = 8 * time.Second
-		settled = 30 * time.Second        // all wait for news
-		started = 3500 * time.Millisecond // all have called once
+		settled = 30 * time.Second        // by then all wait for changes
+		started = 3500 * time.Millisecond // by then all have called once
 	)
 	for _, c := range []struct {
 		count int
-		each  time.Duration // of its work: 18 ms as on the operators' bench at 376 sidecars; it does more for a larger fleet
+		each  time.Duration // processing time of a call: 18 ms as on the operators' bench at 376 sidecars; faster for a larger fleet
 	}{
 		{10, 18 * time.Millisecond}, {50, 18 * time.Millisecond}, {150, 18 * time.Millisecond}, {376, 18 * time.Millisecond},
 		{900, 9 * time.Millisecond},
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// newSuccessor returns an engine whose discovery is at a door, that begins with what a predecessor left.
+// newSuccessor returns an engine that has started with a predecessor's state, the listener of its discovery, and its log.
 func newSuccessor(t *testing.T, handover Handover) (*Engine, *scripted.Listener, *strings.Builder) {
 	t.Helper()
 	discovery := scripted.Listen(t)
@@ -43,8 +43,8 @@
 	return e, discovery, &log
 }
 
-// Guards against what one installation leaves to another: versions that are another discovery's own, a list of endpoints
-// that are not there, bans of names that mean something else. Drains of endpoints that both know stay known.
+// Guards against state that one installation leaves to another: versions of another discovery, endpoints that do not exist, and bans
+// of names that mean something else. Drains of endpoints that both know must be kept.
 func TestSuccessorImportsHandover(t *testing.T) {
 	list := httpwire.List{Index: 40, Endpoints: []httpwire.ListedEndpoint{
 		{Name: "both", Address: "127.0.0.1:2", State: decide.Draining}, {Name: "theirs", Address: "127.0.0.1:3"},
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -17,7 +17,7 @@
 	"heathgap/internal/metrics"
 )
 
-// logLine is what a test reads of a log line.
+// logLine holds the fields of a log line that the tests read.
 type logLine struct {
 	Message, Kind, End string
 	Call, Version      int64
@@ -40,8 +40,8 @@
 	return lines
 }
 
-// Guards against a sidecar that routes by an old list and does not say so: each call to discovery has a line and a count,
-// and so has the moment in which the list goes stale, and that in which it is current again.
+// Guards against a sidecar that routes by an outdated list and does not report it: each call to discovery must be logged and
+// counted, and it must be logged when the list becomes stale and when it is current again.
 func TestListCallsAndStaleListAreLogged(t *testing.T) {
 	const refusals = 3
 	synctest.Test(t, func(t *testing.T) {
@@ -59,7 +59,7 @@
 		stop()
 		<-e.stopped
 		d.serving.Wait()
-		synctest.Wait() // the watch writes its last line
+		synctest.Wait() // the watch has written its last line
 
 		var calls, states []logLine
 		for _, l := range parseLog(t, log.Bytes()) {
@@ -99,7 +99,7 @@
 	})
 }
 
-// Guards against calls that are counted as something else: what an end means decides what staff look at.
+// Guards against calls that are counted under the wrong end: staff look for a fault by these counts.
 func TestListCallEndsAreClassified(t *testing.T) {
 	for failure, want := range map[callFailure]metrics.ListCallEnd{
 		dialRefused: metrics.ListNotConnected, dialHangs: metrics.ListNotConnected, noAnswer: metrics.ListTimedOut, refusedAtOnce: metrics.ListRefused,
@@ -117,7 +117,7 @@
 			stop()
 			<-e.stopped
 			d.serving.Wait()
-			synctest.Wait() // the watch writes its last line
+			synctest.Wait() // the watch has written its last line
 			if w.ctx.Err() == nil {
 				t.Error("the watch goes on behind its engine")
 			}
@@ -133,13 +133,13 @@
 	}
 }
 
-// Guards against a list that counts as stale because discovery has nothing to tell: a watch that waits for longer than any call
-// waits its turn has been taken, and with it all that discovery had.
+// Guards against a list that counts as stale because discovery has no change: a watch that waits for longer than any call stays in
+// discovery's queue has been processed, so the list is current.
 func TestWatchThatWaitsConfirmsTheList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &failingDiscovery{address: "discovery", failure: noAnswer, failingCalls: 0}
 		e, _ := newListEngine(t, d, d.address, true, true, 1)
-		e.conf.KnownList.Index = 8 // nothing is newer
+		e.conf.KnownList.Index = 8 // discovery has no newer version
 		ctx, stop := context.WithCancel(context.Background())
 		go e.Run(ctx)
 		for _, c := range []struct {
@@ -157,14 +157,14 @@
 	})
 }
 
-// staleRecorder is a module; what it is told of the list's age is noted.
+// staleRecorder passes events to the module and records those on the staleness of the list.
 type staleRecorder struct {
 	Decider
 	began time.Time
 	notes []string
 }
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (n *staleRecorder) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	at := time.Since(n.began).Round(time.Millisecond)
 	switch ev.Kind {
@@ -176,10 +176,10 @@
 	return n.Decider.Handle(now, ev, actions)
 }
 
-// Guards against a module that takes an old list for a true one: it is told since when news may have been missed, when they
-// count as told, and when nothing is missed any more.
+// Guards against a module that takes an outdated list for a current one: it must be notified since when changes may have been
+// missed, when they count as delivered, and when none are missed any more.
 func TestModuleIsNotifiedOfAStaleList(t *testing.T) {
-	const oldVersion, newestVersion = 7, 8 // versions; the first call comes 0.238 s behind the start, by the seed
+	const oldVersion, newestVersion = 7, 8 // with this seed the first call is made 0.238 s after the start
 	for name, c := range map[string]struct {
 		polls   bool
 		known   int64
--- a/internal/pipeline/requestlog_test.go
+++ b/internal/pipeline/requestlog_test.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/httpwire"
 )
 
-// loggedRequest is what the tests read of a line on a request.
+// loggedRequest holds the fields of a log line on a request that the tests read.
 type loggedRequest struct {
 	Message, Request, End, Reason, To string
 	List                              int64
@@ -21,8 +21,8 @@
 	Attempts                          []struct{ To, Outcome string }
 }
 
-// Guards against an end or a resend that nobody can explain: each has the caller's id, the reason, the attempts before
-// and the version of the list, and a flood of them is counted in place of written.
+// Guards against failed or resent requests that nobody can explain: each has a log line with the caller's id, the reason, the earlier
+// attempts and the version of the list. Lines beyond the limit are counted instead of written.
 func TestRequestsThatAreNotServedAreLogged(t *testing.T) {
 	var log bytes.Buffer
 	e := newTestEngine(t)
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -10,13 +10,13 @@
 	"heathgap/internal/state"
 )
 
-// fixedRules say what a test has them say.
+// fixedRules returns the rules that a test has set.
 type fixedRules struct{ effective *EffectiveRules }
 
-// Effective is Rules'.
+// Effective implements RulesSource.
 func (r *fixedRules) Effective() *EffectiveRules { return r.effective }
 
-// newClusterEngine is an engine in a crew, with the events that its module is told.
+// newClusterEngine returns an engine in a cluster, its rules, and the events that its module gets.
 func newClusterEngine(t *testing.T) (*Engine, *fixedRules, *[]decide.Event) {
 	t.Helper()
 	e := newTestEngine(t)
@@ -32,14 +32,14 @@
 	events *[]decide.Event
 }
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (d eventRecorder) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	*d.events = append(*d.events, *ev)
 	return d.Decider.Handle(now, ev, out)
 }
 
-// Guards against an attempt that was decided on under rules that are no more, and written after a pause: a repeat, or
-// anything to an endpoint that has been banned since.
+// Guards against an attempt that was decided on under rules that are no longer in effect and is written after a pause of the process:
+// a further attempt, or any attempt to an endpoint that has been banned since.
 func TestRulesAreCheckedBeforeWriting(t *testing.T) {
 	e, rules, _ := newClusterEngine(t)
 	to := &state.Endpoint{ListedEndpoint: httpwire.ListedEndpoint{Name: "e"}}
@@ -61,7 +61,7 @@
 	}
 }
 
-// What holds is told to the module ahead of what comes next; bans of the crew and by hand stand beside each other.
+// The module gets changed rules before any other event. Bans of the cluster and bans by hand are independent of each other.
 func TestRuleChangesReachTheModuleFirst(t *testing.T) {
 	e, rules, events := newClusterEngine(t)
 	kinds := func() (out []decide.EventKind) {
@@ -93,7 +93,7 @@
 		{func() { e.notifyModule(decide.Event{Kind: due}) }, []decide.EventKind{due}},
 		{func() { banByCluster("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() { banByHand(true) }, nil},
-		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, due}}, // by hand it stays banned
+		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, due}}, // it stays banned by hand
 		{func() { banByHand(false) }, []decide.EventKind{decide.Unbanned}},
 		{func() { banByCluster("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Cut off, endpoints that come new to the list wait until the lease is back; those that are known still drain.
+// While the sidecar is cautious, endpoints that are new in the list are withheld; those that are known still drain.
 func TestNewEndpointsAreWithheldWhileCautious(t *testing.T) {
 	e, rules, _ := newClusterEngine(t)
 	list := func(whole bool, names ...string) *httpwire.List {
@@ -130,7 +130,7 @@
 		rules.effective = &EffectiveRules{Generation: rules.effective.Generation + 1, Dynamic: &decide.DynamicSettings{MaxAttempts: 1}, Cautious: cautious}
 	}
 	setCautious(true)
-	e.applyList(list(true, "a", "b"), decide.ListReplaced) // a process's first list is taken whole
+	e.applyList(list(true, "a", "b"), decide.ListReplaced) // the first list of a process is applied in full
 	e.applyList(list(false, "c"), decide.ListChanged)
 	if got := names(); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("cut off: %v", got)
@@ -143,7 +143,7 @@
 	setCautious(true)
 	e.applyList(list(false, "d"), decide.ListChanged)
 	setCautious(false)
-	e.applyList(list(true, "a"), decide.ListReplaced) // d has left meanwhile
+	e.applyList(list(true, "a"), decide.ListReplaced) // d has left the list meanwhile
 	if got := names(); !slices.Equal(got, []string{"a"}) || len(e.withheld) != 0 {
 		t.Errorf("a whole list: %v, %v withheld", got, e.withheld)
 	}
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -28,8 +28,8 @@
 	return New(conf, env.Real{}, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, balancer)
 }
 
-// An attempt whose time is up while its connection is still being made has never
-// run: its caller may be told that trying again is harmless.
+// An attempt that times out while its connection is still being made has never run, so its caller may be told that it can
+// safely try again.
 func TestTimeoutBeforeConnecting(t *testing.T) {
 	for outcome, written := range map[decide.Outcome]bool{decide.ConnectFailed: false, decide.TimedOut: true} {
 		e := newTestEngine(t)
@@ -48,8 +48,7 @@
 	}
 }
 
-// Guards against an attempt that is written after its request has ended, because
-// its connection was still being made then.
+// Guards against an attempt that is written after its request has ended, because its connection was still being made then.
 func TestNothingIsWrittenAfterTheRequestEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -17,15 +17,15 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// What crosses a watch of the list: the discovery here is the test itself, a step at a time.
+// Tests of a watch against a discovery that the test plays step by step.
 
-// shortTimes are times of calls that make a silence short to wait for, and nothing else short.
+// shortTimes are time limits with which calls time out quickly. The dial has time enough.
 var shortTimes = callTimes{
 	dial: 10 * time.Second, fetch: 100 * time.Millisecond, wait: 100 * time.Millisecond, spread: time.Nanosecond,
 	overdue: 50 * time.Millisecond, check: 100 * time.Millisecond, body: 100 * time.Millisecond,
 }
 
-// startTestWatch returns an engine that has begun to watch at a door, with version 7 known, and its first call there.
+// startTestWatch returns an engine that knows version 7 and has started to watch, the listener of its discovery, and the first call.
 func startTestWatch(t *testing.T, times callTimes) (*Engine, *scripted.Listener, *scripted.Peer) {
 	t.Helper()
 	discovery := scripted.Listen(t)
@@ -44,7 +44,7 @@
 	return e, discovery, first
 }
 
-// handleNext handles the next event of a watch.
+// handleNext handles the next event of an engine.
 func handleNext(t *testing.T, e *Engine) {
 	t.Helper()
 	select {
@@ -59,8 +59,8 @@
 	{"name":"s", "address":"127.0.0.1:1", "zone":"z", "type":"k", "group":1, "status":"DRAINING", "weight":1.0, "since_ms":0}
 ]}`
 
-// Guards against requests to endpoints that drain: what a watch missed as it fell silent, broke or stood still counts as
-// told soon after, so a fresh call asks for it at once, on a connection of its own, and hardly waits.
+// Guards against requests to draining endpoints: what a watch missed when it timed out, broke or stopped halfway counts as delivered
+// soon after. So a check call asks for it at once, on a new connection, and hardly waits.
 func TestCheckCallFollowsALostWatch(t *testing.T) {
 	half := scripted.OK(drainingList)
 	for name, lose := range map[string]func(*scripted.Peer){
@@ -78,7 +78,7 @@
 			check := discovery.Accept()
 			want := "after=7&wait_ms=1"
 			if name == "an earlier version" {
-				want = "" // the whole list: versions have begun anew
+				want = "" // the full list: the versions have started anew
 			}
 			if requested := check.ReadRequest().URL.RawQuery; requested != want {
 				t.Errorf("asked %q, want %q", requested, want)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Guards against a fresh call that is given up because its connection does not come up: there is one more.
+// Guards against a check call that is given up because its connection does not come up: it is made once more.
 func TestCheckCallIsRepeatedAfterAFailedDial(t *testing.T) {
 	discovery := scripted.Listen(t)
 	e := newTestEngine(t)
@@ -109,7 +109,7 @@
 	}()
 	e.startWatch()
 	first := discovery.Accept()
-	first.ReadRequest() // it stands: a reset before that is a dial that fails
+	first.ReadRequest() // the connection is established: a reset before that would be a failed dial
 	first.Reset()
 	check := discovery.Accept()
 	check.ReadRequest()
@@ -120,13 +120,13 @@
 	}
 }
 
-// refusingEnv is a world in which some connections are refused.
+// refusingEnv is an environment in which some dials are refused.
 type refusingEnv struct {
 	env.Real
 	refuse func() bool
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (d refusingEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if d.refuse() {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
@@ -134,8 +134,8 @@
 	return d.Real.Dial(ctx, address, timeout)
 }
 
-// Guards against calls without end at a discovery that says nothing, or has too many callers: after two fresh calls
-// the module says when to go on. What is answered with a fault, or by nobody, is not asked for at once.
+// Guards against endless calls at a discovery that does not answer or has too many callers: after two check calls the module decides
+// when to go on. A call that got an invalid answer or a refusal is not repeated at once.
 func TestCheckCallsAreLimited(t *testing.T) {
 	e, discovery, _ := startTestWatch(t, shortTimes)
 	for range maxChecks {
@@ -157,8 +157,8 @@
 	}
 }
 
-// Guards against a list that is put in force by half: whatever is wrong with an answer, the one before stays whole, and one
-// line of the log says why.
+// Guards against a list that is applied in part: whatever is wrong with an answer, the previous list stays as it was, and one log line
+// says why.
 func TestInvalidListKeepsThePreviousOne(t *testing.T) {
 	line := func(with string) string {
 		return scripted.OK(`{"index":8,"snapshot":true,"endpoints":[{"name":"new","address":"127.0.0.1:2","status":"SERVING"},{` + with + `}]}`)
@@ -203,8 +203,8 @@
 	}
 }
 
-// Guards against figures that add up to news that come too late: the second fresh call's answer is there, or is given
-// up, before the grace has passed after what was missed counts as told.
+// Guards against time limits that add up to a late change: the second check call must be answered, or given up, before the grace is
+// over that starts when the missed change counts as delivered.
 func TestCheckCallsEndInTime(t *testing.T) {
 	const delivery, slack = 2 * time.Second, 50 * time.Millisecond // protocol: Figures, The rules on sockets
 	for _, grace := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, time.Second, 2 * time.Second} {
@@ -215,8 +215,8 @@
 	}
 }
 
-// Guards against a reload that is lost while the former discovery's call is out and silent: the new one is asked for
-// the whole list at once, and what the old one says then is nothing.
+// Guards against a reload that has no effect while a call to the former discovery is in progress: the new discovery must be asked for
+// the full list at once, and the former one's answer must be ignored.
 func TestMoveToAnotherDiscoveryDuringACall(t *testing.T) {
 	e, _, first := startTestWatch(t, shortTimes)
 	second := scripted.Listen(t)
@@ -237,8 +237,8 @@
 	}
 }
 
-// Guards against a sidecar that is told by pushes and calls nobody for long: what discovery has at its return counts as
-// told at once.
+// Guards against a sidecar with pushed lists that does not call discovery for long after an outage: what discovery has when it returns
+// counts as delivered at once.
 func TestBackoffForPushedListsIsShort(t *testing.T) {
 	e := newTestEngine(t)
 	e.watch = newWatch(scripted.FreeAddress(t), newCallTimes(1, time.Second))
@@ -255,24 +255,25 @@
 	}
 }
 
-// frozenEnv is a world in which timers never fire, and nothing else runs; what timers were set for is noted, by chance at its
-// most, and what was to run is counted.
+// frozenEnv is an environment in which timers never fire and no goroutine runs. It records the times of timers, with random
+// durations at their maximum, and counts the goroutines.
 type frozenEnv struct {
 	env.Real
 	timers     []time.Duration
 	goroutines int
 }
 
-// Go is env.Env's.
+// Go implements env.Env.
 func (w *frozenEnv) Go(string, func()) { w.goroutines++ }
 
-// AfterFunc is env.Env's.
+// AfterFunc implements env.Env.
 func (w *frozenEnv) AfterFunc(d time.Duration, _ func()) { w.timers = append(w.timers, d) }
 
-// RandomDuration is env.Env's.
+// RandomDuration implements env.Env.
 func (w *frozenEnv) RandomDuration(most time.Duration) time.Duration { return most }
 
-// Guards against a large fleet with pushed lists that keeps its discovery overrun: refused calls are made again later.
+// Guards against a large fleet with pushed lists that keeps its discovery overloaded: the larger the fleet, the later a refused call is
+// repeated.
 func TestRetryDelayAfterARefusalGrowsWithTheFleet(t *testing.T) {
 	least, spread := decide.ListRetryDelay(0, 376, true)
 	for _, c := range []struct {
@@ -289,8 +290,8 @@
 	}
 }
 
-// Guards against a large fleet that overruns another discovery to which it is led, and against the first call being late where
-// nothing calls for that: a small fleet, and pushed lists, whose news bind soon.
+// Guards against a large fleet that overloads another discovery to which it moves, and against a first call that is late without
+// need: in a small fleet, or with pushed lists, whose changes count as delivered soon.
 func TestFirstCallsToAnotherDiscoveryAreSpread(t *testing.T) {
 	for _, c := range []struct {
 		peers  int
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,8 +22,8 @@
 	return list
 }
 
-// Sidecars order endpoints by id, each beginning elsewhere: the ids must not
-// depend on the order in which one has heard of them.
+// The ids of endpoints must not depend on the order in which a sidecar learns of them: sidecars order endpoints by id, each from
+// another starting point.
 func TestEndpointIDsDoNotDependOnListOrder(t *testing.T) {
 	one, other := NewEndpoints(), NewEndpoints()
 	one.Update(fullList("a", "b", "c"), 0)
@@ -58,8 +58,8 @@
 	}
 }
 
-// Where only draining binds, an endpoint that is told gone has to stay within reach of what is sent to it, and to end
-// some time: nothing else would end its entry.
+// Where only draining binds, an endpoint that was reported gone must stay known while requests are sent to it, and must be removed after
+// goneRetention, since nothing else would remove its entry.
 func TestGoneEndpointStaysKnownWhereRemovalDoesNotBind(t *testing.T) {
 	table := NewEndpoints()
 	table.KeepGone()
@@ -101,7 +101,7 @@
 	return link, other
 }
 
-// newTestPool returns a pool and a count of why its connections ended.
+// newTestPool returns a pool and the counts of why its connections ended.
 func newTestPool(limit int) (*Pool, map[httpwire.Reason]int) {
 	reasons := map[httpwire.Reason]int{}
 	return NewPool(limit, time.Second, func(_ *Endpoint, _ *httpwire.Link, r httpwire.Reason) { reasons[r]++ }), reasons
@@ -125,8 +125,7 @@
 	}
 }
 
-// Guards against a connection that is used again before what comes behind its answer
-// can be seen.
+// Guards against a connection that is used again before extra bytes behind its answer can be noticed.
 func TestPoolPrefersConnectionsPastReuseDelay(t *testing.T) {
 	pool, _ := newTestPool(2)
 	e := &Endpoint{Listed: true}
@@ -144,8 +143,8 @@
 	}
 }
 
-// Guards against a request that is written to a connection which its endpoint
-// has ended or is about to end: it would count as one that may have run.
+// Guards against a request that is written to a connection which its endpoint has closed or is about to close: it would count as one
+// that may have run.
 func TestPoolSkipsEndedConnections(t *testing.T) {
 	pool, reasons := newTestPool(4)
 	e := &Endpoint{Listed: true}
@@ -174,7 +173,7 @@
 	}
 }
 
-// Guards against descriptors that run out.
+// Guards against running out of file descriptors.
 func TestPoolKeepsItsLimit(t *testing.T) {
 	pool, reasons := newTestPool(1)
 	a, b := &Endpoint{Listed: true}, &Endpoint{Listed: true}
@@ -204,7 +203,7 @@
 	for i, a := range attempts {
 		if i%3 == 0 {
 			timeouts.Remove(a)
-			timeouts.Remove(a) // once more does no harm
+			timeouts.Remove(a) // a second removal has no effect
 		}
 	}
 	last, n := decide.Time(0), 0
@@ -224,7 +223,7 @@
 	}
 }
 
-// A request has one final answer and is kept until its attempts have ended.
+// A request has one final answer and is kept until its attempts are settled.
 func TestRequestIsKeptUntilItsAttemptsAreSettled(t *testing.T) {
 	table := NewRequests()
 	r := table.Add(&httpwire.Request{}, 10, nil)
@@ -243,7 +242,7 @@
 	}
 }
 
-// Starts of endpoints are told since the epoch, long before this process's.
+// Module time counts from the Unix epoch, as the reported starts of endpoints do, and not from the start of the process.
 func TestClockCountsFromTheEpoch(t *testing.T) {
 	c := NewClock(env.Real{})
 	now := c.Now()
