--- a/internal/pipeline/beforewrite_test.go
+++ b/internal/pipeline/beforewrite_test.go
@@ -591,7 +591,7 @@
 					}
 					for s.Snapshot().Left != 1 {
 						if s.env.writes(s.listeners[1].Address) > 0 {
-							t.Fatal("an attempt has begun for nobody")
+							t.Fatal("an attempt was written after its caller disconnected")
 						}
 						time.Sleep(time.Millisecond)
 					}
@@ -603,7 +603,7 @@
 						close(s.env.allowWatch)
 					}
 					if text := s.receivedBy(1); text != "" {
-						t.Errorf("written for nobody: %q", text)
+						t.Errorf("written after its caller disconnected: %q", text)
 					}
 				})
 			}
--- a/internal/pipeline/delivery_test.go
+++ b/internal/pipeline/delivery_test.go
@@ -228,11 +228,11 @@
 			d.mu.Lock()
 			took = at.Sub(d.availableSince)
 			if d.callsSeen < d.failingCalls {
-				t.Errorf("in force after %d calls, of which %d were to be lost", d.callsSeen, d.failingCalls)
+				t.Errorf("the change was applied after %d calls, although %d had to fail", d.callsSeen, d.failingCalls)
 			}
 			d.mu.Unlock()
 		case <-time.After(5 * time.Minute):
-			t.Error("it is never in force")
+			t.Error("the change was never applied")
 		}
 		stop()
 		<-e.stopped
@@ -288,9 +288,9 @@
 					}
 				}
 			}
-			t.Logf("%-40s asks %-5v %5d ms, behind %d lost calls", c.name, polls, longest.Milliseconds(), worst)
+			t.Logf("%-40s polls %-5v %5d ms, after %d failed calls", c.name, polls, longest.Milliseconds(), worst)
 			if longest > protocol-margin {
-				t.Errorf("%s, asks %v: in force %v after it could be had, behind %d lost calls", c.name, polls, longest, worst)
+				t.Errorf("%s, polls %v: applied %v after it could be had, after %d failed calls", c.name, polls, longest, worst)
 			}
 		}
 	}
@@ -307,9 +307,9 @@
 			3 * time.Second: overdueTime + 5600*time.Millisecond,
 		} {
 			took := (&failingDiscovery{failure: noAnswer, failingCalls: 1, queueTime: turn}).deliveryTime(t, true, polls, false, 1)
-			t.Logf("asks %v, turn %v: in force %d ms behind the wait", polls, turn, (took - wait).Milliseconds())
+			t.Logf("polls %v, queue time %v: applied %d ms after the wait", polls, turn, (took - wait).Milliseconds())
 			if took-wait > limit {
-				t.Errorf("asks %v, turn %v: in force %v behind the wait, %v at most", polls, turn, took-wait, limit)
+				t.Errorf("polls %v, queue time %v: applied %v after the wait, want %v at most", polls, turn, took-wait, limit)
 			}
 		}
 	}
@@ -326,7 +326,7 @@
 		begun := time.Now()
 		go e.Run(ctx)
 		if took := (<-module.applied).Sub(begun); took != turn {
-			t.Errorf("in force after %v, want %v", took, turn)
+			t.Errorf("applied after %v, want %v", took, turn)
 		}
 		time.Sleep(fetchTimeout) // if the other fetch had gone on, it would have been answered by now
 		s := e.Snapshot()
@@ -523,18 +523,18 @@
 						break
 					}
 					if time.Since(last) > limit {
-						t.Fatal("a sidecar is never told")
+						t.Fatal("a sidecar never got the last list")
 					}
 					time.Sleep(10 * time.Millisecond)
 				}
 				slowest = max(slowest, time.Since(last))
 			}
 			c.mu.Lock()
-			t.Logf("asks %v: %d calls in all, %d while it was away, %d refused; all told %v after the last change; busiest second %d",
+			t.Logf("polls %v: %d calls in all, %d during the outage, %d refused; all had the list %v after the last change; busiest second %d",
 				polls, c.calls, down, c.refusals, slowest, maxCount(c.bySecond))
 			c.mu.Unlock()
 			if most := int(sidecars * outage / minCallInterval); down > most {
-				t.Errorf("asks %v: %d calls while it was away, %d at most", polls, down, most)
+				t.Errorf("polls %v: %d calls during the outage, want %d at most", polls, down, most)
 			}
 			stop()
 			for _, e := range engines {
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -55,6 +55,7 @@
 // MoveDiscovery switches to the list of another discovery.
 func (e *Engine) MoveDiscovery(address string) { e.post(discoveryMoved{address}) }
 
+// discoveryMoved is the event that a reload has named the discovery at an address.
 type discoveryMoved struct{ address string }
 
 // handle ends the running watch and fetches the full list from the new discovery, since each discovery numbers its versions
@@ -82,7 +83,7 @@
 func (e *Engine) startList() {
 	known, from := e.conf.KnownList, e.watch.address
 	if e.handover != nil {
-		known, from = e.handover.startList(known, from), e.handover.From
+		known, from = e.handover.initialList(known, from), e.handover.From
 	}
 	if known != nil {
 		if from == e.watch.address {
@@ -105,15 +106,15 @@
 	e.markListStale(now, now+deliveryWhenPolled) // a list from before the start may be outdated
 }
 
-// startList returns the list with which a successor starts. That is the predecessor's list or, if it came from another
+// initialList returns the list with which a successor starts. That is the predecessor's list or, if it came from another
 // discovery, the successor's own list, updated with what the predecessor knows of the same endpoints. This guards against the
 // list of another installation, and against drains that are forgotten because discovery has moved.
-func (l *Handover) startList(own *httpwire.List, address string) *httpwire.List {
-	if l.From == address || l.From == "" || own == nil {
-		return &l.List
+func (h *Handover) initialList(own *httpwire.List, address string) *httpwire.List {
+	if h.From == address || h.From == "" || own == nil {
+		return &h.List
 	}
-	predecessors := make(map[string]httpwire.ListedEndpoint, len(l.List.Endpoints))
-	for _, entry := range l.List.Endpoints {
+	predecessors := make(map[string]httpwire.ListedEndpoint, len(h.List.Endpoints))
+	for _, entry := range h.List.Endpoints {
 		predecessors[entry.Name] = entry
 	}
 	merged := *own
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -91,7 +91,7 @@
 	listReceived{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
 	listCallFailed{watch: former}.handle(e)
 	if e.endpoints.Len() != 0 || e.counters.ListFailures != 0 || !e.watch.running {
-		t.Errorf("%d endpoints, %d failures, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
+		t.Errorf("%d endpoints, %d failed calls, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
 	}
 	next := e.watch
 	discoveryMoved{next.address}.handle(e)
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -26,7 +26,7 @@
 	eventQueueSize    = 1024        // events that may wait for the owner; beyond that their senders block
 	urgentQueueSize   = 8           // the same for calls of operators
 	sweepInterval     = time.Second // interval at which idle connections are checked
-	drainGraceDivisor = 2           // reports of drains may arrive late: by then only DrainGrace divided by this is taken as left of the grace
+	drainGraceDivisor = 2           // the report of a drain may come late: only this part of DrainGrace, a half, is taken to be left by then
 )
 
 // Decider decides what is done with each request. It is the decision module, or a policy that the lab compares with the module.
@@ -203,6 +203,7 @@
 // failure does not tell the caller whether the request ran, so it is true in either case.
 func (e *Engine) FailPending() { e.post(failPending{}) }
 
+// failPending is the event that fails all pending requests.
 type failPending struct{}
 
 func (failPending) handle(e *Engine) {
--- a/internal/pipeline/fleet_test.go
+++ b/internal/pipeline/fleet_test.go
@@ -234,7 +234,7 @@
 					defer stop()
 					first, left := waitAllCurrent(fleet, 2*limit)
 					if first > started+limit {
-						t.Errorf("all start together: heard after %v, want %v; not heard after each second: %v", first, started+limit, left)
+						t.Errorf("simultaneous start: all lists current after %v, want %v; stale ones after each second: %v", first, started+limit, left)
 					}
 					time.Sleep(settled)
 					d.setDown(true)
@@ -242,7 +242,7 @@
 					d.setDown(false)
 					took, left := waitAllCurrent(fleet, 2*limit)
 					if took > limit {
-						t.Errorf("behind an outage: heard after %v, want %v; not heard after each second: %v", took, limit, left)
+						t.Errorf("outage: all lists current after %v, want %v; stale ones after each second: %v", took, limit, left)
 					}
 					time.Sleep(settled)
 					for _, e := range fleet {
@@ -251,9 +251,9 @@
 					synctest.Wait()
 					moved, left := waitAllCurrent(fleet, 2*limit)
 					if moved > started+limit {
-						t.Errorf("behind a reload: heard after %v, want %v; not heard after each second: %v", moved, started+limit, left)
+						t.Errorf("reload: all lists current after %v, want %v; stale ones after each second: %v", moved, started+limit, left)
 					}
-					t.Logf("%d calls refused; heard %v behind the start, %v behind the outage, %v behind the reload",
+					t.Logf("%d calls refused; all lists current %v after the start, %v after the outage, %v after the reload",
 						d.refused, first, took, moved)
 				})
 			})
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -71,7 +71,7 @@
 		t.Run(name, func(t *testing.T) {
 			e, discovery, log := newSuccessor(t, c.left)
 			if requested := discovery.Accept().ReadRequest().URL.RawQuery; requested != c.query {
-				t.Errorf("asked %q, want %q", requested, c.query)
+				t.Errorf("query %q, want %q", requested, c.query)
 			}
 			var names []string
 			draining := false
@@ -80,7 +80,7 @@
 				draining = draining || line.State == decide.Draining
 			}
 			if !slices.Equal(names, c.endpoints) || draining != c.draining {
-				t.Errorf("begins with %q, draining %v; want %q, %v", names, draining, c.endpoints, c.draining)
+				t.Errorf("starts with endpoints %q, draining %v; want %q, %v", names, draining, c.endpoints, c.draining)
 			}
 			if got := len(e.endpoints.Banned()); got != c.banned {
 				t.Errorf("%d bans, want %d", got, c.banned)
--- a/internal/pipeline/listcall_test.go
+++ b/internal/pipeline/listcall_test.go
@@ -53,7 +53,7 @@
 		go e.Run(ctx)
 		<-module.applied
 		if stale := e.metrics.ListStaleMS.Load(); stale != 0 {
-			t.Errorf("%d ms unheard of behind an answer", stale)
+			t.Errorf("the list is stale for %d ms after an answer", stale)
 		}
 		output := string(e.metrics.Append(nil))
 		stop()
@@ -119,15 +119,15 @@
 			d.serving.Wait()
 			synctest.Wait() // the watch has written its last line
 			if w.ctx.Err() == nil {
-				t.Error("the watch goes on behind its engine")
+				t.Error("the watch goes on after its engine has stopped")
 			}
 			for _, l := range parseLog(t, log.Bytes()) {
 				if l.Call == 1 && l.End != want.String() {
-					t.Errorf("fate %d: the call ends as %q, want %q", failure, l.End, want)
+					t.Errorf("failure %d: the call ends as %q, want %q", failure, l.End, want)
 				}
 			}
 			if e.metrics.ListCalls[want].Load() == 0 {
-				t.Errorf("fate %d: no call counts as %v", failure, want)
+				t.Errorf("failure %d: no call counts as %v", failure, want)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 		}{{2 * sweepInterval, true}, {maxQueueTime + sweepInterval, false}, {deliveryWhenPolled + sweepInterval, false}} {
 			time.Sleep(c.at - 2*time.Millisecond)
 			if ms := e.metrics.ListStaleMS.Load(); (ms > 0) != c.stale {
-				t.Errorf("%v behind the start, or the last look: %d ms unheard of, want any: %v", c.at, ms, c.stale)
+				t.Errorf("%v after the start or the previous check: stale for %d ms, want stale: %v", c.at, ms, c.stale)
 			}
 		}
 		stop()
@@ -169,7 +169,7 @@
 	at := time.Since(n.began).Round(time.Millisecond)
 	switch ev.Kind {
 	case decide.ListMissed:
-		n.notes = append(n.notes, fmt.Sprintf("%v: missed since %v ago, told %v after that", at, now-ev.Since, ev.DeliveredBy-ev.Since))
+		n.notes = append(n.notes, fmt.Sprintf("%v: missed since %v ago, delivered %v after that", at, now-ev.Since, ev.DeliveredBy-ev.Since))
 	case decide.ListConfirmed:
 		n.notes = append(n.notes, fmt.Sprintf("%v: confirmed", at))
 	}
@@ -187,11 +187,11 @@
 		moves   bool
 		want    []string
 	}{
-		"asked for, nothing is newer": {true, newestVersion, noAnswer, false, []string{"0s: missed since 0s ago, told 6s after that", "3.238s: confirmed"}},
-		"asked for, refused at first": {true, oldVersion, refusedAfter2s, false, []string{"0s: missed since 0s ago, told 6s after that"}},
+		"asked for, nothing is newer": {true, newestVersion, noAnswer, false, []string{"0s: missed since 0s ago, delivered 6s after that", "3.238s: confirmed"}},
+		"asked for, refused at first": {true, oldVersion, refusedAfter2s, false, []string{"0s: missed since 0s ago, delivered 6s after that"}},
 		"pushed, nothing is newer":    {false, newestVersion, noAnswer, false, nil},
-		"pushed, refused at first":    {false, oldVersion, refusedAfter2s, false, []string{"2s: missed since 2s ago, told 0s after that"}},
-		"another discovery":           {false, newestVersion, noAnswer, true, []string{"5s: missed since 0s ago, told 4s after that"}},
+		"pushed, refused at first":    {false, oldVersion, refusedAfter2s, false, []string{"2s: missed since 2s ago, delivered 0s after that"}},
+		"another discovery":           {false, newestVersion, noAnswer, true, []string{"5s: missed since 0s ago, delivered 4s after that"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -111,6 +111,7 @@
 	}
 }
 
+// handoverRequest is the event that requests the state for a successor.
 type handoverRequest struct{ reply chan Handover }
 
 func (r handoverRequest) handle(e *Engine) {
@@ -168,6 +169,7 @@
 // SetConnShare limits the connections to endpoints to one of so many parts of the usual limit, while two processes share it.
 func (e *Engine) SetConnShare(parts int) { e.post(connShare{parts}) }
 
+// connShare is the event that limits the connections to endpoints to one of so many parts.
 type connShare struct{ parts int }
 
 func (s connShare) handle(e *Engine) { e.pool.SetLimit(e.conf.EndpointConns / s.parts) }
--- a/internal/pipeline/record.go
+++ b/internal/pipeline/record.go
@@ -8,18 +8,18 @@
 
 // Record: the outcome of an attempt is recorded and the module is notified of it.
 
-func (x exchangeEnded) handle(e *Engine) {
-	endpoint := x.attempt.Endpoint
-	if x.link != nil && x.endReason == "" {
-		e.pool.Put(endpoint, x.link, e.clock.Now())
+func (ended exchangeEnded) handle(e *Engine) {
+	endpoint := ended.attempt.Endpoint
+	if ended.link != nil && ended.endReason == "" {
+		e.pool.Put(endpoint, ended.link, e.clock.Now())
 	} else {
-		e.pool.Drop(endpoint, x.link, x.endReason)
+		e.pool.Drop(endpoint, ended.link, ended.endReason)
 	}
-	x.attempt.GiveUp() // releases the resources of its context
-	if r := x.attempt.Request; x.reply != nil && (r.Done || x.attempt.Settled || x.outcome != decide.Served) {
-		e.answerMemory.Release(x.reply.Reserved) // its body is not passed to a caller
+	ended.attempt.GiveUp() // releases the resources of its context
+	if r := ended.attempt.Request; ended.reply != nil && (r.Done || ended.attempt.Settled || ended.outcome != decide.Served) {
+		e.answerMemory.Release(ended.reply.Reserved) // its body is not passed to a caller
 	}
-	e.settle(x.attempt, x.outcome, x.reply)
+	e.settle(ended.attempt, ended.outcome, ended.reply)
 }
 
 // settle records the outcome of an attempt, unless it has one already, and notifies the module. The first attempt that is
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -33,11 +33,11 @@
 }
 
 // callerDisconnected is the event that the caller of a request has disconnected.
-type callerDisconnected struct{ in *arrival }
+type callerDisconnected struct{ arrival *arrival }
 
 func (c callerDisconnected) handle(e *Engine) {
-	if c.in.request != nil {
-		e.abandon(c.in.request)
+	if c.arrival.request != nil {
+		e.abandon(c.arrival.request)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	e.streams[b.reply.Stream] = struct{}{}
 	b.reply.Stream.Class = a.Request.Message.Class
-	b.reply.Stream.OnEnd(func(how httpwire.AnswerEnd) { e.post(streamEnded{b, how}) })
+	b.reply.Stream.OnEnd(func(end httpwire.AnswerEnd) { e.post(streamEnded{b, end}) })
 	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 	e.settle(a, decide.Served, b.reply)
 	if e.handOverFunc != nil {
@@ -117,6 +117,7 @@
 	e.post(handOverStreams{handOverFunc})
 }
 
+// handOverStreams is the event that hands streamed answers over to another process.
 type handOverStreams struct{ handOverFunc httpwire.HandOverFunc }
 
 func (h handOverStreams) handle(e *Engine) {
--- a/internal/pipeline/requestlog_test.go
+++ b/internal/pipeline/requestlog_test.go
@@ -67,6 +67,6 @@
 		}
 	}
 	if written != 3*maxRequestLinesPerSecond || suppressed+budget.suppressed+written != 3000 {
-		t.Errorf("%d lines and %d that tell of others, of 3000 in 3 s", written, suppressed+budget.suppressed)
+		t.Errorf("%d lines written and %d suppressed, of 3000 in 3 s", written, suppressed+budget.suppressed)
 	}
 }
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -98,7 +98,7 @@
 		{func() { banByCluster("e") }, []decide.EventKind{decide.SettingsChanged, decide.Banned, due}},
 		{func() {
 			if err := banByHand(false); err == nil || !strings.Contains(err.Error(), "propose one without") {
-				t.Errorf("the crew's ban was lifted by hand: %v", err)
+				t.Errorf("a ban of the cluster was ended by hand: %v", err)
 			}
 		}, nil},
 		{func() { banByCluster() }, []decide.EventKind{decide.SettingsChanged, decide.Unbanned, due}},
@@ -133,18 +133,18 @@
 	e.applyList(list(true, "a", "b"), decide.ListReplaced) // the first list of a process is applied in full
 	e.applyList(list(false, "c"), decide.ListChanged)
 	if got := names(); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("cut off: %v", got)
+		t.Errorf("while cautious: %v", got)
 	}
 	setCautious(false)
 	e.notifyModule(decide.Event{Kind: decide.TimerDue})
 	if got := names(); !slices.Equal(got, []string{"a", "b", "c"}) {
-		t.Errorf("whole again: %v", got)
+		t.Errorf("no longer cautious: %v", got)
 	}
 	setCautious(true)
 	e.applyList(list(false, "d"), decide.ListChanged)
 	setCautious(false)
 	e.applyList(list(true, "a"), decide.ListReplaced) // d has left the list meanwhile
 	if got := names(); !slices.Equal(got, []string{"a"}) || len(e.withheld) != 0 {
-		t.Errorf("a whole list: %v, %v withheld", got, e.withheld)
+		t.Errorf("after a full list: %v, %v withheld", got, e.withheld)
 	}
 }
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -39,7 +39,7 @@
 		a.GiveUp = func() {}
 		e.timeouts.Add(a)
 		if written && !a.Write() {
-			t.Fatal("it may be written and is not")
+			t.Fatal("the attempt can't be written")
 		}
 		e.runDue()
 		if e.counters.Outcomes[outcome] != 1 || written == a.PreventWrite() {
@@ -74,7 +74,7 @@
 		t.Errorf("outcomes %v, want one that was not sent", e.counters.Outcomes)
 	}
 	if l, _ := e.pool.Take(to, e.clock.Now()+time.Second); l == nil {
-		t.Error("the connection carried nothing and could be used")
+		t.Error("the unused connection was not returned to the pool")
 	} else {
 		l.Close()
 	}
--- a/internal/pipeline/watch_test.go
+++ b/internal/pipeline/watch_test.go
@@ -39,7 +39,7 @@
 	e.startWatch()
 	first := discovery.Accept()
 	if requested := first.ReadRequest().URL.RawQuery; !strings.HasPrefix(requested, "after=7&") {
-		t.Fatalf("asked %q", requested)
+		t.Fatalf("query %q", requested)
 	}
 	return e, discovery, first
 }
@@ -51,7 +51,7 @@
 	case ev := <-e.events:
 		ev.handle(e)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the watch tells nothing")
+		t.Fatal("no event came within 10 s")
 	}
 }
 
@@ -81,7 +81,7 @@
 				want = "" // the full list: the versions have started anew
 			}
 			if requested := check.ReadRequest().URL.RawQuery; requested != want {
-				t.Errorf("asked %q, want %q", requested, want)
+				t.Errorf("query %q, want %q", requested, want)
 			}
 			check.Send(scripted.OK(drainingList))
 			handleNext(t, e)
@@ -89,7 +89,7 @@
 				t.Errorf("%d lists, %d failures, version %d", e.counters.Lists, e.counters.ListFailures, e.listVersion)
 			}
 			if requested := check.ReadRequest().URL.RawQuery; requested != "after=8&wait_ms=100" {
-				t.Errorf("after it came %q, want the watch to go on", requested)
+				t.Errorf("the next query is %q, want the watch to go on", requested)
 			}
 		})
 	}
@@ -190,14 +190,14 @@
 			first.Send(answer)
 			handleNext(t, e)
 			if now := e.endpoints.List(); !reflect.DeepEqual(now, before) || e.counters.Lists != 0 || e.counters.ListFailures != 1 {
-				t.Errorf("%+v in force, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFailures)
+				t.Errorf("%+v applied, want %+v; %d lists, %d failures", now, before, e.counters.Lists, e.counters.ListFailures)
 			}
 			if lines := strings.Count(log.String(), "\n"); lines != 1 || !strings.Contains(log.String(), `"level":"warn"`) ||
 				!strings.Contains(log.String(), `"reason":"broken"`) || !strings.Contains(log.String(), `"error":"answer: `) {
 				t.Errorf("the log has %d lines: %s", lines, &log)
 			}
 			if e.watch.hasList != true || e.watch.version != 7 || discovery.HasPending() {
-				t.Errorf("version %d is asked for next, known %v; called again at once: %v", e.watch.version, e.watch.hasList, discovery.HasPending())
+				t.Errorf("version %d is requested next, list known %v; called again at once: %v", e.watch.version, e.watch.hasList, discovery.HasPending())
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 	for _, grace := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, time.Second, 2 * time.Second} {
 		times := newCallTimes(1, grace)
 		if last := times.overdue + maxChecks*(checkSpread+times.check); last > delivery+grace+slack {
-			t.Errorf("news may come %v after the wait, and %v are left", last, delivery+grace+slack)
+			t.Errorf("a change may come %v after the wait, and must come within %v", last, delivery+grace+slack)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 	discoveryMoved{second.Address}.handle(e)
 	call := second.Accept()
 	if requested := call.ReadRequest().URL.RawQuery; requested != "" {
-		t.Errorf("asked %q, want the whole list", requested)
+		t.Errorf("query %q, want the whole list", requested)
 	}
 	if text, err := first.ReadToEnd(); text != "" || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("the former call goes on: %q, %v", text, err)
@@ -303,12 +303,12 @@
 		discoveryMoved{"another"}.handle(e)
 		switch {
 		case c.spread == 0 && (environment.goroutines != 1 || len(environment.timers) != 0):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want a watch at once", c.peers, c.polls, environment.goroutines, environment.timers)
+			t.Errorf("%d instances, polls %v: %d watches begun, timers %v, want a watch at once", c.peers, c.polls, environment.goroutines, environment.timers)
 		case c.spread > 0 && (environment.goroutines != 0 || len(environment.timers) != 1 || environment.timers[0] != c.spread):
-			t.Errorf("%d instances, asks %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.polls, environment.goroutines, environment.timers, c.spread)
+			t.Errorf("%d instances, polls %v: %d watches begun, timers %v, want one timer of %v", c.peers, c.polls, environment.goroutines, environment.timers, c.spread)
 		}
 	}
 	if got := decide.MoveSpread(376); got <= 0 {
-		t.Errorf("376 instances call another discovery within %v: the test shows nothing", got)
+		t.Errorf("the first calls of 376 instances are not spread (%v), so this test checks nothing", got)
 	}
 }
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -28,6 +28,7 @@
 		errors.Is(err, io.ErrUnexpectedEOF) || errors.As(err, &broken)
 }
 
+// linkEndReason returns why the connection of a failed call is closed.
 func linkEndReason(err error) httpwire.Reason {
 	if errors.Is(err, errNoAnswerInTime) {
 		return httpwire.ReasonSilent
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -154,6 +154,7 @@
 	return changes, stale
 }
 
+// toModule returns an entry of the list in the form that the decision module takes.
 func toModule(id decide.EndpointID, entry *httpwire.ListedEndpoint) decide.Endpoint {
 	return decide.Endpoint{
 		ID: id, Zone: entry.Zone, Cell: entry.Cell, State: entry.State, Weight: entry.Weight, Started: entry.Since,
@@ -184,6 +185,7 @@
 	return id
 }
 
+// reservedByBan reports whether a banned endpoint has the id.
 func (t *Endpoints) reservedByBan(id decide.EndpointID) bool {
 	for _, reserved := range t.banned {
 		if reserved == id {
@@ -252,6 +254,7 @@
 	return id, nil
 }
 
+// remove removes an endpoint from the registry; its ban, if any, stays.
 func (t *Endpoints) remove(e *Endpoint) {
 	e.Listed = false
 	delete(t.byName, e.Name)
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -142,6 +142,7 @@
 	return true
 }
 
+// untrackIfEmpty stops tracking an endpoint that has no idle connection.
 func (p *Pool) untrackIfEmpty(e *Endpoint) {
 	if len(e.idle) == 0 {
 		delete(p.withIdle, e)
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -31,7 +31,7 @@
 	other.Update(fullList("b", "a", "c"), 0)
 	for _, name := range []string{"a", "b", "c"} {
 		if x, y := one.byName[name].ID, other.byName[name].ID; x != y {
-			t.Errorf("%s: %d at one, %d at the other", name, x, y)
+			t.Errorf("endpoint %s: id %d in one sidecar, %d in the other", name, x, y)
 		}
 	}
 }
@@ -45,13 +45,13 @@
 	gone.State, unknown.State = decide.Gone, decide.Gone
 	lines, stale := table.Update(&httpwire.List{Endpoints: []httpwire.ListedEndpoint{again, gone, unknown}}, 0)
 	if len(lines) != 2 || lines[0].Started != time.Second || lines[1].State != decide.Gone {
-		t.Errorf("lines: %+v", lines)
+		t.Errorf("changes: %+v", lines)
 	}
 	if len(stale) != 2 || stale[0] != a || stale[1] != b || b.Listed || table.Get(b.ID) != nil {
 		t.Errorf("stale: %+v", stale)
 	}
 	if _, stale = table.Update(fullList("a", "d"), 0); len(stale) == 0 || stale[0] != a && stale[0] != c {
-		t.Errorf("what a whole list leaves out is not stale: %+v", stale)
+		t.Errorf("endpoints missing in a full list are not reported as stale: %+v", stale)
 	}
 	if table.Len() != 2 || c.Listed {
 		t.Errorf("%d endpoints are known, want 2", table.Len())
@@ -73,10 +73,10 @@
 		t.Errorf("stale %v; %d listed", stale, table.Len())
 	}
 	if _, stale = table.Update(fullList("c"), time.Second+goneRetention); len(stale) != 1 || stale[0] != a || table.Get(a.ID) != nil || c != table.Get(c.ID) {
-		t.Errorf("%v ended after %v", stale, goneRetention)
+		t.Errorf("endpoints reported as stale: %v after %v, want endpoint a alone", stale, goneRetention)
 	}
 	if len(table.goneSince) != 0 {
-		t.Errorf("absent ones stay: %v", table.goneSince)
+		t.Errorf("entries of gone endpoints were not removed: %v", table.goneSince)
 	}
 }
 
@@ -121,7 +121,7 @@
 	pool.Put(e, links[0], 1)
 	pool.Put(e, links[1], 2)
 	if l, _ := pool.Take(e, 2+reuseDelay); l != links[1] {
-		t.Error("not the one used last")
+		t.Error("did not take the connection that was used last")
 	}
 }
 
@@ -136,10 +136,10 @@
 	pool.Put(e, rested, 1)
 	pool.Put(e, fresh, 1+reuseDelay)
 	if l, _ := pool.Take(e, 1+reuseDelay); l != rested {
-		t.Error("not the one at rest")
+		t.Error("did not take the connection past reuseDelay")
 	}
 	if l, ok := pool.Take(e, 1+reuseDelay); l != fresh || !ok {
-		t.Error("where no other stands idle, the one that has not rested is not used")
+		t.Error("did not reuse a recent connection although no other was idle")
 	}
 }
 
@@ -154,7 +154,7 @@
 	other.Close()
 	for end := time.Now().Add(10 * time.Second); ended.Usable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the end of the connection is not seen")
+			t.Fatal("the connection still counts as usable after its endpoint closed it")
 		}
 	}
 	if l, ok := pool.Take(e, 1+reuseDelay); l != nil || !ok || reasons[httpwire.ReasonPeerClosed] != 1 {
@@ -163,13 +163,13 @@
 	old, _ := connectedPair(t)
 	pool.Put(e, old, 2)
 	if l, _ := pool.Take(e, 2+time.Second); l != nil || reasons[httpwire.ReasonIdle] != 1 {
-		t.Errorf("one that stood idle for too long was used: %v, ended %v", l, reasons)
+		t.Errorf("a connection that was idle for too long was used: %v; ends by reason: %v", l, reasons)
 	}
 	swept, _ := connectedPair(t)
 	pool.Put(e, swept, 3)
 	pool.Sweep(3 + time.Second)
 	if reasons[httpwire.ReasonIdle] != 2 || pool.Open() != 0 || len(pool.withIdle) != 0 {
-		t.Errorf("swept: ended %v, %d open", reasons, pool.Open())
+		t.Errorf("after the sweep: ends by reason: %v, %d open", reasons, pool.Open())
 	}
 }
 
@@ -184,12 +184,12 @@
 	l, _ := connectedPair(t)
 	pool.Put(a, l, 1)
 	if _, ok := pool.Take(b, 1); !ok || reasons[httpwire.ReasonConnLimit] != 1 || pool.Open() != 1 {
-		t.Errorf("no room was made: %v, %d open", reasons, pool.Open())
+		t.Errorf("no idle connection was closed to make room; ends by reason: %v, %d open", reasons, pool.Open())
 	}
 	l, _ = connectedPair(t)
 	b.Listed = false
 	if pool.Put(b, l, 1); pool.Open() != 0 || reasons[httpwire.ReasonUnlisted] != 1 {
-		t.Errorf("a connection to one that has left is kept: %v", reasons)
+		t.Errorf("a connection to an endpoint that left the list was kept; ends by reason: %v", reasons)
 	}
 }
 
@@ -215,11 +215,11 @@
 		n++
 	}
 	if n != 13 || timeouts.Next() != 0 {
-		t.Errorf("%d came, want 13, and nothing is left (%v)", n, timeouts.Next())
+		t.Errorf("%d attempts timed out, want 13 and then none (next at %v)", n, timeouts.Next())
 	}
 	timeouts.Add(&Attempt{TimeoutAt: 50})
 	if timeouts.Due(49) != nil || timeouts.Next() != 50 {
-		t.Error("one came before its time")
+		t.Error("an attempt timed out before its time")
 	}
 }
 
@@ -229,16 +229,16 @@
 	r := table.Add(&httpwire.Request{}, 10, nil)
 	a := table.Begin(r, nil, 1, 10)
 	if !table.End(r) || table.End(r) || table.Pending() != 0 {
-		t.Error("a request ends once")
+		t.Error("a request did not end exactly once")
 	}
 	if table.Release(r); table.Get(r.ID) == nil {
-		t.Error("forgotten while an attempt is out")
+		t.Error("the request was released while an attempt was in flight")
 	}
 	if !table.Settle(a) || table.Settle(a) {
-		t.Error("an attempt has one outcome")
+		t.Error("an attempt was not settled exactly once")
 	}
 	if table.Release(r); table.Get(r.ID) != nil {
-		t.Error("kept after its end")
+		t.Error("the request was not released after its end")
 	}
 }
 
@@ -247,9 +247,9 @@
 	c := NewClock(env.Real{})
 	now := c.Now()
 	if off := time.Until(time.Unix(0, int64(now))); off > time.Second || off < -time.Second {
-		t.Errorf("off by %v", off)
+		t.Errorf("the clock is off by %v", off)
 	}
 	if at := c.Wall(now); at.Sub(c.started) < 0 || c.Now() < now {
-		t.Errorf("it goes back: %v", at)
+		t.Errorf("the clock went back: %v", at)
 	}
 }
