--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -28,7 +28,7 @@
 	return New(conf, env.Real{}, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, balancer)
 }
 
-// An attempt that times out while its connection is still being made has never run, so its caller may be told that it can
+// An attempt that times out while its connection is still being made has never run, so its caller may learn that it can
 // safely try again.
 func TestTimeoutBeforeConnecting(t *testing.T) {
 	for outcome, written := range map[decide.Outcome]bool{decide.ConnectFailed: false, decide.TimedOut: true} {
