--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -2,33 +2,33 @@
 
 import "fmt"
 
-// Audit checks that what the engine keeps adds up. It is for tests and simulations:
-// it reads the owner's state, which must stand still meanwhile.
+// Audit checks that the engine's state is consistent. It is for tests and simulations: it reads the state of the owner, which
+// must not be running meanwhile.
 func (e *Engine) Audit() error {
-	if most := e.conf.Transport.MaxPending; most > 0 && e.requests.Pending() > most {
-		return fmt.Errorf("%d requests are held, and %d may be", e.requests.Pending(), most)
+	if limit := e.conf.Transport.MaxPending; limit > 0 && e.requests.Pending() > limit {
+		return fmt.Errorf("%d requests are pending, and the limit is %d", e.requests.Pending(), limit)
 	}
 	if err := e.requests.Audit(); err != nil {
 		return err
 	}
-	out := 0
+	inFlight := 0
 	for _, r := range e.requests.All() {
 		for _, a := range r.Attempts {
 			if !a.Settled {
-				out++
+				inFlight++
 			}
 		}
 	}
-	if n := e.timeouts.Len(); n != out {
-		return fmt.Errorf("%d attempts are out, and %d wait for their time-outs", out, n)
+	if n := e.timeouts.Len(); n != inFlight {
+		return fmt.Errorf("%d attempts are in flight, and %d have a timeout set", inFlight, n)
 	}
-	if m, ok := e.balancer.(interface{ Audit() (int, error) }); ok {
-		theirs, err := m.Audit()
+	if module, ok := e.balancer.(interface{ Audit() (int, error) }); ok {
+		moduleCount, err := module.Audit()
 		if err != nil {
 			return fmt.Errorf("module: %w", err)
 		}
-		if theirs != out {
-			return fmt.Errorf("%d attempts are out, and the module counts %d", out, theirs)
+		if moduleCount != inFlight {
+			return fmt.Errorf("%d attempts are out, and the module counts %d", inFlight, moduleCount)
 		}
 	}
 	if err := e.pool.Audit(); err != nil {
@@ -37,10 +37,10 @@
 	c := e.snapshot()
 	ends := c.Served + c.Refused + c.Failed + c.Left
 	if ends+c.Pending != e.counters.Taken+c.HandedOver {
-		return fmt.Errorf("%d requests taken, %d ended, %d held", e.counters.Taken, ends, c.Pending)
+		return fmt.Errorf("%d requests accepted, %d ended, %d pending", e.counters.Taken, ends, c.Pending)
 	}
-	if left, all := e.room.Available(), e.conf.AnswerBytes; left < 0 || left > all {
-		return fmt.Errorf("room for answers: %d of %d left", left, all)
+	if available, total := e.answerMemory.Available(), e.conf.AnswerBytes; available < 0 || available > total {
+		return fmt.Errorf("memory budget for answers: %d of %d bytes available", available, total)
 	}
 	return nil
 }
--- a/internal/pipeline/discover_test.go
+++ b/internal/pipeline/discover_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// Guards against a discovery that is cut off and says nothing: a call must end,
-// so that the module hears of it and asks again.
+// Guards against a discovery that accepts a call and never answers: the call must time out, so that the module is notified and
+// retries.
 func TestSilentDiscovery(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,11 +24,11 @@
 	const short = 50 * time.Millisecond
 	for _, known := range []bool{false, true} {
 		var log strings.Builder
-		e := testEngine(t)
-		e.ends = zerolog.New(&log)
+		e := newTestEngine(t)
+		e.connLog = zerolog.New(&log)
 		e.watch = newWatch(listener.Addr().String(),
-			callTimes{dial: 10 * time.Second, fetch: short, wait: short, spread: short, overdue: short, fresh: short, rest: short})
-		e.watch.known = known
+			callTimes{dial: 10 * time.Second, fetch: short, wait: short, spread: short, overdue: short, check: short, body: short})
+		e.watch.hasList = known
 		go e.runWatch(e.watch)
 		(<-e.events).handle(e)
 		if e.counters.ListFailures != 1 || e.watch.link != nil || e.watch.running {
@@ -40,8 +40,7 @@
 	}
 }
 
-// Guards against a discovery that answers watches at once with nothing new: the
-// sidecar must not spend its core on that.
+// Guards against a discovery that answers watches at once without a change: the sidecar must not call it in a busy loop.
 func TestDiscoveryThatDoesNotWait(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -53,50 +52,50 @@
 		ctx.SetBodyString(`{"index":7,"snapshot":false,"endpoints":[]}`)
 	}}
 	go server.Serve(listener)
-	e := testEngine(t)
-	e.watch = newWatch(listener.Addr().String(), usualTimes(1, time.Second))
-	e.watch.known, e.watch.index = true, 7
+	e := newTestEngine(t)
+	e.watch = newWatch(listener.Addr().String(), newCallTimes(1, time.Second))
+	e.watch.hasList, e.watch.version = true, 7
 	begin := time.Now()
 	go e.runWatch(e.watch)
 	for range answers {
 		(<-e.events).handle(e)
 	}
-	if took := time.Since(begin); took < (answers-1)*stalePause || e.counters.Lists != answers {
+	if took := time.Since(begin); took < (answers-1)*noNewsPause || e.counters.Lists != answers {
 		t.Errorf("%d answers in %v", e.counters.Lists, took)
 	}
-	e.watch.end()
+	e.watch.cancel()
 	close(e.stopped)
 }
 
-// Guards against a sidecar that is blind for long behind one lost answer, and against
-// a discovery that many sidecars ask too often.
-func TestTimesOfAWatch(t *testing.T) {
+// Guards against a sidecar that gets no changes for long after one lost answer, and against many sidecars that call discovery too
+// often.
+func TestWatchWaitGrowsWithPeers(t *testing.T) {
 	for peers, want := range map[int]time.Duration{0: 4 * time.Second, 2: 4 * time.Second, 10: 10 * time.Second, 900: 16 * time.Second} {
-		if got := usualTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
+		if got := newCallTimes(peers, time.Second); got.wait != want || got.spread <= 0 || got.spread > want {
 			t.Errorf("%d peers: %+v, want to wait %v", peers, got, want)
 		}
 	}
 }
 
-// Guards against news of a discovery that was left behind: its versions and
-// failures mean nothing to the next, whose whole list replaces them.
-func TestNewsOfTheFormerDiscovery(t *testing.T) {
-	e := testEngine(t)
+// Guards against answers of a discovery that the sidecar has moved away from: its versions and failures mean nothing for the next
+// one, whose full list replaces them.
+func TestAnswersOfTheFormerDiscoveryAreIgnored(t *testing.T) {
+	e := newTestEngine(t)
 	former := e.watch
 	former.running = true
-	moved{scripted.FreeAddress(t)}.handle(e)
-	defer e.watch.end()
-	if former.ended.Err() == nil || !e.watch.running || e.watch.known {
-		t.Fatalf("former ended: %v, the next %+v", former.ended.Err(), e.watch)
+	discoveryMoved{scripted.FreeAddress(t)}.handle(e)
+	defer e.watch.cancel()
+	if former.ctx.Err() == nil || !e.watch.running || e.watch.hasList {
+		t.Fatalf("former ended: %v, the next %+v", former.ctx.Err(), e.watch)
 	}
-	listCame{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
-	listFailed{from: former}.handle(e)
+	listReceived{former, &httpwire.List{Endpoints: []httpwire.ListedEndpoint{{Name: "s"}}}}.handle(e)
+	listCallFailed{watch: former}.handle(e)
 	if e.endpoints.Len() != 0 || e.counters.ListFailures != 0 || !e.watch.running {
-		t.Errorf("%d endpoints, %d failures, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
+		t.Errorf("%d endpoints, %d failed calls, running %v", e.endpoints.Len(), e.counters.ListFailures, e.watch.running)
 	}
 	next := e.watch
-	moved{next.address}.handle(e)
-	if e.watch != next || next.ended.Err() != nil {
+	discoveryMoved{next.address}.handle(e)
+	if e.watch != next || next.ctx.Err() != nil {
 		t.Error("a reload that names the same discovery ended its watch")
 	}
 }
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -10,54 +10,54 @@
 	"heathgap/internal/metrics"
 )
 
-// Each call to discovery has a number and one log line that says what was asked and how it ended; the counts by end stand
-// in the figures. What discovery may have had to tell since the last answer is timed, and its going stale is logged.
+// Each call to discovery has a number and one log line that says what was requested and how the call ended. The metrics count
+// the calls by how they ended. The staleness of the list is measured, and logged when it begins to count.
 
-// listCallKind is what a call to discovery asks for.
+// listCallKind is what a call to discovery requests.
 type listCallKind string
 
-// The kinds of call, as the log names them.
+// The kinds of call. The texts are written to the log.
 const (
-	listFetch listCallKind = "fetch" // the whole list
-	listWatch listCallKind = "watch" // what is newer than a version, once there is something
-	listCheck listCallKind = "check" // what is newer now: behind a watch that broke or fell silent
+	listFetch listCallKind = "fetch" // the full list
+	listWatch listCallKind = "watch" // the changes after a version, as soon as there is one
+	listCheck listCallKind = "check" // the changes after a version that exist now: follows a watch that broke or timed out
 )
 
 // listCall is one call to discovery.
 type listCall struct {
 	number    int64 // from 1 at the start of the process
 	kind      listCallKind
-	after     int64         // the version whose changes are asked for; 0 for the whole list
-	wait      time.Duration // for which discovery was asked to wait for news
+	after     int64         // the version whose changes are requested; 0 for the full list
+	wait      time.Duration // how long discovery was asked to wait for a change
 	begun     time.Time
-	firstByte time.Time // of its answer; zero without one
+	firstByte time.Time // when the first byte of the answer came; zero without one
 	ended     time.Time
 }
 
-// listCallEnd reads how a call ended from its error.
-func listCallEnd(err error, connected, calledOff bool) metrics.ListCallEnd {
+// classifyListCall returns how a call ended, given its error, whether it had a connection, and whether it was canceled.
+func classifyListCall(err error, connected, canceled bool) metrics.ListCallEnd {
 	var status httpwire.StatusError
 	switch {
 	case err == nil:
 		return metrics.ListAnswered
-	case calledOff || errors.Is(err, context.Canceled):
+	case canceled || errors.Is(err, context.Canceled):
 		return metrics.ListCanceled
 	case !connected:
 		return metrics.ListNotConnected
 	case errors.As(err, &status):
 		return metrics.ListRefused
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errNoAnswerInTime):
 		return metrics.ListTimedOut
-	case lost(err):
+	case answerLost(err):
 		return metrics.ListBroken
 	}
 	return metrics.ListMalformed
 }
 
-// logListCall counts a call that has ended and writes its log line. The list is what it brought; nil if it failed.
+// logListCall counts a call that has ended and writes its log line. list is what it returned; nil if it failed.
 func (e *Engine) logListCall(w *watch, call *listCall, list *httpwire.List, err error) {
-	end := listCallEnd(err, w.link != nil, w.ended.Err() != nil)
-	e.board.ListCalls.Count(end)
+	end := classifyListCall(err, w.link != nil, w.ctx.Err() != nil)
+	e.metrics.ListCalls.Count(end)
 	line := e.log.Info()
 	if err != nil && end != metrics.ListCanceled {
 		line = e.log.Warn()
@@ -77,57 +77,57 @@
 	line.AnErr("error", err).Msg("list call")
 }
 
-// When what discovery has counts as told, whether or not it has come (STANDING: Days at full size).
+// When a change that discovery has counts as delivered, whether or not it was received (STANDING: Days at full size).
 const (
-	toldAfterAsked = 6 * time.Second // where lists are asked for
-	toldAfterMove  = 4 * time.Second // behind a reload that names another discovery
+	deliveryWhenPolled = 6 * time.Second // after discovery had it, where lists are polled
+	deliveryAfterMove  = 4 * time.Second // after a reload that names another discovery
 )
 
-// toldAfter is how long after discovery has it a change counts as told. Where lists are pushed that is at once.
-func (e *Engine) toldAfter() time.Duration {
+// deliveryDelay returns how long after discovery had it a change counts as delivered. Where lists are pushed that is at once.
+func (e *Engine) deliveryDelay() time.Duration {
 	if e.conf.Settings.MustPoll {
-		return toldAfterAsked
+		return deliveryWhenPolled
 	}
 	return 0
 }
 
-// listUnheard times how long discovery may have had news that have not come.
-type listUnheard struct {
-	since decide.Time // 0 while the newest call was answered
-	told  decide.Time // when they count as told
-	stale bool        // that has been logged
+// listStaleness measures for how long discovery may have had changes that were not received.
+type listStaleness struct {
+	since       decide.Time // 0 if the newest call was answered
+	deliveredBy decide.Time // when those changes count as delivered
+	logged      bool        // that the list is stale has been logged
 }
 
-// listMissed books that what discovery has had since a time may not have come, and when it counts as told. It stands until
-// a call is answered.
-func (e *Engine) listMissed(since, told decide.Time) {
-	if e.unheard.since == 0 {
-		e.unheard = listUnheard{since: since, told: told}
-		e.tell(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: told})
+// markListStale records that changes which discovery has had since a time may not have been received, and when they count as
+// delivered. The record stays until a call is answered.
+func (e *Engine) markListStale(since, deliveredBy decide.Time) {
+	if e.staleness.since == 0 {
+		e.staleness = listStaleness{since: since, deliveredBy: deliveredBy}
+		e.notifyModule(decide.Event{Kind: decide.ListMissed, Since: since, DeliveredBy: deliveredBy})
 	}
-	e.timeUnheard()
+	e.updateStaleness()
 }
 
-// listHeard books that a call was answered with all that discovery had.
-func (e *Engine) listHeard() {
-	if e.unheard.stale {
-		e.log.Info().Int64("version", e.index).Int64("stale_ms", (e.clock.Now() - e.unheard.told).Milliseconds()).
+// markListCurrent records that a call was answered with every change that discovery had.
+func (e *Engine) markListCurrent() {
+	if e.staleness.logged {
+		e.log.Info().Int64("version", e.listVersion).Int64("stale_ms", (e.clock.Now() - e.staleness.deliveredBy).Milliseconds()).
 			Msg("the list is current again")
 	}
-	e.unheard = listUnheard{}
-	e.timeUnheard()
+	e.staleness = listStaleness{}
+	e.updateStaleness()
 }
 
-// timeUnheard brings the figure up to date and logs the moment in which the list goes stale.
-func (e *Engine) timeUnheard() {
-	unheard := decide.Time(0)
-	if e.unheard.since > 0 { // 0 is for none
-		unheard = max(time.Millisecond, e.clock.Now()-e.unheard.since)
+// updateStaleness updates the metric, and logs once that the list is stale when missed changes count as delivered.
+func (e *Engine) updateStaleness() {
+	stale := decide.Time(0)
+	if e.staleness.since > 0 { // 0 means that the list is current
+		stale = max(time.Millisecond, e.clock.Now()-e.staleness.since)
 	}
-	e.board.ListStaleMS.Store(unheard.Milliseconds())
-	if unheard > 0 && e.clock.Now() >= e.unheard.told && !e.unheard.stale {
-		e.unheard.stale = true
-		e.log.Warn().Int64("version", e.index).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", unheard.Milliseconds()).
-			Object("calls", &e.board.ListCalls).Msg("the list is stale")
+	e.metrics.ListStaleMS.Store(stale.Milliseconds())
+	if stale > 0 && e.clock.Now() >= e.staleness.deliveredBy && !e.staleness.logged {
+		e.staleness.logged = true
+		e.log.Warn().Int64("version", e.listVersion).Int("endpoints", e.endpoints.Len()).Int64("unheard_ms", stale.Milliseconds()).
+			Object("calls", &e.metrics.ListCalls).Msg("the list is stale")
 	}
 }
--- a/internal/pipeline/book.go
+++ b/internal/pipeline/record.go
@@ -6,23 +6,23 @@
 	"heathgap/internal/state"
 )
 
-// Book: how an attempt has ended goes into the books, and to the module.
+// Record: the outcome of an attempt is recorded and the module is notified of it.
 
-func (x exchanged) handle(e *Engine) {
-	to := x.attempt.Endpoint
-	if x.link != nil && x.ended == "" {
-		e.pool.Put(to, x.link, e.clock.Now())
+func (ended exchangeEnded) handle(e *Engine) {
+	endpoint := ended.attempt.Endpoint
+	if ended.link != nil && ended.endReason == "" {
+		e.pool.Put(endpoint, ended.link, e.clock.Now())
 	} else {
-		e.pool.Drop(to, x.link, x.ended)
+		e.pool.Drop(endpoint, ended.link, ended.endReason)
 	}
-	x.attempt.GiveUp() // frees what belongs to its context
-	if r := x.attempt.Request; x.reply != nil && (r.Done || x.attempt.Settled || x.outcome != decide.Served) {
-		e.room.Release(x.reply.Reserved) // its body goes to nobody
+	ended.attempt.GiveUp() // releases the resources of its context
+	if r := ended.attempt.Request; ended.reply != nil && (r.Done || ended.attempt.Settled || ended.outcome != decide.Served) {
+		e.answerMemory.Release(ended.reply.Reserved) // its body is not passed to a caller
 	}
-	e.settle(x.attempt, x.outcome, x.reply)
+	e.settle(ended.attempt, ended.outcome, ended.reply)
 }
 
-// settle books an attempt's outcome, unless it has had one. The first that is
+// settle records the outcome of an attempt, unless it has one already, and notifies the module. The first attempt that is
 // served answers its request.
 func (e *Engine) settle(a *state.Attempt, outcome decide.Outcome, reply *httpwire.Reply) {
 	if !e.requests.Settle(a) {
@@ -45,6 +45,6 @@
 	if a.Endpoint != nil {
 		ev.Endpoint = a.Endpoint.ID
 	}
-	e.tell(ev)
+	e.notifyModule(ev)
 	e.requests.Release(r)
 }
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -9,10 +9,10 @@
 	"heathgap/internal/state"
 )
 
-// Relay: a request's one final answer goes to its caller.
+// Relay: the one final answer of a request goes to its caller.
 
-// ends are what verdicts count as.
-var ends = [...]metrics.End{
+// endOfVerdict maps verdicts to the metrics that count them.
+var endOfVerdict = [...]metrics.End{
 	httpwire.Served: metrics.Served, httpwire.Refused: metrics.Refused, httpwire.Failed: metrics.Failed,
 	httpwire.Abandoned: metrics.CallerLeft,
 }
@@ -22,126 +22,128 @@
 	if !e.requests.End(r) {
 		return
 	}
-	if answer.Stream == nil { // else it ends when the rest has
-		e.board.Count(r.Message.Class, ends[answer.Verdict])
+	if answer.Stream == nil { // a streamed answer is counted when the stream ends
+		e.metrics.Count(r.Message.Class, endOfVerdict[answer.Verdict])
 	}
-	if r.MayWrite != nil { // its key is held: what becomes of the claim rests on it
-		answer.MayHaveRun = answer.Verdict == httpwire.Served || ran(r)
+	if r.MayWrite != nil { // what becomes of the claim on its key depends on this
+		answer.MayHaveRun = answer.Verdict == httpwire.Served || mayHaveRun(r)
 	}
 	r.Answer <- answer
 	e.requests.Release(r)
 }
 
-// callerDisconnected tells that the caller of a request has gone.
-type callerDisconnected struct{ in *arrival }
+// callerDisconnected is the event that the caller of a request has disconnected.
+type callerDisconnected struct{ arrival *arrival }
 
 func (c callerDisconnected) handle(e *Engine) {
-	if c.in.request != nil {
-		e.abandon(c.in.request)
+	if c.arrival.request != nil {
+		e.abandon(c.arrival.request)
 	}
 }
 
-// foundDisconnected is a request whose caller was found to be gone where an attempt was about to be written.
+// foundDisconnected is the event that a request's caller was found to have disconnected when an attempt was about to be written.
 type foundDisconnected struct{ request *state.Request }
 
-func (s foundDisconnected) handle(e *Engine) { e.abandon(s.request) }
+func (f foundDisconnected) handle(e *Engine) { e.abandon(f.request) }
 
-// abandon ends a request whose caller has gone.
+// abandon ends a request whose caller has disconnected.
 func (e *Engine) abandon(r *state.Request) {
 	if r.Done {
 		return
 	}
 	e.relay(r, httpwire.Answer{Verdict: httpwire.Abandoned, CloseAfter: true})
-	e.tell(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
+	e.notifyModule(decide.Event{Kind: decide.ClientLeft, Request: r.ID})
 }
 
-// begun is a long answer whose beginning has come.
-type begun struct {
+// streamBegan is the event that the beginning of a streamed answer has come.
+type streamBegan struct {
 	attempt *state.Attempt
 	link    *httpwire.Link
 	reply   *httpwire.Reply
 }
 
-// handle gives it to its caller, who takes the rest from the endpoint's connection.
-func (b begun) handle(e *Engine) {
+// handle passes the answer to the caller's goroutine, which reads the rest from the connection to the endpoint.
+func (b streamBegan) handle(e *Engine) {
 	a := b.attempt
 	if a.Settled || a.Request.Done {
-		exchanged{
-			attempt: a, link: b.link, ended: httpwire.ReasonGivenUp, outcome: decide.Served, reply: b.reply,
+		exchangeEnded{
+			attempt: a, link: b.link, endReason: httpwire.ReasonGivenUp, outcome: decide.Served, reply: b.reply,
 		}.handle(e)
 		return
 	}
-	e.passing[b.reply.Stream] = struct{}{}
+	e.streams[b.reply.Stream] = struct{}{}
 	b.reply.Stream.Class = a.Request.Message.Class
-	b.reply.Stream.OnEnd(func(how httpwire.AnswerEnd) { e.post(passed{b, how}) })
-	e.tell(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
+	b.reply.Stream.OnEnd(func(end httpwire.AnswerEnd) { e.post(streamEnded{b, end}) })
+	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 	e.settle(a, decide.Served, b.reply)
-	if e.give != nil {
-		b.reply.Stream.HandOver(e.give)
+	if e.handOverFunc != nil {
+		b.reply.Stream.HandOver(e.handOverFunc)
 	}
 }
 
-// passed is a long answer that has come to an end.
-type passed struct {
-	begun
-	how httpwire.AnswerEnd
+// streamEnded is the event that a streamed answer has ended.
+type streamEnded struct {
+	streamBegan
+	end httpwire.AnswerEnd
 }
 
-func (p passed) handle(e *Engine) {
-	delete(e.passing, p.reply.Stream)
-	to, ended, end := p.attempt.Endpoint, httpwire.Reason(""), metrics.Served
+func (s streamEnded) handle(e *Engine) {
+	delete(e.streams, s.reply.Stream)
+	endpoint, endReason, counted := s.attempt.Endpoint, httpwire.Reason(""), metrics.Served
 	switch {
-	case p.how == httpwire.AnswerBrokenOff:
-		ended, end = httpwire.ReasonBroken, metrics.Failed
-	case p.how == httpwire.AnswerHandedOver:
-		ended, end = httpwire.ReasonHandedOver, metrics.CallerLeft // it counts where it ends
-	case p.how == httpwire.AnswerCallerGone:
-		ended, end = httpwire.ReasonCallerLeft, metrics.CallerLeft
-	case p.reply.Close:
-		ended = httpwire.ReasonPeerClose
+	case s.end == httpwire.AnswerBrokenOff:
+		endReason, counted = httpwire.ReasonBroken, metrics.Failed
+	case s.end == httpwire.AnswerHandedOver:
+		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // the process that resumes it counts how it ends
+	case s.end == httpwire.AnswerCallerGone:
+		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
+	case s.reply.Close:
+		endReason = httpwire.ReasonPeerClose
 	}
-	if ended == "" {
-		e.pool.Put(to, p.link, e.clock.Now())
+	if endReason == "" {
+		e.pool.Put(endpoint, s.link, e.clock.Now())
 	} else {
-		e.pool.Drop(to, p.link, ended)
+		e.pool.Drop(endpoint, s.link, endReason)
 	}
-	p.attempt.GiveUp() // frees what belongs to its context
-	e.board.Count(p.attempt.Request.Message.Class, end)
-	if p.how == httpwire.AnswerBrokenOff {
-		e.tell(decide.Event{Kind: decide.StreamBroke, Endpoint: to.ID})
+	s.attempt.GiveUp() // releases the resources of its context
+	e.metrics.Count(s.attempt.Request.Message.Class, counted)
+	if s.end == httpwire.AnswerBrokenOff {
+		e.notifyModule(decide.Event{Kind: decide.StreamBroke, Endpoint: endpoint.ID})
 	}
 }
 
-// HandOverAnswers has all long answers on their way given to another process, and those that
-// begin from now on.
-func (e *Engine) HandOverAnswers(give httpwire.HandOverFunc) { e.post(handOver{give}) }
+// HandOverAnswers makes all streamed answers go on in another process: those in progress and those that begin from now on.
+func (e *Engine) HandOverAnswers(handOverFunc httpwire.HandOverFunc) {
+	e.post(handOverStreams{handOverFunc})
+}
 
-type handOver struct{ give httpwire.HandOverFunc }
+// handOverStreams is the event that hands streamed answers over to another process.
+type handOverStreams struct{ handOverFunc httpwire.HandOverFunc }
 
-func (h handOver) handle(e *Engine) {
-	e.give = h.give
-	for rest := range e.passing {
-		rest.HandOver(h.give)
+func (h handOverStreams) handle(e *Engine) {
+	e.handOverFunc = h.handOverFunc
+	for stream := range e.streams {
+		stream.HandOver(h.handOverFunc)
 	}
 }
 
-// ResumeAnswer passes on, in a goroutine of its own, what another process has begun to. It
-// ends with the answer, or when one side stands still.
-func (e *Engine) ResumeAnswer(over *httpwire.AnswerHandover, caller, endpoint net.Conn) {
-	e.board.Active.Add(1)
-	e.goingOn.Add(1)
-	e.world.Go("go on", func() {
-		defer e.goingOn.Add(-1)
+// ResumeAnswer streams, in a goroutine of its own, the rest of an answer that another process began to stream. It ends with the
+// answer, or when the endpoint or the caller makes no progress.
+func (e *Engine) ResumeAnswer(handover *httpwire.AnswerHandover, caller, endpoint net.Conn) {
+	e.metrics.Active.Add(1)
+	e.resuming.Add(1)
+	e.env.Go("go on", func() {
+		defer e.resuming.Add(-1)
 		end := metrics.CallerLeft
-		switch httpwire.ResumeAnswer(over, caller, endpoint, e.world) {
+		switch httpwire.ResumeAnswer(handover, caller, endpoint, e.env) {
 		case httpwire.AnswerComplete:
 			end = metrics.Served
 		case httpwire.AnswerBrokenOff:
 			end = metrics.Failed
 		}
-		e.board.Active.Add(-1)
-		e.board.Count(over.Class, end)
-		e.goneOn.Add(1)
-		e.log.Info().Str("class", over.Class).Uint8("end", uint8(end)).Msg("went on with a long answer")
+		e.metrics.Active.Add(-1)
+		e.metrics.Count(handover.Class, end)
+		e.resumed.Add(1)
+		e.log.Info().Str("class", handover.Class).Uint8("end", uint8(end)).Msg("resumed a streamed answer of another process")
 	})
 }
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -7,38 +7,37 @@
 	"heathgap/internal/httpwire"
 )
 
-// Route: the module is told what has happened, and what it decides is done.
+// Route: the module is notified of events, and the actions that it decides on are done.
 
-// tell hands an event to the module and does what it decides. What comes of
-// that, such as the outcome of a canceled attempt, is told after it.
-func (e *Engine) tell(ev decide.Event) {
-	e.pending = append(e.pending, ev)
-	if e.telling {
+// notifyModule passes an event to the module and does the actions that it decides on. Events that result from those actions,
+// such as the outcome of a canceled attempt, are passed on after them.
+func (e *Engine) notifyModule(ev decide.Event) {
+	e.pendingEvents = append(e.pendingEvents, ev)
+	if e.handlingEvents {
 		return
 	}
-	e.telling = true
-	for len(e.pending) > 0 {
+	e.handlingEvents = true
+	for len(e.pendingEvents) > 0 {
 		if e.rules != nil {
-			e.heed()
+			e.applyRules()
 		}
-		next := e.pending[0]
-		e.pending = e.pending[1:]
+		next := e.pendingEvents[0]
+		e.pendingEvents = e.pendingEvents[1:]
 		e.actions = e.balancer.Handle(e.clock.Now(), &next, e.actions[:0])
 		for _, a := range e.actions {
-			e.act(a)
+			e.perform(a)
 		}
 	}
-	e.pending = e.pending[:0]
-	e.telling = false
+	e.pendingEvents = e.pendingEvents[:0]
+	e.handlingEvents = false
 }
 
-// act does one thing that the module has decided.
-func (e *Engine) act(a decide.Action) {
+// perform does one action of the module.
+func (e *Engine) perform(a decide.Action) {
 	switch a.Kind {
 	case decide.SetTimer:
-		// The module arms its timer anew each time that one is due, so that only
-		// the newest counts.
-		e.moduleDue = e.clock.Now() + a.After
+		// The module sets its timer anew each time that it is due, so that only the newest timer counts.
+		e.moduleTimerAt = e.clock.Now() + a.After
 		return
 	case decide.WatchList:
 		e.startWatch()
@@ -49,7 +48,7 @@
 	}
 	r := e.requests.Get(a.Request)
 	if r == nil {
-		e.log.Error().Uint64("request", uint64(a.Request)).Msg("the module names a request that is not held")
+		e.log.Error().Uint64("request", uint64(a.Request)).Msg("the decision module names an unknown request")
 		return
 	}
 	e.counters.Reasons[a.Reason]++
@@ -60,10 +59,10 @@
 	case decide.Cancel:
 		e.cancel(r, a.Attempt)
 	case decide.Refuse:
-		e.logEnd(r, "refused", a.Reason.String())
+		e.logNotServed(r, "refused", a.Reason.String())
 		e.relay(r, httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: a.After})
 	case decide.Fail:
-		e.logEnd(r, "failed", a.Reason.String())
+		e.logNotServed(r, "failed", a.Reason.String())
 		e.relay(r, httpwire.Answer{Verdict: httpwire.Failed})
 	default:
 		panic(fmt.Sprintf("pipeline: action of unknown kind %d", a.Kind))
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -10,37 +10,37 @@
 	"heathgap/internal/state"
 )
 
-// Send: an attempt is written to an endpoint, once, and its answer read.
+// Send: an attempt is written to an endpoint, once, and its answer is read.
 
-// readSlack is how long an exchange may go on past its time-out before its
-// connection ends it by itself: the owner is to do that first.
+// readSlack is how long an exchange may go on after its attempt timed out before the connection ends it. Normally the owner ends
+// it earlier.
 const readSlack = time.Second
 
-// send begins an attempt.
+// send starts an attempt.
 func (e *Engine) send(r *state.Request, a decide.Action) {
 	now := e.clock.Now()
-	until := r.Deadline
+	timeoutAt := r.Deadline
 	if a.After != 0 {
-		until = min(until, now+a.After)
+		timeoutAt = min(timeoutAt, now+a.After)
 	}
-	to := e.endpoints.Get(a.Endpoint)
+	endpoint := e.endpoints.Get(a.Endpoint)
 	notAfter := e.windowEnd(r)
-	attempt := e.requests.Begin(r, to, now, until)
+	attempt := e.requests.Begin(r, endpoint, now, timeoutAt)
 	attempt.NotAfter = earlier(notAfter, a.NotAfter)
 	if e.rules != nil {
-		attempt.Generation = e.acting.Generation
+		attempt.Generation = e.effective.Generation
 	}
 	switch {
 	case r.Done, r.Deadline <= now:
 		e.settle(attempt, decide.NotSent, nil)
 		return
-	case to == nil: // it has left the list since
+	case endpoint == nil: // it has left the list since the module decided
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
-	link, ok := e.pool.Take(to, now)
+	link, ok := e.pool.Take(endpoint, now)
 	if !ok {
-		e.log.Warn().Str("peer", to.Name).Int("open", e.pool.Open()).Msg("no room for a connection")
+		e.log.Warn().Str("peer", endpoint.Name).Int("open", e.pool.Open()).Msg("attempt not sent: the limit of connections to endpoints is reached")
 		e.settle(attempt, decide.ConnectFailed, nil)
 		return
 	}
@@ -51,11 +51,11 @@
 	var ctx context.Context
 	ctx, attempt.GiveUp = context.WithCancel(context.Background())
 	e.timeouts.Add(attempt)
-	address := to.Address // as it is now: the line may change
-	e.world.Go("exchange", func() { e.exchange(ctx, attempt, link, address) })
+	address := endpoint.Address // copied now, since the owner may change it
+	e.env.Go("exchange", func() { e.exchange(ctx, attempt, link, address) })
 }
 
-// earlier is the earlier of two bounds, each 0 for none.
+// earlier returns the earlier of two bounds, each 0 for none.
 func earlier(a, b decide.Time) decide.Time {
 	if a == 0 || b > 0 && b < a {
 		return b
@@ -63,16 +63,16 @@
 	return a
 }
 
-// windowEnd is when the window of a keyed request ends, once an attempt of it may have run; 0 for no window.
+// windowEnd returns when the window of a keyed request ends, if an attempt of it may have run; 0 for no window.
 func (e *Engine) windowEnd(r *state.Request) decide.Time {
 	if len(r.Attempts) == 0 {
 		return 0
 	}
 	class := e.conf.Classes[r.Message.Class]
 	rule := decide.DynamicClass{Effect: class.Effect, Window: class.Window}
-	if e.acting != nil && e.acting.Dynamic != nil {
-		if ruled, ok := e.acting.Dynamic.Classes[r.Message.Class]; ok && ruled.Effect != decide.EffectUnset {
-			rule = ruled
+	if e.effective != nil && e.effective.Dynamic != nil {
+		if dynamic, ok := e.effective.Dynamic.Classes[r.Message.Class]; ok && dynamic.Effect != decide.EffectUnset {
+			rule = dynamic
 		}
 	}
 	if rule.Effect != decide.Keyed {
@@ -81,94 +81,93 @@
 	return r.WindowEnd(rule.Window)
 }
 
-// exchanged is how an exchange has ended: its connection, and its outcome.
-type exchanged struct {
-	attempt *state.Attempt
-	link    *httpwire.Link // nil if it never came up
-	ended   httpwire.Reason
-	outcome decide.Outcome
-	reply   *httpwire.Reply // nil without an answer
+// exchangeEnded is the event of an exchange that has ended.
+type exchangeEnded struct {
+	attempt   *state.Attempt
+	link      *httpwire.Link // nil if the dial failed
+	endReason httpwire.Reason
+	outcome   decide.Outcome
+	reply     *httpwire.Reply // nil without an answer
 }
 
-// exchange carries one attempt in a goroutine of its own. The end of ctx, which
-// gives it up, ends its connection.
+// exchange carries one attempt, in a goroutine of its own. When ctx ends, the attempt is given up and its connection is closed.
 func (e *Engine) exchange(ctx context.Context, a *state.Attempt, link *httpwire.Link, address string) {
-	done := exchanged{attempt: a, link: link}
+	end := exchangeEnded{attempt: a, link: link}
 	defer func() {
 		if ctx.Err() != nil {
-			done.ended = httpwire.ReasonGivenUp
+			end.endReason = httpwire.ReasonGivenUp
 		}
-		if done.reply != nil && done.reply.Stream != nil && ctx.Err() == nil {
-			e.post(begun{a, done.link, done.reply})
+		if end.reply != nil && end.reply.Stream != nil && ctx.Err() == nil {
+			e.post(streamBegan{a, end.link, end.reply})
 			return
 		}
-		e.post(done)
+		e.post(end)
 	}()
-	link, done.ended = e.connect(ctx, link, address)
-	if done.link = link; done.ended != "" {
-		done.outcome = decide.ConnectFailed
+	link, end.endReason = e.connect(ctx, link, address)
+	if end.link = link; end.endReason != "" {
+		end.outcome = decide.ConnectFailed
 		return
 	}
 	upload := a.Request.Message.Upload
-	var may bool
-	if done.outcome, may = e.lastLook(a); !may {
+	var mayWrite bool
+	if end.outcome, mayWrite = e.checkBeforeWrite(a); !mayWrite {
 		return
 	}
 	if !a.Write() || upload != nil && !upload.Claim() {
-		done.outcome = decide.NotSent // its request has ended while the connection was being made
+		end.outcome = decide.NotSent // the request ended while the connection was being made
 		return
 	}
 	stop := context.AfterFunc(ctx, link.Close)
 	defer stop()
 	if err := e.write(a, link, upload); err != nil {
-		done.outcome, done.ended = decide.ConnectFailed, httpwire.ReasonNotWritten
+		end.outcome, end.endReason = decide.ConnectFailed, httpwire.ReasonNotWritten
 		return
 	}
-	e.board.Attempts.Add(1)
-	reply, err := link.Receive(e.room, e.world)
+	e.metrics.Attempts.Add(1)
+	reply, err := link.Receive(e.answerMemory, e.env)
 	if err != nil {
-		done.outcome, done.ended = decide.Reset, httpwire.ReasonBroken
+		end.outcome, end.endReason = decide.Reset, httpwire.ReasonBroken
 		return
 	}
-	done.outcome, done.reply = reply.Outcome, &reply
+	end.outcome, end.reply = reply.Outcome, &reply
 	if reply.Close {
-		done.ended = httpwire.ReasonPeerClose
+		end.endReason = httpwire.ReasonPeerClose
 	}
 }
 
-// lastLook tells whether what allowed an attempt still holds where its first byte is about to leave, and its outcome if
-// not: nothing has run then.
-func (e *Engine) lastLook(a *state.Attempt) (outcome decide.Outcome, may bool) {
-	if e.rules != nil && !e.mayWrite(a) {
+// checkBeforeWrite reports whether an attempt may still be written, just before its first byte is, and otherwise returns its
+// outcome: the attempt has not run then.
+func (e *Engine) checkBeforeWrite(a *state.Attempt) (outcome decide.Outcome, mayWrite bool) {
+	if e.rules != nil && !e.rulesAllowWrite(a) {
 		return decide.NotSent, false
 	}
 	now := e.clock.Now()
-	// Guards against a process that was paused with a claim that another one has taken over since: its time, and its lease, are
-	// looked at where the first byte leaves.
+	// Guards against a process that was paused while another one took over the claim: the deadline, and the lease behind the
+	// claim, are checked just before the first byte is written.
 	if claimed := a.Request.MayWrite; claimed != nil && (now >= a.Request.Deadline || !claimed()) {
 		return decide.NotSent, false
 	}
-	// Guards against a connection that comes up late: the endpoint may have begun to drain since it was chosen, and
-	// nothing new goes to it after the grace (rule 3 counts from the first byte).
+	// Guards against a connection that comes up late: the endpoint may have begun to drain since it was chosen, and no new
+	// request may go to it after the grace (rule 3, which counts from the first byte).
 	if a.Endpoint.ClosedForWrites(now) {
 		return decide.ConnectFailed, false
 	}
-	// Guards against an effect that comes twice: this attempt was allowed while its key's window was open, and the
-	// endpoints have forgotten the key by the time when its connection is up. Also against an endpoint that counts as
-	// gone by then though nothing was heard of it.
+	// Guards against an effect that happens twice: this attempt was allowed while the window of its key was open, but the
+	// endpoints may have forgotten the key when the connection is up. Also guards against an endpoint that counts as gone by
+	// then although no list has said so.
 	if a.NotAfter > 0 && now >= a.NotAfter {
 		return decide.ConnectFailed, false
 	}
-	// Guards against an attempt for a caller that has gone, however late its connection came up and however long word of
-	// that takes to the owner: it hears of it ahead of the attempt's outcome.
-	if !e.awaited(a) {
+	// Guards against an attempt for a caller that has disconnected, however late the connection came up and however long the
+	// owner takes to process the disconnection. The owner is notified of it before it gets the outcome of the attempt.
+	if !e.callerConnected(a) {
 		return decide.NotSent, false
 	}
 	return 0, true
 }
 
-// awaited tells whether an attempt's caller is still there. If not, the owner is told.
-func (e *Engine) awaited(a *state.Attempt) bool {
+// callerConnected reports whether the attempt's caller is still connected. If not, the owner is notified.
+func (e *Engine) callerConnected(a *state.Attempt) bool {
 	if a.Request.Caller == nil || !a.Request.Caller.Disconnected() {
 		return true
 	}
@@ -176,81 +175,81 @@
 	return false
 }
 
-// write writes an attempt. On an error its last byte is not written: it has never run.
+// write writes an attempt. If it returns an error, the last byte has not been written, so the attempt has not run.
 func (e *Engine) write(a *state.Attempt, link *httpwire.Link, upload *httpwire.Upload) error {
 	wait := a.TimeoutAt - e.clock.Now()
 	message := httpwire.EncodeAttempt(a.Request.Message, wait)
-	whole, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
-	if whole {
-		err = nil // what comes of it shows when the answer is read
+	written, err := link.Send(message, e.clock.Wall(a.TimeoutAt).Add(readSlack))
+	if written {
+		err = nil // an error after the last byte shows when the answer is read
 	}
 	if err != nil || upload == nil {
 		return err
 	}
-	e.post(uploading{a})
-	if _, err := link.WriteUpload(upload, e.world); err != nil {
+	e.post(uploadBegan{a})
+	if _, err := link.WriteUpload(upload, e.env); err != nil {
 		if errors.Is(err, httpwire.ErrDisconnected) {
 			e.post(foundDisconnected{a.Request})
 		}
 		return err
 	}
-	e.post(uploaded{a})
-	return link.SetReadDeadline(e.world.Now().Add(a.Request.Message.Remaining + readSlack))
+	e.post(uploadEnded{a})
+	return link.SetReadDeadline(e.env.Now().Add(a.Request.Message.Remaining + readSlack))
 }
 
-// uploading is an attempt that has begun to take the rest of a long body. It can't be
-// sent again; how fast its caller sends bounds it, not its deadline.
-type uploading struct{ attempt *state.Attempt }
+// uploadBegan is the event that an attempt has begun to stream the rest of a long body. It can't be sent again from then on, and
+// the minimum rate of its caller limits it in place of its deadline.
+type uploadBegan struct{ attempt *state.Attempt }
 
-func (u uploading) handle(e *Engine) {
+func (u uploadBegan) handle(e *Engine) {
 	a := u.attempt
 	if a.Settled {
 		return
 	}
-	e.restart(a, mostUpload)
-	e.tell(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
+	e.restartTimeout(a, maxUploadTime)
+	e.notifyModule(decide.Event{Kind: decide.StreamBegan, Request: a.Request.ID, Attempt: a.Number})
 }
 
-// mostUpload is past the time that the longest body takes at the least rate.
-const mostUpload = 20 * time.Minute
+// maxUploadTime is more than the longest body takes at the minimum rate.
+const maxUploadTime = 20 * time.Minute
 
-// uploaded is an attempt whose last byte is written: its time counts from here.
-type uploaded struct{ attempt *state.Attempt }
+// uploadEnded is the event that the last byte of an attempt's body is written. Its time counts from then on.
+type uploadEnded struct{ attempt *state.Attempt }
 
-func (u uploaded) handle(e *Engine) {
+func (u uploadEnded) handle(e *Engine) {
 	if a := u.attempt; !a.Settled {
 		a.Sent = e.clock.Now()
-		e.restart(a, a.Request.Message.Remaining)
-		e.tell(decide.Event{Kind: decide.BodyReceived, Request: a.Request.ID, Attempt: a.Number})
+		e.restartTimeout(a, a.Request.Message.Remaining)
+		e.notifyModule(decide.Event{Kind: decide.BodyReceived, Request: a.Request.ID, Attempt: a.Number})
 	}
 }
 
-// restart gives an attempt, and its request, so much time from now on.
-func (e *Engine) restart(a *state.Attempt, left decide.Time) {
+// restartTimeout sets the timeout of an attempt, and the deadline of its request, to a time from now.
+func (e *Engine) restartTimeout(a *state.Attempt, left decide.Time) {
 	e.timeouts.Remove(a)
 	a.TimeoutAt = e.clock.Now() + left
 	a.Request.Deadline = a.TimeoutAt
 	e.timeouts.Add(a)
 }
 
-// connect returns the idle connection that the owner took, or a new one where that is nil, and why it is of no use.
+// connect returns the idle connection that the owner took, or a new one if that is nil, and the reason if it can't be used.
 func (e *Engine) connect(ctx context.Context, link *httpwire.Link, address string) (*httpwire.Link, httpwire.Reason) {
 	if link == nil {
-		link, err := httpwire.Dial(ctx, e.world, address, e.conf.ConnectTimeout)
+		link, err := httpwire.Dial(ctx, e.env, address, e.conf.ConnectTimeout)
 		if err != nil {
 			return nil, httpwire.ReasonDialFailed
 		}
 		return link, ""
 	}
 	if !link.Usable() {
-		// Guards against a connection that was ended, or brought more than its answer,
-		// after the owner took it: what is not written has never run.
+		// Guards against a connection that the endpoint closed, or that received extra bytes, after the owner took it. Nothing is
+		// written to it, so the attempt has not run.
 		return link, httpwire.ReasonPeerClosed
 	}
 	return link, ""
 }
 
-// cancel gives up an attempt because the module says so.
+// cancel gives up an attempt because the module, or the end of the process, requires it.
 func (e *Engine) cancel(r *state.Request, number int) {
 	if number < 0 || number >= len(r.Attempts) || r.Attempts[number].Settled {
 		return
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -15,7 +15,7 @@
 	"heathgap/internal/state"
 )
 
-func testEngine(t *testing.T) *Engine {
+func newTestEngine(t *testing.T) *Engine {
 	t.Helper()
 	conf := &config.Config{
 		Settings:       decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe, Aim: time.Second}}},
@@ -28,18 +28,18 @@
 	return New(conf, env.Real{}, Logs{All: zerolog.Nop(), ConnEnds: zerolog.Nop()}, balancer)
 }
 
-// An attempt whose time is up while its connection is still being made has never
-// run: its caller may be told that trying again is harmless.
-func TestTimeOutBeforeTheConnection(t *testing.T) {
+// An attempt that times out while its connection is still being made has never run, so its caller may learn that it can
+// safely try again.
+func TestTimeoutBeforeConnecting(t *testing.T) {
 	for outcome, written := range map[decide.Outcome]bool{decide.ConnectFailed: false, decide.TimedOut: true} {
-		e := testEngine(t)
+		e := newTestEngine(t)
 		now := e.clock.Now()
 		r := e.requests.Add(&httpwire.Request{}, now, make(chan httpwire.Answer, 1))
 		a := e.requests.Begin(r, nil, now, now)
 		a.GiveUp = func() {}
 		e.timeouts.Add(a)
 		if written && !a.Write() {
-			t.Fatal("it may be written and is not")
+			t.Fatal("the attempt can't be written")
 		}
 		e.runDue()
 		if e.counters.Outcomes[outcome] != 1 || written == a.PreventWrite() {
@@ -48,15 +48,14 @@
 	}
 }
 
-// Guards against an attempt that is written after its request has ended, because
-// its connection was still being made then.
-func TestNothingIsWrittenAfterTheEnd(t *testing.T) {
+// Guards against an attempt that is written after its request has ended, because its connection was still being made then.
+func TestNothingIsWrittenAfterTheRequestEnded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	e := testEngine(t)
+	e := newTestEngine(t)
 	to := &state.Endpoint{Listed: true}
 	if _, ok := e.pool.Take(to, 0); !ok {
 		t.Fatal("no room in an empty pool")
@@ -75,7 +74,7 @@
 		t.Errorf("outcomes %v, want one that was not sent", e.counters.Outcomes)
 	}
 	if l, _ := e.pool.Take(to, e.clock.Now()+time.Second); l == nil {
-		t.Error("the connection carried nothing and could be used")
+		t.Error("the unused connection was not returned to the pool")
 	} else {
 		l.Close()
 	}
