--- a/internal/httpwire/crossing_test.go
+++ b/internal/httpwire/crossing_test.go
@@ -157,7 +157,7 @@
 	if c.owner.lingering.Load() != leastLingering {
 		t.Errorf("%d are counted", c.owner.lingering.Load())
 	}
-	c, peer = accepted(t)
+	c, _ = accepted(t)
 	c.SetReason(ReasonConnLimit)
 	begin := time.Now()
 	c.Close()
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -8,6 +8,7 @@
 
 import (
 	"cmp"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -120,7 +121,7 @@
 		})
 		return errors.Join(err, failed)
 	}}
-	return conf.Listen(nil, "tcp", address)
+	return conf.Listen(context.Background(), "tcp", address)
 }
 
 // Peer is the other process of an upgrade.
