--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -58,7 +58,7 @@
 		if a.Stream != nil {
 			// In chunks, so that each piece goes out as it comes and an end that is cut off shows.
 			m.ImmediateHeaderFlush = true
-			size := chunked
+			size := lengthChunked
 			if a.Stream.WithLength {
 				size = a.Stream.Length
 			}
@@ -120,18 +120,18 @@
 
 // MemoryBudget is the memory that bodies of answers may take together, from their first
 // byte until they are written to their callers.
-type MemoryBudget struct{ left atomic.Int64 }
+type MemoryBudget struct{ available atomic.Int64 }
 
 // NewMemoryBudget returns room for so many bytes.
 func NewMemoryBudget(bytes int64) *MemoryBudget {
 	m := &MemoryBudget{}
-	m.left.Store(bytes)
+	m.available.Store(bytes)
 	return m
 }
 
 // Take takes so many bytes, if they are there.
 func (m *MemoryBudget) Take(bytes int) bool {
-	if m.left.Add(-int64(bytes)) >= 0 {
+	if m.available.Add(-int64(bytes)) >= 0 {
 		return true
 	}
 	m.Release(bytes)
@@ -139,40 +139,40 @@
 }
 
 // Available is how many bytes are left.
-func (m *MemoryBudget) Available() int64 { return m.left.Load() }
+func (m *MemoryBudget) Available() int64 { return m.available.Load() }
 
 // Release gives bytes back.
-func (m *MemoryBudget) Release(bytes int) { m.left.Add(int64(bytes)) }
+func (m *MemoryBudget) Release(bytes int) { m.available.Add(int64(bytes)) }
 
 // Bounds of reading an answer.
 const (
-	firstBody  = 4 << 10 // bytes taken before any has come: most bodies are smaller
-	mostAhead  = 16      // interim answers (1xx) ahead of the one that counts
-	errTooLong = bodyError("body too long")
-	errNoRoom  = bodyError("no room left for the body")
-	errAhead   = bodyError("too many interim answers")
+	initialBodySize   = 4 << 10 // bytes taken before any has come: most bodies are smaller
+	maxInterim        = 16      // interim answers (1xx) ahead of the one that counts
+	errTooLong        = bodyError("body too long")
+	errNoMemory       = bodyError("no room left for the body")
+	errTooManyInterim = bodyError("too many interim answers")
 )
 
 type bodyError string
 
 func (e bodyError) Error() string { return string(e) }
 
-// errOpenEnded is the failure of an answer whose end only the end of the connection
+// errNoLength is the failure of an answer whose end only the end of the connection
 // tells, and whose head does not say so: a half-written one would look whole.
-var errOpenEnded = errors.New("answer without a length")
+var errNoLength = errors.New("answer without a length")
 
 // Lengths that a head does not tell, in fasthttp's words.
-const chunked, identity = -1, -2
+const lengthChunked, lengthToEnd = -1, -2
 
-// beginTime is how long a long answer is held back for more of it than its first bytes:
+// beginningTime is how long a long answer is held back for more of it than its first bytes:
 // a spoilt one shows itself by then most often, and can be tried elsewhere.
-const beginTime = 150 * time.Millisecond
+const beginningTime = 150 * time.Millisecond
 
 // Receive reads the answer to what was sent: whole, or the beginning of a long one.
 func (l *Link) Receive(room *MemoryBudget, world env.Env) (Reply, error) {
-	reply, err := decodeReply(l.in, room, &pacer{link: l, world: world})
+	reply, err := decodeReply(l.in, room, &beginningTimer{link: l, env: world})
 	if reply.Stream != nil {
-		reply.Stream.link, reply.Stream.world = l, world
+		reply.Stream.link, reply.Stream.env = l, world
 	}
 	return reply, err
 }
@@ -182,30 +182,30 @@
 	return decodeReply(r, room, nil)
 }
 
-// pacer tells when to stop waiting for more of an answer's beginning.
-type pacer struct {
-	link  *Link
-	world env.Env
-	until time.Time // zero before the head has come
+// beginningTimer tells when to stop waiting for more of an answer's beginning.
+type beginningTimer struct {
+	link     *Link
+	env      env.Env
+	deadline time.Time // zero before the head has come
 }
 
-// more waits for the next bytes, and tells whether they came in time.
-func (p *pacer) more() bool {
-	now := p.world.Now()
-	if p.until.IsZero() {
-		p.until = now.Add(beginTime)
+// waitMore waits for the next bytes, and tells whether they came in time.
+func (p *beginningTimer) waitMore() bool {
+	now := p.env.Now()
+	if p.deadline.IsZero() {
+		p.deadline = now.Add(beginningTime)
 	}
 	if p.link.in.Buffered() > 0 {
 		return true
 	}
-	p.link.conn.SetReadDeadline(p.until)
+	p.link.conn.SetReadDeadline(p.deadline)
 	_, err := p.link.in.Peek(1)
-	p.link.conn.SetReadDeadline(p.link.until)
+	p.link.conn.SetReadDeadline(p.link.deadline)
 	return !errors.Is(err, os.ErrDeadlineExceeded) // any other error shows at the next read
 }
 
 // decodeReply reads an answer; what is read of its body takes of the room.
-func decodeReply(r *bufio.Reader, room *MemoryBudget, pace *pacer) (Reply, error) {
+func decodeReply(r *bufio.Reader, room *MemoryBudget, pace *beginningTimer) (Reply, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
 	body, err := readHead(m, r)
@@ -215,7 +215,7 @@
 	h := &m.Header
 	status := h.StatusCode()
 	reply := Reply{
-		Outcome:  outcomeOf(status, string(h.Peek(headerTurnedAway)) == "1"),
+		Outcome:  outcomeOf(status, string(h.Peek(headerRejected)) == "1"),
 		Status:   status,
 		Type:     string(h.ContentType()),
 		Encoding: string(h.ContentEncoding()),
@@ -237,7 +237,7 @@
 	case !whole && reply.Outcome != decide.Served: // it tells all that it has to tell
 		reply.Close = true
 	case !whole:
-		reply.Stream = &AnswerStream{Length: length, first: first, body: body}
+		reply.Stream = &AnswerStream{Length: length, beginning: first, body: body}
 	}
 	return reply, nil
 }
@@ -248,10 +248,10 @@
 	m.Header.SetNoDefaultContentType(true)
 	closes := false
 	for ahead := 0; ; ahead++ {
-		if ahead > mostAhead {
-			return nil, errAhead
+		if ahead > maxInterim {
+			return nil, errTooManyInterim
 		}
-		closes = saysClose(r)
+		closes = headSaysClose(r)
 		if err := m.Header.Read(r); err != nil {
 			return nil, err
 		}
@@ -265,19 +265,19 @@
 	switch length := m.Header.ContentLength(); {
 	case length == 0:
 		return nil, nil
-	case length == chunked:
+	case length == lengthChunked:
 		return &chunkedBody{r: r}, nil
-	case length != identity:
-		return &exactBody{r: r, left: length}, nil
+	case length != lengthToEnd:
+		return &fixedLengthBody{r: r, remaining: length}, nil
 	case closes:
 		return r, nil
 	}
-	return nil, errOpenEnded
+	return nil, errNoLength
 }
 
-// saysClose tells whether the head that comes next says itself that the connection
+// headSaysClose tells whether the head that comes next says itself that the connection
 // ends with its answer. fasthttp says so of all heads without a length.
-func saysClose(r *bufio.Reader) bool {
+func headSaysClose(r *bufio.Reader) bool {
 	var head []byte
 	for n, end := 1, -1; end < 0; n = len(head) + 1 {
 		var err error
@@ -300,17 +300,17 @@
 	return false
 }
 
-// exactBody is a body of a told length.
-type exactBody struct {
-	r    *bufio.Reader
-	left int
+// fixedLengthBody is a body of a told length.
+type fixedLengthBody struct {
+	r         *bufio.Reader
+	remaining int
 }
 
 // Read is io.Reader's.
-func (b *exactBody) Read(p []byte) (int, error) {
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	switch b.left -= n; {
-	case b.left == 0:
+func (b *fixedLengthBody) Read(p []byte) (int, error) {
+	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	switch b.remaining -= n; {
+	case b.remaining == 0:
 		return n, io.EOF
 	case err == io.EOF:
 		return n, io.ErrUnexpectedEOF
@@ -321,43 +321,43 @@
 // chunkedBody is a body in chunks, with the trailer behind it, which is passed over. A
 // read that fails changes nothing: another process can go on from left and behind.
 type chunkedBody struct {
-	r      *bufio.Reader
-	left   int  // bytes of the chunk at hand that have not come
-	behind bool // a chunk has come whole, and the end of its line has not
+	r              *bufio.Reader
+	remaining      int  // bytes of the chunk at hand that have not come
+	lineEndPending bool // a chunk has come whole, and the end of its line has not
 }
 
-// errChunk is the fault of a chunk that can't be read.
-var errChunk = errors.New("malformed chunk")
+// errMalformedChunk is the fault of a chunk that can't be read.
+var errMalformedChunk = errors.New("malformed chunk")
 
 // Read is io.Reader's.
 func (b *chunkedBody) Read(p []byte) (int, error) {
-	for b.left == 0 {
+	for b.remaining == 0 {
 		line, err := peekLine(b.r)
 		if err != nil {
 			return 0, err
 		}
-		if b.behind {
+		if b.lineEndPending {
 			if len(bytes.TrimRight(line, "\r\n")) > 0 {
-				return 0, errChunk
+				return 0, errMalformedChunk
 			}
-			b.behind = false
+			b.lineEndPending = false
 			b.r.Discard(len(line))
 			continue
 		}
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		if err != nil {
-			return 0, errChunk
+			return 0, errMalformedChunk
 		}
 		b.r.Discard(len(line))
 		if n == 0 {
 			return 0, cmp.Or(skipTrailer(b.r), io.EOF)
 		}
-		b.left = int(n)
+		b.remaining = int(n)
 	}
-	n, err := b.r.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	b.behind = b.left == 0
+	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	b.lineEndPending = b.remaining == 0
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
@@ -401,21 +401,21 @@
 // MaxWhole bytes at most. It takes memory as the bytes come: guards against heads that
 // announce more than ever comes. What was taken of the room is the capacity of what is
 // returned, also with an error.
-func readBeginning(r io.Reader, length int, room *MemoryBudget, pace *pacer) (body []byte, whole bool, err error) {
+func readBeginning(r io.Reader, length int, room *MemoryBudget, pace *beginningTimer) (body []byte, whole bool, err error) {
 	for {
 		if len(body) >= MaxBuffered && length != len(body) {
 			return body, false, nil
 		}
-		if len(body) > 0 && (length < 0 || length > MaxBuffered) && pace != nil && !pace.more() {
+		if len(body) > 0 && (length < 0 || length > MaxBuffered) && pace != nil && !pace.waitMore() {
 			return body, false, nil
 		}
 		if len(body) == cap(body) {
-			more := min(max(firstBody, cap(body)), MaxBuffered-cap(body))
+			more := min(max(initialBodySize, cap(body)), MaxBuffered-cap(body))
 			if length > 0 {
 				more = min(more, length-len(body))
 			}
 			if !room.Take(more) {
-				return body, false, errNoRoom
+				return body, false, errNoMemory
 			}
 			body = append(make([]byte, 0, cap(body)+more), body...)
 		}
@@ -430,8 +430,8 @@
 	}
 }
 
-// readWhole reads a whole answer of so many bytes at most, which is kept.
-func readWhole(m *fasthttp.Response, r *bufio.Reader, most int) ([]byte, error) {
+// readComplete reads a whole answer of so many bytes at most, which is kept.
+func readComplete(m *fasthttp.Response, r *bufio.Reader, most int) ([]byte, error) {
 	body, err := readHead(m, r)
 	if err != nil || body == nil {
 		return nil, err
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -20,10 +20,10 @@
 // Callers accepts the connections of callers and keeps track of them.
 type Callers struct {
 	net.Listener
-	world env.Env
-	limit atomic.Int64 // connections that there may be at all
-	most  atomic.Int64 // of them, those that may stay; the rest is for callers that are turned away, and for room that is being made
-	ended func(c *CallerConn, why Reason)
+	env       env.Env
+	limit     atomic.Int64 // connections that there may be at all
+	softLimit atomic.Int64 // of them, those that may stay; the rest is for callers that are turned away, and for room that is being made
+	onEnd     func(c *CallerConn, why Reason)
 
 	paused       atomic.Bool
 	resume       chan struct{} // one that is stale only has Accept look again
@@ -32,35 +32,35 @@
 	backlogEmpty chan struct{} // closed by Accept: nobody stands in the queue of a listener that closes
 	freed        chan struct{} // one that is stale only has Accept look again
 
-	held      atomic.Int64 // connections with a whole request on them
+	pending   atomic.Int64 // connections with a whole request on them
 	lingering atomic.Int64 // connections that have ended on this side, and are read out
 
-	mu      sync.Mutex
-	conns   map[*CallerConn]struct{} // until Close
-	looking bool                     // makeRoom is at work, or will be
+	mu         sync.Mutex
+	conns      map[*CallerConn]struct{} // until Close
+	makingRoom bool                     // makeRoom is at work, or will be
 }
 
 // NewCallers wraps a listener. There are never more connections than the limit: close to it, those that have been idle
 // longest make room, and who comes at the limit waits in the kernel's queue for that. ended is called once for each that ends.
 func NewCallers(l net.Listener, world env.Env, limit int, ended func(c *CallerConn, why Reason)) *Callers {
 	c := &Callers{
-		Listener: l, world: world, ended: ended, conns: map[*CallerConn]struct{}{},
+		Listener: l, env: world, onEnd: ended, conns: map[*CallerConn]struct{}{},
 		resume: make(chan struct{}, 1), backlogEmpty: make(chan struct{}), freed: make(chan struct{}, 1),
 	}
 	c.SetLimit(limit)
 	return c
 }
 
-// spareShare is so large a part of the connections as is kept free of those that stay.
-const spareShare = 16
+// spareDivisor is so large a part of the connections as is kept free of those that stay.
+const spareDivisor = 16
 
 // SetLimit sets how many connections there may be. What is idle beyond that ends; what is in use goes on.
 func (l *Callers) SetLimit(limit int) {
 	l.limit.Store(int64(limit))
-	l.most.Store(int64(max(1, limit-max(1, limit/spareShare))))
+	l.softLimit.Store(int64(max(1, limit-max(1, limit/spareDivisor))))
 	l.mu.Lock()
-	look := l.crowded() && !l.looking
-	l.looking = l.looking || look
+	look := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || look
 	l.mu.Unlock()
 	if look {
 		l.makeRoom()
@@ -70,24 +70,24 @@
 // crowded tells whether room is to be made; l.mu is held.
 func (l *Callers) crowded() bool {
 	n := int64(len(l.conns))
-	return n > l.most.Load() || n >= l.limit.Load()
+	return n > l.softLimit.Load() || n >= l.limit.Load()
 }
 
-// deadliner is a listener whose Accept can be made to end.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineSetter is a listener whose Accept can be made to end.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
 
 // Pause keeps Accept from accepting until Resume: another process does meanwhile, on
 // the same descriptor. What has been accepted is not touched.
 func (l *Callers) Pause() {
 	l.paused.Store(true)
-	if d, ok := l.Listener.(deadliner); ok {
-		d.SetDeadline(aPast)
+	if d, ok := l.Listener.(deadlineSetter); ok {
+		d.SetDeadline(pastDeadline)
 	}
 }
 
 // Resume ends a pause.
 func (l *Callers) Resume() {
-	if d, ok := l.Listener.(deadliner); ok {
+	if d, ok := l.Listener.(deadlineSetter); ok {
 		d.SetDeadline(time.Time{})
 	}
 	if l.paused.Swap(false) {
@@ -101,10 +101,10 @@
 // Close ends accepting. Who stands in the kernel's queue by then is accepted: a listener that closes resets them, and
 // they may have asked something already.
 func (l *Callers) Close() error {
-	if d, ok := l.Listener.(deadliner); ok && !l.paused.Load() {
-		timer := l.world.NewTimer(backlogTime)
+	if d, ok := l.Listener.(deadlineSetter); ok && !l.paused.Load() {
+		timer := l.env.NewTimer(backlogTimeout)
 		l.closing.Store(true)
-		d.SetDeadline(aPast) // Accept looks up
+		d.SetDeadline(pastDeadline) // Accept looks up
 		select {
 		case <-l.backlogEmpty:
 		case <-timer.C():
@@ -119,19 +119,19 @@
 	l.closed.Store(true)
 	err := l.Listener.Close()
 	l.Resume()
-	l.tellFreed()
+	l.signalFreed()
 	return err
 }
 
 // Pauses of the callers' side.
 const (
-	acceptPause  = 5 * time.Millisecond   // after a failed accept: descriptors may run out for a moment
-	roomPause    = 50 * time.Millisecond  // between looks for connections that can make room
-	settleTime   = 200 * time.Millisecond // a connection stands idle so long before it may be ended
-	crowdShare   = 2                      // so large a part of all connections makes room at once while others wait for it
-	stallTime    = time.Second            // a request may take so long to come whole while room is short
-	backlogPause = 20 * time.Millisecond  // for who stands in the queue of a listener that closes
-	backlogTime  = 100 * time.Millisecond // it closes by then in any case: somebody may always come
+	acceptRetryDelay = 5 * time.Millisecond   // after a failed accept: descriptors may run out for a moment
+	makeRoomInterval = 50 * time.Millisecond  // between looks for connections that can make room
+	minIdleTime      = 200 * time.Millisecond // a connection stands idle so long before it may be ended
+	crowdDivisor     = 2                      // so large a part of all connections makes room at once while others wait for it
+	incompleteTime   = time.Second            // a request may take so long to come whole while room is short
+	backlogPoll      = 20 * time.Millisecond  // for who stands in the queue of a listener that closes
+	backlogTimeout   = 100 * time.Millisecond // it closes by then in any case: somebody may always come
 )
 
 // Accept waits for the next connection. It fails only when the listener is
@@ -144,8 +144,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case l.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			if l.backlogged() { // a deadline that has passed has Accept not look at all
-				l.Listener.(deadliner).SetDeadline(l.world.Now().Add(backlogPause))
+			if l.hasBacklog() { // a deadline that has passed has Accept not look at all
+				l.Listener.(deadlineSetter).SetDeadline(l.env.Now().Add(backlogPoll))
 				break
 			}
 			err := l.Listener.Close() // in the same breath: nobody comes in between
@@ -156,15 +156,15 @@
 		case errors.Is(err, os.ErrDeadlineExceeded): // a pause that has ended since
 		default:
 			l.closeOldest(1)
-			l.world.Sleep(acceptPause)
+			l.env.Sleep(acceptRetryDelay)
 		}
 		conn, err = l.acceptOne()
 	}
-	c := &CallerConn{Conn: conn, owner: l, changed: l.world.Now()}
+	c := &CallerConn{Conn: conn, owner: l, changedAt: l.env.Now()}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	look := l.crowded() && !l.looking
-	l.looking = l.looking || look
+	look := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || look
 	l.mu.Unlock()
 	if look {
 		l.makeRoom()
@@ -176,7 +176,7 @@
 // discovery or console is reached: what is kept for these is not to be had, however many callers come.
 func (l *Callers) acceptOne() (net.Conn, error) {
 	for int64(l.Open()) >= l.limit.Load() && !l.closed.Load() && !l.paused.Load() {
-		timer := l.world.NewTimer(roomPause) // the limit may have been raised
+		timer := l.env.NewTimer(makeRoomInterval) // the limit may have been raised
 		select {
 		case <-l.freed:
 		case <-timer.C():
@@ -186,16 +186,16 @@
 	return l.Listener.Accept()
 }
 
-// tellFreed has Accept look for room again.
-func (l *Callers) tellFreed() {
+// signalFreed has Accept look for room again.
+func (l *Callers) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
 	default:
 	}
 }
 
-// backlogged tells whether somebody stands in the kernel's queue.
-func (l *Callers) backlogged() bool {
+// hasBacklog tells whether somebody stands in the kernel's queue.
+func (l *Callers) hasBacklog() bool {
 	raw, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -216,25 +216,25 @@
 func (l *Callers) makeRoom() {
 	all := l.all()
 	l.mu.Lock()
-	over := len(l.conns) - int(l.most.Load())
+	over := len(l.conns) - int(l.softLimit.Load())
 	full := len(l.conns) >= int(l.limit.Load())
 	look := l.crowded()
-	l.looking = look
+	l.makingRoom = look
 	l.mu.Unlock()
 	if !look {
 		return
 	}
 	over = max(over, 1)
 	for _, c := range all {
-		if c.leaving() {
+		if c.closingSoon() {
 			over--
 		}
 	}
 	l.closeOldest(over)
-	if full && l.backlogged() { // a few at a time would keep usual callers behind a crowd for long
-		l.closeSilent(int(l.limit.Load()) / crowdShare)
+	if full && l.hasBacklog() { // a few at a time would keep usual callers behind a crowd for long
+		l.closeSilent(int(l.limit.Load()) / crowdDivisor)
 	}
-	l.world.AfterFunc(roomPause, l.makeRoom)
+	l.env.AfterFunc(makeRoomInterval, l.makeRoom)
 }
 
 // Open is how many connections there are.
@@ -256,13 +256,13 @@
 // and take the place of usual ones: one that has brought a good request stands as long as others are about to be idle for
 // long enough.
 func (l *Callers) closeOldest(n int) {
-	all, age := l.byAge()
+	all, age := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && (c.closeIdle(ReasonConnLimit) || age[c].young && !age[c].proven) {
+		if n > 0 && (c.closeIdle(ReasonConnLimit) || age[c].recentlyIdle && !age[c].proven) {
 			n--
 		}
 	}
-	for _, end := range []func(*CallerConn) bool{(*CallerConn).cutLinger, (*CallerConn).cutShort} {
+	for _, end := range []func(*CallerConn) bool{(*CallerConn).stopLinger, (*CallerConn).abortIncomplete} {
 		for _, c := range all {
 			if n > 0 && end(c) {
 				n--
@@ -273,40 +273,40 @@
 
 // closeSilent ends n of those that never brought a good request: idle, half a one, or only read out.
 func (l *Callers) closeSilent(n int) {
-	all, age := l.byAge()
+	all, age := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && !age[c].proven && (c.closeIdle(ReasonConnLimit) || c.cutLinger() || c.cutShort()) {
+		if n > 0 && !age[c].proven && (c.closeIdle(ReasonConnLimit) || c.stopLinger() || c.abortIncomplete()) {
 			n--
 		}
 	}
 }
 
-// byAge returns all connections, those that end first first.
-func (l *Callers) byAge() ([]*CallerConn, map[*CallerConn]connAge) {
+// byCloseOrder returns all connections, those that end first first.
+func (l *Callers) byCloseOrder() ([]*CallerConn, map[*CallerConn]connCloseOrder) {
 	all := l.all()
-	age := make(map[*CallerConn]connAge, len(all))
+	age := make(map[*CallerConn]connCloseOrder, len(all))
 	for _, c := range all {
-		age[c] = c.age()
+		age[c] = c.closeOrder()
 	}
 	slices.SortFunc(all, func(a, b *CallerConn) int { return age[a].compare(age[b]) })
 	return all, age
 }
 
-// connAge is what decides which connection ends first.
-type connAge struct {
-	proven  bool // it has brought a good request
-	young   bool // it is idle, and may be ended soon
-	changed time.Time
+// connCloseOrder is what decides which connection ends first.
+type connCloseOrder struct {
+	proven       bool // it has brought a good request
+	recentlyIdle bool // it is idle, and may be ended soon
+	changedAt    time.Time
 }
 
-func (a connAge) compare(b connAge) int {
+func (a connCloseOrder) compare(b connCloseOrder) int {
 	if a.proven != b.proven {
 		if b.proven {
 			return -1
 		}
 		return 1
 	}
-	return a.changed.Compare(b.changed)
+	return a.changedAt.Compare(b.changedAt)
 }
 
 func (l *Callers) all() []*CallerConn {
@@ -325,78 +325,78 @@
 	net.Conn
 	owner *Callers
 
-	mu        sync.Mutex
-	why       Reason    // the first that was found; empty while none is
-	busy      bool      // a request is being read, held or answered
-	held      bool      // a request has come whole
-	proven    bool      // a good one has come
-	answered  bool      // the handler has its answer; the server's next read is for another request
-	written   func()    // to be called when that answer is written, or never will be; nil otherwise
-	closing   bool      // no further request is to be read
-	changed   time.Time // when it last became idle, or busy
-	requests  int
-	body      *bodyPace     // while a body is read; nil else
-	cut       bool          // no more of a body is wanted
-	detached  bool          // another process goes on with the answer at hand
-	given     bool          // that process has the connection
-	unsent    []byte        // of it, what was not written here: a piece at most
-	unread    bool          // a body has not come to its end: what still comes must be read before a close
-	pipelined []byte        // what came while Watch looked; the next Reads return it
-	behind    int           // how much that was in all, behind the request at hand
-	ended     bool          // its caller has ended it, or it has broken: no more comes
-	watching  chan struct{} // closed when the watch has ended; nil while there is none
-	closed    bool
-	closedAt  time.Time
-	cutOff    bool // it is read out no further
+	mu             sync.Mutex
+	reason         Reason    // the first that was found; empty while none is
+	busy           bool      // a request is being read, held or answered
+	pending        bool      // a request has come whole
+	proven         bool      // a good one has come
+	answered       bool      // the handler has its answer; the server's next read is for another request
+	onWritten      func()    // to be called when that answer is written, or never will be; nil otherwise
+	closing        bool      // no further request is to be read
+	changedAt      time.Time // when it last became idle, or busy
+	requests       int
+	body           *bodyProgress // while a body is read; nil else
+	bodyStopped    bool          // no more of a body is wanted
+	detached       bool          // another process goes on with the answer at hand
+	handedOver     bool          // that process has the connection
+	unsent         []byte        // of it, what was not written here: a piece at most
+	bodyUnread     bool          // a body has not come to its end: what still comes must be read before a close
+	pipelined      []byte        // what came while Watch looked; the next Reads return it
+	pipelinedBytes int           // how much that was in all, behind the request at hand
+	peerEnded      bool          // its caller has ended it, or it has broken: no more comes
+	watchDone      chan struct{} // closed when the watch has ended; nil while there is none
+	closed         bool
+	closedAt       time.Time
+	lingerStopped  bool // it is read out no further
 
 	descriptor   syscall.RawConn // set when it first holds a request; nil where the connection has no descriptor
 	disconnected atomic.Bool     // its caller was seen to be gone
 }
 
-// aPast is a deadline that has passed: it ends a pending read at once.
-var aPast = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed: it ends a pending read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// lastLook is how long a connection that is to end is still read.
-const lastLook = time.Millisecond
+// lastReadTime is how long a connection that is to end is still read.
+const lastReadTime = time.Millisecond
 
 // Read reads for the server. An idle connection that times out, or that is to
 // end, reads as closed by its caller: the server then ends it in silence, where
 // an answer would be taken for one to a request that is on its way.
 func (c *CallerConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	c.settle()
+	c.finishAnswered()
 	if len(c.pipelined) > 0 {
 		n := copy(b, c.pipelined)
 		c.pipelined = c.pipelined[n:]
-		c.begin()
+		c.markBusy()
 		c.mu.Unlock()
 		return n, nil
 	}
 	idle, began := !c.busy, time.Time{}
 	if c.body != nil {
-		began = c.owner.world.Now()
-		if c.Conn.SetReadDeadline(began.Add(c.body.left())); c.cut {
-			c.Conn.SetReadDeadline(aPast)
+		began = c.owner.env.Now()
+		if c.Conn.SetReadDeadline(began.Add(c.body.timeLeft())); c.bodyStopped {
+			c.Conn.SetReadDeadline(pastDeadline)
 		}
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(b)
 	if n == 0 && idle && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.lookAgain(b)
+		n, err = c.readOnceMore(b)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil && !began.IsZero() {
-		c.body.got += n
-		c.body.waited += c.owner.world.Now().Sub(began)
+		c.body.received += n
+		c.body.waited += c.owner.env.Now().Sub(began)
 	}
 	if n > 0 {
-		c.begin()
+		c.markBusy()
 		return n, err
 	}
-	if err != nil && !c.cut {
-		c.ended = c.ended || !errors.Is(err, os.ErrDeadlineExceeded)
-		c.note(c.readReason(err))
+	if err != nil && !c.bodyStopped {
+		c.peerEnded = c.peerEnded || !errors.Is(err, os.ErrDeadlineExceeded)
+		c.noteReason(c.readReason(err))
 		if !c.busy && errors.Is(err, os.ErrDeadlineExceeded) {
 			err = io.EOF
 		}
@@ -404,26 +404,26 @@
 	return n, err
 }
 
-// lookAgain reads once more when an idle connection is about to end: a read whose
+// readOnceMore reads once more when an idle connection is about to end: a read whose
 // deadline has passed does not look at what has come, and a request that stands
 // there already must not be lost. The rest of it gets the time that it may need.
-func (c *CallerConn) lookAgain(b []byte) (int, error) {
-	c.Conn.SetReadDeadline(c.owner.world.Now().Add(lastLook))
+func (c *CallerConn) readOnceMore(b []byte) (int, error) {
+	c.Conn.SetReadDeadline(c.owner.env.Now().Add(lastReadTime))
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		// Guards against a machine so busy that the deadline passes before the read begins.
-		if came := c.readNow(b); came > 0 {
+		if came := c.readAvailable(b); came > 0 {
 			n, err = came, nil
 		}
 	}
 	if n > 0 {
-		c.Conn.SetReadDeadline(c.owner.world.Now().Add(stallTime))
+		c.Conn.SetReadDeadline(c.owner.env.Now().Add(incompleteTime))
 	}
 	return n, err
 }
 
-// readNow reads what stands there, whatever deadline has passed, and returns how much that is.
-func (c *CallerConn) readNow(b []byte) (n int) {
+// readAvailable reads what stands there, whatever deadline has passed, and returns how much that is.
+func (c *CallerConn) readAvailable(b []byte) (n int) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -447,14 +447,14 @@
 func (c *CallerConn) bodyBegins() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.body, c.unread = &bodyPace{}, true
+	c.body, c.bodyUnread = &bodyProgress{}, true
 }
 
 // MarkBodyUnread marks that a body comes that nobody will read.
 func (c *CallerConn) MarkBodyUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unread = true
+	c.bodyUnread = true
 }
 
 // bodyEnded marks that no body is read any more, and whether nothing more of it comes.
@@ -462,18 +462,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil {
-		c.body, c.cut, c.unread = nil, false, !all
+		c.body, c.bodyStopped, c.bodyUnread = nil, false, !all
 		c.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// cutBody ends the read of a body that is under way.
-func (c *CallerConn) cutBody() {
+// stopBody ends the read of a body that is under way.
+func (c *CallerConn) stopBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil {
-		c.cut = true
-		c.Conn.SetReadDeadline(aPast)
+		c.bodyStopped = true
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
 
@@ -481,52 +481,52 @@
 func (c *CallerConn) MarkPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hold()
+	c.setPending()
 }
 
-// hold does that; c.mu is held.
-func (c *CallerConn) hold() {
-	c.settle() // guards against requests written at once: the server reads no more between them
-	c.begin()
-	if !c.held {
-		c.held, c.proven = true, true
-		c.owner.held.Add(1)
+// setPending does that; c.mu is held.
+func (c *CallerConn) setPending() {
+	c.finishAnswered() // guards against requests written at once: the server reads no more between them
+	c.markBusy()
+	if !c.pending {
+		c.pending, c.proven = true, true
+		c.owner.pending.Add(1)
 	}
 	if conn, ok := c.Conn.(syscall.Conn); ok && c.descriptor == nil {
 		c.descriptor, _ = conn.SyscallConn() // nil if it is closed here
 	}
 }
 
-// begin marks that a request has begun to come; c.mu is held.
-func (c *CallerConn) begin() {
+// markBusy marks that a request has begun to come; c.mu is held.
+func (c *CallerConn) markBusy() {
 	if !c.busy {
-		c.busy, c.changed = true, c.owner.world.Now()
+		c.busy, c.changedAt = true, c.owner.env.Now()
 	}
 }
 
-// settle makes the connection idle once the server reads on behind an answer:
+// finishAnswered makes the connection idle once the server reads on behind an answer:
 // it does so when the answer is written. c.mu is held.
-func (c *CallerConn) settle() {
+func (c *CallerConn) finishAnswered() {
 	if c.answered {
-		c.answered, c.busy, c.changed = false, false, c.owner.world.Now()
-		c.letGo()
-		c.wasWritten()
+		c.answered, c.busy, c.changedAt = false, false, c.owner.env.Now()
+		c.clearPending()
+		c.releaseAnswer()
 	}
 }
 
-// letGo marks that no whole request is held any more; c.mu is held.
-func (c *CallerConn) letGo() {
-	if c.held {
-		c.held = false
-		c.owner.held.Add(-1)
+// clearPending marks that no whole request is held any more; c.mu is held.
+func (c *CallerConn) clearPending() {
+	if c.pending {
+		c.pending = false
+		c.owner.pending.Add(-1)
 	}
 }
 
-// wasWritten tells that the answer needs its memory no more; c.mu is held.
-func (c *CallerConn) wasWritten() {
-	if c.written != nil {
-		c.written()
-		c.written = nil
+// releaseAnswer tells that the answer needs its memory no more; c.mu is held.
+func (c *CallerConn) releaseAnswer() {
+	if c.onWritten != nil {
+		c.onWritten()
+		c.onWritten = nil
 	}
 }
 
@@ -552,7 +552,7 @@
 		c.mu.Unlock()
 		return len(b), nil
 	}
-	c.Conn.SetWriteDeadline(c.owner.world.Now().Add(pieceStall))
+	c.Conn.SetWriteDeadline(c.owner.env.Now().Add(pieceStall))
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
 	c.mu.Lock()
@@ -572,7 +572,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing && !c.busy {
-		t = aPast
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
@@ -582,14 +582,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.detached = true
-	c.Conn.SetWriteDeadline(aPast)
+	c.Conn.SetWriteDeadline(pastDeadline)
 }
 
-// givenAway marks that another process has the connection: what this one does to it, that one would meet.
-func (c *CallerConn) givenAway() {
+// markHandedOver marks that another process has the connection: what this one does to it, that one would meet.
+func (c *CallerConn) markHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given = true
+	c.handedOver = true
 }
 
 // unsentBytes returns what was written and only noted.
@@ -604,8 +604,8 @@
 func (c *CallerConn) MarkAnswered(written func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle()
-	c.answered, c.written = true, written
+	c.finishAnswered()
+	c.answered, c.onWritten = true, written
 	c.requests++
 }
 
@@ -617,72 +617,72 @@
 }
 
 // Pending is how many connections hold a whole request, or one whose body still comes.
-func (l *Callers) Pending() int { return int(l.held.Load()) }
+func (l *Callers) Pending() int { return int(l.pending.Load()) }
 
 // Crowded tells whether more requests are held than there should be connections.
 func (c *CallerConn) Crowded() bool {
 	l := c.owner
-	return l.held.Load() > l.most.Load()
+	return l.pending.Load() > l.softLimit.Load()
 }
 
 // SetReason sets why the connection ends, unless that is known already.
 func (c *CallerConn) SetReason(why Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.note(why)
+	c.noteReason(why)
 }
 
-func (c *CallerConn) note(why Reason) {
-	if c.why == "" {
-		c.why = why
+func (c *CallerConn) noteReason(why Reason) {
+	if c.reason == "" {
+		c.reason = why
 	}
 }
 
-func (c *CallerConn) age() connAge {
+func (c *CallerConn) closeOrder() connCloseOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.owner.world.Now()
-	return connAge{
-		proven: c.proven, changed: c.changed,
-		young: !c.busy && !c.closing && !c.closed && now.Sub(c.changed) < settleTime,
+	now := c.owner.env.Now()
+	return connCloseOrder{
+		proven: c.proven, changedAt: c.changedAt,
+		recentlyIdle: !c.busy && !c.closing && !c.closed && now.Sub(c.changedAt) < minIdleTime,
 	}
 }
 
-// leaving tells whether it is about to end by itself.
-func (c *CallerConn) leaving() bool {
+// closingSoon tells whether it is about to end by itself.
+func (c *CallerConn) closingSoon() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return c.cutOff || c.owner.world.Now().Sub(c.closedAt) < settleTime
+		return c.lingerStopped || c.owner.env.Now().Sub(c.closedAt) < minIdleTime
 	}
-	return c.closing && !c.held
+	return c.closing && !c.pending
 }
 
-// cutLinger ends the reading out of a connection that has ended on this side, and tells whether it does. Guards against
+// stopLinger ends the reading out of a connection that has ended on this side, and tells whether it does. Guards against
 // callers that keep descriptors so: for as long as room is short it takes settleTime.
-func (c *CallerConn) cutLinger() bool {
+func (c *CallerConn) stopLinger() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed || c.cutOff || c.owner.world.Now().Sub(c.closedAt) < settleTime {
+	if !c.closed || c.lingerStopped || c.owner.env.Now().Sub(c.closedAt) < minIdleTime {
 		return false
 	}
-	c.cutOff = true
-	c.Conn.SetReadDeadline(aPast)
+	c.lingerStopped = true
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-// cutShort ends the reading of a request that does not come whole, and tells
+// abortIncomplete ends the reading of a request that does not come whole, and tells
 // whether it does. Guards against callers that hold all connections with the
 // beginnings of requests. The server answers them, in case one has come after all.
-func (c *CallerConn) cutShort() bool {
+func (c *CallerConn) abortIncomplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.busy || c.held || c.closing || c.owner.world.Now().Sub(c.changed) < stallTime {
+	if !c.busy || c.pending || c.closing || c.owner.env.Now().Sub(c.changedAt) < incompleteTime {
 		return false
 	}
 	c.closing = true
-	c.note(ReasonConnLimit)
-	c.Conn.SetReadDeadline(aPast)
+	c.noteReason(ReasonConnLimit)
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
@@ -695,12 +695,12 @@
 	defer c.mu.Unlock()
 	// Guards against a stop that cuts short what lingers already; where room is wanted it may be cut short.
 	lingers := c.closed && why != ReasonConnLimit
-	if c.closing || c.busy || lingers || c.owner.world.Now().Sub(c.changed) < settleTime {
+	if c.closing || c.busy || lingers || c.owner.env.Now().Sub(c.changedAt) < minIdleTime {
 		return false
 	}
 	c.closing = true
-	c.note(why)
-	c.Conn.SetReadDeadline(aPast)
+	c.noteReason(why)
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
@@ -715,15 +715,15 @@
 // when a request has come whole.
 func (c *CallerConn) Watch(left func()) {
 	done := make(chan struct{})
-	c.watching = done
+	c.watchDone = done
 	c.mu.Lock()
-	c.hold()
-	c.behind = len(c.pipelined)
+	c.setPending()
+	c.pipelinedBytes = len(c.pipelined)
 	c.Conn.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	c.owner.world.Go("watch", func() {
+	c.owner.env.Go("watch", func() {
 		defer close(done)
-		if c.look() {
+		if c.readUntilGone() {
 			c.disconnected.Store(true)
 			c.SetReason(ReasonCallerLeft)
 			left()
@@ -731,26 +731,26 @@
 	})
 }
 
-// look reads until the watch is to end or the caller has gone, and tells whether it has. It does not stop at what comes
+// readUntilGone reads until the watch is to end or the caller has gone, and tells whether it has. It does not stop at what comes
 // behind the request: guards against callers that send much at once and go, whose end stands behind all that.
-func (c *CallerConn) look() (gone bool) {
+func (c *CallerConn) readUntilGone() (gone bool) {
 	var first [1]byte
 	buf := first[:]
 	for {
 		n, err := c.Conn.Read(buf)
 		c.mu.Lock()
-		flooded := c.keep(buf[:n])
+		flooded := c.keepPipelined(buf[:n])
 		c.mu.Unlock()
 		switch {
 		case flooded:
 			return true
 		case err == nil && len(buf) == len(first):
-			buf = make([]byte, firstBody) // one for each caller that writes ahead: a flood of them must stay small
+			buf = make([]byte, initialBodySize) // one for each caller that writes ahead: a flood of them must stay small
 		case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
 			return false
 		case err != nil:
 			c.mu.Lock()
-			c.ended = true
+			c.peerEnded = true
 			c.mu.Unlock()
 			return true
 		}
@@ -764,17 +764,17 @@
 	maxPipelined     = 1 << 20
 )
 
-// keep keeps what came behind a request, and tells whether it was more than anybody waits behind; c.mu is held. Beyond
+// keepPipelined keeps what came behind a request, and tells whether it was more than anybody waits behind; c.mu is held. Beyond
 // maxPipelinedKept nothing is kept: the connection ends with the request at hand, since what follows can't be read any more.
-func (c *CallerConn) keep(b []byte) (flooded bool) {
-	c.behind += len(b)
-	if c.behind > maxPipelinedKept {
+func (c *CallerConn) keepPipelined(b []byte) (flooded bool) {
+	c.pipelinedBytes += len(b)
+	if c.pipelinedBytes > maxPipelinedKept {
 		c.pipelined, c.closing = nil, true
 	} else {
 		c.pipelined = append(c.pipelined, b...)
 	}
-	c.ended = c.ended || c.behind > maxPipelined // it gets no answer that a close could destroy
-	return c.behind > maxPipelined
+	c.peerEnded = c.peerEnded || c.pipelinedBytes > maxPipelined // it gets no answer that a close could destroy
+	return c.pipelinedBytes > maxPipelined
 }
 
 // Disconnected tells whether its caller has ended the connection, one way or both, or broken it. It asks the kernel, once:
@@ -814,9 +814,9 @@
 
 // Unwatch ends the watch; the server may read again.
 func (c *CallerConn) Unwatch() {
-	c.Conn.SetReadDeadline(aPast)
-	<-c.watching
-	c.watching = nil
+	c.Conn.SetReadDeadline(pastDeadline)
+	<-c.watchDone
+	c.watchDone = nil
 	c.Conn.SetReadDeadline(time.Time{})
 }
 
@@ -825,12 +825,12 @@
 	c.mu.Lock()
 	first := !c.closed
 	if first {
-		c.closed, c.closedAt = true, c.owner.world.Now()
+		c.closed, c.closedAt = true, c.owner.env.Now()
 	}
-	c.letGo()
-	c.wasWritten()
-	c.note(ReasonAskedClose)
-	why, linger := c.why, c.lingers()
+	c.clearPending()
+	c.releaseAnswer()
+	c.noteReason(ReasonAskedClose)
+	why, linger := c.reason, c.lingerTime()
 	c.mu.Unlock()
 	if first {
 		c.linger(linger)
@@ -841,8 +841,8 @@
 		l.mu.Lock()
 		delete(l.conns, c)
 		l.mu.Unlock()
-		l.tellFreed()
-		l.ended(c, why)
+		l.signalFreed()
+		l.onEnd(c, why)
 	}
 	return err
 }
@@ -850,20 +850,20 @@
 // How a connection ends from this side. A close over unread bytes is a reset, which may take the answer with it that is
 // on its way, and bytes may come at any moment: so it is ended one way, and what still comes is read and dropped.
 const (
-	longLinger     = 5 * time.Second        // a body that nobody wants, or a flood: longer than most bodies take
-	shortLinger    = 500 * time.Millisecond // else: callers end their side when they see the end of this one
-	lingerShare    = 4                      // so large a part of all connections may end so at once: a flood must not keep descriptors
-	leastLingering = 16                     // but so many always
+	longLinger    = 5 * time.Second        // a body that nobody wants, or a flood: longer than most bodies take
+	shortLinger   = 500 * time.Millisecond // else: callers end their side when they see the end of this one
+	lingerDivisor = 4                      // so large a part of all connections may end so at once: a flood must not keep descriptors
+	minLingering  = 16                     // but so many always
 )
 
-// lingers is how long is read on before the connection is closed; c.mu is held.
-func (c *CallerConn) lingers() time.Duration {
+// lingerTime is how long is read on before the connection is closed; c.mu is held.
+func (c *CallerConn) lingerTime() time.Duration {
 	switch {
-	case c.given, c.ended: // another process writes to it; nobody is there
+	case c.handedOver, c.peerEnded: // another process writes to it; nobody is there
 		return 0
-	case c.unread:
+	case c.bodyUnread:
 		return longLinger
-	case c.why == ReasonConnLimit && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
+	case c.reason == ReasonConnLimit && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
 		return 0
 	}
 	return shortLinger
@@ -876,19 +876,19 @@
 		return
 	}
 	defer c.owner.lingering.Add(-1)
-	mostLingering := max(c.owner.limit.Load()/lingerShare, leastLingering)
+	mostLingering := max(c.owner.limit.Load()/lingerDivisor, minLingering)
 	if c.owner.lingering.Add(1) > mostLingering && most == shortLinger || half.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
-	if !c.cutOff {
-		c.Conn.SetReadDeadline(c.owner.world.Now().Add(most))
+	if !c.lingerStopped {
+		c.Conn.SetReadDeadline(c.owner.env.Now().Add(most))
 	}
 	c.mu.Unlock()
-	buf := make([]byte, firstBody) // little comes, most often nothing
+	buf := make([]byte, initialBodySize) // little comes, most often nothing
 	if most == longLinger {
-		piece := pieces.Get().(*[pieceSize]byte)
-		defer pieces.Put(piece)
+		piece := pieceBuffers.Get().(*[pieceSize]byte)
+		defer pieceBuffers.Put(piece)
 		buf = piece[:]
 	}
 	for left := MaxBody; left > 0; {
--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -48,7 +48,7 @@
 	}
 	c := conn.(*CallerConn)
 	t.Cleanup(func() { c.Close() })
-	c.changed = c.changed.Add(-time.Hour)
+	c.changedAt = c.changedAt.Add(-time.Hour)
 	return c, client
 }
 
@@ -66,8 +66,8 @@
 		silent = append(silent, c)
 	}
 	proven.mu.Lock()
-	proven.settle()
-	proven.changed = proven.changed.Add(-2 * time.Hour)
+	proven.finishAnswered()
+	proven.changedAt = proven.changedAt.Add(-2 * time.Hour)
 	proven.mu.Unlock()
 	callers.closeOldest(2)
 	callers.closeOldest(1)
@@ -82,7 +82,7 @@
 	if callers.closeOldest(1); !proven.Closing() {
 		t.Error("nothing else was left to end")
 	}
-	if n := callers.held.Load(); n != 0 {
+	if n := callers.pending.Load(); n != 0 {
 		t.Errorf("%d connections count as holding a request", n)
 	}
 }
@@ -91,7 +91,7 @@
 func TestClosingConnectionStillGivesWhatHasCome(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
 		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
-		"idle limit": func(c *CallerConn) { c.SetReadDeadline(aPast) },
+		"idle limit": func(c *CallerConn) { c.SetReadDeadline(pastDeadline) },
 	} {
 		c, client, _ := callerPair(t)
 		if _, err := client.Write([]byte("GET")); err != nil {
@@ -131,7 +131,7 @@
 // nor while a request comes or is held.
 func TestBusyConnectionIsNotClosed(t *testing.T) {
 	c, client, _ := callerPair(t)
-	c.changed = time.Now()
+	c.changedAt = time.Now()
 	if c.closeIdle(ReasonConnLimit) {
 		t.Error("closed when new")
 	}
@@ -139,12 +139,12 @@
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	c.changed = c.changed.Add(-time.Hour)
+	c.changedAt = c.changedAt.Add(-time.Hour)
 	if c.closeIdle(ReasonConnLimit) {
 		t.Error("closed while a request comes")
 	}
 	c.Watch(func() {})
-	if c.cutShort() {
+	if c.abortIncomplete() {
 		t.Error("cut short while a whole request is held")
 	}
 	c.Unwatch()
@@ -193,11 +193,11 @@
 	proven.Unwatch()
 	proven.MarkAnswered(nil)
 	proven.mu.Lock()
-	proven.settle()
-	proven.changed = proven.changed.Add(-time.Hour)
+	proven.finishAnswered()
+	proven.changedAt = proven.changedAt.Add(-time.Hour)
 	proven.mu.Unlock()
 	silent, _ := connect(t, callers)
-	silent.changed = silent.changed.Add(2 * time.Hour) // it has only just come
+	silent.changedAt = silent.changedAt.Add(2 * time.Hour) // it has only just come
 	if callers.closeOldest(1); proven.Closing() || silent.Closing() {
 		t.Errorf("the usual caller's ended: %v; the one that has just come: %v", proven.Closing(), silent.Closing())
 	}
@@ -211,8 +211,8 @@
 
 // SetReadDeadline is net.Conn's.
 func (c lateConn) SetReadDeadline(t time.Time) error {
-	if !t.IsZero() && time.Until(t) <= lastLook {
-		t = aPast
+	if !t.IsZero() && time.Until(t) <= lastReadTime {
+		t = pastDeadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
--- a/internal/httpwire/crossing_test.go
+++ b/internal/httpwire/crossing_test.go
@@ -123,7 +123,7 @@
 // Guards against a stop that cuts short the reading out of a connection that has ended for another reason.
 func TestStopLeavesWhatLingers(t *testing.T) {
 	c, peer := accepted(t)
-	c.changed = c.changed.Add(-time.Hour) // idle for long
+	c.changedAt = c.changedAt.Add(-time.Hour) // idle for long
 	closed := make(chan struct{})
 	go func() {
 		c.Close()
@@ -149,12 +149,12 @@
 // connection is closed at once.
 func TestClosesDoNotPileUp(t *testing.T) {
 	c, peer := accepted(t)
-	c.owner.lingering.Store(leastLingering)
+	c.owner.lingering.Store(minLingering)
 	c.Close()
 	if _, err := peer.ReadToEnd(); err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if c.owner.lingering.Load() != leastLingering {
+	if c.owner.lingering.Load() != minLingering {
 		t.Errorf("%d are counted", c.owner.lingering.Load())
 	}
 	c, _ = accepted(t)
@@ -252,7 +252,7 @@
 	if _, err := peer.ReadToEnd(); err != nil { // it is being read out
 		t.Fatal(err)
 	}
-	for begin := time.Now(); !c.cutLinger(); time.Sleep(time.Millisecond) {
+	for begin := time.Now(); !c.stopLinger(); time.Sleep(time.Millisecond) {
 		if time.Since(begin) > longLinger {
 			t.Fatal("it can't make room")
 		}
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -41,7 +41,7 @@
 // maxList bounds an answer of discovery, in bytes: some ten thousand endpoints.
 const maxList = 4 << 20
 
-var states = map[string]decide.EndpointState{
+var stateByStatus = map[string]decide.EndpointState{
 	"SERVING": decide.Active, "DRAINING": decide.Draining, "DELETED": decide.Gone,
 }
 
@@ -66,7 +66,7 @@
 func DecodeListReply(r *bufio.Reader) (List, bool, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
-	body, err := readWhole(m, r, maxList)
+	body, err := readComplete(m, r, maxList)
 	if err != nil {
 		return List{}, false, err
 	}
@@ -97,7 +97,7 @@
 		o.Fail("endpoints", "an array", "nothing")
 	}
 	for _, line := range o.Children("endpoints") {
-		list.Endpoints = append(list.Endpoints, decodeLine(line))
+		list.Endpoints = append(list.Endpoints, decodeEndpoint(line))
 	}
 	if err := o.Err(); err != nil {
 		return List{}, err
@@ -105,13 +105,13 @@
 	return list, nil
 }
 
-func decodeLine(o jsonread.Object) ListedEndpoint {
+func decodeEndpoint(o jsonread.Object) ListedEndpoint {
 	e := ListedEndpoint{
 		Name:    o.Text("name"),
 		Address: o.Text("address"),
 		Zone:    o.Text("zone"),
 		Cell:    int(o.Integer("group")),
-		State:   jsonread.Enum(o, "status", states),
+		State:   jsonread.Enum(o, "status", stateByStatus),
 		Weight:  1,
 		Since:   time.Duration(o.Integer("since_ms")) * time.Millisecond,
 	}
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -221,7 +221,7 @@
 			ours, theirs := net.Pipe()
 			defer ours.Close()
 			defer theirs.Close()
-			r.Stream.link, r.Stream.world = &Link{conn: ours}, env.Real{}
+			r.Stream.link, r.Stream.env = &Link{conn: ours}, env.Real{}
 			_, err = r.Stream.WriteTo(&out)
 			length = out.Len()
 		}
--- a/internal/httpwire/link.go
+++ b/internal/httpwire/link.go
@@ -23,11 +23,11 @@
 // called off, nor kept from being written once its connection stands. Its codecs
 // are used, on connections that tell and allow that.
 type Link struct {
-	conn   net.Conn
-	in     *bufio.Reader
-	until  time.Time // the deadline of the exchange at hand
-	closed atomic.Bool
-	Uses   int // exchanges begun on it
+	conn     net.Conn
+	in       *bufio.Reader
+	deadline time.Time // the deadline of the exchange at hand
+	closed   atomic.Bool
+	Uses     int // exchanges begun on it
 }
 
 // Dial opens a connection. It fails when the context ends or timeout passes.
@@ -36,19 +36,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Link{conn: conn, in: bufio.NewReaderSize(&onceBroken{Reader: conn}, MaxHead)}, nil
+	return &Link{conn: conn, in: bufio.NewReaderSize(&stickyErrReader{Reader: conn}, MaxHead)}, nil
 }
 
-// onceBroken keeps the failure of a connection that has broken. Guards against a reset that is taken for an end: the
+// stickyErrReader keeps the failure of a connection that has broken. Guards against a reset that is taken for an end: the
 // kernel tells of it once and reads as io.EOF from then on, and a look ahead (Peek) may have had that one word. A
 // deadline that has passed is no failure: the next read may go on.
-type onceBroken struct {
+type stickyErrReader struct {
 	io.Reader
 	err error
 }
 
 // Read is io.Reader's.
-func (r *onceBroken) Read(b []byte) (int, error) {
+func (r *stickyErrReader) Read(b []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
 	}
@@ -63,7 +63,7 @@
 // last byte was written: without it, the message has never run.
 func (l *Link) Send(message []byte, deadline time.Time) (whole bool, err error) {
 	l.Uses++
-	l.until = deadline
+	l.deadline = deadline
 	if err := l.conn.SetDeadline(deadline); err != nil {
 		return false, err
 	}
@@ -73,7 +73,7 @@
 
 // SetReadDeadline sets until when the answer to what was sent is waited for.
 func (l *Link) SetReadDeadline(deadline time.Time) error {
-	l.until = deadline
+	l.deadline = deadline
 	return l.conn.SetDeadline(deadline)
 }
 
--- a/internal/httpwire/names.go
+++ b/internal/httpwire/names.go
@@ -7,13 +7,13 @@
 
 // Headers and paths of the protocol.
 const (
-	headerID         = "X-Txn"
-	headerTenant     = "X-Org"
-	headerRemaining  = "X-Remaining"
-	headerKey        = "Idempotency-Key"
-	headerResent     = "X-Resent"
-	headerLabels     = "X-Labels"
-	headerTurnedAway = "X-Turned-Away"
+	headerID        = "X-Txn"
+	headerTenant    = "X-Org"
+	headerRemaining = "X-Remaining"
+	headerKey       = "Idempotency-Key"
+	headerResent    = "X-Resent"
+	headerLabels    = "X-Labels"
+	headerRejected  = "X-Turned-Away"
 
 	// ReadyPath answers 200 once the sidecar takes requests.
 	ReadyPath = "/up"
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -58,13 +58,13 @@
 		Labels: string(h.Peek(headerLabels)),
 		Repeat: string(h.Peek(headerResent)) == "1",
 		Method: string(h.Method()),
-		URI:    string(target(h.RequestURI())),
+		URI:    string(pathAndQuery(h.RequestURI())),
 		Type:   string(h.ContentType()),
 	}
 	if r.Method != fasthttp.MethodGet && r.Method != fasthttp.MethodPost {
 		return Request{}, fmt.Errorf("method: %q is neither GET nor POST", r.Method)
 	}
-	if length := h.ContentLength(); r.Method == fasthttp.MethodGet && (length > 0 || length == chunked) {
+	if length := h.ContentLength(); r.Method == fasthttp.MethodGet && (length > 0 || length == lengthChunked) {
 		return Request{}, errors.New("body: a GET has none")
 	}
 	if r.ID == "" {
@@ -89,8 +89,8 @@
 	return r, nil
 }
 
-// target returns path and query of a request's target, which may be absolute.
-func target(uri []byte) []byte {
+// pathAndQuery returns path and query of a request's target, which may be absolute.
+func pathAndQuery(uri []byte) []byte {
 	scheme, rest, absolute := bytes.Cut(uri, []byte("://"))
 	if !absolute || !bytes.EqualFold(scheme, []byte("http")) {
 		return uri
@@ -139,7 +139,7 @@
 		coding = coding || bytes.EqualFold(name, []byte(fasthttp.HeaderTransferEncoding))
 		rest = next
 	}
-	if coding && (length || h.ContentLength() != chunked) {
+	if coding && (length || h.ContentLength() != lengthChunked) {
 		return fmt.Errorf("%w: its length is told in two ways, or by an unknown coding", ErrFraming)
 	}
 	for _, name := range []string{headerID, headerTenant, headerRemaining, headerKey} {
@@ -209,7 +209,7 @@
 	}
 	switch {
 	case r.Upload != nil:
-		h.SetContentLength(max(chunked, r.Upload.Length))
+		h.SetContentLength(max(lengthChunked, r.Upload.Length))
 	case r.Method != fasthttp.MethodGet:
 		h.SetContentLength(len(r.Body))
 	}
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -32,26 +32,26 @@
 // read or write; one that does nothing for so long never will.
 const pieceStall = 10 * time.Second
 
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
 // Bounds of a body that its caller sends, as time that the sidecar waits for it.
 const (
 	// For the next bytes, and for all beyond what the rate gives: who sends no more is
 	// owed an end within 3 s.
-	bodyGrace = 2500 * time.Millisecond
-	bodyRate  = 32 << 10 // bytes a second: half of what slow callers are known to send
+	bodyGrace   = 2500 * time.Millisecond
+	minBodyRate = 32 << 10 // bytes a second: half of what slow callers are known to send
 )
 
-// bodyPace is how fast a body comes. Only time spent waiting for the caller counts: a
+// bodyProgress is how fast a body comes. Only time spent waiting for the caller counts: a
 // slow endpoint holds a fast caller up.
-type bodyPace struct {
-	got    int
-	waited time.Duration
+type bodyProgress struct {
+	received int
+	waited   time.Duration
 }
 
-// left is how long may be waited for the next piece.
-func (p *bodyPace) left() time.Duration {
-	return min(bodyGrace, bodyGrace+time.Duration(p.got)*time.Second/bodyRate-p.waited)
+// timeLeft is how long may be waited for the next piece.
+func (p *bodyProgress) timeLeft() time.Duration {
+	return min(bodyGrace, bodyGrace+time.Duration(p.received)*time.Second/minBodyRate-p.waited)
 }
 
 // ErrBody is the fault of a body that is too long, too slow or broken off.
@@ -75,7 +75,7 @@
 	}
 	conn.bodyBegins()
 	u := &Upload{Length: length, body: stream, conn: conn, done: make(chan struct{})}
-	size := firstBody
+	size := initialBodySize
 	if length > 0 {
 		size = min(length, MaxBuffered+1)
 	}
@@ -104,11 +104,11 @@
 	conn    *CallerConn
 	claimed atomic.Bool
 
-	mu   sync.Mutex // held while a read is under way
-	got  int
-	over bool
-	err  error
-	done chan struct{} // closed when the body has ended, well or not
+	mu       sync.Mutex // held while a read is under way
+	received int
+	finished bool
+	err      error
+	done     chan struct{} // closed when the body has ended, well or not
 }
 
 // Claim gives the rest to an attempt, once: it can't be sent twice.
@@ -124,33 +124,33 @@
 func (u *Upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
+	if u.finished {
 		if u.err == nil {
 			return 0, io.EOF
 		}
 		return 0, u.err
 	}
 	n, err := u.body.Read(b)
-	switch u.got += n; {
-	case u.got > MaxBody:
+	switch u.received += n; {
+	case u.received > MaxBody:
 		err = fmt.Errorf("%w: %d bytes are allowed", errTooLong, MaxBody)
-	case err == io.EOF && u.Length >= 0 && u.got < u.Length:
+	case err == io.EOF && u.Length >= 0 && u.received < u.Length:
 		err = io.ErrUnexpectedEOF // fasthttp's stream takes an early end for the end
-	case err == nil && u.got == u.Length:
+	case err == nil && u.received == u.Length:
 		err = io.EOF
 	}
 	if err != nil {
-		u.end(err)
+		u.finish(err)
 	}
 	return n, err
 }
 
-// end books the end; u.mu is held.
-func (u *Upload) end(err error) {
-	if u.over {
+// finish books the end; u.mu is held.
+func (u *Upload) finish(err error) {
+	if u.finished {
 		return
 	}
-	u.over = true
+	u.finished = true
 	if err != io.EOF {
 		u.err = err
 	}
@@ -161,17 +161,17 @@
 
 // Stop ends reading: when it returns, nobody reads the caller's connection for a body.
 func (u *Upload) Stop() {
-	u.conn.cutBody()
+	u.conn.stopBody()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.end(errStopped)
+	u.finish(errStopped)
 }
 
 // WriteUpload writes the rest of a body behind what Send has written, as it comes. It
 // tells whether the last byte was written. An error that wraps ErrBody is the caller's.
 func (l *Link) WriteUpload(u *Upload, world env.Env) (whole bool, err error) {
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
 		n, err := u.Read(buf[:])
 		if err != nil && err != io.EOF {
@@ -236,16 +236,16 @@
 // AnswerStream is a long answer that is passed on as it comes: fasthttp writes it as the
 // body of a response. It ends once.
 type AnswerStream struct {
-	Length     int // of the whole body in bytes; below 0 where only its end tells
-	Class      string
-	WithLength bool // it is written with its length, not in chunks: for callers of HTTP/1.0
-	first      []byte
-	body       io.Reader
-	link       *Link
-	to         atomic.Pointer[CallerConn]
-	world      env.Env
-	ended      func(AnswerEnd) // set by Pass; nil before, and after the end
-	give       atomic.Pointer[HandOverFunc]
+	Length       int // of the whole body in bytes; below 0 where only its end tells
+	Class        string
+	WithLength   bool // it is written with its length, not in chunks: for callers of HTTP/1.0
+	beginning    []byte
+	body         io.Reader
+	link         *Link
+	caller       atomic.Pointer[CallerConn]
+	env          env.Env
+	onEnd        func(AnswerEnd) // set by Pass; nil before, and after the end
+	handOverFunc atomic.Pointer[HandOverFunc]
 }
 
 // HandOverFunc hands a long answer to another process: what it needs to go on, as text, and the
@@ -253,20 +253,20 @@
 type HandOverFunc func(state []byte, caller, endpoint syscall.Conn) error
 
 // OnEnd says who is told of the end, once.
-func (a *AnswerStream) OnEnd(ended func(AnswerEnd)) { a.ended = ended }
+func (a *AnswerStream) OnEnd(ended func(AnswerEnd)) { a.onEnd = ended }
 
 // HandOver has the answer handed to another process at the next piece. It may be called
 // at any time.
 func (a *AnswerStream) HandOver(give HandOverFunc) {
-	a.give.Store(&give)
-	a.link.conn.SetReadDeadline(aPast)
-	if to := a.to.Load(); to != nil {
+	a.handOverFunc.Store(&give)
+	a.link.conn.SetReadDeadline(pastDeadline)
+	if to := a.caller.Load(); to != nil {
 		to.detach()
 	}
 }
 
 // SetConn says whose connection it is written to.
-func (a *AnswerStream) SetConn(conn *CallerConn) { a.to.Store(conn) }
+func (a *AnswerStream) SetConn(conn *CallerConn) { a.caller.Store(conn) }
 
 // AnswerHandover is what another process needs to go on with a long answer.
 type AnswerHandover struct {
@@ -279,18 +279,18 @@
 	Total    int64
 }
 
-// handOver hands it over, and tells whether it has.
-func (a *AnswerStream) handOver(give HandOverFunc, total int64) bool {
-	to := a.to.Load()
+// tryHandOver hands it over, and tells whether it has.
+func (a *AnswerStream) tryHandOver(give HandOverFunc, total int64) bool {
+	to := a.caller.Load()
 	if a.WithLength {
 		return false
 	}
 	over := AnswerHandover{Class: a.Class, Unsent: to.unsentBytes(), Left: -1, Total: total}
 	switch b := a.body.(type) {
-	case *exactBody:
-		over.Left = b.left
+	case *fixedLengthBody:
+		over.Left = b.remaining
 	case *chunkedBody:
-		over.Left, over.Chunked, over.Behind = b.left, true, b.behind
+		over.Left, over.Chunked, over.Behind = b.remaining, true, b.lineEndPending
 	}
 	over.Buffered, _ = a.link.in.Peek(a.link.in.Buffered())
 	state, err := json.Marshal(over)
@@ -299,7 +299,7 @@
 	if err != nil || !ok || !ok2 || give(state, caller, endpoint) != nil {
 		return false
 	}
-	to.givenAway()
+	to.markHandedOver()
 	return true
 }
 
@@ -312,16 +312,16 @@
 	var body io.Reader = in
 	switch {
 	case over.Chunked:
-		body = &chunkedBody{r: in, left: over.Left, behind: over.Behind}
+		body = &chunkedBody{r: in, remaining: over.Left, lineEndPending: over.Behind}
 	case over.Left >= 0:
-		body = &exactBody{r: in, left: over.Left}
+		body = &fixedLengthBody{r: in, remaining: over.Left}
 	}
 	out := &Link{conn: caller}
 	if out.writePiece(over.Unsent, false, false, world) != nil {
 		return AnswerCallerGone
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for total := over.Total; ; {
 		endpoint.SetReadDeadline(world.Now().Add(pieceStall))
 		n, err := body.Read(buf[:])
@@ -347,46 +347,46 @@
 
 // WriteTo writes all of it. On an error what is written must not look whole.
 func (a *AnswerStream) WriteTo(w io.Writer) (int64, error) {
-	n, err := w.Write(a.first)
+	n, err := w.Write(a.beginning)
 	total := int64(n)
-	a.first = nil
+	a.beginning = nil
 	if err != nil {
-		a.end(AnswerCallerGone)
+		a.finish(AnswerCallerGone)
 		return total, err
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
-		a.link.conn.SetReadDeadline(a.world.Now().Add(pieceStall))
-		give, n, err := a.give.Load(), 0, error(os.ErrDeadlineExceeded)
+		a.link.conn.SetReadDeadline(a.env.Now().Add(pieceStall))
+		give, n, err := a.handOverFunc.Load(), 0, error(os.ErrDeadlineExceeded)
 		if give == nil {
 			n, err = a.body.Read(buf[:])
-			give = a.give.Load()
+			give = a.handOverFunc.Load()
 		}
 		if give != nil && errors.Is(err, os.ErrDeadlineExceeded) {
 			how := AnswerBrokenOff
-			if a.handOver(*give, total) {
+			if a.tryHandOver(*give, total) {
 				how = AnswerHandedOver
 			}
-			a.end(how)
+			a.finish(how)
 			return total, errHandedOver
 		}
 		if total += int64(n); total > MaxAnswer {
-			a.end(AnswerBrokenOff)
+			a.finish(AnswerBrokenOff)
 			return total, errTooLong
 		}
 		if n > 0 {
 			if _, err := w.Write(buf[:n]); err != nil {
-				a.end(AnswerCallerGone)
+				a.finish(AnswerCallerGone)
 				return total, err
 			}
 		}
 		switch {
 		case err == io.EOF:
-			a.end(AnswerComplete)
+			a.finish(AnswerComplete)
 			return total, nil
 		case err != nil:
-			a.end(AnswerBrokenOff)
+			a.finish(AnswerBrokenOff)
 			return total, err
 		}
 	}
@@ -394,13 +394,13 @@
 
 // Close is called when it is written, or never will be.
 func (a *AnswerStream) Close() error {
-	a.end(AnswerCallerGone)
+	a.finish(AnswerCallerGone)
 	return nil
 }
 
-func (a *AnswerStream) end(how AnswerEnd) {
-	if ended := a.ended; ended != nil {
-		a.ended = nil
+func (a *AnswerStream) finish(how AnswerEnd) {
+	if ended := a.onEnd; ended != nil {
+		a.onEnd = nil
 		ended(how)
 	}
 }
--- a/internal/lifecycle/console_test.go
+++ b/internal/lifecycle/console_test.go
@@ -12,17 +12,17 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// ask makes one call to a console.
-func ask(t *testing.T, address, line string) string {
+// callConsole makes one call to a console.
+func callConsole(t *testing.T, address, line string) string {
 	t.Helper()
-	answer, err := tryAsk(address, line)
+	answer, err := tryConsole(address, line)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return answer
 }
 
-func tryAsk(address, line string) (string, error) {
+func tryConsole(address, line string) (string, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "", err
@@ -34,10 +34,10 @@
 	return string(answer), err
 }
 
-// stats reads the figures.
-func stats(t *testing.T, address string) map[string]int {
+// readStats reads the figures.
+func readStats(t *testing.T, address string) map[string]int {
 	t.Helper()
-	text := ask(t, address, "STATS")
+	text := callConsole(t, address, "STATS")
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if len(lines) < 2 || lines[len(lines)-1] != "EOF" {
 		t.Fatalf("figures: %q", text)
@@ -70,17 +70,17 @@
 	conf["console"] = "127.0.0.1:0"
 	s := start(t, conf)
 	console := s.console.Address()
-	eventually(t, "READY", func() bool { return isYes(console) })
+	eventually(t, "READY", func() bool { return saysReady(console) })
 	for range 3 {
 		get(t, s.Address(), "/look")
 	}
-	do(t, request(t, s.Address(), http.MethodPost, "/burn/bad", "x"))
+	send(t, request(t, s.Address(), http.MethodPost, "/burn/bad", "x"))
 	get(t, s.Address(), "/nothing")
-	go try(request(t, s.Address(), http.MethodGet, "/look/slow", ""))
+	go trySend(request(t, s.Address(), http.MethodGet, "/look/slow", ""))
 	eventually(t, "the slow one is out", func() bool { return e.Count() == 5 })
 	want := map[string]int{"ok.look": 3, "errors.burn": 1, "shed.look": 0, "ok.pay": 0, "tries": 5, "active": 1,
 		"pool_size": 1, "pool_ejected": 0}
-	got := stats(t, console)
+	got := readStats(t, console)
 	for name, n := range want {
 		if got[name] != n {
 			t.Errorf("%s: %d, want %d", name, got[name], n)
@@ -88,7 +88,7 @@
 	}
 	close(slow)
 	eventually(t, "all has ended", func() bool {
-		got := stats(t, console)
+		got := readStats(t, console)
 		return got["active"] == 0 && got["ok.look"] == 4
 	})
 	if c := s.Counters(); c.Served != 4 || c.Failed != 1 || c.Malformed != 1 {
@@ -105,29 +105,29 @@
 	conf["console"] = "127.0.0.1:0"
 	s := start(t, conf)
 	console := s.console.Address()
-	if got := ask(t, console, "DISABLE e9"); !strings.HasPrefix(got, "400 ") {
+	if got := callConsole(t, console, "DISABLE e9"); !strings.HasPrefix(got, "400 ") {
 		t.Errorf("a name that was never listed: %q", got)
 	}
 	for range 2 {
-		if got := ask(t, console, "DISABLE e1"); !strings.HasPrefix(got, "200 ") {
+		if got := callConsole(t, console, "DISABLE e1"); !strings.HasPrefix(got, "200 ") {
 			t.Fatalf("DISABLE: %q", got)
 		}
 	}
 	before := e1.Count()
 	for i, list := range [][]map[string]any{{e2.Line()}, {e1.Line(), e2.Line()}, {e1.Line(), e2.Line()}} {
 		d.Publish(t, 10+i, list...)
-		eventually(t, "the list has come", func() bool { return stats(t, console)["pool_size"] == len(list) })
+		eventually(t, "the list has come", func() bool { return readStats(t, console)["pool_size"] == len(list) })
 		for range 10 {
 			if status, body := get(t, s.Address(), "/look"); status != 200 || body != "e2" {
 				t.Fatalf("during the ban: %d %q", status, body)
 			}
 		}
 	}
-	if e1.Count() != before || stats(t, console)["pool_ejected"] != 1 {
-		t.Errorf("%d sent to what is banned; figures %v", e1.Count()-before, stats(t, console))
+	if e1.Count() != before || readStats(t, console)["pool_ejected"] != 1 {
+		t.Errorf("%d sent to what is banned; figures %v", e1.Count()-before, readStats(t, console))
 	}
-	ask(t, console, "ENABLE e1")
-	if n := stats(t, console)["pool_ejected"]; n != 0 {
+	callConsole(t, console, "ENABLE e1")
+	if n := readStats(t, console)["pool_ejected"]; n != 0 {
 		t.Errorf("%d ejected after the ban", n)
 	}
 	eventually(t, "it serves again", func() bool {
--- a/internal/lifecycle/crossing_test.go
+++ b/internal/lifecycle/crossing_test.go
@@ -23,8 +23,8 @@
 
 // What crosses in a whole sidecar, on real sockets. Each step here is taken when the one before has been seen.
 
-// asked is a request as a caller writes it.
-func asked(path, more string) string {
+// requestText is a request as a caller writes it.
+func requestText(path, more string) string {
 	method := "GET"
 	if more != "" {
 		method = "POST"
@@ -39,9 +39,9 @@
 		func(p *scripted.Peer) { p.Close() },
 		func(p *scripted.Peer) { p.Reset() },
 		func(p *scripted.Peer) { p.CloseWrite() },
-		func(p *scripted.Peer) { p.Send(asked("/look/ahead", "")); p.Close() },
+		func(p *scripted.Peer) { p.Send(requestText("/look/ahead", "")); p.Close() },
 		func(p *scripted.Peer) { p.Send(strings.Repeat("x", 40<<10)); p.Close() },
-		func(p *scripted.Peer) { p.Send(strings.Repeat(asked("/look/ahead", ""), 3)); p.Reset() },
+		func(p *scripted.Peer) { p.Send(strings.Repeat(requestText("/look/ahead", ""), 3)); p.Reset() },
 	}
 	e := scripted.StartEndpoint(t, "e1", nil)
 	d := scripted.StartDiscovery(t)
@@ -50,7 +50,7 @@
 	var peers []*scripted.Peer
 	for range burst {
 		p := scripted.Connect(t, s.Address())
-		p.Send(asked("/look", ""))
+		p.Send(requestText("/look", ""))
 		peers = append(peers, p)
 	}
 	eventually(t, "all are held", func() bool { return s.Counters().Pending == burst })
@@ -73,7 +73,7 @@
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	p := scripted.Connect(t, s.Address())
-	p.Send(asked("/look", ""))
+	p.Send(requestText("/look", ""))
 	if status, _ := p.ReadAnswer(); status != 200 {
 		t.Fatalf("status %d", status)
 	}
@@ -84,7 +84,7 @@
 		t.Fatalf("the end: %q, %v", text, err)
 	}
 	for range 3 { // a connection that is closed would answer the first with a reset, which the next would meet
-		if _, err := io.WriteString(p, asked("/look", "")); err != nil {
+		if _, err := io.WriteString(p, requestText("/look", "")); err != nil {
 			t.Errorf("a request that crosses meets %v", err)
 		}
 	}
@@ -102,13 +102,13 @@
 	d := scripted.StartDiscovery(t)
 	s := start(t, testConfig(d, scripted.Line("e1", door.Address)))
 	first := scripted.Connect(t, s.Address())
-	first.Send(asked("/look", ""))
+	first.Send(requestText("/look", ""))
 	out := door.Accept()
 	out.ReadRequest()
 	half := scripted.Connect(t, s.Address())
 	half.Send("GET /look HTTP/1.1\r\nHost")
 	s.stopped = true
-	s.stayFor = 10 * time.Millisecond
+	s.stayTime = 10 * time.Millisecond
 	stopped := make(chan struct{})
 	begin := time.Now()
 	go func() { s.Stop(); close(stopped) }()
@@ -119,8 +119,8 @@
 		}
 		return err != nil
 	})
-	first.Send(asked("/look", "") + asked("/look", "")) // behind the last answer
-	half.Send(":")                                      // one byte, and never the end
+	first.Send(requestText("/look", "") + requestText("/look", "")) // behind the last answer
+	half.Send(":")                                                  // one byte, and never the end
 	out.Send(scripted.OK("one"))
 	if status, body := first.ReadAnswer(); status != 200 || body != "one" {
 		t.Errorf("the last answer: %d %q", status, body)
@@ -138,35 +138,35 @@
 	}
 }
 
-// held is a world whose connections to endpoints stand still before they write, until told.
-type held struct {
+// heldEnv is a world whose connections to endpoints stand still before they write, until told.
+type heldEnv struct {
 	env.Real
-	hold    sync.Map // addresses
-	stands  chan string
-	goOn    chan struct{}
-	skipped int // writes of each connection that are let through
+	heldAddresses sync.Map // addresses
+	blocked       chan string
+	release       chan struct{}
+	skipped       int // writes of each connection that are let through
 }
 
 type heldConn struct {
 	*net.TCPConn
-	w      *held
+	env    *heldEnv
 	writes int
 }
 
 // Dial is env.Env's.
-func (w *held) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func (w *heldEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := w.Real.Dial(ctx, address, timeout)
-	if _, holds := w.hold.Load(address); err != nil || !holds {
+	if _, holds := w.heldAddresses.Load(address); err != nil || !holds {
 		return conn, err
 	}
-	return &heldConn{TCPConn: conn.(*net.TCPConn), w: w}, nil
+	return &heldConn{TCPConn: conn.(*net.TCPConn), env: w}, nil
 }
 
 // Write is net.Conn's.
 func (c *heldConn) Write(b []byte) (int, error) {
-	if c.writes++; c.writes > c.w.skipped {
-		c.w.stands <- c.RemoteAddr().String()
-		<-c.w.goOn
+	if c.writes++; c.writes > c.env.skipped {
+		c.env.blocked <- c.RemoteAddr().String()
+		<-c.env.release
 	}
 	return c.TCPConn.Write(b)
 }
@@ -188,25 +188,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			door := scripted.Listen(t)
-			world := &held{stands: make(chan string, 1), goOn: make(chan struct{}), skipped: 1}
-			world.hold.Store(door.Address, true)
+			world := &heldEnv{blocked: make(chan string, 1), release: make(chan struct{}), skipped: 1}
+			world.heldAddresses.Store(door.Address, true)
 			d := scripted.StartDiscovery(t)
 			s := startWith(t, testConfig(d, scripted.Line("e1", door.Address)), Options{Operator: operator.Default(), Env: world})
 			p := scripted.Connect(t, s.Address())
-			p.Send(asked("/look", ""))
+			p.Send(requestText("/look", ""))
 			e := door.Accept()
 			e.ReadRequest()
 			e.Send(scripted.OK("first"))
 			if status, _ := p.ReadAnswer(); status != 200 {
 				t.Fatalf("the first: %d", status)
 			}
-			p.Send(asked(c.path, c.more))
-			<-world.stands // the connection was looked at, and is taken
+			p.Send(requestText(c.path, c.more))
+			<-world.blocked // the connection was looked at, and is taken
 			c.end(e)
 			second := scripted.StartEndpoint(t, "e2", nil)
 			d.Publish(t, 2, scripted.Line("e1", scripted.FreeAddress(t)), second.Line())
 			eventually(t, "the second is listed", func() bool { return s.Counters().Endpoints == 2 })
-			close(world.goOn)
+			close(world.release)
 			if status, _ := p.ReadAnswer(); status != c.status {
 				t.Errorf("answered %d, want %d; %+v", status, c.status, s.Counters().Outcomes)
 			}
@@ -230,7 +230,7 @@
 		door := scripted.Listen(t)
 		s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
 		p := scripted.Connect(t, s.Address())
-		p.Send(asked("/look", ""))
+		p.Send(requestText("/look", ""))
 		e := door.Accept()
 		e.ReadRequest()
 		e.Send(scripted.OK("first"))
@@ -238,7 +238,7 @@
 			t.Fatalf("%s: %q", name, body)
 		}
 		e.Send(text) // on loopback it has come when it is written
-		p.Send(asked("/look", ""))
+		p.Send(requestText("/look", ""))
 		next := door.Accept()
 		next.ReadRequest()
 		next.Send(scripted.OK("second"))
@@ -393,7 +393,7 @@
 			door := scripted.Listen(t)
 			s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
 			p := scripted.Connect(t, s.Address())
-			p.Send(asked("/look", ""))
+			p.Send(requestText("/look", ""))
 			e := door.Accept()
 			e.ReadRequest()
 			ended := make(chan error, 1)
--- a/internal/lifecycle/descriptors_test.go
+++ b/internal/lifecycle/descriptors_test.go
@@ -15,8 +15,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// descriptorsOf is how many descriptors a process holds.
-func descriptorsOf(t *testing.T, pid int) int {
+// openDescriptors is how many descriptors a process holds.
+func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	held, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/fd")
 	if err != nil {
@@ -25,8 +25,8 @@
 	return len(held)
 }
 
-// crowd connects so many callers that say nothing, and come again as soon as they are ended, until the test ends.
-func crowd(t *testing.T, address string, callers int) {
+// startCrowd connects so many callers that say nothing, and come again as soon as they are ended, until the test ends.
+func startCrowd(t *testing.T, address string, callers int) {
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
 	t.Cleanup(func() { close(ended); wait.Wait() })
@@ -77,11 +77,11 @@
 			conf["listen"], conf["console"] = address, console
 			conf["limits"].(map[string]any)["sockets"] = sockets
 			conf["settings"].(map[string]any)["membership_mode"] = "automatic"
-			p := launchWithin(t, conf, descriptors)
-			eventually(t, "READY", func() bool { return isYes(console) })
+			p := launchLimited(t, conf, descriptors)
+			eventually(t, "READY", func() bool { return saysReady(console) })
 			before := scripted.Connect(t, address)
 			served := func(by *scripted.Peer) string {
-				by.Send(asked("/look", ""))
+				by.Send(requestText("/look", ""))
 				if status, body := by.ReadAnswer(); status == 200 {
 					return body
 				}
@@ -90,16 +90,16 @@
 			if got := served(before); got != "older" {
 				t.Fatalf("before: answered by %s", got)
 			}
-			quiet := descriptorsOf(t, p.Process.Pid)
-			crowd(t, address, idle)
+			quiet := openDescriptors(t, p.Process.Pid)
+			startCrowd(t, address, idle)
 			eventually(t, "callers have all that they can have", func() bool {
-				return descriptorsOf(t, p.Process.Pid) >= quiet+descriptors*2/5
+				return openDescriptors(t, p.Process.Pid) >= quiet+descriptors*2/5
 			})
 			for range 20 { // discovery is asked again and again meanwhile, and operators call
 				if got := served(before); got != "older" {
 					t.Fatalf("in the crowd: answered by %s", got)
 				}
-				if got := ask(t, console, "READY"); got != "200 ready\n" {
+				if got := callConsole(t, console, "READY"); got != "200 ready\n" {
 					t.Errorf("READY in the crowd: %q", got)
 				}
 			}
@@ -121,10 +121,10 @@
 			if got := served(scripted.Connect(t, address)); got != "newer" {
 				t.Errorf("one that comes in the crowd: answered by %s", got)
 			}
-			if got := ask(t, console, "READY"); got != "200 ready\n" {
+			if got := callConsole(t, console, "READY"); got != "200 ready\n" {
 				t.Errorf("READY afterwards: %q", got)
 			}
-			if n := descriptorsOf(t, p.Process.Pid); n >= descriptors {
+			if n := openDescriptors(t, p.Process.Pid); n >= descriptors {
 				t.Errorf("it holds %d descriptors of %d", n, descriptors)
 			}
 			if log := p.log.String(); strings.Contains(log, "too many open files") {
@@ -135,7 +135,7 @@
 }
 
 // lastLines are the last lines of a log.
-func lastLines(l *lines) string {
+func lastLines(l *logBuffer) string {
 	const most = 2000
 	text := l.String()
 	return text[max(0, len(text)-most):]
@@ -148,7 +148,7 @@
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
 	conf["limits"].(map[string]any)["sockets"] = 64
 	s := start(t, conf)
-	crowd(t, s.Address(), 100)
+	startCrowd(t, s.Address(), 100)
 	eventually(t, "all places are taken", func() bool { return s.callers.Open() >= s.conf.CallerConns })
 	const head = "Host: x\r\nX-Txn: 1\r\nX-Remaining: 1\r\n"
 	var wait sync.WaitGroup
--- a/internal/lifecycle/fakes_test.go
+++ b/internal/lifecycle/fakes_test.go
@@ -86,37 +86,37 @@
 	return path
 }
 
-// lines collects log lines.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// tested is a sidecar in this process.
-type tested struct {
+// testSidecar is a sidecar in this process.
+type testSidecar struct {
 	*Sidecar
-	log     *lines
+	log     *logBuffer
 	stopped bool
 }
 
-func start(t *testing.T, conf map[string]any) *tested {
+func start(t *testing.T, conf map[string]any) *testSidecar {
 	t.Helper()
 	return startWith(t, conf, Options{Operator: operator.Default()})
 }
 
-func startWith(t *testing.T, conf map[string]any, opts Options) *tested {
+func startWith(t *testing.T, conf map[string]any, opts Options) *testSidecar {
 	t.Helper()
 	path := writeConfig(t, conf)
 	c, err := config.Load(func(key string) string {
@@ -128,13 +128,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &tested{log: &lines{}}
+	s := &testSidecar{log: &logBuffer{}}
 	if s.Sidecar, err = Start(c, zerolog.New(s.log), opts); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		if !s.stopped {
-			s.stayFor = 0
+			s.stayTime = 0
 			s.Stop()
 		}
 	})
@@ -163,17 +163,17 @@
 	return r
 }
 
-// do sends a request on a connection of its own and returns status and body.
-func do(t *testing.T, r *http.Request) (int, string) {
+// send sends a request on a connection of its own and returns status and body.
+func send(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
-	status, body, err := try(r)
+	status, body, err := trySend(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return status, body
 }
 
-func try(r *http.Request) (int, string, error) {
+func trySend(r *http.Request) (int, string, error) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 	answer, err := client.Do(r)
 	if err != nil {
@@ -186,7 +186,7 @@
 
 func get(t *testing.T, address, path string) (int, string) {
 	t.Helper()
-	return do(t, request(t, address, http.MethodGet, path, ""))
+	return send(t, request(t, address, http.MethodGet, path, ""))
 }
 
 // dial opens a connection that ends with the test, and gives up after patience.
--- a/internal/lifecycle/probe_test.go
+++ b/internal/lifecycle/probe_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/operator"
 )
 
-// newShape changes settings to those of endpoints that tell their load to probes.
-func newShape(settings map[string]any) map[string]any {
+// useProbing changes settings to those of endpoints that tell their load to probes.
+func useProbing(settings map[string]any) map[string]any {
 	settings["family"], settings["replicas_of_me"] = "mesh", 100
 	settings["bounds"].(map[string]any)["probing"] = true
 	settings["report"] = map[string]any{"how": "pull", "fields": []string{"outstanding", "utilization"}}
@@ -22,8 +22,8 @@
 	return settings
 }
 
-// loaded is an endpoint's line that reports a load to probes.
-func loaded(t *testing.T, name, load string) map[string]any {
+// loadedEndpoint is an endpoint's line that reports a load to probes.
+func loadedEndpoint(t *testing.T, name, load string) map[string]any {
 	t.Helper()
 	return scripted.StartEndpoint(t, name, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/metrics/load" {
@@ -36,9 +36,9 @@
 
 // With the settings of the new shape a sidecar asks endpoints before a request goes, and goes by what they tell.
 func TestProbesDecideWhereARequestGoes(t *testing.T) {
-	busy, idle := loaded(t, "busy", "outstanding=5,utilization=1.0"), loaded(t, "idle", "outstanding=0,utilization=0.1")
+	busy, idle := loadedEndpoint(t, "busy", "outstanding=5,utilization=1.0"), loadedEndpoint(t, "idle", "outstanding=0,utilization=0.1")
 	conf := testConfig(scripted.StartDiscovery(t), busy, idle)
-	newShape(conf["settings"].(map[string]any))
+	useProbing(conf["settings"].(map[string]any))
 	s := start(t, conf)
 	for range 20 {
 		if status, body := get(t, s.Address(), "/look"); status != 200 || body != "idle" {
@@ -53,11 +53,11 @@
 // A probe that comes to nothing must not hold a request longer than it can be served: the other endpoint does it.
 func TestProbeOfADeadEndpoint(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
-	dead := loaded(t, "dead", "")
+	dead := loadedEndpoint(t, "dead", "")
 	dead["address"] = strings.TrimPrefix(gone.URL, "http://")
 	gone.Close()
-	conf := testConfig(scripted.StartDiscovery(t), dead, loaded(t, "alive", "outstanding=0, utilization=0.1\n"))
-	newShape(conf["settings"].(map[string]any))
+	conf := testConfig(scripted.StartDiscovery(t), dead, loadedEndpoint(t, "alive", "outstanding=0, utilization=0.1\n"))
+	useProbing(conf["settings"].(map[string]any))
 	s := start(t, conf)
 	for range 5 {
 		if status, body := get(t, s.Address(), "/look"); status != 200 || body != "alive" {
@@ -71,7 +71,7 @@
 	e := scripted.StartEndpoint(t, "e1", nil)
 	other := scripted.StartEndpoint(t, "e2", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line(), other.Line())
-	text, err := json.Marshal(newShape(testSettings()))
+	text, err := json.Marshal(useProbing(testSettings()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -48,34 +48,34 @@
 	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(missed int) { dropped.Add(int64(missed)) })
 	defer out.Close() // writes what is left
 	log := zerolog.New(out).With().Timestamp().Logger()
-	sig := heedSignals()
+	sig := notifySignals()
 	conf, err := config.Load(os.Getenv)
 	if err != nil {
 		log.Error().Err(err).Msg("bad configuration")
 		return 1
 	}
 	log = log.With().Str("sidecar", conf.Name).Logger()
-	if most := descriptors(); conf.LimitSockets(most) {
+	if most := descriptorLimit(); conf.LimitSockets(most) {
 		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", most).Msg("the process may hold fewer descriptors than limits.sockets")
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
 	if conf.Console != "" { // READY is how the platform learns that a successor serves
-		opts.Meet = takeover.SocketPath(os.TempDir(), conf.Name, conf.Listen)
+		opts.TakeoverSocket = takeover.SocketPath(os.TempDir(), conf.Name, conf.Listen)
 	}
 	sidecar, err := Start(conf, log, opts)
 	if err != nil {
 		log.Error().Err(err).Msg("cannot start")
 		return 1
 	}
-	code := sidecar.attend(sig, os.Getenv)
+	code := sidecar.handleSignals(sig, os.Getenv)
 	if n := dropped.Load(); n > 0 {
 		log.Warn().Int64("lines", n).Msg("log lines dropped")
 	}
 	return code
 }
 
-// descriptors is how many the process may hold.
-func descriptors() uint64 {
+// descriptorLimit is how many the process may hold.
+func descriptorLimit() uint64 {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return math.MaxUint64
@@ -87,9 +87,9 @@
 // not take another's place.
 type signals struct{ stop, reload, report chan os.Signal }
 
-// heedSignals is called before anything else: a signal that comes early must wait,
+// notifySignals is called before anything else: a signal that comes early must wait,
 // not end the process.
-func heedSignals() signals {
+func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reload, syscall.SIGHUP)
@@ -97,9 +97,9 @@
 	return s
 }
 
-// attend heeds signals until one says to stop, or the server ends. A SIGHUP that
+// handleSignals heeds signals until one says to stop, or the server ends. A SIGHUP that
 // comes during a reload brings one more; those that come during a stop are nothing.
-func (s *Sidecar) attend(sig signals, env func(string) string) int {
+func (s *Sidecar) handleSignals(sig signals, env func(string) string) int {
 	for {
 		select {
 		case <-sig.stop:
@@ -109,7 +109,7 @@
 			s.reload(env)
 		case <-sig.report:
 			s.log.Info().Object("counters", s.Counters()).Int("callers", s.callers.Open()).Msg("counters")
-		case err := <-s.served:
+		case err := <-s.serverErr:
 			s.log.Error().Err(err).Msg("cannot accept connections")
 			return 1
 		}
--- a/internal/lifecycle/process_test.go
+++ b/internal/lifecycle/process_test.go
@@ -24,24 +24,24 @@
 	"heathgap/internal/pipeline"
 )
 
-// asSidecar in the environment makes the test's own program a sidecar.
-const asSidecar = "HEATHGAP_TEST_AS_SIDECAR"
+// runAsSidecar in the environment makes the test's own program a sidecar.
+const runAsSidecar = "HEATHGAP_TEST_AS_SIDECAR"
 
-// panics, as its value, has that sidecar panic as it starts.
-const panics = "panics"
+// runAndPanic, as its value, has that sidecar panic as it starts.
+const runAndPanic = "panics"
 
-// withinDescriptors in the environment is how many descriptors that sidecar may hold.
-const withinDescriptors = "HEATHGAP_TEST_DESCRIPTORS"
+// descriptorLimitEnv in the environment is how many descriptors that sidecar may hold.
+const descriptorLimitEnv = "HEATHGAP_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if most, err := strconv.ParseUint(os.Getenv(withinDescriptors), 10, 64); err == nil {
+	if most, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64); err == nil {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
 			panic(err)
 		}
 	}
-	switch os.Getenv(asSidecar) {
+	switch os.Getenv(runAsSidecar) {
 	case "":
-	case panics:
+	case runAndPanic:
 		os.Exit(Main(Options{Decider: func(*config.Config) (pipeline.Decider, error) { panic("the decider") }}))
 	default:
 		os.Exit(Main(Options{Operator: operator.Default()}))
@@ -52,7 +52,7 @@
 // process is a sidecar in a process of its own.
 type process struct {
 	*exec.Cmd
-	log  *lines
+	log  *logBuffer
 	path string // of its configuration
 }
 
@@ -61,17 +61,17 @@
 	return launchAt(t, conf, writeConfig(t, conf))
 }
 
-// launchWithin is launch of a process that may hold so many descriptors.
-func launchWithin(t *testing.T, conf map[string]any, descriptors int) *process {
+// launchLimited is launch of a process that may hold so many descriptors.
+func launchLimited(t *testing.T, conf map[string]any, descriptors int) *process {
 	t.Helper()
-	return launchAt(t, conf, writeConfig(t, conf), withinDescriptors+"="+strconv.Itoa(descriptors))
+	return launchAt(t, conf, writeConfig(t, conf), descriptorLimitEnv+"="+strconv.Itoa(descriptors))
 }
 
 // launchAt is launch where the configuration's file stands already, with more in its environment.
 func launchAt(t *testing.T, conf map[string]any, path string, more ...string) *process {
 	t.Helper()
-	p := &process{Cmd: exec.Command(os.Args[0]), log: &lines{}, path: path}
-	p.Env = append(append(os.Environ(), asSidecar+"=1", config.EnvFile+"="+p.path,
+	p := &process{Cmd: exec.Command(os.Args[0]), log: &logBuffer{}, path: path}
+	p.Env = append(append(os.Environ(), runAsSidecar+"=1", config.EnvFile+"="+p.path,
 		"BALANCER_DISCOVERY="+conf["discovery"].(string)), more...)
 	p.Stderr = p.log
 	if err := p.Start(); err != nil {
@@ -83,7 +83,7 @@
 
 func isReady(t *testing.T, address string) func() bool {
 	return func() bool {
-		status, _, err := try(request(t, address, http.MethodGet, "/up", ""))
+		status, _, err := trySend(request(t, address, http.MethodGet, "/up", ""))
 		return err == nil && status == 200
 	}
 }
@@ -146,7 +146,7 @@
 				return
 			default:
 			}
-			if status, _, err := try(request(t, address, http.MethodGet, "/look", "")); status != 200 {
+			if status, _, err := trySend(request(t, address, http.MethodGet, "/look", "")); status != 200 {
 				t.Errorf("during reloads: %d, %v", status, err)
 			}
 		}
@@ -185,13 +185,13 @@
 	}
 	eventually(t, "what needs a restart is logged", logged(`"keys":["limits"]`))
 	eventually(t, "the new list is used", func() bool {
-		_, body, _ := try(request(t, address, http.MethodGet, "/look", ""))
+		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
 		return body == "e2"
 	})
 	eventually(t, "the former watch has ended", logged(`"reason":"moved"`))
 	second.Publish(t, 4, e1.Line())
 	eventually(t, "the new discovery is watched", func() bool {
-		_, body, _ := try(request(t, address, http.MethodGet, "/look", ""))
+		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
 		return body == "e1"
 	})
 	close(stop)
@@ -223,7 +223,7 @@
 // Guards against a panic that ends a process without a word.
 func TestPanicIsWritten(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
-	p := launchAt(t, conf, writeConfig(t, conf), asSidecar+"="+panics)
+	p := launchAt(t, conf, writeConfig(t, conf), runAsSidecar+"="+runAndPanic)
 	if err := p.Wait(); err == nil || !strings.Contains(p.log.String(), "panic: the decider") {
 		t.Errorf("ended with %v and %q", err, p.log)
 	}
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -22,8 +22,8 @@
 // readyTime is when nine in ten restarted processes have to be ready; here, all are.
 const readyTime = 10 * time.Second
 
-// discoveries are those that are of no use, each in its way, by name; a restarted process has to serve without them.
-func discoveries(t *testing.T) map[string]string {
+// uselessDiscoveries are those that are of no use, each in its way, by name; a restarted process has to serve without them.
+func uselessDiscoveries(t *testing.T) map[string]string {
 	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.Listen(t)
 	crowded.SetDown(true)
 	broken.SetBroken("{")
@@ -59,7 +59,7 @@
 // awaitReady waits until a process says READY.
 func (p *process) awaitReady(t *testing.T, conf map[string]any) {
 	t.Helper()
-	for end := time.Now().Add(patience); !isYes(conf["console"].(string)); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); !saysReady(conf["console"].(string)); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.Process.Signal(syscall.SIGQUIT) //nolint:errcheck // for its goroutines
 			p.Wait()                          //nolint:errcheck // it ends by that
@@ -80,7 +80,7 @@
 		process   *process
 	}
 	var all []*restarted
-	for name, address := range discoveries(t) {
+	for name, address := range uselessDiscoveries(t) {
 		for range each {
 			conf := testConfig(&scripted.Discovery{Address: address}, e.Line())
 			// Addresses from which nothing is dialed: an ephemeral port may take a free one at any moment.
@@ -121,9 +121,9 @@
 	const each = 5
 	e := scripted.StartEndpoint(t, "e1", nil)
 	begin := time.Now()
-	var all []*tested
+	var all []*testSidecar
 	var which []string
-	for name, address := range discoveries(t) {
+	for name, address := range uselessDiscoveries(t) {
 		for range each {
 			all = append(all, start(t, testConfig(&scripted.Discovery{Address: address}, e.Line())))
 			which = append(which, name)
@@ -178,7 +178,7 @@
 						return
 					}
 					defer conn.Close()
-					hang(t, conn, served, step)
+					actUntilHang(t, conn, served, step)
 				}
 				<-hanging
 			})
@@ -199,8 +199,8 @@
 	}
 }
 
-// hang does what a predecessor does before a step in which it hangs.
-func hang(t *testing.T, conn *net.UnixConn, served net.Listener, step int) {
+// actUntilHang does what a predecessor does before a step in which it hangs.
+func actUntilHang(t *testing.T, conn *net.UnixConn, served net.Listener, step int) {
 	if step < 2 {
 		return
 	}
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -21,19 +21,19 @@
 
 // Figures of a sidecar's life.
 const (
-	leastStay = 600 * time.Millisecond // after the signal to stop: the front goes on dealing out connections
-	pollEvery = 5 * time.Millisecond   // how often a stopping sidecar looks whether all is answered
+	minStayTime = 600 * time.Millisecond // after the signal to stop: the front goes on dealing out connections
+	drainPoll   = 5 * time.Millisecond   // how often a stopping sidecar looks whether all is answered
 
 	// The platform kills what has not ended so long after the signal, or sooner
 	// where all deadlines are shorter than patientFor.
-	killAfter   = patientFor + 700*time.Millisecond
-	patientFor  = 3 * time.Second
-	finishAfter = 550 * time.Millisecond // past the longest deadline or patientFor: what is held fails then
-	leaveAfter  = 100 * time.Millisecond // after that, whatever is not written by then
+	killAfter       = maxDeadlineWait + 700*time.Millisecond
+	maxDeadlineWait = 3 * time.Second
+	finishGrace     = 550 * time.Millisecond // past the longest deadline or patientFor: what is held fails then
+	writeGrace      = 100 * time.Millisecond // after that, whatever is not written by then
 	// So long before what is held fails, a successor gets the long answers on their way.
-	handOverAhead = 550 * time.Millisecond
+	handOverLead = 550 * time.Millisecond
 
-	passTime = time.Minute // long answers that their endpoints still give go on so long, if the platform lets them
+	maxStreamTime = time.Minute // long answers that their endpoints still give go on so long, if the platform lets them
 
 	// A request's head must have come by then, the first so long after its connection:
 	// who sends nothing, or never the end, is owed a word or a close within 3 s.
@@ -45,21 +45,21 @@
 
 // Sidecar is a running sidecar.
 type Sidecar struct {
-	conf    *config.Config
-	log     zerolog.Logger
-	ends    zerolog.Logger // for ends of connections
-	world   env.Env
-	engine  *pipeline.Engine
-	callers *httpwire.Callers
-	server  *fasthttp.Server
-	console *console.Console // nil where none is configured
-	crew    Cluster          // nil for a sidecar in none
-	upgrade upgrade
-	cancel  context.CancelFunc
-	ran     chan struct{} // closed when the engine has stopped
-	served  chan error    // what the server ended with
+	conf       *config.Config
+	log        zerolog.Logger
+	connEndLog zerolog.Logger // for ends of connections
+	env        env.Env
+	engine     *pipeline.Engine
+	callers    *httpwire.Callers
+	server     *fasthttp.Server
+	console    *console.Console // nil where none is configured
+	cluster    Cluster          // nil for a sidecar in none
+	upgrade    upgrade
+	cancel     context.CancelFunc
+	engineDone chan struct{} // closed when the engine has stopped
+	serverErr  chan error    // what the server ended with
 
-	stayFor time.Duration // after the signal to stop, as before
+	stayTime time.Duration // after the signal to stop, as before
 }
 
 // Decider makes what decides in a sidecar.
@@ -76,10 +76,10 @@
 
 // Options are what a sidecar is started with beside its configuration.
 type Options struct {
-	Operator operator.File
-	Meet     string  // where the processes of an upgrade meet; empty for nowhere
-	Decider  Decider // nil for the module
-	Env      env.Env // nil for the real one
+	Operator       operator.File
+	TakeoverSocket string  // where the processes of an upgrade meet; empty for nowhere
+	Decider        Decider // nil for the module
+	Env            env.Env // nil for the real one
 	// Cluster makes the sidecar a member of a crew; nil for a sidecar in none.
 	Cluster func(conf *config.Config, world env.Env, log zerolog.Logger) (Cluster, error)
 }
@@ -123,7 +123,7 @@
 	}
 	engine := pipeline.New(conf, world, pipeline.Logs{All: log, ConnEnds: ends}, balancer)
 	s := &Sidecar{
-		conf: conf, log: log, ends: ends, world: world, engine: engine, ran: make(chan struct{}), served: make(chan error, 1),
+		conf: conf, log: log, connEndLog: ends, env: world, engine: engine, engineDone: make(chan struct{}), serverErr: make(chan error, 1),
 	}
 	if opts.Cluster != nil {
 		crew, err := opts.Cluster(conf, world, log)
@@ -134,13 +134,13 @@
 		if h := crew.Holdings(); h != nil {
 			engine.SetHoldings(h)
 		}
-		s.crew = crew
+		s.cluster = crew
 	}
-	listener, err := s.listen(opts.Meet)
+	listener, err := s.listen(opts.TakeoverSocket)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s.stayFor = max(leastStay, s.finishTime()-s.shortestAim())
+	s.stayTime = max(minStayTime, s.finishTime()-s.shortestAim())
 	s.callers = httpwire.NewCallers(listener, world, conf.CallerConns, s.callerEnded)
 	s.server = newServer(engine, conf)
 	if conf.Console != "" {
@@ -152,13 +152,13 @@
 	var ctx context.Context
 	ctx, s.cancel = context.WithCancel(context.Background())
 	world.Go("owner", func() {
-		defer close(s.ran)
+		defer close(s.engineDone)
 		engine.Run(ctx)
 	})
-	s.succeed()
-	world.Go("server", func() { s.served <- s.server.Serve(s.callers) })
+	s.replacePredecessor()
+	world.Go("server", func() { s.serverErr <- s.server.Serve(s.callers) })
 	engine.SetServing(true)
-	s.offer(opts.Meet, listener)
+	s.awaitSuccessor(opts.TakeoverSocket, listener)
 	log.Info().Str("listen", listener.Addr().String()).Str("discovery", conf.Discovery).Msg("ready")
 	return s, nil
 }
@@ -179,19 +179,19 @@
 		NoDefaultDate:                true,
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true, // bodies go on unchanged
-		Logger:                       silent{},
+		Logger:                       discardLogger{},
 	}
 }
 
-// silent drops fasthttp's own lines: each connection that ends has one already.
-type silent struct{}
+// discardLogger drops fasthttp's own lines: each connection that ends has one already.
+type discardLogger struct{}
 
 // Printf is fasthttp.Logger's.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // callerEnded writes the log line of a caller's connection.
 func (s *Sidecar) callerEnded(c *httpwire.CallerConn, why httpwire.Reason) {
-	s.ends.Info().Str("side", "caller").Str("peer", c.RemoteAddr().String()).
+	s.connEndLog.Info().Str("side", "caller").Str("peer", c.RemoteAddr().String()).
 		Str("reason", string(why)).Int("requests", c.Requests()).Msg("connection ended")
 }
 
@@ -206,33 +206,33 @@
 // sidecar. When a request that comes may not be answered any more before the
 // platform kills the process, each answer becomes the last on its connection.
 func (s *Sidecar) Stop() {
-	begin := s.world.Now()
+	begin := s.env.Now()
 	s.engine.MarkUnready()
-	s.log.Info().Bool("succeeded", s.upgrade.yielded.Load()).Msg("stopping")
+	s.log.Info().Bool("succeeded", s.upgrade.replaced.Load()).Msg("stopping")
 	s.upgrade.stopping.Store(true)
-	if s.crew != nil {
-		s.crew.Leaving() // what it holds goes to others while its callers have their answers
+	if s.cluster != nil {
+		s.cluster.Leaving() // what it holds goes to others while its callers have their answers
 	}
-	if !s.upgrade.yielded.Load() { // else callers find the other process already
-		s.world.Sleep(s.stayFor)
+	if !s.upgrade.replaced.Load() { // else callers find the other process already
+		s.env.Sleep(s.stayTime)
 	}
 	s.engine.Drain(true)
 	s.callers.Close()
-	s.emptyOut(begin.Add(s.finishTime() - handOverAhead))
-	s.handOver()
-	s.emptyOut(begin.Add(s.finishTime()))
+	s.awaitDrained(begin.Add(s.finishTime() - handOverLead))
+	s.handOverAnswers()
+	s.awaitDrained(begin.Add(s.finishTime()))
 	if s.engine.FailPending(); s.engine.Streaming() {
-		s.emptyOut(begin.Add(passTime))
+		s.awaitDrained(begin.Add(maxStreamTime))
 	}
-	s.emptyOut(begin.Add(s.finishTime() + leaveAfter))
+	s.awaitDrained(begin.Add(s.finishTime() + writeGrace))
 	s.cancel()
-	<-s.ran
+	<-s.engineDone
 	if s.console != nil {
 		s.console.Close()
 	}
-	s.upgrade.end()
-	if s.crew != nil {
-		s.crew.Stop() // only now: what it has acted on until here the crew's rules allowed
+	s.upgrade.close()
+	if s.cluster != nil {
+		s.cluster.Stop() // only now: what it has acted on until here the crew's rules allowed
 	}
 	s.log.Info().Object("counters", s.engine.Snapshot()).Int("callers", s.callers.Open()).Msg("stopped")
 }
@@ -250,11 +250,11 @@
 // Audit checks what the engine keeps; it must stand still meanwhile.
 func (s *Sidecar) Audit() error { return s.engine.Audit() }
 
-// emptyOut waits until all callers have their answers, until a time at most.
-func (s *Sidecar) emptyOut(until time.Time) {
-	for (s.callers.Open() > 0 || s.engine.Resuming()) && s.world.Now().Before(until) {
+// awaitDrained waits until all callers have their answers, until a time at most.
+func (s *Sidecar) awaitDrained(until time.Time) {
+	for (s.callers.Open() > 0 || s.engine.Resuming()) && s.env.Now().Before(until) {
 		s.callers.CloseIdle(httpwire.ReasonShutdown)
-		s.world.Sleep(pollEvery)
+		s.env.Sleep(drainPoll)
 	}
 }
 
@@ -264,7 +264,7 @@
 	for _, class := range s.conf.Settings.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, patientFor) + finishAfter
+	return min(longest, maxDeadlineWait) + finishGrace
 }
 
 // shortestAim is a time within which most answers come while all is well.
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -27,7 +27,7 @@
 	r := request(t, s.Address(), http.MethodPost, "/pay/out?sid=a%2Fb&x=1", "some body")
 	r.Header.Set("Idempotency-Key", "5c0f6e1a")
 	r.Header.Set("X-Txn", "9b1f03aa5c7e2d41")
-	if status, body := do(t, r); status != 200 || body != "e1" {
+	if status, body := send(t, r); status != 200 || body != "e1" {
 		t.Fatalf("answer: %d %q, want 200 of e1", status, body)
 	}
 	got, sent := e.Request(0)
@@ -133,13 +133,13 @@
 	first := request(t, s.Address(), http.MethodGet, "/look/first", "")
 	got := make(chan string, 1)
 	go func() {
-		_, body, _ := try(first)
+		_, body, _ := trySend(first)
 		got <- body
 	}()
 	eventually(t, "the first is out", func() bool { return e.Count() == 1 })
 	copied := request(t, s.Address(), http.MethodGet, "/look/copy", "")
 	copied.Header.Set("X-Txn", first.Header.Get("X-Txn"))
-	if status, _ := do(t, copied); status != 400 {
+	if status, _ := send(t, copied); status != 400 {
 		t.Errorf("the copy: %d, want 400", status)
 	}
 	close(release)
@@ -176,7 +176,7 @@
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
 	r.Header.Set("X-Remaining", "3000")
-	if status, _, err := try(r); err != nil || status == 200 {
+	if status, _, err := trySend(r); err != nil || status == 200 {
 		t.Errorf("%d, %v; want a failure after the class's deadline", status, err)
 	}
 }
@@ -203,7 +203,7 @@
 			bad := scripted.StartEndpoint(t, "bad", c.behave)
 			s := start(t, testConfig(scripted.StartDiscovery(t), bad.Line()))
 			r := request(t, s.Address(), http.MethodPost, "/burn", "x")
-			got, body := do(t, r)
+			got, body := send(t, r)
 			// What may have run must not be called harmless to repeat.
 			refused, never := got == 503 || got == 429, c.outcome.NeverRan()
 			if got == 200 || refused && !never || bad.Count() != 1 && !never {
@@ -237,7 +237,7 @@
 			eventually(t, "an attempt at the dead one", func() bool {
 				r := request(t, s.Address(), http.MethodPost, "/burn", "x")
 				r.Header.Set("X-Remaining", "10")
-				if status, body := do(t, r); status != 200 || body != "e1" {
+				if status, body := send(t, r); status != 200 || body != "e1" {
 					t.Fatalf("answer: %d %q, want 200 of e1", status, body)
 				}
 				return s.Counters().Outcomes[decide.ConnectFailed] > 0
@@ -258,7 +258,7 @@
 	r := request(t, s.Address(), http.MethodPost, "/burn", "x")
 	r.Header.Set("X-Remaining", "0.3")
 	begin := time.Now()
-	status, _ := do(t, r)
+	status, _ := send(t, r)
 	if took := time.Since(begin); status != 502 || took < 250*time.Millisecond {
 		t.Errorf("answer %d after %v, want 502 at 300ms", status, took)
 	}
@@ -487,7 +487,7 @@
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
 	r.Header.Set("X-Remaining", "0")
-	if status, _ := do(t, r); status == 200 || e.Count() > 0 || s.Counters().Sent > 0 {
+	if status, _ := send(t, r); status == 200 || e.Count() > 0 || s.Counters().Sent > 0 {
 		t.Errorf("status %d, and the endpoint was asked %d times: %+v", status, e.Count(), s.Counters())
 	}
 }
@@ -504,7 +504,7 @@
 		wait.Go(func() {
 			r := request(t, s.Address(), http.MethodGet, "/look", "")
 			r.Header.Set("X-Remaining", "3")
-			if status, _, err := try(r); err != nil || status == 200 {
+			if status, _, err := trySend(r); err != nil || status == 200 {
 				t.Errorf("status %d, %v: want a refusal or a failure", status, err)
 			}
 		})
@@ -566,10 +566,10 @@
 	}()
 	eventually(t, "the slow request is out", func() bool { return e.Count() == 1 })
 	stopped := make(chan struct{})
-	s.stopped, s.stayFor = true, 1500*time.Millisecond // a slow machine must come through with what follows
+	s.stopped, s.stayTime = true, 1500*time.Millisecond // a slow machine must come through with what follows
 	go func() { s.Stop(); close(stopped) }()
 	eventually(t, "it is not ready any more", func() bool {
-		status, _, err := try(request(t, s.Address(), http.MethodGet, "/up", ""))
+		status, _, err := trySend(request(t, s.Address(), http.MethodGet, "/up", ""))
 		return err == nil && status == 503
 	})
 	if answer, err := (&http.Transport{}).RoundTrip(request(t, s.Address(), http.MethodGet, "/look", "")); err != nil ||
@@ -650,7 +650,7 @@
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
 	r.Header.Set("X-Remaining", "60")
 	go func() {
-		status, _, err := try(r)
+		status, _, err := trySend(r)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/stream_test.go
@@ -17,8 +17,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// pattern is a body in which each byte tells its place.
-func pattern(length int) []byte {
+// patternBody is a body in which each byte tells its place.
+func patternBody(length int) []byte {
 	b := make([]byte, length)
 	for i := range b {
 		b[i] = byte(i>>12 ^ i)
@@ -30,7 +30,7 @@
 // memory does not follow their bytes; what is longer than may be is turned down.
 func TestLongBothWays(t *testing.T) {
 	const long, at, memoryMB = 24 << 20, 6, 64
-	answer := pattern(long)
+	answer := patternBody(long)
 	slow := http.NewServeMux()
 	slow.HandleFunc("/look/", func(w http.ResponseWriter, r *http.Request) { w.Write(answer) })
 	slow.HandleFunc("/pay/", func(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +40,7 @@
 		}
 		fmt.Fprint(w, len(body))
 	})
-	conf := testConfig(scripted.StartDiscovery(t), scripted.Line("e1", serveRaw(t, slow)))
+	conf := testConfig(scripted.StartDiscovery(t), scripted.Line("e1", serveHTTP(t, slow)))
 	listen := scripted.FreeAddress(t)
 	conf["listen"] = listen
 	conf["limits"] = map[string]any{"memory_mb": memoryMB, "sockets": 384}
@@ -52,7 +52,7 @@
 		wait.Go(func() {
 			r := request(t, listen, http.MethodGet, "/look/long", "")
 			r.Header.Set("X-Remaining", "20")
-			status, body, err := try(r)
+			status, body, err := trySend(r)
 			if status != 200 || err != nil || body != string(answer) {
 				t.Errorf("answer: %d, %d bytes, %v", status, len(body), err)
 			}
@@ -65,7 +65,7 @@
 			if i%2 == 0 {
 				r.ContentLength = -1 // in chunks
 			}
-			if status, body, err := try(r); status != 200 || err != nil || body != fmt.Sprint(long) {
+			if status, body, err := trySend(r); status != 200 || err != nil || body != fmt.Sprint(long) {
 				t.Errorf("body %d: %d %q, %v", i, status, body, err)
 			}
 		})
@@ -77,12 +77,12 @@
 	r := request(t, listen, http.MethodPost, "/pay/long", "")
 	r.Header.Set("Idempotency-Key", newID())
 	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 33<<20))), 33<<20
-	if status, _, err := try(r); err == nil && status < 400 {
+	if status, _, err := trySend(r); err == nil && status < 400 {
 		t.Errorf("33 MB: %d, want an error", status)
 	}
 }
 
-func serveRaw(t *testing.T, h http.Handler) string {
+func serveHTTP(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 		if strings.HasSuffix(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", "200000")
 		}
-		w.Write(pattern(100_000))
+		w.Write(patternBody(100_000))
 		w.(http.Flusher).Flush()
 		<-release
 		panic(http.ErrAbortHandler)
@@ -118,7 +118,7 @@
 		if _, err := io.ReadFull(answer.Body, make([]byte, 90_000)); err != nil {
 			t.Errorf("%s: its beginning does not come while the rest does not: %v", path, err)
 		}
-		if n := stats(t, s.console.Address())["active"]; n != 1 {
+		if n := readStats(t, s.console.Address())["active"]; n != 1 {
 			t.Errorf("%s: %d active on its way", path, n)
 		}
 		release <- struct{}{}
@@ -127,7 +127,7 @@
 		}
 		answer.Body.Close()
 		eventually(t, "it counts as an error", func() bool {
-			f := stats(t, s.console.Address())
+			f := readStats(t, s.console.Address())
 			return f["errors.look"] == i+1 && f["active"] == 0
 		})
 	}
@@ -140,7 +140,7 @@
 // keeps to its rate does, also while the endpoint takes its time to read.
 func TestLongBodies(t *testing.T) {
 	var whole atomic.Int64
-	address := serveRaw(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	address := serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(50 * time.Millisecond)
 		if n, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
@@ -156,14 +156,14 @@
 
 		continues bool // it is told to go on first
 	}{
-		"whole":        {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length)) }, "200", false},
+		"whole":        {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length)) }, "200", false},
 		"in pieces":    {fmt.Sprint("Content-Length: ", length), sendSlowly(length, 20, 20*time.Millisecond), "200", false},
 		"in chunks":    {"Transfer-Encoding: chunked", sendChunks(length, true), "200", false},
 		"continue":     {"Expect: 100-continue\r\nContent-Length: 5", func(c net.Conn) { c.Write([]byte("hello")) }, "200", true},
-		"broken off":   {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length - 1)); closeWrite(c) }, "", false},
+		"broken off":   {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length - 1)); closeWrite(c) }, "", false},
 		"no end":       {"Transfer-Encoding: chunked", func(c net.Conn) { sendChunks(length, false)(c); closeWrite(c) }, "", false},
-		"stands still": {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length / 2)) }, "", false},
-		"not even so":  {"Content-Length: 5000", func(c net.Conn) { c.Write(pattern(100)) }, "400", false},
+		"stands still": {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length / 2)) }, "", false},
+		"not even so":  {"Content-Length: 5000", func(c net.Conn) { c.Write(patternBody(100)) }, "400", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := whole.Load()
@@ -197,7 +197,7 @@
 
 func sendSlowly(length, pieces int, pause time.Duration) func(net.Conn) {
 	return func(c net.Conn) {
-		for body := pattern(length); len(body) > 0; time.Sleep(pause) {
+		for body := patternBody(length); len(body) > 0; time.Sleep(pause) {
 			n := min(len(body), length/pieces)
 			c.Write(body[:n])
 			body = body[n:]
@@ -207,7 +207,7 @@
 
 func sendChunks(length int, end bool) func(net.Conn) {
 	return func(c net.Conn) {
-		for body := pattern(length); len(body) > 0; {
+		for body := patternBody(length); len(body) > 0; {
 			n := min(len(body), 7777)
 			fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", n, body[:n])
 			body = body[n:]
@@ -225,8 +225,8 @@
 	gone := scripted.Line("gone", scripted.FreeAddress(t))
 	s := start(t, testConfig(scripted.StartDiscovery(t), gone, good.Line()))
 	send := func(address string) int {
-		r := request(t, address, http.MethodPost, "/burn/long", string(pattern(150_000)))
-		status, _, err := try(r)
+		r := request(t, address, http.MethodPost, "/burn/long", string(patternBody(150_000)))
+		status, _, err := trySend(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -273,7 +273,7 @@
 	}
 	conn.Close()
 	eventually(t, "nothing is kept", func() bool { return s.callers.Open() == 0 })
-	s.stayFor, s.stopped = 0, true
+	s.stayTime, s.stopped = 0, true
 	s.Stop()
 	if err := s.Audit(); err != nil || s.callers.Pending() != 0 {
 		t.Errorf("%v; requests held %v", err, s.callers.Pending() != 0)
@@ -282,7 +282,7 @@
 
 // Guards against chunks that go to a caller of HTTP/1.0, which can't read them.
 func TestLongAnswerToHTTP10(t *testing.T) {
-	text := pattern(300_000)
+	text := patternBody(300_000)
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", fmt.Sprint(len(text)))
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -18,25 +18,25 @@
 // Upgrade: one process of a sidecar takes the place of another under load. The rules
 // see one sidecar, and so do the limits: while both live, each keeps to half of them.
 
-// processes share the limits during an upgrade.
-const processes = 2
+// upgradeProcesses share the limits during an upgrade.
+const upgradeProcesses = 2
 
 // upgrade is a process's part in one.
 type upgrade struct {
-	path     string         // where the processes meet; empty for nowhere
-	before   *takeover.Peer // the predecessor; nil without one
-	yielded  atomic.Bool    // a successor accepts callers
-	stopping atomic.Bool    // the platform has said so
+	path        string         // where the processes meet; empty for nowhere
+	predecessor *takeover.Peer // the predecessor; nil without one
+	replaced    atomic.Bool    // a successor accepts callers
+	stopping    atomic.Bool    // the platform has said so
 
-	mu    sync.Mutex
-	peers []*takeover.Peer            // that live: predecessor, successor
-	door  *takeover.SuccessorListener // for a successor; nil when there is none
+	mu         sync.Mutex
+	peers      []*takeover.Peer            // that live: predecessor, successor
+	successors *takeover.SuccessorListener // for a successor; nil when there is none
 }
 
 // listen returns where callers connect: a predecessor's own listener if there is one.
 func (s *Sidecar) listen(meet string) (net.Listener, error) {
 	if s.upgrade.path = meet; meet == "" {
-		return s.world.Listen(s.conf.Listen)
+		return s.env.Listen(s.conf.Listen)
 	}
 	peer, listener, state, err := takeover.FindPredecessor(meet)
 	if err == nil {
@@ -44,8 +44,8 @@
 	}
 	switch {
 	case err == nil:
-		s.upgrade.before = peer
-		s.join(peer)
+		s.upgrade.predecessor = peer
+		s.addPeer(peer)
 		s.log.Info().Msg("a predecessor serves")
 		return listener, nil
 	case !errors.Is(err, takeover.ErrNoPredecessor):
@@ -58,73 +58,73 @@
 	return takeover.Listen(s.conf.Listen)
 }
 
-// join counts the other process in.
-func (s *Sidecar) join(peer *takeover.Peer) {
+// addPeer counts the other process in.
+func (s *Sidecar) addPeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.peers = append(u.peers, peer)
 }
 
-// part counts it out. The limits are this process's alone again.
-func (s *Sidecar) part(peer *takeover.Peer) {
+// removePeer counts it out. The limits are this process's alone again.
+func (s *Sidecar) removePeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.peers = slices.DeleteFunc(u.peers, func(p *takeover.Peer) bool { return p == peer })
 	if len(u.peers) == 0 {
-		s.share(1)
+		s.divideLimits(1)
 	}
 }
 
-// share keeps this process to a part of the limits.
-func (s *Sidecar) share(parts int) {
+// divideLimits keeps this process to a part of the limits.
+func (s *Sidecar) divideLimits(parts int) {
 	s.callers.SetLimit(s.conf.CallerConns / parts)
 	s.engine.SetConnShare(parts)
 	debug.SetMemoryLimit(s.conf.HeapBytes / int64(parts))
 }
 
-// succeed takes the predecessor's place, if there is one: when it returns, that has
+// replacePredecessor takes the predecessor's place, if there is one: when it returns, that has
 // stopped accepting, or does not answer. Guards against a predecessor that hangs, for
 // which nobody would serve: it stops when it goes on, and until then both accept.
-func (s *Sidecar) succeed() {
-	peer := s.upgrade.before
+func (s *Sidecar) replacePredecessor() {
+	peer := s.upgrade.predecessor
 	if peer == nil {
 		return
 	}
-	s.share(processes)
-	go peer.Run(successor{s, peer})
+	s.divideLimits(upgradeProcesses)
+	go peer.Run(predecessorHandler{s, peer})
 	if err := peer.StopAccepting(); err != nil {
 		s.log.Warn().Err(err).Msg("the predecessor does not answer, serving beside it")
 	}
 }
 
-// successor is what this process does for its predecessor.
-type successor struct {
+// predecessorHandler is what this process does for its predecessor.
+type predecessorHandler struct {
 	*Sidecar
 	peer *takeover.Peer
 }
 
 // StopAccepting is nothing that a predecessor asks for.
-func (successor) StopAccepting() {}
+func (predecessorHandler) StopAccepting() {}
 
 // PeerEnded is takeover.Handler's.
-func (s successor) PeerEnded(bool) {
+func (s predecessorHandler) PeerEnded(bool) {
 	s.log.Info().Msg("the predecessor has ended")
-	s.part(s.peer)
+	s.removePeer(s.peer)
 }
 
-// offer lets a successor come.
-func (s *Sidecar) offer(meet string, listener net.Listener) {
+// awaitSuccessor lets a successor come.
+func (s *Sidecar) awaitSuccessor(meet string, listener net.Listener) {
 	l, ok := listener.(syscall.Conn)
 	if meet == "" || !ok {
 		return
 	}
 	door, err := takeover.AcceptSuccessor(meet, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
-		s.join(peer)
+		s.addPeer(peer)
 		s.log.Info().Msg("a successor has come")
 		state, err := s.engine.ExportHandover()
-		return state, predecessor{s, peer, listener}, err
+		return state, successorHandler{s, peer, listener}, err
 	})
 	if err != nil {
 		// Guards against a folder that takes no socket: the sidecar serves, and its
@@ -134,14 +134,14 @@
 	}
 	s.upgrade.mu.Lock()
 	defer s.upgrade.mu.Unlock()
-	if s.upgrade.door != nil {
-		s.upgrade.door.Close()
+	if s.upgrade.successors != nil {
+		s.upgrade.successors.Close()
 	}
-	s.upgrade.door = door
+	s.upgrade.successors = door
 }
 
-// predecessor is what this process does for its successor.
-type predecessor struct {
+// successorHandler is what this process does for its successor.
+type successorHandler struct {
 	*Sidecar
 	peer     *takeover.Peer
 	listener net.Listener
@@ -149,26 +149,26 @@
 
 // StopAccepting stops accepting. What stands on the connections that there are is served, and
 // each answer is the last on its connection.
-func (s predecessor) StopAccepting() {
-	s.upgrade.yielded.Store(true)
+func (s successorHandler) StopAccepting() {
+	s.upgrade.replaced.Store(true)
 	s.callers.Pause()
 	s.engine.Drain(true)
-	s.share(processes)
+	s.divideLimits(upgradeProcesses)
 	s.log.Info().Msg("a successor serves")
 	go debug.FreeOSMemory()
 }
 
 // PeerEnded goes on as before if the successor has ended and this process is not to stop.
-func (s predecessor) PeerEnded(yielded bool) {
-	s.part(s.peer)
+func (s successorHandler) PeerEnded(yielded bool) {
+	s.removePeer(s.peer)
 	if !yielded || s.upgrade.stopping.Load() {
 		return
 	}
 	s.log.Warn().Msg("the successor has ended, serving again")
-	s.upgrade.yielded.Store(false)
+	s.upgrade.replaced.Store(false)
 	s.engine.Drain(false)
 	s.callers.Resume()
-	s.offer(s.upgrade.path, s.listener)
+	s.awaitSuccessor(s.upgrade.path, s.listener)
 }
 
 // ResumeAnswer is takeover.Handler's.
@@ -183,10 +183,10 @@
 	s.engine.ResumeAnswer(&over, caller, endpoint)
 }
 
-// handOver gives the long answers that are still on their way to the successor, if
+// handOverAnswers gives the long answers that are still on their way to the successor, if
 // there is one.
-func (s *Sidecar) handOver() {
-	if !s.upgrade.yielded.Load() {
+func (s *Sidecar) handOverAnswers() {
+	if !s.upgrade.replaced.Load() {
 		return
 	}
 	s.upgrade.mu.Lock()
@@ -209,19 +209,19 @@
 // Metrics is console.Operations'.
 func (s *Sidecar) Metrics() []byte {
 	text := s.engine.Metrics()
-	if s.crew != nil {
-		text = s.crew.Metrics(text)
+	if s.cluster != nil {
+		text = s.cluster.Metrics(text)
 	}
 	return text
 }
 
 // Disable bans an endpoint here and in the other process of an upgrade.
-func (s *Sidecar) Disable(name string) error { return s.ban(name, true, s.engine.Disable) }
+func (s *Sidecar) Disable(name string) error { return s.setBan(name, true, s.engine.Disable) }
 
 // Enable ends a ban in both.
-func (s *Sidecar) Enable(name string) error { return s.ban(name, false, s.engine.Enable) }
+func (s *Sidecar) Enable(name string) error { return s.setBan(name, false, s.engine.Enable) }
 
-func (s *Sidecar) ban(name string, on bool, here func(string) error) error {
+func (s *Sidecar) setBan(name string, on bool, here func(string) error) error {
 	if err := here(name); err != nil {
 		return err
 	}
@@ -236,13 +236,13 @@
 	return nil
 }
 
-// end leaves the other process to itself.
-func (u *upgrade) end() {
+// close leaves the other process to itself.
+func (u *upgrade) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.door != nil {
-		u.door.Close()
-		if !u.yielded.Load() { // else a successor's stands there
+	if u.successors != nil {
+		u.successors.Close()
+		if !u.replaced.Load() { // else a successor's stands there
 			os.Remove(u.path)
 		}
 	}
--- a/internal/lifecycle/upgrade_test.go
+++ b/internal/lifecycle/upgrade_test.go
@@ -17,23 +17,23 @@
 	"heathgap/internal/takeover"
 )
 
-// generation starts one more process of a sidecar, with a console of its own.
-func generation(t *testing.T, conf map[string]any) (p *process, console string) {
+// launchReady starts one more process of a sidecar, with a console of its own.
+func launchReady(t *testing.T, conf map[string]any) (p *process, console string) {
 	t.Helper()
 	console = scripted.FreeAddress(t)
 	conf["console"] = console
 	p = launch(t, conf)
-	eventually(t, "READY", func() bool { return isYes(console) })
+	eventually(t, "READY", func() bool { return saysReady(console) })
 	return p, console
 }
 
-func isYes(console string) bool {
-	answer, err := tryAsk(console, "READY")
+func saysReady(console string) bool {
+	answer, err := tryConsole(console, "READY")
 	return err == nil && strings.HasPrefix(answer, "200 ")
 }
 
-// upgradable is a configuration whose processes meet in a folder of the test's own.
-func upgradable(t *testing.T, d *scripted.Discovery, known ...map[string]any) (conf map[string]any, address string) {
+// upgradeConfig is a configuration whose processes meet in a folder of the test's own.
+func upgradeConfig(t *testing.T, d *scripted.Discovery, known ...map[string]any) (conf map[string]any, address string) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
 	conf = testConfig(d, known...)
@@ -42,9 +42,9 @@
 	return conf, address
 }
 
-// callers ask all the time, on connections that they keep and on new ones, until
+// startCallers ask all the time, on connections that they keep and on new ones, until
 // stopped; they tell how many calls were answered 200, and what else came.
-func callers(t *testing.T, address string) (stop func() (served int64, other []string)) {
+func startCallers(t *testing.T, address string) (stop func() (served int64, other []string)) {
 	t.Helper()
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
@@ -87,17 +87,17 @@
 // reset connection, bans hold in both and over it, and only the old one ends.
 func TestReplacingTheProcess(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
-	conf, address := upgradable(t, scripted.StartDiscovery(t), e1.Line(), e2.Line())
-	old, oldConsole := generation(t, conf)
-	if got := ask(t, oldConsole, "DISABLE e1"); !strings.HasPrefix(got, "200 ") {
+	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e1.Line(), e2.Line())
+	old, oldConsole := launchReady(t, conf)
+	if got := callConsole(t, oldConsole, "DISABLE e1"); !strings.HasPrefix(got, "200 ") {
 		t.Fatalf("DISABLE: %q", got)
 	}
 	before := e1.Count()
-	stop := callers(t, address)
+	stop := startCallers(t, address)
 	var last *process
 	console := oldConsole
 	for range 3 { // an upgrade of an upgrade works as the first does
-		next, nextConsole := generation(t, conf)
+		next, nextConsole := launchReady(t, conf)
 		time.Sleep(100 * time.Millisecond)
 		old.Process.Signal(syscall.SIGTERM)
 		begin := time.Now()
@@ -110,10 +110,10 @@
 	if len(other) > 0 || served < 100 {
 		t.Errorf("%d served, and %d met %.300q", served, len(other), other)
 	}
-	if e1.Count() != before || stats(t, console)["pool_ejected"] != 1 {
-		t.Errorf("%d sent to what is banned over upgrades; %v", e1.Count()-before, stats(t, console))
+	if e1.Count() != before || readStats(t, console)["pool_ejected"] != 1 {
+		t.Errorf("%d sent to what is banned over upgrades; %v", e1.Count()-before, readStats(t, console))
 	}
-	if got := ask(t, console, "ENABLE e1"); !strings.HasPrefix(got, "200 ") {
+	if got := callConsole(t, console, "ENABLE e1"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ENABLE: %q", got)
 	}
 	eventually(t, "e1 serves again", func() bool { get(t, address, "/look"); return e1.Count() > before })
@@ -130,9 +130,9 @@
 func TestBansBindInBothProcesses(t *testing.T) {
 	d := scripted.StartDiscovery(t)
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
-	conf, _ := upgradable(t, d, e1.Line(), e2.Line())
-	_, first := generation(t, conf)
-	_, second := generation(t, conf)
+	conf, _ := upgradeConfig(t, d, e1.Line(), e2.Line())
+	_, first := launchReady(t, conf)
+	_, second := launchReady(t, conf)
 	for i, call := range []struct {
 		at, word string
 		ejected  int
@@ -140,11 +140,11 @@
 		{first, "DISABLE e1", 1}, {second, "DISABLE e1", 1}, {second, "DISABLE e2", 2}, {first, "ENABLE e2", 1},
 		{second, "ENABLE e1", 0}, {first, "DISABLE e2", 1},
 	} {
-		if got := ask(t, call.at, call.word); !strings.HasPrefix(got, "200 ") {
+		if got := callConsole(t, call.at, call.word); !strings.HasPrefix(got, "200 ") {
 			t.Fatalf("%d, %s: %q", i, call.word, got)
 		}
 		for _, console := range []string{first, second} {
-			if n := stats(t, console)["pool_ejected"]; n != call.ejected {
+			if n := readStats(t, console)["pool_ejected"]; n != call.ejected {
 				t.Errorf("%d, after %s: %d ejected, want %d", i, call.word, n, call.ejected)
 			}
 		}
@@ -155,14 +155,14 @@
 // accepts again when its successor ends, and lets the next one come.
 func TestSuccessorThatDies(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
-	conf, address := upgradable(t, scripted.StartDiscovery(t), e.Line())
-	old, _ := generation(t, conf)
+	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
+	old, _ := launchReady(t, conf)
 	for range 2 {
-		next, _ := generation(t, conf)
+		next, _ := launchReady(t, conf)
 		next.Process.Kill()
 		next.Wait()
 		eventually(t, "the old one accepts again", func() bool {
-			status, _, err := try(request(t, address, http.MethodGet, "/look", ""))
+			status, _, err := trySend(request(t, address, http.MethodGet, "/look", ""))
 			return err == nil && status == 200
 		})
 	}
@@ -182,7 +182,7 @@
 // What a killed process leaves in the folder is named and passed over.
 func TestStaleWayIn(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
-	conf, address := upgradable(t, scripted.StartDiscovery(t), e.Line())
+	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
 	path := takeover.SocketPath(os.TempDir(), "t0", address)
 	for _, torn := range []bool{false, true} {
 		if torn {
@@ -190,7 +190,7 @@
 				t.Fatal(err)
 			}
 		}
-		p, _ := generation(t, conf)
+		p, _ := launchReady(t, conf)
 		if said := strings.Contains(p.log.String(), "no predecessor"); said != torn {
 			t.Errorf("torn %v, and the log says so: %v\n%s", torn, said, p.log)
 		}
@@ -207,7 +207,7 @@
 // of either framing, from endpoints that take their time and to callers that do.
 func TestLongAnswersOverAnUpgrade(t *testing.T) {
 	const long = 12 << 20
-	text := pattern(long)
+	text := patternBody(long)
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", strconv.Itoa(long))
@@ -226,9 +226,9 @@
 			w.Write(text[at:min(long, at+long/16)])
 		}
 	})
-	conf, address := upgradable(t, scripted.StartDiscovery(t), e.Line())
+	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
 	setDeadlines(conf, 5000)
-	old, _ := generation(t, conf)
+	old, _ := launchReady(t, conf)
 	var wait sync.WaitGroup
 	paths := []string{"/look/told/giver", "/look/chunks/giver", "/look/told/reader", "/look/chunks/reader", "/look/late/told"}
 	for _, path := range paths {
@@ -250,7 +250,7 @@
 		})
 	}
 	eventually(t, "all are out", func() bool { return e.Count() == len(paths) })
-	next, _ := generation(t, conf)
+	next, _ := launchReady(t, conf)
 	old.Process.Signal(syscall.SIGTERM)
 	begin := time.Now()
 	if err := old.Wait(); err != nil || time.Since(begin) > 4*time.Second {
--- a/internal/takeover/hang_test.go
+++ b/internal/takeover/hang_test.go
@@ -37,7 +37,7 @@
 					return
 				}
 				defer conn.Close()
-				if err := give(conn, served.(*net.TCPListener)); err != nil {
+				if err := sendListener(conn, served.(*net.TCPListener)); err != nil {
 					t.Error(err)
 				}
 				if !broken {
@@ -76,11 +76,11 @@
 		defer conn.Close()
 	}
 	peer := newPeer(conns[0])
-	if err := peer.say(message{Take: true}); err != nil {
+	if err := peer.send(message{StopAccepting: true}); err != nil {
 		t.Fatal(err)
 	}
 	conns[1].Close() // over what was said
 	gone := make(chan bool, 1)
-	peer.Run(quiet{gone})
+	peer.Run(silentHandler{gone})
 	<-gone
 }
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -25,43 +25,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// version is that of what is said. A process that speaks another says so and starts as
+// protocolVersion is that of what is said. A process that speaks another says so and starts as
 // if nobody had answered.
-const version = 1
+const protocolVersion = 1
 
 // Times of the exchange: a new process has seconds to say that it serves, and a
 // predecessor that hangs must not cost it those.
 const (
-	findTimeout = 2 * time.Second        // for the descriptor and the state
-	takeTimeout = time.Second            // for the old one's word that it has stopped accepting
-	tellTimeout = 400 * time.Millisecond // for the other's word on an operator's call, who waits 1 s at most
+	findTimeout  = 2 * time.Second        // for the descriptor and the state
+	stopTimeout  = time.Second            // for the old one's word that it has stopped accepting
+	replyTimeout = 400 * time.Millisecond // for the other's word on an operator's call, who waits 1 s at most
 )
 
 // message is one thing that is said. Exactly one field beside Seq and On is set.
 type message struct {
-	Version int             `json:"version,omitempty"` // with State
-	State   json.RawMessage `json:"state,omitempty"`   // what the old process knows
-	Take    bool            `json:"take,omitempty"`    // the new one is about to accept
-	Taken   bool            `json:"taken,omitempty"`   // the old one has stopped accepting
-	Ban     string          `json:"ban,omitempty"`     // an endpoint's name, with On and Seq
-	On      bool            `json:"on,omitempty"`
-	Seq     int             `json:"seq,omitempty"`
-	Done    int             `json:"done,omitempty"` // the Seq of a Ban that binds now
-	Over    json.RawMessage `json:"over,omitempty"` // a long answer on its way; two descriptors come with it
+	Version       int             `json:"version,omitempty"` // with State
+	State         json.RawMessage `json:"state,omitempty"`   // what the old process knows
+	StopAccepting bool            `json:"take,omitempty"`    // the new one is about to accept
+	Stopped       bool            `json:"taken,omitempty"`   // the old one has stopped accepting
+	Ban           string          `json:"ban,omitempty"`     // an endpoint's name, with On and Seq
+	On            bool            `json:"on,omitempty"`
+	Seq           int             `json:"seq,omitempty"`
+	Applied       int             `json:"done,omitempty"` // the Seq of a Ban that binds now
+	Answer        json.RawMessage `json:"over,omitempty"` // a long answer on its way; two descriptors come with it
 }
 
-// rights reads a connection and keeps the descriptors that come with its bytes.
-type rights struct {
+// descriptorReader reads a connection and keeps the descriptors that come with its bytes.
+type descriptorReader struct {
 	conn *net.UnixConn
 	fds  []int // that came and were not taken
 }
 
-// mostRights bounds the descriptors of one read.
-const mostRights = 4
+// maxDescriptors bounds the descriptors of one read.
+const maxDescriptors = 4
 
 // Read is io.Reader's.
-func (r *rights) Read(b []byte) (int, error) {
-	oob := make([]byte, unix.CmsgSpace(4*mostRights))
+func (r *descriptorReader) Read(b []byte) (int, error) {
+	oob := make([]byte, unix.CmsgSpace(4*maxDescriptors))
 	n, oobn, _, _, err := r.conn.ReadMsgUnix(b, oob)
 	if err != nil {
 		return 0, err // n is -1 then, which no reader expects
@@ -77,16 +77,16 @@
 	return n, err
 }
 
-// drop closes those that nobody has taken.
-func (r *rights) drop() {
+// closeUnclaimed closes those that nobody has taken.
+func (r *descriptorReader) closeUnclaimed() {
 	for _, fd := range r.fds {
 		unix.Close(fd)
 	}
 	r.fds = nil
 }
 
-// conns takes the next two descriptors as connections.
-func (r *rights) conns() (a, b net.Conn, err error) {
+// takeConns takes the next two descriptors as connections.
+func (r *descriptorReader) takeConns() (a, b net.Conn, err error) {
 	if len(r.fds) < 2 {
 		return nil, nil, fmt.Errorf("%d descriptors came, not 2", len(r.fds))
 	}
@@ -126,23 +126,23 @@
 
 // Peer is the other process of an upgrade.
 type Peer struct {
-	conn *net.UnixConn
-	fds  *rights
-	in   *json.Decoder
+	conn   *net.UnixConn
+	reader *descriptorReader
+	in     *json.Decoder
 
 	mu      sync.Mutex
 	out     *json.Encoder
 	seq     int
 	waiting map[int]chan struct{} // for Done, by Seq
-	taken   chan struct{}         // closed when the old one has stopped accepting
-	gone    chan struct{}         // closed when the other has ended
+	stopped chan struct{}         // closed when the old one has stopped accepting
+	ended   chan struct{}         // closed when the other has ended
 }
 
 func newPeer(conn *net.UnixConn) *Peer {
-	fds := &rights{conn: conn}
+	fds := &descriptorReader{conn: conn}
 	return &Peer{
-		conn: conn, fds: fds, in: json.NewDecoder(fds), out: json.NewEncoder(conn),
-		waiting: map[int]chan struct{}{}, taken: make(chan struct{}), gone: make(chan struct{}),
+		conn: conn, reader: fds, in: json.NewDecoder(fds), out: json.NewEncoder(conn),
+		waiting: map[int]chan struct{}{}, stopped: make(chan struct{}), ended: make(chan struct{}),
 	}
 }
 
@@ -170,13 +170,13 @@
 	if err := sameUser(uc); err != nil {
 		return nil, nil, nil, err
 	}
-	if listener, err = receive(uc); err != nil {
+	if listener, err = receiveListener(uc); err != nil {
 		return nil, nil, nil, fmt.Errorf("%s: no descriptor: %w", path, err)
 	}
 	p = newPeer(uc)
 	var m message
-	if err = p.in.Decode(&m); err == nil && m.Version != version {
-		err = fmt.Errorf("it speaks version %d, and this is %d", m.Version, version)
+	if err = p.in.Decode(&m); err == nil && m.Version != protocolVersion {
+		err = fmt.Errorf("it speaks version %d, and this is %d", m.Version, protocolVersion)
 	}
 	if err != nil {
 		listener.Close()
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// receive reads the byte that carries a listener's descriptor.
-func receive(conn *net.UnixConn) (net.Listener, error) {
+// receiveListener reads the byte that carries a listener's descriptor.
+func receiveListener(conn *net.UnixConn) (net.Listener, error) {
 	var b [1]byte
 	oob := make([]byte, unix.CmsgSpace(4))
 	n, oobn, _, _, err := conn.ReadMsgUnix(b[:], oob)
@@ -227,8 +227,8 @@
 	return net.FileListener(file)
 }
 
-// give writes the byte that carries a listener's descriptor.
-func give(conn *net.UnixConn, listener syscall.Conn) error {
+// sendListener writes the byte that carries a listener's descriptor.
+func sendListener(conn *net.UnixConn, listener syscall.Conn) error {
 	return withFD(listener, func(fd int) error {
 		_, _, err := conn.WriteMsgUnix([]byte{'L'}, unix.UnixRights(fd), nil)
 		return err
@@ -255,44 +255,44 @@
 		var m message
 		if err := p.in.Decode(&m); err != nil {
 			p.conn.Close()
-			p.fds.drop()
-			close(p.gone)
+			p.reader.closeUnclaimed()
+			close(p.ended)
 			h.PeerEnded(yielded)
 			return
 		}
 		switch {
 		case m.Ban != "":
 			h.AdoptBan(m.Ban, m.On)
-			p.say(message{Done: m.Seq})
-		case m.Over != nil:
-			if caller, endpoint, err := p.fds.conns(); err == nil {
-				h.ResumeAnswer(m.Over, caller, endpoint)
+			p.send(message{Applied: m.Seq})
+		case m.Answer != nil:
+			if caller, endpoint, err := p.reader.takeConns(); err == nil {
+				h.ResumeAnswer(m.Answer, caller, endpoint)
 			}
-		case m.Take && !yielded:
+		case m.StopAccepting && !yielded:
 			yielded = true
 			h.StopAccepting()
-			p.say(message{Taken: true})
-		case m.Taken:
+			p.send(message{Stopped: true})
+		case m.Stopped:
 			select {
-			case <-p.taken:
+			case <-p.stopped:
 			default:
-				close(p.taken)
+				close(p.stopped)
 			}
-		case m.Done > 0:
+		case m.Applied > 0:
 			p.mu.Lock()
-			if done := p.waiting[m.Done]; done != nil {
+			if done := p.waiting[m.Applied]; done != nil {
 				close(done)
-				delete(p.waiting, m.Done)
+				delete(p.waiting, m.Applied)
 			}
 			p.mu.Unlock()
 		}
 	}
 }
 
-func (p *Peer) say(m message) error {
+func (p *Peer) send(m message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(tellTimeout))
+	p.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
 	return p.out.Encode(m)
 }
 
@@ -301,12 +301,12 @@
 func (p *Peer) StopAccepting() error {
 	// Guards against a predecessor that dies between its state and this word: that can't be said any more, and need not
 	// be. Run notices that it has ended.
-	err := p.say(message{Take: true})
-	timer := time.NewTimer(takeTimeout)
+	err := p.send(message{StopAccepting: true})
+	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
 	select {
-	case <-p.taken:
-	case <-p.gone:
+	case <-p.stopped:
+	case <-p.ended:
 	case <-timer.C:
 		return cmp.Or(err, errors.New("the predecessor goes on accepting"))
 	}
@@ -327,14 +327,14 @@
 		delete(p.waiting, seq)
 		p.mu.Unlock()
 	}()
-	if err := p.say(message{Ban: name, On: on, Seq: seq}); err != nil {
+	if err := p.send(message{Ban: name, On: on, Seq: seq}); err != nil {
 		return nil // it has ended
 	}
-	timer := time.NewTimer(tellTimeout)
+	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
-	case <-p.gone:
+	case <-p.ended:
 	case <-timer.C:
 		return errors.New("the other process of the upgrade does not answer; try again")
 	}
@@ -343,13 +343,13 @@
 
 // HandOver hands a long answer on its way to the other.
 func (p *Peer) HandOver(state []byte, caller, endpoint syscall.Conn) error {
-	text, err := json.Marshal(message{Over: state})
+	text, err := json.Marshal(message{Answer: state})
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(tellTimeout))
+	p.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
 	n := 0
 	err = withFD(caller, func(a int) error {
 		return withFD(endpoint, func(b int) (err error) {
@@ -426,33 +426,33 @@
 		if busy || sameUser(conn) != nil {
 			conn.Close()
 			if !busy {
-				d.free()
+				d.clearBusy()
 			}
 			continue
 		}
 		go func() {
-			defer d.free()
-			d.attend(conn, listener, enter)
+			defer d.clearBusy()
+			d.serveSuccessor(conn, listener, enter)
 		}()
 	}
 }
 
-func (d *SuccessorListener) free() {
+func (d *SuccessorListener) clearBusy() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.busy = false
 }
 
-// attend gives one successor what it needs, and hears it until it ends.
-func (d *SuccessorListener) attend(conn *net.UnixConn, listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
+// serveSuccessor gives one successor what it needs, and hears it until it ends.
+func (d *SuccessorListener) serveSuccessor(conn *net.UnixConn, listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
 	p := newPeer(conn)
 	// Bans that come from here on are told to it, behind the state.
 	p.mu.Lock()
 	state, h, err := enter(p)
 	if err == nil {
 		conn.SetWriteDeadline(time.Now().Add(findTimeout))
-		if err = give(conn, listener); err == nil {
-			err = p.out.Encode(message{Version: version, State: state})
+		if err = sendListener(conn, listener); err == nil {
+			err = p.out.Encode(message{Version: protocolVersion, State: state})
 		}
 	}
 	p.mu.Unlock()
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// quiet hears what the other process says and does nothing.
-type quiet struct{ gone chan bool }
+// silentHandler hears what the other process says and does nothing.
+type silentHandler struct{ ended chan bool }
 
-func (quiet) AdoptBan(string, bool)                   {}
-func (quiet) ResumeAnswer([]byte, net.Conn, net.Conn) {}
-func (quiet) StopAccepting()                          {}
-func (q quiet) PeerEnded(yielded bool)                { q.gone <- yielded }
+func (silentHandler) AdoptBan(string, bool)                   {}
+func (silentHandler) ResumeAnswer([]byte, net.Conn, net.Conn) {}
+func (silentHandler) StopAccepting()                          {}
+func (q silentHandler) PeerEnded(yielded bool)                { q.ended <- yielded }
 
 // Guards against a successor that ends because its predecessor has: whatever step the predecessor dies in, the successor
 // either knows that it has none, or has the listener and takes its place.
@@ -49,24 +49,24 @@
 			if step == atTheDoor {
 				return
 			}
-			if err := give(conn, served.(*net.TCPListener)); err != nil {
+			if err := sendListener(conn, served.(*net.TCPListener)); err != nil {
 				t.Error(err)
 			}
 			if step == withoutState {
 				return
 			}
-			if err := json.NewEncoder(conn).Encode(message{Version: version, State: []byte(`{}`)}); err != nil {
+			if err := json.NewEncoder(conn).Encode(message{Version: protocolVersion, State: []byte(`{}`)}); err != nil {
 				t.Error(err)
 			}
 			if step == withState {
 				return
 			}
 			var m message
-			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.Take {
+			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.StopAccepting {
 				t.Errorf("step %d: told %+v, %v", step, m, err)
 			}
 			if step == yielded {
-				if err := json.NewEncoder(conn).Encode(message{Taken: true}); err != nil {
+				if err := json.NewEncoder(conn).Encode(message{Stopped: true}); err != nil {
 					t.Error(err)
 				}
 			}
@@ -84,7 +84,7 @@
 				<-died // before the word can be said
 			}
 			gone := make(chan bool, 1)
-			go peer.Run(quiet{gone})
+			go peer.Run(silentHandler{gone})
 			if err := peer.StopAccepting(); err != nil {
 				t.Errorf("step %d: the successor does not take the place of who has died: %v", step, err)
 			}
@@ -92,7 +92,7 @@
 				t.Errorf("step %d: it has yielded, as if it were the predecessor", step)
 			}
 			served.Close()
-			accepts(t, listener)
+			expectAccept(t, listener)
 			listener.Close()
 		}
 		<-died
@@ -101,8 +101,8 @@
 	}
 }
 
-// accepts fails the test unless a caller comes in at the listener.
-func accepts(t *testing.T, listener net.Listener) {
+// expectAccept fails the test unless a caller comes in at the listener.
+func expectAccept(t *testing.T, listener net.Listener) {
 	t.Helper()
 	caller, err := net.DialTimeout("tcp", listener.Addr().String(), 10*time.Second)
 	if err != nil {
