--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -169,17 +169,17 @@
 const beginningTime = 150 * time.Millisecond
 
 // Receive reads the answer to what was sent: whole, or the beginning of a long one.
-func (l *Link) Receive(room *MemoryBudget, world env.Env) (Reply, error) {
-	reply, err := decodeReply(l.in, room, &beginningTimer{link: l, env: world})
+func (l *Link) Receive(budget *MemoryBudget, environment env.Env) (Reply, error) {
+	reply, err := decodeReply(l.in, budget, &beginningTimer{link: l, env: environment})
 	if reply.Stream != nil {
-		reply.Stream.link, reply.Stream.env = l, world
+		reply.Stream.link, reply.Stream.env = l, environment
 	}
 	return reply, err
 }
 
 // DecodeReply reads an endpoint's answer from what can't wait.
-func DecodeReply(r *bufio.Reader, room *MemoryBudget) (Reply, error) {
-	return decodeReply(r, room, nil)
+func DecodeReply(r *bufio.Reader, budget *MemoryBudget) (Reply, error) {
+	return decodeReply(r, budget, nil)
 }
 
 // beginningTimer tells when to stop waiting for more of an answer's beginning.
@@ -205,7 +205,7 @@
 }
 
 // decodeReply reads an answer; what is read of its body takes of the room.
-func decodeReply(r *bufio.Reader, room *MemoryBudget, pace *beginningTimer) (Reply, error) {
+func decodeReply(r *bufio.Reader, budget *MemoryBudget, timer *beginningTimer) (Reply, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
 	body, err := readHead(m, r)
@@ -228,16 +228,16 @@
 	if body == nil {
 		return reply, nil
 	}
-	first, whole, err := readBeginning(body, length, room, pace)
-	reply.Body, reply.Reserved = first, cap(first)
+	beginning, complete, err := readBeginning(body, length, budget, timer)
+	reply.Body, reply.Reserved = beginning, cap(beginning)
 	switch {
 	case err != nil:
-		room.Release(cap(first))
+		budget.Release(cap(beginning))
 		return Reply{}, err
-	case !whole && reply.Outcome != decide.Served: // it tells all that it has to tell
+	case !complete && reply.Outcome != decide.Served: // it tells all that it has to tell
 		reply.Close = true
-	case !whole:
-		reply.Stream = &AnswerStream{Length: length, beginning: first, body: body}
+	case !complete:
+		reply.Stream = &AnswerStream{Length: length, beginning: beginning, body: body}
 	}
 	return reply, nil
 }
@@ -401,12 +401,12 @@
 // MaxWhole bytes at most. It takes memory as the bytes come: guards against heads that
 // announce more than ever comes. What was taken of the room is the capacity of what is
 // returned, also with an error.
-func readBeginning(r io.Reader, length int, room *MemoryBudget, pace *beginningTimer) (body []byte, whole bool, err error) {
+func readBeginning(r io.Reader, length int, budget *MemoryBudget, timer *beginningTimer) (body []byte, complete bool, err error) {
 	for {
 		if len(body) >= MaxBuffered && length != len(body) {
 			return body, false, nil
 		}
-		if len(body) > 0 && (length < 0 || length > MaxBuffered) && pace != nil && !pace.waitMore() {
+		if len(body) > 0 && (length < 0 || length > MaxBuffered) && timer != nil && !timer.waitMore() {
 			return body, false, nil
 		}
 		if len(body) == cap(body) {
@@ -414,7 +414,7 @@
 			if length > 0 {
 				more = min(more, length-len(body))
 			}
-			if !room.Take(more) {
+			if !budget.Take(more) {
 				return body, false, errNoMemory
 			}
 			body = append(make([]byte, 0, cap(body)+more), body...)
@@ -431,16 +431,16 @@
 }
 
 // readComplete reads a whole answer of so many bytes at most, which is kept.
-func readComplete(m *fasthttp.Response, r *bufio.Reader, most int) ([]byte, error) {
+func readComplete(m *fasthttp.Response, r *bufio.Reader, limit int) ([]byte, error) {
 	body, err := readHead(m, r)
 	if err != nil || body == nil {
 		return nil, err
 	}
-	if m.Header.ContentLength() > most {
+	if m.Header.ContentLength() > limit {
 		return nil, errTooLong
 	}
-	text, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
-	if err == nil && len(text) > most {
+	text, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
+	if err == nil && len(text) > limit {
 		err = errTooLong
 	}
 	return text, err
@@ -448,11 +448,11 @@
 
 // outcomeOf reads a status. An endpoint that turned a request away has never
 // run it; any other failure may have.
-func outcomeOf(status int, turnedAway bool) decide.Outcome {
+func outcomeOf(status int, rejected bool) decide.Outcome {
 	switch {
 	case status == fasthttp.StatusOK:
 		return decide.Served
-	case turnedAway && (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout):
+	case rejected && (status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusGatewayTimeout):
 		return decide.Rejected
 	}
 	return decide.ServerError
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -42,9 +42,9 @@
 
 // NewCallers wraps a listener. There are never more connections than the limit: close to it, those that have been idle
 // longest make room, and who comes at the limit waits in the kernel's queue for that. ended is called once for each that ends.
-func NewCallers(l net.Listener, world env.Env, limit int, ended func(c *CallerConn, why Reason)) *Callers {
+func NewCallers(l net.Listener, environment env.Env, limit int, onEnd func(c *CallerConn, why Reason)) *Callers {
 	c := &Callers{
-		Listener: l, env: world, onEnd: ended, conns: map[*CallerConn]struct{}{},
+		Listener: l, env: environment, onEnd: onEnd, conns: map[*CallerConn]struct{}{},
 		resume: make(chan struct{}, 1), backlogEmpty: make(chan struct{}), freed: make(chan struct{}, 1),
 	}
 	c.SetLimit(limit)
@@ -59,10 +59,10 @@
 	l.limit.Store(int64(limit))
 	l.softLimit.Store(int64(max(1, limit-max(1, limit/spareDivisor))))
 	l.mu.Lock()
-	look := l.crowded() && !l.makingRoom
-	l.makingRoom = l.makingRoom || look
+	start := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || start
 	l.mu.Unlock()
-	if look {
+	if start {
 		l.makeRoom()
 	}
 }
@@ -163,10 +163,10 @@
 	c := &CallerConn{Conn: conn, owner: l, changedAt: l.env.Now()}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	look := l.crowded() && !l.makingRoom
-	l.makingRoom = l.makingRoom || look
+	start := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || start
 	l.mu.Unlock()
-	if look {
+	if start {
 		l.makeRoom()
 	}
 	return c, nil
@@ -216,21 +216,21 @@
 func (l *Callers) makeRoom() {
 	all := l.all()
 	l.mu.Lock()
-	over := len(l.conns) - int(l.softLimit.Load())
+	excess := len(l.conns) - int(l.softLimit.Load())
 	full := len(l.conns) >= int(l.limit.Load())
-	look := l.crowded()
-	l.makingRoom = look
+	crowded := l.crowded()
+	l.makingRoom = crowded
 	l.mu.Unlock()
-	if !look {
+	if !crowded {
 		return
 	}
-	over = max(over, 1)
+	excess = max(excess, 1)
 	for _, c := range all {
 		if c.closingSoon() {
-			over--
+			excess--
 		}
 	}
-	l.closeOldest(over)
+	l.closeOldest(excess)
 	if full && l.hasBacklog() { // a few at a time would keep usual callers behind a crowd for long
 		l.closeSilent(int(l.limit.Load()) / crowdDivisor)
 	}
@@ -245,9 +245,9 @@
 }
 
 // CloseIdle ends all connections on which no request stands.
-func (l *Callers) CloseIdle(why Reason) {
+func (l *Callers) CloseIdle(reason Reason) {
 	for _, c := range l.all() {
-		c.closeIdle(why)
+		c.closeIdle(reason)
 	}
 }
 
@@ -256,15 +256,15 @@
 // and take the place of usual ones: one that has brought a good request stands as long as others are about to be idle for
 // long enough.
 func (l *Callers) closeOldest(n int) {
-	all, age := l.byCloseOrder()
+	all, order := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && (c.closeIdle(ReasonConnLimit) || age[c].recentlyIdle && !age[c].proven) {
+		if n > 0 && (c.closeIdle(ReasonConnLimit) || order[c].recentlyIdle && !order[c].proven) {
 			n--
 		}
 	}
-	for _, end := range []func(*CallerConn) bool{(*CallerConn).stopLinger, (*CallerConn).abortIncomplete} {
+	for _, closeConn := range []func(*CallerConn) bool{(*CallerConn).stopLinger, (*CallerConn).abortIncomplete} {
 		for _, c := range all {
-			if n > 0 && end(c) {
+			if n > 0 && closeConn(c) {
 				n--
 			}
 		}
@@ -273,33 +273,33 @@
 
 // closeSilent ends n of those that never brought a good request: idle, half a one, or only read out.
 func (l *Callers) closeSilent(n int) {
-	all, age := l.byCloseOrder()
+	all, order := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && !age[c].proven && (c.closeIdle(ReasonConnLimit) || c.stopLinger() || c.abortIncomplete()) {
+		if n > 0 && !order[c].proven && (c.closeIdle(ReasonConnLimit) || c.stopLinger() || c.abortIncomplete()) {
 			n--
 		}
 	}
 }
 
 // byCloseOrder returns all connections, those that end first first.
-func (l *Callers) byCloseOrder() ([]*CallerConn, map[*CallerConn]connCloseOrder) {
+func (l *Callers) byCloseOrder() ([]*CallerConn, map[*CallerConn]closeOrder) {
 	all := l.all()
-	age := make(map[*CallerConn]connCloseOrder, len(all))
+	order := make(map[*CallerConn]closeOrder, len(all))
 	for _, c := range all {
-		age[c] = c.closeOrder()
+		order[c] = c.closeOrder()
 	}
-	slices.SortFunc(all, func(a, b *CallerConn) int { return age[a].compare(age[b]) })
-	return all, age
+	slices.SortFunc(all, func(a, b *CallerConn) int { return order[a].compare(order[b]) })
+	return all, order
 }
 
-// connCloseOrder is what decides which connection ends first.
-type connCloseOrder struct {
+// closeOrder is what decides which connection ends first.
+type closeOrder struct {
 	proven       bool // it has brought a good request
 	recentlyIdle bool // it is idle, and may be ended soon
 	changedAt    time.Time
 }
 
-func (a connCloseOrder) compare(b connCloseOrder) int {
+func (a closeOrder) compare(b closeOrder) int {
 	if a.proven != b.proven {
 		if b.proven {
 			return -1
@@ -412,8 +412,8 @@
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		// Guards against a machine so busy that the deadline passes before the read begins.
-		if came := c.readAvailable(b); came > 0 {
-			n, err = came, nil
+		if available := c.readAvailable(b); available > 0 {
+			n, err = available, nil
 		}
 	}
 	if n > 0 {
@@ -458,11 +458,11 @@
 }
 
 // bodyEnded marks that no body is read any more, and whether nothing more of it comes.
-func (c *CallerConn) bodyEnded(all bool) {
+func (c *CallerConn) bodyEnded(complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil {
-		c.body, c.bodyStopped, c.bodyUnread = nil, false, !all
+		c.body, c.bodyStopped, c.bodyUnread = nil, false, !complete
 		c.Conn.SetReadDeadline(time.Time{})
 	}
 }
@@ -601,11 +601,11 @@
 
 // MarkAnswered marks that the server has the answer to the request at hand. written is
 // called once, when that is written or its connection ends.
-func (c *CallerConn) MarkAnswered(written func()) {
+func (c *CallerConn) MarkAnswered(onWritten func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.finishAnswered()
-	c.answered, c.onWritten = true, written
+	c.answered, c.onWritten = true, onWritten
 	c.requests++
 }
 
@@ -626,23 +626,23 @@
 }
 
 // SetReason sets why the connection ends, unless that is known already.
-func (c *CallerConn) SetReason(why Reason) {
+func (c *CallerConn) SetReason(reason Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.noteReason(why)
+	c.noteReason(reason)
 }
 
-func (c *CallerConn) noteReason(why Reason) {
+func (c *CallerConn) noteReason(reason Reason) {
 	if c.reason == "" {
-		c.reason = why
+		c.reason = reason
 	}
 }
 
-func (c *CallerConn) closeOrder() connCloseOrder {
+func (c *CallerConn) closeOrder() closeOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.owner.env.Now()
-	return connCloseOrder{
+	return closeOrder{
 		proven: c.proven, changedAt: c.changedAt,
 		recentlyIdle: !c.busy && !c.closing && !c.closed && now.Sub(c.changedAt) < minIdleTime,
 	}
@@ -690,16 +690,16 @@
 // does. A request whose first byte has come is still served: only the pending
 // read is ended, never what it has brought. On a new connection the first
 // request is about to come.
-func (c *CallerConn) closeIdle(why Reason) bool {
+func (c *CallerConn) closeIdle(reason Reason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// Guards against a stop that cuts short what lingers already; where room is wanted it may be cut short.
-	lingers := c.closed && why != ReasonConnLimit
+	lingers := c.closed && reason != ReasonConnLimit
 	if c.closing || c.busy || lingers || c.owner.env.Now().Sub(c.changedAt) < minIdleTime {
 		return false
 	}
 	c.closing = true
-	c.noteReason(why)
+	c.noteReason(reason)
 	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
@@ -713,7 +713,7 @@
 
 // Watch calls left once if the caller goes before Unwatch is called. It begins
 // when a request has come whole.
-func (c *CallerConn) Watch(left func()) {
+func (c *CallerConn) Watch(onLeave func()) {
 	done := make(chan struct{})
 	c.watchDone = done
 	c.mu.Lock()
@@ -726,7 +726,7 @@
 		if c.readUntilGone() {
 			c.disconnected.Store(true)
 			c.SetReason(ReasonCallerLeft)
-			left()
+			onLeave()
 		}
 	})
 }
@@ -794,8 +794,8 @@
 
 // hungUp is the kernel's word for that. Bytes that were not read don't hide an end from POLLRDHUP, as they do from a read.
 func (c *CallerConn) hungUp() bool {
-	if told, ok := c.Conn.(interface{ HungUp() bool }); ok { // it knows by itself
-		return told.HungUp()
+	if reporter, ok := c.Conn.(interface{ HungUp() bool }); ok { // it knows by itself
+		return reporter.HungUp()
 	}
 	if c.descriptor == nil {
 		return false
@@ -830,7 +830,7 @@
 	c.clearPending()
 	c.releaseAnswer()
 	c.noteReason(ReasonAskedClose)
-	why, linger := c.reason, c.lingerTime()
+	reason, linger := c.reason, c.lingerTime()
 	c.mu.Unlock()
 	if first {
 		c.linger(linger)
@@ -842,7 +842,7 @@
 		delete(l.conns, c)
 		l.mu.Unlock()
 		l.signalFreed()
-		l.onEnd(c, why)
+		l.onEnd(c, reason)
 	}
 	return err
 }
@@ -870,23 +870,23 @@
 }
 
 // linger ends the sending side and reads what still comes until the caller ends too, for a time at most.
-func (c *CallerConn) linger(most time.Duration) {
+func (c *CallerConn) linger(limit time.Duration) {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if most == 0 || !ok {
+	if limit == 0 || !ok {
 		return
 	}
 	defer c.owner.lingering.Add(-1)
-	mostLingering := max(c.owner.limit.Load()/lingerDivisor, minLingering)
-	if c.owner.lingering.Add(1) > mostLingering && most == shortLinger || half.CloseWrite() != nil {
+	maxLingering := max(c.owner.limit.Load()/lingerDivisor, minLingering)
+	if c.owner.lingering.Add(1) > maxLingering && limit == shortLinger || half.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
 	if !c.lingerStopped {
-		c.Conn.SetReadDeadline(c.owner.env.Now().Add(most))
+		c.Conn.SetReadDeadline(c.owner.env.Now().Add(limit))
 	}
 	c.mu.Unlock()
 	buf := make([]byte, initialBodySize) // little comes, most often nothing
-	if most == longLinger {
+	if limit == longLinger {
 		piece := pieceBuffers.Get().(*[pieceSize]byte)
 		defer pieceBuffers.Put(piece)
 		buf = piece[:]
--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -18,7 +18,7 @@
 func callerPair(t *testing.T) (*CallerConn, net.Conn, *[]Reason) {
 	t.Helper()
 	callers, ended := testCallers(t)
-	c, client := connect(t, callers)
+	c, client := connectIdle(t, callers)
 	return c, client, ended
 }
 
@@ -31,11 +31,11 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	var ended []Reason
-	return NewCallers(listener, env.Real{}, 10, func(_ *CallerConn, why Reason) { ended = append(ended, why) }), &ended
+	return NewCallers(listener, env.Real{}, 10, func(_ *CallerConn, reason Reason) { ended = append(ended, reason) }), &ended
 }
 
-// connect returns a new connection that seems idle for long, and the caller's end.
-func connect(t *testing.T, callers *Callers) (*CallerConn, net.Conn) {
+// connectIdle returns a new connection that seems idle for long, and the caller's end.
+func connectIdle(t *testing.T, callers *Callers) (*CallerConn, net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", callers.Addr().String())
 	if err != nil {
@@ -54,15 +54,15 @@
 
 // Guards against callers that connect by hundreds and say nothing: a connection that
 // has brought a good request outlives those that have not, however old it is.
-func TestUnprovenConnectionsEndFirst(t *testing.T) {
+func TestUnprovenConnectionsAreClosedFirst(t *testing.T) {
 	callers, _ := testCallers(t)
-	proven, _ := connect(t, callers)
+	proven, _ := connectIdle(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
 	proven.MarkAnswered(nil)
 	var silent []*CallerConn
 	for range 3 {
-		c, _ := connect(t, callers)
+		c, _ := connectIdle(t, callers)
 		silent = append(silent, c)
 	}
 	proven.mu.Lock()
@@ -88,7 +88,7 @@
 }
 
 // Guards against a request that stands unread in a connection which is ended.
-func TestClosingConnectionStillGivesWhatHasCome(t *testing.T) {
+func TestClosingConnectionStillReadsReceivedBytes(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
 		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
 		"idle limit": func(c *CallerConn) { c.SetReadDeadline(pastDeadline) },
@@ -186,9 +186,9 @@
 
 // Guards against a crowd that has a usual caller's connection ended: one that has brought a good request stands, however
 // long it has been idle, while others will have been idle for long enough soon.
-func TestUsualCallerStandsInACrowd(t *testing.T) {
+func TestProvenConnectionSurvivesACrowd(t *testing.T) {
 	callers, _ := testCallers(t)
-	proven, _ := connect(t, callers)
+	proven, _ := connectIdle(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
 	proven.MarkAnswered(nil)
@@ -196,7 +196,7 @@
 	proven.finishAnswered()
 	proven.changedAt = proven.changedAt.Add(-time.Hour)
 	proven.mu.Unlock()
-	silent, _ := connect(t, callers)
+	silent, _ := connectIdle(t, callers)
 	silent.changedAt = silent.changedAt.Add(2 * time.Hour) // it has only just come
 	if callers.closeOldest(1); proven.Closing() || silent.Closing() {
 		t.Errorf("the usual caller's ended: %v; the one that has just come: %v", proven.Closing(), silent.Closing())
@@ -218,7 +218,7 @@
 }
 
 // Guards against a request that stands unread in a connection which is ended while the machine is busy.
-func TestLastLookOnABusyMachine(t *testing.T) {
+func TestLastReadOnABusyMachine(t *testing.T) {
 	c, client, _ := callerPair(t)
 	if _, err := client.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
--- a/internal/httpwire/crossing_test.go
+++ b/internal/httpwire/disconnect_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// accepted returns a caller's connection and the caller, of a listener that the test accepts from.
-func accepted(t *testing.T) (*CallerConn, *scripted.Peer) {
+// acceptPeer returns a caller's connection and the caller, of a listener that the test accepts from.
+func acceptPeer(t *testing.T) (*CallerConn, *scripted.Peer) {
 	t.Helper()
 	callers, _ := testCallers(t)
 	peer := scripted.Connect(t, callers.Addr().String())
@@ -28,7 +28,7 @@
 
 // Guards against a caller's leaving that is not seen because of what stands in front of it: the next requests, written
 // ahead, or junk. It is seen however it goes.
-func TestLeavingIsSeenBehindWhatCameAhead(t *testing.T) {
+func TestDisconnectIsSeenBehindPipelinedBytes(t *testing.T) {
 	ends := map[string]func(*scripted.Peer){
 		"ended":      func(p *scripted.Peer) { p.Close() },
 		"half-ended": func(p *scripted.Peer) { p.CloseWrite() },
@@ -37,7 +37,7 @@
 	for name, end := range ends {
 		for _, ahead := range []int{0, 1, 300, maxPipelinedKept, maxPipelinedKept + 1, 100 << 10} {
 			t.Run(fmt.Sprintf("%s behind %d", name, ahead), func(t *testing.T) {
-				c, peer := accepted(t)
+				c, peer := acceptPeer(t)
 				left := make(chan struct{})
 				c.Watch(func() { close(left) })
 				peer.Send(strings.Repeat("x", ahead))
@@ -55,7 +55,7 @@
 
 // Guards against a caller that pours on and on behind its request: it is taken for gone, and no memory is kept for it.
 func TestFloodBehindARequest(t *testing.T) {
-	c, peer := accepted(t)
+	c, peer := acceptPeer(t)
 	left := make(chan struct{})
 	c.Watch(func() { close(left) })
 	peer.Send(strings.Repeat("x", maxPipelined+1))
@@ -67,8 +67,8 @@
 }
 
 // What a caller writes ahead is read in its order, as long as it is kept.
-func TestWrittenAheadIsReadInOrder(t *testing.T) {
-	c, peer := accepted(t)
+func TestPipelinedBytesAreReadInOrder(t *testing.T) {
+	c, peer := acceptPeer(t)
 	var want strings.Builder
 	for i := range 500 {
 		fmt.Fprintf(&want, "%d,", i)
@@ -91,7 +91,7 @@
 // amount. The caller reads the answer and an end, never a reset, and can still write meanwhile.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	for _, unread := range []int{1, 5000} {
-		c, peer := accepted(t)
+		c, peer := acceptPeer(t)
 		c.MarkPending()
 		peer.Send(strings.Repeat("x", unread))
 		if _, err := io.WriteString(c, "answer"); err != nil {
@@ -121,8 +121,8 @@
 }
 
 // Guards against a stop that cuts short the reading out of a connection that has ended for another reason.
-func TestStopLeavesWhatLingers(t *testing.T) {
-	c, peer := accepted(t)
+func TestStopDoesNotInterruptLingering(t *testing.T) {
+	c, peer := acceptPeer(t)
 	c.changedAt = c.changedAt.Add(-time.Hour) // idle for long
 	closed := make(chan struct{})
 	go func() {
@@ -147,8 +147,8 @@
 
 // Guards against a flood of closes that keep their descriptors: beyond so many at once, and for those that make room, a
 // connection is closed at once.
-func TestClosesDoNotPileUp(t *testing.T) {
-	c, peer := accepted(t)
+func TestLingeringIsBounded(t *testing.T) {
+	c, peer := acceptPeer(t)
 	c.owner.lingering.Store(minLingering)
 	c.Close()
 	if _, err := peer.ReadToEnd(); err != nil {
@@ -157,7 +157,7 @@
 	if c.owner.lingering.Load() != minLingering {
 		t.Errorf("%d are counted", c.owner.lingering.Load())
 	}
-	c, _ = accepted(t)
+	c, _ = acceptPeer(t)
 	c.SetReason(ReasonConnLimit)
 	begin := time.Now()
 	c.Close()
@@ -166,15 +166,15 @@
 	}
 }
 
-// heldListener gives its second connection when the test says so; others stand in the kernel's queue meanwhile.
-type heldListener struct {
+// blockedListener gives its second connection when the test says so; others stand in the kernel's queue meanwhile.
+type blockedListener struct {
 	*net.TCPListener
 	accepts atomic.Int32
 	second  chan struct{}
 }
 
 // Accept is net.Listener's.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockedListener) Accept() (net.Conn, error) {
 	if l.accepts.Add(1) == 2 {
 		<-l.second
 	}
@@ -182,12 +182,12 @@
 }
 
 // Guards against callers that are reset because they stood in the kernel's queue when the listener closed.
-func TestWhoStandsInTheQueueIsAccepted(t *testing.T) {
+func TestBacklogIsAcceptedBeforeClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &heldListener{TCPListener: listener.(*net.TCPListener), second: make(chan struct{})}
+	held := &blockedListener{TCPListener: listener.(*net.TCPListener), second: make(chan struct{})}
 	callers := NewCallers(held, env.Real{}, 10, func(*CallerConn, Reason) {})
 	const waiting = 4
 	var peers []*scripted.Peer
@@ -239,8 +239,8 @@
 
 // Guards against connections that have ended on this side and keep their descriptors for as long as a body nobody wants
 // goes on, while others wait for a place.
-func TestReadingOutMakesRoom(t *testing.T) {
-	c, peer := accepted(t)
+func TestLingeringConnectionMakesRoom(t *testing.T) {
+	c, peer := acceptPeer(t)
 	c.MarkPending()
 	c.bodyBegins()
 	c.bodyEnded(false)
@@ -266,7 +266,7 @@
 
 // Guards against a caller that has gone and is not seen because nobody has read its connection: no watch has run, or a body
 // stands unread in front of its end. One that stays is never taken for gone, whatever it writes ahead.
-func TestDisconnectedIsSeenUnread(t *testing.T) {
+func TestDisconnectIsSeenBehindUnreadBytes(t *testing.T) {
 	ends := map[string]func(*scripted.Peer){
 		"ended":      func(p *scripted.Peer) { p.Close() },
 		"half-ended": func(p *scripted.Peer) { p.CloseWrite() }, //nolint:errcheck // the test sees it
@@ -275,7 +275,7 @@
 	}
 	for name, end := range ends {
 		for _, ahead := range []int{0, 1, 300, maxPipelinedKept + 1, 40 << 10} {
-			c, peer := accepted(t)
+			c, peer := acceptPeer(t)
 			c.MarkPending()
 			peer.Send(strings.Repeat("x", ahead))
 			if end != nil {
@@ -302,7 +302,7 @@
 
 // A flood is taken for gone, though its connection stands.
 func TestFloodIsDisconnected(t *testing.T) {
-	c, peer := accepted(t)
+	c, peer := acceptPeer(t)
 	left := make(chan struct{})
 	c.Watch(func() { close(left) })
 	peer.Send(strings.Repeat("x", maxPipelined+1))
--- a/internal/httpwire/fuzz_test.go
+++ b/internal/httpwire/fuzz_test.go
@@ -20,14 +20,14 @@
 	} {
 		f.Add([]byte(text))
 	}
-	const most = 64 << 10
+	const budgetBytes = 64 << 10
 	f.Fuzz(func(t *testing.T, text []byte) {
-		room := NewMemoryBudget(most)
-		r, err := DecodeReply(bufio.NewReaderSize(bytes.NewReader(text), MaxHead), room)
+		budget := NewMemoryBudget(budgetBytes)
+		r, err := DecodeReply(bufio.NewReaderSize(bytes.NewReader(text), MaxHead), budget)
 		if err == nil && len(r.Body) > len(text) {
 			t.Errorf("a body of %d bytes out of %d", len(r.Body), len(text))
 		}
-		if room.Release(r.Reserved); !room.Take(most) {
+		if budget.Release(r.Reserved); !budget.Take(budgetBytes) {
 			t.Error("not all of the room came back")
 		}
 	})
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -189,29 +189,29 @@
 		return fmt.Sprintf("%x\r\n%s\r\n", length, strings.Repeat("x", length))
 	}
 	const chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	const long, roomy = 400_000, 3 << 20
+	const long, largeBudget = 400_000, 3 << 20
 	for name, c := range map[string]struct {
 		text string
 		room int
 		want int // bytes of the body; -1 for an error
 	}{
-		"long":               {head(long) + strings.Repeat("x", long), roomy, long},
-		"long chunks":        {chunked + chunk(long) + chunk(long) + "0\r\n\r\n", roomy, 2 * long},
-		"to the close":       {"HTTP/1.1 200 OK\r\nconnection: Close\r\n\r\n" + strings.Repeat("x", long), roomy, long},
-		"of HTTP/1.0":        {"HTTP/1.0 200 OK\r\n\r\nhi", roomy, 2},
-		"no length":          {"HTTP/1.1 200 OK\r\n\r\nhi", roomy, -1},
-		"trailer":            {chunked + "2;ext=1\r\nhi\r\n0\r\nX-Sum: 1\r\n\r\n", roomy, 2},
-		"cut off":            {head(long) + strings.Repeat("x", long-1), roomy, -1},
-		"longest":            {head(MaxAnswer) + strings.Repeat("x", MaxAnswer), roomy, MaxAnswer},
-		"too long":           {head(MaxAnswer+1) + strings.Repeat("x", MaxAnswer+1), roomy, -1},
-		"3 GB":               {head(3<<30) + "x", roomy, -1},
-		"chunks too long":    {chunked + chunk(MaxAnswer) + chunk(1) + "0\r\n\r\n", roomy, -1},
+		"long":               {head(long) + strings.Repeat("x", long), largeBudget, long},
+		"long chunks":        {chunked + chunk(long) + chunk(long) + "0\r\n\r\n", largeBudget, 2 * long},
+		"to the close":       {"HTTP/1.1 200 OK\r\nconnection: Close\r\n\r\n" + strings.Repeat("x", long), largeBudget, long},
+		"of HTTP/1.0":        {"HTTP/1.0 200 OK\r\n\r\nhi", largeBudget, 2},
+		"no length":          {"HTTP/1.1 200 OK\r\n\r\nhi", largeBudget, -1},
+		"trailer":            {chunked + "2;ext=1\r\nhi\r\n0\r\nX-Sum: 1\r\n\r\n", largeBudget, 2},
+		"cut off":            {head(long) + strings.Repeat("x", long-1), largeBudget, -1},
+		"longest":            {head(MaxAnswer) + strings.Repeat("x", MaxAnswer), largeBudget, MaxAnswer},
+		"too long":           {head(MaxAnswer+1) + strings.Repeat("x", MaxAnswer+1), largeBudget, -1},
+		"3 GB":               {head(3<<30) + "x", largeBudget, -1},
+		"chunks too long":    {chunked + chunk(MaxAnswer) + chunk(1) + "0\r\n\r\n", largeBudget, -1},
 		"no room":            {head(long) + strings.Repeat("x", long), MaxBuffered / 2, -1},
-		"announced only":     {head(MaxAnswer) + "x", roomy, -1},
-		"no last chunk":      {chunked + chunk(long), roomy, -1},
-		"no end of trailer":  {chunked + chunk(long) + "0\r\n", roomy, -1},
-		"endless interim":    {strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", 1000), roomy, -1},
-		"length that is odd": {"HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\nhi", roomy, -1},
+		"announced only":     {head(MaxAnswer) + "x", largeBudget, -1},
+		"no last chunk":      {chunked + chunk(long), largeBudget, -1},
+		"no end of trailer":  {chunked + chunk(long) + "0\r\n", largeBudget, -1},
+		"endless interim":    {strings.Repeat("HTTP/1.1 103 Early\r\n\r\n", 1000), largeBudget, -1},
+		"length that is odd": {"HTTP/1.1 200 OK\r\nContent-Length: +2\r\n\r\nhi", largeBudget, -1},
 	} {
 		room := NewMemoryBudget(int64(c.room))
 		r, err := DecodeReply(bufio.NewReader(strings.NewReader(c.text)), room)
@@ -235,7 +235,7 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range 100 {
-		DecodeReply(bufio.NewReader(strings.NewReader(head(MaxAnswer)+"x")), NewMemoryBudget(roomy))
+		DecodeReply(bufio.NewReader(strings.NewReader(head(MaxAnswer)+"x")), NewMemoryBudget(largeBudget))
 	}
 	runtime.ReadMemStats(&after)
 	if took := (after.TotalAlloc - before.TotalAlloc) / 100; took > 64<<10 {
--- a/internal/httpwire/link.go
+++ b/internal/httpwire/link.go
@@ -31,8 +31,8 @@
 }
 
 // Dial opens a connection. It fails when the context ends or timeout passes.
-func Dial(ctx context.Context, world env.Env, address string, timeout time.Duration) (*Link, error) {
-	conn, err := world.Dial(ctx, address, timeout)
+func Dial(ctx context.Context, environment env.Env, address string, timeout time.Duration) (*Link, error) {
+	conn, err := environment.Dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 
 // Send writes a message once, until the deadline at most. It tells whether the
 // last byte was written: without it, the message has never run.
-func (l *Link) Send(message []byte, deadline time.Time) (whole bool, err error) {
+func (l *Link) Send(message []byte, deadline time.Time) (complete bool, err error) {
 	l.Uses++
 	l.deadline = deadline
 	if err := l.conn.SetDeadline(deadline); err != nil {
@@ -93,8 +93,8 @@
 	if l.closed.Load() || l.in.Buffered() > 0 {
 		return false
 	}
-	if told, ok := l.conn.(interface{ Fresh() bool }); ok { // it knows by itself
-		return told.Fresh()
+	if reporter, ok := l.conn.(interface{ Fresh() bool }); ok { // it knows by itself
+		return reporter.Fresh()
 	}
 	raw, ok := l.conn.(syscall.Conn)
 	if !ok {
--- a/internal/httpwire/link_test.go
+++ b/internal/httpwire/link_test.go
@@ -45,7 +45,7 @@
 
 // Guards against a broken answer that looks whole: where only the connection's end tells
 // its end, a reset is none, whoever has been told of it before.
-func TestResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestResetDoesNotCompleteAnAnswer(t *testing.T) {
 	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	for name, text := range map[string]string{
 		"no body yet": open, "half a body": open + "half", "of HTTP/1.0": "HTTP/1.0 200 OK\r\n\r\nhalf",
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -169,7 +169,7 @@
 
 // WriteUpload writes the rest of a body behind what Send has written, as it comes. It
 // tells whether the last byte was written. An error that wraps ErrBody is the caller's.
-func (l *Link) WriteUpload(u *Upload, world env.Env) (whole bool, err error) {
+func (l *Link) WriteUpload(u *Upload, environment env.Env) (complete bool, err error) {
 	buf := pieceBuffers.Get().(*[pieceSize]byte)
 	defer pieceBuffers.Put(buf)
 	for {
@@ -181,7 +181,7 @@
 		if last && u.conn.Disconnected() {
 			return false, ErrDisconnected // an endpoint begins with the last byte
 		}
-		if err := l.writePiece(buf[:n], u.Length < 0, last, world); err != nil {
+		if err := l.writePiece(buf[:n], u.Length < 0, last, environment); err != nil {
 			return false, err
 		}
 		if last {
@@ -191,7 +191,7 @@
 }
 
 // writePiece writes a piece, framed as a chunk where the length is not told.
-func (l *Link) writePiece(b []byte, chunked, last bool, world env.Env) error {
+func (l *Link) writePiece(b []byte, chunked, last bool, environment env.Env) error {
 	if chunked {
 		framed := make([]byte, 0, len(b)+len("\r\n")+chunkFrame)
 		if len(b) > 0 {
@@ -206,7 +206,7 @@
 	if len(b) == 0 {
 		return nil
 	}
-	if err := l.conn.SetWriteDeadline(world.Now().Add(pieceStall)); err != nil {
+	if err := l.conn.SetWriteDeadline(environment.Now().Add(pieceStall)); err != nil {
 		return err
 	}
 	_, err := l.conn.Write(b)
@@ -253,12 +253,12 @@
 type HandOverFunc func(state []byte, caller, endpoint syscall.Conn) error
 
 // OnEnd says who is told of the end, once.
-func (a *AnswerStream) OnEnd(ended func(AnswerEnd)) { a.onEnd = ended }
+func (a *AnswerStream) OnEnd(onEnd func(AnswerEnd)) { a.onEnd = onEnd }
 
 // HandOver has the answer handed to another process at the next piece. It may be called
 // at any time.
-func (a *AnswerStream) HandOver(give HandOverFunc) {
-	a.handOverFunc.Store(&give)
+func (a *AnswerStream) HandOver(handOver HandOverFunc) {
+	a.handOverFunc.Store(&handOver)
 	a.link.conn.SetReadDeadline(pastDeadline)
 	if to := a.caller.Load(); to != nil {
 		to.detach()
@@ -280,55 +280,55 @@
 }
 
 // tryHandOver hands it over, and tells whether it has.
-func (a *AnswerStream) tryHandOver(give HandOverFunc, total int64) bool {
-	to := a.caller.Load()
+func (a *AnswerStream) tryHandOver(handOver HandOverFunc, total int64) bool {
+	conn := a.caller.Load()
 	if a.WithLength {
 		return false
 	}
-	over := AnswerHandover{Class: a.Class, Unsent: to.unsentBytes(), Left: -1, Total: total}
+	handover := AnswerHandover{Class: a.Class, Unsent: conn.unsentBytes(), Left: -1, Total: total}
 	switch b := a.body.(type) {
 	case *fixedLengthBody:
-		over.Left = b.remaining
+		handover.Left = b.remaining
 	case *chunkedBody:
-		over.Left, over.Chunked, over.Behind = b.remaining, true, b.lineEndPending
+		handover.Left, handover.Chunked, handover.Behind = b.remaining, true, b.lineEndPending
 	}
-	over.Buffered, _ = a.link.in.Peek(a.link.in.Buffered())
-	state, err := json.Marshal(over)
-	caller, ok := to.Conn.(syscall.Conn)
+	handover.Buffered, _ = a.link.in.Peek(a.link.in.Buffered())
+	state, err := json.Marshal(handover)
+	caller, ok := conn.Conn.(syscall.Conn)
 	endpoint, ok2 := a.link.conn.(syscall.Conn)
-	if err != nil || !ok || !ok2 || give(state, caller, endpoint) != nil {
+	if err != nil || !ok || !ok2 || handOver(state, caller, endpoint) != nil {
 		return false
 	}
-	to.markHandedOver()
+	conn.markHandedOver()
 	return true
 }
 
 // ResumeAnswer passes on what another process has begun to: it writes to the caller what is
 // left of the answer, and ends both connections.
-func ResumeAnswer(over *AnswerHandover, caller, endpoint net.Conn, world env.Env) AnswerEnd {
+func ResumeAnswer(handover *AnswerHandover, caller, endpoint net.Conn, environment env.Env) AnswerEnd {
 	defer caller.Close()
 	defer endpoint.Close()
-	in := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(over.Buffered), endpoint), MaxHead)
+	in := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(handover.Buffered), endpoint), MaxHead)
 	var body io.Reader = in
 	switch {
-	case over.Chunked:
-		body = &chunkedBody{r: in, remaining: over.Left, lineEndPending: over.Behind}
-	case over.Left >= 0:
-		body = &fixedLengthBody{r: in, remaining: over.Left}
+	case handover.Chunked:
+		body = &chunkedBody{r: in, remaining: handover.Left, lineEndPending: handover.Behind}
+	case handover.Left >= 0:
+		body = &fixedLengthBody{r: in, remaining: handover.Left}
 	}
 	out := &Link{conn: caller}
-	if out.writePiece(over.Unsent, false, false, world) != nil {
+	if out.writePiece(handover.Unsent, false, false, environment) != nil {
 		return AnswerCallerGone
 	}
 	buf := pieceBuffers.Get().(*[pieceSize]byte)
 	defer pieceBuffers.Put(buf)
-	for total := over.Total; ; {
-		endpoint.SetReadDeadline(world.Now().Add(pieceStall))
+	for total := handover.Total; ; {
+		endpoint.SetReadDeadline(environment.Now().Add(pieceStall))
 		n, err := body.Read(buf[:])
 		if total += int64(n); total > MaxAnswer || err != nil && err != io.EOF {
 			return AnswerBrokenOff
 		}
-		if out.writePiece(buf[:n], true, err == io.EOF, world) != nil {
+		if out.writePiece(buf[:n], true, err == io.EOF, environment) != nil {
 			return AnswerCallerGone
 		}
 		if err == io.EOF {
@@ -358,14 +358,14 @@
 	defer pieceBuffers.Put(buf)
 	for {
 		a.link.conn.SetReadDeadline(a.env.Now().Add(pieceStall))
-		give, n, err := a.handOverFunc.Load(), 0, error(os.ErrDeadlineExceeded)
-		if give == nil {
+		handOver, n, err := a.handOverFunc.Load(), 0, error(os.ErrDeadlineExceeded)
+		if handOver == nil {
 			n, err = a.body.Read(buf[:])
-			give = a.handOverFunc.Load()
+			handOver = a.handOverFunc.Load()
 		}
-		if give != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		if handOver != nil && errors.Is(err, os.ErrDeadlineExceeded) {
 			how := AnswerBrokenOff
-			if a.tryHandOver(*give, total) {
+			if a.tryHandOver(*handOver, total) {
 				how = AnswerHandedOver
 			}
 			a.finish(how)
@@ -398,9 +398,9 @@
 	return nil
 }
 
-func (a *AnswerStream) finish(how AnswerEnd) {
-	if ended := a.onEnd; ended != nil {
+func (a *AnswerStream) finish(result AnswerEnd) {
+	if onEnd := a.onEnd; onEnd != nil {
 		a.onEnd = nil
-		ended(how)
+		onEnd(result)
 	}
 }
--- a/internal/lifecycle/console_test.go
+++ b/internal/lifecycle/console_test.go
@@ -42,7 +42,7 @@
 	if len(lines) < 2 || lines[len(lines)-1] != "EOF" {
 		t.Fatalf("figures: %q", text)
 	}
-	figures := map[string]int{}
+	metrics := map[string]int{}
 	for _, line := range lines[1 : len(lines)-1] {
 		name, rest, _ := strings.Cut(strings.TrimPrefix(line, "sidecar."), ":")
 		value, kind, _ := strings.Cut(rest, "|")
@@ -50,13 +50,13 @@
 		if err != nil || kind != "c" && kind != "g" {
 			t.Fatalf("figure %q", line)
 		}
-		figures[name] = n
+		metrics[name] = n
 	}
-	return figures
+	return metrics
 }
 
 // Each ending of a request counts once, for its class.
-func TestFiguresByClass(t *testing.T) {
+func TestStatsByClass(t *testing.T) {
 	slow := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
--- a/internal/lifecycle/descriptors_test.go
+++ b/internal/lifecycle/descriptors_test.go
@@ -18,11 +18,11 @@
 // openDescriptors is how many descriptors a process holds.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
-	held, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/fd")
+	open, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(held)
+	return len(open)
 }
 
 // startCrowd connects so many callers that say nothing, and come again as soon as they are ended, until the test ends.
@@ -65,7 +65,7 @@
 	const (
 		descriptors = 96
 		idle        = 250
-		inForce     = 6 * time.Second
+		maxDelay    = 6 * time.Second
 	)
 	for name, sockets := range map[string]int{"as configured": descriptors, "fewer than configured": 1024} {
 		t.Run(name, func(t *testing.T) {
@@ -90,10 +90,10 @@
 			if got := served(before); got != "older" {
 				t.Fatalf("before: answered by %s", got)
 			}
-			quiet := openDescriptors(t, p.Process.Pid)
+			base := openDescriptors(t, p.Process.Pid)
 			startCrowd(t, address, idle)
 			eventually(t, "callers have all that they can have", func() bool {
-				return openDescriptors(t, p.Process.Pid) >= quiet+descriptors*2/5
+				return openDescriptors(t, p.Process.Pid) >= base+descriptors*2/5
 			})
 			for range 20 { // discovery is asked again and again meanwhile, and operators call
 				if got := served(before); got != "older" {
@@ -114,8 +114,8 @@
 			begin := time.Now()
 			go server.Serve(listener) //nolint:errcheck // it ends with Close
 			for got := ""; got != "newer"; got = served(before) {
-				if time.Since(begin) > inForce {
-					t.Fatalf("the list of discovery that is back is not in force after %v:\n%s", inForce, lastLines(p.log))
+				if time.Since(begin) > maxDelay {
+					t.Fatalf("the list of discovery that is back is not in force after %v:\n%s", maxDelay, lastLines(p.log))
 				}
 			}
 			if got := served(scripted.Connect(t, address)); got != "newer" {
@@ -136,9 +136,9 @@
 
 // lastLines are the last lines of a log.
 func lastLines(l *logBuffer) string {
-	const most = 2000
+	const maxBytes = 2000
 	text := l.String()
-	return text[max(0, len(text)-most):]
+	return text[max(0, len(text)-maxBytes):]
 }
 
 // Guards against bad input that is passed on, or answered with anything but 400, because its callers come when idle ones
--- a/internal/lifecycle/fakes_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -25,9 +25,9 @@
 const patience = 20 * time.Second
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("never came: %s", what)
 		}
--- a/internal/lifecycle/probe_test.go
+++ b/internal/lifecycle/probe_test.go
@@ -67,7 +67,7 @@
 }
 
 // The watching mode decides as before, sends no probe, and counts where the new settings would do otherwise.
-func TestWatchingMode(t *testing.T) {
+func TestShadowMode(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	other := scripted.StartEndpoint(t, "e2", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line(), other.Line())
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -55,8 +55,8 @@
 		return 1
 	}
 	log = log.With().Str("sidecar", conf.Name).Logger()
-	if most := descriptorLimit(); conf.LimitSockets(most) {
-		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", most).Msg("the process may hold fewer descriptors than limits.sockets")
+	if limit := descriptorLimit(); conf.LimitSockets(limit) {
+		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", limit).Msg("the process may hold fewer descriptors than limits.sockets")
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
 	if conf.Console != "" { // READY is how the platform learns that a successor serves
--- a/internal/lifecycle/process_test.go
+++ b/internal/lifecycle/process_test.go
@@ -34,8 +34,8 @@
 const descriptorLimitEnv = "HEATHGAP_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if most, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64); err == nil {
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if limit, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64); err == nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			panic(err)
 		}
 	}
@@ -312,9 +312,9 @@
 }
 
 // setDescriptors bounds the descriptors of a running process.
-func setDescriptors(t *testing.T, pid, most int) {
+func setDescriptors(t *testing.T, pid, descriptors int) {
 	t.Helper()
-	limit := unix.Rlimit{Cur: uint64(most), Max: uint64(most)}
+	limit := unix.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/crossing_test.go
+++ b/internal/lifecycle/races_test.go
@@ -24,18 +24,18 @@
 // What crosses in a whole sidecar, on real sockets. Each step here is taken when the one before has been seen.
 
 // requestText is a request as a caller writes it.
-func requestText(path, more string) string {
+func requestText(path, headers string) string {
 	method := "GET"
-	if more != "" {
+	if headers != "" {
 		method = "POST"
 	}
-	return method + " " + path + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + newID() + "\r\nX-Remaining: 1.9\r\n" + more + "\r\n"
+	return method + " " + path + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + newID() + "\r\nX-Remaining: 1.9\r\n" + headers + "\r\n"
 }
 
 // Guards against requests that are sent on though nobody waits for them any more: their callers left while they were
 // held for an endpoint, each in its own way, many in one burst. None is sent when there is one.
 func TestCallersThatLeaveWhileTheyWait(t *testing.T) {
-	ways := []func(p *scripted.Peer){
+	leave := []func(p *scripted.Peer){
 		func(p *scripted.Peer) { p.Close() },
 		func(p *scripted.Peer) { p.Reset() },
 		func(p *scripted.Peer) { p.CloseWrite() },
@@ -55,7 +55,7 @@
 	}
 	eventually(t, "all are held", func() bool { return s.Counters().Pending == burst })
 	for i, p := range peers {
-		ways[i%len(ways)](p)
+		leave[i%len(leave)](p)
 	}
 	eventually(t, "all are seen to have left", func() bool { return s.Counters().Left == burst })
 	d.Publish(t, 2, e.Line())
@@ -69,7 +69,7 @@
 
 // Guards against a request that crosses the end of a resting connection and is sent on though its caller can't have the
 // answer, and against a reset in its place: the caller reads an end in order, and asks elsewhere.
-func TestRequestThatCrossesTheEndOfAConnection(t *testing.T) {
+func TestRequestOnAClosingConnection(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	p := scripted.Connect(t, s.Address())
@@ -97,14 +97,14 @@
 
 // What comes as a sidecar stops: requests written ahead behind the last answer, half a request whose rest trickles, a new
 // connection, a second SIGTERM's worth of nothing. The last answers are whole and end in order.
-func TestStopCrossedByRequests(t *testing.T) {
-	door := scripted.Listen(t)
+func TestRequestsDuringAStop(t *testing.T) {
+	endpoint := scripted.Listen(t)
 	d := scripted.StartDiscovery(t)
-	s := start(t, testConfig(d, scripted.Line("e1", door.Address)))
+	s := start(t, testConfig(d, scripted.Line("e1", endpoint.Address)))
 	first := scripted.Connect(t, s.Address())
 	first.Send(requestText("/look", ""))
-	out := door.Accept()
-	out.ReadRequest()
+	attempt := endpoint.Accept()
+	attempt.ReadRequest()
 	half := scripted.Connect(t, s.Address())
 	half.Send("GET /look HTTP/1.1\r\nHost")
 	s.stopped = true
@@ -121,7 +121,7 @@
 	})
 	first.Send(requestText("/look", "") + requestText("/look", "")) // behind the last answer
 	half.Send(":")                                                  // one byte, and never the end
-	out.Send(scripted.OK("one"))
+	attempt.Send(scripted.OK("one"))
 	if status, body := first.ReadAnswer(); status != 200 || body != "one" {
 		t.Errorf("the last answer: %d %q", status, body)
 	}
@@ -133,8 +133,8 @@
 	if took := time.Since(begin); took > killAfter+time.Second { // the machine may be slow
 		t.Errorf("stopping took %v", took)
 	}
-	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || door.HasPending() {
-		t.Errorf("%+v, one more connection to the endpoint: %v", c, door.HasPending())
+	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || endpoint.HasPending() {
+		t.Errorf("%+v, one more connection to the endpoint: %v", c, endpoint.HasPending())
 	}
 }
 
@@ -154,12 +154,12 @@
 }
 
 // Dial is env.Env's.
-func (w *heldEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	conn, err := w.Real.Dial(ctx, address, timeout)
-	if _, holds := w.heldAddresses.Load(address); err != nil || !holds {
+func (e *heldEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	conn, err := e.Real.Dial(ctx, address, timeout)
+	if _, holds := e.heldAddresses.Load(address); err != nil || !holds {
 		return conn, err
 	}
-	return &heldConn{TCPConn: conn.(*net.TCPConn), env: w}, nil
+	return &heldConn{TCPConn: conn.(*net.TCPConn), env: e}, nil
 }
 
 // Write is net.Conn's.
@@ -187,26 +187,26 @@
 		"safe, ended":           {"/look", "", func(p *scripted.Peer) { p.Close() }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			door := scripted.Listen(t)
-			world := &heldEnv{blocked: make(chan string, 1), release: make(chan struct{}), skipped: 1}
-			world.heldAddresses.Store(door.Address, true)
+			endpoint := scripted.Listen(t)
+			environment := &heldEnv{blocked: make(chan string, 1), release: make(chan struct{}), skipped: 1}
+			environment.heldAddresses.Store(endpoint.Address, true)
 			d := scripted.StartDiscovery(t)
-			s := startWith(t, testConfig(d, scripted.Line("e1", door.Address)), Options{Operator: operator.Default(), Env: world})
+			s := startWith(t, testConfig(d, scripted.Line("e1", endpoint.Address)), Options{Operator: operator.Default(), Env: environment})
 			p := scripted.Connect(t, s.Address())
 			p.Send(requestText("/look", ""))
-			e := door.Accept()
+			e := endpoint.Accept()
 			e.ReadRequest()
 			e.Send(scripted.OK("first"))
 			if status, _ := p.ReadAnswer(); status != 200 {
 				t.Fatalf("the first: %d", status)
 			}
 			p.Send(requestText(c.path, c.more))
-			<-world.blocked // the connection was looked at, and is taken
+			<-environment.blocked // the connection was looked at, and is taken
 			c.end(e)
 			second := scripted.StartEndpoint(t, "e2", nil)
 			d.Publish(t, 2, scripted.Line("e1", scripted.FreeAddress(t)), second.Line())
 			eventually(t, "the second is listed", func() bool { return s.Counters().Endpoints == 2 })
-			close(world.release)
+			close(environment.release)
 			if status, _ := p.ReadAnswer(); status != c.status {
 				t.Errorf("answered %d, want %d; %+v", status, c.status, s.Counters().Outcomes)
 			}
@@ -223,15 +223,15 @@
 
 // What an endpoint says on a connection that rests, half a line or a whole second answer, is never taken for the answer
 // to the next request.
-func TestWhatComesOnARestingConnection(t *testing.T) {
+func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	for name, text := range map[string]string{
 		"half a line": "HTTP/1.", "a second answer": scripted.OK("another's"), "100": "HTTP/1.1 100 Continue\r\n\r\n",
 	} {
-		door := scripted.Listen(t)
-		s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
+		endpoint := scripted.Listen(t)
+		s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", endpoint.Address)))
 		p := scripted.Connect(t, s.Address())
 		p.Send(requestText("/look", ""))
-		e := door.Accept()
+		e := endpoint.Accept()
 		e.ReadRequest()
 		e.Send(scripted.OK("first"))
 		if _, body := p.ReadAnswer(); body != "first" {
@@ -239,7 +239,7 @@
 		}
 		e.Send(text) // on loopback it has come when it is written
 		p.Send(requestText("/look", ""))
-		next := door.Accept()
+		next := endpoint.Accept()
 		next.ReadRequest()
 		next.Send(scripted.OK("second"))
 		if status, body := p.ReadAnswer(); status != 200 || body != "second" {
@@ -278,7 +278,7 @@
 
 // A process is told to stop in any moment of its life: twice, during a reload while discovery is down,
 // with discovery silent. It ends by itself, in order.
-func TestSIGTERMInAnyMoment(t *testing.T) {
+func TestSIGTERMAtAnyTime(t *testing.T) {
 	silent := scripted.Listen(t)
 	term := func(p *process) { p.Process.Signal(syscall.SIGTERM) } //nolint:errcheck // it may have ended
 	for name, crossing := range map[string]func(p *process){
@@ -390,11 +390,11 @@
 		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "to its connection's end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			door := scripted.Listen(t)
-			s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", door.Address)))
+			endpoint := scripted.Listen(t)
+			s := start(t, testConfig(scripted.StartDiscovery(t), scripted.Line("e1", endpoint.Address)))
 			p := scripted.Connect(t, s.Address())
 			p.Send(requestText("/look", ""))
-			e := door.Accept()
+			e := endpoint.Accept()
 			e.ReadRequest()
 			ended := make(chan error, 1)
 			go func() {
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -163,16 +163,16 @@
 				t.Fatal(err)
 			}
 			path := takeover.SocketPath(temp, "t0", address)
-			door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+			socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			hanging := make(chan struct{})
 			var wait sync.WaitGroup
 			wait.Go(func() { // the predecessor, up to the step
-				defer door.Close()
+				defer socket.Close()
 				if step > 0 {
-					conn, err := door.AcceptUnix()
+					conn, err := socket.AcceptUnix()
 					if err != nil {
 						t.Error(err)
 						return
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -105,7 +105,7 @@
 	if opts.Env == nil {
 		opts.Env = env.Real{}
 	}
-	world := opts.Env
+	environment := opts.Env
 	balancer, err := opts.Decider(conf)
 	if err != nil {
 		return nil, err
@@ -117,46 +117,46 @@
 		}
 	}
 	log = log.Level(opts.Operator.Log.Level)
-	ends := log
+	connEndLog := log
 	if n := opts.Operator.Log.ConnectionEnded; n > 1 {
-		ends = log.Sample(zerolog.LevelSampler{InfoSampler: &zerolog.BasicSampler{N: uint32(n)}})
+		connEndLog = log.Sample(zerolog.LevelSampler{InfoSampler: &zerolog.BasicSampler{N: uint32(n)}})
 	}
-	engine := pipeline.New(conf, world, pipeline.Logs{All: log, ConnEnds: ends}, balancer)
+	engine := pipeline.New(conf, environment, pipeline.Logs{All: log, ConnEnds: connEndLog}, balancer)
 	s := &Sidecar{
-		conf: conf, log: log, connEndLog: ends, env: world, engine: engine, engineDone: make(chan struct{}), serverErr: make(chan error, 1),
+		conf: conf, log: log, connEndLog: connEndLog, env: environment, engine: engine, engineDone: make(chan struct{}), serverErr: make(chan error, 1),
 	}
 	if opts.Cluster != nil {
-		crew, err := opts.Cluster(conf, world, log)
+		cluster, err := opts.Cluster(conf, environment, log)
 		if err != nil {
 			return nil, err
 		}
-		engine.SetRules(crew)
-		if h := crew.Holdings(); h != nil {
+		engine.SetRules(cluster)
+		if h := cluster.Holdings(); h != nil {
 			engine.SetHoldings(h)
 		}
-		s.cluster = crew
+		s.cluster = cluster
 	}
 	listener, err := s.listen(opts.TakeoverSocket)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	s.stayTime = max(minStayTime, s.finishTime()-s.shortestAim())
-	s.callers = httpwire.NewCallers(listener, world, conf.CallerConns, s.callerEnded)
+	s.callers = httpwire.NewCallers(listener, environment, conf.CallerConns, s.callerEnded)
 	s.server = newServer(engine, conf)
 	if conf.Console != "" {
-		if s.console, err = console.Open(conf.Console, world, s, log); err != nil {
+		if s.console, err = console.Open(conf.Console, environment, s, log); err != nil {
 			listener.Close()
 			return nil, err
 		}
 	}
 	var ctx context.Context
 	ctx, s.cancel = context.WithCancel(context.Background())
-	world.Go("owner", func() {
+	environment.Go("owner", func() {
 		defer close(s.engineDone)
 		engine.Run(ctx)
 	})
 	s.replacePredecessor()
-	world.Go("server", func() { s.serverErr <- s.server.Serve(s.callers) })
+	environment.Go("server", func() { s.serverErr <- s.server.Serve(s.callers) })
 	engine.SetServing(true)
 	s.awaitSuccessor(opts.TakeoverSocket, listener)
 	log.Info().Str("listen", listener.Addr().String()).Str("discovery", conf.Discovery).Msg("ready")
@@ -190,9 +190,9 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // callerEnded writes the log line of a caller's connection.
-func (s *Sidecar) callerEnded(c *httpwire.CallerConn, why httpwire.Reason) {
+func (s *Sidecar) callerEnded(c *httpwire.CallerConn, reason httpwire.Reason) {
 	s.connEndLog.Info().Str("side", "caller").Str("peer", c.RemoteAddr().String()).
-		Str("reason", string(why)).Int("requests", c.Requests()).Msg("connection ended")
+		Str("reason", string(reason)).Int("requests", c.Requests()).Msg("connection ended")
 }
 
 // Address is where callers connect.
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -123,7 +123,7 @@
 
 // Guards against a caller that takes the id of another's open request: an endpoint
 // could answer the one with what belongs to the other.
-func TestIdOfAnOpenRequest(t *testing.T) {
+func TestIDOfAPendingRequest(t *testing.T) {
 	release := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		<-release
@@ -171,7 +171,7 @@
 
 // Guards against a caller whose time is longer than any of its class: it would be
 // held, and its timers with it, for as long as it likes.
-func TestTimeBeyondTheClass(t *testing.T) {
+func TestRemainingTimeAboveTheClassDeadline(t *testing.T) {
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
@@ -227,7 +227,7 @@
 
 // An endpoint whose process has died, or whose machine has vanished, is no reason
 // to fail: nothing has run.
-func TestVanishedEndpointIsPassedOver(t *testing.T) {
+func TestUnreachableEndpointIsSkipped(t *testing.T) {
 	for name, address := range map[string]string{"refused": scripted.FreeAddress(t), "out of reach": scripted.UnreachableAddress(t)} {
 		t.Run(name, func(t *testing.T) {
 			e := scripted.StartEndpoint(t, "e1", nil)
@@ -374,7 +374,7 @@
 
 // Where changes are to come by themselves, the module does not ask for them: the
 // sidecar watches, and watches again after a failure.
-func TestWatchesUnasked(t *testing.T) {
+func TestWatchesInAutomaticMode(t *testing.T) {
 	a, b := scripted.StartEndpoint(t, "a", nil), scripted.StartEndpoint(t, "b", nil)
 	d := scripted.StartDiscovery(t)
 	d.SetDown(true)
@@ -554,7 +554,7 @@
 		defer conns[i].Close()
 		conns[i].SetDeadline(time.Now().Add(patience))
 	}
-	held := make(chan *http.Response, 1)
+	pending := make(chan *http.Response, 1)
 	r := request(t, s.Address(), http.MethodGet, "/look/slow", "")
 	r.Header.Set("X-Remaining", "60")
 	go func() {
@@ -562,7 +562,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		held <- answer
+		pending <- answer
 	}()
 	eventually(t, "the slow request is out", func() bool { return e.Count() == 1 })
 	stopped := make(chan struct{})
@@ -590,7 +590,7 @@
 		t.Errorf("%d answers on a connection that stands: it ended at once", served)
 	}
 	close(release)
-	if answer := <-held; answer == nil || answer.StatusCode != 200 || !answer.Close {
+	if answer := <-pending; answer == nil || answer.StatusCode != 200 || !answer.Close {
 		t.Errorf("the held request: %+v; want 200 and Connection: close", answer)
 	}
 	select {
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/stream_test.go
@@ -28,7 +28,7 @@
 
 // Long answers and bodies go through unchanged, in both framings, several at once, and
 // memory does not follow their bytes; what is longer than may be is turned down.
-func TestLongBothWays(t *testing.T) {
+func TestLongAnswersAndBodies(t *testing.T) {
 	const long, at, memoryMB = 24 << 20, 6, 64
 	answer := patternBody(long)
 	slow := http.NewServeMux()
@@ -252,7 +252,7 @@
 
 // Several requests written at once on a connection are answered in their order, and
 // leave nothing taken.
-func TestRequestsWrittenAtOnce(t *testing.T) {
+func TestPipelinedRequestsInOrder(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.URL.Path) })
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	conn := dial(t, s.Address())
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -34,11 +34,11 @@
 }
 
 // listen returns where callers connect: a predecessor's own listener if there is one.
-func (s *Sidecar) listen(meet string) (net.Listener, error) {
-	if s.upgrade.path = meet; meet == "" {
+func (s *Sidecar) listen(socket string) (net.Listener, error) {
+	if s.upgrade.path = socket; socket == "" {
 		return s.env.Listen(s.conf.Listen)
 	}
-	peer, listener, state, err := takeover.FindPredecessor(meet)
+	peer, listener, state, err := takeover.FindPredecessor(socket)
 	if err == nil {
 		err = s.engine.ImportHandover(state)
 	}
@@ -78,10 +78,10 @@
 }
 
 // divideLimits keeps this process to a part of the limits.
-func (s *Sidecar) divideLimits(parts int) {
-	s.callers.SetLimit(s.conf.CallerConns / parts)
-	s.engine.SetConnShare(parts)
-	debug.SetMemoryLimit(s.conf.HeapBytes / int64(parts))
+func (s *Sidecar) divideLimits(shares int) {
+	s.callers.SetLimit(s.conf.CallerConns / shares)
+	s.engine.SetConnShare(shares)
+	debug.SetMemoryLimit(s.conf.HeapBytes / int64(shares))
 }
 
 // replacePredecessor takes the predecessor's place, if there is one: when it returns, that has
@@ -115,12 +115,12 @@
 }
 
 // awaitSuccessor lets a successor come.
-func (s *Sidecar) awaitSuccessor(meet string, listener net.Listener) {
+func (s *Sidecar) awaitSuccessor(socket string, listener net.Listener) {
 	l, ok := listener.(syscall.Conn)
-	if meet == "" || !ok {
+	if socket == "" || !ok {
 		return
 	}
-	door, err := takeover.AcceptSuccessor(meet, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
+	successors, err := takeover.AcceptSuccessor(socket, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
 		s.addPeer(peer)
 		s.log.Info().Msg("a successor has come")
 		state, err := s.engine.ExportHandover()
@@ -137,7 +137,7 @@
 	if s.upgrade.successors != nil {
 		s.upgrade.successors.Close()
 	}
-	s.upgrade.successors = door
+	s.upgrade.successors = successors
 }
 
 // successorHandler is what this process does for its successor.
@@ -173,14 +173,14 @@
 
 // ResumeAnswer is takeover.Handler's.
 func (s *Sidecar) ResumeAnswer(state []byte, caller, endpoint net.Conn) {
-	var over httpwire.AnswerHandover
-	if err := json.Unmarshal(state, &over); err != nil {
+	var handover httpwire.AnswerHandover
+	if err := json.Unmarshal(state, &handover); err != nil {
 		s.log.Warn().Err(err).Msg("a long answer of the other process")
 		caller.Close()
 		endpoint.Close()
 		return
 	}
-	s.engine.ResumeAnswer(&over, caller, endpoint)
+	s.engine.ResumeAnswer(&handover, caller, endpoint)
 }
 
 // handOverAnswers gives the long answers that are still on their way to the successor, if
@@ -221,8 +221,8 @@
 // Enable ends a ban in both.
 func (s *Sidecar) Enable(name string) error { return s.setBan(name, false, s.engine.Enable) }
 
-func (s *Sidecar) setBan(name string, on bool, here func(string) error) error {
-	if err := here(name); err != nil {
+func (s *Sidecar) setBan(name string, on bool, apply func(string) error) error {
+	if err := apply(name); err != nil {
 		return err
 	}
 	s.upgrade.mu.Lock()
--- a/internal/lifecycle/upgrade_test.go
+++ b/internal/lifecycle/upgrade_test.go
@@ -85,7 +85,7 @@
 
 // A new process takes the old one's place under load: no request meets a refused or
 // reset connection, bans hold in both and over it, and only the old one ends.
-func TestReplacingTheProcess(t *testing.T) {
+func TestUpgradeUnderLoad(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
 	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e1.Line(), e2.Line())
 	old, oldConsole := launchReady(t, conf)
@@ -180,22 +180,22 @@
 }
 
 // What a killed process leaves in the folder is named and passed over.
-func TestStaleWayIn(t *testing.T) {
+func TestStaleSocket(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
 	path := takeover.SocketPath(os.TempDir(), "t0", address)
-	for _, torn := range []bool{false, true} {
-		if torn {
+	for _, corrupt := range []bool{false, true} {
+		if corrupt {
 			if err := os.WriteFile(path, []byte("{\"v"), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p, _ := launchReady(t, conf)
-		if said := strings.Contains(p.log.String(), "no predecessor"); said != torn {
-			t.Errorf("torn %v, and the log says so: %v\n%s", torn, said, p.log)
+		if logged := strings.Contains(p.log.String(), "no predecessor"); logged != corrupt {
+			t.Errorf("torn %v, and the log says so: %v\n%s", corrupt, logged, p.log)
 		}
 		if status, _ := get(t, address, "/look"); status != 200 {
-			t.Errorf("torn %v: %d", torn, status)
+			t.Errorf("torn %v: %d", corrupt, status)
 		}
 		p.Process.Kill()
 		p.Wait()
--- a/internal/takeover/hang_test.go
+++ b/internal/takeover/hang_test.go
@@ -12,16 +12,16 @@
 
 // Guards against a process that ends because the other hangs or breaks the connection: a read that fails is a failure of
 // the hand-over, whatever the step.
-func TestOtherProcessThatHangsOrBreaks(t *testing.T) {
+func TestPredecessorThatHangsOrBreaks(t *testing.T) {
 	for name, broken := range map[string]bool{"hangs": false, "breaks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			path := filepath.Join(t.TempDir(), "way-in.sock")
-			door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+			socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer door.Close()
+			defer socket.Close()
 			served, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -31,7 +31,7 @@
 			ended := make(chan struct{})
 			go func() { // the predecessor, which never tells its state
 				defer close(ended)
-				conn, err := door.AcceptUnix()
+				conn, err := socket.AcceptUnix()
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -69,9 +69,9 @@
 	if n == 0 && len(b) > 0 {
 		err = io.EOF
 	}
-	parts, _ := unix.ParseSocketControlMessage(oob[:oobn])
-	for i := range parts {
-		fds, _ := unix.ParseUnixRights(&parts[i])
+	controls, _ := unix.ParseSocketControlMessage(oob[:oobn])
+	for i := range controls {
+		fds, _ := unix.ParseUnixRights(&controls[i])
 		r.fds = append(r.fds, fds...)
 	}
 	return n, err
@@ -214,11 +214,11 @@
 	if err != nil {
 		return nil, err
 	}
-	parts, err := unix.ParseSocketControlMessage(oob[:oobn])
-	if err != nil || n != 1 || len(parts) != 1 {
-		return nil, fmt.Errorf("%d bytes with %d control messages: %w", n, len(parts), errors.Join(err, fs.ErrInvalid))
+	controls, err := unix.ParseSocketControlMessage(oob[:oobn])
+	if err != nil || n != 1 || len(controls) != 1 {
+		return nil, fmt.Errorf("%d bytes with %d control messages: %w", n, len(controls), errors.Join(err, fs.ErrInvalid))
 	}
-	fds, err := unix.ParseUnixRights(&parts[0])
+	fds, err := unix.ParseUnixRights(&controls[0])
 	if err != nil || len(fds) != 1 {
 		return nil, fmt.Errorf("%d descriptors: %w", len(fds), errors.Join(err, fs.ErrInvalid))
 	}
@@ -250,14 +250,14 @@
 
 // Run hears what the other says until it ends.
 func (p *Peer) Run(h Handler) {
-	yielded := false
+	stopped := false
 	for {
 		var m message
 		if err := p.in.Decode(&m); err != nil {
 			p.conn.Close()
 			p.reader.closeUnclaimed()
 			close(p.ended)
-			h.PeerEnded(yielded)
+			h.PeerEnded(stopped)
 			return
 		}
 		switch {
@@ -268,8 +268,8 @@
 			if caller, endpoint, err := p.reader.takeConns(); err == nil {
 				h.ResumeAnswer(m.Answer, caller, endpoint)
 			}
-		case m.StopAccepting && !yielded:
-			yielded = true
+		case m.StopAccepting && !stopped:
+			stopped = true
 			h.StopAccepting()
 			p.send(message{Stopped: true})
 		case m.Stopped:
@@ -386,32 +386,32 @@
 
 // AcceptSuccessor waits for a successor at a path, one at a time; what stands there is replaced.
 // enter is called for each, and returns what it is given.
-func AcceptSuccessor(path string, listener syscall.Conn, enter func(*Peer) (state []byte, h Handler, err error)) (*SuccessorListener, error) {
+func AcceptSuccessor(path string, listener syscall.Conn, onSuccessor func(*Peer) (state []byte, h Handler, err error)) (*SuccessorListener, error) {
 	// Bound beside it and renamed: there is no moment without a way in for a successor.
-	beside := path + ".new"
-	os.Remove(beside)
-	address := &net.UnixAddr{Name: beside, Net: "unix"}
+	temporary := path + ".new"
+	os.Remove(temporary)
+	address := &net.UnixAddr{Name: temporary, Net: "unix"}
 	l, err := net.ListenUnix("unix", address)
 	if err != nil {
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // a successor's may stand there by then
-	err = errors.Join(os.Chmod(beside, 0o600), os.Rename(beside, path))
+	err = errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, path))
 	if err != nil {
 		l.Close()
 		return nil, err
 	}
-	d := &SuccessorListener{listener: l}
-	go d.serve(listener, enter)
-	return d, nil
+	s := &SuccessorListener{listener: l}
+	go s.serve(listener, onSuccessor)
+	return s, nil
 }
 
 // Close lets nobody in any more. A successor that has come stays.
-func (d *SuccessorListener) Close() { d.listener.Close() }
+func (s *SuccessorListener) Close() { s.listener.Close() }
 
-func (d *SuccessorListener) serve(listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
+func (s *SuccessorListener) serve(listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
 	for {
-		conn, err := d.listener.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -419,36 +419,36 @@
 			time.Sleep(findTimeout / 100) // descriptors may run out for a moment
 			continue
 		}
-		d.mu.Lock()
-		busy := d.busy
-		d.busy = true
-		d.mu.Unlock()
+		s.mu.Lock()
+		busy := s.busy
+		s.busy = true
+		s.mu.Unlock()
 		if busy || sameUser(conn) != nil {
 			conn.Close()
 			if !busy {
-				d.clearBusy()
+				s.clearBusy()
 			}
 			continue
 		}
 		go func() {
-			defer d.clearBusy()
-			d.serveSuccessor(conn, listener, enter)
+			defer s.clearBusy()
+			s.serveSuccessor(conn, listener, onSuccessor)
 		}()
 	}
 }
 
-func (d *SuccessorListener) clearBusy() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.busy = false
+func (s *SuccessorListener) clearBusy() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.busy = false
 }
 
 // serveSuccessor gives one successor what it needs, and hears it until it ends.
-func (d *SuccessorListener) serveSuccessor(conn *net.UnixConn, listener syscall.Conn, enter func(*Peer) ([]byte, Handler, error)) {
+func (s *SuccessorListener) serveSuccessor(conn *net.UnixConn, listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
 	p := newPeer(conn)
 	// Bans that come from here on are told to it, behind the state.
 	p.mu.Lock()
-	state, h, err := enter(p)
+	state, h, err := onSuccessor(p)
 	if err == nil {
 		conn.SetWriteDeadline(time.Now().Add(findTimeout))
 		if err = sendListener(conn, listener); err == nil {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -29,7 +29,7 @@
 	)
 	for step := range steps {
 		path := filepath.Join(t.TempDir(), "way-in.sock")
-		door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+		socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,7 +40,7 @@
 		died := make(chan struct{})
 		go func() { // the predecessor, up to the step
 			defer close(died)
-			conn, err := door.AcceptUnix()
+			conn, err := socket.AcceptUnix()
 			if err != nil {
 				t.Error(err)
 				return
@@ -97,7 +97,7 @@
 		}
 		<-died
 		served.Close()
-		door.Close()
+		socket.Close()
 	}
 }
 
