--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -18,33 +18,33 @@
 	"heathgap/internal/env"
 )
 
-// Verdict is how a request ends for its caller.
+// Verdict is the kind of answer that a request gets in the end.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Served    Verdict = iota
-	Refused           // trying again is harmless
-	Failed            // no promise about its effect
-	Malformed         // it was no request; nothing came of it
-	Abandoned         // the caller has gone: nobody reads an answer
+	Refused           // the request has not run: it is safe to retry
+	Failed            // the request may have taken effect
+	Malformed         // it was not a valid request; nothing was run
+	Abandoned         // the caller has disconnected: nobody reads an answer
 )
 
 // Answer is the final answer to a request.
 type Answer struct {
 	Verdict    Verdict
-	Body       []byte        // of an endpoint's answer, unchanged
-	Type       string        // of the body's content
-	Encoding   string        // of the body's content
-	RetryAfter time.Duration // a refused caller should stay away so long; 0 for no advice
+	Body       []byte        // of the endpoint's answer, unchanged
+	Type       string        // Content-Type of the body
+	Encoding   string        // Content-Encoding of the body
+	RetryAfter time.Duration // how long a refused caller should wait before a retry; 0 for no advice
 	Reason     string        // what is wrong with a malformed request
-	CloseAfter bool          // the caller's connection ends with it
+	CloseAfter bool          // the caller's connection is closed after it
 	MayHaveRun bool          // the request may have run at an endpoint
-	Reserved   int           // of the room for answers, to be returned when it is written
-	Stream     *AnswerStream // of a long body, Body being its beginning; nil for one that is whole
+	Reserved   int           // bytes reserved in the memory budget, to be released once the answer is written
+	Stream     *AnswerStream // the rest of a long body, of which Body is the beginning; nil if Body is complete
 }
 
-// EncodeAnswer writes the answer for a caller.
+// EncodeAnswer encodes the answer for a caller.
 func EncodeAnswer(a *Answer, m *fasthttp.Response) {
 	switch a.Verdict {
 	case Served:
@@ -56,7 +56,7 @@
 			m.Header.SetContentEncoding(a.Encoding)
 		}
 		if a.Stream != nil {
-			// In chunks, so that each piece goes out as it comes and an end that is cut off shows.
+			// In chunks, so that each piece is sent as it comes and a truncated answer shows.
 			m.ImmediateHeaderFlush = true
 			size := lengthChunked
 			if a.Stream.WithLength {
@@ -81,20 +81,20 @@
 	}
 }
 
-// Reply is what an endpoint answered to an attempt.
+// Reply is an endpoint's answer to an attempt.
 type Reply struct {
 	Outcome  decide.Outcome // Served, ServerError or Rejected
 	Status   int
 	Body     []byte
 	Type     string
 	Encoding string
-	Close    bool          // the endpoint ends the connection
-	Reserved int           // of the room for answers
-	Stream   *AnswerStream // of a long body, of which Body is the beginning; nil for one that is whole
+	Close    bool          // the endpoint closes the connection
+	Reserved int           // bytes reserved in the memory budget
+	Stream   *AnswerStream // the rest of a long body, of which Body is the beginning; nil if Body is complete
 }
 
-// DecodeLoad reads a load report: name=value with commas between them, in one line. Names that the module has no use
-// for are passed over, and so is a value that makes no sense: a report is never a reason to turn an answer down.
+// DecodeLoad parses a load report: name=value pairs, separated by commas, in one line. Names that the decision module
+// does not use and invalid values are skipped: a bad report is never a reason to reject an answer.
 func DecodeLoad(text []byte) decide.Load {
 	load := decide.Load{Outstanding: -1, Utilization: -1}
 	for part := range bytes.SplitSeq(text, []byte(",")) {
@@ -113,23 +113,23 @@
 	return load
 }
 
-// EncodeProbe writes a probe.
+// EncodeProbe encodes a probe, a request for an endpoint's load report.
 func EncodeProbe() []byte {
 	return []byte("GET " + pathLoad + " HTTP/1.1\r\nHost: " + serviceHost + "\r\n\r\n")
 }
 
-// MemoryBudget is the memory that bodies of answers may take together, from their first
-// byte until they are written to their callers.
+// MemoryBudget limits the memory of all answer bodies together. A body counts from its first byte until it is written to
+// its caller.
 type MemoryBudget struct{ available atomic.Int64 }
 
-// NewMemoryBudget returns room for so many bytes.
+// NewMemoryBudget returns a budget of the given number of bytes.
 func NewMemoryBudget(bytes int64) *MemoryBudget {
 	m := &MemoryBudget{}
 	m.available.Store(bytes)
 	return m
 }
 
-// Take takes so many bytes, if they are there.
+// Take reserves bytes and reports whether that many were available.
 func (m *MemoryBudget) Take(bytes int) bool {
 	if m.available.Add(-int64(bytes)) >= 0 {
 		return true
@@ -138,16 +138,16 @@
 	return false
 }
 
-// Available is how many bytes are left.
+// Available returns the number of unreserved bytes.
 func (m *MemoryBudget) Available() int64 { return m.available.Load() }
 
-// Release gives bytes back.
+// Release returns reserved bytes to the budget.
 func (m *MemoryBudget) Release(bytes int) { m.available.Add(int64(bytes)) }
 
-// Bounds of reading an answer.
+// Limits for reading an answer.
 const (
-	initialBodySize   = 4 << 10 // bytes taken before any has come: most bodies are smaller
-	maxInterim        = 16      // interim answers (1xx) ahead of the one that counts
+	initialBodySize   = 4 << 10 // size of the first buffer in bytes, reserved before any of the body has come: most bodies are smaller
+	maxInterim        = 16      // interim answers (1xx) before the final one
 	errTooLong        = bodyError("body too long")
 	errNoMemory       = bodyError("no room left for the body")
 	errTooManyInterim = bodyError("too many interim answers")
@@ -157,18 +157,18 @@
 
 func (e bodyError) Error() string { return string(e) }
 
-// errNoLength is the failure of an answer whose end only the end of the connection
-// tells, and whose head does not say so: a half-written one would look whole.
+// errNoLength is the error for an answer that ends only with its connection and whose head does not say so by
+// Connection: close. Without that, a truncated answer would look complete.
 var errNoLength = errors.New("answer without a length")
 
-// Lengths that a head does not tell, in fasthttp's words.
+// Values of fasthttp's ContentLength for bodies without a Content-Length: in chunks, or up to the connection's end.
 const lengthChunked, lengthToEnd = -1, -2
 
-// beginningTime is how long a long answer is held back for more of it than its first bytes:
-// a spoilt one shows itself by then most often, and can be tried elsewhere.
+// beginningTime is how long the first bytes of a long answer are held back to wait for more of it. Most failing answers
+// fail within that time, and can then be retried at another endpoint.
 const beginningTime = 150 * time.Millisecond
 
-// Receive reads the answer to what was sent: whole, or the beginning of a long one.
+// Receive reads the answer to a request that was sent: completely, or the beginning of a long one.
 func (l *Link) Receive(budget *MemoryBudget, environment env.Env) (Reply, error) {
 	reply, err := decodeReply(l.in, budget, &beginningTimer{link: l, env: environment})
 	if reply.Stream != nil {
@@ -177,19 +177,19 @@
 	return reply, err
 }
 
-// DecodeReply reads an endpoint's answer from what can't wait.
+// DecodeReply reads an endpoint's answer from a plain reader, without a time limit for the beginning of a long answer.
 func DecodeReply(r *bufio.Reader, budget *MemoryBudget) (Reply, error) {
 	return decodeReply(r, budget, nil)
 }
 
-// beginningTimer tells when to stop waiting for more of an answer's beginning.
+// beginningTimer limits how long the beginning of an answer is collected.
 type beginningTimer struct {
 	link     *Link
 	env      env.Env
-	deadline time.Time // zero before the head has come
+	deadline time.Time // zero until the head has come
 }
 
-// waitMore waits for the next bytes, and tells whether they came in time.
+// waitMore waits for the next bytes and reports whether they came in time.
 func (p *beginningTimer) waitMore() bool {
 	now := p.env.Now()
 	if p.deadline.IsZero() {
@@ -201,10 +201,10 @@
 	p.link.conn.SetReadDeadline(p.deadline)
 	_, err := p.link.in.Peek(1)
 	p.link.conn.SetReadDeadline(p.link.deadline)
-	return !errors.Is(err, os.ErrDeadlineExceeded) // any other error shows at the next read
+	return !errors.Is(err, os.ErrDeadlineExceeded) // the next read returns any other error
 }
 
-// decodeReply reads an answer; what is read of its body takes of the room.
+// decodeReply reads an answer. It reserves the memory of the body in the budget.
 func decodeReply(r *bufio.Reader, budget *MemoryBudget, timer *beginningTimer) (Reply, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
@@ -234,7 +234,7 @@
 	case err != nil:
 		budget.Release(cap(beginning))
 		return Reply{}, err
-	case !complete && reply.Outcome != decide.Served: // it tells all that it has to tell
+	case !complete && reply.Outcome != decide.Served: // the status alone decides; the rest of the body is not needed
 		reply.Close = true
 	case !complete:
 		reply.Stream = &AnswerStream{Length: length, beginning: beginning, body: body}
@@ -242,8 +242,8 @@
 	return reply, nil
 }
 
-// readHead reads a head, past interim ones, and returns the reader of the body behind
-// it, which ends with io.EOF only at the body's end; nil where there is none.
+// readHead reads a head, skipping interim ones, and returns the reader of the body that follows. That reader returns
+// io.EOF only at the end of the body. It is nil if there is no body.
 func readHead(m *fasthttp.Response, r *bufio.Reader) (io.Reader, error) {
 	m.Header.SetNoDefaultContentType(true)
 	closes := false
@@ -260,7 +260,7 @@
 		}
 	}
 	if s := m.Header.StatusCode(); s == fasthttp.StatusNoContent || s == fasthttp.StatusNotModified {
-		return nil, nil // these never have a body
+		return nil, nil // these statuses never have a body
 	}
 	switch length := m.Header.ContentLength(); {
 	case length == 0:
@@ -275,8 +275,8 @@
 	return nil, errNoLength
 }
 
-// headSaysClose tells whether the head that comes next says itself that the connection
-// ends with its answer. fasthttp says so of all heads without a length.
+// headSaysClose reports whether the next head itself says that the connection closes after its answer. fasthttp reports
+// that for all heads without a length.
 func headSaysClose(r *bufio.Reader) bool {
 	var head []byte
 	for n, end := 1, -1; end < 0; n = len(head) + 1 {
@@ -291,7 +291,7 @@
 	if bytes.HasPrefix(head, []byte("HTTP/1.0")) {
 		return true
 	}
-	for line := range bytes.SplitSeq(head, []byte("\r\n")) { // each answer passes here: no memory is taken
+	for line := range bytes.SplitSeq(head, []byte("\r\n")) { // runs for each answer: it must not allocate
 		name, value, _ := bytes.Cut(line, []byte(":"))
 		if bytes.EqualFold(name, []byte("Connection")) && bytes.EqualFold(bytes.TrimSpace(value), []byte("close")) {
 			return true
@@ -300,13 +300,13 @@
 	return false
 }
 
-// fixedLengthBody is a body of a told length.
+// fixedLengthBody is a body with a Content-Length.
 type fixedLengthBody struct {
 	r         *bufio.Reader
 	remaining int
 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (b *fixedLengthBody) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p[:min(len(p), b.remaining)])
 	switch b.remaining -= n; {
@@ -318,18 +318,18 @@
 	return n, err
 }
 
-// chunkedBody is a body in chunks, with the trailer behind it, which is passed over. A
-// read that fails changes nothing: another process can go on from left and behind.
+// chunkedBody is a body in chunks, with the trailer, which is skipped. A read that fails changes nothing: another
+// process can continue from remaining and lineEndPending.
 type chunkedBody struct {
 	r              *bufio.Reader
-	remaining      int  // bytes of the chunk at hand that have not come
-	lineEndPending bool // a chunk has come whole, and the end of its line has not
+	remaining      int  // bytes of the current chunk that have not come
+	lineEndPending bool // all bytes of a chunk have come, but not yet its line end
 }
 
-// errMalformedChunk is the fault of a chunk that can't be read.
+// errMalformedChunk is the error for a chunk that cannot be parsed.
 var errMalformedChunk = errors.New("malformed chunk")
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (b *chunkedBody) Read(p []byte) (int, error) {
 	for b.remaining == 0 {
 		line, err := peekLine(b.r)
@@ -364,7 +364,7 @@
 	return n, err
 }
 
-// skipTrailer reads to the empty line that ends a chunked body.
+// skipTrailer reads up to and including the empty line that ends a chunked body.
 func skipTrailer(r *bufio.Reader) error {
 	for left := MaxHead; left > 0; {
 		line, err := peekLine(r)
@@ -380,7 +380,7 @@
 	return errTooLong
 }
 
-// peekLine returns the next line with its end, and leaves it where it is.
+// peekLine returns the next line with its line end, without consuming it.
 func peekLine(r *bufio.Reader) ([]byte, error) {
 	for n := 1; ; {
 		text, err := r.Peek(max(n, r.Buffered()))
@@ -397,10 +397,9 @@
 	}
 }
 
-// readBeginning reads a body of which length is told, or below 0, whole if it holds
-// MaxWhole bytes at most. It takes memory as the bytes come: guards against heads that
-// announce more than ever comes. What was taken of the room is the capacity of what is
-// returned, also with an error.
+// readBeginning reads a body of the given length (below 0 if unknown): all of it if it is at most MaxBuffered bytes
+// long, else its beginning. It reserves memory only as bytes come: guards against heads that announce more than ever
+// comes. The reserved amount is the capacity of the returned slice, also with an error.
 func readBeginning(r io.Reader, length int, budget *MemoryBudget, timer *beginningTimer) (body []byte, complete bool, err error) {
 	for {
 		if len(body) >= MaxBuffered && length != len(body) {
@@ -430,7 +429,7 @@
 	}
 }
 
-// readComplete reads a whole answer of so many bytes at most, which is kept.
+// readComplete reads a complete answer whose body is at most limit bytes long and returns the body.
 func readComplete(m *fasthttp.Response, r *bufio.Reader, limit int) ([]byte, error) {
 	body, err := readHead(m, r)
 	if err != nil || body == nil {
@@ -446,8 +445,8 @@
 	return text, err
 }
 
-// outcomeOf reads a status. An endpoint that turned a request away has never
-// run it; any other failure may have.
+// outcomeOf maps a status to an outcome. An endpoint that marked an answer as rejected has never run the request; after
+// any other failure it may have run.
 func outcomeOf(status int, rejected bool) decide.Outcome {
 	switch {
 	case status == fasthttp.StatusOK:
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -17,31 +17,32 @@
 	"heathgap/internal/env"
 )
 
-// Callers accepts the connections of callers and keeps track of them.
+// Callers is the listener for callers. It tracks their connections and limits their number.
 type Callers struct {
 	net.Listener
 	env       env.Env
-	limit     atomic.Int64 // connections that there may be at all
-	softLimit atomic.Int64 // of them, those that may stay; the rest is for callers that are turned away, and for room that is being made
+	limit     atomic.Int64 // largest number of connections
+	softLimit atomic.Int64 // connections beyond it are closed where possible; the spare ones are for callers that are being rejected and for connections that are being closed
 	onEnd     func(c *CallerConn, why Reason)
 
 	paused       atomic.Bool
-	resume       chan struct{} // one that is stale only has Accept look again
+	resume       chan struct{} // wakes a paused Accept; a stale wake-up only makes it check again
 	closing      atomic.Bool
 	closed       atomic.Bool
-	backlogEmpty chan struct{} // closed by Accept: nobody stands in the queue of a listener that closes
-	freed        chan struct{} // one that is stale only has Accept look again
+	backlogEmpty chan struct{} // closed by Accept when the backlog of a closing listener is empty
+	freed        chan struct{} // wakes Accept at the limit; a stale wake-up only makes it check again
 
-	pending   atomic.Int64 // connections with a whole request on them
-	lingering atomic.Int64 // connections that have ended on this side, and are read out
+	pending   atomic.Int64 // connections with a pending request
+	lingering atomic.Int64 // connections that are closed for writing and are read until the caller closes too
 
 	mu         sync.Mutex
-	conns      map[*CallerConn]struct{} // until Close
-	makingRoom bool                     // makeRoom is at work, or will be
+	conns      map[*CallerConn]struct{} // until their Close
+	makingRoom bool                     // makeRoom is running or scheduled
 }
 
-// NewCallers wraps a listener. There are never more connections than the limit: close to it, those that have been idle
-// longest make room, and who comes at the limit waits in the kernel's queue for that. ended is called once for each that ends.
+// NewCallers wraps a listener. There are never more connections than the limit. Close to the limit, the connections that
+// have been idle longest are closed; at the limit, new callers wait in the kernel's backlog. onEnd is called once for
+// each connection that ends.
 func NewCallers(l net.Listener, environment env.Env, limit int, onEnd func(c *CallerConn, why Reason)) *Callers {
 	c := &Callers{
 		Listener: l, env: environment, onEnd: onEnd, conns: map[*CallerConn]struct{}{},
@@ -51,10 +52,10 @@
 	return c
 }
 
-// spareDivisor is so large a part of the connections as is kept free of those that stay.
+// spareDivisor sets the part of the limit (1/16) that is kept free above the soft limit.
 const spareDivisor = 16
 
-// SetLimit sets how many connections there may be. What is idle beyond that ends; what is in use goes on.
+// SetLimit sets the largest number of connections. Idle connections beyond it are closed; those in use continue.
 func (l *Callers) SetLimit(limit int) {
 	l.limit.Store(int64(limit))
 	l.softLimit.Store(int64(max(1, limit-max(1, limit/spareDivisor))))
@@ -67,17 +68,17 @@
 	}
 }
 
-// crowded tells whether room is to be made; l.mu is held.
+// crowded reports whether connections have to be closed; l.mu is held.
 func (l *Callers) crowded() bool {
 	n := int64(len(l.conns))
 	return n > l.softLimit.Load() || n >= l.limit.Load()
 }
 
-// deadlineSetter is a listener whose Accept can be made to end.
+// deadlineSetter is a listener whose Accept can be interrupted by a deadline.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// Pause keeps Accept from accepting until Resume: another process does meanwhile, on
-// the same descriptor. What has been accepted is not touched.
+// Pause keeps Accept from accepting until Resume: meanwhile another process accepts on the same descriptor. Accepted
+// connections are not affected.
 func (l *Callers) Pause() {
 	l.paused.Store(true)
 	if d, ok := l.Listener.(deadlineSetter); ok {
@@ -98,13 +99,13 @@
 	}
 }
 
-// Close ends accepting. Who stands in the kernel's queue by then is accepted: a listener that closes resets them, and
-// they may have asked something already.
+// Close stops accepting. Connections in the kernel's backlog are accepted before: closing a listener resets them, and
+// they may already have sent a request.
 func (l *Callers) Close() error {
 	if d, ok := l.Listener.(deadlineSetter); ok && !l.paused.Load() {
 		timer := l.env.NewTimer(backlogTimeout)
 		l.closing.Store(true)
-		d.SetDeadline(pastDeadline) // Accept looks up
+		d.SetDeadline(pastDeadline) // wakes Accept
 		select {
 		case <-l.backlogEmpty:
 		case <-timer.C():
@@ -114,7 +115,7 @@
 	return l.CloseNow()
 }
 
-// CloseNow ends accepting; who stands in the kernel's queue is reset.
+// CloseNow closes the listener at once; connections in the kernel's backlog are reset.
 func (l *Callers) CloseNow() error {
 	l.closed.Store(true)
 	err := l.Listener.Close()
@@ -123,20 +124,19 @@
 	return err
 }
 
-// Pauses of the callers' side.
+// Times and shares of the handling of callers' connections.
 const (
-	acceptRetryDelay = 5 * time.Millisecond   // after a failed accept: descriptors may run out for a moment
-	makeRoomInterval = 50 * time.Millisecond  // between looks for connections that can make room
-	minIdleTime      = 200 * time.Millisecond // a connection stands idle so long before it may be ended
-	crowdDivisor     = 2                      // so large a part of all connections makes room at once while others wait for it
-	incompleteTime   = time.Second            // a request may take so long to come whole while room is short
-	backlogPoll      = 20 * time.Millisecond  // for who stands in the queue of a listener that closes
-	backlogTimeout   = 100 * time.Millisecond // it closes by then in any case: somebody may always come
+	acceptRetryDelay = 5 * time.Millisecond   // after a failed accept: the process may be out of descriptors for a moment
+	makeRoomInterval = 50 * time.Millisecond  // between searches for connections that can be closed
+	minIdleTime      = 200 * time.Millisecond // a connection must have been idle for that long before it may be closed
+	crowdDivisor     = 2                      // at most 1/2 of the limit is closed at once while others wait in the backlog
+	incompleteTime   = time.Second            // while connections are short, a request must have come completely within that time
+	backlogPoll      = 20 * time.Millisecond  // how long a closing listener waits for each further connection in the backlog
+	backlogTimeout   = 100 * time.Millisecond // upper bound for all of them: new callers may keep coming
 )
 
-// Accept waits for the next connection. It fails only when the listener is
-// closed: the server would end on any other error, and what waits to be accepted
-// must not be lost for want of a descriptor.
+// Accept waits for the next connection. It fails only when the listener is closed: on any other error the server would
+// stop, and a lack of descriptors must not lose connections that wait to be accepted.
 func (l *Callers) Accept() (net.Conn, error) {
 	conn, err := l.acceptOne()
 	for err != nil {
@@ -144,16 +144,16 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case l.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			if l.hasBacklog() { // a deadline that has passed has Accept not look at all
+			if l.hasBacklog() { // an Accept whose deadline has passed does not check the backlog
 				l.Listener.(deadlineSetter).SetDeadline(l.env.Now().Add(backlogPoll))
 				break
 			}
-			err := l.Listener.Close() // in the same breath: nobody comes in between
+			err := l.Listener.Close() // right after the check, so that hardly anybody connects in between
 			close(l.backlogEmpty)
 			return nil, cmp.Or(err, net.ErrClosed)
 		case l.paused.Load():
 			<-l.resume
-		case errors.Is(err, os.ErrDeadlineExceeded): // a pause that has ended since
+		case errors.Is(err, os.ErrDeadlineExceeded): // the pause has ended meanwhile
 		default:
 			l.closeOldest(1)
 			l.env.Sleep(acceptRetryDelay)
@@ -172,11 +172,11 @@
 	return c, nil
 }
 
-// acceptOne accepts once there is room. Guards against callers that take the descriptors without which no endpoint,
-// discovery or console is reached: what is kept for these is not to be had, however many callers come.
+// acceptOne accepts a connection once there are fewer than the limit. Guards against callers that take the descriptors
+// which connections to endpoints, discovery and the console need: callers can never use those, however many come.
 func (l *Callers) acceptOne() (net.Conn, error) {
 	for int64(l.Open()) >= l.limit.Load() && !l.closed.Load() && !l.paused.Load() {
-		timer := l.env.NewTimer(makeRoomInterval) // the limit may have been raised
+		timer := l.env.NewTimer(makeRoomInterval) // the limit may be raised meanwhile
 		select {
 		case <-l.freed:
 		case <-timer.C():
@@ -186,7 +186,7 @@
 	return l.Listener.Accept()
 }
 
-// signalFreed has Accept look for room again.
+// signalFreed makes Accept check the limit again.
 func (l *Callers) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
@@ -194,7 +194,7 @@
 	}
 }
 
-// hasBacklog tells whether somebody stands in the kernel's queue.
+// hasBacklog reports whether a connection waits in the kernel's backlog.
 func (l *Callers) hasBacklog() bool {
 	raw, ok := l.Listener.(syscall.Conn)
 	if !ok {
@@ -212,7 +212,7 @@
 	return waits && err == nil
 }
 
-// makeRoom ends connections until there are no more than may stay.
+// makeRoom closes connections until there are no more than the soft limit.
 func (l *Callers) makeRoom() {
 	all := l.all()
 	l.mu.Lock()
@@ -231,30 +231,30 @@
 		}
 	}
 	l.closeOldest(excess)
-	if full && l.hasBacklog() { // a few at a time would keep usual callers behind a crowd for long
+	if full && l.hasBacklog() { // closing a few at a time would let a crowd delay usual callers for long
 		l.closeSilent(int(l.limit.Load()) / crowdDivisor)
 	}
 	l.env.AfterFunc(makeRoomInterval, l.makeRoom)
 }
 
-// Open is how many connections there are.
+// Open returns the number of connections.
 func (l *Callers) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// CloseIdle ends all connections on which no request stands.
+// CloseIdle closes all connections without a request.
 func (l *Callers) CloseIdle(reason Reason) {
 	for _, c := range l.all() {
 		c.closeIdle(reason)
 	}
 }
 
-// closeOldest ends connections that are idle, then those that are only read out, and then those that hold half a
-// request: first those that never brought a good one, then the oldest. Guards against floods of callers that say nothing
-// and take the place of usual ones: one that has brought a good request stands as long as others are about to be idle for
-// long enough.
+// closeOldest closes n connections: first idle ones, then lingering ones, then those with an incomplete request; among
+// these, connections that never brought a valid request go first, then the oldest. Guards against floods of silent
+// callers that displace usual ones: a connection that has brought a valid request stays as long as enough others will
+// soon have been idle for minIdleTime.
 func (l *Callers) closeOldest(n int) {
 	all, order := l.byCloseOrder()
 	for _, c := range all {
@@ -271,7 +271,7 @@
 	}
 }
 
-// closeSilent ends n of those that never brought a good request: idle, half a one, or only read out.
+// closeSilent closes n of the connections that never brought a valid request: idle, incomplete or lingering.
 func (l *Callers) closeSilent(n int) {
 	all, order := l.byCloseOrder()
 	for _, c := range all {
@@ -281,7 +281,7 @@
 	}
 }
 
-// byCloseOrder returns all connections, those that end first first.
+// byCloseOrder returns all connections in the order in which they are to be closed.
 func (l *Callers) byCloseOrder() ([]*CallerConn, map[*CallerConn]closeOrder) {
 	all := l.all()
 	order := make(map[*CallerConn]closeOrder, len(all))
@@ -292,10 +292,10 @@
 	return all, order
 }
 
-// closeOrder is what decides which connection ends first.
+// closeOrder determines which connection is closed first.
 type closeOrder struct {
-	proven       bool // it has brought a good request
-	recentlyIdle bool // it is idle, and may be ended soon
+	proven       bool // it has brought a valid request
+	recentlyIdle bool // it is idle, but for less than minIdleTime
 	changedAt    time.Time
 }
 
@@ -319,49 +319,49 @@
 	return all
 }
 
-// CallerConn is a caller's connection. fasthttp's server reads and writes it,
-// and does not see a caller leave while a handler waits: Watch does.
+// CallerConn is a connection of a caller. fasthttp's server reads and writes it, but does not notice that a caller
+// disconnects while a handler waits: Watch does.
 type CallerConn struct {
 	net.Conn
 	owner *Callers
 
 	mu             sync.Mutex
-	reason         Reason    // the first that was found; empty while none is
-	busy           bool      // a request is being read, held or answered
-	pending        bool      // a request has come whole
-	proven         bool      // a good one has come
-	answered       bool      // the handler has its answer; the server's next read is for another request
-	onWritten      func()    // to be called when that answer is written, or never will be; nil otherwise
+	reason         Reason    // the first that was found; empty until then
+	busy           bool      // a request is being read, pending or being answered
+	pending        bool      // it counts in Callers.pending: a request has come completely, or its body is still coming
+	proven         bool      // it has brought a valid request
+	answered       bool      // the handler has returned an answer; the server's next read is for another request
+	onWritten      func()    // called when that answer is written, or will never be; nil otherwise
 	closing        bool      // no further request is to be read
-	changedAt      time.Time // when it last became idle, or busy
+	changedAt      time.Time // when it last became idle or busy
 	requests       int
-	body           *bodyProgress // while a body is read; nil else
-	bodyStopped    bool          // no more of a body is wanted
-	detached       bool          // another process goes on with the answer at hand
-	handedOver     bool          // that process has the connection
-	unsent         []byte        // of it, what was not written here: a piece at most
-	bodyUnread     bool          // a body has not come to its end: what still comes must be read before a close
-	pipelined      []byte        // what came while Watch looked; the next Reads return it
-	pipelinedBytes int           // how much that was in all, behind the request at hand
-	peerEnded      bool          // its caller has ended it, or it has broken: no more comes
-	watchDone      chan struct{} // closed when the watch has ended; nil while there is none
+	body           *bodyProgress // while a body is read; nil otherwise
+	bodyStopped    bool          // no more of the body is wanted
+	detached       bool          // writes are only recorded in unsent: another process is to continue the current answer
+	handedOver     bool          // another process has taken over the connection
+	unsent         []byte        // recorded writes: one piece at most
+	bodyUnread     bool          // a body has not been read to its end: what still comes must be read before the close
+	pipelined      []byte        // bytes that came during Watch, which the next Reads return
+	pipelinedBytes int           // number of bytes that came after the current request, kept or not
+	peerEnded      bool          // the caller has closed it, it failed, or it floods: no answer can be lost by closing it
+	watchDone      chan struct{} // closed when the watch has ended; nil without a watch
 	closed         bool
 	closedAt       time.Time
-	lingerStopped  bool // it is read out no further
+	lingerStopped  bool // lingering was ended early
 
-	descriptor   syscall.RawConn // set when it first holds a request; nil where the connection has no descriptor
-	disconnected atomic.Bool     // its caller was seen to be gone
+	descriptor   syscall.RawConn // set with its first pending request; nil if the connection has no descriptor
+	disconnected atomic.Bool     // its caller was seen to have disconnected
 }
 
-// pastDeadline is a deadline that has passed: it ends a pending read at once.
+// pastDeadline is a deadline in the past: it interrupts a pending read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// lastReadTime is how long a connection that is to end is still read.
+// lastReadTime is how long an idle connection is still read before it is closed.
 const lastReadTime = time.Millisecond
 
-// Read reads for the server. An idle connection that times out, or that is to
-// end, reads as closed by its caller: the server then ends it in silence, where
-// an answer would be taken for one to a request that is on its way.
+// Read implements net.Conn for the server. An idle connection that times out, or that is to be closed, reads as closed
+// by its caller: the server then closes it without an answer, which the caller could take for the answer to a request
+// that it is just sending.
 func (c *CallerConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.finishAnswered()
@@ -404,14 +404,14 @@
 	return n, err
 }
 
-// readOnceMore reads once more when an idle connection is about to end: a read whose
-// deadline has passed does not look at what has come, and a request that stands
-// there already must not be lost. The rest of it gets the time that it may need.
+// readOnceMore reads an idle connection once more before it is closed: a read whose deadline has passed does not check
+// for received bytes, and a request that has already come must not be lost. The rest of that request gets
+// incompleteTime.
 func (c *CallerConn) readOnceMore(b []byte) (int, error) {
 	c.Conn.SetReadDeadline(c.owner.env.Now().Add(lastReadTime))
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		// Guards against a machine so busy that the deadline passes before the read begins.
+		// Guards against a machine so busy that the deadline passes before the read starts.
 		if available := c.readAvailable(b); available > 0 {
 			n, err = available, nil
 		}
@@ -422,7 +422,7 @@
 	return n, err
 }
 
-// readAvailable reads what stands there, whatever deadline has passed, and returns how much that is.
+// readAvailable reads the received bytes, whatever the deadline, and returns their number.
 func (c *CallerConn) readAvailable(b []byte) (n int) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -443,21 +443,21 @@
 	return n
 }
 
-// bodyBegins marks that a body is read from here on.
+// bodyBegins marks that a body is being read from now on.
 func (c *CallerConn) bodyBegins() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body, c.bodyUnread = &bodyProgress{}, true
 }
 
-// MarkBodyUnread marks that a body comes that nobody will read.
+// MarkBodyUnread marks that a body is coming that nobody will read.
 func (c *CallerConn) MarkBodyUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bodyUnread = true
 }
 
-// bodyEnded marks that no body is read any more, and whether nothing more of it comes.
+// bodyEnded marks that no body is being read any more. complete says that no more of the body will come.
 func (c *CallerConn) bodyEnded(complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -467,7 +467,7 @@
 	}
 }
 
-// stopBody ends the read of a body that is under way.
+// stopBody interrupts the read of a body.
 func (c *CallerConn) stopBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -477,35 +477,35 @@
 	}
 }
 
-// MarkPending marks that the connection holds a request whose body still comes.
+// MarkPending marks that the connection has a pending request whose body is still coming.
 func (c *CallerConn) MarkPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setPending()
 }
 
-// setPending does that; c.mu is held.
+// setPending implements MarkPending; c.mu is held.
 func (c *CallerConn) setPending() {
-	c.finishAnswered() // guards against requests written at once: the server reads no more between them
+	c.finishAnswered() // guards against pipelined requests: the server reads no more between them
 	c.markBusy()
 	if !c.pending {
 		c.pending, c.proven = true, true
 		c.owner.pending.Add(1)
 	}
 	if conn, ok := c.Conn.(syscall.Conn); ok && c.descriptor == nil {
-		c.descriptor, _ = conn.SyscallConn() // nil if it is closed here
+		c.descriptor, _ = conn.SyscallConn() // nil if the connection is already closed on this side
 	}
 }
 
-// markBusy marks that a request has begun to come; c.mu is held.
+// markBusy marks that a request has started to come; c.mu is held.
 func (c *CallerConn) markBusy() {
 	if !c.busy {
 		c.busy, c.changedAt = true, c.owner.env.Now()
 	}
 }
 
-// finishAnswered makes the connection idle once the server reads on behind an answer:
-// it does so when the answer is written. c.mu is held.
+// finishAnswered makes the connection idle when the server reads again after an answer: it does so only when the answer
+// is written. c.mu is held.
 func (c *CallerConn) finishAnswered() {
 	if c.answered {
 		c.answered, c.busy, c.changedAt = false, false, c.owner.env.Now()
@@ -514,7 +514,7 @@
 	}
 }
 
-// clearPending marks that no whole request is held any more; c.mu is held.
+// clearPending marks that there is no pending request any more; c.mu is held.
 func (c *CallerConn) clearPending() {
 	if c.pending {
 		c.pending = false
@@ -522,7 +522,7 @@
 	}
 }
 
-// releaseAnswer tells that the answer needs its memory no more; c.mu is held.
+// releaseAnswer reports that the memory of the answer is no longer needed; c.mu is held.
 func (c *CallerConn) releaseAnswer() {
 	if c.onWritten != nil {
 		c.onWritten()
@@ -530,7 +530,7 @@
 	}
 }
 
-// readReason says what a failed read means; c.mu is held.
+// readReason returns the reason for a failed read; c.mu is held.
 func (c *CallerConn) readReason(err error) Reason {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && c.busy:
@@ -543,8 +543,7 @@
 	return ReasonPeerReset
 }
 
-// Write writes for the server. A caller may take its time, and must take some bytes
-// within pieceStall.
+// Write implements net.Conn for the server. A caller may read slowly, but must accept some bytes within pieceStall.
 func (c *CallerConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.detached {
@@ -567,7 +566,7 @@
 	return n, err
 }
 
-// SetReadDeadline is the server's; one that is to end keeps the past one.
+// SetReadDeadline implements net.Conn for the server. A connection that is to be closed keeps the deadline in the past.
 func (c *CallerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -577,7 +576,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// detach has what is written from now on only noted: another process is to write it.
+// detach makes further writes only be recorded: another process is to send them.
 func (c *CallerConn) detach() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -585,22 +584,23 @@
 	c.Conn.SetWriteDeadline(pastDeadline)
 }
 
-// markHandedOver marks that another process has the connection: what this one does to it, that one would meet.
+// markHandedOver marks that another process has taken over the connection: from now on, a shutdown or a lingering close
+// here would affect that process.
 func (c *CallerConn) markHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handedOver = true
 }
 
-// unsentBytes returns what was written and only noted.
+// unsentBytes returns the recorded writes.
 func (c *CallerConn) unsentBytes() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unsent
 }
 
-// MarkAnswered marks that the server has the answer to the request at hand. written is
-// called once, when that is written or its connection ends.
+// MarkAnswered marks that the server has the answer to the current request. onWritten is called once, when the answer is
+// written or the connection is closed.
 func (c *CallerConn) MarkAnswered(onWritten func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -609,23 +609,23 @@
 	c.requests++
 }
 
-// Requests is how many requests it has carried.
+// Requests returns the number of requests answered on the connection.
 func (c *CallerConn) Requests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests
 }
 
-// Pending is how many connections hold a whole request, or one whose body still comes.
+// Pending returns the number of connections with a pending request, its body included or still coming.
 func (l *Callers) Pending() int { return int(l.pending.Load()) }
 
-// Crowded tells whether more requests are held than there should be connections.
+// Crowded reports whether there are more pending requests than the soft limit of connections.
 func (c *CallerConn) Crowded() bool {
 	l := c.owner
 	return l.pending.Load() > l.softLimit.Load()
 }
 
-// SetReason sets why the connection ends, unless that is known already.
+// SetReason sets the reason for which the connection ends, unless it has one.
 func (c *CallerConn) SetReason(reason Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -648,7 +648,7 @@
 	}
 }
 
-// closingSoon tells whether it is about to end by itself.
+// closingSoon reports whether the connection will close without further action.
 func (c *CallerConn) closingSoon() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -658,8 +658,8 @@
 	return c.closing && !c.pending
 }
 
-// stopLinger ends the reading out of a connection that has ended on this side, and tells whether it does. Guards against
-// callers that keep descriptors so: for as long as room is short it takes settleTime.
+// stopLinger ends the lingering of a connection and reports whether it did. Guards against callers that keep descriptors
+// in use that way: while connections are short, lingering takes minIdleTime at most.
 func (c *CallerConn) stopLinger() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -671,9 +671,9 @@
 	return true
 }
 
-// abortIncomplete ends the reading of a request that does not come whole, and tells
-// whether it does. Guards against callers that hold all connections with the
-// beginnings of requests. The server answers them, in case one has come after all.
+// abortIncomplete ends the reading of an incomplete request and reports whether it did. Guards against callers that
+// occupy all connections with the beginnings of requests. The server still answers them, in case one has come completely
+// meanwhile.
 func (c *CallerConn) abortIncomplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -686,14 +686,13 @@
 	return true
 }
 
-// closeIdle ends a connection that has been idle for a while, and tells whether it
-// does. A request whose first byte has come is still served: only the pending
-// read is ended, never what it has brought. On a new connection the first
-// request is about to come.
+// closeIdle closes a connection that has been idle for minIdleTime and reports whether it did. A request whose first
+// byte has come is still served: only the pending read is interrupted, and what it has read is never dropped. A new
+// connection counts as idle only after that time, since its first request is about to come.
 func (c *CallerConn) closeIdle(reason Reason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Guards against a stop that cuts short what lingers already; where room is wanted it may be cut short.
+	// Guards against a stop that interrupts a lingering connection; to stay within the limit it may be interrupted.
 	lingers := c.closed && reason != ReasonConnLimit
 	if c.closing || c.busy || lingers || c.owner.env.Now().Sub(c.changedAt) < minIdleTime {
 		return false
@@ -704,15 +703,15 @@
 	return true
 }
 
-// Closing tells whether the connection is to end with the request at hand.
+// Closing reports whether the connection is to be closed after the current request.
 func (c *CallerConn) Closing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// Watch calls left once if the caller goes before Unwatch is called. It begins
-// when a request has come whole.
+// Watch calls onLeave once if the caller disconnects before Unwatch is called. It is called when a request has come
+// completely.
 func (c *CallerConn) Watch(onLeave func()) {
 	done := make(chan struct{})
 	c.watchDone = done
@@ -731,8 +730,9 @@
 	})
 }
 
-// readUntilGone reads until the watch is to end or the caller has gone, and tells whether it has. It does not stop at what comes
-// behind the request: guards against callers that send much at once and go, whose end stands behind all that.
+// readUntilGone reads until Unwatch or until the caller disconnects, and reports whether it has disconnected. It does
+// not stop at bytes that come after the request: guards against callers that send much and then disconnect, whose
+// disconnect can only be read after all those bytes.
 func (c *CallerConn) readUntilGone() (gone bool) {
 	var first [1]byte
 	buf := first[:]
@@ -745,7 +745,7 @@
 		case flooded:
 			return true
 		case err == nil && len(buf) == len(first):
-			buf = make([]byte, initialBodySize) // one for each caller that writes ahead: a flood of them must stay small
+			buf = make([]byte, initialBodySize) // only for callers that pipeline: a flood of connections must take little memory
 		case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
 			return false
 		case err != nil:
@@ -757,15 +757,17 @@
 	}
 }
 
-// What may come behind a request before it is answered, in bytes. Callers ask one thing at a time; those that write the
-// next ahead are served as long as it is kept. Who pours on and on waits for no answer.
+// Limits for bytes that come after a request before it is answered. Usual callers send one request at a time; pipelined
+// ones are served as long as their bytes fit into maxPipelinedKept. A caller that sends more than maxPipelined is not
+// waiting for an answer.
 const (
 	maxPipelinedKept = MaxHead
 	maxPipelined     = 1 << 20
 )
 
-// keepPipelined keeps what came behind a request, and tells whether it was more than anybody waits behind; c.mu is held. Beyond
-// maxPipelinedKept nothing is kept: the connection ends with the request at hand, since what follows can't be read any more.
+// keepPipelined keeps bytes that came after a request and reports whether they exceed maxPipelined; c.mu is held. Beyond
+// maxPipelinedKept nothing is kept: the connection is closed after the current request, since what follows can't be read
+// any more.
 func (c *CallerConn) keepPipelined(b []byte) (flooded bool) {
 	c.pipelinedBytes += len(b)
 	if c.pipelinedBytes > maxPipelinedKept {
@@ -777,9 +779,9 @@
 	return c.pipelinedBytes > maxPipelined
 }
 
-// Disconnected tells whether its caller has ended the connection, one way or both, or broken it. It asks the kernel, once:
-// the watch may not have run yet, nobody watches while a body still comes, and an end stands behind all that was not read.
-// Any goroutine may ask while a request is held.
+// Disconnected reports whether the caller has closed the connection, in one direction or both, or reset it. It checks
+// with the kernel: the watch may not have run yet, there is no watch while a body is still coming, and a disconnect can
+// only be read after all unread bytes. Any goroutine may call it while a request is pending.
 func (c *CallerConn) Disconnected() bool {
 	if c.disconnected.Load() {
 		return true
@@ -792,9 +794,9 @@
 	return true
 }
 
-// hungUp is the kernel's word for that. Bytes that were not read don't hide an end from POLLRDHUP, as they do from a read.
+// hungUp asks the kernel for that. Unread bytes don't hide a disconnect from POLLRDHUP, as they do from a read.
 func (c *CallerConn) hungUp() bool {
-	if reporter, ok := c.Conn.(interface{ HungUp() bool }); ok { // it knows by itself
+	if reporter, ok := c.Conn.(interface{ HungUp() bool }); ok { // simulated connections know it themselves
 		return reporter.HungUp()
 	}
 	if c.descriptor == nil {
@@ -804,15 +806,15 @@
 	err := c.descriptor.Control(func(fd uintptr) {
 		fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds[:], 0)
-		if err == unix.EINTR { // once more: a signal's handler has run in between
+		if err == unix.EINTR { // retry once: a signal handler ran in between
 			n, err = unix.Poll(fds[:], 0)
 		}
 		hungUp = n > 0 && err == nil
 	})
-	return hungUp || err != nil // an error: it is closed on this side
+	return hungUp || err != nil // an error means that it is closed on this side
 }
 
-// Unwatch ends the watch; the server may read again.
+// Unwatch ends the watch; after it, the server may read again.
 func (c *CallerConn) Unwatch() {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchDone
@@ -820,7 +822,7 @@
 	c.Conn.SetReadDeadline(time.Time{})
 }
 
-// Close ends the connection and tells why, once.
+// Close closes the connection and reports its reason, once.
 func (c *CallerConn) Close() error {
 	c.mu.Lock()
 	first := !c.closed
@@ -836,7 +838,7 @@
 		c.linger(linger)
 	}
 	err := c.Conn.Close()
-	if first { // only now: its descriptor counts until it is free
+	if first { // only now: its descriptor counts until it is closed
 		l := c.owner
 		l.mu.Lock()
 		delete(l.conns, c)
@@ -847,29 +849,30 @@
 	return err
 }
 
-// How a connection ends from this side. A close over unread bytes is a reset, which may take the answer with it that is
-// on its way, and bytes may come at any moment: so it is ended one way, and what still comes is read and dropped.
+// How this side closes a connection. Closing a connection with unread bytes resets it, which may destroy the answer that
+// is on its way, and bytes may come at any moment. So the connection lingers: it is closed for writing first, and what
+// still comes is read and dropped.
 const (
-	longLinger    = 5 * time.Second        // a body that nobody wants, or a flood: longer than most bodies take
-	shortLinger   = 500 * time.Millisecond // else: callers end their side when they see the end of this one
-	lingerDivisor = 4                      // so large a part of all connections may end so at once: a flood must not keep descriptors
-	minLingering  = 16                     // but so many always
+	longLinger    = 5 * time.Second        // for an unwanted body or a flood: longer than most bodies take
+	shortLinger   = 500 * time.Millisecond // otherwise: callers close when they see that this side is closed
+	lingerDivisor = 4                      // at most 1/4 of the limit of connections lingers at a time: a flood must not keep descriptors in use
+	minLingering  = 16                     // but always that many
 )
 
-// lingerTime is how long is read on before the connection is closed; c.mu is held.
+// lingerTime returns how long to read before the connection is closed; c.mu is held.
 func (c *CallerConn) lingerTime() time.Duration {
 	switch {
-	case c.handedOver, c.peerEnded: // another process writes to it; nobody is there
+	case c.handedOver, c.peerEnded: // another process writes to it; or the caller is gone
 		return 0
 	case c.bodyUnread:
 		return longLinger
-	case c.reason == ReasonConnLimit && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
+	case c.reason == ReasonConnLimit && !c.busy: // idle for long: nothing is on its way, and its descriptor is needed
 		return 0
 	}
 	return shortLinger
 }
 
-// linger ends the sending side and reads what still comes until the caller ends too, for a time at most.
+// linger closes the connection for writing and reads until the caller closes it too, or the limit has passed.
 func (c *CallerConn) linger(limit time.Duration) {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if limit == 0 || !ok {
@@ -885,7 +888,7 @@
 		c.Conn.SetReadDeadline(c.owner.env.Now().Add(limit))
 	}
 	c.mu.Unlock()
-	buf := make([]byte, initialBodySize) // little comes, most often nothing
+	buf := make([]byte, initialBodySize) // mostly little or nothing comes
 	if limit == longLinger {
 		piece := pieceBuffers.Get().(*[pieceSize]byte)
 		defer pieceBuffers.Put(piece)
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -13,44 +13,44 @@
 	"heathgap/internal/jsonread"
 )
 
-// List is what discovery tells: the whole list of endpoints, or what changed.
+// List is a message of discovery: the full list of endpoints, or the changes since an earlier version.
 type List struct {
-	Index     int64 // its version
-	Whole     bool
+	Index     int64 // version of the list
+	Whole     bool  // Endpoints is the full list, not changes
 	Endpoints []ListedEndpoint
-	Bytes     int // of the message's body that told it; 0 for one that came another way
+	Bytes     int // size of the message body that held it; 0 if it came from elsewhere
 }
 
-// StatusError is an answer of discovery with a status other than 200.
+// StatusError is the error for an answer of discovery with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error is error's.
+// Error implements error.
 func (e StatusError) Error() string { return "answered " + strconv.Itoa(e.Status) }
 
-// ListedEndpoint is one line of a list.
+// ListedEndpoint is one entry of a list.
 type ListedEndpoint struct {
 	Name    string // the same at every sidecar
-	Address string // where this sidecar reaches it
+	Address string // under which this sidecar reaches it
 	Zone    string
 	Cell    int
 	State   decide.EndpointState
 	Weight  float64
-	Since   time.Duration // its last start since the Unix epoch; 0 for long ago
+	Since   time.Duration // time of its last start since the Unix epoch; 0 for long ago
 }
 
-// maxList bounds an answer of discovery, in bytes: some ten thousand endpoints.
+// maxList is the largest answer of discovery, in bytes: enough for some ten thousand endpoints.
 const maxList = 4 << 20
 
 var stateByStatus = map[string]decide.EndpointState{
 	"SERVING": decide.Active, "DRAINING": decide.Draining, "DELETED": decide.Gone,
 }
 
-// EncodeWatch asks for what is newer than a version, waiting so long for it.
+// EncodeWatch encodes a call for changes after a version. Discovery waits up to the given time for one.
 func EncodeWatch(after int64, wait time.Duration) []byte {
 	return encodeGet(fmt.Sprintf("%s?after=%d&wait_ms=%d", pathHosts, after, wait.Milliseconds()))
 }
 
-// EncodeFetch asks for the whole list.
+// EncodeFetch encodes a call for the full list.
 func EncodeFetch() []byte { return encodeGet(pathHosts) }
 
 func encodeGet(uri string) []byte {
@@ -61,8 +61,7 @@
 	return h.AppendBytes(nil)
 }
 
-// DecodeListReply reads discovery's answer, and whether the connection may be
-// used again.
+// DecodeListReply reads discovery's answer. It also reports whether the connection may be used again.
 func DecodeListReply(r *bufio.Reader) (List, bool, error) {
 	m := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(m)
@@ -83,7 +82,7 @@
 	return list, keep, err
 }
 
-// DecodeList reads a list, from discovery or from the configuration.
+// DecodeList reads a list from discovery or from the configuration.
 func DecodeList(v *fastjson.Value) (List, error) {
 	o, err := jsonread.New(v)
 	if err != nil {
--- a/internal/httpwire/link.go
+++ b/internal/httpwire/link.go
@@ -14,20 +14,18 @@
 	"heathgap/internal/env"
 )
 
-// Link is a connection of this sidecar's own making, to an endpoint or to
-// discovery. It carries one exchange at a time.
+// Link is a connection that this sidecar opened, to an endpoint or to discovery. It carries one exchange at a time.
 //
-// fasthttp's client is not used here. It can be kept from resending, but its
-// errors do not tell whether a message's last byte was written, which decides
-// whether the endpoint may have run it, and an exchange under way cannot be
-// called off, nor kept from being written once its connection stands. Its codecs
-// are used, on connections that tell and allow that.
+// fasthttp's client is not used. It can be kept from resending, but its errors do not say whether the last byte of a
+// message was written, which decides whether the endpoint may have run the request. An exchange in progress cannot be
+// canceled either, nor be kept from being written once the connection is up. Link uses fasthttp's codecs on a connection
+// that allows both.
 type Link struct {
 	conn     net.Conn
 	in       *bufio.Reader
-	deadline time.Time // the deadline of the exchange at hand
+	deadline time.Time // of the exchange in progress
 	closed   atomic.Bool
-	Uses     int // exchanges begun on it
+	Uses     int // exchanges started on it
 }
 
 // Dial opens a connection. It fails when the context ends or timeout passes.
@@ -39,15 +37,15 @@
 	return &Link{conn: conn, in: bufio.NewReaderSize(&stickyErrReader{Reader: conn}, MaxHead)}, nil
 }
 
-// stickyErrReader keeps the failure of a connection that has broken. Guards against a reset that is taken for an end: the
-// kernel tells of it once and reads as io.EOF from then on, and a look ahead (Peek) may have had that one word. A
-// deadline that has passed is no failure: the next read may go on.
+// stickyErrReader returns the first error of a connection for all later reads. Guards against taking a reset for the end
+// of an answer: the kernel reports a reset once and io.EOF from then on, and a Peek may have consumed that one report. A
+// read that exceeded its deadline is not such an error: the next read may continue.
 type stickyErrReader struct {
 	io.Reader
 	err error
 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (r *stickyErrReader) Read(b []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -59,8 +57,8 @@
 	return n, err
 }
 
-// Send writes a message once, until the deadline at most. It tells whether the
-// last byte was written: without it, the message has never run.
+// Send writes a message, at the latest until the deadline. It reports whether the last byte was written: if not, the
+// endpoint has never run the request.
 func (l *Link) Send(message []byte, deadline time.Time) (complete bool, err error) {
 	l.Uses++
 	l.deadline = deadline
@@ -71,29 +69,29 @@
 	return n == len(message), err
 }
 
-// SetReadDeadline sets until when the answer to what was sent is waited for.
+// SetReadDeadline sets the time until which the answer is awaited.
 func (l *Link) SetReadDeadline(deadline time.Time) error {
 	l.deadline = deadline
 	return l.conn.SetDeadline(deadline)
 }
 
-// Reader is where the answer to what was sent is read.
+// Reader returns the reader of the answers.
 func (l *Link) Reader() *bufio.Reader { return l.in }
 
-// Close ends the connection; it may be called at any time and more than once.
+// Close closes the connection. It may be called at any time, from any goroutine and more than once.
 func (l *Link) Close() {
 	if !l.closed.Swap(true) {
 		l.conn.Close()
 	}
 }
 
-// Usable tells whether an idle connection still stands and is silent: what is
-// written to one that the other side has ended would count as a reset.
+// Usable reports whether an idle connection is still open and has no unexpected bytes to read. A request that is written
+// to a connection which the other side has closed would count as a reset.
 func (l *Link) Usable() bool {
 	if l.closed.Load() || l.in.Buffered() > 0 {
 		return false
 	}
-	if reporter, ok := l.conn.(interface{ Fresh() bool }); ok { // it knows by itself
+	if reporter, ok := l.conn.(interface{ Fresh() bool }); ok { // simulated connections know it themselves
 		return reporter.Fresh()
 	}
 	raw, ok := l.conn.(syscall.Conn)
--- a/internal/httpwire/reason.go
+++ b/internal/httpwire/reason.go
@@ -1,36 +1,36 @@
 package httpwire
 
-// Reason says why a connection ended. The codes stand in the log, one line a
-// connection; docs/oncall.md says what each means.
+// Reason is the code that says why a connection ended. It is written in the log line of that connection; docs/oncall.md
+// explains each code.
 type Reason string
 
-// Reasons on either side.
+// Reasons for connections of either kind: to callers, or to endpoints and discovery.
 const (
-	ReasonPeerClosed Reason = "peer_closed" // the other side ended it between messages
-	ReasonPeerReset  Reason = "peer_reset"  // it broke
-	ReasonIdle       Reason = "idle"        // it stood idle for too long
+	ReasonPeerClosed Reason = "peer_closed" // the other side closed it between two messages
+	ReasonPeerReset  Reason = "peer_reset"  // the other side reset it, or it failed
+	ReasonIdle       Reason = "idle"        // it was idle for too long
 	ReasonShutdown   Reason = "shutdown"    // this sidecar is stopping
-	ReasonConnLimit  Reason = "room"        // it made room: too many were open
+	ReasonConnLimit  Reason = "room"        // closed to stay within the limit of connections
 )
 
-// Reasons on the callers' side.
+// Reasons for connections of callers.
 const (
-	ReasonCallerLeft  Reason = "caller_left"  // its caller went while a request was held
-	ReasonBadRequest  Reason = "bad_request"  // what came was no request
-	ReasonAskedClose  Reason = "asked_close"  // caller or answer said Connection: close
+	ReasonCallerLeft  Reason = "caller_left"  // its caller disconnected while its request was pending
+	ReasonBadRequest  Reason = "bad_request"  // what it sent was not a valid request
+	ReasonAskedClose  Reason = "asked_close"  // the caller or the answer said Connection: close
 	ReasonWriteFailed Reason = "write_failed" // an answer could not be written
 )
 
-// Reasons on the endpoints' side, and discovery's.
+// Reasons for connections to endpoints and to discovery.
 const (
-	ReasonDialFailed Reason = "dial_failed" // it never came up
-	ReasonNotWritten Reason = "not_written" // it broke before a request's last byte
-	ReasonBroken     Reason = "broken"      // it broke, or what came was no answer
-	ReasonGivenUp    Reason = "given_up"    // its attempt was given up
+	ReasonDialFailed Reason = "dial_failed" // it was never established
+	ReasonNotWritten Reason = "not_written" // it broke before the last byte of a request was written
+	ReasonBroken     Reason = "broken"      // it broke, or what came was not a valid answer
+	ReasonGivenUp    Reason = "given_up"    // its attempt was given up before its answer was complete
 	ReasonPeerClose  Reason = "peer_close"  // the answer said Connection: close
-	ReasonSilent     Reason = "silent"      // discovery's answer was overdue
+	ReasonSilent     Reason = "silent"      // discovery did not answer in time
 	ReasonMoved      Reason = "moved"       // a reload names another discovery
-	ReasonHandedOver Reason = "handed_over" // another process goes on with its long answer
-	ReasonBanned     Reason = "banned"      // its endpoint was banned by hand
+	ReasonHandedOver Reason = "handed_over" // another process of this sidecar continues its long answer
+	ReasonBanned     Reason = "banned"      // an operator banned its endpoint
 	ReasonUnlisted   Reason = "unlisted"    // its endpoint has left the list or restarted
 )
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -12,40 +12,39 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Request is what a caller asks for.
+// Request is a request of a caller.
 type Request struct {
 	ID        string
 	Class     string
 	Tenant    string
-	Key       string        // drops repeats of a keyed class; empty elsewhere
-	Labels    string        // further figures, as they came
-	Remaining time.Duration // how long the caller will wait
-	Work      time.Duration // expected work; 0 when unknown
-	Repeat    bool          // a client's repeat, where clients mark it
+	Key       string        // idempotency key, by which endpoints drop repeats; empty for classes without keys
+	Labels    string        // further hints, as they came
+	Remaining time.Duration // how long the caller still waits
+	Work      time.Duration // expected work; 0 if unknown
+	Repeat    bool          // the client marked it as a repeat of an earlier request
 	Method    string
 	URI       string // path and query, as they came
-	Type      string // of the body's content
+	Type      string // Content-Type of the body
 	Body      []byte
-	Upload    *Upload // of a long body, of which Body is the beginning; nil for one that is whole
+	Upload    *Upload // the rest of a long body, of which Body is the beginning; nil if Body is complete
 }
 
-// Bounds of what a caller may say.
+// Limits of what a caller may send.
 const (
-	// An hour is past any deadline, and arithmetic on more could overflow. Who says
-	// more does not know how long it waits.
+	// An hour is longer than any deadline, and arithmetic on more could overflow. A caller that claims to wait longer
+	// does not know how long it waits.
 	maxRemaining = time.Hour
-	// Bytes of an id, a tenant's name or a key: what is kept of a request and written
-	// on. Most are a fifth of that.
+	// In bytes, of an ID, a tenant's name or a key: these are kept while the request is pending and are forwarded. Most
+	// are a fifth of that.
 	maxName = 256
 )
 
-// ErrFraming is the fault of a message that two readers could end, or name, in two
-// ways: one of them may find another request hidden in it. Nothing that follows it
-// on its connection can be trusted.
+// ErrFraming is the error for a message whose end or ID two parsers could read differently: one of them might find
+// another request hidden in it. Nothing that follows it on its connection can be trusted.
 var ErrFraming = errors.New("ambiguous message")
 
-// DecodeRequest reads the head of a caller's request. What it returns shares no memory
-// with m, which is used again for the next request.
+// DecodeRequest reads the head of a caller's request. The result shares no memory with m, which is reused for the next
+// request.
 func DecodeRequest(m *fasthttp.Request) (Request, error) {
 	h := &m.Header
 	if err := checkFraming(h); err != nil {
@@ -89,7 +88,7 @@
 	return r, nil
 }
 
-// pathAndQuery returns path and query of a request's target, which may be absolute.
+// pathAndQuery returns the path and query of a request target, which may be an absolute URI.
 func pathAndQuery(uri []byte) []byte {
 	scheme, rest, absolute := bytes.Cut(uri, []byte("://"))
 	if !absolute || !bytes.EqualFold(scheme, []byte("http")) {
@@ -105,7 +104,7 @@
 	}
 }
 
-// classOf returns the first part of a request's path.
+// classOf returns the first segment of a request's path, which names its class.
 func classOf(uri []byte) (string, error) {
 	if len(uri) == 0 || uri[0] != '/' {
 		return "", fmt.Errorf("path: %q does not begin with /", uri)
@@ -120,10 +119,9 @@
 	return string(part), nil
 }
 
-// checkFraming looks at a head as it came. fasthttp turns down lengths that are
-// repeated, signed or too large, and codings that it does not know; it takes both a
-// length and a coding, lines that end in a bare line feed or go on in the next, and
-// the first of several ids.
+// checkFraming checks the raw head of a request. fasthttp rejects lengths that are repeated, signed or too large, and
+// transfer codings that it does not know. It accepts a message with both a length and a coding, lines that end in a bare
+// line feed, folded lines, and several IDs, of which it takes the first.
 func checkFraming(h *fasthttp.RequestHeader) error {
 	length, coding := false, false
 	for rest := h.RawHeaders(); len(rest) > 0; {
@@ -150,8 +148,8 @@
 	return nil
 }
 
-// parseSeconds reads seconds with decimals. ParseFloat alone would take infinity,
-// exponents and hexadecimal numbers too.
+// parseSeconds parses a decimal number of seconds. ParseFloat alone would also accept infinity, exponents and
+// hexadecimal numbers.
 func parseSeconds(v []byte) (time.Duration, error) {
 	s, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || len(bytes.Trim(v, "0123456789.")) > 0 || s > maxRemaining.Seconds() {
@@ -160,16 +158,15 @@
 	return time.Duration(math.Round(s*1e6)) * time.Microsecond, nil
 }
 
-// appendSeconds writes a time in seconds, down to the microsecond.
+// appendSeconds appends a duration in seconds, with microsecond resolution.
 func appendSeconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1e6, 'f', -1, 64)
 }
 
-// labelWork is the label that tells a request's expected work, in milliseconds.
+// labelWork is the label that holds the expected work of a request, in milliseconds.
 const labelWork = "hint"
 
-// expectedWork reads the expected work from a request's labels; 0 if they do not
-// tell it.
+// expectedWork returns the expected work given in a request's labels; 0 if they give none.
 func expectedWork(labels string) time.Duration {
 	for label := range strings.SplitSeq(labels, ",") {
 		if value, ok := strings.CutPrefix(label, labelWork+"="); ok {
@@ -184,8 +181,8 @@
 	return 0
 }
 
-// EncodeAttempt writes the request as it goes to an endpoint: method, path,
-// query, body, id and key as they came, and how long its answer is waited for.
+// EncodeAttempt encodes the request for an endpoint: method, path, query, body, ID and key as they came, and wait as the
+// time for which the answer is awaited.
 func EncodeAttempt(r *Request, wait time.Duration) []byte {
 	var h fasthttp.RequestHeader
 	h.SetNoDefaultContentType(true)
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -20,51 +20,50 @@
 	"heathgap/internal/env"
 )
 
-// What is long goes through small buffers, a piece at a time, as fast as its slower
-// side goes. What holds MaxWhole bytes at most is read whole instead, so that it can
-// be tried again.
+// Long bodies, in both directions, go through small buffers, one piece at a time, as fast as the slower side allows.
+// Bodies of at most MaxBuffered bytes are read completely instead, so that they can be retried.
 
-// pieceSize is the most of a long body that is read before it is written on, in bytes:
-// few system calls for each megabyte, and some hundred of them are few megabytes.
+// pieceSize is the most that is read of a long body before it is written, in bytes. It takes few system calls per
+// megabyte, and a few hundred buffers of that size take few megabytes.
 const pieceSize = 16 << 10
 
-// pieceStall is how long a peer may let a long body stand still. Peers take seconds to
-// read or write; one that does nothing for so long never will.
+// pieceStall is how long a peer may make no progress with a long body. Slow peers take seconds to read or write; one
+// that does nothing for that long never will.
 const pieceStall = 10 * time.Second
 
 var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
-// Bounds of a body that its caller sends, as time that the sidecar waits for it.
+// Limits on the time that the sidecar waits for a body of a caller.
 const (
-	// For the next bytes, and for all beyond what the rate gives: who sends no more is
-	// owed an end within 3 s.
+	// For the next bytes, and in total beyond the time that minBodyRate allows. A caller that stops sending must get an
+	// answer or a close within 3 s.
 	bodyGrace   = 2500 * time.Millisecond
 	minBodyRate = 32 << 10 // bytes a second: half of what slow callers are known to send
 )
 
-// bodyProgress is how fast a body comes. Only time spent waiting for the caller counts: a
-// slow endpoint holds a fast caller up.
+// bodyProgress tracks how fast a body comes. Only time spent waiting for the caller counts: a slow endpoint may hold up
+// a fast caller.
 type bodyProgress struct {
 	received int
 	waited   time.Duration
 }
 
-// timeLeft is how long may be waited for the next piece.
+// timeLeft returns how long to wait for the next piece.
 func (p *bodyProgress) timeLeft() time.Duration {
 	return min(bodyGrace, bodyGrace+time.Duration(p.received)*time.Second/minBodyRate-p.waited)
 }
 
-// ErrBody is the fault of a body that is too long, too slow or broken off.
+// ErrBody is the error for a body that is too long, too slow or truncated.
 var ErrBody = errors.New("body")
 
-// ErrDisconnected is the fault of a body whose caller has gone when its last bytes are about to be written.
+// ErrDisconnected is the error for a body whose caller has disconnected before its last bytes were forwarded.
 var ErrDisconnected = fmt.Errorf("%w: its caller has gone", ErrBody)
 
-// errStopped is what a read of a body ends with that nobody wants any more.
+// errStopped is the error of reads after Stop.
 var errStopped = errors.New("no more of the body is wanted")
 
-// ReadBody reads the body of a request whose head has come: whole, or, where it is
-// long, its first bytes and the Upload that brings the rest.
+// ReadBody reads the body of a request whose head has been read: completely, or, if it is long, its first bytes and an
+// Upload for the rest.
 func ReadBody(ctx *fasthttp.RequestCtx, conn *CallerConn) ([]byte, *Upload, error) {
 	stream, length := ctx.RequestBodyStream(), ctx.Request.Header.ContentLength()
 	if stream == nil || length == 0 {
@@ -97,30 +96,30 @@
 	}
 }
 
-// Upload is what its caller has still to send of a long body. It goes to one attempt.
+// Upload is the part of a long body that its caller has still to send. Only one attempt can get it.
 type Upload struct {
-	Length  int // of the whole body in bytes; below 0 where only its end tells
+	Length  int // of the whole body in bytes; below 0 if unknown
 	body    io.Reader
 	conn    *CallerConn
 	claimed atomic.Bool
 
-	mu       sync.Mutex // held while a read is under way
+	mu       sync.Mutex // held during a read
 	received int
 	finished bool
 	err      error
-	done     chan struct{} // closed when the body has ended, well or not
+	done     chan struct{} // closed when the body has ended, complete or not
 }
 
-// Claim gives the rest to an attempt, once: it can't be sent twice.
+// Claim assigns the upload to an attempt and reports whether it was free: it can be sent only once.
 func (u *Upload) Claim() bool { return !u.claimed.Swap(true) }
 
-// Done is closed when the body has come to its end, or never will.
+// Done returns a channel that is closed when the body has ended, or will not be read any more.
 func (u *Upload) Done() <-chan struct{} { return u.done }
 
-// Err is how it has ended, once Done is closed: nil if it has come whole.
+// Err returns the error with which the body ended, once Done is closed; nil if it is complete.
 func (u *Upload) Err() error { return u.err }
 
-// Read reads on. It ends with io.EOF only when the body is whole.
+// Read implements io.Reader. It returns io.EOF only when the body is complete.
 func (u *Upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -135,7 +134,7 @@
 	case u.received > MaxBody:
 		err = fmt.Errorf("%w: %d bytes are allowed", errTooLong, MaxBody)
 	case err == io.EOF && u.Length >= 0 && u.received < u.Length:
-		err = io.ErrUnexpectedEOF // fasthttp's stream takes an early end for the end
+		err = io.ErrUnexpectedEOF // fasthttp's stream takes a premature end for the end of the body
 	case err == nil && u.received == u.Length:
 		err = io.EOF
 	}
@@ -145,7 +144,7 @@
 	return n, err
 }
 
-// finish books the end; u.mu is held.
+// finish records that the body has ended; u.mu is held.
 func (u *Upload) finish(err error) {
 	if u.finished {
 		return
@@ -154,12 +153,12 @@
 	if err != io.EOF {
 		u.err = err
 	}
-	// Who has broken off or stands still sends nothing that would have to be read.
+	// A caller that broke off or stalled sends nothing more that would have to be read before the close.
 	u.conn.bodyEnded(!errors.Is(err, errStopped) && !errors.Is(err, errTooLong))
 	close(u.done)
 }
 
-// Stop ends reading: when it returns, nobody reads the caller's connection for a body.
+// Stop ends reading. When it returns, no goroutine reads the caller's connection for this body.
 func (u *Upload) Stop() {
 	u.conn.stopBody()
 	u.mu.Lock()
@@ -167,8 +166,8 @@
 	u.finish(errStopped)
 }
 
-// WriteUpload writes the rest of a body behind what Send has written, as it comes. It
-// tells whether the last byte was written. An error that wraps ErrBody is the caller's.
+// WriteUpload writes the rest of a body after what Send has written, as it comes. It reports whether the last byte was
+// written. An error that wraps ErrBody is the caller's fault.
 func (l *Link) WriteUpload(u *Upload, environment env.Env) (complete bool, err error) {
 	buf := pieceBuffers.Get().(*[pieceSize]byte)
 	defer pieceBuffers.Put(buf)
@@ -179,7 +178,7 @@
 		}
 		last := err == io.EOF
 		if last && u.conn.Disconnected() {
-			return false, ErrDisconnected // an endpoint begins with the last byte
+			return false, ErrDisconnected // an endpoint starts to run a request with its last byte
 		}
 		if err := l.writePiece(buf[:n], u.Length < 0, last, environment); err != nil {
 			return false, err
@@ -190,7 +189,7 @@
 	}
 }
 
-// writePiece writes a piece, framed as a chunk where the length is not told.
+// writePiece writes a piece, framed as a chunk if the length of the body is unknown.
 func (l *Link) writePiece(b []byte, chunked, last bool, environment env.Env) error {
 	if chunked {
 		framed := make([]byte, 0, len(b)+len("\r\n")+chunkFrame)
@@ -215,48 +214,47 @@
 
 // Framing of chunks.
 const (
-	chunkFrame = 24 // bytes that it takes at most beside the piece
+	chunkFrame = 24 // bytes that the framing of a piece takes at most
 	lastChunk  = "0\r\n\r\n"
 )
 
-// errHandedOver ends the writing of a response that another process goes on with.
+// errHandedOver ends the writing of a response that another process continues.
 var errHandedOver = errors.New("another process goes on")
 
-// How a long answer ended on its way.
+// How the streaming of a long answer ended.
 const (
 	AnswerComplete   AnswerEnd = iota // all of it is written
-	AnswerBrokenOff                   // its endpoint broke it off, or it was longer than may be
-	AnswerCallerGone                  // its caller has gone
-	AnswerHandedOver                  // another process goes on with it
+	AnswerBrokenOff                   // its endpoint broke it off, or it exceeded MaxAnswer
+	AnswerCallerGone                  // its caller has disconnected
+	AnswerHandedOver                  // another process continues it
 )
 
-// AnswerEnd is how the passing on of a long answer has ended.
+// AnswerEnd says how the streaming of a long answer ended.
 type AnswerEnd uint8
 
-// AnswerStream is a long answer that is passed on as it comes: fasthttp writes it as the
-// body of a response. It ends once.
+// AnswerStream is a long answer that is streamed to its caller: fasthttp writes it as the body of a response. It ends
+// exactly once.
 type AnswerStream struct {
-	Length       int // of the whole body in bytes; below 0 where only its end tells
+	Length       int // of the whole body in bytes; below 0 if unknown
 	Class        string
-	WithLength   bool // it is written with its length, not in chunks: for callers of HTTP/1.0
+	WithLength   bool // write it with its length, not in chunks: for callers that speak HTTP/1.0
 	beginning    []byte
 	body         io.Reader
 	link         *Link
 	caller       atomic.Pointer[CallerConn]
 	env          env.Env
-	onEnd        func(AnswerEnd) // set by Pass; nil before, and after the end
+	onEnd        func(AnswerEnd) // set by OnEnd; nil before, and after the end
 	handOverFunc atomic.Pointer[HandOverFunc]
 }
 
-// HandOverFunc hands a long answer to another process: what it needs to go on, as text, and the
-// connections of its caller and its endpoint.
+// HandOverFunc hands a long answer over to another process: the state from which that continues, as JSON, and the
+// connections of the caller and the endpoint.
 type HandOverFunc func(state []byte, caller, endpoint syscall.Conn) error
 
-// OnEnd says who is told of the end, once.
+// OnEnd sets the function that is called once, when the stream ends.
 func (a *AnswerStream) OnEnd(onEnd func(AnswerEnd)) { a.onEnd = onEnd }
 
-// HandOver has the answer handed to another process at the next piece. It may be called
-// at any time.
+// HandOver requests that the answer be handed over to another process at the next piece. It may be called at any time.
 func (a *AnswerStream) HandOver(handOver HandOverFunc) {
 	a.handOverFunc.Store(&handOver)
 	a.link.conn.SetReadDeadline(pastDeadline)
@@ -265,21 +263,22 @@
 	}
 }
 
-// SetConn says whose connection it is written to.
+// SetConn sets the caller's connection, to which the answer is written.
 func (a *AnswerStream) SetConn(conn *CallerConn) { a.caller.Store(conn) }
 
-// AnswerHandover is what another process needs to go on with a long answer.
+// AnswerHandover is the state with which another process continues a long answer. It is sent as JSON, possibly to
+// another version of the program: its field names are fixed.
 type AnswerHandover struct {
 	Class    string
-	Unsent   []byte // read and not written
-	Buffered []byte // read from the endpoint's connection, and not unframed
-	Left     int    // bytes that are left of the body, or of the chunk at hand; below 0: to the connection's end
+	Unsent   []byte // read from the endpoint, but not yet written to the caller
+	Buffered []byte // read from the endpoint's connection, but not yet parsed as chunks
+	Left     int    // missing bytes of the body, or of the current chunk; below 0 if the body lasts to the connection's end
 	Chunked  bool
-	Behind   bool // a chunk has come whole, and the end of its line has not
-	Total    int64
+	Behind   bool  // all bytes of a chunk have come, but not yet its line end
+	Total    int64 // bytes of the body so far
 }
 
-// tryHandOver hands it over, and tells whether it has.
+// tryHandOver hands the answer over and reports whether it did.
 func (a *AnswerStream) tryHandOver(handOver HandOverFunc, total int64) bool {
 	conn := a.caller.Load()
 	if a.WithLength {
@@ -303,8 +302,8 @@
 	return true
 }
 
-// ResumeAnswer passes on what another process has begun to: it writes to the caller what is
-// left of the answer, and ends both connections.
+// ResumeAnswer continues an answer that another process has begun to stream: it writes the rest to the caller and closes
+// both connections.
 func ResumeAnswer(handover *AnswerHandover, caller, endpoint net.Conn, environment env.Env) AnswerEnd {
 	defer caller.Close()
 	defer endpoint.Close()
@@ -337,15 +336,15 @@
 	}
 }
 
-// SupportsBodyWriteTo has fasthttp use WriteTo.
+// SupportsBodyWriteTo makes fasthttp call WriteTo.
 func (a *AnswerStream) SupportsBodyWriteTo() bool { return true }
 
-// Read is io.Reader's, which fasthttp asks of bodies; WriteTo is what it uses.
+// Read implements io.Reader, which fasthttp requires of bodies. It always fails: fasthttp uses WriteTo.
 func (a *AnswerStream) Read([]byte) (int, error) {
 	return 0, errors.New("a long answer is written, not read")
 }
 
-// WriteTo writes all of it. On an error what is written must not look whole.
+// WriteTo writes the whole body. After an error, what was written must not look complete.
 func (a *AnswerStream) WriteTo(w io.Writer) (int64, error) {
 	n, err := w.Write(a.beginning)
 	total := int64(n)
@@ -392,7 +391,7 @@
 	}
 }
 
-// Close is called when it is written, or never will be.
+// Close is called when the answer is written, or will never be.
 func (a *AnswerStream) Close() error {
 	a.finish(AnswerCallerGone)
 	return nil
