--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -149,7 +149,7 @@
 	initialBodySize   = 4 << 10 // size of the first buffer in bytes, reserved before any of the body has come: most bodies are smaller
 	maxInterim        = 16      // interim answers (1xx) before the final one
 	errTooLong        = bodyError("body too long")
-	errNoMemory       = bodyError("no room left for the body")
+	errNoMemory       = bodyError("no room left for the body in the memory budget for answers")
 	errTooManyInterim = bodyError("too many interim answers")
 )
 
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -659,7 +659,7 @@
 }
 
 // stopLinger ends the lingering of a connection and reports whether it did. Guards against callers that keep descriptors
-// in use that way: while connections are short, lingering takes minIdleTime at most.
+// in use that way: while connections are short, lingering ends after minIdleTime.
 func (c *CallerConn) stopLinger() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -219,7 +219,7 @@
 )
 
 // errHandedOver ends the writing of a response that another process continues.
-var errHandedOver = errors.New("another process goes on")
+var errHandedOver = errors.New("another process goes on with the answer")
 
 // How the streaming of a long answer ended.
 const (
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -21,10 +21,10 @@
 	"heathgap/internal/takeover"
 )
 
-const logLines = 4096 // kept for a log that is read slowly; beyond them lines are dropped, so that nobody waits
+const logLines = 4096 // buffered for a slow reader of the log; beyond that lines are dropped, so that logging never blocks
 
-// Process runs a sidecar that only its environment tells what to do: BALANCER_*,
-// and the path of an operator's file where there is one.
+// Process runs a sidecar that is configured by its environment alone: the variables BALANCER_*, and the path of an
+// operator's file if there is one. It returns the exit code of the process.
 func Process() int {
 	file, err := operator.FromEnv(os.Getenv)
 	if err == nil && file.Cluster != nil {
@@ -38,15 +38,14 @@
 	return Main(Options{Operator: file})
 }
 
-// Main runs a sidecar as a process until it is told to stop, and returns the
-// process's exit code.
+// Main runs a sidecar as a process until a signal stops it, and returns the exit code of the process.
 func Main(opts Options) int {
-	runtime.GOMAXPROCS(1) // it has one core at most, and shares that
+	runtime.GOMAXPROCS(1) // a sidecar has one core at most, and shares it
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	var dropped atomic.Int64
-	// Guards against a panic that nobody reads: the log's end must not close what a panic is written to.
+	// Guards against a panic that is not written: closing the log must not close the file that a panic is written to.
 	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(missed int) { dropped.Add(int64(missed)) })
-	defer out.Close() // writes what is left
+	defer out.Close() // writes the buffered lines
 	log := zerolog.New(out).With().Timestamp().Logger()
 	sig := notifySignals()
 	conf, err := config.Load(os.Getenv)
@@ -59,7 +58,7 @@
 		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", limit).Msg("the process may hold fewer descriptors than limits.sockets")
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
-	if conf.Console != "" { // READY is how the platform learns that a successor serves
+	if conf.Console != "" { // by READY the platform learns that a successor is ready
 		opts.TakeoverSocket = takeover.SocketPath(os.TempDir(), conf.Name, conf.Listen)
 	}
 	sidecar, err := Start(conf, log, opts)
@@ -74,7 +73,7 @@
 	return code
 }
 
-// descriptorLimit is how many the process may hold.
+// descriptorLimit returns how many descriptors the process may hold.
 func descriptorLimit() uint64 {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
@@ -83,12 +82,11 @@
 	return limit.Cur
 }
 
-// signals are those that a sidecar heeds, a channel each: one that repeats must
-// not take another's place.
+// signals are the channels of the signals that a sidecar handles. Each kind has its own: a repeated signal must not
+// displace one of another kind.
 type signals struct{ stop, reload, report chan os.Signal }
 
-// notifySignals is called before anything else: a signal that comes early must wait,
-// not end the process.
+// notifySignals is called before anything else: a signal that comes early must wait, not end the process.
 func notifySignals() signals {
 	s := signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -97,8 +95,8 @@
 	return s
 }
 
-// handleSignals heeds signals until one says to stop, or the server ends. A SIGHUP that
-// comes during a reload brings one more; those that come during a stop are nothing.
+// handleSignals handles signals until one says to stop, or the server ends, and returns the exit code. A SIGHUP during a
+// reload causes one more reload; signals during a stop have no effect.
 func (s *Sidecar) handleSignals(sig signals, env func(string) string) int {
 	for {
 		select {
@@ -116,8 +114,8 @@
 	}
 }
 
-// reload takes over what a changed configuration may change in a running sidecar:
-// the address of discovery. A faulty one changes nothing.
+// reload applies what a changed configuration may change in a running sidecar: the address of discovery. An invalid
+// configuration changes nothing.
 func (s *Sidecar) reload(env func(string) string) {
 	next, err := config.Reload(env)
 	if err != nil {
@@ -125,7 +123,8 @@
 		return
 	}
 	if classes := next.ClassNames(); s.conf.IsForeign(classes) {
-		// Guards against another installation's file in this one's place: its discovery's endpoints are not ours.
+		// Guards against the file of another installation in place of this one: the endpoints of its discovery are not
+		// ours.
 		s.log.Error().Strs("classes", classes).Msg("another installation's configuration, the old one stays")
 		return
 	}
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -1,4 +1,4 @@
-// Package lifecycle starts a sidecar, runs it and stops it.
+// Package lifecycle starts a sidecar, runs it, replaces it by a new process and stops it.
 package lifecycle
 
 import (
@@ -19,53 +19,53 @@
 	"heathgap/internal/shadow"
 )
 
-// Figures of a sidecar's life.
+// Times and limits of a sidecar's life.
 const (
-	minStayTime = 600 * time.Millisecond // after the signal to stop: the front goes on dealing out connections
-	drainPoll   = 5 * time.Millisecond   // how often a stopping sidecar looks whether all is answered
+	minStayTime = 600 * time.Millisecond // after the signal to stop, the front still assigns new connections to this sidecar for a while
+	drainPoll   = 5 * time.Millisecond   // how often a stopping sidecar checks whether all requests are answered
 
-	// The platform kills what has not ended so long after the signal, or sooner
-	// where all deadlines are shorter than patientFor.
+	// The platform kills a process that has not ended that long after the signal to stop, or sooner if all deadlines are
+	// shorter than maxDeadlineWait.
 	killAfter       = maxDeadlineWait + 700*time.Millisecond
 	maxDeadlineWait = 3 * time.Second
-	finishGrace     = 550 * time.Millisecond // past the longest deadline or patientFor: what is held fails then
-	writeGrace      = 100 * time.Millisecond // after that, whatever is not written by then
-	// So long before what is held fails, a successor gets the long answers on their way.
+	finishGrace     = 550 * time.Millisecond // requests still pending that long after the longest deadline (maxDeadlineWait at most) fail
+	writeGrace      = 100 * time.Millisecond // that long after them the process ends, whatever has not been written
+	// That long before pending requests fail, long answers are handed over to a successor.
 	handOverLead = 550 * time.Millisecond
 
-	maxStreamTime = time.Minute // long answers that their endpoints still give go on so long, if the platform lets them
+	maxStreamTime = time.Minute // limit for long answers that endpoints are still sending, if the platform does not kill the process before
 
-	// A request's head must have come by then, the first so long after its connection:
-	// who sends nothing, or never the end, is owed a word or a close within 3 s.
+	// The head of a request must have come within that time; for the first, it counts from the connection's start. A
+	// caller that sends nothing, or never finishes, must get an answer or a close within 3 s.
 	readTimeout = 2500 * time.Millisecond
-	idleTimeout = 15 * time.Second // callers keep connections; what is forgotten ends at last
+	idleTimeout = 15 * time.Second // callers reuse connections; those that they have forgotten are closed in the end
 
-	spareWorkers = 256 // above the callers' connections: fasthttp must never refuse by itself
+	spareWorkers = 256 // more than there can be connections of callers: fasthttp must never refuse a connection itself
 )
 
 // Sidecar is a running sidecar.
 type Sidecar struct {
 	conf       *config.Config
 	log        zerolog.Logger
-	connEndLog zerolog.Logger // for ends of connections
+	connEndLog zerolog.Logger // for the lines on ended connections, which may be sampled
 	env        env.Env
 	engine     *pipeline.Engine
 	callers    *httpwire.Callers
 	server     *fasthttp.Server
-	console    *console.Console // nil where none is configured
-	cluster    Cluster          // nil for a sidecar in none
+	console    *console.Console // nil if none is configured
+	cluster    Cluster          // nil outside a cluster
 	upgrade    upgrade
 	cancel     context.CancelFunc
 	engineDone chan struct{} // closed when the engine has stopped
-	serverErr  chan error    // what the server ended with
+	serverErr  chan error    // the error with which the server ended
 
-	stayTime time.Duration // after the signal to stop, as before
+	stayTime time.Duration // how long a sidecar serves as before after the signal to stop
 }
 
-// Decider makes what decides in a sidecar.
+// Decider creates the decision module of a sidecar.
 type Decider func(conf *config.Config) (pipeline.Decider, error)
 
-// Module makes heathgap's decision module.
+// Module creates heathgap's decision module.
 func Module(conf *config.Config) (pipeline.Decider, error) {
 	balancer, err := decide.New(conf.Settings, conf.Seed)
 	if err != nil {
@@ -74,30 +74,30 @@
 	return balancer, nil
 }
 
-// Options are what a sidecar is started with beside its configuration.
+// Options are the parameters of a sidecar beside its configuration.
 type Options struct {
 	Operator       operator.File
-	TakeoverSocket string  // where the processes of an upgrade meet; empty for nowhere
-	Decider        Decider // nil for the module
-	Env            env.Env // nil for the real one
-	// Cluster makes the sidecar a member of a crew; nil for a sidecar in none.
+	TakeoverSocket string  // path of the Unix socket for upgrades; empty for no upgrades
+	Decider        Decider // nil for Module
+	Env            env.Env // nil for the real environment
+	// Cluster makes the sidecar a member of a cluster; nil for a sidecar outside a cluster.
 	Cluster func(conf *config.Config, world env.Env, log zerolog.Logger) (Cluster, error)
 }
 
-// Cluster is a sidecar's part in a crew: the rules on which its members agree.
+// Cluster is a sidecar's membership in a cluster, whose members agree on the rules.
 type Cluster interface {
 	pipeline.RulesSource
-	// Metrics appends those of its part, a line each.
+	// Metrics appends the metrics of the membership, one per line.
 	Metrics(text []byte) []byte
-	// Holdings are what its sidecars hold for one another; nil for nothing.
+	// Holdings returns the access to the replicated records of keyed requests; nil without them.
 	Holdings() pipeline.Holdings
-	// Leaving says that this process will stop, and may be given nothing more to hold.
+	// Leaving announces that this process will stop and must not get any more replicas.
 	Leaving()
-	// Stop leaves the crew.
+	// Stop ends the membership.
 	Stop()
 }
 
-// Start starts a sidecar; it takes requests when Start has returned.
+// Start starts a sidecar. When it returns, the sidecar accepts requests.
 func Start(conf *config.Config, log zerolog.Logger, opts Options) (*Sidecar, error) {
 	if opts.Decider == nil {
 		opts.Decider = Module
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	if set := opts.Operator.Shadow.Settings; set != nil {
-		// A seed of its own: the deciding one's random numbers stay as they are.
+		// A seed of its own: the random numbers of the deciding balancer stay the same with and without a shadow.
 		if balancer, err = shadow.New(balancer, *set, ^conf.Seed); err != nil {
 			return nil, fmt.Errorf("watch: %w", err)
 		}
@@ -163,8 +163,8 @@
 	return s, nil
 }
 
-// newServer returns the server for callers. It has no limits of its own: an
-// answer 429 or 503 of its making would be a refusal that nobody decided.
+// newServer returns the HTTP server for callers. The server must have no limits of its own: an answer 429 or 503 of its
+// making would be a refusal that the decision module has not decided.
 func newServer(engine *pipeline.Engine, conf *config.Config) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                      engine.Handle,
@@ -178,42 +178,41 @@
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
 		NoDefaultContentType:         true,
-		DisablePreParseMultipartForm: true, // bodies go on unchanged
+		DisablePreParseMultipartForm: true, // bodies are forwarded unchanged
 		Logger:                       discardLogger{},
 	}
 }
 
-// discardLogger drops fasthttp's own lines: each connection that ends has one already.
+// discardLogger drops the log lines of fasthttp: each connection that ends has its own line already.
 type discardLogger struct{}
 
-// Printf is fasthttp.Logger's.
+// Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// callerEnded writes the log line of a caller's connection.
+// callerEnded writes the log line of a caller's connection that has ended.
 func (s *Sidecar) callerEnded(c *httpwire.CallerConn, reason httpwire.Reason) {
 	s.connEndLog.Info().Str("side", "caller").Str("peer", c.RemoteAddr().String()).
 		Str("reason", string(reason)).Int("requests", c.Requests()).Msg("connection ended")
 }
 
-// Address is where callers connect.
+// Address returns the address at which callers connect.
 func (s *Sidecar) Address() string { return s.callers.Addr().String() }
 
-// Counters returns what the sidecar counts and holds.
+// Counters returns a snapshot of the counters and the current state.
 func (s *Sidecar) Counters() pipeline.Snapshot { return s.engine.Snapshot() }
 
-// Stop ends in order. At first all goes on but for new callers, who are told by
-// GET /up: what callers ask on the connections that they have might find no other
-// sidecar. When a request that comes may not be answered any more before the
-// platform kills the process, each answer becomes the last on its connection.
+// Stop stops the sidecar gracefully. At first it serves as before and only GET /up reports that it is not ready: callers
+// with open connections might find no other sidecar for their requests. From the time on at which a new request might no
+// longer be answered before the platform kills the process, each answer closes its connection.
 func (s *Sidecar) Stop() {
 	begin := s.env.Now()
 	s.engine.MarkUnready()
 	s.log.Info().Bool("succeeded", s.upgrade.replaced.Load()).Msg("stopping")
 	s.upgrade.stopping.Store(true)
 	if s.cluster != nil {
-		s.cluster.Leaving() // what it holds goes to others while its callers have their answers
+		s.cluster.Leaving() // its replicas move to other members while the callers get their answers
 	}
-	if !s.upgrade.replaced.Load() { // else callers find the other process already
+	if !s.upgrade.replaced.Load() { // otherwise new callers reach the other process already
 		s.env.Sleep(s.stayTime)
 	}
 	s.engine.Drain(true)
@@ -232,25 +231,25 @@
 	}
 	s.upgrade.close()
 	if s.cluster != nil {
-		s.cluster.Stop() // only now: what it has acted on until here the crew's rules allowed
+		s.cluster.Stop() // only now: until here the sidecar acts on the rules of the cluster
 	}
 	s.log.Info().Object("counters", s.engine.Snapshot()).Int("callers", s.callers.Open()).Msg("stopped")
 }
 
-// Abandon ends all at once, as the end of a process does: nothing is answered. A
-// simulated world calls it when it has cut the sidecar's connections.
+// Abandon ends everything at once, as a crash of the process does: nothing is answered. The simulator calls it after it
+// has cut the connections of the sidecar.
 func (s *Sidecar) Abandon() {
 	s.cancel()
 	s.callers.CloseNow()
 }
 
-// MoveDiscovery goes on with the list of another discovery.
+// MoveDiscovery switches to the list of another discovery.
 func (s *Sidecar) MoveDiscovery(discovery string) { s.engine.MoveDiscovery(discovery) }
 
-// Audit checks what the engine keeps; it must stand still meanwhile.
+// Audit checks the consistency of the engine's state. The engine must be idle meanwhile.
 func (s *Sidecar) Audit() error { return s.engine.Audit() }
 
-// awaitDrained waits until all callers have their answers, until a time at most.
+// awaitDrained waits until all callers have their answers, at the latest until the given time.
 func (s *Sidecar) awaitDrained(until time.Time) {
 	for (s.callers.Open() > 0 || s.engine.Resuming()) && s.env.Now().Before(until) {
 		s.callers.CloseIdle(httpwire.ReasonShutdown)
@@ -258,7 +257,7 @@
 	}
 }
 
-// finishTime is how long after the signal to stop what is still held fails.
+// finishTime returns how long after the signal to stop pending requests fail.
 func (s *Sidecar) finishTime() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.conf.Settings.Classes {
@@ -267,7 +266,7 @@
 	return min(longest, maxDeadlineWait) + finishGrace
 }
 
-// shortestAim is a time within which most answers come while all is well.
+// shortestAim returns the shortest target latency of all classes: most answers come within it while all is well.
 func (s *Sidecar) shortestAim() time.Duration {
 	shortest := s.conf.Settings.Classes[0].Aim
 	for _, class := range s.conf.Settings.Classes {
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -15,25 +15,25 @@
 	"heathgap/internal/takeover"
 )
 
-// Upgrade: one process of a sidecar takes the place of another under load. The rules
-// see one sidecar, and so do the limits: while both live, each keeps to half of them.
+// An upgrade replaces the process of a sidecar by a new one while callers are served. Both processes together count as
+// one sidecar, also for the limits: while both run, each keeps to half of them.
 
-// upgradeProcesses share the limits during an upgrade.
+// upgradeProcesses is the number of processes that share the limits during an upgrade.
 const upgradeProcesses = 2
 
-// upgrade is a process's part in one.
+// upgrade is the state of a process with regard to upgrades.
 type upgrade struct {
-	path        string         // where the processes meet; empty for nowhere
-	predecessor *takeover.Peer // the predecessor; nil without one
+	path        string         // of the Unix socket; empty for no upgrades
+	predecessor *takeover.Peer // nil without one
 	replaced    atomic.Bool    // a successor accepts callers
-	stopping    atomic.Bool    // the platform has said so
+	stopping    atomic.Bool    // the signal to stop has come
 
 	mu         sync.Mutex
-	peers      []*takeover.Peer            // that live: predecessor, successor
-	successors *takeover.SuccessorListener // for a successor; nil when there is none
+	peers      []*takeover.Peer            // those that are running: predecessor, successor
+	successors *takeover.SuccessorListener // accepts a successor; nil if none can come
 }
 
-// listen returns where callers connect: a predecessor's own listener if there is one.
+// listen returns the listener for callers: the predecessor's own if there is one.
 func (s *Sidecar) listen(socket string) (net.Listener, error) {
 	if s.upgrade.path = socket; socket == "" {
 		return s.env.Listen(s.conf.Listen)
@@ -58,7 +58,7 @@
 	return takeover.Listen(s.conf.Listen)
 }
 
-// addPeer counts the other process in.
+// addPeer adds a process to those that share the limits.
 func (s *Sidecar) addPeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
@@ -66,7 +66,7 @@
 	u.peers = append(u.peers, peer)
 }
 
-// removePeer counts it out. The limits are this process's alone again.
+// removePeer removes a process that has ended. Without any other, this process has the limits alone again.
 func (s *Sidecar) removePeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
@@ -77,16 +77,16 @@
 	}
 }
 
-// divideLimits keeps this process to a part of the limits.
+// divideLimits limits this process to its part of the limits.
 func (s *Sidecar) divideLimits(shares int) {
 	s.callers.SetLimit(s.conf.CallerConns / shares)
 	s.engine.SetConnShare(shares)
 	debug.SetMemoryLimit(s.conf.HeapBytes / int64(shares))
 }
 
-// replacePredecessor takes the predecessor's place, if there is one: when it returns, that has
-// stopped accepting, or does not answer. Guards against a predecessor that hangs, for
-// which nobody would serve: it stops when it goes on, and until then both accept.
+// replacePredecessor takes over from the predecessor, if there is one. When it returns, the predecessor has stopped
+// accepting or does not answer. Guards against a predecessor that hangs, which would leave nobody to serve: if it
+// continues it stops accepting, and until then both accept.
 func (s *Sidecar) replacePredecessor() {
 	peer := s.upgrade.predecessor
 	if peer == nil {
@@ -99,22 +99,22 @@
 	}
 }
 
-// predecessorHandler is what this process does for its predecessor.
+// predecessorHandler handles the messages of a predecessor.
 type predecessorHandler struct {
 	*Sidecar
 	peer *takeover.Peer
 }
 
-// StopAccepting is nothing that a predecessor asks for.
+// StopAccepting does nothing: a predecessor never asks for it.
 func (predecessorHandler) StopAccepting() {}
 
-// PeerEnded is takeover.Handler's.
+// PeerEnded implements takeover.Handler.
 func (s predecessorHandler) PeerEnded(bool) {
 	s.log.Info().Msg("the predecessor has ended")
 	s.removePeer(s.peer)
 }
 
-// awaitSuccessor lets a successor come.
+// awaitSuccessor lets a successor connect.
 func (s *Sidecar) awaitSuccessor(socket string, listener net.Listener) {
 	l, ok := listener.(syscall.Conn)
 	if socket == "" || !ok {
@@ -127,8 +127,8 @@
 		return state, successorHandler{s, peer, listener}, err
 	})
 	if err != nil {
-		// Guards against a folder that takes no socket: the sidecar serves, and its
-		// successor shares its address instead.
+		// Guards against a directory in which no socket can be created: the sidecar serves, and its successor listens on
+		// the same address beside it instead.
 		s.log.Warn().Err(err).Msg("no way in for a successor")
 		return
 	}
@@ -140,15 +140,14 @@
 	s.upgrade.successors = successors
 }
 
-// successorHandler is what this process does for its successor.
+// successorHandler handles the messages of a successor.
 type successorHandler struct {
 	*Sidecar
 	peer     *takeover.Peer
 	listener net.Listener
 }
 
-// StopAccepting stops accepting. What stands on the connections that there are is served, and
-// each answer is the last on its connection.
+// StopAccepting stops accepting. Requests on open connections are served, and each answer closes its connection.
 func (s successorHandler) StopAccepting() {
 	s.upgrade.replaced.Store(true)
 	s.callers.Pause()
@@ -158,7 +157,7 @@
 	go debug.FreeOSMemory()
 }
 
-// PeerEnded goes on as before if the successor has ended and this process is not to stop.
+// PeerEnded resumes accepting if the successor has ended and this process is not stopping.
 func (s successorHandler) PeerEnded(yielded bool) {
 	s.removePeer(s.peer)
 	if !yielded || s.upgrade.stopping.Load() {
@@ -171,11 +170,11 @@
 	s.awaitSuccessor(s.upgrade.path, s.listener)
 }
 
-// ResumeAnswer is takeover.Handler's.
+// ResumeAnswer implements takeover.Handler.
 func (s *Sidecar) ResumeAnswer(state []byte, caller, endpoint net.Conn) {
 	var handover httpwire.AnswerHandover
 	if err := json.Unmarshal(state, &handover); err != nil {
-		s.log.Warn().Err(err).Msg("a long answer of the other process")
+		s.log.Warn().Err(err).Msg("cannot continue a long answer of the other process: malformed state")
 		caller.Close()
 		endpoint.Close()
 		return
@@ -183,8 +182,7 @@
 	s.engine.ResumeAnswer(&handover, caller, endpoint)
 }
 
-// handOverAnswers gives the long answers that are still on their way to the successor, if
-// there is one.
+// handOverAnswers hands the long answers that are still being streamed over to the successor, if there is one.
 func (s *Sidecar) handOverAnswers() {
 	if !s.upgrade.replaced.Load() {
 		return
@@ -196,17 +194,17 @@
 	}
 }
 
-// AdoptBan is takeover.Handler's.
+// AdoptBan implements takeover.Handler.
 func (s *Sidecar) AdoptBan(name string, on bool) {
 	if err := s.engine.AdoptBan(name, on); err != nil {
 		s.log.Warn().Err(err).Msg("a ban of the other process")
 	}
 }
 
-// Ready is console.Operations'.
+// Ready implements console.Operations.
 func (s *Sidecar) Ready() bool { return s.engine.Ready() }
 
-// Metrics is console.Operations'.
+// Metrics implements console.Operations.
 func (s *Sidecar) Metrics() []byte {
 	text := s.engine.Metrics()
 	if s.cluster != nil {
@@ -215,10 +213,10 @@
 	return text
 }
 
-// Disable bans an endpoint here and in the other process of an upgrade.
+// Disable bans an endpoint, here and in the other process of an upgrade.
 func (s *Sidecar) Disable(name string) error { return s.setBan(name, true, s.engine.Disable) }
 
-// Enable ends a ban in both.
+// Enable ends a ban, here and in the other process of an upgrade.
 func (s *Sidecar) Enable(name string) error { return s.setBan(name, false, s.engine.Enable) }
 
 func (s *Sidecar) setBan(name string, on bool, apply func(string) error) error {
@@ -236,13 +234,13 @@
 	return nil
 }
 
-// close leaves the other process to itself.
+// close disconnects from the other processes and removes the socket, unless it is a successor's.
 func (u *upgrade) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.successors != nil {
 		u.successors.Close()
-		if !u.replaced.Load() { // else a successor's stands there
+		if !u.replaced.Load() { // otherwise the path holds a successor's socket
 			os.Remove(u.path)
 		}
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -1,9 +1,9 @@
-// Package takeover lets one process of a sidecar take the place of another under load:
-// the old one offers its listening descriptor and what it knows on a Unix socket, and
-// both tell each other of operators' calls until the old one ends.
+// Package takeover lets a new process of a sidecar take over from the old one while callers are being served. The old
+// process, the predecessor, sends its listening descriptor and its state over a Unix socket to the new one, the
+// successor. Until the predecessor ends, each tells the other of operators' bans.
 //
-// What is said, after one byte that carries the descriptor: JSON objects, each with one
-// thing in it (message). Both processes are the same user's; others are turned away.
+// The protocol: one byte that carries the listener's descriptor, then JSON objects, each with one message. Both
+// processes have to run as the same user; others are rejected.
 package takeover
 
 import (
@@ -25,46 +25,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// protocolVersion is that of what is said. A process that speaks another says so and starts as
-// if nobody had answered.
+// protocolVersion is the version of the protocol. A process that finds a predecessor with another version logs that and
+// starts as if there were none.
 const protocolVersion = 1
 
-// Times of the exchange: a new process has seconds to say that it serves, and a
-// predecessor that hangs must not cost it those.
+// Timeouts of the protocol: a new process has to be ready within seconds, and a predecessor that hangs must not use up
+// that time.
 const (
 	findTimeout  = 2 * time.Second        // for the descriptor and the state
-	stopTimeout  = time.Second            // for the old one's word that it has stopped accepting
-	replyTimeout = 400 * time.Millisecond // for the other's word on an operator's call, who waits 1 s at most
+	stopTimeout  = time.Second            // for the predecessor's message that it has stopped accepting
+	replyTimeout = 400 * time.Millisecond // for the other process's reply to a ban: the operator waits 1 s at most
 )
 
-// message is one thing that is said. Exactly one field beside Seq and On is set.
+// message is one message of the protocol. Exactly one field is set, apart from Seq and On, and Version, which comes with
+// State.
 type message struct {
-	Version       int             `json:"version,omitempty"` // with State
-	State         json.RawMessage `json:"state,omitempty"`   // what the old process knows
-	StopAccepting bool            `json:"take,omitempty"`    // the new one is about to accept
-	Stopped       bool            `json:"taken,omitempty"`   // the old one has stopped accepting
-	Ban           string          `json:"ban,omitempty"`     // an endpoint's name, with On and Seq
+	Version       int             `json:"version,omitempty"` // of the protocol, with State
+	State         json.RawMessage `json:"state,omitempty"`   // the predecessor's state
+	StopAccepting bool            `json:"take,omitempty"`    // the successor is about to accept
+	Stopped       bool            `json:"taken,omitempty"`   // the predecessor has stopped accepting
+	Ban           string          `json:"ban,omitempty"`     // name of an endpoint to ban (On) or to unban, with Seq
 	On            bool            `json:"on,omitempty"`
 	Seq           int             `json:"seq,omitempty"`
-	Applied       int             `json:"done,omitempty"` // the Seq of a Ban that binds now
-	Answer        json.RawMessage `json:"over,omitempty"` // a long answer on its way; two descriptors come with it
+	Applied       int             `json:"done,omitempty"` // the Seq of a Ban that is now in effect
+	Answer        json.RawMessage `json:"over,omitempty"` // state of a long answer that is handed over; two descriptors come with it
 }
 
-// descriptorReader reads a connection and keeps the descriptors that come with its bytes.
+// descriptorReader reads from a connection and collects the descriptors that come with its bytes.
 type descriptorReader struct {
 	conn *net.UnixConn
-	fds  []int // that came and were not taken
+	fds  []int // received, and not yet taken by takeConns
 }
 
-// maxDescriptors bounds the descriptors of one read.
+// maxDescriptors limits the descriptors of one read.
 const maxDescriptors = 4
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (r *descriptorReader) Read(b []byte) (int, error) {
 	oob := make([]byte, unix.CmsgSpace(4*maxDescriptors))
 	n, oobn, _, _, err := r.conn.ReadMsgUnix(b, oob)
 	if err != nil {
-		return 0, err // n is -1 then, which no reader expects
+		return 0, err // n is -1 then, which callers of a reader don't expect
 	}
 	if n == 0 && len(b) > 0 {
 		err = io.EOF
@@ -77,7 +78,7 @@
 	return n, err
 }
 
-// closeUnclaimed closes those that nobody has taken.
+// closeUnclaimed closes the descriptors that nobody has taken.
 func (r *descriptorReader) closeUnclaimed() {
 	for _, fd := range r.fds {
 		unix.Close(fd)
@@ -85,10 +86,10 @@
 	r.fds = nil
 }
 
-// takeConns takes the next two descriptors as connections.
+// takeConns returns the next two descriptors as connections of a caller and an endpoint.
 func (r *descriptorReader) takeConns() (a, b net.Conn, err error) {
 	if len(r.fds) < 2 {
-		return nil, nil, fmt.Errorf("%d descriptors came, not 2", len(r.fds))
+		return nil, nil, fmt.Errorf("received %d descriptors with a long answer, want 2", len(r.fds))
 	}
 	files := [2]*os.File{os.NewFile(uintptr(r.fds[0]), "caller"), os.NewFile(uintptr(r.fds[1]), "endpoint")}
 	r.fds = r.fds[2:]
@@ -104,15 +105,16 @@
 	return a, b, nil
 }
 
-// SocketPath is where the processes of one sidecar meet, in a folder that they share.
+// SocketPath returns the path of the Unix socket on which the processes of a sidecar meet, in a directory that they
+// share.
 func SocketPath(dir, name, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + listen))
 	return filepath.Join(dir, fmt.Sprintf("heathgap-%016x.sock", h.Sum64()))
 }
 
-// Listen opens a TCP address that the other process of an upgrade may open too, where
-// the descriptor itself can't be had.
+// Listen opens a TCP address in such a way that the other process of an upgrade may open it too. It serves where the
+// descriptor itself can't be handed over.
 func Listen(address string) (net.Listener, error) {
 	conf := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
@@ -133,9 +135,9 @@
 	mu      sync.Mutex
 	out     *json.Encoder
 	seq     int
-	waiting map[int]chan struct{} // for Done, by Seq
-	stopped chan struct{}         // closed when the old one has stopped accepting
-	ended   chan struct{}         // closed when the other has ended
+	waiting map[int]chan struct{} // closed by Applied messages, by Seq
+	stopped chan struct{}         // closed when the predecessor has stopped accepting
+	ended   chan struct{}         // closed when the other process has ended
 }
 
 func newPeer(conn *net.UnixConn) *Peer {
@@ -146,19 +148,19 @@
 	}
 }
 
-// ErrNoPredecessor says that no predecessor is there.
+// ErrNoPredecessor is the error of FindPredecessor if there is no predecessor.
 var ErrNoPredecessor = errors.New("no predecessor")
 
-// FindPredecessor looks for a predecessor and returns it with its listener, on which nothing is
-// to be accepted before Take, and its state. The error is ErrNone where nobody has
-// listened there yet; any other tells what is wrong with who has.
+// FindPredecessor connects to a predecessor. It returns the predecessor's listener, on which the caller must not accept
+// before StopAccepting, and its state. The error is ErrNoPredecessor if there is no socket at path; any other error says
+// what failed with the process that made the socket.
 func FindPredecessor(path string) (p *Peer, listener net.Listener, state []byte, err error) {
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, nil, ErrNoPredecessor
 	}
 	conn, err := (&net.Dialer{Timeout: findTimeout}).Dial("unix", path)
 	if err != nil {
-		return nil, nil, nil, fmt.Errorf("%s is stale: %w", path, err)
+		return nil, nil, nil, fmt.Errorf("%s: cannot connect to a predecessor there, the socket may be stale: %w", path, err)
 	}
 	uc := conn.(*net.UnixConn)
 	defer func() {
@@ -171,22 +173,22 @@
 		return nil, nil, nil, err
 	}
 	if listener, err = receiveListener(uc); err != nil {
-		return nil, nil, nil, fmt.Errorf("%s: no descriptor: %w", path, err)
+		return nil, nil, nil, fmt.Errorf("%s: the predecessor sent no listener: %w", path, err)
 	}
 	p = newPeer(uc)
 	var m message
 	if err = p.in.Decode(&m); err == nil && m.Version != protocolVersion {
-		err = fmt.Errorf("it speaks version %d, and this is %d", m.Version, protocolVersion)
+		err = fmt.Errorf("it has protocol version %d, and this process has %d", m.Version, protocolVersion)
 	}
 	if err != nil {
 		listener.Close()
-		return nil, nil, nil, fmt.Errorf("%s: no state: %w", path, err)
+		return nil, nil, nil, fmt.Errorf("%s: the predecessor sent no usable state: %w", path, err)
 	}
 	uc.SetDeadline(time.Time{})
 	return p, listener, m.State, nil
 }
 
-// sameUser turns away the processes of other users.
+// sameUser returns an error unless the other process belongs to the same user.
 func sameUser(conn *net.UnixConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -201,7 +203,7 @@
 		return err
 	}
 	if int(cred.Uid) != os.Getuid() {
-		return fmt.Errorf("the other process is user %d's, not %d's", cred.Uid, os.Getuid())
+		return fmt.Errorf("the other process belongs to user %d, and this one to user %d", cred.Uid, os.Getuid())
 	}
 	return nil
 }
@@ -235,20 +237,19 @@
 	})
 }
 
-// Handler is what a process does when the other says something. Its methods are called
-// one at a time.
+// Handler acts on the messages of the other process. Its methods are called one at a time.
 type Handler interface {
-	// AdoptBan takes over a ban by hand, or its end; it returns when that binds.
+	// AdoptBan bans an endpoint (on) or ends its ban. It returns when that is in effect.
 	AdoptBan(name string, on bool)
-	// ResumeAnswer goes on with a long answer that the other has begun to pass on.
+	// ResumeAnswer continues a long answer that the other process has begun to stream.
 	ResumeAnswer(state []byte, caller, endpoint net.Conn)
-	// StopAccepting stops accepting: the other is about to.
+	// StopAccepting stops accepting: the other process is about to accept.
 	StopAccepting()
-	// PeerEnded says that the other has ended; yielded tells whether Yield was called.
+	// PeerEnded reports that the other process has ended; yielded says whether StopAccepting was called before.
 	PeerEnded(yielded bool)
 }
 
-// Run hears what the other says until it ends.
+// Run handles the messages of the other process until that ends.
 func (p *Peer) Run(h Handler) {
 	stopped := false
 	for {
@@ -296,11 +297,11 @@
 	return p.out.Encode(m)
 }
 
-// StopAccepting has the predecessor stop accepting, and returns when it has, or has ended. On
-// an error it may still accept. Run must be at work.
+// StopAccepting asks the predecessor to stop accepting. It returns when the predecessor has stopped or has ended; after
+// an error, it may still accept. Run must be running.
 func (p *Peer) StopAccepting() error {
-	// Guards against a predecessor that dies between its state and this word: that can't be said any more, and need not
-	// be. Run notices that it has ended.
+	// Guards against a predecessor that dies after it has sent its state: the message can't be sent any more, and need
+	// not be. Run notices that the predecessor has ended.
 	err := p.send(message{StopAccepting: true})
 	timer := time.NewTimer(stopTimeout)
 	defer timer.Stop()
@@ -308,13 +309,13 @@
 	case <-p.stopped:
 	case <-p.ended:
 	case <-timer.C:
-		return cmp.Or(err, errors.New("the predecessor goes on accepting"))
+		return cmp.Or(err, errors.New("the predecessor has not confirmed that it stopped accepting, and may go on accepting"))
 	}
 	return nil
 }
 
-// SendBan tells the other of a ban by hand, or its end, and waits until that binds there,
-// the other has ended, or it does not answer.
+// SendBan sends a ban by an operator, or its end, to the other process and waits until it is in effect there or the
+// other process has ended. It returns an error if there is no reply in time.
 func (p *Peer) SendBan(name string, on bool) error {
 	done := make(chan struct{})
 	p.mu.Lock()
@@ -328,7 +329,7 @@
 		p.mu.Unlock()
 	}()
 	if err := p.send(message{Ban: name, On: on, Seq: seq}); err != nil {
-		return nil // it has ended
+		return nil // the other process has ended
 	}
 	timer := time.NewTimer(replyTimeout)
 	defer timer.Stop()
@@ -341,7 +342,7 @@
 	return nil
 }
 
-// HandOver hands a long answer on its way to the other.
+// HandOver hands a long answer over to the other process, with the connections of its caller and its endpoint.
 func (p *Peer) HandOver(state []byte, caller, endpoint syscall.Conn) error {
 	text, err := json.Marshal(message{Answer: state})
 	if err != nil {
@@ -363,7 +364,7 @@
 	return err
 }
 
-// withFD calls f with a connection's descriptor, which is not closed meanwhile.
+// withFD calls f with a connection's descriptor, which stays open meanwhile.
 func withFD(c syscall.Conn, f func(fd int) error) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -374,20 +375,20 @@
 	return errors.Join(err, failed)
 }
 
-// Close ends the connection to the other.
+// Close closes the connection to the other process.
 func (p *Peer) Close() { p.conn.Close() }
 
-// SuccessorListener is where a successor comes.
+// SuccessorListener accepts the connections of successors.
 type SuccessorListener struct {
 	listener *net.UnixListener
 	mu       sync.Mutex
 	busy     bool
 }
 
-// AcceptSuccessor waits for a successor at a path, one at a time; what stands there is replaced.
-// enter is called for each, and returns what it is given.
+// AcceptSuccessor waits for successors at path, one at a time; a file at path is replaced. onSuccessor is called for
+// each one and returns the state to send and the handler of its messages.
 func AcceptSuccessor(path string, listener syscall.Conn, onSuccessor func(*Peer) (state []byte, h Handler, err error)) (*SuccessorListener, error) {
-	// Bound beside it and renamed: there is no moment without a way in for a successor.
+	// The socket is created under another name and renamed: at every moment a successor finds a socket at path.
 	temporary := path + ".new"
 	os.Remove(temporary)
 	address := &net.UnixAddr{Name: temporary, Net: "unix"}
@@ -395,7 +396,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // a successor's may stand there by then
+	l.SetUnlinkOnClose(false) // by then, path may be a successor's socket
 	err = errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, path))
 	if err != nil {
 		l.Close()
@@ -406,7 +407,7 @@
 	return s, nil
 }
 
-// Close lets nobody in any more. A successor that has come stays.
+// Close stops waiting for successors. One that is connected stays connected.
 func (s *SuccessorListener) Close() { s.listener.Close() }
 
 func (s *SuccessorListener) serve(listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
@@ -416,7 +417,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(findTimeout / 100) // descriptors may run out for a moment
+			time.Sleep(findTimeout / 100) // the process may be out of descriptors for a moment
 			continue
 		}
 		s.mu.Lock()
@@ -443,10 +444,10 @@
 	s.busy = false
 }
 
-// serveSuccessor gives one successor what it needs, and hears it until it ends.
+// serveSuccessor sends a successor what it needs, and handles its messages until it ends.
 func (s *SuccessorListener) serveSuccessor(conn *net.UnixConn, listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
 	p := newPeer(conn)
-	// Bans that come from here on are told to it, behind the state.
+	// Bans from here on are sent to it, after the state.
 	p.mu.Lock()
 	state, h, err := onSuccessor(p)
 	if err == nil {
