--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -13,8 +13,8 @@
 	"heathgap/internal/env"
 )
 
-// callerPair returns a caller's connection that has been idle for long, and the
-// caller's end of it.
+// callerPair returns a caller's connection that seems to have been idle for long, the caller's end of it, and the
+// reasons with which connections end.
 func callerPair(t *testing.T) (*CallerConn, net.Conn, *[]Reason) {
 	t.Helper()
 	callers, ended := testCallers(t)
@@ -22,7 +22,7 @@
 	return c, client, ended
 }
 
-// testCallers returns a listener for callers, and why connections have ended.
+// testCallers returns a listener for callers, and the reasons with which its connections end.
 func testCallers(t *testing.T) (*Callers, *[]Reason) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	return NewCallers(listener, env.Real{}, 10, func(_ *CallerConn, reason Reason) { ended = append(ended, reason) }), &ended
 }
 
-// connectIdle returns a new connection that seems idle for long, and the caller's end.
+// connectIdle returns a new connection that seems to have been idle for long, and the caller's end of it.
 func connectIdle(t *testing.T, callers *Callers) (*CallerConn, net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", callers.Addr().String())
@@ -52,8 +52,8 @@
 	return c, client
 }
 
-// Guards against callers that connect by hundreds and say nothing: a connection that
-// has brought a good request outlives those that have not, however old it is.
+// Guards against hundreds of callers that connect and send nothing: a connection that has brought a valid request is
+// closed after those that have not, however old it is.
 func TestUnprovenConnectionsAreClosedFirst(t *testing.T) {
 	callers, _ := testCallers(t)
 	proven, _ := connectIdle(t, callers)
@@ -73,21 +73,21 @@
 	callers.closeOldest(1)
 	for i, c := range silent {
 		if !c.Closing() {
-			t.Errorf("silent connection %d stands", i)
+			t.Errorf("silent connection %d was not closed", i)
 		}
 	}
 	if proven.Closing() {
-		t.Error("the usual caller's connection ended before them")
+		t.Error("the proven connection was closed before the silent ones")
 	}
 	if callers.closeOldest(1); !proven.Closing() {
-		t.Error("nothing else was left to end")
+		t.Error("the proven connection stayed open though it was the only one left to close")
 	}
 	if n := callers.pending.Load(); n != 0 {
 		t.Errorf("%d connections count as holding a request", n)
 	}
 }
 
-// Guards against a request that stands unread in a connection which is ended.
+// Guards against a request that is lost because it has come, unread, on a connection that is being closed.
 func TestClosingConnectionStillReadsReceivedBytes(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
 		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
@@ -109,14 +109,14 @@
 	}
 }
 
-// An idle connection ends in silence: it reads as closed, and an answer that its
-// caller could take for one to its next request is never made.
+// An idle connection is closed without an answer, which its caller could take for the answer to its next request: the
+// server reads it as closed.
 func TestClosingConnectionReadsAsClosed(t *testing.T) {
 	c, _, ended := callerPair(t)
 	if !c.closeIdle(ReasonShutdown) || c.closeIdle(ReasonConnLimit) {
-		t.Error("an idle connection is closed once")
+		t.Error("an idle connection must be closed, and only once")
 	}
-	c.SetReadDeadline(time.Now().Add(time.Minute)) // the server's, before it reads
+	c.SetReadDeadline(time.Now().Add(time.Minute)) // as the server does before it reads
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, %v; want io.EOF", n, err)
 	}
@@ -127,13 +127,13 @@
 	}
 }
 
-// A connection is not taken for idle between its accept and its first request,
-// nor while a request comes or is held.
+// A connection does not count as idle between its accept and its first request, nor while a request is coming or
+// pending.
 func TestBusyConnectionIsNotClosed(t *testing.T) {
 	c, client, _ := callerPair(t)
 	c.changedAt = time.Now()
 	if c.closeIdle(ReasonConnLimit) {
-		t.Error("closed when new")
+		t.Error("closed right after its accept")
 	}
 	client.Write([]byte("G"))
 	if _, err := c.Read(make([]byte, 1)); err != nil {
@@ -141,17 +141,17 @@
 	}
 	c.changedAt = c.changedAt.Add(-time.Hour)
 	if c.closeIdle(ReasonConnLimit) {
-		t.Error("closed while a request comes")
+		t.Error("closed while a request was coming")
 	}
 	c.Watch(func() {})
 	if c.abortIncomplete() {
-		t.Error("cut short while a whole request is held")
+		t.Error("aborted as incomplete while a complete request was pending")
 	}
 	c.Unwatch()
 }
 
-// Guards against callers that take more descriptors than there are for them, were it for a moment: who comes at the limit
-// waits for a place, and gets one.
+// Guards against callers that take more connections than the limit, even for a moment: new ones wait in the backlog for
+// a place, and get one.
 func TestNeverMoreThanTheLimit(t *testing.T) {
 	const come, limit = 30, 10
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -175,17 +175,17 @@
 			t.Fatal(err)
 		}
 		if open := callers.Open(); open > limit {
-			t.Errorf("%d connections after %d, and there may be %d", open, n, limit)
+			t.Errorf("%d connections open after %d accepts, the limit is %d", open, n, limit)
 		}
 		wait.Go(func() { // as the server does
-			io.Copy(io.Discard, conn) //nolint:errcheck // it ends in silence
+			io.Copy(io.Discard, conn) //nolint:errcheck // it is closed without data
 			conn.Close()
 		})
 	}
 }
 
-// Guards against a crowd that has a usual caller's connection ended: one that has brought a good request stands, however
-// long it has been idle, while others will have been idle for long enough soon.
+// Guards against a crowd that displaces a usual caller: a connection that has brought a valid request stays open,
+// however long it has been idle, while others will soon have been idle for minIdleTime.
 func TestProvenConnectionSurvivesACrowd(t *testing.T) {
 	callers, _ := testCallers(t)
 	proven, _ := connectIdle(t, callers)
@@ -197,19 +197,19 @@
 	proven.changedAt = proven.changedAt.Add(-time.Hour)
 	proven.mu.Unlock()
 	silent, _ := connectIdle(t, callers)
-	silent.changedAt = silent.changedAt.Add(2 * time.Hour) // it has only just come
+	silent.changedAt = silent.changedAt.Add(2 * time.Hour) // has been idle for less than minIdleTime
 	if callers.closeOldest(1); proven.Closing() || silent.Closing() {
-		t.Errorf("the usual caller's ended: %v; the one that has just come: %v", proven.Closing(), silent.Closing())
+		t.Errorf("proven connection closed: %v, new silent connection closed: %v; want neither", proven.Closing(), silent.Closing())
 	}
 	if callers.closeOldest(2); !proven.Closing() {
-		t.Error("no room where both are needed")
+		t.Error("the proven connection stayed open though both had to be closed")
 	}
 }
 
-// lateConn is a connection on a machine so busy that a deadline in the near future passes before the read begins.
+// lateConn simulates a machine so busy that a deadline in the near future passes before the read starts.
 type lateConn struct{ *net.TCPConn }
 
-// SetReadDeadline is net.Conn's.
+// SetReadDeadline implements net.Conn.
 func (c lateConn) SetReadDeadline(t time.Time) error {
 	if !t.IsZero() && time.Until(t) <= lastReadTime {
 		t = pastDeadline
@@ -217,7 +217,8 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Guards against a request that stands unread in a connection which is ended while the machine is busy.
+// Guards against a request that is lost because it has come, unread, on a connection that is being closed on a busy
+// machine.
 func TestLastReadOnABusyMachine(t *testing.T) {
 	c, client, _ := callerPair(t)
 	if _, err := client.Write([]byte("GET")); err != nil {
@@ -225,18 +226,18 @@
 	}
 	tcp := c.Conn.(*net.TCPConn)
 	c.Conn = lateConn{tcp}
-	for n := 0; n == 0; { // until its bytes have come
+	for n := 0; n == 0; { // until the bytes have come
 		if err := readable(tcp, &n); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.closeIdle(ReasonConnLimit)
 	if n, err := c.Read(make([]byte, 3)); n != 3 || err != nil {
-		t.Errorf("%d bytes, %v; want those that have come", n, err)
+		t.Errorf("%d bytes, %v; want the 3 received bytes", n, err)
 	}
 }
 
-// readable sets how many bytes stand there to be read.
+// readable sets n to the number of received, unread bytes.
 func readable(c *net.TCPConn, n *int) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/httpwire/disconnect_test.go
+++ b/internal/httpwire/disconnect_test.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// acceptPeer returns a caller's connection and the caller, of a listener that the test accepts from.
+// acceptPeer returns a connection of a caller, and the caller's end of it.
 func acceptPeer(t *testing.T) (*CallerConn, *scripted.Peer) {
 	t.Helper()
 	callers, _ := testCallers(t)
@@ -26,8 +26,8 @@
 	return conn.(*CallerConn), peer
 }
 
-// Guards against a caller's leaving that is not seen because of what stands in front of it: the next requests, written
-// ahead, or junk. It is seen however it goes.
+// Guards against a disconnect that goes unnoticed because unread bytes come before it, pipelined requests or junk. It
+// must be noticed whichever way the caller disconnects.
 func TestDisconnectIsSeenBehindPipelinedBytes(t *testing.T) {
 	ends := map[string]func(*scripted.Peer){
 		"ended":      func(p *scripted.Peer) { p.Close() },
@@ -45,7 +45,7 @@
 				select {
 				case <-left:
 				case <-time.After(10 * time.Second):
-					t.Fatal("nobody has seen it")
+					t.Fatal("the disconnect went unnoticed")
 				}
 				c.Unwatch()
 			})
@@ -53,7 +53,8 @@
 	}
 }
 
-// Guards against a caller that pours on and on behind its request: it is taken for gone, and no memory is kept for it.
+// Guards against a caller that sends without end after its request: it counts as disconnected, and its bytes are not
+// kept.
 func TestFloodBehindARequest(t *testing.T) {
 	c, peer := acceptPeer(t)
 	left := make(chan struct{})
@@ -66,14 +67,14 @@
 	}
 }
 
-// What a caller writes ahead is read in its order, as long as it is kept.
+// Pipelined bytes are read in order, as long as they are few enough to be kept.
 func TestPipelinedBytesAreReadInOrder(t *testing.T) {
 	c, peer := acceptPeer(t)
 	var want strings.Builder
 	for i := range 500 {
 		fmt.Fprintf(&want, "%d,", i)
 	}
-	c.Watch(func() { t.Error("it has not left") })
+	c.Watch(func() { t.Error("the watch took the caller for disconnected") })
 	peer.Send(want.String())
 	for kept := 0; kept < want.Len(); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
@@ -87,8 +88,8 @@
 	}
 }
 
-// Guards against a close that destroys the answer before it: what the caller wrote crosses the close unread, in any
-// amount. The caller reads the answer and an end, never a reset, and can still write meanwhile.
+// Guards against a close that destroys the answer before it: bytes of the caller are unread at the close, and more come
+// during it. The caller must read the answer and then EOF, never a reset, and can still write meanwhile.
 func TestCloseOverUnreadBytes(t *testing.T) {
 	for _, unread := range []int{1, 5000} {
 		c, peer := acceptPeer(t)
@@ -106,24 +107,24 @@
 		if text, err := peer.ReadToEnd(); text != "answer" || err != nil {
 			t.Errorf("%d unread: %q, %v", unread, text, err)
 		}
-		peer.Send("crossing") // it has read the end: the sidecar has ended its side, and reads on
+		peer.Send("crossing") // the caller has read EOF: the sidecar has closed its side for writing and still reads
 		select {
 		case <-closed:
-			t.Errorf("%d unread: closed before its caller", unread)
+			t.Errorf("%d unread: closed before its caller closed", unread)
 		default:
 		}
 		if _, err := peer.Write([]byte("more")); err != nil {
-			t.Errorf("%d unread: writing meets %v", unread, err)
+			t.Errorf("%d unread: writing during the close: %v", unread, err)
 		}
 		peer.Close()
 		<-closed
 	}
 }
 
-// Guards against a stop that cuts short the reading out of a connection that has ended for another reason.
+// Guards against a stop that interrupts the lingering of a connection that was closed for another reason.
 func TestStopDoesNotInterruptLingering(t *testing.T) {
 	c, peer := acceptPeer(t)
-	c.changedAt = c.changedAt.Add(-time.Hour) // idle for long
+	c.changedAt = c.changedAt.Add(-time.Hour) // as if idle for long
 	closed := make(chan struct{})
 	go func() {
 		c.Close()
@@ -133,47 +134,48 @@
 		t.Fatalf("%q, %v", text, err)
 	}
 	if c.closeIdle(ReasonShutdown) {
-		t.Error("a stop cuts it short")
+		t.Error("a stop interrupts the lingering")
 	}
 	if _, err := io.WriteString(peer, "crossing"); err != nil {
-		t.Errorf("writing meets %v", err)
+		t.Errorf("writing while it lingers: %v", err)
 	}
 	if !c.closeIdle(ReasonConnLimit) {
-		t.Error("it can't make room")
+		t.Error("it can't be closed to stay within the limit")
 	}
 	peer.Close()
 	<-closed
 }
 
-// Guards against a flood of closes that keep their descriptors: beyond so many at once, and for those that make room, a
-// connection is closed at once.
+// Guards against a flood of closes that keep descriptors in use: beyond a number of lingering connections, and to stay
+// within the limit, a connection is closed at once.
 func TestLingeringIsBounded(t *testing.T) {
 	c, peer := acceptPeer(t)
 	c.owner.lingering.Store(minLingering)
 	c.Close()
 	if _, err := peer.ReadToEnd(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("reading to the end: %v", err)
 	}
 	if c.owner.lingering.Load() != minLingering {
-		t.Errorf("%d are counted", c.owner.lingering.Load())
+		t.Errorf("%d connections count as lingering", c.owner.lingering.Load())
 	}
 	c, _ = acceptPeer(t)
 	c.SetReason(ReasonConnLimit)
 	begin := time.Now()
 	c.Close()
 	if took := time.Since(begin); took >= shortLinger {
-		t.Errorf("making room took %v", took)
+		t.Errorf("closing took %v, it must not linger", took)
 	}
 }
 
-// blockedListener gives its second connection when the test says so; others stand in the kernel's queue meanwhile.
+// blockedListener returns its second connection only when the test allows it; others wait in the kernel's backlog
+// meanwhile.
 type blockedListener struct {
 	*net.TCPListener
 	accepts atomic.Int32
 	second  chan struct{}
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *blockedListener) Accept() (net.Conn, error) {
 	if l.accepts.Add(1) == 2 {
 		<-l.second
@@ -181,7 +183,7 @@
 	return l.TCPListener.Accept()
 }
 
-// Guards against callers that are reset because they stood in the kernel's queue when the listener closed.
+// Guards against callers that are reset because they are in the kernel's backlog when the listener closes.
 func TestBacklogIsAcceptedBeforeClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -229,7 +231,7 @@
 	}
 	<-closed
 	if err := <-served; err == nil {
-		t.Error("it accepts on")
+		t.Error("Accept goes on after the close")
 	}
 	if conn, err := net.DialTimeout("tcp", callers.Addr().String(), time.Second); err == nil {
 		conn.Close()
@@ -237,8 +239,8 @@
 	}
 }
 
-// Guards against connections that have ended on this side and keep their descriptors for as long as a body nobody wants
-// goes on, while others wait for a place.
+// Guards against closed connections that linger, with their descriptors, for as long as an unwanted body is coming,
+// while other callers wait for a connection.
 func TestLingeringConnectionMakesRoom(t *testing.T) {
 	c, peer := acceptPeer(t)
 	c.MarkPending()
@@ -249,23 +251,23 @@
 		c.Close()
 		close(closed)
 	}()
-	if _, err := peer.ReadToEnd(); err != nil { // it is being read out
+	if _, err := peer.ReadToEnd(); err != nil { // it lingers now
 		t.Fatal(err)
 	}
 	for begin := time.Now(); !c.stopLinger(); time.Sleep(time.Millisecond) {
 		if time.Since(begin) > longLinger {
-			t.Fatal("it can't make room")
+			t.Fatal("its lingering can't be ended")
 		}
 	}
 	begin := time.Now()
 	<-closed
 	if took := time.Since(begin); took > longLinger/2 {
-		t.Errorf("making room took %v", took)
+		t.Errorf("ending its lingering took %v", took)
 	}
 }
 
-// Guards against a caller that has gone and is not seen because nobody has read its connection: no watch has run, or a body
-// stands unread in front of its end. One that stays is never taken for gone, whatever it writes ahead.
+// Guards against a disconnect that goes unnoticed because nobody has read the connection: no watch has run, or an unread
+// body comes before the disconnect. A caller that stays must never count as disconnected, whatever it sends.
 func TestDisconnectIsSeenBehindUnreadBytes(t *testing.T) {
 	ends := map[string]func(*scripted.Peer){
 		"ended":      func(p *scripted.Peer) { p.Close() },
@@ -287,20 +289,20 @@
 			if end != nil {
 				continue
 			}
-			c.Watch(func() { t.Error("its watch takes it for gone") })
+			c.Watch(func() { t.Error("the watch took the caller for disconnected") })
 			c.Unwatch()
 			if c.Disconnected() {
-				t.Errorf("behind %d: gone after a watch", ahead)
+				t.Errorf("behind %d: disconnected after a watch", ahead)
 			}
 			c.Close()
 			if !c.Disconnected() {
-				t.Error("closed on this side, and somebody waits there")
+				t.Error("the connection is closed on this side, and counts as connected")
 			}
 		}
 	}
 }
 
-// A flood is taken for gone, though its connection stands.
+// A caller that floods counts as disconnected, though its connection is open.
 func TestFloodIsDisconnected(t *testing.T) {
 	c, peer := acceptPeer(t)
 	left := make(chan struct{})
@@ -308,19 +310,19 @@
 	peer.Send(strings.Repeat("x", maxPipelined+1))
 	<-left
 	if !c.Disconnected() {
-		t.Error("it counts as there")
+		t.Error("a caller that floods counts as connected")
 	}
 	c.Unwatch()
 }
 
-// BenchmarkDisconnected is what the look costs an attempt whose caller is there.
+// BenchmarkDisconnected measures the check whose caller is connected, which each attempt makes.
 func BenchmarkDisconnected(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	callers := NewCallers(listener, env.Real{}, 10, func(*CallerConn, Reason) {})
-	defer callers.CloseNow() //nolint:errcheck // it listens no more
+	defer callers.CloseNow() //nolint:errcheck // only closes the listener
 	scripted.Connect(b, listener.Addr().String())
 	conn, err := callers.Accept()
 	if err != nil {
@@ -331,7 +333,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Disconnected() {
-			b.Fatal("gone")
+			b.Fatal("the caller counts as disconnected")
 		}
 	}
 }
--- a/internal/httpwire/fuzz_test.go
+++ b/internal/httpwire/fuzz_test.go
@@ -8,8 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Whatever an endpoint sends, reading it ends, keeps to its bounds and gives back what
-// it took of the room.
+// Whatever an endpoint sends, reading it ends, stays within its limits and releases the memory that it reserved.
 func FuzzDecodeReply(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
@@ -28,13 +27,12 @@
 			t.Errorf("a body of %d bytes out of %d", len(r.Body), len(text))
 		}
 		if budget.Release(r.Reserved); !budget.Take(budgetBytes) {
-			t.Error("not all of the room came back")
+			t.Error("not all of the memory budget was released")
 		}
 	})
 }
 
-// Whatever a caller sends, what is taken of it is complete and within bounds, and goes
-// on as a message of the same id.
+// Whatever a caller sends, an accepted request is complete, within the limits, and is forwarded with the same ID.
 func FuzzDecodeRequest(f *testing.F) {
 	for _, text := range []string{
 		"GET /look/x?a=b HTTP/1.1\r\nHost: h\r\nX-Txn: 1\r\nX-Remaining: 1.5\r\n\r\n",
@@ -55,14 +53,14 @@
 		}
 		r.Body = m.Body()
 		if r.ID == "" || len(r.ID) > maxName || r.Class == "" || r.Remaining < 0 || r.Remaining > maxRemaining {
-			t.Errorf("taken: %+v", r)
+			t.Errorf("accepted: %+v", r)
 		}
 		sent := EncodeAttempt(&r, r.Remaining)
 		if err := again.Read(bufio.NewReaderSize(bytes.NewReader(sent), 2*MaxHead)); err != nil {
-			t.Fatalf("goes on as %q: %v", sent, err)
+			t.Fatalf("forwarded as %q: %v", sent, err)
 		}
 		if id := again.Header.Peek(headerID); string(id) != r.ID || !bytes.Equal(again.Body(), r.Body) {
-			t.Errorf("goes on as %q, came as %+v", sent, r)
+			t.Errorf("forwarded as %q, came as %+v", sent, r)
 		}
 	})
 }
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against times that are no number of seconds: a caller that names one would
-// be held for as long as it likes.
+// Guards against remaining times that are not a decimal number of seconds: the request would be pending for as long as
+// the caller likes.
 func TestDecodeRequestBadTime(t *testing.T) {
 	for _, value := range []string{
 		"", "soon", "-1", "+1", "NaN", "Inf", "infinity", "1e-3", "0x1p3", "1_0", "1.2.3", ".", "3601", "9999999999999999999999",
@@ -68,8 +68,8 @@
 	}
 }
 
-// Guards against messages that could be read in two ways: fasthttp takes each of
-// these, and what it leaves of one may hide another request.
+// Guards against messages that can be read in two ways: fasthttp accepts each of these, and what it leaves of one may
+// hide another request.
 func TestAmbiguousRequests(t *testing.T) {
 	const head = "Host: h\r\nX-Txn: 1\r\nX-Remaining: 1\r\n"
 	for name, text := range map[string]string{
@@ -92,7 +92,7 @@
 	}
 }
 
-// A target may be absolute; what goes on is its path and query.
+// A request target may be an absolute URI; its path and query are forwarded.
 func TestTargets(t *testing.T) {
 	for uri, want := range map[string]string{
 		"/a/b?c=d": "/a/b?c=d", "http://h/a?c": "/a?c", "HTTP://h:80/a": "/a", "http://h": "", "http://h?c": "",
@@ -105,17 +105,17 @@
 	}
 }
 
-// What is kept of a request and written on is bounded.
+// IDs, tenants and keys, which are kept and forwarded, are limited in length.
 func TestLongNames(t *testing.T) {
 	long := strings.Repeat("a", maxName+1)
 	for _, line := range []string{"X-Txn: " + long, "X-Txn: 1\r\nX-Org: " + long, "X-Txn: 1\r\nIdempotency-Key: " + long} {
 		if _, err := decode(t, "GET /a HTTP/1.1\r\nHost: h\r\nX-Remaining: 1\r\n"+line+"\r\n\r\n"); err == nil {
-			t.Errorf("%.20s is taken", line)
+			t.Errorf("%.20s... is accepted", line)
 		}
 	}
 }
 
-// Labels are extras: one that makes no sense is no reason to turn a request down.
+// Labels are optional hints: an invalid one is no reason to reject a request.
 func TestExpectedWork(t *testing.T) {
 	for labels, want := range map[string]time.Duration{
 		"": 0, "a=1": 0, "hint=": 0, "hint=x": 0, "hint=-4": 0, "hint=NaN": 0, "xhint=3": 0,
@@ -127,7 +127,7 @@
 	}
 }
 
-// What goes on to an endpoint is what came, seen by another library.
+// An endpoint gets what the caller sent, as read by another HTTP library.
 func TestEncodeAttempt(t *testing.T) {
 	in := Request{
 		ID: "9b", Class: "pay", Tenant: "acme", Key: "5c", Labels: "a=1", Repeat: true, Method: "POST",
@@ -152,7 +152,7 @@
 	}
 	get := string(EncodeAttempt(&Request{ID: "1", Method: "GET", URI: "/a"}, 0))
 	if strings.Contains(get, "Content-") || strings.Contains(get, "Idempotency") {
-		t.Errorf("a GET has what it came without:\n%s", get)
+		t.Errorf("a GET has headers that it came without:\n%s", get)
 	}
 }
 
@@ -179,8 +179,8 @@
 	}
 }
 
-// Guards against answers that take memory before they come, or more than there is,
-// and against long ones that are turned down though there is room.
+// Guards against answers for which memory is reserved before they come, or beyond the budget, and against long ones that
+// are rejected though the budget allows them.
 func TestDecodeLongReplies(t *testing.T) {
 	head := func(length int) string {
 		return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n"
@@ -216,7 +216,7 @@
 		room := NewMemoryBudget(int64(c.room))
 		r, err := DecodeReply(bufio.NewReader(strings.NewReader(c.text)), room)
 		length := len(r.Body)
-		if r.Stream != nil { // it is passed on, and the pipe's end shows what would be written
+		if r.Stream != nil { // it is streamed; the connection's end stands for the link
 			var out bytes.Buffer
 			ours, theirs := net.Pipe()
 			defer ours.Close()
@@ -229,7 +229,7 @@
 			t.Errorf("%s: %d bytes, %v; want %d", name, length, err, c.want)
 		}
 		if room.Release(r.Reserved); !room.Take(c.room) {
-			t.Errorf("%s: not all of its room came back", name)
+			t.Errorf("%s: not all of its memory was released", name)
 		}
 	}
 	var before, after runtime.MemStats
@@ -239,7 +239,7 @@
 	}
 	runtime.ReadMemStats(&after)
 	if took := (after.TotalAlloc - before.TotalAlloc) / 100; took > 64<<10 {
-		t.Errorf("%d bytes are taken for an answer of one", took)
+		t.Errorf("%d bytes are allocated for an answer of one byte", took)
 	}
 }
 
@@ -266,7 +266,7 @@
 	}
 }
 
-// Load reports are extras too: what makes no sense in one is passed over.
+// Load reports are optional: invalid parts are skipped.
 func TestDecodeLoad(t *testing.T) {
 	none := decide.Load{Outstanding: -1, Utilization: -1}
 	for text, want := range map[string]decide.Load{
--- a/internal/httpwire/link_test.go
+++ b/internal/httpwire/link_test.go
@@ -32,7 +32,7 @@
 	return link, conn.(*net.TCPConn)
 }
 
-// reset breaks a connection: its other side reads what has come, and then that it broke.
+// reset resets a connection: the other side reads what has come, and then an error.
 func reset(t *testing.T, conn *net.TCPConn) {
 	t.Helper()
 	if err := conn.SetLinger(0); err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Guards against a broken answer that looks whole: where only the connection's end tells
-// its end, a reset is none, whoever has been told of it before.
+// Guards against a truncated answer that looks complete: if only the connection's end marks the end of an answer, a
+// reset must not count as one, even if the reset was already reported to a Peek.
 func TestResetDoesNotCompleteAnAnswer(t *testing.T) {
 	const open = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	for name, text := range map[string]string{
@@ -60,9 +60,9 @@
 		if _, err := io.WriteString(endpoint, text); err != nil {
 			t.Fatal(err)
 		}
-		reset(t, endpoint) // on loopback it has come when Close returns
+		reset(t, endpoint) // on loopback, it has arrived when Close returns
 		if reply, err := link.Receive(NewMemoryBudget(1<<20), env.Real{}); err == nil {
-			t.Errorf("%s: taken for whole: %q", name, reply.Body)
+			t.Errorf("%s: taken for complete: %q", name, reply.Body)
 		}
 	}
 }
--- a/internal/lifecycle/console_test.go
+++ b/internal/lifecycle/console_test.go
@@ -12,7 +12,7 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// callConsole makes one call to a console.
+// callConsole sends a command to a console and returns its answer.
 func callConsole(t *testing.T, address, line string) string {
 	t.Helper()
 	answer, err := tryConsole(address, line)
@@ -34,13 +34,13 @@
 	return string(answer), err
 }
 
-// readStats reads the figures.
+// readStats returns the metrics that STATS prints.
 func readStats(t *testing.T, address string) map[string]int {
 	t.Helper()
 	text := callConsole(t, address, "STATS")
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	if len(lines) < 2 || lines[len(lines)-1] != "EOF" {
-		t.Fatalf("figures: %q", text)
+		t.Fatalf("STATS answered %q", text)
 	}
 	metrics := map[string]int{}
 	for _, line := range lines[1 : len(lines)-1] {
@@ -48,14 +48,14 @@
 		value, kind, _ := strings.Cut(rest, "|")
 		n, err := strconv.Atoi(value)
 		if err != nil || kind != "c" && kind != "g" {
-			t.Fatalf("figure %q", line)
+			t.Fatalf("STATS printed %q", line)
 		}
 		metrics[name] = n
 	}
 	return metrics
 }
 
-// Each ending of a request counts once, for its class.
+// Each request counts once, for its class and by its result.
 func TestStatsByClass(t *testing.T) {
 	slow := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -77,7 +77,7 @@
 	send(t, request(t, s.Address(), http.MethodPost, "/burn/bad", "x"))
 	get(t, s.Address(), "/nothing")
 	go trySend(request(t, s.Address(), http.MethodGet, "/look/slow", ""))
-	eventually(t, "the slow one is out", func() bool { return e.Count() == 5 })
+	eventually(t, "the slow request is sent", func() bool { return e.Count() == 5 })
 	want := map[string]int{"ok.look": 3, "errors.burn": 1, "shed.look": 0, "ok.pay": 0, "tries": 5, "active": 1,
 		"pool_size": 1, "pool_ejected": 0}
 	got := readStats(t, console)
@@ -87,17 +87,17 @@
 		}
 	}
 	close(slow)
-	eventually(t, "all has ended", func() bool {
+	eventually(t, "all requests have ended", func() bool {
 		got := readStats(t, console)
 		return got["active"] == 0 && got["ok.look"] == 4
 	})
 	if c := s.Counters(); c.Served != 4 || c.Failed != 1 || c.Malformed != 1 {
-		t.Errorf("the log's counters differ: %+v", c)
+		t.Errorf("the counters of the log differ from STATS: %+v", c)
 	}
 }
 
-// A ban by hand binds from its yes on, over changes of the list and restarts of the
-// endpoint; one call ends it.
+// An operator's ban is in effect once DISABLE is answered, and stays so over changes of the list and restarts of the
+// endpoint; one ENABLE ends it.
 func TestBanThroughTheConsole(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
 	d := scripted.StartDiscovery(t)
@@ -106,7 +106,7 @@
 	s := start(t, conf)
 	console := s.console.Address()
 	if got := callConsole(t, console, "DISABLE e9"); !strings.HasPrefix(got, "400 ") {
-		t.Errorf("a name that was never listed: %q", got)
+		t.Errorf("DISABLE of a name that was never listed: %q", got)
 	}
 	for range 2 {
 		if got := callConsole(t, console, "DISABLE e1"); !strings.HasPrefix(got, "200 ") {
@@ -116,7 +116,7 @@
 	before := e1.Count()
 	for i, list := range [][]map[string]any{{e2.Line()}, {e1.Line(), e2.Line()}, {e1.Line(), e2.Line()}} {
 		d.Publish(t, 10+i, list...)
-		eventually(t, "the list has come", func() bool { return readStats(t, console)["pool_size"] == len(list) })
+		eventually(t, "the list is in use", func() bool { return readStats(t, console)["pool_size"] == len(list) })
 		for range 10 {
 			if status, body := get(t, s.Address(), "/look"); status != 200 || body != "e2" {
 				t.Fatalf("during the ban: %d %q", status, body)
@@ -124,7 +124,7 @@
 		}
 	}
 	if e1.Count() != before || readStats(t, console)["pool_ejected"] != 1 {
-		t.Errorf("%d sent to what is banned; figures %v", e1.Count()-before, readStats(t, console))
+		t.Errorf("%d requests sent to the banned endpoint; metrics %v", e1.Count()-before, readStats(t, console))
 	}
 	callConsole(t, console, "ENABLE e1")
 	if n := readStats(t, console)["pool_ejected"]; n != 0 {
@@ -136,15 +136,15 @@
 	})
 }
 
-// No console is on that is not configured, and a faulty address is named.
+// There is no console unless one is configured, and an invalid address is an error that names the setting.
 func TestConsoleIsOffByDefault(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
 	if s := start(t, conf); s.console != nil {
-		t.Error("a console is on that nobody configured")
+		t.Error("there is a console though none is configured")
 	}
 	conf["console"], conf["listen"] = "nowhere", scripted.FreeAddress(t)
 	p := launch(t, conf)
 	if p.Wait(); p.ProcessState.ExitCode() != 1 || !strings.Contains(p.log.String(), "console: ") {
-		t.Errorf("a faulty address: exit code %d,\n%s", p.ProcessState.ExitCode(), p.log)
+		t.Errorf("an invalid address: exit code %d,\n%s", p.ProcessState.ExitCode(), p.log)
 	}
 }
--- a/internal/lifecycle/descriptors_test.go
+++ b/internal/lifecycle/descriptors_test.go
@@ -15,7 +15,7 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// openDescriptors is how many descriptors a process holds.
+// openDescriptors returns the number of descriptors that a process holds.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	open, err := os.ReadDir("/proc/" + strconv.Itoa(pid) + "/fd")
@@ -25,7 +25,8 @@
 	return len(open)
 }
 
-// startCrowd connects so many callers that say nothing, and come again as soon as they are ended, until the test ends.
+// startCrowd connects the given number of silent callers. Each connects again as soon as it is disconnected, until the
+// test ends.
 func startCrowd(t *testing.T, address string, callers int) {
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
@@ -57,10 +58,10 @@
 	}
 }
 
-// Guards against idle callers that take the descriptors without which discovery, endpoints and the console are not to be
-// reached: they fill all that they can have while discovery is down, and come again as soon as they are ended. When it is
-// back its list is in force within 6 s, and usual callers are served, those that were there and those that come; the
-// console answers meanwhile. The process may hold as many descriptors as the configuration says, or far fewer.
+// Guards against idle callers that take the descriptors needed for discovery, endpoints and the console. Idle callers
+// take all connections that they can get while discovery is down, and connect again as soon as they are disconnected.
+// Meanwhile the console answers and usual callers are served, on open and on new connections; when discovery is back,
+// its list is used within 6 s. The limit of descriptors is the configured one, or far lower.
 func TestDescriptorsAreKeptFromCallers(t *testing.T) {
 	const (
 		descriptors = 96
@@ -72,7 +73,7 @@
 			t.Parallel()
 			older, newer := scripted.StartEndpoint(t, "older", nil), scripted.StartEndpoint(t, "newer", nil)
 			address, console := scripted.FreeAddress(t), scripted.FreeAddress(t)
-			d := &scripted.Discovery{Address: scripted.FreeAddress(t)} // nobody is there
+			d := &scripted.Discovery{Address: scripted.FreeAddress(t)} // nothing listens there yet
 			conf := testConfig(d, older.Line())
 			conf["listen"], conf["console"] = address, console
 			conf["limits"].(map[string]any)["sockets"] = sockets
@@ -92,10 +93,10 @@
 			}
 			base := openDescriptors(t, p.Process.Pid)
 			startCrowd(t, address, idle)
-			eventually(t, "callers have all that they can have", func() bool {
+			eventually(t, "callers have all descriptors that they can get", func() bool {
 				return openDescriptors(t, p.Process.Pid) >= base+descriptors*2/5
 			})
-			for range 20 { // discovery is asked again and again meanwhile, and operators call
+			for range 20 { // discovery is called again and again meanwhile, and operators call the console
 				if got := served(before); got != "older" {
 					t.Fatalf("in the crowd: answered by %s", got)
 				}
@@ -115,11 +116,11 @@
 			go server.Serve(listener) //nolint:errcheck // it ends with Close
 			for got := ""; got != "newer"; got = served(before) {
 				if time.Since(begin) > maxDelay {
-					t.Fatalf("the list of discovery that is back is not in force after %v:\n%s", maxDelay, lastLines(p.log))
+					t.Fatalf("discovery is back, but its list is not used after %v:\n%s", maxDelay, lastLines(p.log))
 				}
 			}
 			if got := served(scripted.Connect(t, address)); got != "newer" {
-				t.Errorf("one that comes in the crowd: answered by %s", got)
+				t.Errorf("a new caller in the crowd: answered by %s", got)
 			}
 			if got := callConsole(t, console, "READY"); got != "200 ready\n" {
 				t.Errorf("READY afterwards: %q", got)
@@ -128,28 +129,28 @@
 				t.Errorf("it holds %d descriptors of %d", n, descriptors)
 			}
 			if log := p.log.String(); strings.Contains(log, "too many open files") {
-				t.Errorf("descriptors have run out:\n%s", lastLines(p.log))
+				t.Errorf("the process ran out of descriptors:\n%s", lastLines(p.log))
 			}
 		})
 	}
 }
 
-// lastLines are the last lines of a log.
+// lastLines returns the end of a log.
 func lastLines(l *logBuffer) string {
 	const maxBytes = 2000
 	text := l.String()
 	return text[max(0, len(text)-maxBytes):]
 }
 
-// Guards against bad input that is passed on, or answered with anything but 400, because its callers come when idle ones
-// hold all places: each gets 400 and a close, or a close alone.
+// Guards against invalid requests that are forwarded, or answered with anything but 400, because idle callers hold all
+// connections: each gets 400 and a close, or only a close.
 func TestBadInputInACrowd(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
 	conf["limits"].(map[string]any)["sockets"] = 64
 	s := start(t, conf)
 	startCrowd(t, s.Address(), 100)
-	eventually(t, "all places are taken", func() bool { return s.callers.Open() >= s.conf.CallerConns })
+	eventually(t, "all connections are taken", func() bool { return s.callers.Open() >= s.conf.CallerConns })
 	const head = "Host: x\r\nX-Txn: 1\r\nX-Remaining: 1\r\n"
 	var wait sync.WaitGroup
 	for _, text := range []string{
@@ -167,7 +168,7 @@
 				}
 				defer conn.Close()
 				conn.SetDeadline(time.Now().Add(patience))
-				io.WriteString(conn, text) //nolint:errcheck // it may be shut already
+				io.WriteString(conn, text) //nolint:errcheck // it may be closed already
 				answer, err := io.ReadAll(conn)
 				if len(answer) > 0 && !strings.HasPrefix(string(answer), "HTTP/1.1 400 ") {
 					t.Errorf("%.40q is answered %q", text, answer)
@@ -180,6 +181,6 @@
 	}
 	wait.Wait()
 	if n := e.Count(); n != 0 {
-		t.Errorf("%d of them were sent on", n)
+		t.Errorf("%d invalid requests were forwarded", n)
 	}
 }
--- a/internal/lifecycle/helpers_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -21,7 +21,7 @@
 	"heathgap/internal/operator"
 )
 
-// patience bounds every wait of the tests: far more than any should take.
+// patience limits every wait of the tests, far above what any should take.
 const patience = 20 * time.Second
 
 // eventually waits until a condition holds.
@@ -29,12 +29,12 @@
 	t.Helper()
 	for end := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("did not happen in time: %s", what)
 		}
 	}
 }
 
-// testSettings are those of a small deployment of the tests' own.
+// testSettings returns the settings of a small deployment.
 func testSettings() map[string]any {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{
@@ -57,7 +57,7 @@
 	}
 }
 
-// testConfig is the configuration file as an object, for changes.
+// testConfig returns the configuration file as an object, for changes.
 func testConfig(d *scripted.Discovery, known ...map[string]any) map[string]any {
 	return map[string]any{
 		"name": "t0", "listen": "127.0.0.1:0", "discovery": d.Address, "seed": "8c1f30d27a5be964",
@@ -66,7 +66,7 @@
 	}
 }
 
-// setDeadlines gives all classes one deadline, in milliseconds.
+// setDeadlines sets the deadline of all classes, in milliseconds.
 func setDeadlines(conf map[string]any, ms float64) {
 	for _, class := range conf["settings"].(map[string]any)["profiles"].([]any) {
 		class.(map[string]any)["deadline"] = ms
@@ -104,7 +104,7 @@
 	return l.text.String()
 }
 
-// testSidecar is a sidecar in this process.
+// testSidecar is a sidecar that runs in the test's process.
 type testSidecar struct {
 	*Sidecar
 	log     *logBuffer
@@ -141,12 +141,12 @@
 	return s
 }
 
-// lastID numbers requests: no two that are open may share an id.
+// lastID numbers requests: no two pending requests may have the same ID.
 var lastID atomic.Int64
 
 func newID() string { return "t" + strconv.FormatInt(lastID.Add(1), 10) }
 
-// request builds a request that the protocol allows.
+// request returns a valid request of a caller.
 func request(t *testing.T, address, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
@@ -163,7 +163,7 @@
 	return r
 }
 
-// send sends a request on a connection of its own and returns status and body.
+// send sends a request on a new connection and returns the status and body of the answer.
 func send(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
 	status, body, err := trySend(r)
@@ -189,7 +189,7 @@
 	return send(t, request(t, address, http.MethodGet, path, ""))
 }
 
-// dial opens a connection that ends with the test, and gives up after patience.
+// dial opens a connection that is closed at the end of the test and times out after patience.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
--- a/internal/lifecycle/probe_test.go
+++ b/internal/lifecycle/probe_test.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/operator"
 )
 
-// useProbing changes settings to those of endpoints that tell their load to probes.
+// useProbing changes settings to those of endpoints that report their load to probes.
 func useProbing(settings map[string]any) map[string]any {
 	settings["family"], settings["replicas_of_me"] = "mesh", 100
 	settings["bounds"].(map[string]any)["probing"] = true
@@ -22,7 +22,7 @@
 	return settings
 }
 
-// loadedEndpoint is an endpoint's line that reports a load to probes.
+// loadedEndpoint starts an endpoint that reports the given load to probes and returns its list entry.
 func loadedEndpoint(t *testing.T, name, load string) map[string]any {
 	t.Helper()
 	return scripted.StartEndpoint(t, name, func(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 	}).Line()
 }
 
-// With the settings of the new shape a sidecar asks endpoints before a request goes, and goes by what they tell.
+// With probing, a sidecar probes endpoints before it sends a request, and chooses by the load that they report.
 func TestProbesDecideWhereARequestGoes(t *testing.T) {
 	busy, idle := loadedEndpoint(t, "busy", "outstanding=5,utilization=1.0"), loadedEndpoint(t, "idle", "outstanding=0,utilization=0.1")
 	conf := testConfig(scripted.StartDiscovery(t), busy, idle)
@@ -45,12 +45,12 @@
 			t.Fatalf("answer: %d %q, want 200 of the idle one", status, body)
 		}
 	}
-	if n := s.Counters().Probed; n < 2 { // an answer speaks for its endpoint for some requests
+	if n := s.Counters().Probed; n < 2 { // an answer to a probe is used for several requests
 		t.Errorf("%d probes for 20 requests", n)
 	}
 }
 
-// A probe that comes to nothing must not hold a request longer than it can be served: the other endpoint does it.
+// A failing probe must not delay a request beyond its deadline: the other endpoint answers it.
 func TestProbeOfADeadEndpoint(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	dead := loadedEndpoint(t, "dead", "")
@@ -66,7 +66,7 @@
 	}
 }
 
-// The watching mode decides as before, sends no probe, and counts where the new settings would do otherwise.
+// The shadow mode decides as without it, sends no probes, and counts where the shadow settings would decide otherwise.
 func TestShadowMode(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	other := scripted.StartEndpoint(t, "e2", nil)
@@ -95,7 +95,7 @@
 	}
 	c := s.Counters()
 	if c.Shadow == nil || c.Shadow.Followed != 40 || c.Shadow.Probes == 0 {
-		t.Fatalf("watched: %+v, want 40 requests and probes that would have been sent", c.Shadow)
+		t.Fatalf("shadow: %+v, want 40 requests and probes that would have been sent", c.Shadow)
 	}
 	if c.Shadow.Same+c.Shadow.SentElsewhere == 0 || c.Probed != 0 {
 		t.Errorf("%+v, and %d probes sent", c.Shadow, c.Probed)
--- a/internal/lifecycle/process_test.go
+++ b/internal/lifecycle/process_test.go
@@ -24,13 +24,13 @@
 	"heathgap/internal/pipeline"
 )
 
-// runAsSidecar in the environment makes the test's own program a sidecar.
+// runAsSidecar is the environment variable that makes the test program run as a sidecar.
 const runAsSidecar = "HEATHGAP_TEST_AS_SIDECAR"
 
-// runAndPanic, as its value, has that sidecar panic as it starts.
+// runAndPanic is the value of that variable with which the sidecar panics as it starts.
 const runAndPanic = "panics"
 
-// descriptorLimitEnv in the environment is how many descriptors that sidecar may hold.
+// descriptorLimitEnv is the environment variable that limits the descriptors of that sidecar.
 const descriptorLimitEnv = "HEATHGAP_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
@@ -49,11 +49,11 @@
 	os.Exit(m.Run())
 }
 
-// process is a sidecar in a process of its own.
+// process is a sidecar in its own process.
 type process struct {
 	*exec.Cmd
 	log  *logBuffer
-	path string // of its configuration
+	path string // of its configuration file
 }
 
 func launch(t *testing.T, conf map[string]any) *process {
@@ -61,13 +61,13 @@
 	return launchAt(t, conf, writeConfig(t, conf))
 }
 
-// launchLimited is launch of a process that may hold so many descriptors.
+// launchLimited launches a process that may hold the given number of descriptors.
 func launchLimited(t *testing.T, conf map[string]any, descriptors int) *process {
 	t.Helper()
 	return launchAt(t, conf, writeConfig(t, conf), descriptorLimitEnv+"="+strconv.Itoa(descriptors))
 }
 
-// launchAt is launch where the configuration's file stands already, with more in its environment.
+// launchAt launches a process with an existing configuration file and more environment variables.
 func launchAt(t *testing.T, conf map[string]any, path string, more ...string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(os.Args[0]), log: &logBuffer{}, path: path}
@@ -88,8 +88,8 @@
 	}
 }
 
-// A sidecar that is killed outright starts again from nothing at its address;
-// one that gets SIGTERM ends by itself, with its counters in the log.
+// A sidecar that is killed can be started again at its address, without any state. One that gets SIGTERM exits with code
+// 0 and its counters in the log.
 func TestRestarts(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -123,9 +123,9 @@
 	}
 }
 
-// Guards against a SIGHUP that ends the process, or a reload that drops requests or
-// stays with the discovery that the environment names: the file's next one is asked
-// for its whole list, whose versions are its own. A bad file changes nothing.
+// Guards against a SIGHUP that ends the process, and against a reload that loses requests or keeps the discovery that
+// the environment names. The discovery that the new file names is asked for its full list, since its versions are its
+// own. An invalid file changes nothing.
 func TestReload(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
 	first, second := scripted.StartDiscovery(t), scripted.StartDiscovery(t)
@@ -161,7 +161,7 @@
 		p.Process.Signal(syscall.SIGHUP)
 	}
 	reload([]byte(`{"name":"t0","listen":7}`))
-	eventually(t, "the faulty key is logged", logged("listen: want a string"))
+	eventually(t, "the invalid key is logged", logged("listen: want a string"))
 	another := testConfig(second, e2.Line())
 	for _, class := range another["settings"].(map[string]any)["profiles"].([]any) {
 		class.(map[string]any)["name"] = "their-" + class.(map[string]any)["name"].(string)
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	reload(theirs)
-	eventually(t, "another customer's file is turned down", logged("another installation's configuration"))
+	eventually(t, "another customer's file is rejected", logged("another installation's configuration"))
 	if second.NumCalls() > 0 || logged(`"message":"reloaded"`)() {
 		t.Errorf("it has moved to another customer's discovery: %d calls", second.NumCalls())
 	}
@@ -188,7 +188,7 @@
 		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
 		return body == "e2"
 	})
-	eventually(t, "the former watch has ended", logged(`"reason":"moved"`))
+	eventually(t, "the watch of the old discovery has ended", logged(`"reason":"moved"`))
 	second.Publish(t, 4, e1.Line())
 	eventually(t, "the new discovery is watched", func() bool {
 		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
@@ -206,7 +206,7 @@
 	}
 }
 
-// A bad configuration ends the start with one line that names the key.
+// An invalid configuration ends the start with one log line that names the key.
 func TestBadConfigurationEndsTheStart(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
 	conf["seed"] = "xyz"
@@ -220,7 +220,7 @@
 	}
 }
 
-// Guards against a panic that ends a process without a word.
+// Guards against a panic that ends a process without a trace in its output.
 func TestPanicIsWritten(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
 	p := launchAt(t, conf, writeConfig(t, conf), runAsSidecar+"="+runAndPanic)
@@ -229,7 +229,7 @@
 	}
 }
 
-// An address that is taken ends the start as well.
+// An address that is in use ends the start, too.
 func TestTakenAddressEndsTheStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -244,8 +244,8 @@
 	}
 }
 
-// Guards against descriptors or memory that run out: with a small limit of
-// descriptors in force and more callers than that, the process goes on.
+// Guards against running out of descriptors or memory: with a low limit of descriptors and more callers than that, the
+// process keeps serving.
 func TestLimitsOfTheProcess(t *testing.T) {
 	const sockets, callers, memoryMB = 128, 300, 192
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -278,7 +278,7 @@
 				return
 			}
 			if _, err := io.Copy(io.Discard, answer.Body); err != nil {
-				t.Errorf("a caller got half an answer: %v", err)
+				t.Errorf("a caller got a truncated answer: %v", err)
 			}
 		})
 	}
@@ -287,11 +287,11 @@
 		t.Errorf("/up afterwards: %d, want 200", status)
 	}
 	if kb := peakMemory(t, p.Process.Pid); kb > memoryMB<<10 {
-		t.Errorf("it took %d kB at its peak, and may take %d", kb, memoryMB<<10)
+		t.Errorf("peak memory %d kB, the limit is %d kB", kb, memoryMB<<10)
 	}
 }
 
-// peakMemory is the most that a process has had in memory, in kB.
+// peakMemory returns the largest resident size that a process has had, in kB.
 func peakMemory(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
@@ -307,11 +307,11 @@
 			return kb
 		}
 	}
-	t.Fatal("no VmHWM")
+	t.Fatal("no VmHWM in /proc/PID/status")
 	return 0
 }
 
-// setDescriptors bounds the descriptors of a running process.
+// setDescriptors limits the descriptors of a running process.
 func setDescriptors(t *testing.T, pid, descriptors int) {
 	t.Helper()
 	limit := unix.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
--- a/internal/lifecycle/races_test.go
+++ b/internal/lifecycle/races_test.go
@@ -21,9 +21,10 @@
 	"heathgap/internal/operator"
 )
 
-// What crosses in a whole sidecar, on real sockets. Each step here is taken when the one before has been seen.
+// Events that coincide in a complete sidecar, on real sockets. Each step of a test is taken when the one before has been
+// seen to happen.
 
-// requestText is a request as a caller writes it.
+// requestText returns a request as a caller writes it; with further headers it is a POST.
 func requestText(path, headers string) string {
 	method := "GET"
 	if headers != "" {
@@ -32,8 +33,9 @@
 	return method + " " + path + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + newID() + "\r\nX-Remaining: 1.9\r\n" + headers + "\r\n"
 }
 
-// Guards against requests that are sent on though nobody waits for them any more: their callers left while they were
-// held for an endpoint, each in its own way, many in one burst. None is sent when there is one.
+// Guards against requests that are forwarded though their callers have disconnected: many callers disconnect in one
+// burst, in various ways, while their requests wait for an endpoint. None of these requests may be sent once there is
+// one.
 func TestCallersThatLeaveWhileTheyWait(t *testing.T) {
 	leave := []func(p *scripted.Peer){
 		func(p *scripted.Peer) { p.Close() },
@@ -53,22 +55,22 @@
 		p.Send(requestText("/look", ""))
 		peers = append(peers, p)
 	}
-	eventually(t, "all are held", func() bool { return s.Counters().Pending == burst })
+	eventually(t, "all requests are pending", func() bool { return s.Counters().Pending == burst })
 	for i, p := range peers {
 		leave[i%len(leave)](p)
 	}
-	eventually(t, "all are seen to have left", func() bool { return s.Counters().Left == burst })
+	eventually(t, "all disconnects are noticed", func() bool { return s.Counters().Left == burst })
 	d.Publish(t, 2, e.Line())
 	if status, _ := get(t, s.Address(), "/look"); status != 200 {
-		t.Errorf("one that stays: %d", status)
+		t.Errorf("a caller that stays: %d", status)
 	}
 	if n := e.Count(); n != 1 {
-		t.Errorf("%d requests were sent on, want the one whose caller is there", n)
+		t.Errorf("%d requests were forwarded, want only that of the connected caller", n)
 	}
 }
 
-// Guards against a request that crosses the end of a resting connection and is sent on though its caller can't have the
-// answer, and against a reset in its place: the caller reads an end in order, and asks elsewhere.
+// Guards against a request that is sent while its idle connection is being closed and is forwarded though its caller
+// can't get the answer, and against a reset instead: the caller reads EOF and can retry elsewhere.
 func TestRequestOnAClosingConnection(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -80,23 +82,23 @@
 	stopped := make(chan struct{})
 	s.stopped = true
 	go func() { s.Stop(); close(stopped) }()
-	if text, err := p.ReadToEnd(); text != "" || err != nil { // the sidecar has ended its side
-		t.Fatalf("the end: %q, %v", text, err)
+	if text, err := p.ReadToEnd(); text != "" || err != nil { // the sidecar has closed its side for writing
+		t.Fatalf("instead of EOF: %q, %v", text, err)
 	}
-	for range 3 { // a connection that is closed would answer the first with a reset, which the next would meet
+	for range 3 { // a closed connection would answer the first with a reset, which the next would run into
 		if _, err := io.WriteString(p, requestText("/look", "")); err != nil {
-			t.Errorf("a request that crosses meets %v", err)
+			t.Errorf("writing during the close: %v", err)
 		}
 	}
 	p.Close()
 	<-stopped
 	if n := e.Count(); n != 1 {
-		t.Errorf("%d requests were sent on, want the first alone", n)
+		t.Errorf("%d requests were forwarded, want only the first", n)
 	}
 }
 
-// What comes as a sidecar stops: requests written ahead behind the last answer, half a request whose rest trickles, a new
-// connection, a second SIGTERM's worth of nothing. The last answers are whole and end in order.
+// Requests that come while a sidecar stops: pipelined ones after the last answer, and an incomplete one whose rest never
+// comes. New connections are refused, and the pending request gets a complete answer and then EOF.
 func TestRequestsDuringAStop(t *testing.T) {
 	endpoint := scripted.Listen(t)
 	d := scripted.StartDiscovery(t)
@@ -112,21 +114,21 @@
 	stopped := make(chan struct{})
 	begin := time.Now()
 	go func() { s.Stop(); close(stopped) }()
-	eventually(t, "it listens no more", func() bool {
+	eventually(t, "it stopped listening", func() bool {
 		conn, err := net.Dial("tcp", s.Address())
 		if err == nil {
 			conn.Close()
 		}
 		return err != nil
 	})
-	first.Send(requestText("/look", "") + requestText("/look", "")) // behind the last answer
-	half.Send(":")                                                  // one byte, and never the end
+	first.Send(requestText("/look", "") + requestText("/look", "")) // pipelined after the last request
+	half.Send(":")                                                  // one byte, and the rest never comes
 	attempt.Send(scripted.OK("one"))
 	if status, body := first.ReadAnswer(); status != 200 || body != "one" {
 		t.Errorf("the last answer: %d %q", status, body)
 	}
 	if text, err := first.ReadToEnd(); text != "" || err != nil {
-		t.Errorf("behind it: %q, %v", text, err)
+		t.Errorf("after the last answer: %q, %v", text, err)
 	}
 	first.Close()
 	<-stopped
@@ -134,17 +136,17 @@
 		t.Errorf("stopping took %v", took)
 	}
 	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || endpoint.HasPending() {
-		t.Errorf("%+v, one more connection to the endpoint: %v", c, endpoint.HasPending())
+		t.Errorf("%+v, a second connection to the endpoint: %v; want one request taken and served", c, endpoint.HasPending())
 	}
 }
 
-// heldEnv is a world whose connections to endpoints stand still before they write, until told.
+// heldEnv is an environment whose connections to some addresses block before a write until they are released.
 type heldEnv struct {
 	env.Real
-	heldAddresses sync.Map // addresses
+	heldAddresses sync.Map // addresses whose connections block
 	blocked       chan string
 	release       chan struct{}
-	skipped       int // writes of each connection that are let through
+	skipped       int // first writes of each connection that do not block
 }
 
 type heldConn struct {
@@ -153,7 +155,7 @@
 	writes int
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (e *heldEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := e.Real.Dial(ctx, address, timeout)
 	if _, holds := e.heldAddresses.Load(address); err != nil || !holds {
@@ -162,7 +164,7 @@
 	return &heldConn{TCPConn: conn.(*net.TCPConn), env: e}, nil
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *heldConn) Write(b []byte) (int, error) {
 	if c.writes++; c.writes > c.env.skipped {
 		c.env.blocked <- c.RemoteAddr().String()
@@ -171,9 +173,9 @@
 	return c.TCPConn.Write(b)
 }
 
-// An endpoint's connection that ends between the look at it and the write: broken before the last byte is written, the
-// request has never run and goes elsewhere, whatever its class. Ended in order, the bytes still go, and it may have run: what is unsafe to repeat
-// is not sent again, what is safe is.
+// An endpoint closes its connection between the check of that connection and the write of a request. If it is reset
+// before the last byte is written, the request has never run and is sent elsewhere, whatever its class. If it is closed
+// normally, the bytes are still written and the request may have run: it is sent again only if its class allows repeats.
 func TestConnectionThatEndsAsARequestIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
@@ -201,7 +203,7 @@
 				t.Fatalf("the first: %d", status)
 			}
 			p.Send(requestText(c.path, c.more))
-			<-environment.blocked // the connection was looked at, and is taken
+			<-environment.blocked // the connection has been checked and chosen
 			c.end(e)
 			second := scripted.StartEndpoint(t, "e2", nil)
 			d.Publish(t, 2, scripted.Line("e1", scripted.FreeAddress(t)), second.Line())
@@ -221,8 +223,8 @@
 	}
 }
 
-// What an endpoint says on a connection that rests, half a line or a whole second answer, is never taken for the answer
-// to the next request.
+// What an endpoint sends on an idle connection, an incomplete line or a complete second answer, must not be taken for
+// the answer to the next request.
 func TestUnsolicitedBytesOnIdleConnection(t *testing.T) {
 	for name, text := range map[string]string{
 		"half a line": "HTTP/1.", "a second answer": scripted.OK("another's"), "100": "HTTP/1.1 100 Continue\r\n\r\n",
@@ -237,7 +239,7 @@
 		if _, body := p.ReadAnswer(); body != "first" {
 			t.Fatalf("%s: %q", name, body)
 		}
-		e.Send(text) // on loopback it has come when it is written
+		e.Send(text) // on loopback, it has arrived when it is written
 		p.Send(requestText("/look", ""))
 		next := endpoint.Accept()
 		next.ReadRequest()
@@ -248,8 +250,8 @@
 	}
 }
 
-// Guards against a SIGTERM that comes while a process starts and is lost, or ends it out of order. Its configuration is a
-// pipe: who opens that to write knows that the process reads it, and heeds signals since before.
+// Guards against a SIGTERM that comes while a process starts and is lost, or kills it. The configuration is a named
+// pipe: when it can be opened for writing, the process is reading it and has set up its signals before.
 func TestSIGTERMWhileItStarts(t *testing.T) {
 	conf := testConfig(&scripted.Discovery{Address: scripted.FreeAddress(t)}, scripted.Line("e1", scripted.FreeAddress(t)))
 	setDeadlines(conf, 300)
@@ -276,8 +278,7 @@
 	}
 }
 
-// A process is told to stop in any moment of its life: twice, during a reload while discovery is down,
-// with discovery silent. It ends by itself, in order.
+// A SIGTERM at any time, also twice or during a reload with a silent discovery, ends the process gracefully.
 func TestSIGTERMAtAnyTime(t *testing.T) {
 	silent := scripted.Listen(t)
 	term := func(p *process) { p.Process.Signal(syscall.SIGTERM) } //nolint:errcheck // it may have ended
@@ -308,7 +309,8 @@
 	}
 }
 
-// Guards against a restart that waits for discovery: with it silent, slow or away, a process with a known list serves.
+// Guards against a start that waits for discovery: with a silent, absent or unreachable discovery, a process serves with
+// the list in its configuration.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	for name, address := range map[string]string{
@@ -328,8 +330,8 @@
 	}
 }
 
-// Floods from every side at once: connections that say nothing, heads without end, bodies that trickle, junk. A usual
-// caller keeps its share meanwhile, and connections keep their bound.
+// A flood of every kind at once: silent connections, endless heads, slow bodies, junk. Usual callers are still served,
+// and the limit of connections holds.
 func TestUsualCallersUnderAFlood(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -354,9 +356,9 @@
 				if err != nil {
 					continue
 				}
-				io.WriteString(conn, texts[i%len(texts)]) //nolint:errcheck // it may be turned down
+				io.WriteString(conn, texts[i%len(texts)]) //nolint:errcheck // it may be rejected
 				conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-				io.Copy(io.Discard, conn) //nolint:errcheck // a flood does not listen
+				io.Copy(io.Discard, conn) //nolint:errcheck // a flood ignores answers
 				conn.Close()
 			}
 		})
@@ -379,12 +381,13 @@
 	close(ended)
 	wait.Wait()
 	if n := len(bad); n > 0 || e.Count() != usual {
-		t.Errorf("%v of %d usual requests failed, %d came to the endpoint", bad, usual, e.Count())
+		t.Errorf("%v of %d usual requests failed, %d reached the endpoint", bad, usual, e.Count())
 	}
 	eventually(t, "the flood's connections end", func() bool { return s.callers.Open() <= 2 })
 }
 
-// Guards against an answer without end that keeps its connections after its caller has gone, or all memory before that.
+// Guards against an endless answer that keeps its connections after its caller has disconnected, or takes all memory
+// before that.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	for name, head := range map[string]string{
 		"in chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "to its connection's end": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
@@ -409,13 +412,13 @@
 				ended <- err
 			}()
 			if _, err := io.ReadFull(p, make([]byte, 1<<20)); err != nil {
-				t.Fatalf("it does not pass on: %v", err)
+				t.Fatalf("the answer is not streamed: %v", err)
 			}
-			p.Reset() // its caller has had enough
+			p.Reset() // the caller has read enough
 			if err := <-ended; err == nil {
-				t.Error("it goes on for nobody")
+				t.Error("the answer goes on after its caller has disconnected")
 			}
-			eventually(t, "it is booked", func() bool {
+			eventually(t, "it is counted, and its connections are closed", func() bool {
 				c := s.Counters()
 				return c.Streaming == 0 && c.Pending == 0 && c.Left == 1 && c.Links == 0
 			})
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -19,10 +19,11 @@
 	"heathgap/internal/takeover"
 )
 
-// readyTime is when nine in ten restarted processes have to be ready; here, all are.
+// readyTime is the time within which nine in ten restarted processes have to be ready; here, all have to.
 const readyTime = 10 * time.Second
 
-// uselessDiscoveries are those that are of no use, each in its way, by name; a restarted process has to serve without them.
+// uselessDiscoveries returns the addresses of discoveries that fail in various ways, by the kind of failure. A restarted
+// process has to serve without them.
 func uselessDiscoveries(t *testing.T) map[string]string {
 	crowded, broken, slow := scripted.StartDiscovery(t), scripted.StartDiscovery(t), scripted.Listen(t)
 	crowded.SetDown(true)
@@ -30,7 +31,7 @@
 	ended := make(chan struct{})
 	var wait sync.WaitGroup
 	t.Cleanup(func() { close(ended); wait.Wait() })
-	wait.Go(func() { // the beginning of an answer, bit by bit, and never the end
+	wait.Go(func() { // sends the beginning of an answer, byte by byte, and never the end
 		tick := time.NewTicker(100 * time.Millisecond)
 		defer tick.Stop()
 		var conns []*scripted.Peer
@@ -42,7 +43,7 @@
 			}
 			for slow.HasPending() {
 				c := slow.Accept()
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{") //nolint:errcheck // it may be given up
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{") //nolint:errcheck // the sidecar may have closed it
 				conns = append(conns, c)
 			}
 			for _, c := range conns {
@@ -56,20 +57,20 @@
 	}
 }
 
-// awaitReady waits until a process says READY.
+// awaitReady waits until the console of a process answers READY.
 func (p *process) awaitReady(t *testing.T, conf map[string]any) {
 	t.Helper()
 	for end := time.Now().Add(patience); !saysReady(conf["console"].(string)); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.Process.Signal(syscall.SIGQUIT) //nolint:errcheck // for its goroutines
-			p.Wait()                          //nolint:errcheck // it ends by that
+			p.Process.Signal(syscall.SIGQUIT) //nolint:errcheck // prints its goroutines
+			p.Wait()                          //nolint:errcheck // the signal ends it
 			t.Fatalf("never READY, %v:\n%s", p.ProcessState, p.log)
 		}
 	}
 }
 
-// Guards against restarted processes that are not ready in time: thirty are killed at once and started anew at once,
-// while discovery is silent, slow, crowded, faulty, away or cut off. Each says READY and serves.
+// Guards against restarted processes that are not ready in time: thirty are killed at once and started again at once,
+// while discovery is silent, slow, crowded, faulty, absent or unreachable. Each has to be ready and to serve.
 func TestThirtyProcessesRestartedAtOnce(t *testing.T) {
 	const each = 5
 	e := scripted.StartEndpoint(t, "e1", nil)
@@ -83,13 +84,14 @@
 	for name, address := range uselessDiscoveries(t) {
 		for range each {
 			conf := testConfig(&scripted.Discovery{Address: address}, e.Line())
-			// Addresses from which nothing is dialed: an ephemeral port may take a free one at any moment.
+			// Addresses from which nothing is dialed: on others, an ephemeral port may take a free address at any
+			// moment.
 			host := fmt.Sprintf("127.0.2.%d", len(all)+1)
 			conf["listen"], conf["console"] = scripted.FreeAddressAt(t, host), scripted.FreeAddressAt(t, host)
 			all = append(all, &restarted{discovery: name, conf: conf})
 		}
 	}
-	for round := range 2 { // the second time they come back
+	for round := range 2 { // the second time is the restart
 		begin := time.Now()
 		for _, r := range all {
 			r.process = launch(t, r.conf)
@@ -115,7 +117,7 @@
 	}
 }
 
-// The same on one core: thirty sidecars of one process start at once.
+// The same on one core: thirty sidecars in one process start at once.
 func TestThirtyStartsOnOneCore(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const each = 5
@@ -142,8 +144,8 @@
 	}
 }
 
-// Guards against a predecessor that lingers and costs its successor the start: it hangs in each step of the hand-over,
-// with its connections up, and the successor is ready in time and serves.
+// Guards against a predecessor that hangs and thereby delays its successor: it hangs in each step of the protocol, with
+// its connections open, and the successor has to be ready in time and serve.
 func TestPredecessorThatHangsInEachStep(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	d := scripted.StartDiscovery(t)
@@ -153,7 +155,7 @@
 			conf := testConfig(d, e.Line())
 			address := scripted.FreeAddress(t)
 			conf["listen"], conf["console"] = address, scripted.FreeAddress(t)
-			temp, err := os.MkdirTemp("", "") // a socket's path has to be short
+			temp, err := os.MkdirTemp("", "") // the path of a Unix socket has to be short
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -169,7 +171,7 @@
 			}
 			hanging := make(chan struct{})
 			var wait sync.WaitGroup
-			wait.Go(func() { // the predecessor, up to the step
+			wait.Go(func() { // the predecessor, up to the step in which it hangs
 				defer socket.Close()
 				if step > 0 {
 					conn, err := socket.AcceptUnix()
@@ -190,7 +192,7 @@
 				t.Errorf("ready after %v", took)
 			}
 			if step < 3 {
-				served.Close() // what the kernel deals out to who hangs is not the successor's to serve
+				served.Close() // connections that the kernel assigns to the hanging process are not the successor's to serve
 			}
 			if status, body := get(t, address, "/look"); status != 200 || body != "e1" {
 				t.Errorf("answered %d %q:\n%s", status, body, p.log)
@@ -199,7 +201,7 @@
 	}
 }
 
-// actUntilHang does what a predecessor does before a step in which it hangs.
+// actUntilHang does what a predecessor does before the step in which it hangs.
 func actUntilHang(t *testing.T, conn *net.UnixConn, served net.Listener, step int) {
 	if step < 2 {
 		return
@@ -221,6 +223,6 @@
 	}
 	var word map[string]any
 	if err := json.NewDecoder(conn).Decode(&word); err != nil || word["take"] != true {
-		t.Errorf("told %v, %v", word, err)
+		t.Errorf("received %v, %v; want take", word, err)
 	}
 }
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -32,7 +32,7 @@
 	}
 	got, sent := e.Request(0)
 	if got.Method != "POST" || got.RequestURI != "/pay/out?sid=a%2Fb&x=1" || sent != "some body" {
-		t.Errorf("passed on: %s %s with %q", got.Method, got.RequestURI, sent)
+		t.Errorf("forwarded: %s %s with %q", got.Method, got.RequestURI, sent)
 	}
 	for name, want := range map[string]string{
 		"X-Txn": "9b1f03aa5c7e2d41", "Idempotency-Key": "5c0f6e1a", "X-Org": "acme",
@@ -47,7 +47,7 @@
 	}
 }
 
-// One program serves every tier: a sidecar of a lower one takes the same calls.
+// The same program serves every tier: a sidecar of a lower tier takes the same requests.
 func TestServesALowerTier(t *testing.T) {
 	e := scripted.StartEndpoint(t, "deep", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -61,8 +61,8 @@
 	}
 }
 
-// Guards against bad input that reaches an endpoint or ends the process. It is answered 400, then its connection ends in
-// order, and what was written behind it is not sent on: it may be a part of it.
+// Guards against invalid requests that reach an endpoint or end the process. Each is answered 400, then its connection
+// is closed normally. What was pipelined after it is not forwarded: it may be a part of the invalid request.
 func TestMalformedRequestsReachNoEndpoint(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -109,7 +109,7 @@
 			}
 			io.Copy(io.Discard, answer.Body)
 			if more, err := io.ReadAll(in); len(more) > 0 || err != nil {
-				t.Errorf("behind it: %q, %v; want an end", more, err)
+				t.Errorf("after the answer: %q, %v; want EOF", more, err)
 			}
 		})
 	}
@@ -117,12 +117,12 @@
 		t.Errorf("after them: %d, want 200", status)
 	}
 	if n := e.Count(); n != 1 {
-		t.Errorf("the endpoint was asked %d times, want once", n)
+		t.Errorf("the endpoint got %d requests, want 1", n)
 	}
 }
 
-// Guards against a caller that takes the id of another's open request: an endpoint
-// could answer the one with what belongs to the other.
+// Guards against a caller that uses the ID of another caller's pending request: an endpoint could answer one with what
+// belongs to the other.
 func TestIDOfAPendingRequest(t *testing.T) {
 	release := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -136,7 +136,7 @@
 		_, body, _ := trySend(first)
 		got <- body
 	}()
-	eventually(t, "the first is out", func() bool { return e.Count() == 1 })
+	eventually(t, "the first request is sent", func() bool { return e.Count() == 1 })
 	copied := request(t, s.Address(), http.MethodGet, "/look/copy", "")
 	copied.Header.Set("X-Txn", first.Header.Get("X-Txn"))
 	if status, _ := send(t, copied); status != 400 {
@@ -144,15 +144,15 @@
 	}
 	close(release)
 	if body := <-got; body != "/look/first" || e.Count() != 1 {
-		t.Errorf("the first got %q, and the endpoint was asked %d times", body, e.Count())
+		t.Errorf("the first got %q, and the endpoint got %d requests", body, e.Count())
 	}
 	if c := s.Counters(); c.Malformed != 1 || c.Taken != 1 || c.Pending != 0 {
-		t.Errorf("the books: %+v", c)
+		t.Errorf("counters: %+v", c)
 	}
 }
 
-// Guards against answers that are turned down for their length, though they have run,
-// and against room for answers that does not come back: these need eight times of it.
+// Guards against answers that are rejected for their length though their requests have run, and against memory for
+// answers that is not released: these answers need eight times the budget in all.
 func TestLongAnswers(t *testing.T) {
 	const long, memoryMB = 400 << 10, 32
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -169,8 +169,8 @@
 	}
 }
 
-// Guards against a caller whose time is longer than any of its class: it would be
-// held, and its timers with it, for as long as it likes.
+// Guards against a caller that gives more time than its class allows: its request, and the timers of it, would be
+// pending for as long as the caller likes.
 func TestRemainingTimeAboveTheClassDeadline(t *testing.T) {
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -181,8 +181,7 @@
 	}
 }
 
-// Guards against endings of an exchange that are taken for an answer, or for an
-// attempt that never ran.
+// Guards against failures of an exchange that are taken for an answer, or for an attempt that never ran.
 func TestBrokenEndpointAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		behave  http.HandlerFunc
@@ -204,7 +203,7 @@
 			s := start(t, testConfig(scripted.StartDiscovery(t), bad.Line()))
 			r := request(t, s.Address(), http.MethodPost, "/burn", "x")
 			got, body := send(t, r)
-			// What may have run must not be called harmless to repeat.
+			// The answer for a request that may have run must not say that a retry is harmless.
 			refused, never := got == 503 || got == 429, c.outcome.NeverRan()
 			if got == 200 || refused && !never || bad.Count() != 1 && !never {
 				t.Errorf("answer %d %q after %d attempts", got, body, bad.Count())
@@ -225,8 +224,8 @@
 	}
 }
 
-// An endpoint whose process has died, or whose machine has vanished, is no reason
-// to fail: nothing has run.
+// An endpoint whose process has died, or whose machine is unreachable, must not fail a request: the request has not run
+// there.
 func TestUnreachableEndpointIsSkipped(t *testing.T) {
 	for name, address := range map[string]string{"refused": scripted.FreeAddress(t), "out of reach": scripted.UnreachableAddress(t)} {
 		t.Run(name, func(t *testing.T) {
@@ -243,14 +242,14 @@
 				return s.Counters().Outcomes[decide.ConnectFailed] > 0
 			})
 			if !strings.Contains(s.log.String(), `"reason":"dial_failed"`) {
-				t.Errorf("no line on the dial:\n%s", s.log)
+				t.Errorf("the failed dial is not logged:\n%s", s.log)
 			}
 		})
 	}
 }
 
-// Guards against a request that outlives its caller's time, and against giving
-// up an attempt while its connection stays at work.
+// Guards against a request that is pending longer than its caller waits, and against an attempt that is given up while
+// its connection stays open.
 func TestSilentEndpointIsGivenUpInTime(t *testing.T) {
 	ended := make(chan struct{}, 8)
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(ended))
@@ -273,8 +272,7 @@
 	}
 }
 
-// Guards against callers that leave unseen while their request is held: fasthttp
-// does not look.
+// Guards against callers that disconnect unnoticed while their request is pending: fasthttp does not check.
 func TestCallerThatLeavesIsSeen(t *testing.T) {
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -283,17 +281,16 @@
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 30\r\n\r\n")
-	eventually(t, "the request is out", func() bool { return s.Counters().Sent == 1 })
+	eventually(t, "the request is sent", func() bool { return s.Counters().Sent == 1 })
 	conn.Close()
-	eventually(t, "it is seen that the caller left", func() bool { return s.Counters().Left == 1 })
+	eventually(t, "the disconnect is noticed", func() bool { return s.Counters().Left == 1 })
 	if c := s.Counters(); c.Pending != 0 || c.Taken != 1 {
-		t.Errorf("held %d, taken %d: want 0 and 1", c.Pending, c.Taken)
+		t.Errorf("pending %d, taken %d: want 0 and 1", c.Pending, c.Taken)
 	}
-	eventually(t, "its line", func() bool { return strings.Contains(s.log.String(), `"reason":"caller_left"`) })
+	eventually(t, "the end of its connection is logged", func() bool { return strings.Contains(s.log.String(), `"reason":"caller_left"`) })
 }
 
-// A byte of the next request that comes early is not lost to the watch for
-// callers that leave.
+// A byte of the next request that comes early is not lost to the watch for disconnects, which reads it.
 func TestNextRequestMayComeEarly(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -315,8 +312,8 @@
 	}
 }
 
-// The list as last known is used at once, whatever becomes of discovery, and
-// failed calls are made again.
+// The list in the configuration is used at once, whatever the state of discovery, and failed calls to discovery are
+// repeated.
 func TestDiscoveryOutage(t *testing.T) {
 	for name, breakIt := range map[string]func(*scripted.Discovery){
 		"down":         func(d *scripted.Discovery) { d.SetDown(true) },
@@ -332,16 +329,16 @@
 			breakIt(d)
 			s := start(t, testConfig(d, older.Line()))
 			if status, body := get(t, s.Address(), "/look"); status != 200 || body != "older" {
-				t.Fatalf("with the list as known: %d %q", status, body)
+				t.Fatalf("with the configured list: %d %q", status, body)
 			}
 			eventually(t, "a call fails", func() bool { return s.Counters().ListFailures > 0 })
 			if !strings.Contains(s.log.String(), `"side":"discovery"`) {
-				t.Errorf("no line on discovery:\n%s", s.log)
+				t.Errorf("the failed call to discovery is not logged:\n%s", s.log)
 			}
 			d.SetDown(false)
 			d.SetBroken("")
 			d.Publish(t, 7, newer.Line())
-			eventually(t, "the new list", func() bool {
+			eventually(t, "the new list is in use", func() bool {
 				_, body := get(t, s.Address(), "/look")
 				return body == "newer"
 			})
@@ -349,7 +346,7 @@
 	}
 }
 
-// A watch goes on from the version it has, at once, and what it tells is heeded.
+// A watch asks at once for changes after the version that the sidecar has, and the changes are applied.
 func TestWatchFollowsChanges(t *testing.T) {
 	a, b := scripted.StartEndpoint(t, "a", nil), scripted.StartEndpoint(t, "b", nil)
 	d := scripted.StartDiscovery(t)
@@ -357,12 +354,12 @@
 	eventually(t, "a watch", func() bool { return d.NumCalls() == 1 })
 	first := d.Queries()[0]
 	if !strings.HasPrefix(first, "after=1&wait_ms=") {
-		t.Errorf("the first watch asks for %q, want what is newer than the list as known", first)
+		t.Errorf("the first watch asks for %q, want changes after the version of the configured list", first)
 	}
 	gone := a.Line()
 	gone["status"] = "DELETED"
 	d.SetText(2, scripted.Changes(t, 2, gone, b.Line()))
-	eventually(t, "the change and the next watch", func() bool {
+	eventually(t, "the change is applied and the next watch has started", func() bool {
 		return s.Counters().Lists == 1 && d.NumCalls() == 2
 	})
 	for range 10 {
@@ -372,8 +369,8 @@
 	}
 }
 
-// Where changes are to come by themselves, the module does not ask for them: the
-// sidecar watches, and watches again after a failure.
+// With automatic membership, the decision module does not request the list: the sidecar watches by itself, and again
+// after a failure.
 func TestWatchesInAutomaticMode(t *testing.T) {
 	a, b := scripted.StartEndpoint(t, "a", nil), scripted.StartEndpoint(t, "b", nil)
 	d := scripted.StartDiscovery(t)
@@ -384,14 +381,14 @@
 	eventually(t, "a call fails", func() bool { return s.Counters().ListFailures > 0 })
 	d.SetDown(false)
 	d.Publish(t, 2, b.Line())
-	eventually(t, "the list", func() bool { return s.Counters().Lists > 0 })
+	eventually(t, "the list has come", func() bool { return s.Counters().Lists > 0 })
 	if _, body := get(t, s.Address(), "/look"); body != "b" {
 		t.Errorf("answered by %q, want b", body)
 	}
 }
 
-// Guards against descriptors that run out: more callers than there is room for
-// must not end the sidecar, nor keep others from being served.
+// Guards against running out of descriptors: more callers than the limit must not end the sidecar, nor keep others from
+// being served.
 func TestManyIdleCallers(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -404,17 +401,16 @@
 		}
 		defer conn.Close()
 	}
-	eventually(t, "room is made", func() bool { return s.callers.Open() <= s.conf.CallerConns })
+	eventually(t, "idle connections are closed down to the limit", func() bool { return s.callers.Open() <= s.conf.CallerConns })
 	if status, _ := get(t, s.Address(), "/look"); status != 200 {
 		t.Errorf("status %d, want 200", status)
 	}
 	if !strings.Contains(s.log.String(), `"reason":"room"`) {
-		t.Error("no connection was ended to make room")
+		t.Error("no connection was closed for the limit")
 	}
 }
 
-// Guards against callers that hold all connections with the beginnings of requests:
-// others must still be served.
+// Guards against callers that occupy all connections with incomplete requests: others must still be served.
 func TestManyHalfRequests(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -431,16 +427,16 @@
 	if status, _ := get(t, s.Address(), "/look"); status != 200 {
 		t.Errorf("status %d, want 200", status)
 	}
-	eventually(t, "room is made", func() bool { return s.callers.Open() <= s.conf.CallerConns })
+	eventually(t, "connections are closed down to the limit", func() bool { return s.callers.Open() <= s.conf.CallerConns })
 	if !strings.Contains(s.log.String(), `"reason":"room"`) {
-		t.Error("half requests ended by themselves: none was cut short")
+		t.Error("no incomplete request was aborted for the limit")
 	}
 }
 
-// Guards against callers that never send a whole request: each gets a word or a close
-// within 3 s of connecting, also one that goes on sending bit by bit.
+// Guards against callers that never send a complete request: each gets 400 or a close within 3 s of connecting, also one
+// that keeps sending byte by byte.
 func TestCallersThatNeverSendARequest(t *testing.T) {
-	const owed, slow = 3 * time.Second, time.Second // a machine may be slow by that
+	const owed, slow = 3 * time.Second, time.Second // slow is allowed for a busy machine
 	s := start(t, testConfig(scripted.StartDiscovery(t)))
 	var wait sync.WaitGroup
 	for name, c := range map[string]struct{ text, bit string }{
@@ -475,25 +471,25 @@
 				}
 				return
 			}
-			t.Errorf("%s: no word", name)
+			t.Errorf("%s: neither an answer nor a close", name)
 		})
 	}
 	wait.Wait()
 }
 
-// A request whose time is up goes nowhere, and its caller is told so.
+// A request without any time left is not sent, and its caller gets an answer that says so.
 func TestNoTimeLeft(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	r := request(t, s.Address(), http.MethodGet, "/look", "")
 	r.Header.Set("X-Remaining", "0")
 	if status, _ := send(t, r); status == 200 || e.Count() > 0 || s.Counters().Sent > 0 {
-		t.Errorf("status %d, and the endpoint was asked %d times: %+v", status, e.Count(), s.Counters())
+		t.Errorf("status %d, and the endpoint got %d requests: %+v", status, e.Count(), s.Counters())
 	}
 }
 
-// Guards against connections to endpoints beyond the bound, and against callers
-// beyond theirs that hold requests: they are refused, at once.
+// Guards against more connections to endpoints than the limit. Pending requests of callers beyond their limit are
+// refused at once.
 func TestBusyConnectionsStayInBounds(t *testing.T) {
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -527,13 +523,12 @@
 	}
 	c := s.Counters()
 	if c.Pending != 0 || c.Taken+c.OverLimit != 100 || c.OverLimit == 0 {
-		t.Errorf("held %d, taken %d, turned away %d: want 0, and 100 in all with some of both", c.Pending, c.Taken, c.OverLimit)
+		t.Errorf("pending %d, taken %d, over the limit %d: want 0 pending, and 100 in all with some over the limit", c.Pending, c.Taken, c.OverLimit)
 	}
 }
 
-// Guards against a stop that sends callers away at once, when another sidecar may
-// not be there: all goes on for a while but GET /up. Then each answer is the last on
-// its connection, and what was taken is answered.
+// Guards against a stop that rejects callers at once, when there may be no other sidecar yet: for a while everything
+// continues but GET /up. Then each answer closes its connection, and requests that were taken are answered.
 func TestStopAnswersWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -545,7 +540,7 @@
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
 	setDeadlines(conf, 60000)
 	s := start(t, conf)
-	var conns [2]net.Conn // one stands idle, the other is used on and on
+	var conns [2]net.Conn // one stays idle, the other is used again and again
 	for i := range conns {
 		var err error
 		if conns[i], err = net.Dial("tcp", s.Address()); err != nil {
@@ -564,9 +559,9 @@
 		}
 		pending <- answer
 	}()
-	eventually(t, "the slow request is out", func() bool { return e.Count() == 1 })
+	eventually(t, "the slow request is sent", func() bool { return e.Count() == 1 })
 	stopped := make(chan struct{})
-	s.stopped, s.stayTime = true, 1500*time.Millisecond // a slow machine must come through with what follows
+	s.stopped, s.stayTime = true, 1500*time.Millisecond // long enough for what follows on a slow machine
 	go func() { s.Stop(); close(stopped) }()
 	eventually(t, "it is not ready any more", func() bool {
 		status, _, err := trySend(request(t, s.Address(), http.MethodGet, "/up", ""))
@@ -581,17 +576,17 @@
 		io.WriteString(conns[1], "GET /look HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nX-Remaining: 1.5\r\n\r\n")
 		answer, err := http.ReadResponse(in, nil)
 		if err != nil || answer.StatusCode != 200 {
-			t.Fatalf("request %d on a connection that stands: %+v, %v", served, answer, err)
+			t.Fatalf("request %d on an open connection: %+v, %v", served, answer, err)
 		}
 		io.Copy(io.Discard, answer.Body)
 		last = answer.Close
 	}
 	if served < 2 {
-		t.Errorf("%d answers on a connection that stands: it ended at once", served)
+		t.Errorf("%d answers on an open connection, want at least 2 before it is closed", served)
 	}
 	close(release)
 	if answer := <-pending; answer == nil || answer.StatusCode != 200 || !answer.Close {
-		t.Errorf("the held request: %+v; want 200 and Connection: close", answer)
+		t.Errorf("the pending request: %+v; want 200 and Connection: close", answer)
 	}
 	select {
 	case <-stopped:
@@ -599,15 +594,15 @@
 		t.Fatal("it does not stop")
 	}
 	if rest, err := io.ReadAll(conns[0]); err != nil || len(rest) > 0 {
-		t.Errorf("the idle connection ended with %q, %v; want silence", rest, err)
+		t.Errorf("the idle connection ended with %q, %v; want EOF", rest, err)
 	}
 	if !strings.Contains(s.log.String(), fmt.Sprintf(`"served":%d,`, served+2)) {
-		t.Errorf("no counters at the end:\n%s", s.log)
+		t.Errorf("the log has no such counters at the end:\n%s", s.log)
 	}
 }
 
-// Callers that go on using their connections lose nothing at a stop: each is told
-// by an answer that its connection ends with it.
+// Callers that keep using their connections lose no request when the sidecar stops: an answer tells each one that its
+// connection is being closed.
 func TestStopUnderTraffic(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -635,12 +630,12 @@
 	s.Stop()
 	wait.Wait()
 	if c := s.Counters(); c.Pending != 0 || c.Taken != c.Served+c.Refused+c.Failed+c.Left {
-		t.Errorf("the books do not add up: %+v", c)
+		t.Errorf("the counters do not add up: %+v", c)
 	}
 }
 
-// Guards against requests that are still held when the platform kills what has
-// not stopped: they are lost, where a failure would have been an answer.
+// Guards against requests that are still pending when the platform kills a process that has not stopped in time: they
+// would be lost, where a failure is at least an answer.
 func TestStopFailsWhatCannotEnd(t *testing.T) {
 	e := scripted.StartEndpoint(t, "mute", scripted.NeverAnswer(nil))
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -656,7 +651,7 @@
 		}
 		got <- status
 	}()
-	eventually(t, "the request is out", func() bool { return e.Count() == 1 })
+	eventually(t, "the request is sent", func() bool { return e.Count() == 1 })
 	s.stopped = true
 	begin := time.Now()
 	s.Stop()
@@ -667,12 +662,11 @@
 		t.Errorf("status %d, want 502", status)
 	}
 	if log := s.log.String(); !strings.Contains(log, `"failed":1,`) || !strings.Contains(log, `"held":0`) {
-		t.Errorf("the books are not closed at the end:\n%s", log)
+		t.Errorf("the final counters are wrong, want 1 failed and 0 held:\n%s", log)
 	}
 }
 
-// Guards against a log that the operator's file does not thin out, and against one
-// that thins out what nobody may miss.
+// The operator's file sets the log level and samples the lines on ended connections, and only those lines.
 func TestOperatorsLog(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/stream_test.go
@@ -17,7 +17,7 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// patternBody is a body in which each byte tells its place.
+// patternBody returns a body in which each byte depends on its position.
 func patternBody(length int) []byte {
 	b := make([]byte, length)
 	for i := range b {
@@ -26,8 +26,8 @@
 	return b
 }
 
-// Long answers and bodies go through unchanged, in both framings, several at once, and
-// memory does not follow their bytes; what is longer than may be is turned down.
+// Long answers and bodies are forwarded unchanged, with a length or in chunks, several at once, and memory use does not
+// grow with their size. What is longer than allowed is rejected.
 func TestLongAnswersAndBodies(t *testing.T) {
 	const long, at, memoryMB = 24 << 20, 6, 64
 	answer := patternBody(long)
@@ -72,7 +72,7 @@
 	}
 	wait.Wait()
 	if kb := peakMemory(t, p.Process.Pid); kb > memoryMB<<10 {
-		t.Errorf("it took %d kB at its peak, and may take %d", kb, memoryMB<<10)
+		t.Errorf("peak memory %d kB, the limit is %d kB", kb, memoryMB<<10)
 	}
 	r := request(t, listen, http.MethodPost, "/pay/long", "")
 	r.Header.Set("Idempotency-Key", newID())
@@ -94,8 +94,8 @@
 	return l.Addr().String()
 }
 
-// A long answer that breaks off half way never looks whole, the module hears of it, and
-// it counts as an error; one that begins slowly begins to go out while it still comes.
+// A long answer that breaks off never looks complete; it counts as an error, also in the decision module. An answer that
+// comes slowly is streamed while it is still coming.
 func TestLongAnswerThatBreaksOff(t *testing.T) {
 	release := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -116,14 +116,14 @@
 			t.Fatalf("%s: %v", path, err)
 		}
 		if _, err := io.ReadFull(answer.Body, make([]byte, 90_000)); err != nil {
-			t.Errorf("%s: its beginning does not come while the rest does not: %v", path, err)
+			t.Errorf("%s: its beginning is not streamed before the rest comes: %v", path, err)
 		}
 		if n := readStats(t, s.console.Address())["active"]; n != 1 {
-			t.Errorf("%s: %d active on its way", path, n)
+			t.Errorf("%s: %d active while it is streamed, want 1", path, n)
 		}
 		release <- struct{}{}
 		if _, err := io.ReadAll(answer.Body); err == nil {
-			t.Errorf("%s: half an answer looks whole", path)
+			t.Errorf("%s: a truncated answer looks complete", path)
 		}
 		answer.Body.Close()
 		eventually(t, "it counts as an error", func() bool {
@@ -132,12 +132,12 @@
 		})
 	}
 	if n := e.Count(); n != 2 {
-		t.Errorf("%d attempts, want 2: what has begun can't go twice", n)
+		t.Errorf("%d attempts, want 2: a streamed answer can't be retried", n)
 	}
 }
 
-// A body that breaks off or is too slow reaches no endpoint whole; a slow one that
-// keeps to its rate does, also while the endpoint takes its time to read.
+// A body that breaks off or is too slow never reaches an endpoint as a complete one. A slow one that keeps to the
+// minimum rate does, also if the endpoint is slow to read.
 func TestLongBodies(t *testing.T) {
 	var whole atomic.Int64
 	address := serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -152,9 +152,9 @@
 	for name, c := range map[string]struct {
 		framing string
 		send    func(conn net.Conn)
-		want    string // the answer's status, of those that are served
+		want    string // status of the answer; any but 200 stands for a failure
 
-		continues bool // it is told to go on first
+		continues bool // the sidecar first answers 100 Continue
 	}{
 		"whole":        {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length)) }, "200", false},
 		"in pieces":    {fmt.Sprint("Content-Length: ", length), sendSlowly(length, 20, 20*time.Millisecond), "200", false},
@@ -183,14 +183,14 @@
 				t.Errorf("%q, want %q", line, c.want)
 			}
 			if took := time.Since(begin); !served && took > 3*time.Second {
-				t.Errorf("it was owed an end within 3 s, and got one after %v", took)
+				t.Errorf("it must be answered or closed within 3 s, and took %v", took)
 			}
 			if !served && whole.Load() != before {
-				t.Error("half a body reached an endpoint whole")
+				t.Error("a truncated body reached an endpoint as a complete one")
 			}
 		})
 	}
-	eventually(t, "nothing is kept", func() bool { return s.Counters().Pending == 0 && s.callers.Open() == 0 })
+	eventually(t, "no request or connection is left", func() bool { return s.Counters().Pending == 0 && s.callers.Open() == 0 })
 }
 
 func closeWrite(c net.Conn) { c.(*net.TCPConn).CloseWrite() }
@@ -218,8 +218,8 @@
 	}
 }
 
-// While a connection to an endpoint can't be made, a long body waits for the next one;
-// once some of it has gone, nothing is sent again.
+// A long body that fails to connect to one endpoint is sent to the next; once some of it has been sent, it is not sent
+// again.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	good := scripted.StartEndpoint(t, "good", func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	gone := scripted.Line("gone", scripted.FreeAddress(t))
@@ -234,7 +234,7 @@
 	}
 	for range 6 {
 		if status := send(s.Address()); status != 200 {
-			t.Errorf("beside an endpoint that is gone: %d", status)
+			t.Errorf("with one endpoint absent: %d", status)
 		}
 	}
 	bad := scripted.StartEndpoint(t, "bad", func(w http.ResponseWriter, r *http.Request) {
@@ -250,8 +250,7 @@
 	}
 }
 
-// Several requests written at once on a connection are answered in their order, and
-// leave nothing taken.
+// Pipelined requests are answered in order, and nothing of them is left at the end.
 func TestPipelinedRequestsInOrder(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.URL.Path) })
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
@@ -272,15 +271,15 @@
 		}
 	}
 	conn.Close()
-	eventually(t, "nothing is kept", func() bool { return s.callers.Open() == 0 })
+	eventually(t, "no connection is left", func() bool { return s.callers.Open() == 0 })
 	s.stayTime, s.stopped = 0, true
 	s.Stop()
 	if err := s.Audit(); err != nil || s.callers.Pending() != 0 {
-		t.Errorf("%v; requests held %v", err, s.callers.Pending() != 0)
+		t.Errorf("%v; requests pending %v", err, s.callers.Pending() != 0)
 	}
 }
 
-// Guards against chunks that go to a caller of HTTP/1.0, which can't read them.
+// Guards against chunks sent to a caller that speaks HTTP/1.0, which can't read them.
 func TestLongAnswerToHTTP10(t *testing.T) {
 	text := patternBody(300_000)
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/lifecycle/upgrade_test.go
+++ b/internal/lifecycle/upgrade_test.go
@@ -17,7 +17,7 @@
 	"heathgap/internal/takeover"
 )
 
-// launchReady starts one more process of a sidecar, with a console of its own.
+// launchReady starts another process of a sidecar, with its own console, and waits until it is ready.
 func launchReady(t *testing.T, conf map[string]any) (p *process, console string) {
 	t.Helper()
 	console = scripted.FreeAddress(t)
@@ -32,7 +32,7 @@
 	return err == nil && strings.HasPrefix(answer, "200 ")
 }
 
-// upgradeConfig is a configuration whose processes meet in a folder of the test's own.
+// upgradeConfig returns a configuration whose processes use a takeover socket in a directory of the test.
 func upgradeConfig(t *testing.T, d *scripted.Discovery, known ...map[string]any) (conf map[string]any, address string) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir())
@@ -42,8 +42,8 @@
 	return conf, address
 }
 
-// startCallers ask all the time, on connections that they keep and on new ones, until
-// stopped; they tell how many calls were answered 200, and what else came.
+// startCallers sends requests all the time, on persistent and on new connections, until stopped. stop returns how many
+// were answered 200, and the other results.
 func startCallers(t *testing.T, address string) (stop func() (served int64, other []string)) {
 	t.Helper()
 	ended := make(chan struct{})
@@ -83,8 +83,8 @@
 	}
 }
 
-// A new process takes the old one's place under load: no request meets a refused or
-// reset connection, bans hold in both and over it, and only the old one ends.
+// A new process takes over from the old one under load: no connection is refused or reset, bans are in effect in both
+// processes and after the upgrade, and only the old one ends.
 func TestUpgradeUnderLoad(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
 	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e1.Line(), e2.Line())
@@ -96,7 +96,7 @@
 	stop := startCallers(t, address)
 	var last *process
 	console := oldConsole
-	for range 3 { // an upgrade of an upgrade works as the first does
+	for range 3 { // an upgraded process can be upgraded again
 		next, nextConsole := launchReady(t, conf)
 		time.Sleep(100 * time.Millisecond)
 		old.Process.Signal(syscall.SIGTERM)
@@ -108,10 +108,10 @@
 	}
 	served, other := stop()
 	if len(other) > 0 || served < 100 {
-		t.Errorf("%d served, and %d met %.300q", served, len(other), other)
+		t.Errorf("%d served, and %d others: %.300q", served, len(other), other)
 	}
 	if e1.Count() != before || readStats(t, console)["pool_ejected"] != 1 {
-		t.Errorf("%d sent to what is banned over upgrades; %v", e1.Count()-before, readStats(t, console))
+		t.Errorf("%d requests sent to the banned endpoint during upgrades; metrics %v", e1.Count()-before, readStats(t, console))
 	}
 	if got := callConsole(t, console, "ENABLE e1"); !strings.HasPrefix(got, "200 ") {
 		t.Errorf("ENABLE: %q", got)
@@ -122,11 +122,11 @@
 		t.Errorf("the last process: %v", err)
 	}
 	if left, _ := os.ReadDir(os.TempDir()); len(left) > 0 {
-		t.Errorf("%v is left behind", left)
+		t.Errorf("%v is left in the directory", left)
 	}
 }
 
-// While both processes live, a call at either console binds in both before its yes.
+// While both processes run, a ban or its end at either console is in effect in both before it is answered.
 func TestBansBindInBothProcesses(t *testing.T) {
 	d := scripted.StartDiscovery(t)
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Guards against a new process that takes the sidecar down with it: the old one
-// accepts again when its successor ends, and lets the next one come.
+// Guards against a new process that takes the sidecar down with it: the old one accepts again when its successor dies,
+// and lets another one take over.
 func TestSuccessorThatDies(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
@@ -167,19 +167,20 @@
 		})
 	}
 	if !strings.Contains(old.log.String(), "serving again") {
-		t.Errorf("the old process has not noticed:\n%s", old.log)
+		t.Errorf("the old process has not noticed that its successor died:\n%s", old.log)
 	}
 	conf["seed"] = "none"
 	failed := launch(t, conf)
 	if failed.Wait(); failed.ProcessState.ExitCode() != 1 {
-		t.Errorf("a faulty successor: exit code %d", failed.ProcessState.ExitCode())
+		t.Errorf("a successor with an invalid configuration: exit code %d", failed.ProcessState.ExitCode())
 	}
 	if status, _ := get(t, address, "/look"); status != 200 {
-		t.Errorf("after a faulty successor: %d", status)
+		t.Errorf("after a successor with an invalid configuration: %d", status)
 	}
 }
 
-// What a killed process leaves in the folder is named and passed over.
+// A file at the socket's path that is not the socket of a predecessor is logged, and the process starts without a
+// predecessor.
 func TestStaleSocket(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf, address := upgradeConfig(t, scripted.StartDiscovery(t), e.Line())
@@ -192,10 +193,10 @@
 		}
 		p, _ := launchReady(t, conf)
 		if logged := strings.Contains(p.log.String(), "no predecessor"); logged != corrupt {
-			t.Errorf("torn %v, and the log says so: %v\n%s", corrupt, logged, p.log)
+			t.Errorf("corrupt %v, logged %v\n%s", corrupt, logged, p.log)
 		}
 		if status, _ := get(t, address, "/look"); status != 200 {
-			t.Errorf("torn %v: %d", corrupt, status)
+			t.Errorf("corrupt %v: %d", corrupt, status)
 		}
 		p.Process.Kill()
 		p.Wait()
@@ -203,8 +204,8 @@
 	}
 }
 
-// Long answers that outlive the old process's time go on in its successor, unchanged:
-// of either framing, from endpoints that take their time and to callers that do.
+// Long answers that outlast the old process continue in its successor, unchanged, with a length or in chunks, from slow
+// endpoints and to slow callers.
 func TestLongAnswersOverAnUpgrade(t *testing.T) {
 	const long = 12 << 20
 	text := patternBody(long)
@@ -212,7 +213,7 @@
 		if strings.Contains(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", strconv.Itoa(long))
 		}
-		if strings.Contains(r.URL.Path, "late") { // it begins when the others have been handed over
+		if strings.Contains(r.URL.Path, "late") { // it starts when the others have been handed over
 			time.Sleep(3300 * time.Millisecond)
 		}
 		if strings.Contains(r.URL.Path, "reader") {
@@ -249,14 +250,14 @@
 			}
 		})
 	}
-	eventually(t, "all are out", func() bool { return e.Count() == len(paths) })
+	eventually(t, "all requests are sent", func() bool { return e.Count() == len(paths) })
 	next, _ := launchReady(t, conf)
 	old.Process.Signal(syscall.SIGTERM)
 	begin := time.Now()
 	if err := old.Wait(); err != nil || time.Since(begin) > 4*time.Second {
 		t.Errorf("the old process: %v after %v", err, time.Since(begin))
 	}
-	next.Process.Signal(syscall.SIGTERM) // what it goes on with outlasts its own stop too
+	next.Process.Signal(syscall.SIGTERM) // the answers that it continues outlast its own stop, too
 	wait.Wait()
 	if err := next.Wait(); err != nil {
 		t.Errorf("the new process: %v", err)
--- a/internal/takeover/hang_test.go
+++ b/internal/takeover/hang_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Guards against a process that ends because the other hangs or breaks the connection: a read that fails is a failure of
-// the hand-over, whatever the step.
+// Guards against a successor that ends because its predecessor hangs or breaks the connection: in either case
+// FindPredecessor returns an error, in time.
 func TestPredecessorThatHangsOrBreaks(t *testing.T) {
 	for name, broken := range map[string]bool{"hangs": false, "breaks": true} {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			defer served.Close()
 			found := make(chan struct{})
 			ended := make(chan struct{})
-			go func() { // the predecessor, which never tells its state
+			go func() { // the predecessor, which never sends its state
 				defer close(ended)
 				conn, err := socket.AcceptUnix()
 				if err != nil {
@@ -49,16 +49,17 @@
 			close(found)
 			<-ended
 			if peer != nil || listener != nil || err == nil || !broken && !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Errorf("found %v, %v, %v", peer, listener, err)
+				t.Errorf("found peer %v, listener %v, error %v; want only an error", peer, listener, err)
 			}
 			if took := time.Since(begin); took > 2*findTimeout {
-				t.Errorf("it took %v", took)
+				t.Errorf("FindPredecessor took %v", took)
 			}
 		})
 	}
 }
 
-// The same of a peer that has been heard: its end over unread bytes is a reset, and the other goes on alone.
+// Guards against a process that ends because the connection to the other breaks during Run: closing it with unread bytes
+// resets it, and Run has to return.
 func TestPeerThatBreaks(t *testing.T) {
 	fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -79,7 +80,7 @@
 	if err := peer.send(message{StopAccepting: true}); err != nil {
 		t.Fatal(err)
 	}
-	conns[1].Close() // over what was said
+	conns[1].Close() // with the message unread
 	gone := make(chan bool, 1)
 	peer.Run(silentHandler{gone})
 	<-gone
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// silentHandler hears what the other process says and does nothing.
+// silentHandler ignores the messages of the other process.
 type silentHandler struct{ ended chan bool }
 
 func (silentHandler) AdoptBan(string, bool)                   {}
@@ -16,8 +16,8 @@
 func (silentHandler) StopAccepting()                          {}
 func (q silentHandler) PeerEnded(yielded bool)                { q.ended <- yielded }
 
-// Guards against a successor that ends because its predecessor has: whatever step the predecessor dies in, the successor
-// either knows that it has none, or has the listener and takes its place.
+// Guards against a successor that fails because its predecessor dies: in whichever step of the protocol the predecessor
+// dies, the successor either gets an error or has the listener and takes over.
 func TestPredecessorThatDiesInEachStep(t *testing.T) {
 	const (
 		atTheDoor = iota
@@ -38,7 +38,7 @@
 			t.Fatal(err)
 		}
 		died := make(chan struct{})
-		go func() { // the predecessor, up to the step
+		go func() { // the predecessor, up to its last step
 			defer close(died)
 			conn, err := socket.AcceptUnix()
 			if err != nil {
@@ -63,7 +63,7 @@
 			}
 			var m message
 			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.StopAccepting {
-				t.Errorf("step %d: told %+v, %v", step, m, err)
+				t.Errorf("step %d: received %+v, %v; want StopAccepting", step, m, err)
 			}
 			if step == yielded {
 				if err := json.NewEncoder(conn).Encode(message{Stopped: true}); err != nil {
@@ -81,15 +81,15 @@
 				t.Fatalf("step %d: %v", step, err)
 			}
 			if step == withState {
-				<-died // before the word can be said
+				<-died // before StopAccepting can be sent
 			}
 			gone := make(chan bool, 1)
 			go peer.Run(silentHandler{gone})
 			if err := peer.StopAccepting(); err != nil {
-				t.Errorf("step %d: the successor does not take the place of who has died: %v", step, err)
+				t.Errorf("step %d: the successor does not take over from the dead predecessor: %v", step, err)
 			}
 			if <-gone {
-				t.Errorf("step %d: it has yielded, as if it were the predecessor", step)
+				t.Errorf("step %d: PeerEnded reports a StopAccepting that the predecessor never sent", step)
 			}
 			served.Close()
 			expectAccept(t, listener)
@@ -101,12 +101,12 @@
 	}
 }
 
-// expectAccept fails the test unless a caller comes in at the listener.
+// expectAccept fails the test unless the listener accepts a connection.
 func expectAccept(t *testing.T, listener net.Listener) {
 	t.Helper()
 	caller, err := net.DialTimeout("tcp", listener.Addr().String(), 10*time.Second)
 	if err != nil {
-		t.Fatalf("nobody listens: %v", err)
+		t.Fatalf("cannot connect to the listener: %v", err)
 	}
 	defer caller.Close()
 	conn, err := listener.Accept()
