--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -90,8 +90,8 @@
 // Guards against a request that is lost because it has come, unread, on a connection that is being closed.
 func TestClosingConnectionStillReadsReceivedBytes(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
-		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
-		"idle limit": func(c *CallerConn) { c.SetReadDeadline(pastDeadline) },
+		"connection limit": func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
+		"idle limit":       func(c *CallerConn) { c.SetReadDeadline(pastDeadline) },
 	} {
 		c, client, _ := callerPair(t)
 		if _, err := client.Write([]byte("GET")); err != nil {
--- a/internal/lifecycle/races_test.go
+++ b/internal/lifecycle/races_test.go
@@ -107,8 +107,8 @@
 	first.Send(requestText("/look", ""))
 	attempt := endpoint.Accept()
 	attempt.ReadRequest()
-	half := scripted.Connect(t, s.Address())
-	half.Send("GET /look HTTP/1.1\r\nHost")
+	incomplete := scripted.Connect(t, s.Address())
+	incomplete.Send("GET /look HTTP/1.1\r\nHost")
 	s.stopped = true
 	s.stayTime = 10 * time.Millisecond
 	stopped := make(chan struct{})
@@ -122,7 +122,7 @@
 		return err != nil
 	})
 	first.Send(requestText("/look", "") + requestText("/look", "")) // pipelined after the last request
-	half.Send(":")                                                  // one byte, and the rest never comes
+	incomplete.Send(":")                                            // one byte, and the rest never comes
 	attempt.Send(scripted.OK("one"))
 	if status, body := first.ReadAnswer(); status != 200 || body != "one" {
 		t.Errorf("the last answer: %d %q", status, body)
@@ -140,32 +140,32 @@
 	}
 }
 
-// heldEnv is an environment whose connections to some addresses block before a write until they are released.
-type heldEnv struct {
+// blockingEnv is an environment whose connections to some addresses block before a write until they are released.
+type blockingEnv struct {
 	env.Real
-	heldAddresses sync.Map // addresses whose connections block
-	blocked       chan string
-	release       chan struct{}
-	skipped       int // first writes of each connection that do not block
+	blockedAddresses sync.Map // addresses whose connections block
+	blocked          chan string
+	release          chan struct{}
+	skipped          int // first writes of each connection that do not block
 }
 
-type heldConn struct {
+type blockingConn struct {
 	*net.TCPConn
-	env    *heldEnv
+	env    *blockingEnv
 	writes int
 }
 
 // Dial implements env.Env.
-func (e *heldEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func (e *blockingEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := e.Real.Dial(ctx, address, timeout)
-	if _, holds := e.heldAddresses.Load(address); err != nil || !holds {
+	if _, holds := e.blockedAddresses.Load(address); err != nil || !holds {
 		return conn, err
 	}
-	return &heldConn{TCPConn: conn.(*net.TCPConn), env: e}, nil
+	return &blockingConn{TCPConn: conn.(*net.TCPConn), env: e}, nil
 }
 
 // Write implements net.Conn.
-func (c *heldConn) Write(b []byte) (int, error) {
+func (c *blockingConn) Write(b []byte) (int, error) {
 	if c.writes++; c.writes > c.env.skipped {
 		c.env.blocked <- c.RemoteAddr().String()
 		<-c.env.release
@@ -190,8 +190,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := scripted.Listen(t)
-			environment := &heldEnv{blocked: make(chan string, 1), release: make(chan struct{}), skipped: 1}
-			environment.heldAddresses.Store(endpoint.Address, true)
+			environment := &blockingEnv{blocked: make(chan string, 1), release: make(chan struct{}), skipped: 1}
+			environment.blockedAddresses.Store(endpoint.Address, true)
 			d := scripted.StartDiscovery(t)
 			s := startWith(t, testConfig(d, scripted.Line("e1", endpoint.Address)), Options{Operator: operator.Default(), Env: environment})
 			p := scripted.Connect(t, s.Address())
@@ -282,7 +282,7 @@
 func TestSIGTERMAtAnyTime(t *testing.T) {
 	silent := scripted.Listen(t)
 	term := func(p *process) { p.Process.Signal(syscall.SIGTERM) } //nolint:errcheck // it may have ended
-	for name, crossing := range map[string]func(p *process){
+	for name, signalProcess := range map[string]func(p *process){
 		"twice": func(p *process) {
 			eventually(t, "ready", func() bool { return strings.Contains(p.log.String(), `"ready"`) })
 			term(p)
@@ -301,7 +301,7 @@
 			conf["listen"] = address
 			setDeadlines(conf, 300)
 			p := launch(t, conf)
-			crossing(p)
+			signalProcess(p)
 			if err := p.Wait(); err != nil || !strings.Contains(p.log.String(), `"stopped"`) {
 				t.Errorf("it ended with %v:\n%s", err, p.log)
 			}
--- a/internal/lifecycle/ready_test.go
+++ b/internal/lifecycle/ready_test.go
@@ -149,7 +149,7 @@
 func TestPredecessorThatHangsInEachStep(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	d := scripted.StartDiscovery(t)
-	for step, name := range []string{"in the queue", "at the door", "without its state", "asked to stop accepting"} {
+	for step, name := range []string{"before it accepts", "before it sends the listener", "before it sends its state", "asked to stop accepting"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			conf := testConfig(d, e.Line())
@@ -221,8 +221,8 @@
 	if err := json.NewEncoder(conn).Encode(map[string]any{"version": 1, "state": pipeline.Handover{From: "127.0.0.1:1"}}); err != nil {
 		t.Error(err)
 	}
-	var word map[string]any
-	if err := json.NewDecoder(conn).Decode(&word); err != nil || word["take"] != true {
-		t.Errorf("received %v, %v; want take", word, err)
+	var message map[string]any
+	if err := json.NewDecoder(conn).Decode(&message); err != nil || message["take"] != true {
+		t.Errorf("received %v, %v; want take", message, err)
 	}
 }
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -436,7 +436,7 @@
 // Guards against callers that never send a complete request: each gets 400 or a close within 3 s of connecting, also one
 // that keeps sending byte by byte.
 func TestCallersThatNeverSendARequest(t *testing.T) {
-	const owed, slow = 3 * time.Second, time.Second // slow is allowed for a busy machine
+	const maxWait, slack = 3 * time.Second, time.Second // slack for a busy machine
 	s := start(t, testConfig(scripted.StartDiscovery(t)))
 	var wait sync.WaitGroup
 	for name, c := range map[string]struct{ text, bit string }{
@@ -466,8 +466,8 @@
 					io.WriteString(conn, c.bit)
 					continue
 				}
-				if took := time.Since(begin); took > owed+slow || n > 0 && string(answer[:n]) != "HTTP/1.1 400" {
-					t.Errorf("%s: %q after %v, want 400 or a close within %v", name, answer[:n], took, owed)
+				if took := time.Since(begin); took > maxWait+slack || n > 0 && string(answer[:n]) != "HTTP/1.1 400" {
+					t.Errorf("%s: %q after %v, want 400 or a close within %v", name, answer[:n], took, maxWait)
 				}
 				return
 			}
--- a/internal/lifecycle/upgrade_test.go
+++ b/internal/lifecycle/upgrade_test.go
@@ -134,18 +134,18 @@
 	_, first := launchReady(t, conf)
 	_, second := launchReady(t, conf)
 	for i, call := range []struct {
-		at, word string
-		ejected  int
+		at, command string
+		ejected     int
 	}{
 		{first, "DISABLE e1", 1}, {second, "DISABLE e1", 1}, {second, "DISABLE e2", 2}, {first, "ENABLE e2", 1},
 		{second, "ENABLE e1", 0}, {first, "DISABLE e2", 1},
 	} {
-		if got := callConsole(t, call.at, call.word); !strings.HasPrefix(got, "200 ") {
-			t.Fatalf("%d, %s: %q", i, call.word, got)
+		if got := callConsole(t, call.at, call.command); !strings.HasPrefix(got, "200 ") {
+			t.Fatalf("%d, %s: %q", i, call.command, got)
 		}
 		for _, console := range []string{first, second} {
 			if n := readStats(t, console)["pool_ejected"]; n != call.ejected {
-				t.Errorf("%d, after %s: %d ejected, want %d", i, call.word, n, call.ejected)
+				t.Errorf("%d, after %s: %d ejected, want %d", i, call.command, n, call.ejected)
 			}
 		}
 	}
--- a/internal/takeover/hang_test.go
+++ b/internal/takeover/hang_test.go
@@ -16,7 +16,7 @@
 	for name, broken := range map[string]bool{"hangs": false, "breaks": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			path := filepath.Join(t.TempDir(), "way-in.sock")
+			path := filepath.Join(t.TempDir(), "takeover.sock")
 			socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 			if err != nil {
 				t.Fatal(err)
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -20,15 +20,15 @@
 // dies, the successor either gets an error or has the listener and takes over.
 func TestPredecessorThatDiesInEachStep(t *testing.T) {
 	const (
-		atTheDoor = iota
-		withoutState
-		withState
-		askedToYield
-		yielded
+		connected = iota
+		sentListener
+		sentState
+		askedToStop
+		stoppedAccepting
 		steps
 	)
 	for step := range steps {
-		path := filepath.Join(t.TempDir(), "way-in.sock")
+		path := filepath.Join(t.TempDir(), "takeover.sock")
 		socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
@@ -46,33 +46,33 @@
 				return
 			}
 			defer conn.Close()
-			if step == atTheDoor {
+			if step == connected {
 				return
 			}
 			if err := sendListener(conn, served.(*net.TCPListener)); err != nil {
 				t.Error(err)
 			}
-			if step == withoutState {
+			if step == sentListener {
 				return
 			}
 			if err := json.NewEncoder(conn).Encode(message{Version: protocolVersion, State: []byte(`{}`)}); err != nil {
 				t.Error(err)
 			}
-			if step == withState {
+			if step == sentState {
 				return
 			}
 			var m message
 			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.StopAccepting {
 				t.Errorf("step %d: received %+v, %v; want StopAccepting", step, m, err)
 			}
-			if step == yielded {
+			if step == stoppedAccepting {
 				if err := json.NewEncoder(conn).Encode(message{Stopped: true}); err != nil {
 					t.Error(err)
 				}
 			}
 		}()
 		peer, listener, _, err := FindPredecessor(path)
-		if step < withState {
+		if step < sentState {
 			if err == nil || peer != nil || listener != nil {
 				t.Errorf("step %d: found %v, %v", step, peer, err)
 			}
@@ -80,7 +80,7 @@
 			if err != nil {
 				t.Fatalf("step %d: %v", step, err)
 			}
-			if step == withState {
+			if step == sentState {
 				<-died // before StopAccepting can be sent
 			}
 			gone := make(chan bool, 1)
