--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -130,7 +130,7 @@
 	makeRoomInterval = 50 * time.Millisecond  // between searches for connections that can be closed
 	minIdleTime      = 200 * time.Millisecond // a connection must have been idle for that long before it may be closed
 	crowdDivisor     = 2                      // at most 1/2 of the limit is closed at once while others wait in the backlog
-	incompleteTime   = time.Second            // while connections are short, a request must have come completely within that time
+	incompleteTime   = time.Second            // while connections are scarce, a request must have come completely within that time
 	backlogPoll      = 20 * time.Millisecond  // how long a closing listener waits for each further connection in the backlog
 	backlogTimeout   = 100 * time.Millisecond // upper bound for all of them: new callers may keep coming
 )
@@ -299,6 +299,7 @@
 	changedAt    time.Time
 }
 
+// compare returns -1 if a is to be closed before b: unproven connections first, then those that changed earliest.
 func (a closeOrder) compare(b closeOrder) int {
 	if a.proven != b.proven {
 		if b.proven {
@@ -309,6 +310,7 @@
 	return a.changedAt.Compare(b.changedAt)
 }
 
+// all returns the connections in no particular order.
 func (l *Callers) all() []*CallerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -632,6 +634,7 @@
 	c.noteReason(reason)
 }
 
+// noteReason implements SetReason; c.mu is held.
 func (c *CallerConn) noteReason(reason Reason) {
 	if c.reason == "" {
 		c.reason = reason
@@ -659,7 +662,7 @@
 }
 
 // stopLinger ends the lingering of a connection and reports whether it did. Guards against callers that keep descriptors
-// in use that way: while connections are short, lingering ends after minIdleTime.
+// in use that way: while connections are scarce, lingering ends after minIdleTime.
 func (c *CallerConn) stopLinger() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -104,6 +104,7 @@
 	return list, nil
 }
 
+// decodeEndpoint decodes an entry of a list; errors are collected in o.
 func decodeEndpoint(o jsonread.Object) ListedEndpoint {
 	e := ListedEndpoint{
 		Name:    o.Text("name"),
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -81,7 +81,7 @@
 	Decider        Decider // nil for Module
 	Env            env.Env // nil for the real environment
 	// Cluster makes the sidecar a member of a cluster; nil for a sidecar outside a cluster.
-	Cluster func(conf *config.Config, world env.Env, log zerolog.Logger) (Cluster, error)
+	Cluster func(conf *config.Config, environment env.Env, log zerolog.Logger) (Cluster, error)
 }
 
 // Cluster is a sidecar's membership in a cluster, whose members agree on the rules.
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -86,7 +86,7 @@
 
 // replacePredecessor takes over from the predecessor, if there is one. When it returns, the predecessor has stopped
 // accepting or does not answer. Guards against a predecessor that hangs, which would leave nobody to serve: if it
-// continues it stops accepting, and until then both accept.
+// recovers, it stops accepting, and until then both accept.
 func (s *Sidecar) replacePredecessor() {
 	peer := s.upgrade.predecessor
 	if peer == nil {
@@ -219,6 +219,7 @@
 // Enable ends a ban, here and in the other process of an upgrade.
 func (s *Sidecar) Enable(name string) error { return s.setBan(name, false, s.engine.Enable) }
 
+// setBan bans an endpoint or ends its ban: by apply in this process, and by a message in the other.
 func (s *Sidecar) setBan(name string, on bool, apply func(string) error) error {
 	if err := apply(name); err != nil {
 		return err
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -290,6 +290,7 @@
 	}
 }
 
+// send sends a message to the other process, within replyTimeout.
 func (p *Peer) send(m message) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -410,6 +411,7 @@
 // Close stops waiting for successors. One that is connected stays connected.
 func (s *SuccessorListener) Close() { s.listener.Close() }
 
+// serve accepts successors until Close. It rejects one while another is connected, and those of other users.
 func (s *SuccessorListener) serve(listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
 	for {
 		conn, err := s.listener.AcceptUnix()
