--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -17,77 +17,78 @@
 	"heathgap/internal/env"
 )
 
-// Callers accepts the connections of callers and keeps track of them.
+// Callers is the listener for callers. It tracks their connections and limits their number.
 type Callers struct {
 	net.Listener
-	world env.Env
-	limit atomic.Int64 // connections that there may be at all
-	most  atomic.Int64 // of them, those that may stay; the rest is for callers that are turned away, and for room that is being made
-	ended func(c *CallerConn, why Reason)
+	env       env.Env
+	limit     atomic.Int64 // largest number of connections
+	softLimit atomic.Int64 // connections beyond it are closed where possible; the spare ones are for callers that are being rejected and for connections that are being closed
+	onEnd     func(c *CallerConn, why Reason)
 
 	paused       atomic.Bool
-	resume       chan struct{} // one that is stale only has Accept look again
+	resume       chan struct{} // wakes a paused Accept; a stale wake-up only makes it check again
 	closing      atomic.Bool
 	closed       atomic.Bool
-	backlogEmpty chan struct{} // closed by Accept: nobody stands in the queue of a listener that closes
-	freed        chan struct{} // one that is stale only has Accept look again
+	backlogEmpty chan struct{} // closed by Accept when the backlog of a closing listener is empty
+	freed        chan struct{} // wakes Accept at the limit; a stale wake-up only makes it check again
 
-	held      atomic.Int64 // connections with a whole request on them
-	lingering atomic.Int64 // connections that have ended on this side, and are read out
+	pending   atomic.Int64 // connections with a pending request
+	lingering atomic.Int64 // connections that are closed for writing and are read until the caller closes too
 
-	mu      sync.Mutex
-	conns   map[*CallerConn]struct{} // until Close
-	looking bool                     // makeRoom is at work, or will be
+	mu         sync.Mutex
+	conns      map[*CallerConn]struct{} // until their Close
+	makingRoom bool                     // makeRoom is running or scheduled
 }
 
-// NewCallers wraps a listener. There are never more connections than the limit: close to it, those that have been idle
-// longest make room, and who comes at the limit waits in the kernel's queue for that. ended is called once for each that ends.
-func NewCallers(l net.Listener, world env.Env, limit int, ended func(c *CallerConn, why Reason)) *Callers {
+// NewCallers wraps a listener. There are never more connections than the limit. Close to the limit, the connections that
+// have been idle longest are closed; at the limit, new callers wait in the kernel's backlog. onEnd is called once for
+// each connection that ends.
+func NewCallers(l net.Listener, environment env.Env, limit int, onEnd func(c *CallerConn, why Reason)) *Callers {
 	c := &Callers{
-		Listener: l, world: world, ended: ended, conns: map[*CallerConn]struct{}{},
+		Listener: l, env: environment, onEnd: onEnd, conns: map[*CallerConn]struct{}{},
 		resume: make(chan struct{}, 1), backlogEmpty: make(chan struct{}), freed: make(chan struct{}, 1),
 	}
 	c.SetLimit(limit)
 	return c
 }
 
-// spareShare is so large a part of the connections as is kept free of those that stay.
-const spareShare = 16
+// spareDivisor sets the part of the limit (1/16) that is kept free above the soft limit.
+const spareDivisor = 16
 
-// SetLimit sets how many connections there may be. What is idle beyond that ends; what is in use goes on.
+// SetLimit sets the largest number of connections. Idle connections beyond it are closed; those in use continue.
 func (l *Callers) SetLimit(limit int) {
 	l.limit.Store(int64(limit))
-	l.most.Store(int64(max(1, limit-max(1, limit/spareShare))))
+	l.softLimit.Store(int64(max(1, limit-max(1, limit/spareDivisor))))
 	l.mu.Lock()
-	look := l.crowded() && !l.looking
-	l.looking = l.looking || look
+	start := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || start
 	l.mu.Unlock()
-	if look {
+	if start {
 		l.makeRoom()
 	}
 }
 
-// crowded tells whether room is to be made; l.mu is held.
+// crowded reports whether connections have to be closed; l.mu is held.
 func (l *Callers) crowded() bool {
 	n := int64(len(l.conns))
-	return n > l.most.Load() || n >= l.limit.Load()
+	return n > l.softLimit.Load() || n >= l.limit.Load()
 }
 
-// deadliner is a listener whose Accept can be made to end.
-type deadliner interface{ SetDeadline(time.Time) error }
+// deadlineSetter is a listener whose Accept can be interrupted by a deadline.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// Pause keeps Accept from accepting until Resume: another process does meanwhile, on
-// the same descriptor. What has been accepted is not touched.
+// Pause keeps Accept from accepting until Resume: meanwhile another process accepts on the same descriptor. Accepted
+// connections are not affected.
 func (l *Callers) Pause() {
 	l.paused.Store(true)
-	if d, ok := l.Listener.(deadliner); ok {
-		d.SetDeadline(aPast)
+	if d, ok := l.Listener.(deadlineSetter); ok {
+		d.SetDeadline(pastDeadline)
 	}
 }
 
 // Resume ends a pause.
 func (l *Callers) Resume() {
-	if d, ok := l.Listener.(deadliner); ok {
+	if d, ok := l.Listener.(deadlineSetter); ok {
 		d.SetDeadline(time.Time{})
 	}
 	if l.paused.Swap(false) {
@@ -98,13 +99,13 @@
 	}
 }
 
-// Close ends accepting. Who stands in the kernel's queue by then is accepted: a listener that closes resets them, and
-// they may have asked something already.
+// Close stops accepting. Connections in the kernel's backlog are accepted before: closing a listener resets them, and
+// they may already have sent a request.
 func (l *Callers) Close() error {
-	if d, ok := l.Listener.(deadliner); ok && !l.paused.Load() {
-		timer := l.world.NewTimer(backlogTime)
+	if d, ok := l.Listener.(deadlineSetter); ok && !l.paused.Load() {
+		timer := l.env.NewTimer(backlogTimeout)
 		l.closing.Store(true)
-		d.SetDeadline(aPast) // Accept looks up
+		d.SetDeadline(pastDeadline) // wakes Accept
 		select {
 		case <-l.backlogEmpty:
 		case <-timer.C():
@@ -114,29 +115,28 @@
 	return l.CloseNow()
 }
 
-// CloseNow ends accepting; who stands in the kernel's queue is reset.
+// CloseNow closes the listener at once; connections in the kernel's backlog are reset.
 func (l *Callers) CloseNow() error {
 	l.closed.Store(true)
 	err := l.Listener.Close()
 	l.Resume()
-	l.tellFreed()
+	l.signalFreed()
 	return err
 }
 
-// Pauses of the callers' side.
+// Times and shares of the handling of callers' connections.
 const (
-	acceptPause  = 5 * time.Millisecond   // after a failed accept: descriptors may run out for a moment
-	roomPause    = 50 * time.Millisecond  // between looks for connections that can make room
-	settleTime   = 200 * time.Millisecond // a connection stands idle so long before it may be ended
-	crowdShare   = 2                      // so large a part of all connections makes room at once while others wait for it
-	stallTime    = time.Second            // a request may take so long to come whole while room is short
-	backlogPause = 20 * time.Millisecond  // for who stands in the queue of a listener that closes
-	backlogTime  = 100 * time.Millisecond // it closes by then in any case: somebody may always come
+	acceptRetryDelay = 5 * time.Millisecond   // after a failed accept: the process may be out of descriptors for a moment
+	makeRoomInterval = 50 * time.Millisecond  // between searches for connections that can be closed
+	minIdleTime      = 200 * time.Millisecond // a connection must have been idle for that long before it may be closed
+	crowdDivisor     = 2                      // at most 1/2 of the limit is closed at once while others wait in the backlog
+	incompleteTime   = time.Second            // while connections are scarce, a request must have come completely within that time
+	backlogPoll      = 20 * time.Millisecond  // how long a closing listener waits for each further connection in the backlog
+	backlogTimeout   = 100 * time.Millisecond // upper bound for all of them: new callers may keep coming
 )
 
-// Accept waits for the next connection. It fails only when the listener is
-// closed: the server would end on any other error, and what waits to be accepted
-// must not be lost for want of a descriptor.
+// Accept waits for the next connection. It fails only when the listener is closed: on any other error the server would
+// stop, and a lack of descriptors must not lose connections that wait to be accepted.
 func (l *Callers) Accept() (net.Conn, error) {
 	conn, err := l.acceptOne()
 	for err != nil {
@@ -144,39 +144,39 @@
 		case errors.Is(err, net.ErrClosed):
 			return nil, err
 		case l.closing.Load() && errors.Is(err, os.ErrDeadlineExceeded):
-			if l.backlogged() { // a deadline that has passed has Accept not look at all
-				l.Listener.(deadliner).SetDeadline(l.world.Now().Add(backlogPause))
+			if l.hasBacklog() { // an Accept whose deadline has passed does not check the backlog
+				l.Listener.(deadlineSetter).SetDeadline(l.env.Now().Add(backlogPoll))
 				break
 			}
-			err := l.Listener.Close() // in the same breath: nobody comes in between
+			err := l.Listener.Close() // right after the check, so that hardly anybody connects in between
 			close(l.backlogEmpty)
 			return nil, cmp.Or(err, net.ErrClosed)
 		case l.paused.Load():
 			<-l.resume
-		case errors.Is(err, os.ErrDeadlineExceeded): // a pause that has ended since
+		case errors.Is(err, os.ErrDeadlineExceeded): // the pause has ended meanwhile
 		default:
 			l.closeOldest(1)
-			l.world.Sleep(acceptPause)
+			l.env.Sleep(acceptRetryDelay)
 		}
 		conn, err = l.acceptOne()
 	}
-	c := &CallerConn{Conn: conn, owner: l, changed: l.world.Now()}
+	c := &CallerConn{Conn: conn, owner: l, changedAt: l.env.Now()}
 	l.mu.Lock()
 	l.conns[c] = struct{}{}
-	look := l.crowded() && !l.looking
-	l.looking = l.looking || look
+	start := l.crowded() && !l.makingRoom
+	l.makingRoom = l.makingRoom || start
 	l.mu.Unlock()
-	if look {
+	if start {
 		l.makeRoom()
 	}
 	return c, nil
 }
 
-// acceptOne accepts once there is room. Guards against callers that take the descriptors without which no endpoint,
-// discovery or console is reached: what is kept for these is not to be had, however many callers come.
+// acceptOne accepts a connection once there are fewer than the limit. Guards against callers that take the descriptors
+// which connections to endpoints, discovery and the console need: callers can never use those, however many come.
 func (l *Callers) acceptOne() (net.Conn, error) {
 	for int64(l.Open()) >= l.limit.Load() && !l.closed.Load() && !l.paused.Load() {
-		timer := l.world.NewTimer(roomPause) // the limit may have been raised
+		timer := l.env.NewTimer(makeRoomInterval) // the limit may be raised meanwhile
 		select {
 		case <-l.freed:
 		case <-timer.C():
@@ -186,16 +186,16 @@
 	return l.Listener.Accept()
 }
 
-// tellFreed has Accept look for room again.
-func (l *Callers) tellFreed() {
+// signalFreed makes Accept check the limit again.
+func (l *Callers) signalFreed() {
 	select {
 	case l.freed <- struct{}{}:
 	default:
 	}
 }
 
-// backlogged tells whether somebody stands in the kernel's queue.
-func (l *Callers) backlogged() bool {
+// hasBacklog reports whether a connection waits in the kernel's backlog.
+func (l *Callers) hasBacklog() bool {
 	raw, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -212,103 +212,105 @@
 	return waits && err == nil
 }
 
-// makeRoom ends connections until there are no more than may stay.
+// makeRoom closes connections until there are no more than the soft limit.
 func (l *Callers) makeRoom() {
 	all := l.all()
 	l.mu.Lock()
-	over := len(l.conns) - int(l.most.Load())
+	excess := len(l.conns) - int(l.softLimit.Load())
 	full := len(l.conns) >= int(l.limit.Load())
-	look := l.crowded()
-	l.looking = look
+	crowded := l.crowded()
+	l.makingRoom = crowded
 	l.mu.Unlock()
-	if !look {
+	if !crowded {
 		return
 	}
-	over = max(over, 1)
+	excess = max(excess, 1)
 	for _, c := range all {
-		if c.leaving() {
-			over--
+		if c.closingSoon() {
+			excess--
 		}
 	}
-	l.closeOldest(over)
-	if full && l.backlogged() { // a few at a time would keep usual callers behind a crowd for long
-		l.closeSilent(int(l.limit.Load()) / crowdShare)
+	l.closeOldest(excess)
+	if full && l.hasBacklog() { // closing a few at a time would let a crowd delay usual callers for long
+		l.closeSilent(int(l.limit.Load()) / crowdDivisor)
 	}
-	l.world.AfterFunc(roomPause, l.makeRoom)
+	l.env.AfterFunc(makeRoomInterval, l.makeRoom)
 }
 
-// Open is how many connections there are.
+// Open returns the number of connections.
 func (l *Callers) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// CloseIdle ends all connections on which no request stands.
-func (l *Callers) CloseIdle(why Reason) {
+// CloseIdle closes all connections without a request.
+func (l *Callers) CloseIdle(reason Reason) {
 	for _, c := range l.all() {
-		c.closeIdle(why)
+		c.closeIdle(reason)
 	}
 }
 
-// closeOldest ends connections that are idle, then those that are only read out, and then those that hold half a
-// request: first those that never brought a good one, then the oldest. Guards against floods of callers that say nothing
-// and take the place of usual ones: one that has brought a good request stands as long as others are about to be idle for
-// long enough.
+// closeOldest closes n connections: first idle ones, then lingering ones, then those with an incomplete request; among
+// these, connections that never brought a valid request go first, then the oldest. Guards against floods of silent
+// callers that displace usual ones: a connection that has brought a valid request stays as long as enough others will
+// soon have been idle for minIdleTime.
 func (l *Callers) closeOldest(n int) {
-	all, age := l.byAge()
+	all, order := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && (c.closeIdle(ReasonConnLimit) || age[c].young && !age[c].proven) {
+		if n > 0 && (c.closeIdle(ReasonConnLimit) || order[c].recentlyIdle && !order[c].proven) {
 			n--
 		}
 	}
-	for _, end := range []func(*CallerConn) bool{(*CallerConn).cutLinger, (*CallerConn).cutShort} {
+	for _, closeConn := range []func(*CallerConn) bool{(*CallerConn).stopLinger, (*CallerConn).abortIncomplete} {
 		for _, c := range all {
-			if n > 0 && end(c) {
+			if n > 0 && closeConn(c) {
 				n--
 			}
 		}
 	}
 }
 
-// closeSilent ends n of those that never brought a good request: idle, half a one, or only read out.
+// closeSilent closes n of the connections that never brought a valid request: idle, incomplete or lingering.
 func (l *Callers) closeSilent(n int) {
-	all, age := l.byAge()
+	all, order := l.byCloseOrder()
 	for _, c := range all {
-		if n > 0 && !age[c].proven && (c.closeIdle(ReasonConnLimit) || c.cutLinger() || c.cutShort()) {
+		if n > 0 && !order[c].proven && (c.closeIdle(ReasonConnLimit) || c.stopLinger() || c.abortIncomplete()) {
 			n--
 		}
 	}
 }
 
-// byAge returns all connections, those that end first first.
-func (l *Callers) byAge() ([]*CallerConn, map[*CallerConn]connAge) {
+// byCloseOrder returns all connections in the order in which they are to be closed.
+func (l *Callers) byCloseOrder() ([]*CallerConn, map[*CallerConn]closeOrder) {
 	all := l.all()
-	age := make(map[*CallerConn]connAge, len(all))
+	order := make(map[*CallerConn]closeOrder, len(all))
 	for _, c := range all {
-		age[c] = c.age()
+		order[c] = c.closeOrder()
 	}
-	slices.SortFunc(all, func(a, b *CallerConn) int { return age[a].compare(age[b]) })
-	return all, age
+	slices.SortFunc(all, func(a, b *CallerConn) int { return order[a].compare(order[b]) })
+	return all, order
 }
 
-// connAge is what decides which connection ends first.
-type connAge struct {
-	proven  bool // it has brought a good request
-	young   bool // it is idle, and may be ended soon
-	changed time.Time
+// closeOrder determines which connection is closed first.
+type closeOrder struct {
+	proven       bool // it has brought a valid request
+	recentlyIdle bool // it is idle, but for less than minIdleTime
+	changedAt    time.Time
 }
 
-func (a connAge) compare(b connAge) int {
+// compare returns -1 if a is to be closed before b: unproven connections first, then those that changed earliest.
+func (a closeOrder) compare(b closeOrder) int {
 	if a.proven != b.proven {
 		if b.proven {
 			return -1
 		}
 		return 1
 	}
-	return a.changed.Compare(b.changed)
+	return a.changedAt.Compare(b.changedAt)
 }
 
+// all returns the connections in no particular order.
 func (l *Callers) all() []*CallerConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -319,84 +321,84 @@
 	return all
 }
 
-// CallerConn is a caller's connection. fasthttp's server reads and writes it,
-// and does not see a caller leave while a handler waits: Watch does.
+// CallerConn is a connection of a caller. fasthttp's server reads and writes it, but does not notice that a caller
+// disconnects while a handler waits: Watch does.
 type CallerConn struct {
 	net.Conn
 	owner *Callers
 
-	mu        sync.Mutex
-	why       Reason    // the first that was found; empty while none is
-	busy      bool      // a request is being read, held or answered
-	held      bool      // a request has come whole
-	proven    bool      // a good one has come
-	answered  bool      // the handler has its answer; the server's next read is for another request
-	written   func()    // to be called when that answer is written, or never will be; nil otherwise
-	closing   bool      // no further request is to be read
-	changed   time.Time // when it last became idle, or busy
-	requests  int
-	body      *bodyPace     // while a body is read; nil else
-	cut       bool          // no more of a body is wanted
-	detached  bool          // another process goes on with the answer at hand
-	given     bool          // that process has the connection
-	unsent    []byte        // of it, what was not written here: a piece at most
-	unread    bool          // a body has not come to its end: what still comes must be read before a close
-	pipelined []byte        // what came while Watch looked; the next Reads return it
-	behind    int           // how much that was in all, behind the request at hand
-	ended     bool          // its caller has ended it, or it has broken: no more comes
-	watching  chan struct{} // closed when the watch has ended; nil while there is none
-	closed    bool
-	closedAt  time.Time
-	cutOff    bool // it is read out no further
-
-	descriptor   syscall.RawConn // set when it first holds a request; nil where the connection has no descriptor
-	disconnected atomic.Bool     // its caller was seen to be gone
-}
-
-// aPast is a deadline that has passed: it ends a pending read at once.
-var aPast = time.Unix(1, 0)
-
-// lastLook is how long a connection that is to end is still read.
-const lastLook = time.Millisecond
-
-// Read reads for the server. An idle connection that times out, or that is to
-// end, reads as closed by its caller: the server then ends it in silence, where
-// an answer would be taken for one to a request that is on its way.
+	mu             sync.Mutex
+	reason         Reason    // the first that was found; empty until then
+	busy           bool      // a request is being read, pending or being answered
+	pending        bool      // it counts in Callers.pending: a request has come completely, or its body is still coming
+	proven         bool      // it has brought a valid request
+	answered       bool      // the handler has returned an answer; the server's next read is for another request
+	onWritten      func()    // called when that answer is written, or will never be; nil otherwise
+	closing        bool      // no further request is to be read
+	changedAt      time.Time // when it last became idle or busy
+	requests       int
+	body           *bodyProgress // while a body is read; nil otherwise
+	bodyStopped    bool          // no more of the body is wanted
+	detached       bool          // writes are only recorded in unsent: another process is to continue the current answer
+	handedOver     bool          // another process has taken over the connection
+	unsent         []byte        // recorded writes: one piece at most
+	bodyUnread     bool          // a body has not been read to its end: what still comes must be read before the close
+	pipelined      []byte        // bytes that came during Watch, which the next Reads return
+	pipelinedBytes int           // number of bytes that came after the current request, kept or not
+	peerEnded      bool          // the caller has closed it, it failed, or it floods: no answer can be lost by closing it
+	watchDone      chan struct{} // closed when the watch has ended; nil without a watch
+	closed         bool
+	closedAt       time.Time
+	lingerStopped  bool // lingering was ended early
+
+	descriptor   syscall.RawConn // set with its first pending request; nil if the connection has no descriptor
+	disconnected atomic.Bool     // its caller was seen to have disconnected
+}
+
+// pastDeadline is a deadline in the past: it interrupts a pending read at once.
+var pastDeadline = time.Unix(1, 0)
+
+// lastReadTime is how long an idle connection is still read before it is closed.
+const lastReadTime = time.Millisecond
+
+// Read implements net.Conn for the server. An idle connection that times out, or that is to be closed, reads as closed
+// by its caller: the server then closes it without an answer, which the caller could take for the answer to a request
+// that it is just sending.
 func (c *CallerConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	c.settle()
+	c.finishAnswered()
 	if len(c.pipelined) > 0 {
 		n := copy(b, c.pipelined)
 		c.pipelined = c.pipelined[n:]
-		c.begin()
+		c.markBusy()
 		c.mu.Unlock()
 		return n, nil
 	}
 	idle, began := !c.busy, time.Time{}
 	if c.body != nil {
-		began = c.owner.world.Now()
-		if c.Conn.SetReadDeadline(began.Add(c.body.left())); c.cut {
-			c.Conn.SetReadDeadline(aPast)
+		began = c.owner.env.Now()
+		if c.Conn.SetReadDeadline(began.Add(c.body.timeLeft())); c.bodyStopped {
+			c.Conn.SetReadDeadline(pastDeadline)
 		}
 	}
 	c.mu.Unlock()
 	n, err := c.Conn.Read(b)
 	if n == 0 && idle && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.lookAgain(b)
+		n, err = c.readOnceMore(b)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil && !began.IsZero() {
-		c.body.got += n
-		c.body.waited += c.owner.world.Now().Sub(began)
+		c.body.received += n
+		c.body.waited += c.owner.env.Now().Sub(began)
 	}
 	if n > 0 {
-		c.begin()
+		c.markBusy()
 		return n, err
 	}
-	if err != nil && !c.cut {
-		c.ended = c.ended || !errors.Is(err, os.ErrDeadlineExceeded)
-		c.note(c.readReason(err))
+	if err != nil && !c.bodyStopped {
+		c.peerEnded = c.peerEnded || !errors.Is(err, os.ErrDeadlineExceeded)
+		c.noteReason(c.readReason(err))
 		if !c.busy && errors.Is(err, os.ErrDeadlineExceeded) {
 			err = io.EOF
 		}
@@ -404,26 +406,26 @@
 	return n, err
 }
 
-// lookAgain reads once more when an idle connection is about to end: a read whose
-// deadline has passed does not look at what has come, and a request that stands
-// there already must not be lost. The rest of it gets the time that it may need.
-func (c *CallerConn) lookAgain(b []byte) (int, error) {
-	c.Conn.SetReadDeadline(c.owner.world.Now().Add(lastLook))
+// readOnceMore reads an idle connection once more before it is closed: a read whose deadline has passed does not check
+// for received bytes, and a request that has already come must not be lost. The rest of that request gets
+// incompleteTime.
+func (c *CallerConn) readOnceMore(b []byte) (int, error) {
+	c.Conn.SetReadDeadline(c.owner.env.Now().Add(lastReadTime))
 	n, err := c.Conn.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		// Guards against a machine so busy that the deadline passes before the read begins.
-		if came := c.readNow(b); came > 0 {
-			n, err = came, nil
+		// Guards against a machine so busy that the deadline passes before the read starts.
+		if available := c.readAvailable(b); available > 0 {
+			n, err = available, nil
 		}
 	}
 	if n > 0 {
-		c.Conn.SetReadDeadline(c.owner.world.Now().Add(stallTime))
+		c.Conn.SetReadDeadline(c.owner.env.Now().Add(incompleteTime))
 	}
 	return n, err
 }
 
-// readNow reads what stands there, whatever deadline has passed, and returns how much that is.
-func (c *CallerConn) readNow(b []byte) (n int) {
+// readAvailable reads the received bytes, whatever the deadline, and returns their number.
+func (c *CallerConn) readAvailable(b []byte) (n int) {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -443,94 +445,94 @@
 	return n
 }
 
-// bodyBegins marks that a body is read from here on.
+// bodyBegins marks that a body is being read from now on.
 func (c *CallerConn) bodyBegins() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.body, c.unread = &bodyPace{}, true
+	c.body, c.bodyUnread = &bodyProgress{}, true
 }
 
-// MarkBodyUnread marks that a body comes that nobody will read.
+// MarkBodyUnread marks that a body is coming that nobody will read.
 func (c *CallerConn) MarkBodyUnread() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.unread = true
+	c.bodyUnread = true
 }
 
-// bodyEnded marks that no body is read any more, and whether nothing more of it comes.
-func (c *CallerConn) bodyEnded(all bool) {
+// bodyEnded marks that no body is being read any more. complete says that no more of the body will come.
+func (c *CallerConn) bodyEnded(complete bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil {
-		c.body, c.cut, c.unread = nil, false, !all
+		c.body, c.bodyStopped, c.bodyUnread = nil, false, !complete
 		c.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// cutBody ends the read of a body that is under way.
-func (c *CallerConn) cutBody() {
+// stopBody interrupts the read of a body.
+func (c *CallerConn) stopBody() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.body != nil {
-		c.cut = true
-		c.Conn.SetReadDeadline(aPast)
+		c.bodyStopped = true
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// MarkPending marks that the connection holds a request whose body still comes.
+// MarkPending marks that the connection has a pending request whose body is still coming.
 func (c *CallerConn) MarkPending() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hold()
+	c.setPending()
 }
 
-// hold does that; c.mu is held.
-func (c *CallerConn) hold() {
-	c.settle() // guards against requests written at once: the server reads no more between them
-	c.begin()
-	if !c.held {
-		c.held, c.proven = true, true
-		c.owner.held.Add(1)
+// setPending implements MarkPending; c.mu is held.
+func (c *CallerConn) setPending() {
+	c.finishAnswered() // guards against pipelined requests: the server reads no more between them
+	c.markBusy()
+	if !c.pending {
+		c.pending, c.proven = true, true
+		c.owner.pending.Add(1)
 	}
 	if conn, ok := c.Conn.(syscall.Conn); ok && c.descriptor == nil {
-		c.descriptor, _ = conn.SyscallConn() // nil if it is closed here
+		c.descriptor, _ = conn.SyscallConn() // nil if the connection is already closed on this side
 	}
 }
 
-// begin marks that a request has begun to come; c.mu is held.
-func (c *CallerConn) begin() {
+// markBusy marks that a request has started to come; c.mu is held.
+func (c *CallerConn) markBusy() {
 	if !c.busy {
-		c.busy, c.changed = true, c.owner.world.Now()
+		c.busy, c.changedAt = true, c.owner.env.Now()
 	}
 }
 
-// settle makes the connection idle once the server reads on behind an answer:
-// it does so when the answer is written. c.mu is held.
-func (c *CallerConn) settle() {
+// finishAnswered makes the connection idle when the server reads again after an answer: it does so only when the answer
+// is written. c.mu is held.
+func (c *CallerConn) finishAnswered() {
 	if c.answered {
-		c.answered, c.busy, c.changed = false, false, c.owner.world.Now()
-		c.letGo()
-		c.wasWritten()
+		c.answered, c.busy, c.changedAt = false, false, c.owner.env.Now()
+		c.clearPending()
+		c.releaseAnswer()
 	}
 }
 
-// letGo marks that no whole request is held any more; c.mu is held.
-func (c *CallerConn) letGo() {
-	if c.held {
-		c.held = false
-		c.owner.held.Add(-1)
+// clearPending marks that there is no pending request any more; c.mu is held.
+func (c *CallerConn) clearPending() {
+	if c.pending {
+		c.pending = false
+		c.owner.pending.Add(-1)
 	}
 }
 
-// wasWritten tells that the answer needs its memory no more; c.mu is held.
-func (c *CallerConn) wasWritten() {
-	if c.written != nil {
-		c.written()
-		c.written = nil
+// releaseAnswer reports that the memory of the answer is no longer needed; c.mu is held.
+func (c *CallerConn) releaseAnswer() {
+	if c.onWritten != nil {
+		c.onWritten()
+		c.onWritten = nil
 	}
 }
 
-// readReason says what a failed read means; c.mu is held.
+// readReason returns the reason for a failed read; c.mu is held.
 func (c *CallerConn) readReason(err error) Reason {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && c.busy:
@@ -543,8 +545,7 @@
 	return ReasonPeerReset
 }
 
-// Write writes for the server. A caller may take its time, and must take some bytes
-// within pieceStall.
+// Write implements net.Conn for the server. A caller may read slowly, but must accept some bytes within pieceStall.
 func (c *CallerConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.detached {
@@ -552,7 +553,7 @@
 		c.mu.Unlock()
 		return len(b), nil
 	}
-	c.Conn.SetWriteDeadline(c.owner.world.Now().Add(pieceStall))
+	c.Conn.SetWriteDeadline(c.owner.env.Now().Add(pieceStall))
 	c.mu.Unlock()
 	n, err := c.Conn.Write(b)
 	c.mu.Lock()
@@ -567,219 +568,223 @@
 	return n, err
 }
 
-// SetReadDeadline is the server's; one that is to end keeps the past one.
+// SetReadDeadline implements net.Conn for the server. A connection that is to be closed keeps the deadline in the past.
 func (c *CallerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closing && !c.busy {
-		t = aPast
+		t = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// detach has what is written from now on only noted: another process is to write it.
+// detach makes further writes only be recorded: another process is to send them.
 func (c *CallerConn) detach() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.detached = true
-	c.Conn.SetWriteDeadline(aPast)
+	c.Conn.SetWriteDeadline(pastDeadline)
 }
 
-// givenAway marks that another process has the connection: what this one does to it, that one would meet.
-func (c *CallerConn) givenAway() {
+// markHandedOver marks that another process has taken over the connection: from now on, a shutdown or a lingering close
+// here would affect that process.
+func (c *CallerConn) markHandedOver() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given = true
+	c.handedOver = true
 }
 
-// unsentBytes returns what was written and only noted.
+// unsentBytes returns the recorded writes.
 func (c *CallerConn) unsentBytes() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.unsent
 }
 
-// MarkAnswered marks that the server has the answer to the request at hand. written is
-// called once, when that is written or its connection ends.
-func (c *CallerConn) MarkAnswered(written func()) {
+// MarkAnswered marks that the server has the answer to the current request. onWritten is called once, when the answer is
+// written or the connection is closed.
+func (c *CallerConn) MarkAnswered(onWritten func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.settle()
-	c.answered, c.written = true, written
+	c.finishAnswered()
+	c.answered, c.onWritten = true, onWritten
 	c.requests++
 }
 
-// Requests is how many requests it has carried.
+// Requests returns the number of requests answered on the connection.
 func (c *CallerConn) Requests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests
 }
 
-// Pending is how many connections hold a whole request, or one whose body still comes.
-func (l *Callers) Pending() int { return int(l.held.Load()) }
+// Pending returns the number of connections with a pending request, its body included or still coming.
+func (l *Callers) Pending() int { return int(l.pending.Load()) }
 
-// Crowded tells whether more requests are held than there should be connections.
+// Crowded reports whether there are more pending requests than the soft limit of connections.
 func (c *CallerConn) Crowded() bool {
 	l := c.owner
-	return l.held.Load() > l.most.Load()
+	return l.pending.Load() > l.softLimit.Load()
 }
 
-// SetReason sets why the connection ends, unless that is known already.
-func (c *CallerConn) SetReason(why Reason) {
+// SetReason sets the reason for which the connection ends, unless it has one.
+func (c *CallerConn) SetReason(reason Reason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.note(why)
+	c.noteReason(reason)
 }
 
-func (c *CallerConn) note(why Reason) {
-	if c.why == "" {
-		c.why = why
+// noteReason implements SetReason; c.mu is held.
+func (c *CallerConn) noteReason(reason Reason) {
+	if c.reason == "" {
+		c.reason = reason
 	}
 }
 
-func (c *CallerConn) age() connAge {
+func (c *CallerConn) closeOrder() closeOrder {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.owner.world.Now()
-	return connAge{
-		proven: c.proven, changed: c.changed,
-		young: !c.busy && !c.closing && !c.closed && now.Sub(c.changed) < settleTime,
+	now := c.owner.env.Now()
+	return closeOrder{
+		proven: c.proven, changedAt: c.changedAt,
+		recentlyIdle: !c.busy && !c.closing && !c.closed && now.Sub(c.changedAt) < minIdleTime,
 	}
 }
 
-// leaving tells whether it is about to end by itself.
-func (c *CallerConn) leaving() bool {
+// closingSoon reports whether the connection will close without further action.
+func (c *CallerConn) closingSoon() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
-		return c.cutOff || c.owner.world.Now().Sub(c.closedAt) < settleTime
+		return c.lingerStopped || c.owner.env.Now().Sub(c.closedAt) < minIdleTime
 	}
-	return c.closing && !c.held
+	return c.closing && !c.pending
 }
 
-// cutLinger ends the reading out of a connection that has ended on this side, and tells whether it does. Guards against
-// callers that keep descriptors so: for as long as room is short it takes settleTime.
-func (c *CallerConn) cutLinger() bool {
+// stopLinger ends the lingering of a connection and reports whether it did. Guards against callers that keep descriptors
+// in use that way: while connections are scarce, lingering ends after minIdleTime.
+func (c *CallerConn) stopLinger() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.closed || c.cutOff || c.owner.world.Now().Sub(c.closedAt) < settleTime {
+	if !c.closed || c.lingerStopped || c.owner.env.Now().Sub(c.closedAt) < minIdleTime {
 		return false
 	}
-	c.cutOff = true
-	c.Conn.SetReadDeadline(aPast)
+	c.lingerStopped = true
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-// cutShort ends the reading of a request that does not come whole, and tells
-// whether it does. Guards against callers that hold all connections with the
-// beginnings of requests. The server answers them, in case one has come after all.
-func (c *CallerConn) cutShort() bool {
+// abortIncomplete ends the reading of an incomplete request and reports whether it did. Guards against callers that
+// occupy all connections with the beginnings of requests. The server still answers them, in case one has come completely
+// meanwhile.
+func (c *CallerConn) abortIncomplete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.busy || c.held || c.closing || c.owner.world.Now().Sub(c.changed) < stallTime {
+	if !c.busy || c.pending || c.closing || c.owner.env.Now().Sub(c.changedAt) < incompleteTime {
 		return false
 	}
 	c.closing = true
-	c.note(ReasonConnLimit)
-	c.Conn.SetReadDeadline(aPast)
+	c.noteReason(ReasonConnLimit)
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-// closeIdle ends a connection that has been idle for a while, and tells whether it
-// does. A request whose first byte has come is still served: only the pending
-// read is ended, never what it has brought. On a new connection the first
-// request is about to come.
-func (c *CallerConn) closeIdle(why Reason) bool {
+// closeIdle closes a connection that has been idle for minIdleTime and reports whether it did. A request whose first
+// byte has come is still served: only the pending read is interrupted, and what it has read is never dropped. A new
+// connection counts as idle only after that time, since its first request is about to come.
+func (c *CallerConn) closeIdle(reason Reason) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// Guards against a stop that cuts short what lingers already; where room is wanted it may be cut short.
-	lingers := c.closed && why != ReasonConnLimit
-	if c.closing || c.busy || lingers || c.owner.world.Now().Sub(c.changed) < settleTime {
+	// Guards against a stop that interrupts a lingering connection; to stay within the limit it may be interrupted.
+	lingers := c.closed && reason != ReasonConnLimit
+	if c.closing || c.busy || lingers || c.owner.env.Now().Sub(c.changedAt) < minIdleTime {
 		return false
 	}
 	c.closing = true
-	c.note(why)
-	c.Conn.SetReadDeadline(aPast)
+	c.noteReason(reason)
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-// Closing tells whether the connection is to end with the request at hand.
+// Closing reports whether the connection is to be closed after the current request.
 func (c *CallerConn) Closing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closing
 }
 
-// Watch calls left once if the caller goes before Unwatch is called. It begins
-// when a request has come whole.
-func (c *CallerConn) Watch(left func()) {
+// Watch calls onLeave once if the caller disconnects before Unwatch is called. It is called when a request has come
+// completely.
+func (c *CallerConn) Watch(onLeave func()) {
 	done := make(chan struct{})
-	c.watching = done
+	c.watchDone = done
 	c.mu.Lock()
-	c.hold()
-	c.behind = len(c.pipelined)
+	c.setPending()
+	c.pipelinedBytes = len(c.pipelined)
 	c.Conn.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	c.owner.world.Go("watch", func() {
+	c.owner.env.Go("watch", func() {
 		defer close(done)
-		if c.look() {
+		if c.readUntilGone() {
 			c.disconnected.Store(true)
 			c.SetReason(ReasonCallerLeft)
-			left()
+			onLeave()
 		}
 	})
 }
 
-// look reads until the watch is to end or the caller has gone, and tells whether it has. It does not stop at what comes
-// behind the request: guards against callers that send much at once and go, whose end stands behind all that.
-func (c *CallerConn) look() (gone bool) {
+// readUntilGone reads until Unwatch or until the caller disconnects, and reports whether it has disconnected. It does
+// not stop at bytes that come after the request: guards against callers that send much and then disconnect, whose
+// disconnect can only be read after all those bytes.
+func (c *CallerConn) readUntilGone() (gone bool) {
 	var first [1]byte
 	buf := first[:]
 	for {
 		n, err := c.Conn.Read(buf)
 		c.mu.Lock()
-		flooded := c.keep(buf[:n])
+		flooded := c.keepPipelined(buf[:n])
 		c.mu.Unlock()
 		switch {
 		case flooded:
 			return true
 		case err == nil && len(buf) == len(first):
-			buf = make([]byte, firstBody) // one for each caller that writes ahead: a flood of them must stay small
+			buf = make([]byte, initialBodySize) // only for callers that pipeline: a flood of connections must take little memory
 		case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
 			return false
 		case err != nil:
 			c.mu.Lock()
-			c.ended = true
+			c.peerEnded = true
 			c.mu.Unlock()
 			return true
 		}
 	}
 }
 
-// What may come behind a request before it is answered, in bytes. Callers ask one thing at a time; those that write the
-// next ahead are served as long as it is kept. Who pours on and on waits for no answer.
+// Limits for bytes that come after a request before it is answered. Usual callers send one request at a time; pipelined
+// ones are served as long as their bytes fit into maxPipelinedKept. A caller that sends more than maxPipelined is not
+// waiting for an answer.
 const (
 	maxPipelinedKept = MaxHead
 	maxPipelined     = 1 << 20
 )
 
-// keep keeps what came behind a request, and tells whether it was more than anybody waits behind; c.mu is held. Beyond
-// maxPipelinedKept nothing is kept: the connection ends with the request at hand, since what follows can't be read any more.
-func (c *CallerConn) keep(b []byte) (flooded bool) {
-	c.behind += len(b)
-	if c.behind > maxPipelinedKept {
+// keepPipelined keeps bytes that came after a request and reports whether they exceed maxPipelined; c.mu is held. Beyond
+// maxPipelinedKept nothing is kept: the connection is closed after the current request, since what follows can't be read
+// any more.
+func (c *CallerConn) keepPipelined(b []byte) (flooded bool) {
+	c.pipelinedBytes += len(b)
+	if c.pipelinedBytes > maxPipelinedKept {
 		c.pipelined, c.closing = nil, true
 	} else {
 		c.pipelined = append(c.pipelined, b...)
 	}
-	c.ended = c.ended || c.behind > maxPipelined // it gets no answer that a close could destroy
-	return c.behind > maxPipelined
+	c.peerEnded = c.peerEnded || c.pipelinedBytes > maxPipelined // it gets no answer that a close could destroy
+	return c.pipelinedBytes > maxPipelined
 }
 
-// Disconnected tells whether its caller has ended the connection, one way or both, or broken it. It asks the kernel, once:
-// the watch may not have run yet, nobody watches while a body still comes, and an end stands behind all that was not read.
-// Any goroutine may ask while a request is held.
+// Disconnected reports whether the caller has closed the connection, in one direction or both, or reset it. It checks
+// with the kernel: the watch may not have run yet, there is no watch while a body is still coming, and a disconnect can
+// only be read after all unread bytes. Any goroutine may call it while a request is pending.
 func (c *CallerConn) Disconnected() bool {
 	if c.disconnected.Load() {
 		return true
@@ -792,10 +797,10 @@
 	return true
 }
 
-// hungUp is the kernel's word for that. Bytes that were not read don't hide an end from POLLRDHUP, as they do from a read.
+// hungUp asks the kernel for that. Unread bytes don't hide a disconnect from POLLRDHUP, as they do from a read.
 func (c *CallerConn) hungUp() bool {
-	if told, ok := c.Conn.(interface{ HungUp() bool }); ok { // it knows by itself
-		return told.HungUp()
+	if reporter, ok := c.Conn.(interface{ HungUp() bool }); ok { // simulated connections know it themselves
+		return reporter.HungUp()
 	}
 	if c.descriptor == nil {
 		return false
@@ -804,91 +809,92 @@
 	err := c.descriptor.Control(func(fd uintptr) {
 		fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds[:], 0)
-		if err == unix.EINTR { // once more: a signal's handler has run in between
+		if err == unix.EINTR { // retry once: a signal handler ran in between
 			n, err = unix.Poll(fds[:], 0)
 		}
 		hungUp = n > 0 && err == nil
 	})
-	return hungUp || err != nil // an error: it is closed on this side
+	return hungUp || err != nil // an error means that it is closed on this side
 }
 
-// Unwatch ends the watch; the server may read again.
+// Unwatch ends the watch; after it, the server may read again.
 func (c *CallerConn) Unwatch() {
-	c.Conn.SetReadDeadline(aPast)
-	<-c.watching
-	c.watching = nil
+	c.Conn.SetReadDeadline(pastDeadline)
+	<-c.watchDone
+	c.watchDone = nil
 	c.Conn.SetReadDeadline(time.Time{})
 }
 
-// Close ends the connection and tells why, once.
+// Close closes the connection and reports its reason, once.
 func (c *CallerConn) Close() error {
 	c.mu.Lock()
 	first := !c.closed
 	if first {
-		c.closed, c.closedAt = true, c.owner.world.Now()
+		c.closed, c.closedAt = true, c.owner.env.Now()
 	}
-	c.letGo()
-	c.wasWritten()
-	c.note(ReasonAskedClose)
-	why, linger := c.why, c.lingers()
+	c.clearPending()
+	c.releaseAnswer()
+	c.noteReason(ReasonAskedClose)
+	reason, linger := c.reason, c.lingerTime()
 	c.mu.Unlock()
 	if first {
 		c.linger(linger)
 	}
 	err := c.Conn.Close()
-	if first { // only now: its descriptor counts until it is free
+	if first { // only now: its descriptor counts until it is closed
 		l := c.owner
 		l.mu.Lock()
 		delete(l.conns, c)
 		l.mu.Unlock()
-		l.tellFreed()
-		l.ended(c, why)
+		l.signalFreed()
+		l.onEnd(c, reason)
 	}
 	return err
 }
 
-// How a connection ends from this side. A close over unread bytes is a reset, which may take the answer with it that is
-// on its way, and bytes may come at any moment: so it is ended one way, and what still comes is read and dropped.
+// How this side closes a connection. Closing a connection with unread bytes resets it, which may destroy the answer that
+// is on its way, and bytes may come at any moment. So the connection lingers: it is closed for writing first, and what
+// still comes is read and dropped.
 const (
-	longLinger     = 5 * time.Second        // a body that nobody wants, or a flood: longer than most bodies take
-	shortLinger    = 500 * time.Millisecond // else: callers end their side when they see the end of this one
-	lingerShare    = 4                      // so large a part of all connections may end so at once: a flood must not keep descriptors
-	leastLingering = 16                     // but so many always
+	longLinger    = 5 * time.Second        // for an unwanted body or a flood: longer than most bodies take
+	shortLinger   = 500 * time.Millisecond // otherwise: callers close when they see that this side is closed
+	lingerDivisor = 4                      // at most 1/4 of the limit of connections lingers at a time: a flood must not keep descriptors in use
+	minLingering  = 16                     // but always that many
 )
 
-// lingers is how long is read on before the connection is closed; c.mu is held.
-func (c *CallerConn) lingers() time.Duration {
+// lingerTime returns how long to read before the connection is closed; c.mu is held.
+func (c *CallerConn) lingerTime() time.Duration {
 	switch {
-	case c.given, c.ended: // another process writes to it; nobody is there
+	case c.handedOver, c.peerEnded: // another process writes to it; or the caller is gone
 		return 0
-	case c.unread:
+	case c.bodyUnread:
 		return longLinger
-	case c.why == ReasonConnLimit && !c.busy: // it has been idle for long: nothing is on its way, and its place is needed
+	case c.reason == ReasonConnLimit && !c.busy: // idle for long: nothing is on its way, and its descriptor is needed
 		return 0
 	}
 	return shortLinger
 }
 
-// linger ends the sending side and reads what still comes until the caller ends too, for a time at most.
-func (c *CallerConn) linger(most time.Duration) {
+// linger closes the connection for writing and reads until the caller closes it too, or the limit has passed.
+func (c *CallerConn) linger(limit time.Duration) {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if most == 0 || !ok {
+	if limit == 0 || !ok {
 		return
 	}
 	defer c.owner.lingering.Add(-1)
-	mostLingering := max(c.owner.limit.Load()/lingerShare, leastLingering)
-	if c.owner.lingering.Add(1) > mostLingering && most == shortLinger || half.CloseWrite() != nil {
+	maxLingering := max(c.owner.limit.Load()/lingerDivisor, minLingering)
+	if c.owner.lingering.Add(1) > maxLingering && limit == shortLinger || half.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
-	if !c.cutOff {
-		c.Conn.SetReadDeadline(c.owner.world.Now().Add(most))
+	if !c.lingerStopped {
+		c.Conn.SetReadDeadline(c.owner.env.Now().Add(limit))
 	}
 	c.mu.Unlock()
-	buf := make([]byte, firstBody) // little comes, most often nothing
-	if most == longLinger {
-		piece := pieces.Get().(*[pieceSize]byte)
-		defer pieces.Put(piece)
+	buf := make([]byte, initialBodySize) // mostly little or nothing comes
+	if limit == longLinger {
+		piece := pieceBuffers.Get().(*[pieceSize]byte)
+		defer pieceBuffers.Put(piece)
 		buf = piece[:]
 	}
 	for left := MaxBody; left > 0; {
--- a/internal/httpwire/caller_test.go
+++ b/internal/httpwire/caller_test.go
@@ -13,16 +13,16 @@
 	"heathgap/internal/env"
 )
 
-// callerPair returns a caller's connection that has been idle for long, and the
-// caller's end of it.
+// callerPair returns a caller's connection that seems to have been idle for long, the caller's end of it, and the
+// reasons with which connections end.
 func callerPair(t *testing.T) (*CallerConn, net.Conn, *[]Reason) {
 	t.Helper()
 	callers, ended := testCallers(t)
-	c, client := connect(t, callers)
+	c, client := connectIdle(t, callers)
 	return c, client, ended
 }
 
-// testCallers returns a listener for callers, and why connections have ended.
+// testCallers returns a listener for callers, and the reasons with which its connections end.
 func testCallers(t *testing.T) (*Callers, *[]Reason) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,11 +31,11 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	var ended []Reason
-	return NewCallers(listener, env.Real{}, 10, func(_ *CallerConn, why Reason) { ended = append(ended, why) }), &ended
+	return NewCallers(listener, env.Real{}, 10, func(_ *CallerConn, reason Reason) { ended = append(ended, reason) }), &ended
 }
 
-// connect returns a new connection that seems idle for long, and the caller's end.
-func connect(t *testing.T, callers *Callers) (*CallerConn, net.Conn) {
+// connectIdle returns a new connection that seems to have been idle for long, and the caller's end of it.
+func connectIdle(t *testing.T, callers *Callers) (*CallerConn, net.Conn) {
 	t.Helper()
 	client, err := net.Dial("tcp", callers.Addr().String())
 	if err != nil {
@@ -48,50 +48,50 @@
 	}
 	c := conn.(*CallerConn)
 	t.Cleanup(func() { c.Close() })
-	c.changed = c.changed.Add(-time.Hour)
+	c.changedAt = c.changedAt.Add(-time.Hour)
 	return c, client
 }
 
-// Guards against callers that connect by hundreds and say nothing: a connection that
-// has brought a good request outlives those that have not, however old it is.
-func TestUnprovenConnectionsEndFirst(t *testing.T) {
+// Guards against hundreds of callers that connect and send nothing: a connection that has brought a valid request is
+// closed after those that have not, however old it is.
+func TestUnprovenConnectionsAreClosedFirst(t *testing.T) {
 	callers, _ := testCallers(t)
-	proven, _ := connect(t, callers)
+	proven, _ := connectIdle(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
 	proven.MarkAnswered(nil)
 	var silent []*CallerConn
 	for range 3 {
-		c, _ := connect(t, callers)
+		c, _ := connectIdle(t, callers)
 		silent = append(silent, c)
 	}
 	proven.mu.Lock()
-	proven.settle()
-	proven.changed = proven.changed.Add(-2 * time.Hour)
+	proven.finishAnswered()
+	proven.changedAt = proven.changedAt.Add(-2 * time.Hour)
 	proven.mu.Unlock()
 	callers.closeOldest(2)
 	callers.closeOldest(1)
 	for i, c := range silent {
 		if !c.Closing() {
-			t.Errorf("silent connection %d stands", i)
+			t.Errorf("silent connection %d was not closed", i)
 		}
 	}
 	if proven.Closing() {
-		t.Error("the usual caller's connection ended before them")
+		t.Error("the proven connection was closed before the silent ones")
 	}
 	if callers.closeOldest(1); !proven.Closing() {
-		t.Error("nothing else was left to end")
+		t.Error("the proven connection stayed open though it was the only one left to close")
 	}
-	if n := callers.held.Load(); n != 0 {
+	if n := callers.pending.Load(); n != 0 {
 		t.Errorf("%d connections count as holding a request", n)
 	}
 }
 
-// Guards against a request that stands unread in a connection which is ended.
-func TestClosingConnectionStillGivesWhatHasCome(t *testing.T) {
+// Guards against a request that is lost because it has come, unread, on a connection that is being closed.
+func TestClosingConnectionStillReadsReceivedBytes(t *testing.T) {
 	for name, end := range map[string]func(*CallerConn){
-		"made room":  func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
-		"idle limit": func(c *CallerConn) { c.SetReadDeadline(aPast) },
+		"connection limit": func(c *CallerConn) { c.closeIdle(ReasonConnLimit) },
+		"idle limit":       func(c *CallerConn) { c.SetReadDeadline(pastDeadline) },
 	} {
 		c, client, _ := callerPair(t)
 		if _, err := client.Write([]byte("GET")); err != nil {
@@ -109,14 +109,14 @@
 	}
 }
 
-// An idle connection ends in silence: it reads as closed, and an answer that its
-// caller could take for one to its next request is never made.
+// An idle connection is closed without an answer, which its caller could take for the answer to its next request: the
+// server reads it as closed.
 func TestClosingConnectionReadsAsClosed(t *testing.T) {
 	c, _, ended := callerPair(t)
 	if !c.closeIdle(ReasonShutdown) || c.closeIdle(ReasonConnLimit) {
-		t.Error("an idle connection is closed once")
+		t.Error("an idle connection must be closed, and only once")
 	}
-	c.SetReadDeadline(time.Now().Add(time.Minute)) // the server's, before it reads
+	c.SetReadDeadline(time.Now().Add(time.Minute)) // as the server does before it reads
 	if n, err := c.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes, %v; want io.EOF", n, err)
 	}
@@ -127,31 +127,31 @@
 	}
 }
 
-// A connection is not taken for idle between its accept and its first request,
-// nor while a request comes or is held.
+// A connection does not count as idle between its accept and its first request, nor while a request is coming or
+// pending.
 func TestBusyConnectionIsNotClosed(t *testing.T) {
 	c, client, _ := callerPair(t)
-	c.changed = time.Now()
+	c.changedAt = time.Now()
 	if c.closeIdle(ReasonConnLimit) {
-		t.Error("closed when new")
+		t.Error("closed right after its accept")
 	}
 	client.Write([]byte("G"))
 	if _, err := c.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	c.changed = c.changed.Add(-time.Hour)
+	c.changedAt = c.changedAt.Add(-time.Hour)
 	if c.closeIdle(ReasonConnLimit) {
-		t.Error("closed while a request comes")
+		t.Error("closed while a request was coming")
 	}
 	c.Watch(func() {})
-	if c.cutShort() {
-		t.Error("cut short while a whole request is held")
+	if c.abortIncomplete() {
+		t.Error("aborted as incomplete while a complete request was pending")
 	}
 	c.Unwatch()
 }
 
-// Guards against callers that take more descriptors than there are for them, were it for a moment: who comes at the limit
-// waits for a place, and gets one.
+// Guards against callers that take more connections than the limit, even for a moment: new ones wait in the backlog for
+// a place, and get one.
 func TestNeverMoreThanTheLimit(t *testing.T) {
 	const come, limit = 30, 10
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -175,68 +175,69 @@
 			t.Fatal(err)
 		}
 		if open := callers.Open(); open > limit {
-			t.Errorf("%d connections after %d, and there may be %d", open, n, limit)
+			t.Errorf("%d connections open after %d accepts, the limit is %d", open, n, limit)
 		}
 		wait.Go(func() { // as the server does
-			io.Copy(io.Discard, conn) //nolint:errcheck // it ends in silence
+			io.Copy(io.Discard, conn) //nolint:errcheck // it is closed without data
 			conn.Close()
 		})
 	}
 }
 
-// Guards against a crowd that has a usual caller's connection ended: one that has brought a good request stands, however
-// long it has been idle, while others will have been idle for long enough soon.
-func TestUsualCallerStandsInACrowd(t *testing.T) {
+// Guards against a crowd that displaces a usual caller: a connection that has brought a valid request stays open,
+// however long it has been idle, while others will soon have been idle for minIdleTime.
+func TestProvenConnectionSurvivesACrowd(t *testing.T) {
 	callers, _ := testCallers(t)
-	proven, _ := connect(t, callers)
+	proven, _ := connectIdle(t, callers)
 	proven.Watch(func() {})
 	proven.Unwatch()
 	proven.MarkAnswered(nil)
 	proven.mu.Lock()
-	proven.settle()
-	proven.changed = proven.changed.Add(-time.Hour)
+	proven.finishAnswered()
+	proven.changedAt = proven.changedAt.Add(-time.Hour)
 	proven.mu.Unlock()
-	silent, _ := connect(t, callers)
-	silent.changed = silent.changed.Add(2 * time.Hour) // it has only just come
+	silent, _ := connectIdle(t, callers)
+	silent.changedAt = silent.changedAt.Add(2 * time.Hour) // has been idle for less than minIdleTime
 	if callers.closeOldest(1); proven.Closing() || silent.Closing() {
-		t.Errorf("the usual caller's ended: %v; the one that has just come: %v", proven.Closing(), silent.Closing())
+		t.Errorf("proven connection closed: %v, new silent connection closed: %v; want neither", proven.Closing(), silent.Closing())
 	}
 	if callers.closeOldest(2); !proven.Closing() {
-		t.Error("no room where both are needed")
+		t.Error("the proven connection stayed open though both had to be closed")
 	}
 }
 
-// lateConn is a connection on a machine so busy that a deadline in the near future passes before the read begins.
+// lateConn simulates a machine so busy that a deadline in the near future passes before the read starts.
 type lateConn struct{ *net.TCPConn }
 
-// SetReadDeadline is net.Conn's.
+// SetReadDeadline implements net.Conn.
 func (c lateConn) SetReadDeadline(t time.Time) error {
-	if !t.IsZero() && time.Until(t) <= lastLook {
-		t = aPast
+	if !t.IsZero() && time.Until(t) <= lastReadTime {
+		t = pastDeadline
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Guards against a request that stands unread in a connection which is ended while the machine is busy.
-func TestLastLookOnABusyMachine(t *testing.T) {
+// Guards against a request that is lost because it has come, unread, on a connection that is being closed on a busy
+// machine.
+func TestLastReadOnABusyMachine(t *testing.T) {
 	c, client, _ := callerPair(t)
 	if _, err := client.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
 	tcp := c.Conn.(*net.TCPConn)
 	c.Conn = lateConn{tcp}
-	for n := 0; n == 0; { // until its bytes have come
+	for n := 0; n == 0; { // until the bytes have come
 		if err := readable(tcp, &n); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.closeIdle(ReasonConnLimit)
 	if n, err := c.Read(make([]byte, 3)); n != 3 || err != nil {
-		t.Errorf("%d bytes, %v; want those that have come", n, err)
+		t.Errorf("%d bytes, %v; want the 3 received bytes", n, err)
 	}
 }
 
-// readable sets how many bytes stand there to be read.
+// readable sets n to the number of received, unread bytes.
 func readable(c *net.TCPConn, n *int) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -20,51 +20,50 @@
 	"heathgap/internal/env"
 )
 
-// What is long goes through small buffers, a piece at a time, as fast as its slower
-// side goes. What holds MaxWhole bytes at most is read whole instead, so that it can
-// be tried again.
+// Long bodies, in both directions, go through small buffers, one piece at a time, as fast as the slower side allows.
+// Bodies of at most MaxBuffered bytes are read completely instead, so that they can be retried.
 
-// pieceSize is the most of a long body that is read before it is written on, in bytes:
-// few system calls for each megabyte, and some hundred of them are few megabytes.
+// pieceSize is the most that is read of a long body before it is written, in bytes. It takes few system calls per
+// megabyte, and a few hundred buffers of that size take few megabytes.
 const pieceSize = 16 << 10
 
-// pieceStall is how long a peer may let a long body stand still. Peers take seconds to
-// read or write; one that does nothing for so long never will.
+// pieceStall is how long a peer may make no progress with a long body. Slow peers take seconds to read or write; one
+// that does nothing for that long never will.
 const pieceStall = 10 * time.Second
 
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([pieceSize]byte) }}
 
-// Bounds of a body that its caller sends, as time that the sidecar waits for it.
+// Limits on the time that the sidecar waits for a body of a caller.
 const (
-	// For the next bytes, and for all beyond what the rate gives: who sends no more is
-	// owed an end within 3 s.
-	bodyGrace = 2500 * time.Millisecond
-	bodyRate  = 32 << 10 // bytes a second: half of what slow callers are known to send
+	// For the next bytes, and in total beyond the time that minBodyRate allows. A caller that stops sending must get an
+	// answer or a close within 3 s.
+	bodyGrace   = 2500 * time.Millisecond
+	minBodyRate = 32 << 10 // bytes a second: half of what slow callers are known to send
 )
 
-// bodyPace is how fast a body comes. Only time spent waiting for the caller counts: a
-// slow endpoint holds a fast caller up.
-type bodyPace struct {
-	got    int
-	waited time.Duration
+// bodyProgress tracks how fast a body comes. Only time spent waiting for the caller counts: a slow endpoint may hold up
+// a fast caller.
+type bodyProgress struct {
+	received int
+	waited   time.Duration
 }
 
-// left is how long may be waited for the next piece.
-func (p *bodyPace) left() time.Duration {
-	return min(bodyGrace, bodyGrace+time.Duration(p.got)*time.Second/bodyRate-p.waited)
+// timeLeft returns how long to wait for the next piece.
+func (p *bodyProgress) timeLeft() time.Duration {
+	return min(bodyGrace, bodyGrace+time.Duration(p.received)*time.Second/minBodyRate-p.waited)
 }
 
-// ErrBody is the fault of a body that is too long, too slow or broken off.
+// ErrBody is the error for a body that is too long, too slow or truncated.
 var ErrBody = errors.New("body")
 
-// ErrDisconnected is the fault of a body whose caller has gone when its last bytes are about to be written.
+// ErrDisconnected is the error for a body whose caller has disconnected before its last bytes were forwarded.
 var ErrDisconnected = fmt.Errorf("%w: its caller has gone", ErrBody)
 
-// errStopped is what a read of a body ends with that nobody wants any more.
+// errStopped is the error of reads after Stop.
 var errStopped = errors.New("no more of the body is wanted")
 
-// ReadBody reads the body of a request whose head has come: whole, or, where it is
-// long, its first bytes and the Upload that brings the rest.
+// ReadBody reads the body of a request whose head has been read: completely, or, if it is long, its first bytes and an
+// Upload for the rest.
 func ReadBody(ctx *fasthttp.RequestCtx, conn *CallerConn) ([]byte, *Upload, error) {
 	stream, length := ctx.RequestBodyStream(), ctx.Request.Header.ContentLength()
 	if stream == nil || length == 0 {
@@ -75,7 +74,7 @@
 	}
 	conn.bodyBegins()
 	u := &Upload{Length: length, body: stream, conn: conn, done: make(chan struct{})}
-	size := firstBody
+	size := initialBodySize
 	if length > 0 {
 		size = min(length, MaxBuffered+1)
 	}
@@ -97,81 +96,81 @@
 	}
 }
 
-// Upload is what its caller has still to send of a long body. It goes to one attempt.
+// Upload is the part of a long body that its caller has still to send. Only one attempt can get it.
 type Upload struct {
-	Length  int // of the whole body in bytes; below 0 where only its end tells
+	Length  int // of the whole body in bytes; below 0 if unknown
 	body    io.Reader
 	conn    *CallerConn
 	claimed atomic.Bool
 
-	mu   sync.Mutex // held while a read is under way
-	got  int
-	over bool
-	err  error
-	done chan struct{} // closed when the body has ended, well or not
+	mu       sync.Mutex // held during a read
+	received int
+	finished bool
+	err      error
+	done     chan struct{} // closed when the body has ended, complete or not
 }
 
-// Claim gives the rest to an attempt, once: it can't be sent twice.
+// Claim assigns the upload to an attempt and reports whether it was free: it can be sent only once.
 func (u *Upload) Claim() bool { return !u.claimed.Swap(true) }
 
-// Done is closed when the body has come to its end, or never will.
+// Done returns a channel that is closed when the body has ended, or will not be read any more.
 func (u *Upload) Done() <-chan struct{} { return u.done }
 
-// Err is how it has ended, once Done is closed: nil if it has come whole.
+// Err returns the error with which the body ended, once Done is closed; nil if it is complete.
 func (u *Upload) Err() error { return u.err }
 
-// Read reads on. It ends with io.EOF only when the body is whole.
+// Read implements io.Reader. It returns io.EOF only when the body is complete.
 func (u *Upload) Read(b []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
+	if u.finished {
 		if u.err == nil {
 			return 0, io.EOF
 		}
 		return 0, u.err
 	}
 	n, err := u.body.Read(b)
-	switch u.got += n; {
-	case u.got > MaxBody:
+	switch u.received += n; {
+	case u.received > MaxBody:
 		err = fmt.Errorf("%w: %d bytes are allowed", errTooLong, MaxBody)
-	case err == io.EOF && u.Length >= 0 && u.got < u.Length:
-		err = io.ErrUnexpectedEOF // fasthttp's stream takes an early end for the end
-	case err == nil && u.got == u.Length:
+	case err == io.EOF && u.Length >= 0 && u.received < u.Length:
+		err = io.ErrUnexpectedEOF // fasthttp's stream takes a premature end for the end of the body
+	case err == nil && u.received == u.Length:
 		err = io.EOF
 	}
 	if err != nil {
-		u.end(err)
+		u.finish(err)
 	}
 	return n, err
 }
 
-// end books the end; u.mu is held.
-func (u *Upload) end(err error) {
-	if u.over {
+// finish records that the body has ended; u.mu is held.
+func (u *Upload) finish(err error) {
+	if u.finished {
 		return
 	}
-	u.over = true
+	u.finished = true
 	if err != io.EOF {
 		u.err = err
 	}
-	// Who has broken off or stands still sends nothing that would have to be read.
+	// A caller that broke off or stalled sends nothing more that would have to be read before the close.
 	u.conn.bodyEnded(!errors.Is(err, errStopped) && !errors.Is(err, errTooLong))
 	close(u.done)
 }
 
-// Stop ends reading: when it returns, nobody reads the caller's connection for a body.
+// Stop ends reading. When it returns, no goroutine reads the caller's connection for this body.
 func (u *Upload) Stop() {
-	u.conn.cutBody()
+	u.conn.stopBody()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.end(errStopped)
+	u.finish(errStopped)
 }
 
-// WriteUpload writes the rest of a body behind what Send has written, as it comes. It
-// tells whether the last byte was written. An error that wraps ErrBody is the caller's.
-func (l *Link) WriteUpload(u *Upload, world env.Env) (whole bool, err error) {
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+// WriteUpload writes the rest of a body after what Send has written, as it comes. It reports whether the last byte was
+// written. An error that wraps ErrBody is the caller's fault.
+func (l *Link) WriteUpload(u *Upload, environment env.Env) (complete bool, err error) {
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
 		n, err := u.Read(buf[:])
 		if err != nil && err != io.EOF {
@@ -179,9 +178,9 @@
 		}
 		last := err == io.EOF
 		if last && u.conn.Disconnected() {
-			return false, ErrDisconnected // an endpoint begins with the last byte
+			return false, ErrDisconnected // an endpoint starts to run a request with its last byte
 		}
-		if err := l.writePiece(buf[:n], u.Length < 0, last, world); err != nil {
+		if err := l.writePiece(buf[:n], u.Length < 0, last, environment); err != nil {
 			return false, err
 		}
 		if last {
@@ -190,8 +189,8 @@
 	}
 }
 
-// writePiece writes a piece, framed as a chunk where the length is not told.
-func (l *Link) writePiece(b []byte, chunked, last bool, world env.Env) error {
+// writePiece writes a piece, framed as a chunk if the length of the body is unknown.
+func (l *Link) writePiece(b []byte, chunked, last bool, environment env.Env) error {
 	if chunked {
 		framed := make([]byte, 0, len(b)+len("\r\n")+chunkFrame)
 		if len(b) > 0 {
@@ -206,7 +205,7 @@
 	if len(b) == 0 {
 		return nil
 	}
-	if err := l.conn.SetWriteDeadline(world.Now().Add(pieceStall)); err != nil {
+	if err := l.conn.SetWriteDeadline(environment.Now().Add(pieceStall)); err != nil {
 		return err
 	}
 	_, err := l.conn.Write(b)
@@ -215,120 +214,120 @@
 
 // Framing of chunks.
 const (
-	chunkFrame = 24 // bytes that it takes at most beside the piece
+	chunkFrame = 24 // bytes that the framing of a piece takes at most
 	lastChunk  = "0\r\n\r\n"
 )
 
-// errHandedOver ends the writing of a response that another process goes on with.
-var errHandedOver = errors.New("another process goes on")
+// errHandedOver ends the writing of a response that another process continues.
+var errHandedOver = errors.New("another process goes on with the answer")
 
-// How a long answer ended on its way.
+// How the streaming of a long answer ended.
 const (
 	AnswerComplete   AnswerEnd = iota // all of it is written
-	AnswerBrokenOff                   // its endpoint broke it off, or it was longer than may be
-	AnswerCallerGone                  // its caller has gone
-	AnswerHandedOver                  // another process goes on with it
+	AnswerBrokenOff                   // its endpoint broke it off, or it exceeded MaxAnswer
+	AnswerCallerGone                  // its caller has disconnected
+	AnswerHandedOver                  // another process continues it
 )
 
-// AnswerEnd is how the passing on of a long answer has ended.
+// AnswerEnd says how the streaming of a long answer ended.
 type AnswerEnd uint8
 
-// AnswerStream is a long answer that is passed on as it comes: fasthttp writes it as the
-// body of a response. It ends once.
+// AnswerStream is a long answer that is streamed to its caller: fasthttp writes it as the body of a response. It ends
+// exactly once.
 type AnswerStream struct {
-	Length     int // of the whole body in bytes; below 0 where only its end tells
-	Class      string
-	WithLength bool // it is written with its length, not in chunks: for callers of HTTP/1.0
-	first      []byte
-	body       io.Reader
-	link       *Link
-	to         atomic.Pointer[CallerConn]
-	world      env.Env
-	ended      func(AnswerEnd) // set by Pass; nil before, and after the end
-	give       atomic.Pointer[HandOverFunc]
+	Length       int // of the whole body in bytes; below 0 if unknown
+	Class        string
+	WithLength   bool // write it with its length, not in chunks: for callers that speak HTTP/1.0
+	beginning    []byte
+	body         io.Reader
+	link         *Link
+	caller       atomic.Pointer[CallerConn]
+	env          env.Env
+	onEnd        func(AnswerEnd) // set by OnEnd; nil before, and after the end
+	handOverFunc atomic.Pointer[HandOverFunc]
 }
 
-// HandOverFunc hands a long answer to another process: what it needs to go on, as text, and the
-// connections of its caller and its endpoint.
+// HandOverFunc hands a long answer over to another process: the state from which that continues, as JSON, and the
+// connections of the caller and the endpoint.
 type HandOverFunc func(state []byte, caller, endpoint syscall.Conn) error
 
-// OnEnd says who is told of the end, once.
-func (a *AnswerStream) OnEnd(ended func(AnswerEnd)) { a.ended = ended }
+// OnEnd sets the function that is called once, when the stream ends.
+func (a *AnswerStream) OnEnd(onEnd func(AnswerEnd)) { a.onEnd = onEnd }
 
-// HandOver has the answer handed to another process at the next piece. It may be called
-// at any time.
-func (a *AnswerStream) HandOver(give HandOverFunc) {
-	a.give.Store(&give)
-	a.link.conn.SetReadDeadline(aPast)
-	if to := a.to.Load(); to != nil {
+// HandOver requests that the answer be handed over to another process at the next piece. It may be called at any time.
+func (a *AnswerStream) HandOver(handOver HandOverFunc) {
+	a.handOverFunc.Store(&handOver)
+	a.link.conn.SetReadDeadline(pastDeadline)
+	if to := a.caller.Load(); to != nil {
 		to.detach()
 	}
 }
 
-// SetConn says whose connection it is written to.
-func (a *AnswerStream) SetConn(conn *CallerConn) { a.to.Store(conn) }
+// SetConn sets the caller's connection, to which the answer is written.
+func (a *AnswerStream) SetConn(conn *CallerConn) { a.caller.Store(conn) }
 
-// AnswerHandover is what another process needs to go on with a long answer.
+// AnswerHandover is the state with which another process continues a long answer. It is sent as JSON, possibly to
+// another version of the program: its field names are fixed.
 type AnswerHandover struct {
 	Class    string
-	Unsent   []byte // read and not written
-	Buffered []byte // read from the endpoint's connection, and not unframed
-	Left     int    // bytes that are left of the body, or of the chunk at hand; below 0: to the connection's end
+	Unsent   []byte // read from the endpoint, but not yet written to the caller
+	Buffered []byte // read from the endpoint's connection, but not yet parsed as chunks
+	Left     int    // missing bytes of the body, or of the current chunk; below 0 if the body lasts to the connection's end
 	Chunked  bool
-	Behind   bool // a chunk has come whole, and the end of its line has not
-	Total    int64
+	Behind   bool  // all bytes of a chunk have come, but not yet its line end
+	Total    int64 // bytes of the body so far
 }
 
-// handOver hands it over, and tells whether it has.
-func (a *AnswerStream) handOver(give HandOverFunc, total int64) bool {
-	to := a.to.Load()
+// tryHandOver hands the answer over and reports whether it did.
+func (a *AnswerStream) tryHandOver(handOver HandOverFunc, total int64) bool {
+	conn := a.caller.Load()
 	if a.WithLength {
 		return false
 	}
-	over := AnswerHandover{Class: a.Class, Unsent: to.unsentBytes(), Left: -1, Total: total}
+	handover := AnswerHandover{Class: a.Class, Unsent: conn.unsentBytes(), Left: -1, Total: total}
 	switch b := a.body.(type) {
-	case *exactBody:
-		over.Left = b.left
+	case *fixedLengthBody:
+		handover.Left = b.remaining
 	case *chunkedBody:
-		over.Left, over.Chunked, over.Behind = b.left, true, b.behind
+		handover.Left, handover.Chunked, handover.Behind = b.remaining, true, b.lineEndPending
 	}
-	over.Buffered, _ = a.link.in.Peek(a.link.in.Buffered())
-	state, err := json.Marshal(over)
-	caller, ok := to.Conn.(syscall.Conn)
+	handover.Buffered, _ = a.link.in.Peek(a.link.in.Buffered())
+	state, err := json.Marshal(handover)
+	caller, ok := conn.Conn.(syscall.Conn)
 	endpoint, ok2 := a.link.conn.(syscall.Conn)
-	if err != nil || !ok || !ok2 || give(state, caller, endpoint) != nil {
+	if err != nil || !ok || !ok2 || handOver(state, caller, endpoint) != nil {
 		return false
 	}
-	to.givenAway()
+	conn.markHandedOver()
 	return true
 }
 
-// ResumeAnswer passes on what another process has begun to: it writes to the caller what is
-// left of the answer, and ends both connections.
-func ResumeAnswer(over *AnswerHandover, caller, endpoint net.Conn, world env.Env) AnswerEnd {
+// ResumeAnswer continues an answer that another process has begun to stream: it writes the rest to the caller and closes
+// both connections.
+func ResumeAnswer(handover *AnswerHandover, caller, endpoint net.Conn, environment env.Env) AnswerEnd {
 	defer caller.Close()
 	defer endpoint.Close()
-	in := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(over.Buffered), endpoint), MaxHead)
+	in := bufio.NewReaderSize(io.MultiReader(bytes.NewReader(handover.Buffered), endpoint), MaxHead)
 	var body io.Reader = in
 	switch {
-	case over.Chunked:
-		body = &chunkedBody{r: in, left: over.Left, behind: over.Behind}
-	case over.Left >= 0:
-		body = &exactBody{r: in, left: over.Left}
+	case handover.Chunked:
+		body = &chunkedBody{r: in, remaining: handover.Left, lineEndPending: handover.Behind}
+	case handover.Left >= 0:
+		body = &fixedLengthBody{r: in, remaining: handover.Left}
 	}
 	out := &Link{conn: caller}
-	if out.writePiece(over.Unsent, false, false, world) != nil {
+	if out.writePiece(handover.Unsent, false, false, environment) != nil {
 		return AnswerCallerGone
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
-	for total := over.Total; ; {
-		endpoint.SetReadDeadline(world.Now().Add(pieceStall))
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
+	for total := handover.Total; ; {
+		endpoint.SetReadDeadline(environment.Now().Add(pieceStall))
 		n, err := body.Read(buf[:])
 		if total += int64(n); total > MaxAnswer || err != nil && err != io.EOF {
 			return AnswerBrokenOff
 		}
-		if out.writePiece(buf[:n], true, err == io.EOF, world) != nil {
+		if out.writePiece(buf[:n], true, err == io.EOF, environment) != nil {
 			return AnswerCallerGone
 		}
 		if err == io.EOF {
@@ -337,70 +336,70 @@
 	}
 }
 
-// SupportsBodyWriteTo has fasthttp use WriteTo.
+// SupportsBodyWriteTo makes fasthttp call WriteTo.
 func (a *AnswerStream) SupportsBodyWriteTo() bool { return true }
 
-// Read is io.Reader's, which fasthttp asks of bodies; WriteTo is what it uses.
+// Read implements io.Reader, which fasthttp requires of bodies. It always fails: fasthttp uses WriteTo.
 func (a *AnswerStream) Read([]byte) (int, error) {
 	return 0, errors.New("a long answer is written, not read")
 }
 
-// WriteTo writes all of it. On an error what is written must not look whole.
+// WriteTo writes the whole body. After an error, what was written must not look complete.
 func (a *AnswerStream) WriteTo(w io.Writer) (int64, error) {
-	n, err := w.Write(a.first)
+	n, err := w.Write(a.beginning)
 	total := int64(n)
-	a.first = nil
+	a.beginning = nil
 	if err != nil {
-		a.end(AnswerCallerGone)
+		a.finish(AnswerCallerGone)
 		return total, err
 	}
-	buf := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(buf)
+	buf := pieceBuffers.Get().(*[pieceSize]byte)
+	defer pieceBuffers.Put(buf)
 	for {
-		a.link.conn.SetReadDeadline(a.world.Now().Add(pieceStall))
-		give, n, err := a.give.Load(), 0, error(os.ErrDeadlineExceeded)
-		if give == nil {
+		a.link.conn.SetReadDeadline(a.env.Now().Add(pieceStall))
+		handOver, n, err := a.handOverFunc.Load(), 0, error(os.ErrDeadlineExceeded)
+		if handOver == nil {
 			n, err = a.body.Read(buf[:])
-			give = a.give.Load()
+			handOver = a.handOverFunc.Load()
 		}
-		if give != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		if handOver != nil && errors.Is(err, os.ErrDeadlineExceeded) {
 			how := AnswerBrokenOff
-			if a.handOver(*give, total) {
+			if a.tryHandOver(*handOver, total) {
 				how = AnswerHandedOver
 			}
-			a.end(how)
+			a.finish(how)
 			return total, errHandedOver
 		}
 		if total += int64(n); total > MaxAnswer {
-			a.end(AnswerBrokenOff)
+			a.finish(AnswerBrokenOff)
 			return total, errTooLong
 		}
 		if n > 0 {
 			if _, err := w.Write(buf[:n]); err != nil {
-				a.end(AnswerCallerGone)
+				a.finish(AnswerCallerGone)
 				return total, err
 			}
 		}
 		switch {
 		case err == io.EOF:
-			a.end(AnswerComplete)
+			a.finish(AnswerComplete)
 			return total, nil
 		case err != nil:
-			a.end(AnswerBrokenOff)
+			a.finish(AnswerBrokenOff)
 			return total, err
 		}
 	}
 }
 
-// Close is called when it is written, or never will be.
+// Close is called when the answer is written, or will never be.
 func (a *AnswerStream) Close() error {
-	a.end(AnswerCallerGone)
+	a.finish(AnswerCallerGone)
 	return nil
 }
 
-func (a *AnswerStream) end(how AnswerEnd) {
-	if ended := a.ended; ended != nil {
-		a.ended = nil
-		ended(how)
+func (a *AnswerStream) finish(result AnswerEnd) {
+	if onEnd := a.onEnd; onEnd != nil {
+		a.onEnd = nil
+		onEnd(result)
 	}
 }
--- a/internal/lifecycle/fakes_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -21,20 +21,20 @@
 	"heathgap/internal/operator"
 )
 
-// patience bounds every wait of the tests: far more than any should take.
+// patience limits every wait of the tests, far above what any should take.
 const patience = 20 * time.Second
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(patience); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("did not happen in time: %s", what)
 		}
 	}
 }
 
-// testSettings are those of a small deployment of the tests' own.
+// testSettings returns the settings of a small deployment.
 func testSettings() map[string]any {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{
@@ -57,7 +57,7 @@
 	}
 }
 
-// testConfig is the configuration file as an object, for changes.
+// testConfig returns the configuration file as an object, for changes.
 func testConfig(d *scripted.Discovery, known ...map[string]any) map[string]any {
 	return map[string]any{
 		"name": "t0", "listen": "127.0.0.1:0", "discovery": d.Address, "seed": "8c1f30d27a5be964",
@@ -66,7 +66,7 @@
 	}
 }
 
-// setDeadlines gives all classes one deadline, in milliseconds.
+// setDeadlines sets the deadline of all classes, in milliseconds.
 func setDeadlines(conf map[string]any, ms float64) {
 	for _, class := range conf["settings"].(map[string]any)["profiles"].([]any) {
 		class.(map[string]any)["deadline"] = ms
@@ -86,37 +86,37 @@
 	return path
 }
 
-// lines collects log lines.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// tested is a sidecar in this process.
-type tested struct {
+// testSidecar is a sidecar that runs in the test's process.
+type testSidecar struct {
 	*Sidecar
-	log     *lines
+	log     *logBuffer
 	stopped bool
 }
 
-func start(t *testing.T, conf map[string]any) *tested {
+func start(t *testing.T, conf map[string]any) *testSidecar {
 	t.Helper()
 	return startWith(t, conf, Options{Operator: operator.Default()})
 }
 
-func startWith(t *testing.T, conf map[string]any, opts Options) *tested {
+func startWith(t *testing.T, conf map[string]any, opts Options) *testSidecar {
 	t.Helper()
 	path := writeConfig(t, conf)
 	c, err := config.Load(func(key string) string {
@@ -128,25 +128,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &tested{log: &lines{}}
+	s := &testSidecar{log: &logBuffer{}}
 	if s.Sidecar, err = Start(c, zerolog.New(s.log), opts); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		if !s.stopped {
-			s.stayFor = 0
+			s.stayTime = 0
 			s.Stop()
 		}
 	})
 	return s
 }
 
-// lastID numbers requests: no two that are open may share an id.
+// lastID numbers requests: no two pending requests may have the same ID.
 var lastID atomic.Int64
 
 func newID() string { return "t" + strconv.FormatInt(lastID.Add(1), 10) }
 
-// request builds a request that the protocol allows.
+// request returns a valid request of a caller.
 func request(t *testing.T, address, method, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
@@ -163,17 +163,17 @@
 	return r
 }
 
-// do sends a request on a connection of its own and returns status and body.
-func do(t *testing.T, r *http.Request) (int, string) {
+// send sends a request on a new connection and returns the status and body of the answer.
+func send(t *testing.T, r *http.Request) (int, string) {
 	t.Helper()
-	status, body, err := try(r)
+	status, body, err := trySend(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return status, body
 }
 
-func try(r *http.Request) (int, string, error) {
+func trySend(r *http.Request) (int, string, error) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 	answer, err := client.Do(r)
 	if err != nil {
@@ -186,10 +186,10 @@
 
 func get(t *testing.T, address, path string) (int, string) {
 	t.Helper()
-	return do(t, request(t, address, http.MethodGet, path, ""))
+	return send(t, request(t, address, http.MethodGet, path, ""))
 }
 
-// dial opens a connection that ends with the test, and gives up after patience.
+// dial opens a connection that is closed at the end of the test and times out after patience.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
--- a/internal/lifecycle/process_test.go
+++ b/internal/lifecycle/process_test.go
@@ -24,24 +24,24 @@
 	"heathgap/internal/pipeline"
 )
 
-// asSidecar in the environment makes the test's own program a sidecar.
-const asSidecar = "HEATHGAP_TEST_AS_SIDECAR"
+// runAsSidecar is the environment variable that makes the test program run as a sidecar.
+const runAsSidecar = "HEATHGAP_TEST_AS_SIDECAR"
 
-// panics, as its value, has that sidecar panic as it starts.
-const panics = "panics"
+// runAndPanic is the value of that variable with which the sidecar panics as it starts.
+const runAndPanic = "panics"
 
-// withinDescriptors in the environment is how many descriptors that sidecar may hold.
-const withinDescriptors = "HEATHGAP_TEST_DESCRIPTORS"
+// descriptorLimitEnv is the environment variable that limits the descriptors of that sidecar.
+const descriptorLimitEnv = "HEATHGAP_TEST_DESCRIPTORS"
 
 func TestMain(m *testing.M) {
-	if most, err := strconv.ParseUint(os.Getenv(withinDescriptors), 10, 64); err == nil {
-		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if limit, err := strconv.ParseUint(os.Getenv(descriptorLimitEnv), 10, 64); err == nil {
+		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 			panic(err)
 		}
 	}
-	switch os.Getenv(asSidecar) {
+	switch os.Getenv(runAsSidecar) {
 	case "":
-	case panics:
+	case runAndPanic:
 		os.Exit(Main(Options{Decider: func(*config.Config) (pipeline.Decider, error) { panic("the decider") }}))
 	default:
 		os.Exit(Main(Options{Operator: operator.Default()}))
@@ -49,11 +49,11 @@
 	os.Exit(m.Run())
 }
 
-// process is a sidecar in a process of its own.
+// process is a sidecar in its own process.
 type process struct {
 	*exec.Cmd
-	log  *lines
-	path string // of its configuration
+	log  *logBuffer
+	path string // of its configuration file
 }
 
 func launch(t *testing.T, conf map[string]any) *process {
@@ -61,17 +61,17 @@
 	return launchAt(t, conf, writeConfig(t, conf))
 }
 
-// launchWithin is launch of a process that may hold so many descriptors.
-func launchWithin(t *testing.T, conf map[string]any, descriptors int) *process {
+// launchLimited launches a process that may hold the given number of descriptors.
+func launchLimited(t *testing.T, conf map[string]any, descriptors int) *process {
 	t.Helper()
-	return launchAt(t, conf, writeConfig(t, conf), withinDescriptors+"="+strconv.Itoa(descriptors))
+	return launchAt(t, conf, writeConfig(t, conf), descriptorLimitEnv+"="+strconv.Itoa(descriptors))
 }
 
-// launchAt is launch where the configuration's file stands already, with more in its environment.
+// launchAt launches a process with an existing configuration file and more environment variables.
 func launchAt(t *testing.T, conf map[string]any, path string, more ...string) *process {
 	t.Helper()
-	p := &process{Cmd: exec.Command(os.Args[0]), log: &lines{}, path: path}
-	p.Env = append(append(os.Environ(), asSidecar+"=1", config.EnvFile+"="+p.path,
+	p := &process{Cmd: exec.Command(os.Args[0]), log: &logBuffer{}, path: path}
+	p.Env = append(append(os.Environ(), runAsSidecar+"=1", config.EnvFile+"="+p.path,
 		"BALANCER_DISCOVERY="+conf["discovery"].(string)), more...)
 	p.Stderr = p.log
 	if err := p.Start(); err != nil {
@@ -83,13 +83,13 @@
 
 func isReady(t *testing.T, address string) func() bool {
 	return func() bool {
-		status, _, err := try(request(t, address, http.MethodGet, "/up", ""))
+		status, _, err := trySend(request(t, address, http.MethodGet, "/up", ""))
 		return err == nil && status == 200
 	}
 }
 
-// A sidecar that is killed outright starts again from nothing at its address;
-// one that gets SIGTERM ends by itself, with its counters in the log.
+// A sidecar that is killed can be started again at its address, without any state. One that gets SIGTERM exits with code
+// 0 and its counters in the log.
 func TestRestarts(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", nil)
 	conf := testConfig(scripted.StartDiscovery(t), e.Line())
@@ -123,9 +123,9 @@
 	}
 }
 
-// Guards against a SIGHUP that ends the process, or a reload that drops requests or
-// stays with the discovery that the environment names: the file's next one is asked
-// for its whole list, whose versions are its own. A bad file changes nothing.
+// Guards against a SIGHUP that ends the process, and against a reload that loses requests or keeps the discovery that
+// the environment names. The discovery that the new file names is asked for its full list, since its versions are its
+// own. An invalid file changes nothing.
 func TestReload(t *testing.T) {
 	e1, e2 := scripted.StartEndpoint(t, "e1", nil), scripted.StartEndpoint(t, "e2", nil)
 	first, second := scripted.StartDiscovery(t), scripted.StartDiscovery(t)
@@ -146,7 +146,7 @@
 				return
 			default:
 			}
-			if status, _, err := try(request(t, address, http.MethodGet, "/look", "")); status != 200 {
+			if status, _, err := trySend(request(t, address, http.MethodGet, "/look", "")); status != 200 {
 				t.Errorf("during reloads: %d, %v", status, err)
 			}
 		}
@@ -161,7 +161,7 @@
 		p.Process.Signal(syscall.SIGHUP)
 	}
 	reload([]byte(`{"name":"t0","listen":7}`))
-	eventually(t, "the faulty key is logged", logged("listen: want a string"))
+	eventually(t, "the invalid key is logged", logged("listen: want a string"))
 	another := testConfig(second, e2.Line())
 	for _, class := range another["settings"].(map[string]any)["profiles"].([]any) {
 		class.(map[string]any)["name"] = "their-" + class.(map[string]any)["name"].(string)
@@ -171,7 +171,7 @@
 		t.Fatal(err)
 	}
 	reload(theirs)
-	eventually(t, "another customer's file is turned down", logged("another installation's configuration"))
+	eventually(t, "another customer's file is rejected", logged("another installation's configuration"))
 	if second.NumCalls() > 0 || logged(`"message":"reloaded"`)() {
 		t.Errorf("it has moved to another customer's discovery: %d calls", second.NumCalls())
 	}
@@ -185,13 +185,13 @@
 	}
 	eventually(t, "what needs a restart is logged", logged(`"keys":["limits"]`))
 	eventually(t, "the new list is used", func() bool {
-		_, body, _ := try(request(t, address, http.MethodGet, "/look", ""))
+		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
 		return body == "e2"
 	})
-	eventually(t, "the former watch has ended", logged(`"reason":"moved"`))
+	eventually(t, "the watch of the old discovery has ended", logged(`"reason":"moved"`))
 	second.Publish(t, 4, e1.Line())
 	eventually(t, "the new discovery is watched", func() bool {
-		_, body, _ := try(request(t, address, http.MethodGet, "/look", ""))
+		_, body, _ := trySend(request(t, address, http.MethodGet, "/look", ""))
 		return body == "e1"
 	})
 	close(stop)
@@ -206,7 +206,7 @@
 	}
 }
 
-// A bad configuration ends the start with one line that names the key.
+// An invalid configuration ends the start with one log line that names the key.
 func TestBadConfigurationEndsTheStart(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
 	conf["seed"] = "xyz"
@@ -220,16 +220,16 @@
 	}
 }
 
-// Guards against a panic that ends a process without a word.
+// Guards against a panic that ends a process without a trace in its output.
 func TestPanicIsWritten(t *testing.T) {
 	conf := testConfig(scripted.StartDiscovery(t))
-	p := launchAt(t, conf, writeConfig(t, conf), asSidecar+"="+panics)
+	p := launchAt(t, conf, writeConfig(t, conf), runAsSidecar+"="+runAndPanic)
 	if err := p.Wait(); err == nil || !strings.Contains(p.log.String(), "panic: the decider") {
 		t.Errorf("ended with %v and %q", err, p.log)
 	}
 }
 
-// An address that is taken ends the start as well.
+// An address that is in use ends the start, too.
 func TestTakenAddressEndsTheStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -244,8 +244,8 @@
 	}
 }
 
-// Guards against descriptors or memory that run out: with a small limit of
-// descriptors in force and more callers than that, the process goes on.
+// Guards against running out of descriptors or memory: with a low limit of descriptors and more callers than that, the
+// process keeps serving.
 func TestLimitsOfTheProcess(t *testing.T) {
 	const sockets, callers, memoryMB = 128, 300, 192
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
@@ -278,7 +278,7 @@
 				return
 			}
 			if _, err := io.Copy(io.Discard, answer.Body); err != nil {
-				t.Errorf("a caller got half an answer: %v", err)
+				t.Errorf("a caller got a truncated answer: %v", err)
 			}
 		})
 	}
@@ -287,11 +287,11 @@
 		t.Errorf("/up afterwards: %d, want 200", status)
 	}
 	if kb := peakMemory(t, p.Process.Pid); kb > memoryMB<<10 {
-		t.Errorf("it took %d kB at its peak, and may take %d", kb, memoryMB<<10)
+		t.Errorf("peak memory %d kB, the limit is %d kB", kb, memoryMB<<10)
 	}
 }
 
-// peakMemory is the most that a process has had in memory, in kB.
+// peakMemory returns the largest resident size that a process has had, in kB.
 func peakMemory(t *testing.T, pid int) int {
 	t.Helper()
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
@@ -307,14 +307,14 @@
 			return kb
 		}
 	}
-	t.Fatal("no VmHWM")
+	t.Fatal("no VmHWM in /proc/PID/status")
 	return 0
 }
 
-// setDescriptors bounds the descriptors of a running process.
-func setDescriptors(t *testing.T, pid, most int) {
+// setDescriptors limits the descriptors of a running process.
+func setDescriptors(t *testing.T, pid, descriptors int) {
 	t.Helper()
-	limit := unix.Rlimit{Cur: uint64(most), Max: uint64(most)}
+	limit := unix.Rlimit{Cur: uint64(descriptors), Max: uint64(descriptors)}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/stream_test.go
+++ b/internal/lifecycle/stream_test.go
@@ -17,8 +17,8 @@
 	"heathgap/internal/lab/scripted"
 )
 
-// pattern is a body in which each byte tells its place.
-func pattern(length int) []byte {
+// patternBody returns a body in which each byte depends on its position.
+func patternBody(length int) []byte {
 	b := make([]byte, length)
 	for i := range b {
 		b[i] = byte(i>>12 ^ i)
@@ -26,11 +26,11 @@
 	return b
 }
 
-// Long answers and bodies go through unchanged, in both framings, several at once, and
-// memory does not follow their bytes; what is longer than may be is turned down.
-func TestLongBothWays(t *testing.T) {
+// Long answers and bodies are forwarded unchanged, with a length or in chunks, several at once, and memory use does not
+// grow with their size. What is longer than allowed is rejected.
+func TestLongAnswersAndBodies(t *testing.T) {
 	const long, at, memoryMB = 24 << 20, 6, 64
-	answer := pattern(long)
+	answer := patternBody(long)
 	slow := http.NewServeMux()
 	slow.HandleFunc("/look/", func(w http.ResponseWriter, r *http.Request) { w.Write(answer) })
 	slow.HandleFunc("/pay/", func(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +40,7 @@
 		}
 		fmt.Fprint(w, len(body))
 	})
-	conf := testConfig(scripted.StartDiscovery(t), scripted.Line("e1", serveRaw(t, slow)))
+	conf := testConfig(scripted.StartDiscovery(t), scripted.Line("e1", serveHTTP(t, slow)))
 	listen := scripted.FreeAddress(t)
 	conf["listen"] = listen
 	conf["limits"] = map[string]any{"memory_mb": memoryMB, "sockets": 384}
@@ -52,7 +52,7 @@
 		wait.Go(func() {
 			r := request(t, listen, http.MethodGet, "/look/long", "")
 			r.Header.Set("X-Remaining", "20")
-			status, body, err := try(r)
+			status, body, err := trySend(r)
 			if status != 200 || err != nil || body != string(answer) {
 				t.Errorf("answer: %d, %d bytes, %v", status, len(body), err)
 			}
@@ -65,24 +65,24 @@
 			if i%2 == 0 {
 				r.ContentLength = -1 // in chunks
 			}
-			if status, body, err := try(r); status != 200 || err != nil || body != fmt.Sprint(long) {
+			if status, body, err := trySend(r); status != 200 || err != nil || body != fmt.Sprint(long) {
 				t.Errorf("body %d: %d %q, %v", i, status, body, err)
 			}
 		})
 	}
 	wait.Wait()
 	if kb := peakMemory(t, p.Process.Pid); kb > memoryMB<<10 {
-		t.Errorf("it took %d kB at its peak, and may take %d", kb, memoryMB<<10)
+		t.Errorf("peak memory %d kB, the limit is %d kB", kb, memoryMB<<10)
 	}
 	r := request(t, listen, http.MethodPost, "/pay/long", "")
 	r.Header.Set("Idempotency-Key", newID())
 	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(make([]byte, 33<<20))), 33<<20
-	if status, _, err := try(r); err == nil && status < 400 {
+	if status, _, err := trySend(r); err == nil && status < 400 {
 		t.Errorf("33 MB: %d, want an error", status)
 	}
 }
 
-func serveRaw(t *testing.T, h http.Handler) string {
+func serveHTTP(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,15 +94,15 @@
 	return l.Addr().String()
 }
 
-// A long answer that breaks off half way never looks whole, the module hears of it, and
-// it counts as an error; one that begins slowly begins to go out while it still comes.
+// A long answer that breaks off never looks complete; it counts as an error, also in the decision module. An answer that
+// comes slowly is streamed while it is still coming.
 func TestLongAnswerThatBreaksOff(t *testing.T) {
 	release := make(chan struct{})
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", "200000")
 		}
-		w.Write(pattern(100_000))
+		w.Write(patternBody(100_000))
 		w.(http.Flusher).Flush()
 		<-release
 		panic(http.ErrAbortHandler)
@@ -116,31 +116,31 @@
 			t.Fatalf("%s: %v", path, err)
 		}
 		if _, err := io.ReadFull(answer.Body, make([]byte, 90_000)); err != nil {
-			t.Errorf("%s: its beginning does not come while the rest does not: %v", path, err)
+			t.Errorf("%s: its beginning is not streamed before the rest comes: %v", path, err)
 		}
-		if n := stats(t, s.console.Address())["active"]; n != 1 {
-			t.Errorf("%s: %d active on its way", path, n)
+		if n := readStats(t, s.console.Address())["active"]; n != 1 {
+			t.Errorf("%s: %d active while it is streamed, want 1", path, n)
 		}
 		release <- struct{}{}
 		if _, err := io.ReadAll(answer.Body); err == nil {
-			t.Errorf("%s: half an answer looks whole", path)
+			t.Errorf("%s: a truncated answer looks complete", path)
 		}
 		answer.Body.Close()
 		eventually(t, "it counts as an error", func() bool {
-			f := stats(t, s.console.Address())
+			f := readStats(t, s.console.Address())
 			return f["errors.look"] == i+1 && f["active"] == 0
 		})
 	}
 	if n := e.Count(); n != 2 {
-		t.Errorf("%d attempts, want 2: what has begun can't go twice", n)
+		t.Errorf("%d attempts, want 2: a streamed answer can't be retried", n)
 	}
 }
 
-// A body that breaks off or is too slow reaches no endpoint whole; a slow one that
-// keeps to its rate does, also while the endpoint takes its time to read.
+// A body that breaks off or is too slow never reaches an endpoint as a complete one. A slow one that keeps to the
+// minimum rate does, also if the endpoint is slow to read.
 func TestLongBodies(t *testing.T) {
 	var whole atomic.Int64
-	address := serveRaw(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	address := serveHTTP(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(50 * time.Millisecond)
 		if n, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
@@ -152,18 +152,18 @@
 	for name, c := range map[string]struct {
 		framing string
 		send    func(conn net.Conn)
-		want    string // the answer's status, of those that are served
+		want    string // status of the answer; any but 200 stands for a failure
 
-		continues bool // it is told to go on first
+		continues bool // the sidecar first answers 100 Continue
 	}{
-		"whole":        {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length)) }, "200", false},
+		"whole":        {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length)) }, "200", false},
 		"in pieces":    {fmt.Sprint("Content-Length: ", length), sendSlowly(length, 20, 20*time.Millisecond), "200", false},
 		"in chunks":    {"Transfer-Encoding: chunked", sendChunks(length, true), "200", false},
 		"continue":     {"Expect: 100-continue\r\nContent-Length: 5", func(c net.Conn) { c.Write([]byte("hello")) }, "200", true},
-		"broken off":   {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length - 1)); closeWrite(c) }, "", false},
+		"broken off":   {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length - 1)); closeWrite(c) }, "", false},
 		"no end":       {"Transfer-Encoding: chunked", func(c net.Conn) { sendChunks(length, false)(c); closeWrite(c) }, "", false},
-		"stands still": {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(pattern(length / 2)) }, "", false},
-		"not even so":  {"Content-Length: 5000", func(c net.Conn) { c.Write(pattern(100)) }, "400", false},
+		"stands still": {fmt.Sprint("Content-Length: ", length), func(c net.Conn) { c.Write(patternBody(length / 2)) }, "", false},
+		"not even so":  {"Content-Length: 5000", func(c net.Conn) { c.Write(patternBody(100)) }, "400", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := whole.Load()
@@ -183,21 +183,21 @@
 				t.Errorf("%q, want %q", line, c.want)
 			}
 			if took := time.Since(begin); !served && took > 3*time.Second {
-				t.Errorf("it was owed an end within 3 s, and got one after %v", took)
+				t.Errorf("it must be answered or closed within 3 s, and took %v", took)
 			}
 			if !served && whole.Load() != before {
-				t.Error("half a body reached an endpoint whole")
+				t.Error("a truncated body reached an endpoint as a complete one")
 			}
 		})
 	}
-	eventually(t, "nothing is kept", func() bool { return s.Counters().Pending == 0 && s.callers.Open() == 0 })
+	eventually(t, "no request or connection is left", func() bool { return s.Counters().Pending == 0 && s.callers.Open() == 0 })
 }
 
 func closeWrite(c net.Conn) { c.(*net.TCPConn).CloseWrite() }
 
 func sendSlowly(length, pieces int, pause time.Duration) func(net.Conn) {
 	return func(c net.Conn) {
-		for body := pattern(length); len(body) > 0; time.Sleep(pause) {
+		for body := patternBody(length); len(body) > 0; time.Sleep(pause) {
 			n := min(len(body), length/pieces)
 			c.Write(body[:n])
 			body = body[n:]
@@ -207,7 +207,7 @@
 
 func sendChunks(length int, end bool) func(net.Conn) {
 	return func(c net.Conn) {
-		for body := pattern(length); len(body) > 0; {
+		for body := patternBody(length); len(body) > 0; {
 			n := min(len(body), 7777)
 			fmt.Fprintf(c, "%x;ext=1\r\n%s\r\n", n, body[:n])
 			body = body[n:]
@@ -218,15 +218,15 @@
 	}
 }
 
-// While a connection to an endpoint can't be made, a long body waits for the next one;
-// once some of it has gone, nothing is sent again.
+// A long body that fails to connect to one endpoint is sent to the next; once some of it has been sent, it is not sent
+// again.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	good := scripted.StartEndpoint(t, "good", func(w http.ResponseWriter, r *http.Request) { io.Copy(io.Discard, r.Body) })
 	gone := scripted.Line("gone", scripted.FreeAddress(t))
 	s := start(t, testConfig(scripted.StartDiscovery(t), gone, good.Line()))
 	send := func(address string) int {
-		r := request(t, address, http.MethodPost, "/burn/long", string(pattern(150_000)))
-		status, _, err := try(r)
+		r := request(t, address, http.MethodPost, "/burn/long", string(patternBody(150_000)))
+		status, _, err := trySend(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -234,7 +234,7 @@
 	}
 	for range 6 {
 		if status := send(s.Address()); status != 200 {
-			t.Errorf("beside an endpoint that is gone: %d", status)
+			t.Errorf("with one endpoint absent: %d", status)
 		}
 	}
 	bad := scripted.StartEndpoint(t, "bad", func(w http.ResponseWriter, r *http.Request) {
@@ -250,9 +250,8 @@
 	}
 }
 
-// Several requests written at once on a connection are answered in their order, and
-// leave nothing taken.
-func TestRequestsWrittenAtOnce(t *testing.T) {
+// Pipelined requests are answered in order, and nothing of them is left at the end.
+func TestPipelinedRequestsInOrder(t *testing.T) {
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, r.URL.Path) })
 	s := start(t, testConfig(scripted.StartDiscovery(t), e.Line()))
 	conn := dial(t, s.Address())
@@ -272,17 +271,17 @@
 		}
 	}
 	conn.Close()
-	eventually(t, "nothing is kept", func() bool { return s.callers.Open() == 0 })
-	s.stayFor, s.stopped = 0, true
+	eventually(t, "no connection is left", func() bool { return s.callers.Open() == 0 })
+	s.stayTime, s.stopped = 0, true
 	s.Stop()
 	if err := s.Audit(); err != nil || s.callers.Pending() != 0 {
-		t.Errorf("%v; requests held %v", err, s.callers.Pending() != 0)
+		t.Errorf("%v; requests pending %v", err, s.callers.Pending() != 0)
 	}
 }
 
-// Guards against chunks that go to a caller of HTTP/1.0, which can't read them.
+// Guards against chunks sent to a caller that speaks HTTP/1.0, which can't read them.
 func TestLongAnswerToHTTP10(t *testing.T) {
-	text := pattern(300_000)
+	text := patternBody(300_000)
 	e := scripted.StartEndpoint(t, "e1", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "told") {
 			w.Header().Set("Content-Length", fmt.Sprint(len(text)))
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -15,37 +15,37 @@
 	"heathgap/internal/takeover"
 )
 
-// Upgrade: one process of a sidecar takes the place of another under load. The rules
-// see one sidecar, and so do the limits: while both live, each keeps to half of them.
+// An upgrade replaces the process of a sidecar by a new one while callers are served. Both processes together count as
+// one sidecar, also for the limits: while both run, each keeps to half of them.
 
-// processes share the limits during an upgrade.
-const processes = 2
+// upgradeProcesses is the number of processes that share the limits during an upgrade.
+const upgradeProcesses = 2
 
-// upgrade is a process's part in one.
+// upgrade is the state of a process with regard to upgrades.
 type upgrade struct {
-	path     string         // where the processes meet; empty for nowhere
-	before   *takeover.Peer // the predecessor; nil without one
-	yielded  atomic.Bool    // a successor accepts callers
-	stopping atomic.Bool    // the platform has said so
+	path        string         // of the Unix socket; empty for no upgrades
+	predecessor *takeover.Peer // nil without one
+	replaced    atomic.Bool    // a successor accepts callers
+	stopping    atomic.Bool    // the signal to stop has come
 
-	mu    sync.Mutex
-	peers []*takeover.Peer            // that live: predecessor, successor
-	door  *takeover.SuccessorListener // for a successor; nil when there is none
+	mu         sync.Mutex
+	peers      []*takeover.Peer            // those that are running: predecessor, successor
+	successors *takeover.SuccessorListener // accepts a successor; nil if none can come
 }
 
-// listen returns where callers connect: a predecessor's own listener if there is one.
-func (s *Sidecar) listen(meet string) (net.Listener, error) {
-	if s.upgrade.path = meet; meet == "" {
-		return s.world.Listen(s.conf.Listen)
+// listen returns the listener for callers: the predecessor's own if there is one.
+func (s *Sidecar) listen(socket string) (net.Listener, error) {
+	if s.upgrade.path = socket; socket == "" {
+		return s.env.Listen(s.conf.Listen)
 	}
-	peer, listener, state, err := takeover.FindPredecessor(meet)
+	peer, listener, state, err := takeover.FindPredecessor(socket)
 	if err == nil {
 		err = s.engine.ImportHandover(state)
 	}
 	switch {
 	case err == nil:
-		s.upgrade.before = peer
-		s.join(peer)
+		s.upgrade.predecessor = peer
+		s.addPeer(peer)
 		s.log.Info().Msg("a predecessor serves")
 		return listener, nil
 	case !errors.Is(err, takeover.ErrNoPredecessor):
@@ -58,135 +58,133 @@
 	return takeover.Listen(s.conf.Listen)
 }
 
-// join counts the other process in.
-func (s *Sidecar) join(peer *takeover.Peer) {
+// addPeer adds a process to those that share the limits.
+func (s *Sidecar) addPeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.peers = append(u.peers, peer)
 }
 
-// part counts it out. The limits are this process's alone again.
-func (s *Sidecar) part(peer *takeover.Peer) {
+// removePeer removes a process that has ended. Without any other, this process has the limits alone again.
+func (s *Sidecar) removePeer(peer *takeover.Peer) {
 	u := &s.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.peers = slices.DeleteFunc(u.peers, func(p *takeover.Peer) bool { return p == peer })
 	if len(u.peers) == 0 {
-		s.share(1)
+		s.divideLimits(1)
 	}
 }
 
-// share keeps this process to a part of the limits.
-func (s *Sidecar) share(parts int) {
-	s.callers.SetLimit(s.conf.CallerConns / parts)
-	s.engine.SetConnShare(parts)
-	debug.SetMemoryLimit(s.conf.HeapBytes / int64(parts))
+// divideLimits limits this process to its part of the limits.
+func (s *Sidecar) divideLimits(shares int) {
+	s.callers.SetLimit(s.conf.CallerConns / shares)
+	s.engine.SetConnShare(shares)
+	debug.SetMemoryLimit(s.conf.HeapBytes / int64(shares))
 }
 
-// succeed takes the predecessor's place, if there is one: when it returns, that has
-// stopped accepting, or does not answer. Guards against a predecessor that hangs, for
-// which nobody would serve: it stops when it goes on, and until then both accept.
-func (s *Sidecar) succeed() {
-	peer := s.upgrade.before
+// replacePredecessor takes over from the predecessor, if there is one. When it returns, the predecessor has stopped
+// accepting or does not answer. Guards against a predecessor that hangs, which would leave nobody to serve: if it
+// recovers, it stops accepting, and until then both accept.
+func (s *Sidecar) replacePredecessor() {
+	peer := s.upgrade.predecessor
 	if peer == nil {
 		return
 	}
-	s.share(processes)
-	go peer.Run(successor{s, peer})
+	s.divideLimits(upgradeProcesses)
+	go peer.Run(predecessorHandler{s, peer})
 	if err := peer.StopAccepting(); err != nil {
 		s.log.Warn().Err(err).Msg("the predecessor does not answer, serving beside it")
 	}
 }
 
-// successor is what this process does for its predecessor.
-type successor struct {
+// predecessorHandler handles the messages of a predecessor.
+type predecessorHandler struct {
 	*Sidecar
 	peer *takeover.Peer
 }
 
-// StopAccepting is nothing that a predecessor asks for.
-func (successor) StopAccepting() {}
+// StopAccepting does nothing: a predecessor never asks for it.
+func (predecessorHandler) StopAccepting() {}
 
-// PeerEnded is takeover.Handler's.
-func (s successor) PeerEnded(bool) {
+// PeerEnded implements takeover.Handler.
+func (s predecessorHandler) PeerEnded(bool) {
 	s.log.Info().Msg("the predecessor has ended")
-	s.part(s.peer)
+	s.removePeer(s.peer)
 }
 
-// offer lets a successor come.
-func (s *Sidecar) offer(meet string, listener net.Listener) {
+// awaitSuccessor lets a successor connect.
+func (s *Sidecar) awaitSuccessor(socket string, listener net.Listener) {
 	l, ok := listener.(syscall.Conn)
-	if meet == "" || !ok {
+	if socket == "" || !ok {
 		return
 	}
-	door, err := takeover.AcceptSuccessor(meet, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
-		s.join(peer)
+	successors, err := takeover.AcceptSuccessor(socket, l, func(peer *takeover.Peer) ([]byte, takeover.Handler, error) {
+		s.addPeer(peer)
 		s.log.Info().Msg("a successor has come")
 		state, err := s.engine.ExportHandover()
-		return state, predecessor{s, peer, listener}, err
+		return state, successorHandler{s, peer, listener}, err
 	})
 	if err != nil {
-		// Guards against a folder that takes no socket: the sidecar serves, and its
-		// successor shares its address instead.
+		// Guards against a directory in which no socket can be created: the sidecar serves, and its successor listens on
+		// the same address beside it instead.
 		s.log.Warn().Err(err).Msg("no way in for a successor")
 		return
 	}
 	s.upgrade.mu.Lock()
 	defer s.upgrade.mu.Unlock()
-	if s.upgrade.door != nil {
-		s.upgrade.door.Close()
+	if s.upgrade.successors != nil {
+		s.upgrade.successors.Close()
 	}
-	s.upgrade.door = door
+	s.upgrade.successors = successors
 }
 
-// predecessor is what this process does for its successor.
-type predecessor struct {
+// successorHandler handles the messages of a successor.
+type successorHandler struct {
 	*Sidecar
 	peer     *takeover.Peer
 	listener net.Listener
 }
 
-// StopAccepting stops accepting. What stands on the connections that there are is served, and
-// each answer is the last on its connection.
-func (s predecessor) StopAccepting() {
-	s.upgrade.yielded.Store(true)
+// StopAccepting stops accepting. Requests on open connections are served, and each answer closes its connection.
+func (s successorHandler) StopAccepting() {
+	s.upgrade.replaced.Store(true)
 	s.callers.Pause()
 	s.engine.Drain(true)
-	s.share(processes)
+	s.divideLimits(upgradeProcesses)
 	s.log.Info().Msg("a successor serves")
 	go debug.FreeOSMemory()
 }
 
-// PeerEnded goes on as before if the successor has ended and this process is not to stop.
-func (s predecessor) PeerEnded(yielded bool) {
-	s.part(s.peer)
+// PeerEnded resumes accepting if the successor has ended and this process is not stopping.
+func (s successorHandler) PeerEnded(yielded bool) {
+	s.removePeer(s.peer)
 	if !yielded || s.upgrade.stopping.Load() {
 		return
 	}
 	s.log.Warn().Msg("the successor has ended, serving again")
-	s.upgrade.yielded.Store(false)
+	s.upgrade.replaced.Store(false)
 	s.engine.Drain(false)
 	s.callers.Resume()
-	s.offer(s.upgrade.path, s.listener)
+	s.awaitSuccessor(s.upgrade.path, s.listener)
 }
 
-// ResumeAnswer is takeover.Handler's.
+// ResumeAnswer implements takeover.Handler.
 func (s *Sidecar) ResumeAnswer(state []byte, caller, endpoint net.Conn) {
-	var over httpwire.AnswerHandover
-	if err := json.Unmarshal(state, &over); err != nil {
-		s.log.Warn().Err(err).Msg("a long answer of the other process")
+	var handover httpwire.AnswerHandover
+	if err := json.Unmarshal(state, &handover); err != nil {
+		s.log.Warn().Err(err).Msg("cannot continue a long answer of the other process: malformed state")
 		caller.Close()
 		endpoint.Close()
 		return
 	}
-	s.engine.ResumeAnswer(&over, caller, endpoint)
+	s.engine.ResumeAnswer(&handover, caller, endpoint)
 }
 
-// handOver gives the long answers that are still on their way to the successor, if
-// there is one.
-func (s *Sidecar) handOver() {
-	if !s.upgrade.yielded.Load() {
+// handOverAnswers hands the long answers that are still being streamed over to the successor, if there is one.
+func (s *Sidecar) handOverAnswers() {
+	if !s.upgrade.replaced.Load() {
 		return
 	}
 	s.upgrade.mu.Lock()
@@ -196,33 +194,34 @@
 	}
 }
 
-// AdoptBan is takeover.Handler's.
+// AdoptBan implements takeover.Handler.
 func (s *Sidecar) AdoptBan(name string, on bool) {
 	if err := s.engine.AdoptBan(name, on); err != nil {
 		s.log.Warn().Err(err).Msg("a ban of the other process")
 	}
 }
 
-// Ready is console.Operations'.
+// Ready implements console.Operations.
 func (s *Sidecar) Ready() bool { return s.engine.Ready() }
 
-// Metrics is console.Operations'.
+// Metrics implements console.Operations.
 func (s *Sidecar) Metrics() []byte {
 	text := s.engine.Metrics()
-	if s.crew != nil {
-		text = s.crew.Metrics(text)
+	if s.cluster != nil {
+		text = s.cluster.Metrics(text)
 	}
 	return text
 }
 
-// Disable bans an endpoint here and in the other process of an upgrade.
-func (s *Sidecar) Disable(name string) error { return s.ban(name, true, s.engine.Disable) }
+// Disable bans an endpoint, here and in the other process of an upgrade.
+func (s *Sidecar) Disable(name string) error { return s.setBan(name, true, s.engine.Disable) }
 
-// Enable ends a ban in both.
-func (s *Sidecar) Enable(name string) error { return s.ban(name, false, s.engine.Enable) }
+// Enable ends a ban, here and in the other process of an upgrade.
+func (s *Sidecar) Enable(name string) error { return s.setBan(name, false, s.engine.Enable) }
 
-func (s *Sidecar) ban(name string, on bool, here func(string) error) error {
-	if err := here(name); err != nil {
+// setBan bans an endpoint or ends its ban: by apply in this process, and by a message in the other.
+func (s *Sidecar) setBan(name string, on bool, apply func(string) error) error {
+	if err := apply(name); err != nil {
 		return err
 	}
 	s.upgrade.mu.Lock()
@@ -236,13 +235,13 @@
 	return nil
 }
 
-// end leaves the other process to itself.
-func (u *upgrade) end() {
+// close disconnects from the other processes and removes the socket, unless it is a successor's.
+func (u *upgrade) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.door != nil {
-		u.door.Close()
-		if !u.yielded.Load() { // else a successor's stands there
+	if u.successors != nil {
+		u.successors.Close()
+		if !u.replaced.Load() { // otherwise the path holds a successor's socket
 			os.Remove(u.path)
 		}
 	}
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// quiet hears what the other process says and does nothing.
-type quiet struct{ gone chan bool }
+// silentHandler ignores the messages of the other process.
+type silentHandler struct{ ended chan bool }
 
-func (quiet) AdoptBan(string, bool)                   {}
-func (quiet) ResumeAnswer([]byte, net.Conn, net.Conn) {}
-func (quiet) StopAccepting()                          {}
-func (q quiet) PeerEnded(yielded bool)                { q.gone <- yielded }
+func (silentHandler) AdoptBan(string, bool)                   {}
+func (silentHandler) ResumeAnswer([]byte, net.Conn, net.Conn) {}
+func (silentHandler) StopAccepting()                          {}
+func (q silentHandler) PeerEnded(yielded bool)                { q.ended <- yielded }
 
-// Guards against a successor that ends because its predecessor has: whatever step the predecessor dies in, the successor
-// either knows that it has none, or has the listener and takes its place.
+// Guards against a successor that fails because its predecessor dies: in whichever step of the protocol the predecessor
+// dies, the successor either gets an error or has the listener and takes over.
 func TestPredecessorThatDiesInEachStep(t *testing.T) {
 	const (
-		atTheDoor = iota
-		withoutState
-		withState
-		askedToYield
-		yielded
+		connected = iota
+		sentListener
+		sentState
+		askedToStop
+		stoppedAccepting
 		steps
 	)
 	for step := range steps {
-		path := filepath.Join(t.TempDir(), "way-in.sock")
-		door, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+		path := filepath.Join(t.TempDir(), "takeover.sock")
+		socket, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,41 +38,41 @@
 			t.Fatal(err)
 		}
 		died := make(chan struct{})
-		go func() { // the predecessor, up to the step
+		go func() { // the predecessor, up to its last step
 			defer close(died)
-			conn, err := door.AcceptUnix()
+			conn, err := socket.AcceptUnix()
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer conn.Close()
-			if step == atTheDoor {
+			if step == connected {
 				return
 			}
-			if err := give(conn, served.(*net.TCPListener)); err != nil {
+			if err := sendListener(conn, served.(*net.TCPListener)); err != nil {
 				t.Error(err)
 			}
-			if step == withoutState {
+			if step == sentListener {
 				return
 			}
-			if err := json.NewEncoder(conn).Encode(message{Version: version, State: []byte(`{}`)}); err != nil {
+			if err := json.NewEncoder(conn).Encode(message{Version: protocolVersion, State: []byte(`{}`)}); err != nil {
 				t.Error(err)
 			}
-			if step == withState {
+			if step == sentState {
 				return
 			}
 			var m message
-			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.Take {
-				t.Errorf("step %d: told %+v, %v", step, m, err)
+			if err := json.NewDecoder(conn).Decode(&m); err != nil || !m.StopAccepting {
+				t.Errorf("step %d: received %+v, %v; want StopAccepting", step, m, err)
 			}
-			if step == yielded {
-				if err := json.NewEncoder(conn).Encode(message{Taken: true}); err != nil {
+			if step == stoppedAccepting {
+				if err := json.NewEncoder(conn).Encode(message{Stopped: true}); err != nil {
 					t.Error(err)
 				}
 			}
 		}()
 		peer, listener, _, err := FindPredecessor(path)
-		if step < withState {
+		if step < sentState {
 			if err == nil || peer != nil || listener != nil {
 				t.Errorf("step %d: found %v, %v", step, peer, err)
 			}
@@ -80,33 +80,33 @@
 			if err != nil {
 				t.Fatalf("step %d: %v", step, err)
 			}
-			if step == withState {
-				<-died // before the word can be said
+			if step == sentState {
+				<-died // before StopAccepting can be sent
 			}
 			gone := make(chan bool, 1)
-			go peer.Run(quiet{gone})
+			go peer.Run(silentHandler{gone})
 			if err := peer.StopAccepting(); err != nil {
-				t.Errorf("step %d: the successor does not take the place of who has died: %v", step, err)
+				t.Errorf("step %d: the successor does not take over from the dead predecessor: %v", step, err)
 			}
 			if <-gone {
-				t.Errorf("step %d: it has yielded, as if it were the predecessor", step)
+				t.Errorf("step %d: PeerEnded reports a StopAccepting that the predecessor never sent", step)
 			}
 			served.Close()
-			accepts(t, listener)
+			expectAccept(t, listener)
 			listener.Close()
 		}
 		<-died
 		served.Close()
-		door.Close()
+		socket.Close()
 	}
 }
 
-// accepts fails the test unless a caller comes in at the listener.
-func accepts(t *testing.T, listener net.Listener) {
+// expectAccept fails the test unless the listener accepts a connection.
+func expectAccept(t *testing.T, listener net.Listener) {
 	t.Helper()
 	caller, err := net.DialTimeout("tcp", listener.Addr().String(), 10*time.Second)
 	if err != nil {
-		t.Fatalf("nobody listens: %v", err)
+		t.Fatalf("cannot connect to the listener: %v", err)
 	}
 	defer caller.Close()
 	conn, err := listener.Accept()
