--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -31,7 +31,7 @@
 					if !grant.Granted {
 						b.Fatal(grant.Reason)
 					}
-					g.news = g.news || looks == "each time"
+					g.recheck = g.recheck || looks == "each time"
 					if due := g.Due(now, l); len(due) > 0 {
 						b.Fatalf("%+v", due)
 					}
@@ -70,8 +70,8 @@
 			{"hash of the terms", func() { conf.Hash() }},
 			{"look", func() {
 				g := NewLessor(conf, 1)
-				g.planned = basis{l.Epoch, l.Placement.Number}
-				g.look(time.Second, l)
+				g.plannedFor = viewVersion{l.Epoch, l.Placement.Number}
+				g.findDue(time.Second, l)
 			}},
 		} {
 			b.Run(fmt.Sprintf("%d members, %s", members, part.name), func(b *testing.B) {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -26,46 +26,46 @@
 	noPrepare     bug = "a version is active at once"
 	stoppedClock  bug = "a holder does not see its lease end"
 	oldLeader     bug = "a leader that was replaced goes on granting"
-	lateWord      bug = "a holder takes late word for new"
-	renewsTheGone bug = "a granter renews the lease of a member whose end is on its way"
+	staleMessage  bug = "a holder takes late word for new"
+	renewsLeaving bug = "a granter renews the lease of a member whose end is on its way"
 )
 
 // model plays several members, leaders that come and go, clocks that differ, and answers that come late or never.
 type model struct {
-	roll    dice
-	bug     bug
-	terms   Params
-	now     time.Duration // true time
-	rates   []float64
-	holders []*LeaseHolder
-	ledger  *Ledger
-	granter *Lessor
-	old     *Lessor
-	oldL    *Ledger
-	leader  float64 // rate of its clock
-	term    uint64
-	pending *Entry        // proposed, not agreed on yet
-	agreed  time.Duration // when it will be
-	flying  []flight
-	stopped time.Duration
-	cut     int // a member that hears nothing and is not heard
+	roll        dice
+	bug         bug
+	params      Params
+	now         time.Duration // true time
+	rates       []float64
+	holders     []*LeaseHolder
+	ledger      *Ledger
+	lessor      *Lessor
+	oldLessor   *Lessor
+	oldLedger   *Ledger
+	leaderRate  float64 // rate of its clock
+	term        uint64
+	pending     *Entry        // proposed, not agreed on yet
+	commitAt    time.Duration // when it will be
+	inFlight    []delayedAnswer
+	stopped     time.Duration
+	partitioned int // a member that hears nothing and is not heard
 }
 
-type flight struct {
-	to    int
-	asked BootTime
-	grant Grant
+type delayedAnswer struct {
+	to          int
+	requestedAt BootTime
+	grant       Grant
 }
 
 func newModel(roll dice, b bug) *model {
-	m := &model{roll: roll, bug: b, ledger: NewLedger(), leader: 1, stopped: -1,
-		terms: Params{Lease: time.Second, Drift: 0.1, Slack: 10 * time.Millisecond}}
+	m := &model{roll: roll, bug: b, ledger: NewLedger(), leaderRate: 1, stopped: -1,
+		params: Params{Lease: time.Second, Drift: 0.1, Slack: 10 * time.Millisecond}}
 	own := versions.FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
 	for i := range 3 {
-		m.rates = append(m.rates, 1+m.terms.Drift*float64(roll(3)-1))
-		m.holders = append(m.holders, NewLeaseHolder(Member{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}, m.terms, own, 0))
+		m.rates = append(m.rates, 1+m.params.Drift*float64(roll(3)-1))
+		m.holders = append(m.holders, NewLeaseHolder(Member{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}, m.params, own, 0))
 	}
-	m.lead()
+	m.changeLeader()
 	return m
 }
 
@@ -76,32 +76,32 @@
 	return BootTime(float64(m.now) * m.rates[i])
 }
 
-func (m *model) leaderBoot() BootTime { return BootTime(float64(m.now) * m.leader) }
+func (m *model) leaderBoot() BootTime { return BootTime(float64(m.now) * m.leaderRate) }
 
-// lead brings a new leader.
-func (m *model) lead() {
-	m.old, m.oldL = m.granter, m.ledger.Clone()
+// changeLeader brings a new leader.
+func (m *model) changeLeader() {
+	m.oldLessor, m.oldLedger = m.lessor, m.ledger.Clone()
 	if m.pending != nil && m.roll(2) == 0 { // the next leader has it, else it is lost
 		m.ledger.Apply(m.pending)
 	}
 	m.pending = nil
-	m.leader = 1 + m.terms.Drift*float64(m.roll(3)-1)
-	conf := m.terms
+	m.leaderRate = 1 + m.params.Drift*float64(m.roll(3)-1)
+	conf := m.params
 	if m.bug == shortWait {
 		conf.Drift, conf.Slack = 0, 0
 	}
 	m.term++
-	m.granter = NewLessor(conf, m.term)
-	m.granter.Due(m.leaderBoot(), m.ledger.Clone()) // it looks at the members at once
+	m.lessor = NewLessor(conf, m.term)
+	m.lessor.Due(m.leaderBoot(), m.ledger.Clone()) // it looks at the members at once
 	if m.bug == noWait {
-		for _, s := range m.granter.said {
-			s.until = 0
+		for _, s := range m.lessor.states {
+			s.leaseEnd = 0
 		}
 	}
 	// Terms are told by their hash: the planted wait must not show there.
 	if m.bug == shortWait {
 		for _, h := range m.holders {
-			h.terms = Params{Lease: m.terms.Lease}
+			h.params = Params{Lease: m.params.Lease}
 		}
 	}
 }
@@ -113,9 +113,9 @@
 	case 0:
 		m.now += time.Duration(m.roll(1500)) * time.Millisecond
 	case 1, 2:
-		m.lead()
+		m.changeLeader()
 	case 3, 4, 5:
-		m.cut = m.roll(len(m.holders) + 1) // the last one is nobody
+		m.partitioned = m.roll(len(m.holders) + 1) // the last one is nobody
 	}
 	if m.ledger.Next == nil && m.roll(20) == 0 {
 		effect := decide.Unsafe
@@ -128,52 +128,52 @@
 	if m.bug == noPrepare && m.ledger.Next != nil && m.ledger.Next.State == Prepared {
 		m.ledger.Apply(&Entry{Activate: m.ledger.Next.Number, Epoch: m.ledger.Epoch})
 	}
-	if m.pending != nil && m.now >= m.agreed {
+	if m.pending != nil && m.now >= m.commitAt {
 		m.ledger.Apply(m.pending)
 		m.pending = nil
 	}
 	if m.pending == nil && m.roll(3) > 0 {
-		if due := m.granter.Due(m.leaderBoot(), m.ledger); len(due) > 0 {
-			m.pending, m.agreed = &due[0], m.now+time.Duration(m.roll(40))*time.Millisecond
+		if due := m.lessor.Due(m.leaderBoot(), m.ledger); len(due) > 0 {
+			m.pending, m.commitAt = &due[0], m.now+time.Duration(m.roll(40))*time.Millisecond
 		}
 	}
-	if i := m.roll(len(m.holders)); i != m.cut {
-		m.ask(i)
+	if i := m.roll(len(m.holders)); i != m.partitioned {
+		m.renew(i)
 		if m.roll(4) > 0 {
-			m.deliver(len(m.flying) - 1)
+			m.deliver(len(m.inFlight) - 1)
 		}
 	}
-	if len(m.flying) > 0 && m.roll(8) == 0 {
-		m.deliver(m.roll(len(m.flying)))
+	if len(m.inFlight) > 0 && m.roll(8) == 0 {
+		m.deliver(m.roll(len(m.inFlight)))
 	}
 }
 
-func (m *model) ask(i int) {
+func (m *model) renew(i int) {
 	r, asked := m.holders[i].NextRenewal(), m.boot(i)
-	by, ledger := m.granter, m.ledger
-	if m.bug == oldLeader && m.old != nil && m.roll(2) == 0 {
-		by, ledger = m.old, m.oldL
+	by, ledger := m.lessor, m.ledger
+	if m.bug == oldLeader && m.oldLessor != nil && m.roll(2) == 0 {
+		by, ledger = m.oldLessor, m.oldLedger
 	}
-	if s := by.said[r.Name]; m.bug == renewsTheGone && s != nil {
-		s.until = max(s.until, m.leaderBoot()+1)
+	if s := by.states[r.Name]; m.bug == renewsLeaving && s != nil {
+		s.leaseEnd = max(s.leaseEnd, m.leaderBoot()+1)
 	}
-	m.flying = append(m.flying, flight{i, asked, by.Renew(m.leaderBoot(), ledger, &r)})
+	m.inFlight = append(m.inFlight, delayedAnswer{i, asked, by.Renew(m.leaderBoot(), ledger, &r)})
 }
 
 // deliver hands over an answer that is on its way, or loses it.
 func (m *model) deliver(n int) {
-	f := m.flying[n]
-	m.flying = append(m.flying[:n], m.flying[n+1:]...)
+	f := m.inFlight[n]
+	m.inFlight = append(m.inFlight[:n], m.inFlight[n+1:]...)
 	if m.roll(8) == 0 {
 		return
 	}
 	if m.bug == countsFromNow {
-		f.asked = m.boot(f.to)
+		f.requestedAt = m.boot(f.to)
 	}
-	if m.bug == lateWord {
-		m.holders[f.to].asked = 0
+	if m.bug == staleMessage {
+		m.holders[f.to].requestedAt = 0
 	}
-	m.holders[f.to].HandleGrant(f.asked, &f.grant)
+	m.holders[f.to].HandleGrant(f.requestedAt, &f.grant)
 	if f.to == 0 && m.stopped < 0 && f.grant.Granted && m.now > time.Second {
 		m.stopped = m.now
 	}
@@ -199,7 +199,7 @@
 
 const modelSteps = 400
 
-func TestNoTwoActOnVersionsApart(t *testing.T) {
+func TestNoMembersApplyContradictingVersions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -214,9 +214,9 @@
 }
 
 // Each planted bug is caught, and versions do come through without one.
-func TestModelCatchesPlantedBugs(t *testing.T) {
+func TestModelCatchesInjectedBugs(t *testing.T) {
 	const seeds = 4000
-	for _, b := range []bug{countsFromNow, noWait, shortWait, noPrepare, stoppedClock, oldLeader, lateWord, renewsTheGone} {
+	for _, b := range []bug{countsFromNow, noWait, shortWait, noPrepare, stoppedClock, oldLeader, staleMessage, renewsLeaving} {
 		found := -1
 		for seed := 0; seed < seeds && found < 0; seed++ {
 			m := newModel(rand.New(rand.NewPCG(uint64(seed), 2)).IntN, b)
@@ -325,7 +325,7 @@
 }
 
 // What a member says under an older epoch is not taken, and its lease is renewed all the same.
-func TestWordsOfAnOlderEpoch(t *testing.T) {
+func TestReportOfOlderEpochIsIgnored(t *testing.T) {
 	terms := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
@@ -344,7 +344,7 @@
 
 // Guards against a member that is heard and hears nothing: it held up each version for as long as its questions came. It is
 // counted out, and does not come in again before it says an answer back.
-func TestDeafMemberIsCountedOut(t *testing.T) {
+func TestMemberWithoutEchoIsRemoved(t *testing.T) {
 	terms := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
@@ -371,7 +371,7 @@
 
 // Guards against a process that sends, after a restart, to what was banned while it was away: without a lease, since the
 // one of the process before still holds, it keeps the bans all the same.
-func TestRefusedHearsOfBans(t *testing.T) {
+func TestMemberWithoutLeaseKeepsBans(t *testing.T) {
 	terms := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -11,9 +11,9 @@
 	"heathgap/internal/versions"
 )
 
-// decoding bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
+// decMode bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
 // crew has may come and go at once.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+var decMode, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 
 // EffectiveRules is what a member acts on.
 type EffectiveRules struct {
@@ -27,26 +27,26 @@
 // LeaseHolder is a member's side of the leases. What it is told it acts on until its lease
 // ends, counted from before it asked.
 type LeaseHolder struct {
-	Self  Member
-	terms Params
-	own   versions.Rules
-	// connect is the time that a connection to an endpoint may take: windows are judged less that.
-	connect decide.Time
-
-	ends     BootTime // of the lease; 0 before the first
-	asked    BootTime // when the newest word was asked for that was taken
-	heard    Echo     // of the newest answer
-	epoch    uint64
-	active   VersionRecord
-	next     *VersionRecord
-	checked  uint64
-	refusal  string
-	prepared uint64
-	rules    versions.Rules // of the lease
-	cautious versions.Rules
-	view     holdings.View
-	differs  int   // deltas in a row that could not be taken, of this leader; 1: the whole is asked for
-	differed error // the last one's
+	Self     Member
+	params   Params
+	ownRules versions.Rules
+	// connectTimeout is the time that a connection to an endpoint may take: windows are judged less that.
+	connectTimeout decide.Time
+
+	leaseEnd      BootTime // of the lease; 0 before the first
+	requestedAt   BootTime // when the newest word was asked for that was taken
+	lastEcho      Echo     // of the newest answer
+	epoch         uint64
+	active        VersionRecord
+	next          *VersionRecord
+	checked       uint64
+	refusal       string
+	prepared      uint64
+	rules         versions.Rules // of the lease
+	cautiousRules versions.Rules
+	view          holdings.View
+	deltaFailures int   // deltas in a row that could not be taken, of this leader; 1: the whole is asked for
+	viewErr       error // the last one's
 	// What this sidecar's store says, for the next renewal.
 	CaughtUp        []holdings.CaughtUp
 	Unreachable     []holdings.Incarnation
@@ -55,17 +55,17 @@
 
 // NewLeaseHolder returns that of a process that has not been told anything.
 func NewLeaseHolder(self Member, terms Params, own versions.Rules, connect decide.Time) *LeaseHolder {
-	return &LeaseHolder{Self: self, terms: terms, own: own, connect: connect, rules: own, cautious: own.Cautious(terms.FixedClasses)}
+	return &LeaseHolder{Self: self, params: terms, ownRules: own, connectTimeout: connect, rules: own, cautiousRules: own.Cautious(terms.FixedClasses)}
 }
 
 // NextRenewal returns the renewal to be sent now. The caller notes the time before it, for Told.
 func (h *LeaseHolder) NextRenewal() Renewal {
-	r := Renewal{Member: h.Self, ParamsHash: h.terms.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
-		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.heard, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: formDelta}
-	if h.view.Placement != nil && h.differs != 1 {
+	r := Renewal{Member: h.Self, ParamsHash: h.params.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
+		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.lastEcho, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: deltaFormat}
+	if h.view.Placement != nil && h.deltaFailures != 1 {
 		r.HasMembership, r.HasPlacement = h.view.Epoch, h.view.Placement.Number
 	}
-	if h.differs >= mostDiffers {
+	if h.deltaFailures >= maxDeltaFailures {
 		r.Takes = 0
 	}
 	if h.next != nil {
@@ -78,41 +78,41 @@
 // has changed: then the caller puts Acting in force before it asks again, since the next
 // renewal says so. An error is an answer that can't be true.
 func (h *LeaseHolder) HandleGrant(asked BootTime, g *Grant) (changed bool, err error) {
-	if asked < h.asked {
+	if asked < h.requestedAt {
 		return false, nil // late word: what was asked for after it says more
 	}
-	if g.Echo.Term != h.heard.Term {
-		h.differs = 0 // another leader, maybe of another build
+	if g.Echo.Term != h.lastEcho.Term {
+		h.deltaFailures = 0 // another leader, maybe of another build
 	}
-	h.asked, h.heard = asked, g.Echo
+	h.requestedAt, h.lastEcho = asked, g.Echo
 	if g.Epoch < h.epoch {
 		return false, fmt.Errorf("epoch %d after %d: late word, or a crew that was formed anew (then restart this process)", g.Epoch, h.epoch)
 	}
-	active, err := h.whole(&g.Active)
+	active, err := h.withDocument(&g.Active)
 	if err != nil {
 		return false, err
 	}
 	var next *VersionRecord
 	if g.Next != nil {
-		if next, err = h.whole(g.Next); err != nil {
+		if next, err = h.withDocument(g.Next); err != nil {
 			return false, err
 		}
 	}
 	if active.Number < h.active.Number {
 		return false, fmt.Errorf("version %d after %d: what has been active does not come back", active.Number, h.active.Number)
 	}
-	before := h.stamp()
+	before := h.versionStamp()
 	h.active, h.next, h.epoch = *active, next, g.Epoch
 	if g.Granted {
-		h.ends = max(h.ends, asked+h.terms.Lease)
-		h.learn(g)
+		h.leaseEnd = max(h.leaseEnd, asked+h.params.Lease)
+		h.updateView(g)
 	}
-	h.look()
-	return h.stamp() != before, nil
+	h.updateRules()
+	return h.versionStamp() != before, nil
 }
 
-// stamp is equal as long as the rules are.
-func (h *LeaseHolder) stamp() [3]uint64 {
+// versionStamp is equal as long as the rules are.
+func (h *LeaseHolder) versionStamp() [3]uint64 {
 	s := [3]uint64{h.active.Number}
 	if h.next != nil {
 		s[1], s[2] = h.next.Number, uint64(h.next.State)
@@ -120,8 +120,8 @@
 	return s
 }
 
-// whole returns a round with its document: from what came, or from what is known.
-func (h *LeaseHolder) whole(r *VersionRecord) (*VersionRecord, error) {
+// withDocument returns a round with its document: from what came, or from what is known.
+func (h *LeaseHolder) withDocument(r *VersionRecord) (*VersionRecord, error) {
 	if r.Number == 0 {
 		return r, nil
 	}
@@ -138,20 +138,20 @@
 	return r, nil
 }
 
-// look works out what is acted on, and what is to be said of the proposal under way.
-func (h *LeaseHolder) look() {
-	now := h.own.With(&h.active.Doc, h.connect)
+// updateRules works out what is acted on, and what is to be said of the proposal under way.
+func (h *LeaseHolder) updateRules() {
+	now := h.ownRules.With(&h.active.Doc, h.connectTimeout)
 	h.rules = now
 	if h.next == nil {
 		return
 	}
 	if h.checked != h.next.Number {
 		h.checked, h.refusal = h.next.Number, ""
-		if err := h.own.CheckTransition(&h.active.Doc, &h.next.Doc, h.terms.FixedClasses); err != nil {
+		if err := h.ownRules.CheckTransition(&h.active.Doc, &h.next.Doc, h.params.FixedClasses); err != nil {
 			h.refusal = err.Error()
 		}
 	}
-	both, err := now.Intersect(h.own.With(&h.next.Doc, h.connect))
+	both, err := now.Intersect(h.ownRules.With(&h.next.Doc, h.connectTimeout))
 	if h.next.State == Prepared && err == nil {
 		h.rules, h.prepared = both, h.next.Number
 		return
@@ -169,25 +169,25 @@
 	if h.next != nil && h.next.State == Prepared && h.prepared == h.next.Number {
 		s.Next = h.next.Number
 	}
-	if now >= h.ends {
+	if now >= h.leaseEnd {
 		s.Cautious, s.Next = true, 0
-		s.Rules = h.cautious
+		s.Rules = h.cautiousRules
 		s.Rules.Banned = h.rules.Banned // bans and drains are kept
 		s.Rules.MaxAttempts = h.rules.MaxAttempts
 	}
 	return s
 }
 
-// mostDiffers deltas in a row that can't be taken, the last of them whole, have a member ask for the whole as builds do that take no
+// maxDeltaFailures deltas in a row that can't be taken, the last of them whole, have a member ask for the whole as builds do that take no
 // changes, without a checksum, for as long as this leader leads.
-const mostDiffers = 2
+const maxDeltaFailures = 2
 
-// learn takes what is told of members and placement, or leaves both as they were.
-func (h *LeaseHolder) learn(g *Grant) {
+// updateView takes what is told of members and placement, or leaves both as they were.
+func (h *LeaseHolder) updateView(g *Grant) {
 	switch {
 	case len(g.Delta) > 0:
 		var d holdings.Delta
-		err := decoding.Unmarshal(g.Delta, &d)
+		err := decMode.Unmarshal(g.Delta, &d)
 		if err == nil && d.Epoch != g.Epoch {
 			err = fmt.Errorf("%w: to epoch %d, in one of %d", holdings.ErrDelta, d.Epoch, g.Epoch)
 		}
@@ -196,19 +196,19 @@
 			next, err = h.view.Apply(&d)
 		}
 		if err != nil {
-			h.differs, h.differed = h.differs+1, err
+			h.deltaFailures, h.viewErr = h.deltaFailures+1, err
 			return
 		}
-		h.view, h.differs = next, 0
+		h.view, h.deltaFailures = next, 0
 	case len(g.Placement) > 0:
 		var members []holdings.Member
 		var placement holdings.Placement
-		err := decoding.Unmarshal(g.Membership, &members)
+		err := decMode.Unmarshal(g.Membership, &members)
 		if err == nil {
-			err = decoding.Unmarshal(g.Placement, &placement)
+			err = decMode.Unmarshal(g.Placement, &placement)
 		}
 		if err != nil {
-			h.differed = err
+			h.viewErr = err
 			return
 		}
 		h.view = holdings.NewView(g.Epoch, members, &placement)
@@ -216,7 +216,7 @@
 }
 
 // ViewErr is why what the leader told of members and placement could not be taken the last time; nil while it always could.
-func (h *LeaseHolder) ViewErr() error { return h.differed }
+func (h *LeaseHolder) ViewErr() error { return h.viewErr }
 
 // View is what it was told last of members and placement; zero before the first, or where nothing is held. What is told here is never
 // changed afterwards.
@@ -233,4 +233,4 @@
 }
 
 // LeaseEnd is when the lease ends; 0 before the first.
-func (h *LeaseHolder) LeaseEnd() BootTime { return h.ends }
+func (h *LeaseHolder) LeaseEnd() BootTime { return h.leaseEnd }
--- a/internal/cluster/leaserenewer_test.go
+++ b/internal/cluster/leaserenewer_test.go
@@ -10,7 +10,7 @@
 )
 
 // The leader is found by what others say of it, kept while it answers, and looked for at each keeper when it does not.
-func TestSeekerFindsTheLeader(t *testing.T) {
+func TestLeaseRenewerFindsLeader(t *testing.T) {
 	own := versions.FromSettings(&decide.Settings{})
 	terms := Params{Lease: time.Second}
 	s := NewLeaseRenewer(NewLeaseHolder(Member{Name: "m", Token: 1}, terms, own, 0), []string{"a", "b", "c"})
@@ -44,7 +44,7 @@
 }
 
 // A leader that asks for more without end is heeded a few times a heartbeat.
-func TestSeekerEndsItsRounds(t *testing.T) {
+func TestLeaseRenewerLimitsAnswers(t *testing.T) {
 	s := NewLeaseRenewer(NewLeaseHolder(Member{Name: "m", Token: 1}, Params{Lease: time.Second}, versions.FromSettings(&decide.Settings{}), 0), []string{"a"})
 	s.StartHeartbeat()
 	rounds := 0
@@ -52,7 +52,7 @@
 		s.NextRequest(0)
 		again = s.HandleResponse(0, &Grant{RetryNow: true}, "").RenewNow
 	}
-	if rounds != mostAgain {
+	if rounds != maxAnswersPerHeartbeat {
 		t.Errorf("%d rounds", rounds)
 	}
 }
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -57,15 +57,15 @@
 	Reason string `cbor:"22,keyasint,omitempty"` // it was refused
 }
 
-// mostTurned bounds the proposals that are remembered as turned down: more than are on their way in a minute.
-const mostTurned = 256
+// maxRejectedProposals bounds the proposals that are remembered as turned down: more than are on their way in a minute.
+const maxRejectedProposals = 256
 
 // MaxReplacedVoters bounds the replaced folders that are remembered: far more than are ever tried again.
 const MaxReplacedVoters = 256
 
-// mostHistory bounds the ended rounds that the ledger keeps, for people and for proposals
+// maxHistory bounds the ended rounds that the ledger keeps, for people and for proposals
 // that are said again; documents of 64 KiB make 8 MiB of it at most.
-const mostHistory = 128
+const maxHistory = 128
 
 // Ledger is what the keepers agree on. It changes by Apply alone, in the order of their
 // log, and is the same after the same entries.
@@ -132,7 +132,7 @@
 func (l *Ledger) Apply(e *Entry) error {
 	switch {
 	case len(e.Join) > 0 || len(e.Leave) > 0:
-		return l.change(e.Join, e.Leave)
+		return l.changeMembers(e.Join, e.Leave)
 	case e.Propose != nil:
 		return l.propose(e.Propose)
 	case e.Epoch != l.Epoch:
@@ -147,13 +147,13 @@
 		l.history.RecordChanges(before, l.Placement.Number, e.ReplicaChanges)
 		return err
 	case e.Prepare > 0:
-		return l.advance(e.Prepare, Checking, Prepared)
+		return l.advanceNext(e.Prepare, Checking, Prepared)
 	case e.Activate > 0:
-		if err := l.advance(e.Activate, Prepared, Active); err != nil {
+		if err := l.advanceNext(e.Activate, Prepared, Active); err != nil {
 			return err
 		}
 		if l.Active.Number > 0 {
-			l.keep(l.Active)
+			l.addToHistory(l.Active)
 		}
 		l.Active, l.Next = *l.Next, nil
 	case e.End != nil:
@@ -161,13 +161,13 @@
 			return fmt.Errorf("version %d is not being checked", e.End.Number)
 		}
 		l.Next.State, l.Next.Reason = Refused, e.End.Reason
-		l.keep(*l.Next)
+		l.addToHistory(*l.Next)
 		l.Next = nil
 	}
 	return nil
 }
 
-func (l *Ledger) change(enter, gone []Member) error {
+func (l *Ledger) changeMembers(enter, gone []Member) error {
 	changed := false
 	names := make([]string, 0, len(enter)+len(gone))
 	for _, m := range slices.Concat(gone, enter) {
@@ -208,15 +208,15 @@
 	case slices.Contains(l.RejectedProposals, p.ID):
 		return errors.New("this proposal was turned down before; propose anew")
 	}
-	err := l.take(p)
+	err := l.acceptProposal(p)
 	if err != nil {
 		l.RejectedProposals = append(l.RejectedProposals, p.ID)
-		l.RejectedProposals = l.RejectedProposals[max(0, len(l.RejectedProposals)-mostTurned):]
+		l.RejectedProposals = l.RejectedProposals[max(0, len(l.RejectedProposals)-maxRejectedProposals):]
 	}
 	return err
 }
 
-func (l *Ledger) take(p *Proposal) error {
+func (l *Ledger) acceptProposal(p *Proposal) error {
 	switch {
 	case l.Next != nil:
 		return fmt.Errorf("version %d is under way (%v); propose again when it has ended", l.Next.Number, l.Next.State)
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (l *Ledger) advance(number uint64, from, to State) error {
+func (l *Ledger) advanceNext(number uint64, from, to State) error {
 	if l.Next == nil || l.Next.Number != number || l.Next.State != from {
 		return fmt.Errorf("version %d is not %v", number, from)
 	}
@@ -244,9 +244,9 @@
 	return nil
 }
 
-func (l *Ledger) keep(r VersionRecord) {
-	if len(l.History) >= mostHistory {
-		l.History = slices.Delete(l.History, 0, len(l.History)-mostHistory+1)
+func (l *Ledger) addToHistory(r VersionRecord) {
+	if len(l.History) >= maxHistory {
+		l.History = slices.Delete(l.History, 0, len(l.History)-maxHistory+1)
 	}
 	l.History = append(l.History, r)
 }
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -38,9 +38,9 @@
 	Takes uint64 `cbor:"24,keyasint,omitempty"`
 }
 
-// formDelta is the form of changes that this build says and takes: what is in a Delta, and what its checksum goes over. Another
+// deltaFormat is the form of changes that this build says and takes: what is in a Delta, and what its checksum goes over. Another
 // number is another form, and who takes that is told the whole.
-const formDelta = 1
+const deltaFormat = 1
 
 // Echo is what a member says back so that the leader knows that it hears: which leader answered, and when by its clock.
 type Echo struct {
@@ -67,53 +67,53 @@
 	Delta      cbor.RawMessage `cbor:"10,keyasint,omitempty"`
 }
 
-// said is what a granter knows of a member, in memory alone.
-type said struct {
-	token    uint64
-	until    BootTime // its lease may be acted on until then
-	checked  uint64
-	refusal  string
-	prepared uint64
-	epoch    uint64   // under which the three above were said
-	deaf     BootTime // since when no answer of ours has been said back; 0 for not
+// memberState is what a granter knows of a member, in memory alone.
+type memberState struct {
+	token       uint64
+	leaseEnd    BootTime // its lease may be acted on until then
+	checked     uint64
+	refusal     string
+	prepared    uint64
+	epoch       uint64   // under which the three above were said
+	noEchoSince BootTime // since when no answer of ours has been said back; 0 for not
 }
 
-// deafPart of a lease is how long a member that says no answer back goes on being granted it: four of its questions.
-const deafPart = 2
+// noEchoPart of a lease is how long a member that says no answer back goes on being granted it: four of its questions.
+const noEchoPart = 2
 
 // Lessor is the leader's side of the leases. It lives for one term of a leader; a new
 // one knows nothing of leases given before, and takes each for held for their whole time.
 type Lessor struct {
-	conf  Params
-	term  uint64
-	said  map[string]*said
-	enter map[string]Member // asked to come in, and are not in the ledger yet
-	gone  map[string]Member // said that they leave
+	params  Params
+	term    uint64
+	states  map[string]*memberState
+	joining map[string]Member // asked to come in, and are not in the ledger yet
+	leaving map[string]Member // said that they leave
 
 	// What follows spares a leader the look at each member with each renewal: at 3,000 members that look was most of its work.
-	news    bool                              // something was said since the last look that may make an entry due
-	soonest BootTime                          // no lease that was known then ends before
-	looked  stage                             // the ledger then
-	filled  map[string][]holdings.CaughtUp    // as each member said last
-	unheard map[string][]holdings.Incarnation // likewise
-	moving  map[string]bool                   // likewise
-	planned basis                             // for which replicas were planned last
-	dead    map[int]BootTime                  // since when no ready replica of a shard is in the crew
-	texts   texts                             // what members are told of the ledger's present state
-	lacks   string                            // a member whose word the round under way waited for then
+	recheck         bool                              // something was said since the last look that may make an entry due
+	recheckAt       BootTime                          // no lease that was known then ends before
+	checkedStage    ledgerStage                       // the ledger then
+	caughtUp        map[string][]holdings.CaughtUp    // as each member said last
+	unreachable     map[string][]holdings.Incarnation // likewise
+	decommissioning map[string]bool                   // likewise
+	plannedFor      viewVersion                       // for which replicas were planned last
+	deadSince       map[int]BootTime                  // since when no ready replica of a shard is in the crew
+	encoded         encodedView                       // what members are told of the ledger's present state
+	waitingFor      string                            // a member whose word the round under way waited for then
 }
 
-// basis is what replicas follow from.
-type basis struct{ epoch, placement uint64 }
+// viewVersion is what replicas follow from.
+type viewVersion struct{ epoch, placement uint64 }
 
-// stage is how far a ledger is, of what makes entries due.
-type stage struct {
+// ledgerStage is how far a ledger is, of what makes entries due.
+type ledgerStage struct {
 	epoch, active, next uint64
 	state               State
 }
 
-func stageOf(l *Ledger) stage {
-	s := stage{epoch: l.Epoch, active: l.Active.Number}
+func stageOf(l *Ledger) ledgerStage {
+	s := ledgerStage{epoch: l.Epoch, active: l.Active.Number}
 	if l.Next != nil {
 		s.next, s.state = l.Next.Number, l.Next.State
 	}
@@ -122,17 +122,17 @@
 
 // NewLessor returns that of a leader that has just come to lead, in a term.
 func NewLessor(conf Params, term uint64) *Lessor {
-	return &Lessor{conf: conf, term: term, said: map[string]*said{}, enter: map[string]Member{}, gone: map[string]Member{}, news: true,
-		filled: map[string][]holdings.CaughtUp{}, unheard: map[string][]holdings.Incarnation{}, moving: map[string]bool{}, dead: map[int]BootTime{}}
+	return &Lessor{params: conf, term: term, states: map[string]*memberState{}, joining: map[string]Member{}, leaving: map[string]Member{}, recheck: true,
+		caughtUp: map[string][]holdings.CaughtUp{}, unreachable: map[string][]holdings.Incarnation{}, decommissioning: map[string]bool{}, deadSince: map[int]BootTime{}}
 }
 
-// of returns what is known of a member of the ledger. One that is met for the first time may have been granted a lease a
+// stateOf returns what is known of a member of the ledger. One that is met for the first time may have been granted a lease a
 // moment ago, by a leader before, or has just come in.
-func (g *Lessor) of(now BootTime, m Member) *said {
-	s := g.said[m.Name]
+func (le *Lessor) stateOf(now BootTime, m Member) *memberState {
+	s := le.states[m.Name]
 	if s == nil || s.token != m.Token {
-		s = &said{token: m.Token, until: now + g.conf.LessorWait()}
-		g.said[m.Name] = s
+		s = &memberState{token: m.Token, leaseEnd: now + le.params.LessorWait()}
+		le.states[m.Name] = s
 	}
 	return s
 }
@@ -140,8 +140,8 @@
 // Renew answers a renewal. The caller has made sure, after the renewal came, that a
 // majority still takes it for the leader and that the ledger is up to date; it calls
 // Told when the answer has been handed to the network.
-func (g *Lessor) Renew(now BootTime, l *Ledger, r *Renewal) Grant {
-	grant := Grant{Epoch: l.Epoch, Active: l.Active, Echo: Echo{g.term, now}}
+func (le *Lessor) Renew(now BootTime, l *Ledger, r *Renewal) Grant {
+	grant := Grant{Epoch: l.Epoch, Active: l.Active, Echo: Echo{le.term, now}}
 	if l.Next != nil {
 		next := *l.Next // a grant is on its way while the ledger goes on
 		grant.Next = &next
@@ -154,65 +154,65 @@
 	switch {
 	case r.Name == "" || r.Token == 0 || len(r.Name) > 256:
 		return no(false, "name: %d bytes, token %d; allowed: a name of 1 to 256 bytes and a token", len(r.Name), r.Token)
-	case r.ParamsHash != g.conf.Hash():
+	case r.ParamsHash != le.params.Hash():
 		grant.Active, grant.Next = VersionRecord{}, nil
-		return no(false, "terms differ: the crew has %v; start this process with the same [crew]", g.conf)
+		return no(false, "terms differ: the crew has %v; start this process with the same [crew]", le.params)
 	case there && in.Token != r.Token:
-		if g.of(now, in).until > now {
+		if le.stateOf(now, in).leaseEnd > now {
 			return no(false, "name %q is another process's, whose lease may hold for %v more; give this one a name of its own, or end the other",
-				r.Name, g.of(now, in).until-now)
+				r.Name, le.stateOf(now, in).leaseEnd-now)
 		}
 		return no(true, "name %q: the process before is being counted out", r.Name)
 	case r.Leaving:
 		if there {
-			g.gone[r.Name] = in
-			g.news = true
+			le.leaving[r.Name] = in
+			le.recheck = true
 		}
 		return no(false, "left")
 	case !there && len(l.Members) >= clusterparams.MaxMembers:
 		return no(false, "the crew is full: %d members", clusterparams.MaxMembers)
-	case (!there || in != r.Member) && !g.hears(now, r):
+	case (!there || in != r.Member) && !le.receivesAnswers(now, r):
 		return no(true, "say back what is told here")
 	case !there || in != r.Member:
-		if len(g.enter) < clusterparams.MaxMembers {
-			g.enter[r.Name] = r.Member
-			g.news = true
+		if len(le.joining) < clusterparams.MaxMembers {
+			le.joining[r.Name] = r.Member
+			le.recheck = true
 		}
 		return no(true, "%q is coming in", r.Name)
 	}
-	s := g.of(now, in)
+	s := le.stateOf(now, in)
 	// Guards against a lease for a member whose end is on its way through the log: it would act on it when others have gone on
 	// without it (seed 277 of the crew's simulation). Who has been late so long comes in anew.
-	if left, does := g.gone[r.Name]; s.until <= now || does && left.Token == r.Token {
+	if left, does := le.leaving[r.Name]; s.leaseEnd <= now || does && left.Token == r.Token {
 		return no(true, "%q is being counted out", r.Name)
 	}
 	// Guards against a member that is heard and hears nothing: it acts on no lease, and would hold up each version for as long as
 	// its questions come.
 	switch {
-	case g.hears(now, r):
-		s.deaf = 0
-	case s.deaf == 0:
-		s.deaf = max(1, now)
-	case now-s.deaf > g.conf.Lease/deafPart:
-		return no(true, "%q has said back no answer for %v: it does not seem to hear", r.Name, now-s.deaf)
+	case le.receivesAnswers(now, r):
+		s.noEchoSince = 0
+	case s.noEchoSince == 0:
+		s.noEchoSince = max(1, now)
+	case now-s.noEchoSince > le.params.Lease/noEchoPart:
+		return no(true, "%q has said back no answer for %v: it does not seem to hear", r.Name, now-s.noEchoSince)
 	}
 	// What it says counts under the present epoch alone; the lease rests on who it is. Guards against members that are
 	// refused, and counted out, because others come and go: at 300 that raised the epoch faster than renewals could name it,
 	// and went on by itself (seed 2001 of the crew's simulation with 300 members).
 	if r.Epoch == l.Epoch {
-		g.news = g.news || l.Next != nil && (r.Refusal != "" || r.Name == g.lacks)
+		le.recheck = le.recheck || l.Next != nil && (r.Refusal != "" || r.Name == le.waitingFor)
 		s.checked, s.refusal, s.prepared, s.epoch = r.Checked, r.Refusal, r.Prepared, r.Epoch
 	}
-	s.until = max(s.until, now+g.conf.LessorWait())
+	s.leaseEnd = max(s.leaseEnd, now+le.params.LessorWait())
 	grant.Granted = true
 	if l.Placement != nil && (r.HasPlacement != l.Placement.Number || r.HasMembership != l.Epoch) {
-		g.tell(&grant, l, r)
+		le.addView(&grant, l, r)
 	}
-	if len(r.CaughtUp) > 0 && len(r.CaughtUp) <= holdings.NumShards*clusterparams.MaxCopies && !slices.Equal(g.filled[r.Name], r.CaughtUp) {
-		g.filled[r.Name], g.news, g.planned = r.CaughtUp, true, basis{}
+	if len(r.CaughtUp) > 0 && len(r.CaughtUp) <= holdings.NumShards*clusterparams.MaxCopies && !slices.Equal(le.caughtUp[r.Name], r.CaughtUp) {
+		le.caughtUp[r.Name], le.recheck, le.plannedFor = r.CaughtUp, true, viewVersion{}
 	}
-	if r.Decommissioning != g.moving[r.Name] || len(r.Unreachable) <= clusterparams.MaxMembers && !slices.Equal(g.unheard[r.Name], r.Unreachable) {
-		g.moving[r.Name], g.unheard[r.Name], g.news, g.planned = r.Decommissioning, r.Unreachable, true, basis{}
+	if r.Decommissioning != le.decommissioning[r.Name] || len(r.Unreachable) <= clusterparams.MaxMembers && !slices.Equal(le.unreachable[r.Name], r.Unreachable) {
+		le.decommissioning[r.Name], le.unreachable[r.Name], le.recheck, le.plannedFor = r.Decommissioning, r.Unreachable, true, viewVersion{}
 	}
 	if grant.Active.Number == r.HasActive {
 		grant.Active.Doc.Classes, grant.Active.Doc.Banned = nil, nil
@@ -223,51 +223,51 @@
 	return grant
 }
 
-// hears tells whether a member has said back an answer of this leader that is not older than a lease.
-func (g *Lessor) hears(now BootTime, r *Renewal) bool {
-	return r.LastEcho.Term == g.term && now-r.LastEcho.At <= g.conf.Lease
+// receivesAnswers tells whether a member has said back an answer of this leader that is not older than a lease.
+func (le *Lessor) receivesAnswers(now BootTime, r *Renewal) bool {
+	return r.LastEcho.Term == le.term && now-r.LastEcho.At <= le.params.Lease
 }
 
-// mostBases bounds the states that changes are kept for: members lag by one or two of them, and after a cut by some more. What
+// maxEncodedDeltas bounds the states that changes are kept for: members lag by one or two of them, and after a cut by some more. What
 // is not kept is encoded for each.
-const mostBases = 16
+const maxEncodedDeltas = 16
 
-// texts are what members are told of one state of a ledger, encoded once for all of them.
-type texts struct {
-	at                    basis
+// encodedView are what members are told of one state of a ledger, encoded once for all of them.
+type encodedView struct {
+	version               viewVersion
 	view                  holdings.View
-	sum                   uint64                    // of it
-	membership, placement cbor.RawMessage           // whole, for those that take no changes; nil until one asks
-	deltas                map[basis]cbor.RawMessage // by what they start from
+	checksum              uint64                          // of it
+	membership, placement cbor.RawMessage                 // whole, for those that take no changes; nil until one asks
+	deltas                map[viewVersion]cbor.RawMessage // by what they start from
 }
 
-// tell tells a member what it lacks of members and placement.
-func (g *Lessor) tell(grant *Grant, l *Ledger, r *Renewal) {
-	if at := (basis{l.Epoch, l.Placement.Number}); g.texts.at != at {
-		g.texts = texts{at: at, view: l.View(), deltas: map[basis]cbor.RawMessage{}}
-		g.texts.sum = g.texts.view.Checksum()
-	}
-	t := &g.texts
-	if r.Takes != formDelta {
+// addView tells a member what it lacks of members and placement.
+func (le *Lessor) addView(grant *Grant, l *Ledger, r *Renewal) {
+	if at := (viewVersion{l.Epoch, l.Placement.Number}); le.encoded.version != at {
+		le.encoded = encodedView{version: at, view: l.View(), deltas: map[viewVersion]cbor.RawMessage{}}
+		le.encoded.checksum = le.encoded.view.Checksum()
+	}
+	t := &le.encoded
+	if r.Takes != deltaFormat {
 		if t.membership == nil {
-			t.membership, t.placement = encoded(t.view.Members), encoded(t.view.Placement)
+			t.membership, t.placement = mustEncode(t.view.Members), mustEncode(t.view.Placement)
 		}
 		grant.Membership, grant.Placement = t.membership, t.placement
 		return
 	}
-	from := basis{r.HasMembership, r.HasPlacement}
+	from := viewVersion{r.HasMembership, r.HasPlacement}
 	text, kept := t.deltas[from]
 	if !kept {
-		text = encoded(l.history.Delta(from.epoch, from.placement, &t.view, t.sum))
-		if len(t.deltas) < mostBases {
+		text = mustEncode(l.history.Delta(from.epoch, from.placement, &t.view, t.checksum))
+		if len(t.deltas) < maxEncodedDeltas {
 			t.deltas[from] = text
 		}
 	}
 	grant.Delta = text
 }
 
-// encoded encodes a value of the program's own types.
-func encoded(value any) cbor.RawMessage {
+// mustEncode encodes a value of the program's own types.
+func mustEncode(value any) cbor.RawMessage {
 	text, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err) // it has nothing that can't be encoded
@@ -277,63 +277,63 @@
 
 // AnswerSent counts a lease from the moment after its answer went: now is read then. (The holder counts from before it
 // asked, so that counting from Renew on would do; an answer's time on its way is a margin more.)
-func (g *Lessor) AnswerSent(now BootTime, r *Renewal) {
-	if s := g.said[r.Name]; s != nil && s.token == r.Token && s.until > now {
-		s.until = max(s.until, now+g.conf.LessorWait())
+func (le *Lessor) AnswerSent(now BootTime, r *Renewal) {
+	if s := le.states[r.Name]; s != nil && s.token == r.Token && s.leaseEnd > now {
+		s.leaseEnd = max(s.leaseEnd, now+le.params.LessorWait())
 	}
 }
 
 // Due returns the entries that the leader has to propose now. It is called when none is on its way.
-func (g *Lessor) Due(now BootTime, l *Ledger) []Entry {
-	if at := stageOf(l); g.news || now >= g.soonest || at != g.looked {
-		due := g.look(now, l)
-		g.news, g.looked = len(due) > 0, at // what is due stays so until it is agreed on
+func (le *Lessor) Due(now BootTime, l *Ledger) []Entry {
+	if at := stageOf(l); le.recheck || now >= le.recheckAt || at != le.checkedStage {
+		due := le.findDue(now, l)
+		le.recheck, le.checkedStage = len(due) > 0, at // what is due stays so until it is agreed on
 		return due
 	}
 	return nil
 }
 
-func (g *Lessor) look(now BootTime, l *Ledger) []Entry {
+func (le *Lessor) findDue(now BootTime, l *Ledger) []Entry {
 	var due []Entry
-	g.soonest = now + g.conf.LessorWait()
+	le.recheckAt = now + le.params.LessorWait()
 	var change Entry
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
 		m := l.Members[name]
-		until := g.of(now, m).until
-		if left, does := g.gone[name]; does && left.Token == m.Token || until <= now {
+		until := le.stateOf(now, m).leaseEnd
+		if left, does := le.leaving[name]; does && left.Token == m.Token || until <= now {
 			change.Leave = append(change.Leave, m)
 		}
-		g.soonest = min(g.soonest, until)
+		le.recheckAt = min(le.recheckAt, until)
 	}
-	for _, name := range slices.Sorted(maps.Keys(g.enter)) {
-		m := g.enter[name]
+	for _, name := range slices.Sorted(maps.Keys(le.joining)) {
+		m := le.joining[name]
 		if in, there := l.Members[name]; there && (in == m || in.Token != m.Token) {
 			continue
 		}
 		change.Join = append(change.Join, m)
 	}
-	clear(g.enter) // proposed once; who is not in then asks again
-	maps.DeleteFunc(g.gone, func(name string, m Member) bool { return l.Members[name].Token != m.Token })
+	clear(le.joining) // proposed once; who is not in then asks again
+	maps.DeleteFunc(le.leaving, func(name string, m Member) bool { return l.Members[name].Token != m.Token })
 	gone := func(name string) bool { return l.Members[name].Token == 0 }
-	maps.DeleteFunc(g.filled, func(name string, _ []holdings.CaughtUp) bool { return gone(name) })
-	maps.DeleteFunc(g.unheard, func(name string, _ []holdings.Incarnation) bool { return gone(name) })
-	maps.DeleteFunc(g.moving, func(name string, _ bool) bool { return gone(name) })
-	maps.DeleteFunc(g.said, func(name string, s *said) bool { return l.Members[name].Token != s.token })
+	maps.DeleteFunc(le.caughtUp, func(name string, _ []holdings.CaughtUp) bool { return gone(name) })
+	maps.DeleteFunc(le.unreachable, func(name string, _ []holdings.Incarnation) bool { return gone(name) })
+	maps.DeleteFunc(le.decommissioning, func(name string, _ bool) bool { return gone(name) })
+	maps.DeleteFunc(le.states, func(name string, s *memberState) bool { return l.Members[name].Token != s.token })
 	if len(change.Leave) > 0 || len(change.Join) > 0 {
 		return append(due, change) // the rest waits for the new epoch
 	}
-	if e, ok := g.round(now, l); ok {
+	if e, ok := le.proposalEntry(now, l); ok {
 		due = append(due, e)
 	}
-	if e, ok := g.place(now, l); ok {
+	if e, ok := le.placementEntry(now, l); ok {
 		due = append(due, e)
 	}
 	return due
 }
 
-// place tells which replicas follow from who is in the crew, and from what primaries have said.
-func (g *Lessor) place(now BootTime, l *Ledger) (Entry, bool) {
-	if g.conf.Holdings.Copies == 0 {
+// placementEntry tells which replicas follow from who is in the crew, and from what primaries have said.
+func (le *Lessor) placementEntry(now BootTime, l *Ledger) (Entry, bool) {
+	if le.params.Holdings.Copies == 0 {
 		return Entry{}, false
 	}
 	placement := l.Placement
@@ -343,48 +343,48 @@
 	late := false // a shard has waited for long enough
 	for i := range placement.Shards {
 		if !placement.Shards[i].Dead(func(w holdings.Incarnation, token uint64) bool { return l.Members[w.Name].Token == token }) {
-			delete(g.dead, i)
+			delete(le.deadSince, i)
 			continue
 		}
-		if g.dead[i] == 0 {
-			g.dead[i] = max(1, now)
+		if le.deadSince[i] == 0 {
+			le.deadSince[i] = max(1, now)
 		}
-		end := g.dead[i] + g.conf.Holdings.LostAfter
+		end := le.deadSince[i] + le.params.Holdings.LostAfter
 		if late = late || now >= end; now < end {
-			g.soonest = min(g.soonest, end)
+			le.recheckAt = min(le.recheckAt, end)
 		}
 	}
-	if at := (basis{l.Epoch, placement.Number}); at == g.planned && !late {
+	if at := (viewVersion{l.Epoch, placement.Number}); at == le.plannedFor && !late {
 		return Entry{}, false
 	}
 	var filled []holdings.CaughtUp
-	for _, name := range slices.Sorted(maps.Keys(g.filled)) {
-		filled = append(filled, g.filled[name]...)
+	for _, name := range slices.Sorted(maps.Keys(le.caughtUp)) {
+		filled = append(filled, le.caughtUp[name]...)
 	}
 	changes := placement.Plan(&holdings.PlacementInput{
-		Members: l.Membership(), Copies: g.conf.Holdings.Copies, CaughtUp: filled, Leaving: g.leavers(l), Unreachable: g.silent(l),
+		Members: l.Membership(), Copies: le.params.Holdings.Copies, CaughtUp: filled, Leaving: le.decommissioningMembers(l), Unreachable: le.unreachablePairs(l),
 		Lost: func(shard int) bool {
-			since, dead := g.dead[shard]
-			return dead && now >= since+g.conf.Holdings.LostAfter
+			since, dead := le.deadSince[shard]
+			return dead && now >= since+le.params.Holdings.LostAfter
 		},
 	})
 	if len(changes) == 0 {
-		g.planned = basis{l.Epoch, placement.Number}
+		le.plannedFor = viewVersion{l.Epoch, placement.Number}
 		return Entry{}, false
 	}
 	return Entry{ReplicaChanges: changes, Epoch: l.Epoch}, true
 }
 
-// round tells whether the proposal under way may go on: when each member has said so, in
+// proposalEntry tells whether the proposal under way may go on: when each member has said so, in
 // this epoch. Who says nothing is counted out when its lease has surely ended.
-func (g *Lessor) round(now BootTime, l *Ledger) (Entry, bool) {
+func (le *Lessor) proposalEntry(now BootTime, l *Ledger) (Entry, bool) {
 	if l.Next == nil {
 		return Entry{}, false
 	}
 	number := l.Next.Number
-	g.lacks = ""
+	le.waitingFor = ""
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
-		s := g.of(now, l.Members[name])
+		s := le.stateOf(now, l.Members[name])
 		current := s.epoch == l.Epoch
 		if l.Next.State == Checking && current && s.checked == number && s.refusal != "" {
 			return Entry{End: &ProposalEnd{number, fmt.Sprintf("%s refuses: %s", name, s.refusal)}, Epoch: l.Epoch}, true
@@ -393,12 +393,12 @@
 		if l.Next.State == Prepared {
 			done = s.prepared
 		}
-		if g.lacks == "" && (!current || done != number) {
-			g.lacks = name
+		if le.waitingFor == "" && (!current || done != number) {
+			le.waitingFor = name
 		}
 	}
 	switch {
-	case g.lacks != "":
+	case le.waitingFor != "":
 		return Entry{}, false
 	case l.Next.State == Checking:
 		return Entry{Prepare: number, Epoch: l.Epoch}, true
@@ -406,10 +406,10 @@
 	return Entry{Activate: number, Epoch: l.Epoch}, true
 }
 
-// leavers are the members that will go when their replicas have been given to others.
-func (g *Lessor) leavers(l *Ledger) map[holdings.Incarnation]bool {
+// decommissioningMembers are the members that will go when their replicas have been given to others.
+func (le *Lessor) decommissioningMembers(l *Ledger) map[holdings.Incarnation]bool {
 	out := map[holdings.Incarnation]bool{}
-	for name, moving := range g.moving {
+	for name, moving := range le.decommissioning {
 		if moving {
 			out[holdings.Incarnation{Name: name, JoinEpoch: l.JoinEpochs[name]}] = true
 		}
@@ -417,10 +417,10 @@
 	return out
 }
 
-// silent are the pairs of members of which the first does not reach the second.
-func (g *Lessor) silent(l *Ledger) map[[2]holdings.Incarnation]bool {
+// unreachablePairs are the pairs of members of which the first does not reach the second.
+func (le *Lessor) unreachablePairs(l *Ledger) map[[2]holdings.Incarnation]bool {
 	out := map[[2]holdings.Incarnation]bool{}
-	for name, list := range g.unheard {
+	for name, list := range le.unreachable {
 		for _, who := range list {
 			out[[2]holdings.Incarnation{{Name: name, JoinEpoch: l.JoinEpochs[name]}, who}] = true
 		}
@@ -429,6 +429,6 @@
 }
 
 // LeaseEnd is when a member's lease has surely ended, for people.
-func (g *Lessor) LeaseEnd(now BootTime, l *Ledger, name string) BootTime {
-	return g.of(now, l.Members[name]).until
+func (le *Lessor) LeaseEnd(now BootTime, l *Ledger, name string) BootTime {
+	return le.stateOf(now, l.Members[name]).leaseEnd
 }
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -24,40 +24,40 @@
 
 // Figures of a sidecar's part in what is held.
 const (
-	tickHoldings = 20 * time.Millisecond
-	// storeTime is for one word to a copy: ages are wrong by that at most (holdings.Slack).
-	storeTime = holdings.AgeSlack / 2
-	askTime   = 300 * time.Millisecond // for one word to a primary; it is said again
-	askPause  = 10 * time.Millisecond  // until it is said again, at first; twice as long each time
-	longPause = 80 * time.Millisecond
-	mostLines = 16 // to one sidecar, from its callers' goroutines
-	// returnAfter is what a refused caller is told: a lost primary is replaced within about a lease.
-	returnAfter  = time.Second
-	refusalEvery = time.Second // a line in the log, of each kind
-	// laterTime is how long what a request's own time did not suffice for is asked, above the time until a lost primary is
+	holdingsTick = 20 * time.Millisecond
+	// storeTimeout is for one word to a copy: ages are wrong by that at most (holdings.Slack).
+	storeTimeout      = holdings.AgeSlack / 2
+	commandTimeout    = 300 * time.Millisecond // for one word to a primary; it is said again
+	minRetryDelay     = 10 * time.Millisecond  // until it is said again, at first; twice as long each time
+	maxRetryDelay     = 80 * time.Millisecond
+	maxClientsPerPeer = 16 // to one sidecar, from its callers' goroutines
+	// refusedRetryAfter is what a refused caller is told: a lost primary is replaced within about a lease.
+	refusedRetryAfter = time.Second
+	refusalLogEvery   = time.Second // a line in the log, of each kind
+	// backgroundTimeout is how long what a request's own time did not suffice for is asked, above the time until a lost primary is
 	// replaced, and mostLater bounds how many are at a time.
-	laterTime = 15 * time.Second
-	mostLater = 1024
+	backgroundTimeout = 15 * time.Second
+	maxBackground     = 1024
 )
 
-// copies is a sidecar's part in what the crew's sidecars hold for one another: its store, and its own claims.
-type copies struct {
-	m       *Member
-	classes map[string]heldClass
-	body    int
-	claims  atomic.Uint64
+// holdingsService is a sidecar's part in what the crew's sidecars hold for one another: its store, and its own claims.
+type holdingsService struct {
+	member    *Member
+	classes   map[string]heldClass
+	maxBody   int
+	lastClaim atomic.Uint64
 
-	mu      sync.Mutex
-	store   *holdings.Store // guarded by mu, as all that follows
-	me      holdings.Incarnation
-	view    holdings.View // as the store has learnt it
-	address map[holdings.Incarnation]string
-	ended   bool
-	lines   map[string]*lines
+	mu        sync.Mutex
+	store     *holdings.Store // guarded by mu, as all that follows
+	me        holdings.Incarnation
+	view      holdings.View // as the store has learnt it
+	addresses map[holdings.Incarnation]string
+	stopped   bool
+	pools     map[string]*clientPool
 
-	told map[holdings.Kind]time.Time // when a refusal of this kind was last logged
+	refusalLogged map[holdings.Kind]time.Time // when a refusal of this kind was last logged
 
-	open, was, refused, alone, asking atomic.Int64
+	claimed, known, refused, alone, background atomic.Int64
 }
 
 type heldClass struct {
@@ -65,15 +65,15 @@
 	alone operator.WhenAlone
 }
 
-// lines are connections to one address.
-type lines struct {
-	free  chan *peerrpc.Client
-	made  atomic.Int64
-	ended atomic.Bool // nobody goes by the address any more
+// clientPool are connections to one address.
+type clientPool struct {
+	free   chan *peerrpc.Client
+	made   atomic.Int64
+	closed atomic.Bool // nobody goes by the address any more
 }
 
-func newCopies(m *Member, conf *config.Config) (*copies, error) {
-	c := &copies{m: m, classes: map[string]heldClass{}, body: m.conf.Holdings.MaxBody, lines: map[string]*lines{}, told: map[holdings.Kind]time.Time{}}
+func newHoldingsService(m *Member, conf *config.Config) (*holdingsService, error) {
+	c := &holdingsService{member: m, classes: map[string]heldClass{}, maxBody: m.conf.Holdings.MaxBody, pools: map[string]*clientPool{}, refusalLogged: map[holdings.Kind]time.Time{}}
 	for name, alone := range m.conf.Holdings.Classes {
 		i := slices.IndexFunc(conf.Settings.Classes, func(k decide.Class) bool { return k.Name == name })
 		if i < 0 || conf.Settings.Classes[i].Effect != decide.Keyed {
@@ -90,50 +90,50 @@
 	}
 	var b [8]byte
 	rand.Read(b[:]) //nolint:errcheck // it does not fail
-	c.claims.Store(binary.BigEndian.Uint64(b[:]))
+	c.lastClaim.Store(binary.BigEndian.Uint64(b[:]))
 	c.store = holdings.NewStore(m.conf.Params.Holdings, m.conf.Holdings.MaxEntries)
 	return c, nil
 }
 
-func (c *copies) now() cluster.BootTime { return c.m.world.BootTime() }
+func (hs *holdingsService) now() cluster.BootTime { return hs.member.env.BootTime() }
 
-// learn takes what a renewal brought. The member's lock is held.
-func (c *copies) learn(h *cluster.LeaseHolder) {
+// update takes what a renewal brought. The member's lock is held.
+func (hs *holdingsService) update(h *cluster.LeaseHolder) {
 	me, view := h.Incarnation(), h.View()
 	ends := h.LeaseEnd()
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.store.SetLease(ends)
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	hs.store.SetLease(ends)
 	if view.Placement == nil || me == (holdings.Incarnation{}) {
 		return
 	}
-	if !view.Is(&c.view) || me != c.me {
-		c.me, c.view = me, view
-		c.address = map[holdings.Incarnation]string{}
+	if !view.Is(&hs.view) || me != hs.me {
+		hs.me, hs.view = me, view
+		hs.addresses = map[holdings.Incarnation]string{}
 		for _, m := range view.Members {
-			c.address[m.Incarnation] = cmp.Or(c.m.conf.Routes[m.Name], c.m.conf.Voters[m.Name], m.Address)
+			hs.addresses[m.Incarnation] = cmp.Or(hs.member.conf.Routes[m.Name], hs.member.conf.Voters[m.Name], m.Address)
 		}
-		c.store.ApplyView(c.now(), me, view.Placement, view.Members)
-		c.dropLines()
+		hs.store.ApplyView(hs.now(), me, view.Placement, view.Members)
+		hs.dropUnusedPools()
 	}
-	c.kick()
+	hs.sendPending()
 }
 
-// says is what the store has to say to the leader.
-func (c *copies) says() ([]holdings.CaughtUp, []holdings.Incarnation) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.store.CaughtUp(), c.store.Unreachable(c.now())
+// leaseReport is what the store has to say to the leader.
+func (hs *holdingsService) leaseReport() ([]holdings.CaughtUp, []holdings.Incarnation) {
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	return hs.store.CaughtUp(), hs.store.Unreachable(hs.now())
 }
 
-// replicas is in how many shards this sidecar has one.
-func (c *copies) replicas() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// countReplicas is in how many shards this sidecar has one.
+func (hs *holdingsService) countReplicas() int {
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
 	n := 0
-	if c.view.Placement != nil {
-		for _, s := range c.view.Placement.Shards {
-			if slices.ContainsFunc(s.Replicas, func(replica holdings.Replica) bool { return replica.Incarnation == c.me }) {
+	if hs.view.Placement != nil {
+		for _, s := range hs.view.Placement.Shards {
+			if slices.ContainsFunc(s.Replicas, func(replica holdings.Replica) bool { return replica.Incarnation == hs.me }) {
 				n++
 			}
 		}
@@ -142,100 +142,100 @@
 }
 
 // run ends what is over, until stop.
-func (c *copies) run() {
+func (hs *holdingsService) run() {
 	for {
-		c.m.world.Sleep(tickHoldings)
-		c.mu.Lock()
-		if c.ended {
-			c.mu.Unlock()
+		hs.member.env.Sleep(holdingsTick)
+		hs.mu.Lock()
+		if hs.stopped {
+			hs.mu.Unlock()
 			return
 		}
-		c.store.Tick(c.now())
-		c.kick()
-		c.mu.Unlock()
+		hs.store.Tick(hs.now())
+		hs.sendPending()
+		hs.mu.Unlock()
 	}
 }
 
-// dropLines ends connections to addresses that no member has any more. The lock is held.
-func (c *copies) dropLines() {
+// dropUnusedPools ends connections to addresses that no member has any more. The lock is held.
+func (hs *holdingsService) dropUnusedPools() {
 	in := map[string]bool{}
-	for _, address := range c.address {
+	for _, address := range hs.addresses {
 		in[address] = true
 	}
-	for address, l := range c.lines {
+	for address, l := range hs.pools {
 		if !in[address] {
 			l.close()
-			delete(c.lines, address)
+			delete(hs.pools, address)
 		}
 	}
 }
 
-func (c *copies) over() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ended
+func (hs *holdingsService) isStopped() bool {
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	return hs.stopped
 }
 
-func (c *copies) stop() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.ended = true
-	for _, l := range c.lines {
+func (hs *holdingsService) stop() {
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	hs.stopped = true
+	for _, l := range hs.pools {
 		l.close()
 	}
 }
 
-// kick has said what there is to say. The lock is held.
-func (c *copies) kick() {
-	if c.ended {
+// sendPending has said what there is to say. The lock is held.
+func (hs *holdingsService) sendPending() {
+	if hs.stopped {
 		return
 	}
-	for _, to := range c.store.PendingPeers() {
-		if b := c.store.NextBatch(c.now(), to.Incarnation); b != nil {
-			address := c.address[to.Incarnation]
-			c.m.world.Go("copy", func() { c.say(to.Incarnation, address, b) })
+	for _, to := range hs.store.PendingPeers() {
+		if b := hs.store.NextBatch(hs.now(), to.Incarnation); b != nil {
+			address := hs.addresses[to.Incarnation]
+			hs.member.env.Go("copy", func() { hs.sendBatches(to.Incarnation, address, b) })
 		}
 	}
 }
 
-// say says batches to one sidecar until there are none.
-func (c *copies) say(to holdings.Incarnation, address string, b *holdings.Batch) {
+// sendBatches says batches to one sidecar until there are none.
+func (hs *holdingsService) sendBatches(to holdings.Incarnation, address string, b *holdings.Batch) {
 	for b != nil {
 		var answer *holdings.BatchReply
 		got := holdings.BatchReply{}
-		err := c.call(address, "hold-store", b, &got, storeTime)
+		err := hs.call(address, "hold-store", b, &got, storeTimeout)
 		if err == nil {
 			answer = &got
 		} else {
-			c.m.world.Sleep(askPause)
+			hs.member.env.Sleep(minRetryDelay)
 		}
-		c.mu.Lock()
-		c.store.BatchDone(c.now(), to, b, answer)
+		hs.mu.Lock()
+		hs.store.BatchDone(hs.now(), to, b, answer)
 		b = nil
-		if !c.ended {
-			b = c.store.NextBatch(c.now(), to)
+		if !hs.stopped {
+			b = hs.store.NextBatch(hs.now(), to)
 		}
-		c.kick()
-		c.mu.Unlock()
+		hs.sendPending()
+		hs.mu.Unlock()
 	}
 }
 
 // call says one thing on a connection of its own.
-func (c *copies) call(address, kind string, body, answer any, within time.Duration) error {
-	c.mu.Lock()
-	l := c.lines[address]
+func (hs *holdingsService) call(address, kind string, body, answer any, within time.Duration) error {
+	hs.mu.Lock()
+	l := hs.pools[address]
 	if l == nil {
-		l = &lines{free: make(chan *peerrpc.Client, mostLines)}
-		c.lines[address] = l
+		l = &clientPool{free: make(chan *peerrpc.Client, maxClientsPerPeer)}
+		hs.pools[address] = l
 	}
-	c.mu.Unlock()
-	line, err := l.take(c, address, within)
+	hs.mu.Unlock()
+	line, err := l.get(hs, address, within)
 	if err != nil {
 		return err
 	}
 	err = line.Call(kind, body, answer, within)
 	l.free <- line // there is room for all that are made
-	if l.ended.Load() {
+	if l.closed.Load() {
 		l.close()
 	}
 	return err
@@ -243,20 +243,20 @@
 
 var errBusy = errors.New("all connections to it are busy")
 
-func (l *lines) take(c *copies, address string, within time.Duration) (*peerrpc.Client, error) {
+func (p *clientPool) get(c *holdingsService, address string, within time.Duration) (*peerrpc.Client, error) {
 	select {
-	case line := <-l.free:
+	case line := <-p.free:
 		return line, nil
 	default:
 	}
-	if l.made.Add(1) <= mostLines {
-		return peerrpc.NewClient(c.m.world, c.m.conf.Name, c.m.holder.Self.Name, address), nil
+	if p.made.Add(1) <= maxClientsPerPeer {
+		return peerrpc.NewClient(c.member.env, c.member.conf.Name, c.member.holder.Self.Name, address), nil
 	}
-	l.made.Add(-1)
-	timer := c.m.world.NewTimer(within)
+	p.made.Add(-1)
+	timer := c.member.env.NewTimer(within)
 	defer timer.Stop()
 	select {
-	case line := <-l.free:
+	case line := <-p.free:
 		return line, nil
 	case <-timer.C():
 		return nil, errBusy
@@ -264,11 +264,11 @@
 }
 
 // close ends those that are not at work, and has the others end when they are done.
-func (l *lines) close() {
-	l.ended.Store(true)
+func (p *clientPool) close() {
+	p.closed.Store(true)
 	for {
 		select {
-		case line := <-l.free:
+		case line := <-p.free:
 			line.Close()
 		default:
 			return
@@ -277,7 +277,7 @@
 }
 
 // handlers answer peers.
-func (c *copies) handlers() map[string]peerrpc.Handler {
+func (hs *holdingsService) handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"hold-ask": func(_ string, body []byte) (any, error) {
 			var a holdings.Command
@@ -287,17 +287,17 @@
 			if err := a.Check(); err != nil {
 				return nil, fmt.Errorf("hold-ask: %w", err)
 			}
-			return c.answer(&a), nil
+			return hs.handleCommand(&a), nil
 		},
 		"hold-show": func(_ string, body []byte) (any, error) {
 			var key holdings.Key
 			if err := peerrpc.Decode(body, &key); err != nil {
 				return nil, fmt.Errorf("hold-show: malformed: %w", err)
 			}
-			c.mu.Lock()
-			defer c.mu.Unlock()
+			hs.mu.Lock()
+			defer hs.mu.Unlock()
 			var s KeyState
-			s.Entry, s.Found = c.store.Peek(c.now(), key)
+			s.Entry, s.Found = hs.store.Peek(hs.now(), key)
 			return s, nil
 		},
 		"hold-store": func(_ string, body []byte) (any, error) {
@@ -305,9 +305,9 @@
 			if err := peerrpc.Decode(body, &b); err != nil {
 				return nil, fmt.Errorf("hold-store: malformed: %w", err)
 			}
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			answer := c.store.HandleBatch(c.now(), &b)
+			hs.mu.Lock()
+			defer hs.mu.Unlock()
+			answer := hs.store.HandleBatch(hs.now(), &b)
 			if answer == nil {
 				return nil, errors.New("hold-store: for another incarnation than the present one")
 			}
@@ -322,14 +322,14 @@
 	Entry holdings.Entry `cbor:"2,keyasint"`
 }
 
-// answer answers an owner's ask as the primary.
-func (c *copies) answer(a *holdings.Command) holdings.Answer {
+// handleCommand answers an owner's ask as the primary.
+func (hs *holdingsService) handleCommand(a *holdings.Command) holdings.Answer {
 	got := make(chan holdings.Answer, 1)
-	c.mu.Lock()
-	c.store.Handle(c.now(), a, func(answer holdings.Answer) { got <- answer })
-	c.kick()
-	c.mu.Unlock()
-	timer := c.m.world.NewTimer(askTime)
+	hs.mu.Lock()
+	hs.store.Handle(hs.now(), a, func(answer holdings.Answer) { got <- answer })
+	hs.sendPending()
+	hs.mu.Unlock()
+	timer := hs.member.env.NewTimer(commandTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-got:
@@ -339,35 +339,35 @@
 	}
 }
 
-// ask says an owner's word to the primary of its key, again and again, until there is an answer that more asking does not
+// execute says an owner's word to the primary of its key, again and again, until there is an answer that more asking does not
 // change, or the time is over: then it returns the last one. A running request is asked for until it ends.
-func (c *copies) ask(a *holdings.Command, until time.Time) holdings.Answer {
-	pause := askPause
+func (hs *holdingsService) execute(a *holdings.Command, until time.Time) holdings.Answer {
+	pause := minRetryDelay
 	for {
-		answer := c.askOnce(a, until)
+		answer := hs.executeOnce(a, until)
 		switch answer.Kind {
 		case holdings.AnswerNotPrimary, holdings.AnswerTooFewReplicas, holdings.AnswerRunning, holdings.AnswerNone:
 		default:
 			return answer
 		}
-		if left := until.Sub(c.m.world.Now()); left <= pause || c.over() {
+		if left := until.Sub(hs.member.env.Now()); left <= pause || hs.isStopped() {
 			return answer
 		}
-		c.m.world.Sleep(pause)
-		pause = min(2*pause, longPause)
+		hs.member.env.Sleep(pause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-func (c *copies) askOnce(a *holdings.Command, until time.Time) holdings.Answer {
-	c.mu.Lock()
-	primary, address, me := holdings.Incarnation{}, "", c.me
-	if c.view.Placement != nil {
-		if replicas := c.view.Placement.Shards[a.Key.Shard()].Replicas; len(replicas) > 0 {
+func (hs *holdingsService) executeOnce(a *holdings.Command, until time.Time) holdings.Answer {
+	hs.mu.Lock()
+	primary, address, me := holdings.Incarnation{}, "", hs.me
+	if hs.view.Placement != nil {
+		if replicas := hs.view.Placement.Shards[a.Key.Shard()].Replicas; len(replicas) > 0 {
 			primary = replicas[0].Incarnation
-			address = c.address[primary]
+			address = hs.addresses[primary]
 		}
 	}
-	c.mu.Unlock()
+	hs.mu.Unlock()
 	if a.Op == holdings.OpClaim && a.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
 		a.Owner = me
 	}
@@ -375,103 +375,103 @@
 	case address == "" || a.Owner == (holdings.Incarnation{}):
 		return holdings.Answer{Kind: holdings.AnswerNotPrimary}
 	case primary == me:
-		return c.answer(a)
+		return hs.handleCommand(a)
 	}
 	var answer holdings.Answer
-	if err := c.call(address, "hold-ask", a, &answer, min(askTime, until.Sub(c.m.world.Now()))); err != nil {
+	if err := hs.call(address, "hold-ask", a, &answer, min(commandTimeout, until.Sub(hs.member.env.Now()))); err != nil {
 		return holdings.Answer{Kind: holdings.AnswerNone}
 	}
 	return answer
 }
 
 // Holds is pipeline.Holdings'.
-func (c *copies) Holds(class string) bool {
-	_, does := c.classes[class]
+func (hs *holdingsService) Holds(class string) bool {
+	_, does := hs.classes[class]
 	return does
 }
 
 // claim is one claim of a request's key.
 type claim struct {
-	c     *copies
-	class heldClass
-	ask   holdings.Command
+	service *holdingsService
+	class   heldClass
+	command holdings.Command
 }
 
 // Claim is pipeline.Holdings'.
-func (c *copies) Claim(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
-	class := c.classes[message.Class]
-	until := c.m.world.Now().Add(within)
+func (hs *holdingsService) Claim(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
+	class := hs.classes[message.Class]
+	until := hs.member.env.Now().Add(within)
 	a := holdings.Command{
 		Op: holdings.OpClaim, Key: holdings.Key{Class: message.Class, Tenant: message.Tenant, Text: message.Key},
-		Claim: c.claims.Add(1), Fingerprint: print, Lifetime: within,
+		Claim: hs.lastClaim.Add(1), Fingerprint: print, Lifetime: within,
 	}
 	// What is left must be enough to send the request, and to keep its outcome.
-	answer := c.ask(&a, until.Add(-within/4))
+	answer := hs.execute(&a, until.Add(-within/4))
 	var bound time.Duration
 	if answer.Kind == holdings.AnswerUnknown {
-		left := until.Sub(c.m.world.Now())
-		if !holdings.MayRepeat(&class.Class, answer.Age, left, c.m.conf.Params.Drift) {
-			return c.refuse(&a, answer)
+		left := until.Sub(hs.member.env.Now())
+		if !holdings.MayRepeat(&class.Class, answer.Age, left, hs.member.conf.Params.Drift) {
+			return hs.refuse(&a, answer)
 		}
 		bound = left
 		a.Op, a.Rev, a.Lifetime = holdings.OpReclaim, answer.Rev, left
-		answer = c.ask(&a, until.Add(-left/4))
+		answer = hs.execute(&a, until.Add(-left/4))
 	}
 	switch answer.Kind {
 	case holdings.AnswerOK:
-		c.open.Add(1)
-		return pipeline.ClaimResult{Claim: &claim{c, class, a}, AttemptsWithin: bound}
+		hs.claimed.Add(1)
+		return pipeline.ClaimResult{Claim: &claim{hs, class, a}, AttemptsWithin: bound}
 	case holdings.AnswerFinished:
-		c.was.Add(1)
-		return pipeline.ClaimResult{Answer: kept(answer.Outcome)}
+		hs.known.Add(1)
+		return pipeline.ClaimResult{Answer: keptAnswer(answer.Outcome)}
 	case holdings.AnswerMismatch:
 		return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Malformed, Reason: "key: it came with another request before"}}
 	case holdings.AnswerRunning, holdings.AnswerUnknown, holdings.AnswerFenced:
-		return c.refuse(&a, answer)
+		return hs.refuse(&a, answer)
 	}
-	c.alone.Add(1)
+	hs.alone.Add(1)
 	if class.alone == operator.ProceedAlone {
 		return pipeline.ClaimResult{}
 	}
 	if answer.Kind == holdings.AnswerNone && a.Op == holdings.OpClaim { // else it was out before
 		a.Op = holdings.OpDrop
-		c.later(a)
+		hs.executeInBackground(a)
 	}
-	return c.refuse(&a, answer)
+	return hs.refuse(&a, answer)
 }
 
-// later goes on asking when the request's own time is over. Guards against keys that stay unclear though their owner knows what
+// executeInBackground goes on asking when the request's own time is over. Guards against keys that stay unclear though their owner knows what
 // came of them, because the primary was lost at the wrong moment: a claim that nobody confirmed, an outcome that nobody copied.
-func (c *copies) later(a holdings.Command) {
-	if c.asking.Add(1) > mostLater {
-		c.asking.Add(-1)
+func (hs *holdingsService) executeInBackground(a holdings.Command) {
+	if hs.background.Add(1) > maxBackground {
+		hs.background.Add(-1)
 		return
 	}
-	c.m.world.Go("later", func() {
-		defer c.asking.Add(-1)
-		c.ask(&a, c.m.world.Now().Add(laterTime))
+	hs.member.env.Go("later", func() {
+		defer hs.background.Add(-1)
+		hs.execute(&a, hs.member.env.Now().Add(backgroundTimeout))
 	})
 }
 
 // refuse refuses a request. A kind of reason is logged once a while.
-func (c *copies) refuse(a *holdings.Command, why holdings.Answer) pipeline.ClaimResult {
-	c.refused.Add(1)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if now := c.m.world.Now(); now.Sub(c.told[why.Kind]) >= refusalEvery {
-		c.told[why.Kind] = now
+func (hs *holdingsService) refuse(a *holdings.Command, why holdings.Answer) pipeline.ClaimResult {
+	hs.refused.Add(1)
+	hs.mu.Lock()
+	defer hs.mu.Unlock()
+	if now := hs.member.env.Now(); now.Sub(hs.refusalLogged[why.Kind]) >= refusalLogEvery {
+		hs.refusalLogged[why.Kind] = now
 		shard := a.Key.Shard()
-		ev := c.m.log.Warn().Stringer("why", why.Kind).Str("class", a.Key.Class).Int("shard", shard).Dur("age", why.Age)
-		if c.view.Placement != nil {
-			ev = ev.Uint64("ballot", c.view.Placement.Shards[shard].Config).Int("seats", len(c.view.Placement.Shards[shard].Replicas))
+		ev := hs.member.log.Warn().Stringer("why", why.Kind).Str("class", a.Key.Class).Int("shard", shard).Dur("age", why.Age)
+		if hs.view.Placement != nil {
+			ev = ev.Uint64("ballot", hs.view.Placement.Shards[shard].Config).Int("seats", len(hs.view.Placement.Shards[shard].Replicas))
 		}
 		ev.Msg("a held request is refused")
 	}
-	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: returnAfter}}
+	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: refusedRetryAfter}}
 }
 
-// kept is the answer that a request had.
-func kept(o *holdings.Outcome) *httpwire.Answer {
+// keptAnswer is the answer that a request had.
+func keptAnswer(o *holdings.Outcome) *httpwire.Answer {
 	if o == nil || o.TooLong {
 		return &httpwire.Answer{Verdict: httpwire.Failed}
 	}
@@ -479,22 +479,22 @@
 }
 
 // MayWrite is pipeline.Hold's: the lease holds, and this is the incarnation that claimed.
-func (h *claim) MayWrite() bool {
-	if h.c.m.Effective().Cautious {
+func (cl *claim) MayWrite() bool {
+	if cl.service.member.Effective().Cautious {
 		return false
 	}
-	h.c.mu.Lock()
-	defer h.c.mu.Unlock()
-	return h.c.me == h.ask.Owner
+	cl.service.mu.Lock()
+	defer cl.service.mu.Unlock()
+	return cl.service.me == cl.command.Owner
 }
 
 // Finish is pipeline.Hold's.
-func (h *claim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
-	a := h.ask
+func (cl *claim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+	a := cl.command
 	switch {
 	case answer.Verdict == httpwire.Served:
 		a.Op, a.Outcome = holdings.OpFinish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
-		if answer.Stream != nil || len(answer.Body) > h.c.body {
+		if answer.Stream != nil || len(answer.Body) > cl.service.maxBody {
 			a.Outcome = &holdings.Outcome{TooLong: true}
 		}
 	case ran:
@@ -502,15 +502,15 @@
 	default:
 		a.Op = holdings.OpDrop
 	}
-	got := h.c.ask(&a, h.c.m.world.Now().Add(within))
+	got := cl.service.execute(&a, cl.service.member.env.Now().Add(within))
 	if got.Kind != holdings.AnswerOK && got.Kind != holdings.AnswerFenced {
-		h.c.later(a)
+		cl.service.executeInBackground(a)
 	}
 	if answer.Verdict != httpwire.Served || got.Kind == holdings.AnswerOK {
 		return answer
 	}
-	h.c.alone.Add(1)
-	if h.class.alone == operator.ProceedAlone && got.Kind != holdings.AnswerFenced {
+	cl.service.alone.Add(1)
+	if cl.class.alone == operator.ProceedAlone && got.Kind != holdings.AnswerFenced {
 		return answer
 	}
 	if answer.Stream != nil {
@@ -519,19 +519,19 @@
 	return httpwire.Answer{Verdict: httpwire.Failed, Reserved: answer.Reserved}
 }
 
-// figures appends those of what is held.
-func (c *copies) figures(text []byte) []byte {
-	c.mu.Lock()
-	entries, bytes := c.store.Entries, c.store.Bytes
-	c.mu.Unlock()
+// appendMetrics appends those of what is held.
+func (hs *holdingsService) appendMetrics(text []byte) []byte {
+	hs.mu.Lock()
+	entries, bytes := hs.store.Entries, hs.store.Bytes
+	hs.mu.Unlock()
 	for _, f := range []struct {
 		name  string
 		value int64
 		kind  byte
 	}{
 		{"held_entries", int64(entries), metrics.Gauge}, {"held_bytes", int64(bytes), metrics.Gauge},
-		{"held_claims", c.open.Load(), metrics.Counter}, {"held_known", c.was.Load(), metrics.Counter},
-		{"held_refused", c.refused.Load(), metrics.Counter}, {"held_alone", c.alone.Load(), metrics.Counter},
+		{"held_claims", hs.claimed.Load(), metrics.Counter}, {"held_known", hs.known.Load(), metrics.Counter},
+		{"held_refused", hs.refused.Load(), metrics.Counter}, {"held_alone", hs.alone.Load(), metrics.Counter},
 	} {
 		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
--- a/internal/cluster/member/holdings_test.go
+++ b/internal/cluster/member/holdings_test.go
@@ -39,7 +39,7 @@
 	} {
 		table, conf := good()
 		spoil(&table, conf)
-		_, err := newCopies(&Member{conf: table}, conf)
+		_, err := newHoldingsService(&Member{conf: table}, conf)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	h := cluster.NewLeaseHolder(of(1), conf, versions.FromSettings(&decide.Settings{}), 0)
-	c := &copies{m: &Member{world: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), lines: map[string]*lines{}}
+	c := &holdingsService{member: &Member{env: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), pools: map[string]*clientPool{}}
 	at := time.Second
 	renew := func() {
 		at += time.Millisecond
@@ -77,20 +77,20 @@
 		if _, err := h.HandleGrant(at, &grant); err != nil || !grant.Granted {
 			t.Fatal(err, grant.Reason)
 		}
-		c.learn(h)
+		c.update(h)
 	}
 	renew()
 	before := c.view.Placement
 	enter(2)
 	renew()
-	if who := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.address[who] != "127.0.0.1:2" || c.view.Placement != before {
-		t.Errorf("addresses %v after %+v came in", c.address, who)
+	if who := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.addresses[who] != "127.0.0.1:2" || c.view.Placement != before {
+		t.Errorf("addresses %v after %+v came in", c.addresses, who)
 	}
 	if err := l.Apply(&cluster.Entry{Leave: []cluster.Member{of(2)}}); err != nil {
 		t.Fatal(err)
 	}
 	renew()
-	if len(c.address) != 1 {
-		t.Errorf("addresses %v after m2 has gone", c.address)
+	if len(c.addresses) != 1 {
+		t.Errorf("addresses %v after m2 has gone", c.addresses)
 	}
 }
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -27,42 +27,42 @@
 
 // Figures of a member.
 const (
-	leaveTime = 500 * time.Millisecond // for the word that this process ends
-	// moveTime is how long a process that ends waits for others to take over what it holds: platforms give 10 s or more before
+	leaveTimeout = 500 * time.Millisecond // for the word that this process ends
+	// decommissionTimeout is how long a process that ends waits for others to take over what it holds: platforms give 10 s or more before
 	// they kill, and its callers' answers have gone by then.
-	moveTime = 4 * time.Second
+	decommissionTimeout = 4 * time.Second
 )
 
 // Member is a sidecar's part in a crew.
 type Member struct {
-	conf   operator.Cluster
-	world  env.Env
-	log    zerolog.Logger
-	server *peerrpc.Server
-	keeper *voter.Voter               // nil where this sidecar is none
-	lines  map[string]*peerrpc.Client // to keepers, by name
+	conf         operator.Cluster
+	env          env.Env
+	log          zerolog.Logger
+	server       *peerrpc.Server
+	voter        *voter.Voter               // nil where this sidecar is none
+	voterClients map[string]*peerrpc.Client // to keepers, by name
 
-	mu         sync.Mutex
-	holder     *cluster.LeaseHolder // guarded by mu, as the seeker is
-	seeker     *cluster.LeaseRenewer
-	generation uint64
-	warned     string // the last reason that was logged; guarded by mu
-	differed   bool   // it was logged that changes of members and placement could not be taken; guarded by mu
-	acting     atomic.Pointer[acted]
-	heard      chan struct{} // closed by the first word of a leader
-	halt       chan struct{}
-	ended      chan struct{}
+	mu            sync.Mutex
+	holder        *cluster.LeaseHolder // guarded by mu, as the seeker is
+	renewer       *cluster.LeaseRenewer
+	generation    uint64
+	lastWarning   string // the last reason that was logged; guarded by mu
+	viewErrLogged bool   // it was logged that changes of members and placement could not be taken; guarded by mu
+	effective     atomic.Pointer[effectiveState]
+	firstAnswer   chan struct{} // closed by the first word of a leader
+	stopRequested chan struct{}
+	ended         chan struct{}
 
-	renewals, refused, lost atomic.Int64
+	renewals, refused, noLeader atomic.Int64
 
-	copies *copies // nil where nothing is held
+	holdings *holdingsService // nil where nothing is held
 }
 
-// acted is what is acted on until a time.
-type acted struct {
+// effectiveState is what is acted on until a time.
+type effectiveState struct {
 	pipeline.EffectiveRules
-	stance cluster.EffectiveRules
-	until  cluster.BootTime // of the lease; what stands here holds no longer
+	versions cluster.EffectiveRules
+	until    cluster.BootTime // of the lease; what stands here holds no longer
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
@@ -70,43 +70,43 @@
 	log = log.With().Str("crew", table.Name).Logger()
 	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, world: world, log: log, lines: map[string]*peerrpc.Client{},
-		holder: cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
-		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
+		conf: table, env: world, log: log, voterClients: map[string]*peerrpc.Client{},
+		holder:      cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
+		firstAnswer: make(chan struct{}), stopRequested: make(chan struct{}), ended: make(chan struct{}),
 	}
 	m.publish(world.BootTime())
 	var err error
 	if table.Params.Holdings.Copies > 0 {
-		if m.copies, err = newCopies(m, conf); err != nil {
+		if m.holdings, err = newHoldingsService(m, conf); err != nil {
 			return nil, err
 		}
 	}
 	if m.server, err = peerrpc.Listen(world, table.Address, table.Name); err != nil {
 		return nil, err
 	}
-	handlers := map[string]peerrpc.Handler{"acting": m.tellActing}
+	handlers := map[string]peerrpc.Handler{"acting": m.handleActing}
 	if _, is := table.Voters[conf.Name]; is {
 		if table.DataDir == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
-		m.keeper, err = voter.Open(voter.Conf{
+		m.voter, err = voter.Open(voter.Conf{
 			Cluster: table.Name, Name: conf.Name, Voters: table.Voters, Params: table.Params, DataDir: table.DataDir,
 		}, world, log)
 		if err != nil {
 			m.server.Close()
 			return nil, err
 		}
-		maps.Copy(handlers, m.keeper.Handlers())
-		world.Go("keeper", m.keeper.Run)
+		maps.Copy(handlers, m.voter.Handlers())
+		world.Go("keeper", m.voter.Run)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Voters)) {
-		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
+		m.voterClients[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
 	}
-	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
-	if m.copies != nil {
-		maps.Copy(handlers, m.copies.handlers())
-		world.Go("holdings", m.copies.run)
+	m.renewer = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
+	if m.holdings != nil {
+		maps.Copy(handlers, m.holdings.handlers())
+		world.Go("holdings", m.holdings.run)
 	}
 	m.server.Serve(world, handlers)
 	world.Go("lease", m.run)
@@ -115,7 +115,7 @@
 	timer := world.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
-	case <-m.heard:
+	case <-m.firstAnswer:
 	case <-timer.C():
 		log.Warn().Msg("no word from the crew yet: serving cautiously, without the bans of its version")
 	}
@@ -125,35 +125,35 @@
 // Effective is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
 // acts.
 func (m *Member) Effective() *pipeline.EffectiveRules {
-	a := m.acting.Load()
-	if now := m.world.BootTime(); now >= a.until && !a.Cautious {
+	a := m.effective.Load()
+	if now := m.env.BootTime(); now >= a.until && !a.Cautious {
 		return &m.publish(now).EffectiveRules
 	}
 	return &a.EffectiveRules
 }
 
 // publish puts in force what the holder says, if it differs.
-func (m *Member) publish(now cluster.BootTime) *acted {
+func (m *Member) publish(now cluster.BootTime) *effectiveState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publishLocked(now)
 }
 
-func (m *Member) publishLocked(now cluster.BootTime) *acted {
+func (m *Member) publishLocked(now cluster.BootTime) *effectiveState {
 	stance := m.holder.Effective(now)
-	before := m.acting.Load()
-	if before != nil && before.Cautious == stance.Cautious && before.stance.Active == stance.Active &&
-		before.stance.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
+	before := m.effective.Load()
+	if before != nil && before.Cautious == stance.Cautious && before.versions.Active == stance.Active &&
+		before.versions.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
 		next := *before // the same, for longer
-		next.until, next.stance.Epoch = m.holder.LeaseEnd(), stance.Epoch
-		m.acting.Store(&next)
+		next.until, next.versions.Epoch = m.holder.LeaseEnd(), stance.Epoch
+		m.effective.Store(&next)
 		return &next
 	}
 	m.generation++
-	next := &acted{stance: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
+	next := &effectiveState{versions: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
 		Generation: m.generation, Dynamic: stance.Rules.DynamicSettings(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
 	}}
-	m.acting.Store(next)
+	m.effective.Store(next)
 	ev := m.log.Info()
 	if stance.Cautious {
 		ev = m.log.Warn()
@@ -167,45 +167,45 @@
 func (m *Member) run() {
 	defer close(m.ended)
 	heartbeat := m.conf.Params.Lease / cluster.HeartbeatsPerLease
-	timer := m.world.NewTimer(0)
+	timer := m.env.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-m.halt:
+		case <-m.stopRequested:
 			return
 		case <-timer.C():
 		}
 		m.mu.Lock()
-		m.seeker.StartHeartbeat()
+		m.renewer.StartHeartbeat()
 		m.mu.Unlock()
-		for m.ask() {
+		for m.renewOnce() {
 		}
 		m.Effective() // an end of the lease is told when it comes, not with the next request
 		timer.Reset(heartbeat)
 	}
 }
 
-// ask asks one keeper for the lease. It tells whether to ask again at once.
-func (m *Member) ask() (again bool) {
+// renewOnce asks one keeper for the lease. It tells whether to ask again at once.
+func (m *Member) renewOnce() (again bool) {
 	m.mu.Lock()
-	if m.copies != nil {
-		m.holder.CaughtUp, m.holder.Unreachable = m.copies.says()
+	if m.holdings != nil {
+		m.holder.CaughtUp, m.holder.Unreachable = m.holdings.leaseReport()
 	}
-	name, r := m.seeker.NextRequest(m.world.BootTime())
+	name, r := m.renewer.NextRequest(m.env.BootTime())
 	m.mu.Unlock()
 	var reply voter.RenewResult
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
+	if err := m.voterClients[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
 		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.seeker.HandleResponse(m.world.BootTime(), reply.Grant, reply.Leader)
+	next := m.renewer.HandleResponse(m.env.BootTime(), reply.Grant, reply.Leader)
 	if next.Done {
 		m.renewals.Add(1)
 	}
 	switch {
 	case errors.Is(next.Err, cluster.ErrNoLeader):
-		m.lost.Add(1)
+		m.noLeader.Add(1)
 		return false
 	case next.Err != nil:
 		m.warn("the crew's word can't be taken", next.Err.Error())
@@ -213,22 +213,22 @@
 	case !next.Done:
 		return next.RenewNow
 	}
-	m.publishLocked(m.world.BootTime())
-	if m.copies != nil {
-		m.copies.learn(m.holder)
+	m.publishLocked(m.env.BootTime())
+	if m.holdings != nil {
+		m.holdings.update(m.holder)
 	}
-	if err := m.holder.ViewErr(); err != nil && !m.differed {
-		m.differed = true // once for a process: what can't be taken is asked for whole
+	if err := m.holder.ViewErr(); err != nil && !m.viewErrLogged {
+		m.viewErrLogged = true // once for a process: what can't be taken is asked for whole
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
 	select {
-	case <-m.heard:
+	case <-m.firstAnswer:
 	default:
-		close(m.heard)
+		close(m.firstAnswer)
 	}
 	switch {
 	case reply.Grant.Granted:
-		m.warned = ""
+		m.lastWarning = ""
 	case next.Reason != "":
 		m.warn("the crew grants no lease", next.Reason)
 		fallthrough
@@ -240,8 +240,8 @@
 
 // warn writes a line, but not the same one with each heartbeat.
 func (m *Member) warn(what, why string) {
-	if key, _, _ := strings.Cut(why, "whose lease"); key != m.warned {
-		m.warned = key
+	if key, _, _ := strings.Cut(why, "whose lease"); key != m.lastWarning {
+		m.lastWarning = key
 		m.log.Warn().Str("why", why).Msg(what)
 	}
 }
@@ -260,39 +260,39 @@
 	Lost     int64    `cbor:"10,keyasint"`
 }
 
-func (m *Member) tellActing(string, []byte) (any, error) {
+func (m *Member) handleActing(string, []byte) (any, error) {
 	a := m.current()
-	acts := m.acts(a)
+	acts := m.statusOf(a)
 	acts.Banned = slices.Sorted(maps.Keys(a.Banned))
 	return acts, nil
 }
 
 // Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
-func (m *Member) Status() Status { return m.acts(m.current()) }
+func (m *Member) Status() Status { return m.statusOf(m.current()) }
 
 // current is what is acted on at this moment.
-func (m *Member) current() *acted {
+func (m *Member) current() *effectiveState {
 	m.Effective()
-	return m.acting.Load()
+	return m.effective.Load()
 }
 
-func (m *Member) acts(a *acted) Status {
+func (m *Member) statusOf(a *effectiveState) Status {
 	return Status{
-		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.stance.Active, Next: a.stance.Next, Epoch: a.stance.Epoch,
-		LeaseMS:  int((a.until - m.world.BootTime()).Milliseconds()),
-		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.lost.Load(),
+		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.versions.Active, Next: a.versions.Next, Epoch: a.versions.Epoch,
+		LeaseMS:  int((a.until - m.env.BootTime()).Milliseconds()),
+		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.noLeader.Load(),
 	}
 }
 
 // Metrics is lifecycle.Crew's.
 func (m *Member) Metrics(text []byte) []byte {
 	m.Effective()
-	a := m.acting.Load()
+	a := m.effective.Load()
 	cautious, leads := int64(0), int64(0)
 	if a.Cautious {
 		cautious = 1
 	}
-	if m.keeper != nil && m.keeper.IsLeader() {
+	if m.voter != nil && m.voter.IsLeader() {
 		leads = 1
 	}
 	for _, f := range []struct {
@@ -300,68 +300,68 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.stance.Active), metrics.Gauge},
-		{"crew_next", int64(a.stance.Next), metrics.Gauge}, {"crew_epoch", int64(a.stance.Epoch), metrics.Gauge},
-		{"crew_lease_ms", max(0, (a.until - m.world.BootTime()).Milliseconds()), metrics.Gauge},
+		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.versions.Active), metrics.Gauge},
+		{"crew_next", int64(a.versions.Next), metrics.Gauge}, {"crew_epoch", int64(a.versions.Epoch), metrics.Gauge},
+		{"crew_lease_ms", max(0, (a.until - m.env.BootTime()).Milliseconds()), metrics.Gauge},
 		{"crew_banned", int64(len(a.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
 		{"crew_renewals", m.renewals.Load(), metrics.Counter}, {"crew_refused", m.refused.Load(), metrics.Counter},
-		{"crew_unheard", m.lost.Load(), metrics.Counter},
+		{"crew_unheard", m.noLeader.Load(), metrics.Counter},
 	} {
 		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
-	if m.copies != nil {
-		text = m.copies.figures(text)
+	if m.holdings != nil {
+		text = m.holdings.appendMetrics(text)
 	}
 	return text
 }
 
 // Holdings is lifecycle.Crew's.
 func (m *Member) Holdings() pipeline.Holdings {
-	if m.copies == nil {
+	if m.holdings == nil {
 		return nil
 	}
-	return m.copies
+	return m.holdings
 }
 
 // Leaving is lifecycle.Crew's.
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Decommissioning = m.copies != nil
+	m.holder.Decommissioning = m.holdings != nil
 }
 
 // leaveReplicas waits, not for long, until others have what this sidecar holds for them.
 func (m *Member) leaveReplicas() {
 	m.Leaving()
-	for limit := m.world.Now().Add(moveTime); m.world.Now().Before(limit); m.world.Sleep(tickHoldings) {
-		if m.copies.replicas() == 0 || m.Effective().Cautious {
+	for limit := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(limit); m.env.Sleep(holdingsTick) {
+		if m.holdings.countReplicas() == 0 || m.Effective().Cautious {
 			return
 		}
 	}
-	m.log.Warn().Int("shards", m.copies.replicas()).Dur("after", moveTime).Msg("leaves with seats that nobody else has taken yet")
+	m.log.Warn().Int("shards", m.holdings.countReplicas()).Dur("after", decommissionTimeout).Msg("leaves with seats that nobody else has taken yet")
 }
 
 // Stop says that this process ends, so that its name is free and nobody waits for its lease, and ends the keeper.
 func (m *Member) Stop() {
-	if m.copies != nil {
+	if m.holdings != nil {
 		m.leaveReplicas()
 	}
-	close(m.halt)
+	close(m.stopRequested)
 	<-m.ended
-	if m.copies != nil {
-		m.copies.stop()
+	if m.holdings != nil {
+		m.holdings.stop()
 	}
 	m.mu.Lock()
-	r, first := m.holder.NextRenewal(), m.seeker.FirstVoter()
+	r, first := m.holder.NextRenewal(), m.renewer.FirstVoter()
 	m.mu.Unlock()
 	r.Leaving = true
 	var reply voter.RenewResult
-	m.lines[first].Call("renew", &r, &reply, leaveTime) //nolint:errcheck // else its lease's end says it
-	for _, l := range m.lines {
+	m.voterClients[first].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // else its lease's end says it
+	for _, l := range m.voterClients {
 		l.Close()
 	}
-	if m.keeper != nil {
-		m.keeper.Stop()
+	if m.voter != nil {
+		m.voter.Stop()
 	}
 	m.server.Close()
 }
--- a/internal/cluster/voter/disk.go
+++ b/internal/cluster/voter/disk.go
@@ -21,22 +21,22 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return disk, path, fmt.Errorf("crew.data: %w", err)
 	}
-	err = guard(func() (err error) {
-		if disk.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime}); err != nil {
+	err = recoverPanics(func() (err error) {
+		if disk.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout}); err != nil {
 			return err
 		}
 		return disk.db.Update(makeBuckets)
 	})
 	switch {
 	case err == nil:
-		return disk, path, syncFolder(dir)
+		return disk, path, syncDir(dir)
 	case errors.Is(err, bbolterr.ErrTimeout):
 		return disk, path, fmt.Errorf("%s: another process uses it; end that first, or give this one a folder of its own", path)
 	}
 	if disk.db != nil {
 		disk.db.Close()
 	}
-	return disk, path, fmt.Errorf("%s: %w: %w; %s", path, errDamaged, err, remedy)
+	return disk, path, fmt.Errorf("%s: %w: %w; %s", path, errDamaged, err, damagedRemedy)
 }
 
 // makeBuckets makes those of a new file. One that has others, or not all, is torn.
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// syncFolder makes the names in a folder durable.
-func syncFolder(dir string) error {
+// syncDir makes the names in a folder durable.
+func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -90,23 +90,23 @@
 // boltTx is a Tx on it.
 type boltTx struct{ tx *bbolt.Tx }
 
-func (t boltTx) of(bucket string) *bbolt.Bucket { return t.tx.Bucket([]byte(bucket)) }
+func (t boltTx) bucketNamed(bucket string) *bbolt.Bucket { return t.tx.Bucket([]byte(bucket)) }
 
 // Get is Tx's.
-func (t boltTx) Get(bucket, key string) []byte { return t.of(bucket).Get([]byte(key)) }
+func (t boltTx) Get(bucket, key string) []byte { return t.bucketNamed(bucket).Get([]byte(key)) }
 
 // Put is Tx's.
 func (t boltTx) Put(bucket, key string, value []byte) error {
-	return t.of(bucket).Put([]byte(key), value)
+	return t.bucketNamed(bucket).Put([]byte(key), value)
 }
 
 // Delete is Tx's.
-func (t boltTx) Delete(bucket, key string) error { return t.of(bucket).Delete([]byte(key)) }
+func (t boltTx) Delete(bucket, key string) error { return t.bucketNamed(bucket).Delete([]byte(key)) }
 
 // From is Tx's.
 func (t boltTx) From(bucket, key string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
-		c := t.of(bucket).Cursor()
+		c := t.bucketNamed(bucket).Cursor()
 		for k, v := c.Seek([]byte(key)); k != nil && yield(string(k), v); k, v = c.Next() {
 		}
 	}
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -15,12 +15,12 @@
 }
 
 // Send is Ways'.
-func (k *Voter) Send(name string, m *raftpb.Message) bool {
-	o := k.out[name]
+func (v *Voter) Send(name string, m *raftpb.Message) bool {
+	o := v.outboxes[name]
 	if o == nil {
 		o = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
-		k.out[name] = o
-		k.world.Go("keeper", func() { k.deliver(o, name) })
+		v.outboxes[name] = o
+		v.env.Go("keeper", func() { v.sendOutbox(o, name) })
 	}
 	select {
 	case o.queue <- m:
@@ -31,24 +31,24 @@
 }
 
 // Announce is Ways': each question has a goroutine and a connection of its own.
-func (k *Voter) Announce(name string, mine Announcement) {
-	k.world.Go("form", func() {
-		line := k.line(name)
+func (v *Voter) Announce(name string, mine Announcement) {
+	v.env.Go("form", func() {
+		line := v.newClient(name)
 		defer line.Close()
 		var theirs Announcement
-		if err := line.Call("form", mine, &theirs, peerTime); err == nil {
-			k.post(func() { k.core.HandleAnnouncement(theirs) })
+		if err := line.Call("form", mine, &theirs, peerTimeout); err == nil {
+			v.post(func() { v.core.HandleAnnouncement(theirs) })
 		}
 	})
 }
 
-func (k *Voter) line(name string) *peerrpc.Client {
-	return peerrpc.NewClient(k.world, k.core.conf.Cluster, k.core.conf.Name, k.core.conf.Voters[name])
+func (v *Voter) newClient(name string) *peerrpc.Client {
+	return peerrpc.NewClient(v.env, v.core.conf.Cluster, v.core.conf.Name, v.core.conf.Voters[name])
 }
 
-// deliver says what is in an outbox until it is closed.
-func (k *Voter) deliver(o *outbox, name string) {
-	line := k.line(name)
+// sendOutbox says what is in an outbox until it is closed.
+func (v *Voter) sendOutbox(o *outbox, name string) {
+	line := v.newClient(name)
 	defer line.Close()
 	refused := ""
 	for m := range o.queue {
@@ -69,13 +69,13 @@
 				}
 			}
 		}
-		err := line.Call("raft", texts, nil, peerTime)
+		err := line.Call("raft", texts, nil, peerTimeout)
 		for _, id := range snapTo {
-			k.post(func() { k.core.SnapshotReported(id, err == nil) })
+			v.post(func() { v.core.SnapshotReported(id, err == nil) })
 		}
 		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != refused {
 			refused = err.Error() // once, not with each message
-			k.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
+			v.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
 		}
 	}
 }
--- a/internal/cluster/voter/clear_test.go
+++ b/internal/cluster/voter/startcheck_test.go
@@ -23,7 +23,7 @@
 	}
 	k := opened.core
 	t.Cleanup(func() { k.store.close() })
-	if err := k.found(map[string]uint64{"a": k.store.who.ID, "b": 2, "c": 3}); err != nil {
+	if err := k.bootstrap(map[string]uint64{"a": k.store.identity.ID, "b": 2, "c": 3}); err != nil {
 		t.Fatal(err)
 	}
 	term := uint64(4)
@@ -32,8 +32,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := k.Start(); err != nil || k.clearing == nil {
-		t.Fatalf("%v, clearing %v", err, k.clearing)
+	if err := k.Start(); err != nil || k.startCheck == nil {
+		t.Fatalf("%v, clearing %v", err, k.startCheck)
 	}
 	return k
 }
@@ -46,18 +46,18 @@
 // Guards against a folder that was set back to an earlier copy: two leaders of one term came of one in a storm, since it
 // voted a second time.
 func TestFolderSetBackIsFound(t *testing.T) {
-	for name, seen := range map[string]past{"it held more": {Term: 4, Index: 9}, "it spoke in a later term": {Term: 5, Index: 5}} {
+	for name, seen := range map[string]observedProgress{"it held more": {Term: 4, Index: 9}, "it spoke in a later term": {Term: 5, Index: 5}} {
 		k := started(t)
-		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
-		if k.fail == nil || !strings.Contains(k.fail.Error(), "set back to an earlier copy") {
-			t.Errorf("%s: %v", name, k.fail)
+		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]observedProgress{k.store.identity.ID: seen}})
+		if k.failure == nil || !strings.Contains(k.failure.Error(), "set back to an earlier copy") {
+			t.Errorf("%s: %v", name, k.failure)
 		}
 	}
-	for name, seen := range map[string]past{"it is as it was": {Term: 4, Index: 5}, "what it held more of was overwritten since": {Term: 3, Index: 9}} {
+	for name, seen := range map[string]observedProgress{"it is as it was": {Term: 4, Index: 5}, "what it held more of was overwritten since": {Term: 3, Index: 9}} {
 		k := started(t)
-		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]past{k.store.who.ID: seen}})
-		if k.fail != nil {
-			t.Errorf("%s: %v", name, k.fail)
+		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]observedProgress{k.store.identity.ID: seen}})
+		if k.failure != nil {
+			t.Errorf("%s: %v", name, k.failure)
 		}
 	}
 }
@@ -68,16 +68,16 @@
 	k := started(t)
 	hash := k.conf.Params.Hash()
 	k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: hash, Term: 6, End: logEnd{4, 5}})
-	if k.takesPart() {
+	if k.startCheckDone() {
 		t.Fatal("one of two others is not enough: that other may be the one that a vote was not given to")
 	}
 	ask := vote(7, 6, 8)
-	ask.To = &k.store.who.ID
+	ask.To = &k.store.identity.ID
 	if err := k.HandleMessages("b", []*raftpb.Message{ask}); err != nil || k.node.BasicStatus().HardState.GetTerm() != 4 {
 		t.Errorf("it heeds a candidate before it takes part: %v", err)
 	}
 	k.HandleAnnouncement(Announcement{Name: "c", ID: 3, ParamsHash: hash, Term: 5, End: logEnd{6, 8}})
-	if !k.takesPart() {
+	if !k.startCheckDone() {
 		t.Fatal("it has heard both others and takes no part")
 	}
 	if term := k.node.BasicStatus().HardState.GetTerm(); term != 6 {
@@ -97,29 +97,29 @@
 			t.Errorf("%v: %v", c.m, got)
 		}
 	}
-	if k.maySay(vote(7, 4, 5)) {
+	if k.maySend(vote(7, 4, 5)) {
 		t.Error("it asks for votes with a log that lacks what c has")
 	}
 	// Guards against a keeper that waits for good for the end of a log that went with its folder.
-	k.spoke[3] = k.clock.Now()
+	k.lastHeard[3] = k.clock.Now()
 	back := Announcement{Name: "c", ID: 33, ParamsHash: hash}
-	if k.HandleAnnouncement(back); !k.atLeast.before(logEnd{6, 9}) || k.atLeast.before(logEnd{6, 8}) {
-		t.Errorf("bound by %v while c was heard of a moment ago", k.atLeast)
+	if k.HandleAnnouncement(back); !k.minLogEnd.before(logEnd{6, 9}) || k.minLogEnd.before(logEnd{6, 8}) {
+		t.Errorf("bound by %v while c was heard of a moment ago", k.minLogEnd)
 	}
-	delete(k.spoke, 3)
-	if k.HandleAnnouncement(back); k.atLeast != (logEnd{4, 5}) {
-		t.Errorf("bound by %v with c's folder lost", k.atLeast)
+	delete(k.lastHeard, 3)
+	if k.HandleAnnouncement(back); k.minLogEnd != (logEnd{4, 5}) {
+		t.Errorf("bound by %v with c's folder lost", k.minLogEnd)
 	}
 }
 
 // With too few others it waits, and then goes on by its folder: one dead keeper does not stop another's restart.
 func TestStartWithTooFewOthers(t *testing.T) {
 	k := started(t)
-	if k.takesPart() {
+	if k.startCheckDone() {
 		t.Error("it does not wait")
 	}
-	k.clearing.until = k.clock.Now()
-	if !k.takesPart() || !k.mayVote(vote(5, 4, 5)) {
+	k.startCheck.deadline = k.clock.Now()
+	if !k.startCheckDone() || !k.mayVote(vote(5, 4, 5)) {
 		t.Error("it waits for ever")
 	}
 }
@@ -128,13 +128,13 @@
 // know is heard, one that was replaced is not.
 func TestUnknownFolderIsHeard(t *testing.T) {
 	k := started(t)
-	k.clearing = nil
+	k.startCheck = nil
 	from, term, commit := uint64(99), uint64(7), uint64(0)
-	m := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &from, To: &k.store.who.ID, Term: &term, Commit: &commit}
+	m := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &from, To: &k.store.identity.ID, Term: &term, Commit: &commit}
 	if err := k.HandleMessages("b", []*raftpb.Message{m}); err != nil || k.node.BasicStatus().Lead != from {
 		t.Errorf("a folder that is not known yet: %v, leader %d", err, k.node.BasicStatus().Lead)
 	}
-	if k.nameOf(from) != "b" {
+	if k.voterName(from) != "b" {
 		t.Error("it can't be answered")
 	}
 	k.ledger.ReplacedVoters = []uint64{from}
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -32,7 +32,7 @@
 const (
 	fileName    = "crew.db"
 	storeFormat = 1
-	lockTime    = 500 * time.Millisecond // another process has the folder
+	lockTimeout = 500 * time.Millisecond // another process has the folder
 
 	bucketMeta, bucketRaft, bucketLog = "meta", "raft", "log"
 	keyIdentity, keyHard, keySnapshot = "identity", "hard", "snapshot"
@@ -58,17 +58,17 @@
 
 // store is a keeper's folder.
 type store struct {
-	disk Disk
-	path string // for people
-	who  Identity
-	mem  *raft.MemoryStorage // what raft reads; always written after db
+	disk     Disk
+	path     string // for people
+	identity Identity
+	mem      *raft.MemoryStorage // what raft reads; always written after db
 }
 
 // errDamaged ends the start: which of the data is true can't be known.
 var errDamaged = errors.New("damaged")
 
-// remedy ends the line of a folder that is refused.
-const remedy = "end this process, move the folder away and start again: the keeper comes back empty, under a new id"
+// damagedRemedy ends the line of a folder that is refused.
+const damagedRemedy = "end this process, move the folder away and start again: the keeper comes back empty, under a new id"
 
 // Disk keeps a keeper's values, in buckets: bbolt's file in a process, a model in the simulation. What the function of
 // Update has put is durable, the whole of it, when that returns nil; after an error nobody knows.
@@ -90,14 +90,14 @@
 // newStore reads or begins what a disk holds. fresh draws the id of a new folder.
 func newStore(disk Disk, path, crewName, name string, fresh func() uint64) (*store, error) {
 	s := &store{disk: disk, path: path, mem: raft.NewMemoryStorage()}
-	if err := guard(func() error { return s.load(crewName, name, fresh) }); err != nil {
-		return nil, fmt.Errorf("%s: %w; %s", path, err, remedy)
+	if err := recoverPanics(func() error { return s.load(crewName, name, fresh) }); err != nil {
+		return nil, fmt.Errorf("%s: %w; %s", path, err, damagedRemedy)
 	}
 	return s, nil
 }
 
-// guard turns bbolt's panics over pages that can't be, and faults of memory that a cut file no longer backs, into errors.
-func guard(do func() error) (err error) {
+// recoverPanics turns bbolt's panics over pages that can't be, and faults of memory that a cut file no longer backs, into errors.
+func recoverPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -115,20 +115,20 @@
 		}
 		if text == nil {
 			// Guards against a new id beside the votes and entries of the one that is torn away.
-			if !empty(tx) {
+			if !hasNoRaftData(tx) {
 				return fmt.Errorf("%w: votes or entries, and nothing says whose", errDamaged)
 			}
-			s.who = Identity{Format: storeFormat, Crew: crewName, Name: name, ID: fresh()}
+			s.identity = Identity{Format: storeFormat, Crew: crewName, Name: name, ID: fresh()}
 			return s.putIdentity(tx)
 		}
-		if err := cbor.Unmarshal(text, &s.who); err != nil {
+		if err := cbor.Unmarshal(text, &s.identity); err != nil {
 			return fmt.Errorf("%w: identity: %w", errDamaged, err)
 		}
 		switch {
-		case s.who.Format != storeFormat:
-			return fmt.Errorf("of format %d; this build reads %d", s.who.Format, storeFormat)
-		case s.who.Crew != crewName || s.who.Name != name:
-			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.who.Name, s.who.Crew, name, crewName)
+		case s.identity.Format != storeFormat:
+			return fmt.Errorf("of format %d; this build reads %d", s.identity.Format, storeFormat)
+		case s.identity.Crew != crewName || s.identity.Name != name:
+			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Crew, name, crewName)
 		}
 		return nil
 	})
@@ -139,7 +139,7 @@
 }
 
 func (s *store) putIdentity(tx Tx) error {
-	text, err := cbor.Marshal(s.who)
+	text, err := cbor.Marshal(s.identity)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 		return err
 	}
 	if text == nil {
-		if hasSnap || !empty(tx) {
+		if hasSnap || !hasNoRaftData(tx) {
 			return fmt.Errorf("%w: entries without term and vote", errDamaged)
 		}
 		return nil
@@ -185,7 +185,7 @@
 	next := snap.GetMetadata().GetIndex() + 1
 	var entries []*raftpb.Entry
 	for key, value := range tx.From(bucketLog, indexKey(next)) {
-		text, err := unseal(key, value)
+		text, err := verifyValue(key, value)
 		if err != nil {
 			return err
 		}
@@ -209,8 +209,8 @@
 	return s.mem.Append(entries)
 }
 
-// empty tells whether nothing of raft's stands on a disk.
-func empty(tx Tx) bool {
+// hasNoRaftData tells whether nothing of raft's stands on a disk.
+func hasNoRaftData(tx Tx) bool {
 	for _, bucket := range []string{bucketRaft, bucketLog} {
 		for range tx.From(bucket, "") {
 			return false
@@ -219,9 +219,9 @@
 	return true
 }
 
-// form books the set by which the crew is formed.
-func (s *store) form(set map[string]uint64) error {
-	s.who.Set = set
+// saveSet books the set by which the crew is formed.
+func (s *store) saveSet(set map[string]uint64) error {
+	s.identity.Set = set
 	return s.disk.Update(s.putIdentity)
 }
 
@@ -238,7 +238,7 @@
 			if err := putProto(tx, bucketRaft, keySnapshot, snap); err != nil {
 				return err
 			}
-			if err := cut(tx, 0, ^uint64(0)); err != nil {
+			if err := deleteEntries(tx, 0, ^uint64(0)); err != nil {
 				return err
 			}
 			last = snap.GetMetadata().GetIndex()
@@ -250,7 +250,7 @@
 		}
 		if len(entries) > 0 { // what a later leader overwrites goes
 			last = entries[len(entries)-1].GetIndex()
-			if err := cut(tx, last+1, ^uint64(0)); err != nil {
+			if err := deleteEntries(tx, last+1, ^uint64(0)); err != nil {
 				return err
 			}
 		}
@@ -290,7 +290,7 @@
 		if err := putProto(tx, bucketRaft, keySnapshot, snap); err != nil {
 			return err
 		}
-		return cut(tx, 0, index+1)
+		return deleteEntries(tx, 0, index+1)
 	})
 	if err != nil || index <= keep {
 		return err
@@ -301,8 +301,8 @@
 	return nil
 }
 
-// cut deletes the entries from one index up to, but not including, another.
-func cut(tx Tx, from, to uint64) error {
+// deleteEntries deletes the entries from one index up to, but not including, another.
+func deleteEntries(tx Tx, from, to uint64) error {
 	var keys []string
 	for key := range tx.From(bucketLog, indexKey(from)) {
 		if key >= indexKey(to) {
@@ -329,7 +329,7 @@
 }
 
 func put(tx Tx, bucket, key string, text []byte) error {
-	sealed := binary.BigEndian.AppendUint32(nil, sumOf(key, text))
+	sealed := binary.BigEndian.AppendUint32(nil, checksum(key, text))
 	return tx.Put(bucket, key, append(sealed, text...))
 }
 
@@ -339,15 +339,15 @@
 	if value == nil {
 		return nil, nil
 	}
-	return unseal(key, value)
+	return verifyValue(key, value)
 }
 
-func sumOf(key string, text []byte) uint32 {
+func checksum(key string, text []byte) uint32 {
 	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, text)
 }
 
-func unseal(key string, value []byte) ([]byte, error) {
-	if len(value) < 4 || binary.BigEndian.Uint32(value) != sumOf(key, value[4:]) {
+func verifyValue(key string, value []byte) ([]byte, error) {
+	if len(value) < 4 || binary.BigEndian.Uint32(value) != checksum(key, value[4:]) {
 		return nil, fmt.Errorf("%w: the checksum of %q does not fit", errDamaged, key)
 	}
 	return append([]byte(nil), value[4:]...), nil
--- a/internal/cluster/voter/store_test.go
+++ b/internal/cluster/voter/store_test.go
@@ -31,13 +31,13 @@
 // fill writes so many entries, one sync each, behind the beginning of a crew.
 func fill(t *testing.T, s *store, n uint64, after func(i uint64)) {
 	t.Helper()
-	k := &Core{conf: Conf{Name: s.who.Name}, store: s, ledger: cluster.NewLedger()}
-	if err := k.found(map[string]uint64{s.who.Name: s.who.ID}); err != nil {
+	k := &Core{conf: Conf{Name: s.identity.Name}, store: s, ledger: cluster.NewLedger()}
+	if err := k.bootstrap(map[string]uint64{s.identity.Name: s.identity.ID}); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(2); i < n+2; i++ {
 		term := i / 10
-		if err := s.save(&raftpb.HardState{Term: &term, Vote: &s.who.ID, Commit: &i},
+		if err := s.save(&raftpb.HardState{Term: &term, Vote: &s.identity.ID, Commit: &i},
 			[]*raftpb.Entry{{Index: &i, Term: &term, Data: bytes.Repeat([]byte{byte(i)}, 100)}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 	hard, conf, err := s.mem.InitialState()
 	first, _ := s.mem.FirstIndex()
 	last, _ := s.mem.LastIndex()
-	text := fmt.Sprint(s.who, hard.GetTerm(), hard.GetVote(), hard.GetCommit(), conf.GetVoters(), first, last, err)
+	text := fmt.Sprint(s.identity, hard.GetTerm(), hard.GetVote(), hard.GetCommit(), conf.GetVoters(), first, last, err)
 	if last >= first {
 		entries, err := s.mem.Entries(first, last+1, 1<<30)
 		for _, e := range entries {
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		if i == 40 {
-			conf := &raftpb.ConfState{Voters: []uint64{s.who.ID}}
+			conf := &raftpb.ConfState{Voters: []uint64{s.identity.ID}}
 			if err := s.compact(i, conf, []byte{0xa0}, 5); err != nil {
 				t.Fatal(err)
 			}
@@ -211,7 +211,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.who.Format = storeFormat + 1
+	s.identity.Format = storeFormat + 1
 	if err := s.disk.Update(s.putIdentity); err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +243,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.compact(10, &raftpb.ConfState{Voters: []uint64{s.who.ID}}, ledger, 2); err != nil {
+	if err := s.compact(10, &raftpb.ConfState{Voters: []uint64{s.identity.ID}}, ledger, 2); err != nil {
 		t.Fatal(err)
 	}
 	s.close()
@@ -252,7 +252,7 @@
 	}
 	defer s.close()
 	k := &Core{conf: Conf{Name: "k"}, store: s, ledger: cluster.NewLedger()}
-	if err := k.begin(); err != nil || k.applied != 10 {
+	if err := k.startRaft(); err != nil || k.applied != 10 {
 		t.Errorf("applied %d, %v", k.applied, err)
 	}
 }
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -17,11 +17,11 @@
 
 // Figures of a keeper's process.
 const (
-	eventQueue   = 1024
-	eventsAtOnce = 256         // taken before what follows from them is written: one sync for all
-	peerQueue    = 256         // messages that wait for another keeper
-	peerTime     = time.Second // for one exchange with it
-	batchBytes   = 4 << 20     // of messages in one exchange, about
+	eventQueue       = 1024
+	maxEventsPerSync = 256         // taken before what follows from them is written: one sync for all
+	peerQueue        = 256         // messages that wait for another keeper
+	peerTimeout      = time.Second // for one exchange with it
+	batchBytes       = 4 << 20     // of messages in one exchange, about
 )
 
 // ErrEnded is the answer of a keeper that has stopped.
@@ -29,15 +29,15 @@
 
 // Voter is one keeper of a crew: its core, and the goroutine that owns it.
 type Voter struct {
-	core  *Core
-	world env.Env
-	log   zerolog.Logger
-
-	events chan func()
-	halt   chan struct{}
-	ended  chan struct{}
-	leads  atomic.Bool
-	out    map[string]*outbox // the owner's
+	core *Core
+	env  env.Env
+	log  zerolog.Logger
+
+	events        chan func()
+	stopRequested chan struct{}
+	ended         chan struct{}
+	leading       atomic.Bool
+	outboxes      map[string]*outbox // the owner's
 }
 
 // Open opens a keeper's folder; Run begins.
@@ -46,8 +46,8 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Voter{world: world, log: logTo, events: make(chan func(), eventQueue),
-		halt: make(chan struct{}), ended: make(chan struct{}), out: map[string]*outbox{}}
+	k := &Voter{env: world, log: logTo, events: make(chan func(), eventQueue),
+		stopRequested: make(chan struct{}), ended: make(chan struct{}), outboxes: map[string]*outbox{}}
 	if k.core, err = NewCore(conf, world, logTo, disk, path, NewID, k); err != nil {
 		disk.Close()
 		return nil, err
@@ -56,72 +56,72 @@
 }
 
 // Run carries the keeper until Stop, or until what it rests on fails: then it takes no further part in the agreement.
-func (k *Voter) Run() {
-	defer close(k.ended)
-	defer k.core.store.close()
-	defer k.leads.Store(false)
-	fail := guard(k.run)
-	for _, o := range k.out {
+func (v *Voter) Run() {
+	defer close(v.ended)
+	defer v.core.store.close()
+	defer v.leading.Store(false)
+	fail := recoverPanics(v.run)
+	for _, o := range v.outboxes {
 		close(o.queue)
 	}
-	k.core.FailWaiting()
+	v.core.FailWaiting()
 	if fail != nil {
-		k.log.Error().Err(fail).Str("file", k.core.store.path).Msg("this keeper takes no further part; see docs/crew.md, A keeper that has stopped")
+		v.log.Error().Err(fail).Str("file", v.core.store.path).Msg("this keeper takes no further part; see docs/crew.md, A keeper that has stopped")
 	}
 }
 
-func (k *Voter) run() error {
-	if err := k.core.Start(); err != nil {
+func (v *Voter) run() error {
+	if err := v.core.Start(); err != nil {
 		return err
 	}
-	timer := k.world.NewTimer(TickEvery)
+	timer := v.env.NewTimer(TickEvery)
 	defer timer.Stop()
 	for {
 		select {
-		case <-k.halt:
+		case <-v.stopRequested:
 			return nil
 		case <-timer.C():
 			timer.Reset(TickEvery)
-			k.core.Tick()
-		case do := <-k.events:
+			v.core.Tick()
+		case do := <-v.events:
 			do()
-			for n := 0; n < eventsAtOnce && len(k.events) > 0; n++ {
-				(<-k.events)()
+			for n := 0; n < maxEventsPerSync && len(v.events) > 0; n++ {
+				(<-v.events)()
 			}
 		}
-		if err := k.core.ProcessReady(); err != nil {
+		if err := v.core.ProcessReady(); err != nil {
 			return err
 		}
-		_, leads := k.core.IsLeader()
-		k.leads.Store(leads)
+		_, leads := v.core.IsLeader()
+		v.leading.Store(leads)
 	}
 }
 
 // Stop ends it and waits until it has.
-func (k *Voter) Stop() {
+func (v *Voter) Stop() {
 	select {
-	case <-k.halt:
+	case <-v.stopRequested:
 	default:
-		close(k.halt)
+		close(v.stopRequested)
 	}
-	<-k.ended
+	<-v.ended
 }
 
 // IsLeader tells whether it took itself for the leader a moment ago.
-func (k *Voter) IsLeader() bool { return k.leads.Load() }
+func (v *Voter) IsLeader() bool { return v.leading.Load() }
 
 // post hands something to the owner; false when that has ended.
-func (k *Voter) post(do func()) bool {
+func (v *Voter) post(do func()) bool {
 	select {
-	case k.events <- do:
+	case v.events <- do:
 		return true
-	case <-k.ended:
+	case <-v.ended:
 		return false
 	}
 }
 
-// owned has the owner do something and returns what that replies.
-func owned[T any](k *Voter, do func(reply func(T))) (T, error) {
+// callOwner has the owner do something and returns what that replies.
+func callOwner[T any](k *Voter, do func(reply func(T))) (T, error) {
 	answer := make(chan T, 1)
 	var none T
 	if !k.post(func() { do(func(t T) { answer <- t }) }) {
@@ -136,22 +136,22 @@
 }
 
 // Renew answers a renewal: here, or by the name of the leader.
-func (k *Voter) Renew(r cluster.Renewal) (RenewResult, error) {
-	a, err := owned(k, func(reply func(RenewResult)) { k.core.Renew(r, reply) })
+func (v *Voter) Renew(r cluster.Renewal) (RenewResult, error) {
+	a, err := callOwner(v, func(reply func(RenewResult)) { v.core.Renew(r, reply) })
 	if a.Grant != nil && a.Grant.Granted {
-		k.post(func() { k.core.LeaseAnswerSent(&r) })
+		v.post(func() { v.core.LeaseAnswerSent(&r) })
 	}
 	return a, err
 }
 
 // Propose has a version proposed: it returns when that is agreed on, or refused.
-func (k *Voter) Propose(p cluster.Proposal) (ProposeResult, error) {
+func (v *Voter) Propose(p cluster.Proposal) (ProposeResult, error) {
 	type proposed struct {
 		answer ProposeResult
 		err    error
 	}
-	a, err := owned(k, func(reply func(proposed)) {
-		k.core.Propose(p, func(answer ProposeResult, err error) { reply(proposed{answer, err}) })
+	a, err := callOwner(v, func(reply func(proposed)) {
+		v.core.Propose(p, func(answer ProposeResult, err error) { reply(proposed{answer, err}) })
 	})
 	if err == nil {
 		err = a.err
@@ -160,34 +160,34 @@
 }
 
 // Status tells what it knows.
-func (k *Voter) Status() (Status, error) {
-	return owned(k, func(reply func(Status)) { reply(k.core.Status()) })
+func (v *Voter) Status() (Status, error) {
+	return callOwner(v, func(reply func(Status)) { reply(v.core.Status()) })
 }
 
 // Handlers answer peers.
-func (k *Voter) Handlers() map[string]peerrpc.Handler {
+func (v *Voter) Handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
-		"raft": k.takeRaft, "form": k.takeForm,
+		"raft": v.handleRaft, "form": v.handleForm,
 		"renew": func(_ string, body []byte) (any, error) {
 			var r cluster.Renewal
 			if err := peerrpc.Decode(body, &r); err != nil {
 				return nil, fmt.Errorf("renew: malformed: %w", err)
 			}
-			return k.Renew(r)
+			return v.Renew(r)
 		},
 		"propose": func(_ string, body []byte) (any, error) {
 			var p cluster.Proposal
 			if err := peerrpc.Decode(body, &p); err != nil {
 				return nil, fmt.Errorf("propose: malformed: %w", err)
 			}
-			return k.Propose(p)
+			return v.Propose(p)
 		},
-		"status": func(string, []byte) (any, error) { return k.Status() },
+		"status": func(string, []byte) (any, error) { return v.Status() },
 	}
 }
 
-// takeRaft takes messages of another keeper's raft.
-func (k *Voter) takeRaft(from string, body []byte) (any, error) {
+// handleRaft takes messages of another keeper's raft.
+func (v *Voter) handleRaft(from string, body []byte) (any, error) {
 	var texts [][]byte
 	if err := peerrpc.Decode(body, &texts); err != nil {
 		return nil, fmt.Errorf("raft: malformed: %w", err)
@@ -200,21 +200,21 @@
 		}
 		messages = append(messages, m)
 	}
-	why, err := owned(k, func(reply func(error)) { reply(k.core.HandleMessages(from, messages)) })
+	why, err := callOwner(v, func(reply func(error)) { reply(v.core.HandleMessages(from, messages)) })
 	if err == nil {
 		err = why
 	}
 	return nil, err
 }
 
-// takeForm answers another keeper's word with the own one.
-func (k *Voter) takeForm(_ string, body []byte) (any, error) {
+// handleForm answers another keeper's word with the own one.
+func (v *Voter) handleForm(_ string, body []byte) (any, error) {
 	var theirs Announcement
 	if err := peerrpc.Decode(body, &theirs); err != nil {
 		return nil, fmt.Errorf("form: malformed: %w", err)
 	}
-	return owned(k, func(reply func(Announcement)) {
-		k.core.HandleAnnouncement(theirs)
-		reply(k.core.Announcement())
+	return callOwner(v, func(reply func(Announcement)) {
+		v.core.HandleAnnouncement(theirs)
+		reply(v.core.Announcement())
 	})
 }
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -105,7 +105,7 @@
 		t.Fatalf("%+v, %v", told, err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		before := c.keepers[name].core.store.who.ID
+		before := c.keepers[name].core.store.identity.ID
 		c.stop(name)
 		if err := os.RemoveAll(c.dir + "/" + name); err != nil {
 			t.Fatal(err)
