--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -54,8 +54,8 @@
 }
 
 // NewLeaseHolder returns that of a process that has not been told anything.
-func NewLeaseHolder(self Member, terms Params, own versions.Rules, connect decide.Time) *LeaseHolder {
-	return &LeaseHolder{Self: self, params: terms, ownRules: own, connectTimeout: connect, rules: own, cautiousRules: own.Cautious(terms.FixedClasses)}
+func NewLeaseHolder(self Member, params Params, ownRules versions.Rules, connectTimeout decide.Time) *LeaseHolder {
+	return &LeaseHolder{Self: self, params: params, ownRules: ownRules, connectTimeout: connectTimeout, rules: ownRules, cautiousRules: ownRules.Cautious(params.FixedClasses)}
 }
 
 // NextRenewal returns the renewal to be sent now. The caller notes the time before it, for Told.
@@ -77,14 +77,14 @@
 // HandleGrant takes the answer to what was asked at a time. It tells whether what is acted on
 // has changed: then the caller puts Acting in force before it asks again, since the next
 // renewal says so. An error is an answer that can't be true.
-func (h *LeaseHolder) HandleGrant(asked BootTime, g *Grant) (changed bool, err error) {
-	if asked < h.requestedAt {
+func (h *LeaseHolder) HandleGrant(requestedAt BootTime, g *Grant) (changed bool, err error) {
+	if requestedAt < h.requestedAt {
 		return false, nil // late word: what was asked for after it says more
 	}
 	if g.Echo.Term != h.lastEcho.Term {
 		h.deltaFailures = 0 // another leader, maybe of another build
 	}
-	h.requestedAt, h.lastEcho = asked, g.Echo
+	h.requestedAt, h.lastEcho = requestedAt, g.Echo
 	if g.Epoch < h.epoch {
 		return false, fmt.Errorf("epoch %d after %d: late word, or a crew that was formed anew (then restart this process)", g.Epoch, h.epoch)
 	}
@@ -104,7 +104,7 @@
 	before := h.versionStamp()
 	h.active, h.next, h.epoch = *active, next, g.Epoch
 	if g.Granted {
-		h.leaseEnd = max(h.leaseEnd, asked+h.params.Lease)
+		h.leaseEnd = max(h.leaseEnd, requestedAt+h.params.Lease)
 		h.updateView(g)
 	}
 	h.updateRules()
@@ -113,11 +113,11 @@
 
 // versionStamp is equal as long as the rules are.
 func (h *LeaseHolder) versionStamp() [3]uint64 {
-	s := [3]uint64{h.active.Number}
+	stamp := [3]uint64{h.active.Number}
 	if h.next != nil {
-		s[1], s[2] = h.next.Number, uint64(h.next.State)
+		stamp[1], stamp[2] = h.next.Number, uint64(h.next.State)
 	}
-	return s
+	return stamp
 }
 
 // withDocument returns a round with its document: from what came, or from what is known.
@@ -140,8 +140,8 @@
 
 // updateRules works out what is acted on, and what is to be said of the proposal under way.
 func (h *LeaseHolder) updateRules() {
-	now := h.ownRules.With(&h.active.Doc, h.connectTimeout)
-	h.rules = now
+	activeRules := h.ownRules.With(&h.active.Doc, h.connectTimeout)
+	h.rules = activeRules
 	if h.next == nil {
 		return
 	}
@@ -151,7 +151,7 @@
 			h.refusal = err.Error()
 		}
 	}
-	both, err := now.Intersect(h.ownRules.With(&h.next.Doc, h.connectTimeout))
+	both, err := activeRules.Intersect(h.ownRules.With(&h.next.Doc, h.connectTimeout))
 	if h.next.State == Prepared && err == nil {
 		h.rules, h.prepared = both, h.next.Number
 		return
--- a/internal/cluster/leaserenewer.go
+++ b/internal/cluster/leaserenewer.go
@@ -30,8 +30,8 @@
 }
 
 // NewLeaseRenewer returns that of a holder. keepers are names.
-func NewLeaseRenewer(holder *LeaseHolder, keepers []string) *LeaseRenewer {
-	return &LeaseRenewer{holder: holder, voters: slices.Clone(keepers)}
+func NewLeaseRenewer(holder *LeaseHolder, voters []string) *LeaseRenewer {
+	return &LeaseRenewer{holder: holder, voters: slices.Clone(voters)}
 }
 
 // FirstVoter is the keeper that is asked first.
@@ -41,7 +41,7 @@
 func (lr *LeaseRenewer) StartHeartbeat() { lr.calls, lr.answers = 0, 0 }
 
 // NextRequest is what to ask now, and whom.
-func (lr *LeaseRenewer) NextRequest(now BootTime) (keeper string, r Renewal) {
+func (lr *LeaseRenewer) NextRequest(now BootTime) (voter string, r Renewal) {
 	if lr.calls == 0 {
 		lr.seriesEnd = now + lr.holder.params.Lease
 	}
@@ -79,15 +79,15 @@
 	lr.answers++
 	more := lr.answers < maxAnswersPerHeartbeat
 	if !grant.Granted {
-		n := RenewalStep{Done: true, RenewNow: grant.RetryNow && more}
+		step := RenewalStep{Done: true, RenewNow: grant.RetryNow && more}
 		if !grant.RetryNow {
-			n.Reason = grant.Reason
+			step.Reason = grant.Reason
 		}
-		return n
+		return step
 	}
 	// What is new to the leader it hears now, not with the next heartbeat: a version comes through that much sooner. What was
 	// said under an older epoch was not taken.
-	after := lr.holder.NextRenewal()
-	news := after.Checked != lr.sent.Checked || after.Prepared != lr.sent.Prepared || grant.Next != nil && after.Epoch != lr.sent.Epoch
-	return RenewalStep{Done: true, RenewNow: more && news}
+	next := lr.holder.NextRenewal()
+	hasNews := next.Checked != lr.sent.Checked || next.Prepared != lr.sent.Prepared || grant.Next != nil && next.Epoch != lr.sent.Epoch
+	return RenewalStep{Done: true, RenewNow: more && hasNews}
 }
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -167,20 +167,20 @@
 	return nil
 }
 
-func (l *Ledger) changeMembers(enter, gone []Member) error {
+func (l *Ledger) changeMembers(joining, leaving []Member) error {
 	changed := false
-	names := make([]string, 0, len(enter)+len(gone))
-	for _, m := range slices.Concat(gone, enter) {
+	names := make([]string, 0, len(joining)+len(leaving))
+	for _, m := range slices.Concat(leaving, joining) {
 		names = append(names, m.Name)
 	}
-	for _, m := range gone {
+	for _, m := range leaving {
 		if in, there := l.Members[m.Name]; there && in.Token == m.Token {
 			delete(l.Members, m.Name)
 			delete(l.JoinEpochs, m.Name)
 			changed = true
 		}
 	}
-	for _, m := range enter {
+	for _, m := range joining {
 		// Guards against a second process under one name: the first must be gone before.
 		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= clusterparams.MaxMembers {
 			continue
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -121,8 +121,8 @@
 }
 
 // NewLessor returns that of a leader that has just come to lead, in a term.
-func NewLessor(conf Params, term uint64) *Lessor {
-	return &Lessor{params: conf, term: term, states: map[string]*memberState{}, joining: map[string]Member{}, leaving: map[string]Member{}, recheck: true,
+func NewLessor(params Params, term uint64) *Lessor {
+	return &Lessor{params: params, term: term, states: map[string]*memberState{}, joining: map[string]Member{}, leaving: map[string]Member{}, recheck: true,
 		caughtUp: map[string][]holdings.CaughtUp{}, unreachable: map[string][]holdings.Incarnation{}, decommissioning: map[string]bool{}, deadSince: map[int]BootTime{}}
 }
 
@@ -146,45 +146,45 @@
 		next := *l.Next // a grant is on its way while the ledger goes on
 		grant.Next = &next
 	}
-	no := func(again bool, format string, args ...any) Grant {
-		grant.Reason, grant.RetryNow = fmt.Sprintf(format, args...), again
+	refuse := func(retryNow bool, format string, args ...any) Grant {
+		grant.Reason, grant.RetryNow = fmt.Sprintf(format, args...), retryNow
 		return grant
 	}
-	in, there := l.Members[r.Name]
+	member, known := l.Members[r.Name]
 	switch {
 	case r.Name == "" || r.Token == 0 || len(r.Name) > 256:
-		return no(false, "name: %d bytes, token %d; allowed: a name of 1 to 256 bytes and a token", len(r.Name), r.Token)
+		return refuse(false, "name: %d bytes, token %d; allowed: a name of 1 to 256 bytes and a token", len(r.Name), r.Token)
 	case r.ParamsHash != le.params.Hash():
 		grant.Active, grant.Next = VersionRecord{}, nil
-		return no(false, "terms differ: the crew has %v; start this process with the same [crew]", le.params)
-	case there && in.Token != r.Token:
-		if le.stateOf(now, in).leaseEnd > now {
-			return no(false, "name %q is another process's, whose lease may hold for %v more; give this one a name of its own, or end the other",
-				r.Name, le.stateOf(now, in).leaseEnd-now)
+		return refuse(false, "terms differ: the crew has %v; start this process with the same [crew]", le.params)
+	case known && member.Token != r.Token:
+		if le.stateOf(now, member).leaseEnd > now {
+			return refuse(false, "name %q is another process's, whose lease may hold for %v more; give this one a name of its own, or end the other",
+				r.Name, le.stateOf(now, member).leaseEnd-now)
 		}
-		return no(true, "name %q: the process before is being counted out", r.Name)
+		return refuse(true, "name %q: the process before is being counted out", r.Name)
 	case r.Leaving:
-		if there {
-			le.leaving[r.Name] = in
+		if known {
+			le.leaving[r.Name] = member
 			le.recheck = true
 		}
-		return no(false, "left")
-	case !there && len(l.Members) >= clusterparams.MaxMembers:
-		return no(false, "the crew is full: %d members", clusterparams.MaxMembers)
-	case (!there || in != r.Member) && !le.receivesAnswers(now, r):
-		return no(true, "say back what is told here")
-	case !there || in != r.Member:
+		return refuse(false, "left")
+	case !known && len(l.Members) >= clusterparams.MaxMembers:
+		return refuse(false, "the crew is full: %d members", clusterparams.MaxMembers)
+	case (!known || member != r.Member) && !le.receivesAnswers(now, r):
+		return refuse(true, "say back what is told here")
+	case !known || member != r.Member:
 		if len(le.joining) < clusterparams.MaxMembers {
 			le.joining[r.Name] = r.Member
 			le.recheck = true
 		}
-		return no(true, "%q is coming in", r.Name)
+		return refuse(true, "%q is coming in", r.Name)
 	}
-	s := le.stateOf(now, in)
+	s := le.stateOf(now, member)
 	// Guards against a lease for a member whose end is on its way through the log: it would act on it when others have gone on
 	// without it (seed 277 of the crew's simulation). Who has been late so long comes in anew.
-	if left, does := le.leaving[r.Name]; s.leaseEnd <= now || does && left.Token == r.Token {
-		return no(true, "%q is being counted out", r.Name)
+	if leaving, isLeaving := le.leaving[r.Name]; s.leaseEnd <= now || isLeaving && leaving.Token == r.Token {
+		return refuse(true, "%q is being counted out", r.Name)
 	}
 	// Guards against a member that is heard and hears nothing: it acts on no lease, and would hold up each version for as long as
 	// its questions come.
@@ -194,7 +194,7 @@
 	case s.noEchoSince == 0:
 		s.noEchoSince = max(1, now)
 	case now-s.noEchoSince > le.params.Lease/noEchoPart:
-		return no(true, "%q has said back no answer for %v: it does not seem to hear", r.Name, now-s.noEchoSince)
+		return refuse(true, "%q has said back no answer for %v: it does not seem to hear", r.Name, now-s.noEchoSince)
 	}
 	// What it says counts under the present epoch alone; the lease rests on who it is. Guards against members that are
 	// refused, and counted out, because others come and go: at 300 that raised the epoch faster than renewals could name it,
@@ -256,23 +256,23 @@
 		return
 	}
 	from := viewVersion{r.HasMembership, r.HasPlacement}
-	text, kept := t.deltas[from]
-	if !kept {
-		text = mustEncode(l.history.Delta(from.epoch, from.placement, &t.view, t.checksum))
+	encoded, found := t.deltas[from]
+	if !found {
+		encoded = mustEncode(l.history.Delta(from.epoch, from.placement, &t.view, t.checksum))
 		if len(t.deltas) < maxEncodedDeltas {
-			t.deltas[from] = text
+			t.deltas[from] = encoded
 		}
 	}
-	grant.Delta = text
+	grant.Delta = encoded
 }
 
 // mustEncode encodes a value of the program's own types.
 func mustEncode(value any) cbor.RawMessage {
-	text, err := cbor.Marshal(value)
+	encoded, err := cbor.Marshal(value)
 	if err != nil {
 		panic(err) // it has nothing that can't be encoded
 	}
-	return text
+	return encoded
 }
 
 // AnswerSent counts a lease from the moment after its answer went: now is read then. (The holder counts from before it
@@ -300,24 +300,24 @@
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
 		m := l.Members[name]
 		until := le.stateOf(now, m).leaseEnd
-		if left, does := le.leaving[name]; does && left.Token == m.Token || until <= now {
+		if leaving, isLeaving := le.leaving[name]; isLeaving && leaving.Token == m.Token || until <= now {
 			change.Leave = append(change.Leave, m)
 		}
 		le.recheckAt = min(le.recheckAt, until)
 	}
 	for _, name := range slices.Sorted(maps.Keys(le.joining)) {
 		m := le.joining[name]
-		if in, there := l.Members[name]; there && (in == m || in.Token != m.Token) {
+		if member, known := l.Members[name]; known && (member == m || member.Token != m.Token) {
 			continue
 		}
 		change.Join = append(change.Join, m)
 	}
 	clear(le.joining) // proposed once; who is not in then asks again
 	maps.DeleteFunc(le.leaving, func(name string, m Member) bool { return l.Members[name].Token != m.Token })
-	gone := func(name string) bool { return l.Members[name].Token == 0 }
-	maps.DeleteFunc(le.caughtUp, func(name string, _ []holdings.CaughtUp) bool { return gone(name) })
-	maps.DeleteFunc(le.unreachable, func(name string, _ []holdings.Incarnation) bool { return gone(name) })
-	maps.DeleteFunc(le.decommissioning, func(name string, _ bool) bool { return gone(name) })
+	isGone := func(name string) bool { return l.Members[name].Token == 0 }
+	maps.DeleteFunc(le.caughtUp, func(name string, _ []holdings.CaughtUp) bool { return isGone(name) })
+	maps.DeleteFunc(le.unreachable, func(name string, _ []holdings.Incarnation) bool { return isGone(name) })
+	maps.DeleteFunc(le.decommissioning, func(name string, _ bool) bool { return isGone(name) })
 	maps.DeleteFunc(le.states, func(name string, s *memberState) bool { return l.Members[name].Token != s.token })
 	if len(change.Leave) > 0 || len(change.Join) > 0 {
 		return append(due, change) // the rest waits for the new epoch
@@ -340,9 +340,11 @@
 	if placement == nil {
 		placement = &holdings.Placement{}
 	}
-	late := false // a shard has waited for long enough
+	waitOver := false // a shard has waited for long enough
 	for i := range placement.Shards {
-		if !placement.Shards[i].Dead(func(w holdings.Incarnation, token uint64) bool { return l.Members[w.Name].Token == token }) {
+		if !placement.Shards[i].Dead(func(incarnation holdings.Incarnation, token uint64) bool {
+			return l.Members[incarnation.Name].Token == token
+		}) {
 			delete(le.deadSince, i)
 			continue
 		}
@@ -350,19 +352,19 @@
 			le.deadSince[i] = max(1, now)
 		}
 		end := le.deadSince[i] + le.params.Holdings.LostAfter
-		if late = late || now >= end; now < end {
+		if waitOver = waitOver || now >= end; now < end {
 			le.recheckAt = min(le.recheckAt, end)
 		}
 	}
-	if at := (viewVersion{l.Epoch, placement.Number}); at == le.plannedFor && !late {
+	if at := (viewVersion{l.Epoch, placement.Number}); at == le.plannedFor && !waitOver {
 		return Entry{}, false
 	}
-	var filled []holdings.CaughtUp
+	var caughtUp []holdings.CaughtUp
 	for _, name := range slices.Sorted(maps.Keys(le.caughtUp)) {
-		filled = append(filled, le.caughtUp[name]...)
+		caughtUp = append(caughtUp, le.caughtUp[name]...)
 	}
 	changes := placement.Plan(&holdings.PlacementInput{
-		Members: l.Membership(), Copies: le.params.Holdings.Copies, CaughtUp: filled, Leaving: le.decommissioningMembers(l), Unreachable: le.unreachablePairs(l),
+		Members: l.Membership(), Copies: le.params.Holdings.Copies, CaughtUp: caughtUp, Leaving: le.decommissioningMembers(l), Unreachable: le.unreachablePairs(l),
 		Lost: func(shard int) bool {
 			since, dead := le.deadSince[shard]
 			return dead && now >= since+le.params.Holdings.LostAfter
@@ -409,8 +411,8 @@
 // decommissioningMembers are the members that will go when their replicas have been given to others.
 func (le *Lessor) decommissioningMembers(l *Ledger) map[holdings.Incarnation]bool {
 	out := map[holdings.Incarnation]bool{}
-	for name, moving := range le.decommissioning {
-		if moving {
+	for name, leaving := range le.decommissioning {
+		if leaving {
 			out[holdings.Incarnation{Name: name, JoinEpoch: l.JoinEpochs[name]}] = true
 		}
 	}
@@ -421,8 +423,8 @@
 func (le *Lessor) unreachablePairs(l *Ledger) map[[2]holdings.Incarnation]bool {
 	out := map[[2]holdings.Incarnation]bool{}
 	for name, list := range le.unreachable {
-		for _, who := range list {
-			out[[2]holdings.Incarnation{{Name: name, JoinEpoch: l.JoinEpochs[name]}, who}] = true
+		for _, peer := range list {
+			out[[2]holdings.Incarnation{{Name: name, JoinEpoch: l.JoinEpochs[name]}, peer}] = true
 		}
 	}
 	return out
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -74,7 +74,7 @@
 
 func newHoldingsService(m *Member, conf *config.Config) (*holdingsService, error) {
 	c := &holdingsService{member: m, classes: map[string]heldClass{}, maxBody: m.conf.Holdings.MaxBody, pools: map[string]*clientPool{}, refusalLogged: map[holdings.Kind]time.Time{}}
-	for name, alone := range m.conf.Holdings.Classes {
+	for name, whenAlone := range m.conf.Holdings.Classes {
 		i := slices.IndexFunc(conf.Settings.Classes, func(k decide.Class) bool { return k.Name == name })
 		if i < 0 || conf.Settings.Classes[i].Effect != decide.Keyed {
 			return nil, fmt.Errorf("holdings.class: %q; allowed: a class of the settings whose effect is by_key", name)
@@ -83,7 +83,7 @@
 		if keep := m.conf.Params.Holdings.Keep; class.Window > keep {
 			return nil, fmt.Errorf("holdings.keep: %v, under the %v for which endpoints drop repeats of class %q; allowed: at least that", keep, class.Window, name)
 		}
-		c.classes[name] = heldClass{class, alone}
+		c.classes[name] = heldClass{class, whenAlone}
 	}
 	if m.conf.Params.Holdings.Copies > 1 && conf.Settings.Zone == "" {
 		return nil, errors.New("holdings.copies: this sidecar's settings name no zone, and copies stand in different ones; set settings.az")
@@ -98,9 +98,9 @@
 func (hs *holdingsService) now() cluster.BootTime { return hs.member.env.BootTime() }
 
 // update takes what a renewal brought. The member's lock is held.
-func (hs *holdingsService) update(h *cluster.LeaseHolder) {
-	me, view := h.Incarnation(), h.View()
-	ends := h.LeaseEnd()
+func (hs *holdingsService) update(holder *cluster.LeaseHolder) {
+	me, view := holder.Incarnation(), holder.View()
+	ends := holder.LeaseEnd()
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.store.SetLease(ends)
@@ -158,12 +158,12 @@
 
 // dropUnusedPools ends connections to addresses that no member has any more. The lock is held.
 func (hs *holdingsService) dropUnusedPools() {
-	in := map[string]bool{}
+	inUse := map[string]bool{}
 	for _, address := range hs.addresses {
-		in[address] = true
+		inUse[address] = true
 	}
 	for address, l := range hs.pools {
-		if !in[address] {
+		if !inUse[address] {
 			l.close()
 			delete(hs.pools, address)
 		}
@@ -199,21 +199,21 @@
 }
 
 // sendBatches says batches to one sidecar until there are none.
-func (hs *holdingsService) sendBatches(to holdings.Incarnation, address string, b *holdings.Batch) {
-	for b != nil {
-		var answer *holdings.BatchReply
-		got := holdings.BatchReply{}
-		err := hs.call(address, "hold-store", b, &got, storeTimeout)
+func (hs *holdingsService) sendBatches(to holdings.Incarnation, address string, batch *holdings.Batch) {
+	for batch != nil {
+		var reply *holdings.BatchReply
+		received := holdings.BatchReply{}
+		err := hs.call(address, "hold-store", batch, &received, storeTimeout)
 		if err == nil {
-			answer = &got
+			reply = &received
 		} else {
 			hs.member.env.Sleep(minRetryDelay)
 		}
 		hs.mu.Lock()
-		hs.store.BatchDone(hs.now(), to, b, answer)
-		b = nil
+		hs.store.BatchDone(hs.now(), to, batch, reply)
+		batch = nil
 		if !hs.stopped {
-			b = hs.store.NextBatch(hs.now(), to)
+			batch = hs.store.NextBatch(hs.now(), to)
 		}
 		hs.sendPending()
 		hs.mu.Unlock()
@@ -221,43 +221,43 @@
 }
 
 // call says one thing on a connection of its own.
-func (hs *holdingsService) call(address, kind string, body, answer any, within time.Duration) error {
+func (hs *holdingsService) call(address, kind string, body, reply any, timeout time.Duration) error {
 	hs.mu.Lock()
-	l := hs.pools[address]
-	if l == nil {
-		l = &clientPool{free: make(chan *peerrpc.Client, maxClientsPerPeer)}
-		hs.pools[address] = l
+	pool := hs.pools[address]
+	if pool == nil {
+		pool = &clientPool{free: make(chan *peerrpc.Client, maxClientsPerPeer)}
+		hs.pools[address] = pool
 	}
 	hs.mu.Unlock()
-	line, err := l.get(hs, address, within)
+	client, err := pool.get(hs, address, timeout)
 	if err != nil {
 		return err
 	}
-	err = line.Call(kind, body, answer, within)
-	l.free <- line // there is room for all that are made
-	if l.closed.Load() {
-		l.close()
+	err = client.Call(kind, body, reply, timeout)
+	pool.free <- client // there is room for all that are made
+	if pool.closed.Load() {
+		pool.close()
 	}
 	return err
 }
 
 var errBusy = errors.New("all connections to it are busy")
 
-func (p *clientPool) get(c *holdingsService, address string, within time.Duration) (*peerrpc.Client, error) {
+func (p *clientPool) get(hs *holdingsService, address string, timeout time.Duration) (*peerrpc.Client, error) {
 	select {
-	case line := <-p.free:
-		return line, nil
+	case client := <-p.free:
+		return client, nil
 	default:
 	}
 	if p.made.Add(1) <= maxClientsPerPeer {
-		return peerrpc.NewClient(c.member.env, c.member.conf.Name, c.member.holder.Self.Name, address), nil
+		return peerrpc.NewClient(hs.member.env, hs.member.conf.Name, hs.member.holder.Self.Name, address), nil
 	}
 	p.made.Add(-1)
-	timer := c.member.env.NewTimer(within)
+	timer := hs.member.env.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case line := <-p.free:
-		return line, nil
+	case client := <-p.free:
+		return client, nil
 	case <-timer.C():
 		return nil, errBusy
 	}
@@ -268,8 +268,8 @@
 	p.closed.Store(true)
 	for {
 		select {
-		case line := <-p.free:
-			line.Close()
+		case client := <-p.free:
+			client.Close()
 		default:
 			return
 		}
@@ -323,16 +323,16 @@
 }
 
 // handleCommand answers an owner's ask as the primary.
-func (hs *holdingsService) handleCommand(a *holdings.Command) holdings.Answer {
-	got := make(chan holdings.Answer, 1)
+func (hs *holdingsService) handleCommand(command *holdings.Command) holdings.Answer {
+	answers := make(chan holdings.Answer, 1)
 	hs.mu.Lock()
-	hs.store.Handle(hs.now(), a, func(answer holdings.Answer) { got <- answer })
+	hs.store.Handle(hs.now(), command, func(answer holdings.Answer) { answers <- answer })
 	hs.sendPending()
 	hs.mu.Unlock()
 	timer := hs.member.env.NewTimer(commandTimeout)
 	defer timer.Stop()
 	select {
-	case answer := <-got:
+	case answer := <-answers:
 		return answer
 	case <-timer.C():
 		return holdings.Answer{Kind: holdings.AnswerNone}
@@ -341,44 +341,44 @@
 
 // execute says an owner's word to the primary of its key, again and again, until there is an answer that more asking does not
 // change, or the time is over: then it returns the last one. A running request is asked for until it ends.
-func (hs *holdingsService) execute(a *holdings.Command, until time.Time) holdings.Answer {
-	pause := minRetryDelay
+func (hs *holdingsService) execute(command *holdings.Command, deadline time.Time) holdings.Answer {
+	delay := minRetryDelay
 	for {
-		answer := hs.executeOnce(a, until)
+		answer := hs.executeOnce(command, deadline)
 		switch answer.Kind {
 		case holdings.AnswerNotPrimary, holdings.AnswerTooFewReplicas, holdings.AnswerRunning, holdings.AnswerNone:
 		default:
 			return answer
 		}
-		if left := until.Sub(hs.member.env.Now()); left <= pause || hs.isStopped() {
+		if left := deadline.Sub(hs.member.env.Now()); left <= delay || hs.isStopped() {
 			return answer
 		}
-		hs.member.env.Sleep(pause)
-		pause = min(2*pause, maxRetryDelay)
+		hs.member.env.Sleep(delay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-func (hs *holdingsService) executeOnce(a *holdings.Command, until time.Time) holdings.Answer {
+func (hs *holdingsService) executeOnce(command *holdings.Command, deadline time.Time) holdings.Answer {
 	hs.mu.Lock()
 	primary, address, me := holdings.Incarnation{}, "", hs.me
 	if hs.view.Placement != nil {
-		if replicas := hs.view.Placement.Shards[a.Key.Shard()].Replicas; len(replicas) > 0 {
+		if replicas := hs.view.Placement.Shards[command.Key.Shard()].Replicas; len(replicas) > 0 {
 			primary = replicas[0].Incarnation
 			address = hs.addresses[primary]
 		}
 	}
 	hs.mu.Unlock()
-	if a.Op == holdings.OpClaim && a.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
-		a.Owner = me
+	if command.Op == holdings.OpClaim && command.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
+		command.Owner = me
 	}
 	switch {
-	case address == "" || a.Owner == (holdings.Incarnation{}):
+	case address == "" || command.Owner == (holdings.Incarnation{}):
 		return holdings.Answer{Kind: holdings.AnswerNotPrimary}
 	case primary == me:
-		return hs.handleCommand(a)
+		return hs.handleCommand(command)
 	}
 	var answer holdings.Answer
-	if err := hs.call(address, "hold-ask", a, &answer, min(commandTimeout, until.Sub(hs.member.env.Now()))); err != nil {
+	if err := hs.call(address, "hold-ask", command, &answer, min(commandTimeout, deadline.Sub(hs.member.env.Now()))); err != nil {
 		return holdings.Answer{Kind: holdings.AnswerNone}
 	}
 	return answer
@@ -386,8 +386,8 @@
 
 // Holds is pipeline.Holdings'.
 func (hs *holdingsService) Holds(class string) bool {
-	_, does := hs.classes[class]
-	return does
+	_, held := hs.classes[class]
+	return held
 }
 
 // claim is one claim of a request's key.
@@ -398,84 +398,84 @@
 }
 
 // Claim is pipeline.Holdings'.
-func (hs *holdingsService) Claim(message *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
-	class := hs.classes[message.Class]
-	until := hs.member.env.Now().Add(within)
-	a := holdings.Command{
-		Op: holdings.OpClaim, Key: holdings.Key{Class: message.Class, Tenant: message.Tenant, Text: message.Key},
-		Claim: hs.lastClaim.Add(1), Fingerprint: print, Lifetime: within,
+func (hs *holdingsService) Claim(request *httpwire.Request, fingerprint [16]byte, within time.Duration) pipeline.ClaimResult {
+	class := hs.classes[request.Class]
+	deadline := hs.member.env.Now().Add(within)
+	command := holdings.Command{
+		Op: holdings.OpClaim, Key: holdings.Key{Class: request.Class, Tenant: request.Tenant, Text: request.Key},
+		Claim: hs.lastClaim.Add(1), Fingerprint: fingerprint, Lifetime: within,
 	}
 	// What is left must be enough to send the request, and to keep its outcome.
-	answer := hs.execute(&a, until.Add(-within/4))
-	var bound time.Duration
+	answer := hs.execute(&command, deadline.Add(-within/4))
+	var attemptsWithin time.Duration
 	if answer.Kind == holdings.AnswerUnknown {
-		left := until.Sub(hs.member.env.Now())
+		left := deadline.Sub(hs.member.env.Now())
 		if !holdings.MayRepeat(&class.Class, answer.Age, left, hs.member.conf.Params.Drift) {
-			return hs.refuse(&a, answer)
+			return hs.refuse(&command, answer)
 		}
-		bound = left
-		a.Op, a.Rev, a.Lifetime = holdings.OpReclaim, answer.Rev, left
-		answer = hs.execute(&a, until.Add(-left/4))
+		attemptsWithin = left
+		command.Op, command.Rev, command.Lifetime = holdings.OpReclaim, answer.Rev, left
+		answer = hs.execute(&command, deadline.Add(-left/4))
 	}
 	switch answer.Kind {
 	case holdings.AnswerOK:
 		hs.claimed.Add(1)
-		return pipeline.ClaimResult{Claim: &claim{hs, class, a}, AttemptsWithin: bound}
+		return pipeline.ClaimResult{Claim: &claim{hs, class, command}, AttemptsWithin: attemptsWithin}
 	case holdings.AnswerFinished:
 		hs.known.Add(1)
 		return pipeline.ClaimResult{Answer: keptAnswer(answer.Outcome)}
 	case holdings.AnswerMismatch:
 		return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Malformed, Reason: "key: it came with another request before"}}
 	case holdings.AnswerRunning, holdings.AnswerUnknown, holdings.AnswerFenced:
-		return hs.refuse(&a, answer)
+		return hs.refuse(&command, answer)
 	}
 	hs.alone.Add(1)
 	if class.alone == operator.ProceedAlone {
 		return pipeline.ClaimResult{}
 	}
-	if answer.Kind == holdings.AnswerNone && a.Op == holdings.OpClaim { // else it was out before
-		a.Op = holdings.OpDrop
-		hs.executeInBackground(a)
+	if answer.Kind == holdings.AnswerNone && command.Op == holdings.OpClaim { // else it was out before
+		command.Op = holdings.OpDrop
+		hs.executeInBackground(command)
 	}
-	return hs.refuse(&a, answer)
+	return hs.refuse(&command, answer)
 }
 
 // executeInBackground goes on asking when the request's own time is over. Guards against keys that stay unclear though their owner knows what
 // came of them, because the primary was lost at the wrong moment: a claim that nobody confirmed, an outcome that nobody copied.
-func (hs *holdingsService) executeInBackground(a holdings.Command) {
+func (hs *holdingsService) executeInBackground(command holdings.Command) {
 	if hs.background.Add(1) > maxBackground {
 		hs.background.Add(-1)
 		return
 	}
 	hs.member.env.Go("later", func() {
 		defer hs.background.Add(-1)
-		hs.execute(&a, hs.member.env.Now().Add(backgroundTimeout))
+		hs.execute(&command, hs.member.env.Now().Add(backgroundTimeout))
 	})
 }
 
 // refuse refuses a request. A kind of reason is logged once a while.
-func (hs *holdingsService) refuse(a *holdings.Command, why holdings.Answer) pipeline.ClaimResult {
+func (hs *holdingsService) refuse(command *holdings.Command, answer holdings.Answer) pipeline.ClaimResult {
 	hs.refused.Add(1)
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	if now := hs.member.env.Now(); now.Sub(hs.refusalLogged[why.Kind]) >= refusalLogEvery {
-		hs.refusalLogged[why.Kind] = now
-		shard := a.Key.Shard()
-		ev := hs.member.log.Warn().Stringer("why", why.Kind).Str("class", a.Key.Class).Int("shard", shard).Dur("age", why.Age)
+	if now := hs.member.env.Now(); now.Sub(hs.refusalLogged[answer.Kind]) >= refusalLogEvery {
+		hs.refusalLogged[answer.Kind] = now
+		shard := command.Key.Shard()
+		event := hs.member.log.Warn().Stringer("why", answer.Kind).Str("class", command.Key.Class).Int("shard", shard).Dur("age", answer.Age)
 		if hs.view.Placement != nil {
-			ev = ev.Uint64("ballot", hs.view.Placement.Shards[shard].Config).Int("seats", len(hs.view.Placement.Shards[shard].Replicas))
+			event = event.Uint64("ballot", hs.view.Placement.Shards[shard].Config).Int("seats", len(hs.view.Placement.Shards[shard].Replicas))
 		}
-		ev.Msg("a held request is refused")
+		event.Msg("a held request is refused")
 	}
 	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: refusedRetryAfter}}
 }
 
 // keptAnswer is the answer that a request had.
-func keptAnswer(o *holdings.Outcome) *httpwire.Answer {
-	if o == nil || o.TooLong {
+func keptAnswer(outcome *holdings.Outcome) *httpwire.Answer {
+	if outcome == nil || outcome.TooLong {
 		return &httpwire.Answer{Verdict: httpwire.Failed}
 	}
-	return &httpwire.Answer{Verdict: httpwire.Served, Body: o.Body, Type: o.Type, Encoding: o.Encoding}
+	return &httpwire.Answer{Verdict: httpwire.Served, Body: outcome.Body, Type: outcome.Type, Encoding: outcome.Encoding}
 }
 
 // MayWrite is pipeline.Hold's: the lease holds, and this is the incarnation that claimed.
@@ -490,27 +490,27 @@
 
 // Finish is pipeline.Hold's.
 func (cl *claim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
-	a := cl.command
+	command := cl.command
 	switch {
 	case answer.Verdict == httpwire.Served:
-		a.Op, a.Outcome = holdings.OpFinish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
+		command.Op, command.Outcome = holdings.OpFinish, &holdings.Outcome{Type: answer.Type, Encoding: answer.Encoding, Body: answer.Body}
 		if answer.Stream != nil || len(answer.Body) > cl.service.maxBody {
-			a.Outcome = &holdings.Outcome{TooLong: true}
+			command.Outcome = &holdings.Outcome{TooLong: true}
 		}
 	case ran:
-		a.Op = holdings.OpGiveUp
+		command.Op = holdings.OpGiveUp
 	default:
-		a.Op = holdings.OpDrop
+		command.Op = holdings.OpDrop
 	}
-	got := cl.service.execute(&a, cl.service.member.env.Now().Add(within))
-	if got.Kind != holdings.AnswerOK && got.Kind != holdings.AnswerFenced {
-		cl.service.executeInBackground(a)
+	result := cl.service.execute(&command, cl.service.member.env.Now().Add(within))
+	if result.Kind != holdings.AnswerOK && result.Kind != holdings.AnswerFenced {
+		cl.service.executeInBackground(command)
 	}
-	if answer.Verdict != httpwire.Served || got.Kind == holdings.AnswerOK {
+	if answer.Verdict != httpwire.Served || result.Kind == holdings.AnswerOK {
 		return answer
 	}
 	cl.service.alone.Add(1)
-	if cl.class.alone == operator.ProceedAlone && got.Kind != holdings.AnswerFenced {
+	if cl.class.alone == operator.ProceedAlone && result.Kind != holdings.AnswerFenced {
 		return answer
 	}
 	if answer.Stream != nil {
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -66,53 +66,53 @@
 }
 
 // Start begins; the sidecar acts cautiously until the crew has told it more.
-func Start(table operator.Cluster, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
+func Start(table operator.Cluster, conf *config.Config, environment env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
 	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, env: world, log: log, voterClients: map[string]*peerrpc.Client{},
+		conf: table, env: environment, log: log, voterClients: map[string]*peerrpc.Client{},
 		holder:      cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
 		firstAnswer: make(chan struct{}), stopRequested: make(chan struct{}), ended: make(chan struct{}),
 	}
-	m.publish(world.BootTime())
+	m.publish(environment.BootTime())
 	var err error
 	if table.Params.Holdings.Copies > 0 {
 		if m.holdings, err = newHoldingsService(m, conf); err != nil {
 			return nil, err
 		}
 	}
-	if m.server, err = peerrpc.Listen(world, table.Address, table.Name); err != nil {
+	if m.server, err = peerrpc.Listen(environment, table.Address, table.Name); err != nil {
 		return nil, err
 	}
 	handlers := map[string]peerrpc.Handler{"acting": m.handleActing}
-	if _, is := table.Voters[conf.Name]; is {
+	if _, isVoter := table.Voters[conf.Name]; isVoter {
 		if table.DataDir == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
 		m.voter, err = voter.Open(voter.Conf{
 			Cluster: table.Name, Name: conf.Name, Voters: table.Voters, Params: table.Params, DataDir: table.DataDir,
-		}, world, log)
+		}, environment, log)
 		if err != nil {
 			m.server.Close()
 			return nil, err
 		}
 		maps.Copy(handlers, m.voter.Handlers())
-		world.Go("keeper", m.voter.Run)
+		environment.Go("keeper", m.voter.Run)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Voters)) {
-		m.voterClients[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
+		m.voterClients[name] = peerrpc.NewClient(environment, table.Name, conf.Name, table.Voters[name])
 	}
 	m.renewer = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
 	if m.holdings != nil {
 		maps.Copy(handlers, m.holdings.handlers())
-		world.Go("holdings", m.holdings.run)
+		environment.Go("holdings", m.holdings.run)
 	}
-	m.server.Serve(world, handlers)
-	world.Go("lease", m.run)
+	m.server.Serve(environment, handlers)
+	environment.Go("lease", m.run)
 	// Guards against a process that sends to what was banned while it was away. Keepers that can't be heard delay a start
 	// by a lease at most.
-	timer := world.NewTimer(table.Params.Lease)
+	timer := environment.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
 	case <-m.firstAnswer:
@@ -140,26 +140,26 @@
 }
 
 func (m *Member) publishLocked(now cluster.BootTime) *effectiveState {
-	stance := m.holder.Effective(now)
+	rules := m.holder.Effective(now)
 	before := m.effective.Load()
-	if before != nil && before.Cautious == stance.Cautious && before.versions.Active == stance.Active &&
-		before.versions.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
+	if before != nil && before.Cautious == rules.Cautious && before.versions.Active == rules.Active &&
+		before.versions.Next == rules.Next && maps.Equal(before.Banned, rules.Rules.Banned) {
 		next := *before // the same, for longer
-		next.until, next.versions.Epoch = m.holder.LeaseEnd(), stance.Epoch
+		next.until, next.versions.Epoch = m.holder.LeaseEnd(), rules.Epoch
 		m.effective.Store(&next)
 		return &next
 	}
 	m.generation++
-	next := &effectiveState{versions: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
-		Generation: m.generation, Dynamic: stance.Rules.DynamicSettings(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
+	next := &effectiveState{versions: rules, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
+		Generation: m.generation, Dynamic: rules.Rules.DynamicSettings(), Banned: rules.Rules.Banned, Cautious: rules.Cautious,
 	}}
 	m.effective.Store(next)
 	ev := m.log.Info()
-	if stance.Cautious {
+	if rules.Cautious {
 		ev = m.log.Warn()
 	}
-	ev.Bool("cautious", stance.Cautious).Uint64("version", stance.Active).Uint64("next", stance.Next).Uint64("epoch", stance.Epoch).
-		Int("banned", len(stance.Rules.Banned)).Msg("rules in force")
+	ev.Bool("cautious", rules.Cautious).Uint64("version", rules.Active).Uint64("next", rules.Next).Uint64("epoch", rules.Epoch).
+		Int("banned", len(rules.Rules.Banned)).Msg("rules in force")
 	return next
 }
 
@@ -186,32 +186,32 @@
 }
 
 // renewOnce asks one keeper for the lease. It tells whether to ask again at once.
-func (m *Member) renewOnce() (again bool) {
+func (m *Member) renewOnce() (renewNow bool) {
 	m.mu.Lock()
 	if m.holdings != nil {
 		m.holder.CaughtUp, m.holder.Unreachable = m.holdings.leaseReport()
 	}
-	name, r := m.renewer.NextRequest(m.env.BootTime())
+	voterName, r := m.renewer.NextRequest(m.env.BootTime())
 	m.mu.Unlock()
 	var reply voter.RenewResult
-	if err := m.voterClients[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
+	if err := m.voterClients[voterName].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
 		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.renewer.HandleResponse(m.env.BootTime(), reply.Grant, reply.Leader)
-	if next.Done {
+	step := m.renewer.HandleResponse(m.env.BootTime(), reply.Grant, reply.Leader)
+	if step.Done {
 		m.renewals.Add(1)
 	}
 	switch {
-	case errors.Is(next.Err, cluster.ErrNoLeader):
+	case errors.Is(step.Err, cluster.ErrNoLeader):
 		m.noLeader.Add(1)
 		return false
-	case next.Err != nil:
-		m.warn("the crew's word can't be taken", next.Err.Error())
+	case step.Err != nil:
+		m.warn("the crew's word can't be taken", step.Err.Error())
 		return false
-	case !next.Done:
-		return next.RenewNow
+	case !step.Done:
+		return step.RenewNow
 	}
 	m.publishLocked(m.env.BootTime())
 	if m.holdings != nil {
@@ -229,20 +229,20 @@
 	switch {
 	case reply.Grant.Granted:
 		m.lastWarning = ""
-	case next.Reason != "":
-		m.warn("the crew grants no lease", next.Reason)
+	case step.Reason != "":
+		m.warn("the crew grants no lease", step.Reason)
 		fallthrough
 	default:
 		m.refused.Add(1)
 	}
-	return next.RenewNow
+	return step.RenewNow
 }
 
 // warn writes a line, but not the same one with each heartbeat.
-func (m *Member) warn(what, why string) {
-	if key, _, _ := strings.Cut(why, "whose lease"); key != m.lastWarning {
+func (m *Member) warn(message, reason string) {
+	if key, _, _ := strings.Cut(reason, "whose lease"); key != m.lastWarning {
 		m.lastWarning = key
-		m.log.Warn().Str("why", why).Msg(what)
+		m.log.Warn().Str("why", reason).Msg(message)
 	}
 }
 
@@ -262,9 +262,9 @@
 
 func (m *Member) handleActing(string, []byte) (any, error) {
 	a := m.current()
-	acts := m.statusOf(a)
-	acts.Banned = slices.Sorted(maps.Keys(a.Banned))
-	return acts, nil
+	status := m.statusOf(a)
+	status.Banned = slices.Sorted(maps.Keys(a.Banned))
+	return status, nil
 }
 
 // Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
@@ -333,7 +333,7 @@
 // leaveReplicas waits, not for long, until others have what this sidecar holds for them.
 func (m *Member) leaveReplicas() {
 	m.Leaving()
-	for limit := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(limit); m.env.Sleep(holdingsTick) {
+	for deadline := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(deadline); m.env.Sleep(holdingsTick) {
 		if m.holdings.countReplicas() == 0 || m.Effective().Cautious {
 			return
 		}
@@ -352,11 +352,11 @@
 		m.holdings.stop()
 	}
 	m.mu.Lock()
-	r, first := m.holder.NextRenewal(), m.renewer.FirstVoter()
+	r, firstVoter := m.holder.NextRenewal(), m.renewer.FirstVoter()
 	m.mu.Unlock()
 	r.Leaving = true
 	var reply voter.RenewResult
-	m.voterClients[first].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // else its lease's end says it
+	m.voterClients[firstVoter].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // else its lease's end says it
 	for _, l := range m.voterClients {
 		l.Close()
 	}
--- a/internal/cluster/member/process.go
+++ b/internal/cluster/member/process.go
@@ -33,8 +33,8 @@
 
 // JoinFunc makes sidecars members of the crew that a table names.
 func JoinFunc(table operator.Cluster) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
-	return func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
-		m, err := Start(table, conf, world, log)
+	return func(conf *config.Config, environment env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
+		m, err := Start(table, conf, environment, log)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -135,12 +135,12 @@
 }
 
 // NewCore opens a keeper on its disk; where names that to people. fresh draws the id of a new folder.
-func NewCore(conf Conf, clock Clock, logTo zerolog.Logger, disk Disk, where string, fresh func() uint64, ways Transport) (*Core, error) {
-	store, err := newStore(disk, where, conf.Cluster, conf.Name, fresh)
+func NewCore(conf Conf, clock Clock, log zerolog.Logger, disk Disk, path string, newID func() uint64, transport Transport) (*Core, error) {
+	store, err := newStore(disk, path, conf.Cluster, conf.Name, newID)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{conf: conf, clock: clock, log: logTo, store: store, transport: ways, ledger: cluster.NewLedger(),
+	return &Core{conf: conf, clock: clock, log: log, store: store, transport: transport, ledger: cluster.NewLedger(),
 		waitingProposals: map[uint64][]func(ProposeResult, error){}, announcements: map[string]Announcement{}, lastIDs: map[string]uint64{}, lastHeard: map[uint64]time.Time{}, observed: map[uint64]observedProgress{}}, nil
 }
 
@@ -229,32 +229,32 @@
 		if !c.node.HasReady() {
 			return nil
 		}
-		rd := c.node.Ready()
-		if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-			if err := c.store.save(rd.HardState, rd.Entries, rd.Snapshot, rd.MustSync); err != nil {
+		ready := c.node.Ready()
+		if ready.HardState != nil || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot) {
+			if err := c.store.save(ready.HardState, ready.Entries, ready.Snapshot, ready.MustSync); err != nil {
 				return fmt.Errorf("writing: %w", err) // whether it is on the disk is not known: nothing more may be said
 			}
 		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := c.restoreSnapshot(rd.Snapshot); err != nil {
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			if err := c.restoreSnapshot(ready.Snapshot); err != nil {
 				return err
 			}
 		}
-		if rd.SoftState != nil {
-			c.handleSoftState(rd.SoftState)
+		if ready.SoftState != nil {
+			c.handleSoftState(ready.SoftState)
 		}
-		c.sendMessages(rd.Messages)
-		for _, e := range rd.CommittedEntries {
+		c.sendMessages(ready.Messages)
+		for _, e := range ready.CommittedEntries {
 			if err := c.apply(e); err != nil {
 				return err
 			}
 		}
-		for _, rs := range rd.ReadStates {
+		for _, rs := range ready.ReadStates {
 			if c.pendingRead != nil && binary.BigEndian.Uint64(rs.RequestCtx) == c.pendingRead.id {
 				c.pendingRead.index = max(1, rs.Index)
 			}
 		}
-		c.node.Advance(rd)
+		c.node.Advance(ready)
 		if err := c.compact(); err != nil {
 			return err
 		}
@@ -278,15 +278,15 @@
 // serveAsLeader answers renewals and proposes what is due.
 func (c *Core) serveAsLeader() {
 	now := c.clock.Now()
-	if rd := c.pendingRead; rd != nil && rd.index > 0 && c.applied >= rd.index {
+	if read := c.pendingRead; read != nil && read.index > 0 && c.applied >= read.index {
 		c.pendingRead = nil
-		for _, w := range rd.batch {
+		for _, w := range read.batch {
 			grant := c.lessor.Renew(c.clock.BootTime(), c.ledger, &w.request)
 			w.reply(RenewResult{Grant: &grant})
 		}
-	} else if rd != nil && now.After(rd.deadline) {
+	} else if read != nil && now.After(read.deadline) {
 		c.pendingRead = nil // its members ask again
-		for _, w := range rd.batch {
+		for _, w := range read.batch {
 			w.reply(RenewResult{})
 		}
 	}
@@ -338,18 +338,18 @@
 	if len(e.GetData()) == 0 {
 		return nil // a leader's first
 	}
-	var l logEntry
-	if err := cbor.Unmarshal(e.GetData(), &l); err != nil {
+	var entry logEntry
+	if err := cbor.Unmarshal(e.GetData(), &entry); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	err := c.ledger.Apply(&l.Entry)
-	if l.Mark == c.pendingMark {
+	err := c.ledger.Apply(&entry.Entry)
+	if entry.Mark == c.pendingMark {
 		c.pendingMark = 0
 	}
-	if p := l.Entry.Propose; p != nil {
+	if p := entry.Entry.Propose; p != nil {
 		var answer ProposeResult
-		if round := c.ledger.Find(p.ID); round != nil {
-			answer.Number = round.Number
+		if record := c.ledger.Find(p.ID); record != nil {
+			answer.Number = record.Number
 		}
 		for _, reply := range c.waitingProposals[p.ID] {
 			reply(answer, err)
@@ -357,14 +357,14 @@
 		delete(c.waitingProposals, p.ID)
 	}
 	if err == nil {
-		c.logApplied(&l.Entry)
+		c.logApplied(&entry.Entry)
 	}
 	return nil
 }
 
 // logApplied writes what has been agreed on into the log.
-func (c *Core) logApplied(e *cluster.Entry) {
-	ev := c.log.Info().Uint64("epoch", c.ledger.Epoch)
+func (c *Core) logApplied(entry *cluster.Entry) {
+	event := c.log.Info().Uint64("epoch", c.ledger.Epoch)
 	names := func(list []cluster.Member) (out []string) {
 		for _, m := range list {
 			out = append(out, m.Name)
@@ -372,24 +372,24 @@
 		return out
 	}
 	switch {
-	case len(e.Join) > 0 || len(e.Leave) > 0:
-		ev.Strs("in", names(e.Join)).Strs("gone", names(e.Leave)).Int("members", len(c.ledger.Members)).Msg("the crew has changed")
-	case e.Propose != nil:
-		ev.Uint64("version", c.ledger.LastNumber).Msg("a version is proposed")
-	case e.Prepare > 0:
-		ev.Uint64("version", e.Prepare).Msg("a version is prepared")
-	case e.Activate > 0:
-		ev.Uint64("version", e.Activate).Msg("a version is active")
-	case len(e.ReplicaChanges) > 0:
+	case len(entry.Join) > 0 || len(entry.Leave) > 0:
+		event.Strs("in", names(entry.Join)).Strs("gone", names(entry.Leave)).Int("members", len(c.ledger.Members)).Msg("the crew has changed")
+	case entry.Propose != nil:
+		event.Uint64("version", c.ledger.LastNumber).Msg("a version is proposed")
+	case entry.Prepare > 0:
+		event.Uint64("version", entry.Prepare).Msg("a version is prepared")
+	case entry.Activate > 0:
+		event.Uint64("version", entry.Activate).Msg("a version is active")
+	case len(entry.ReplicaChanges) > 0:
 		lost := 0
-		for _, change := range e.ReplicaChanges {
+		for _, change := range entry.ReplicaChanges {
 			if change.Lost {
 				lost++
 			}
 		}
-		ev.Int("shards", len(e.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
-	case e.End != nil:
-		ev.Uint64("version", e.End.Number).Str("why", e.End.Reason).Msg("a version is refused")
+		event.Int("shards", len(entry.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
+	case entry.End != nil:
+		event.Uint64("version", entry.End.Number).Str("why", entry.End.Reason).Msg("a version is refused")
 	}
 }
 
@@ -501,9 +501,9 @@
 }
 
 // SnapshotReported hears whether a snapshot has come to who it was for.
-func (c *Core) SnapshotReported(id uint64, whole bool) {
+func (c *Core) SnapshotReported(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
-	if !whole {
+	if !delivered {
 		status = raft.SnapshotFailure
 	}
 	if c.node != nil {
@@ -534,8 +534,8 @@
 		}
 	} else {
 		// Both of one moment: between two steps raft may be in a later term than the leader that was booked last.
-		now := c.node.BasicStatus()
-		s.Leader, s.Term = c.voterName(now.Lead), now.HardState.GetTerm()
+		status := c.node.BasicStatus()
+		s.Leader, s.Term = c.voterName(status.Lead), status.HardState.GetTerm()
 	}
 	if c.lessor != nil {
 		s.Leases = map[string]int{}
--- a/internal/cluster/voter/disk.go
+++ b/internal/cluster/voter/disk.go
@@ -41,9 +41,9 @@
 
 // makeBuckets makes those of a new file. One that has others, or not all, is torn.
 func makeBuckets(tx *bbolt.Tx) error {
-	known, all := 0, 0
+	known, total := 0, 0
 	err := tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
-		if all++; slices.Contains(buckets, string(name)) {
+		if total++; slices.Contains(buckets, string(name)) {
 			known++
 		}
 		return nil
@@ -51,9 +51,9 @@
 	switch {
 	case err != nil:
 		return err
-	case all > 0 && (known != len(buckets) || all > known):
-		return fmt.Errorf("%d of its %d buckets are known, and there are %d", known, all, len(buckets))
-	case all > 0:
+	case total > 0 && (known != len(buckets) || total > known):
+		return fmt.Errorf("%d of its %d buckets are known, and there are %d", known, total, len(buckets))
+	case total > 0:
 		return nil
 	}
 	for _, b := range buckets {
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -36,12 +36,12 @@
 
 // Announcement is what it says of itself.
 func (c *Core) Announcement() Announcement {
-	w := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, Set: maps.Clone(c.store.identity.Set), Begun: c.node != nil && len(c.ledger.Voters) > 0,
+	a := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, Set: maps.Clone(c.store.identity.Set), Begun: c.node != nil && len(c.ledger.Voters) > 0,
 		ParamsHash: c.conf.Params.Hash(), End: c.logEnd(), Seen: maps.Clone(c.observed)}
 	if c.node != nil {
-		w.Term = c.node.BasicStatus().HardState.GetTerm()
+		a.Term = c.node.BasicStatus().HardState.GetTerm()
 	}
-	return w
+	return a
 }
 
 // isCurrentVoter tells whether this keeper's own folder takes part in the agreement.
@@ -59,24 +59,24 @@
 }
 
 // HandleAnnouncement takes another keeper's word.
-func (c *Core) HandleAnnouncement(w Announcement) {
-	if c.failure != nil || w.Name == c.conf.Name || c.conf.Voters[w.Name] == "" || w.ID == 0 {
+func (c *Core) HandleAnnouncement(a Announcement) {
+	if c.failure != nil || a.Name == c.conf.Name || c.conf.Voters[a.Name] == "" || a.ID == 0 {
 		return
 	}
-	before, known := c.announcements[w.Name]
-	if c.announcements[w.Name] = w; w.ParamsHash != c.conf.Params.Hash() {
-		if !known || before.ParamsHash != w.ParamsHash {
-			c.log.Error().Str("keeper", w.Name).Str("here", c.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
+	before, known := c.announcements[a.Name]
+	if c.announcements[a.Name] = a; a.ParamsHash != c.conf.Params.Hash() {
+		if !known || before.ParamsHash != a.ParamsHash {
+			c.log.Error().Str("keeper", a.Name).Str("here", c.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
 		}
 		return
 	}
 	if c.startCheck != nil {
-		c.failure = c.handleStartCheck(w)
+		c.failure = c.handleStartCheck(a)
 		return
 	}
 	if c.node != nil && len(c.ledger.Voters) > 0 {
-		c.dropLostLogEnd(w)
-		c.replaceVoter(w)
+		c.dropLostLogEnd(a)
+		c.replaceVoter(a)
 		return
 	}
 	if c.node == nil {
@@ -86,7 +86,7 @@
 
 // tryForm takes the next step towards a crew, if there is one to take.
 func (c *Core) tryForm() error {
-	mine := c.store.identity.Set
+	ownSet := c.store.identity.Set
 	for _, w := range c.announcements {
 		// Formed, or about to be, with a folder that is lost: this one is to replace it. Guards against a newcomer that
 		// makes up a beginning of its own from who stands in for the first ones.
@@ -94,7 +94,7 @@
 			return nil
 		}
 	}
-	if mine == nil {
+	if ownSet == nil {
 		if len(c.announcements) < len(c.conf.Voters)-1 {
 			return nil
 		}
@@ -110,19 +110,19 @@
 		if err := c.store.saveSet(set); err != nil {
 			return fmt.Errorf("writing: %w", err)
 		}
-		mine = set
+		ownSet = set
 	}
-	alike, begun := 0, false
+	sameSet, begun := 0, false
 	for _, w := range c.announcements {
-		if maps.Equal(w.Set, mine) {
-			alike++
+		if maps.Equal(w.Set, ownSet) {
+			sameSet++
 			begun = begun || w.Begun
 		}
 	}
-	if alike < len(mine)-1 && !begun {
+	if sameSet < len(ownSet)-1 && !begun {
 		return nil
 	}
-	return c.bootstrap(mine)
+	return c.bootstrap(ownSet)
 }
 
 // bootstrap writes the beginning that all keepers of a set have in common: a snapshot with an empty ledger.
@@ -151,25 +151,25 @@
 
 // replaceVoter has the leader put a keeper's new folder in the place of the one that it lost, one at a time, and only if the
 // old one has not been heard of for an election's time: the same name started twice must not push out who serves.
-func (c *Core) replaceVoter(w Announcement) {
-	old, there := c.ledger.Voters[w.Name]
-	if c.raftState != raft.StateLeader || !there || old == w.ID || w.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
+func (c *Core) replaceVoter(a Announcement) {
+	previousID, known := c.ledger.Voters[a.Name]
+	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
 		return
 	}
-	if p, ok := c.node.Status().Progress[old]; ok && p.RecentActive {
-		c.log.Warn().Str("keeper", w.Name).Msg("a second process under this name has an empty folder; the first one serves, nothing is changed")
+	if p, ok := c.node.Status().Progress[previousID]; ok && p.RecentActive {
+		c.log.Warn().Str("keeper", a.Name).Msg("a second process under this name has an empty folder; the first one serves, nothing is changed")
 		return
 	}
-	context, err := cbor.Marshal(voterReplacement{w.Name, w.ID})
+	encoded, err := cbor.Marshal(voterReplacement{a.Name, a.ID})
 	if err != nil {
 		return
 	}
 	add, remove := raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode
-	err = c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: context, Changes: []*raftpb.ConfChangeSingle{
-		{Type: &add, NodeId: &w.ID}, {Type: &remove, NodeId: &old},
+	err = c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: encoded, Changes: []*raftpb.ConfChangeSingle{
+		{Type: &add, NodeId: &a.ID}, {Type: &remove, NodeId: &previousID},
 	}})
 	if err == nil {
-		c.log.Info().Str("keeper", w.Name).Msg("a keeper comes back with an empty folder")
+		c.log.Info().Str("keeper", a.Name).Msg("a keeper comes back with an empty folder")
 	}
 }
 
@@ -204,12 +204,12 @@
 	if err := cbor.Unmarshal(change.GetContext(), &r); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	former := append(c.ledger.ReplacedVoters, c.ledger.Voters[r.Name])
-	c.ledger.ReplacedVoters = former[max(0, len(former)-cluster.MaxReplacedVoters):]
+	replaced := append(c.ledger.ReplacedVoters, c.ledger.Voters[r.Name])
+	c.ledger.ReplacedVoters = replaced[max(0, len(replaced)-cluster.MaxReplacedVoters):]
 	c.ledger.Voters[r.Name] = r.ID
-	in := slices.Collect(maps.Values(c.ledger.Voters))
-	maps.DeleteFunc(c.observed, func(id uint64, _ observedProgress) bool { return !slices.Contains(in, id) })
-	maps.DeleteFunc(c.lastHeard, func(id uint64, _ time.Time) bool { return !slices.Contains(in, id) })
+	current := slices.Collect(maps.Values(c.ledger.Voters))
+	maps.DeleteFunc(c.observed, func(id uint64, _ observedProgress) bool { return !slices.Contains(current, id) })
+	maps.DeleteFunc(c.lastHeard, func(id uint64, _ time.Time) bool { return !slices.Contains(current, id) })
 	c.log.Info().Str("keeper", r.Name).Msg("a keeper's folder was replaced")
 	// Guards against a newcomer that never gets the log: raft gives it a snapshot, and turns down one whose members it is
 	// not among.
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -33,10 +33,10 @@
 // Announce is Ways': each question has a goroutine and a connection of its own.
 func (v *Voter) Announce(name string, mine Announcement) {
 	v.env.Go("form", func() {
-		line := v.newClient(name)
-		defer line.Close()
+		client := v.newClient(name)
+		defer client.Close()
 		var theirs Announcement
-		if err := line.Call("form", mine, &theirs, peerTimeout); err == nil {
+		if err := client.Call("form", mine, &theirs, peerTimeout); err == nil {
 			v.post(func() { v.core.HandleAnnouncement(theirs) })
 		}
 	})
@@ -47,34 +47,34 @@
 }
 
 // sendOutbox says what is in an outbox until it is closed.
-func (v *Voter) sendOutbox(o *outbox, name string) {
-	line := v.newClient(name)
-	defer line.Close()
-	refused := ""
-	for m := range o.queue {
+func (v *Voter) sendOutbox(box *outbox, name string) {
+	client := v.newClient(name)
+	defer client.Close()
+	lastRefusal := ""
+	for m := range box.queue {
 		var texts [][]byte
-		var snapTo []uint64
+		var snapshotsTo []uint64
 		for size := 0; m != nil; {
 			text, err := proto.Marshal(m)
 			if err == nil {
 				texts, size = append(texts, text), size+len(text)
 			}
 			if m.GetType() == raftpb.MsgSnap {
-				snapTo = append(snapTo, m.GetTo())
+				snapshotsTo = append(snapshotsTo, m.GetTo())
 			}
 			if m = nil; size < batchBytes {
 				select {
-				case m = <-o.queue:
+				case m = <-box.queue:
 				default:
 				}
 			}
 		}
-		err := line.Call("raft", texts, nil, peerTimeout)
-		for _, id := range snapTo {
+		err := client.Call("raft", texts, nil, peerTimeout)
+		for _, id := range snapshotsTo {
 			v.post(func() { v.core.SnapshotReported(id, err == nil) })
 		}
-		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != refused {
-			refused = err.Error() // once, not with each message
+		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != lastRefusal {
+			lastRefusal = err.Error() // once, not with each message
 			v.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
 		}
 	}
--- a/internal/cluster/voter/startcheck.go
+++ b/internal/cluster/voter/startcheck.go
@@ -62,43 +62,43 @@
 	if t := m.GetType(); t == raftpb.MsgPreVote || t == raftpb.MsgPreVoteResp {
 		return
 	}
-	p := c.observed[m.GetFrom()]
-	if m.GetTerm() > p.Term {
-		p = observedProgress{Term: m.GetTerm()}
+	progress := c.observed[m.GetFrom()]
+	if m.GetTerm() > progress.Term {
+		progress = observedProgress{Term: m.GetTerm()}
 	}
-	if m.GetType() == raftpb.MsgAppResp && !m.GetReject() && m.GetTerm() == p.Term {
-		p.Index = max(p.Index, m.GetIndex())
+	if m.GetType() == raftpb.MsgAppResp && !m.GetReject() && m.GetTerm() == progress.Term {
+		progress.Index = max(progress.Index, m.GetIndex())
 	}
-	c.observed[m.GetFrom()] = p
+	c.observed[m.GetFrom()] = progress
 }
 
 // handleStartCheck takes another keeper's word while this one takes no part yet.
-func (c *Core) handleStartCheck(w Announcement) error {
-	if w.ID != c.ledger.Voters[w.Name] {
+func (c *Core) handleStartCheck(a Announcement) error {
+	if a.ID != c.ledger.Voters[a.Name] {
 		return nil
 	}
 	hard, _, err := c.store.mem.InitialState()
 	if err != nil {
 		return err
 	}
-	if of := w.Seen[c.store.identity.ID]; of.Term > hard.GetTerm() || of.Term == hard.GetTerm() && of.Index > c.logEnd().Index {
+	if seen := a.Seen[c.store.identity.ID]; seen.Term > hard.GetTerm() || seen.Term == hard.GetTerm() && seen.Index > c.logEnd().Index {
 		return fmt.Errorf("this folder ends at entry %d of term %d, and %s knows that it held entry %d and term %d: it was set back to an earlier copy",
-			c.logEnd().Index, hard.GetTerm(), w.Name, of.Index, of.Term)
+			c.logEnd().Index, hard.GetTerm(), a.Name, seen.Index, seen.Term)
 	}
-	c.startCheck.announcements[w.Name] = w
+	c.startCheck.announcements[a.Name] = a
 	if n := len(c.ledger.Voters); len(c.startCheck.announcements) < n-n/2 {
 		return nil
 	}
 	c.requiredLogEnds = map[string]logEnd{}
-	for name, w := range c.startCheck.announcements {
-		c.voteAfterTerm = max(c.voteAfterTerm, w.Term)
-		c.requiredLogEnds[name] = w.End
+	for name, announcement := range c.startCheck.announcements {
+		c.voteAfterTerm = max(c.voteAfterTerm, announcement.Term)
+		c.requiredLogEnds[name] = announcement.End
 	}
 	c.updateMinLogEnd()
 	c.startCheck = nil
 	if c.voteAfterTerm > hard.GetTerm() {
 		// Words of older leaders are refused from now on, as by any member that has heard of a newer term.
-		c.node.Step(&raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: &w.ID, To: &c.store.identity.ID, Term: &c.voteAfterTerm}) //nolint:errcheck
+		c.node.Step(&raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: &a.ID, To: &c.store.identity.ID, Term: &c.voteAfterTerm}) //nolint:errcheck
 	} else if c.voteAfterTerm < hard.GetTerm() || hard.GetVote() != 0 {
 		c.voteAfterTerm = 0 // its own folder holds whom it has voted for
 	}
@@ -119,15 +119,15 @@
 // two elections' time. Guards against a crew without a leader for good (three keepers, seed 560 of the simulation): the end of
 // a log that was nowhere else went with that folder, and this keeper waited for it. What the entries there rested on beside
 // it would be this folder alone: one that was set back, and another one lost, are two at once, of which nothing is promised.
-func (c *Core) dropLostLogEnd(w Announcement) {
-	old := c.ledger.Voters[w.Name]
-	if _, bound := c.requiredLogEnds[w.Name]; !bound || w.ID == old || w.Set != nil || w.Begun {
+func (c *Core) dropLostLogEnd(a Announcement) {
+	previousID := c.ledger.Voters[a.Name]
+	if _, required := c.requiredLogEnds[a.Name]; !required || a.ID == previousID || a.Set != nil || a.Begun {
 		return
 	}
-	if c.clock.Now().Sub(c.lastHeard[old]) > 2*electionTicks*TickEvery {
-		delete(c.requiredLogEnds, w.Name)
+	if c.clock.Now().Sub(c.lastHeard[previousID]) > 2*electionTicks*TickEvery {
+		delete(c.requiredLogEnds, a.Name)
 		c.updateMinLogEnd()
-		c.log.Warn().Str("keeper", w.Name).Msg("its folder is lost: what it told of its log binds this keeper no more")
+		c.log.Warn().Str("keeper", a.Name).Msg("its folder is lost: what it told of its log binds this keeper no more")
 	}
 }
 
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -88,9 +88,9 @@
 }
 
 // newStore reads or begins what a disk holds. fresh draws the id of a new folder.
-func newStore(disk Disk, path, crewName, name string, fresh func() uint64) (*store, error) {
+func newStore(disk Disk, path, cluster, name string, newID func() uint64) (*store, error) {
 	s := &store{disk: disk, path: path, mem: raft.NewMemoryStorage()}
-	if err := recoverPanics(func() error { return s.load(crewName, name, fresh) }); err != nil {
+	if err := recoverPanics(func() error { return s.load(cluster, name, newID) }); err != nil {
 		return nil, fmt.Errorf("%s: %w; %s", path, err, damagedRemedy)
 	}
 	return s, nil
@@ -107,7 +107,7 @@
 	return do()
 }
 
-func (s *store) load(crewName, name string, fresh func() uint64) error {
+func (s *store) load(cluster, name string, newID func() uint64) error {
 	err := s.disk.Update(func(tx Tx) error {
 		text, err := get(tx, bucketMeta, keyIdentity)
 		if err != nil {
@@ -118,7 +118,7 @@
 			if !hasNoRaftData(tx) {
 				return fmt.Errorf("%w: votes or entries, and nothing says whose", errDamaged)
 			}
-			s.identity = Identity{Format: storeFormat, Crew: crewName, Name: name, ID: fresh()}
+			s.identity = Identity{Format: storeFormat, Crew: cluster, Name: name, ID: newID()}
 			return s.putIdentity(tx)
 		}
 		if err := cbor.Unmarshal(text, &s.identity); err != nil {
@@ -127,8 +127,8 @@
 		switch {
 		case s.identity.Format != storeFormat:
 			return fmt.Errorf("of format %d; this build reads %d", s.identity.Format, storeFormat)
-		case s.identity.Crew != crewName || s.identity.Name != name:
-			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Crew, name, crewName)
+		case s.identity.Crew != cluster || s.identity.Name != name:
+			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Crew, name, cluster)
 		}
 		return nil
 	})
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -41,14 +41,14 @@
 }
 
 // Open opens a keeper's folder; Run begins.
-func Open(conf Conf, world env.Env, logTo zerolog.Logger) (*Voter, error) {
+func Open(conf Conf, environment env.Env, log zerolog.Logger) (*Voter, error) {
 	disk, path, err := openDisk(conf.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	k := &Voter{env: world, log: logTo, events: make(chan func(), eventQueue),
+	k := &Voter{env: environment, log: log, events: make(chan func(), eventQueue),
 		stopRequested: make(chan struct{}), ended: make(chan struct{}), outboxes: map[string]*outbox{}}
-	if k.core, err = NewCore(conf, world, logTo, disk, path, NewID, k); err != nil {
+	if k.core, err = NewCore(conf, environment, log, disk, path, NewID, k); err != nil {
 		disk.Close()
 		return nil, err
 	}
@@ -60,13 +60,13 @@
 	defer close(v.ended)
 	defer v.core.store.close()
 	defer v.leading.Store(false)
-	fail := recoverPanics(v.run)
+	err := recoverPanics(v.run)
 	for _, o := range v.outboxes {
 		close(o.queue)
 	}
 	v.core.FailWaiting()
-	if fail != nil {
-		v.log.Error().Err(fail).Str("file", v.core.store.path).Msg("this keeper takes no further part; see docs/crew.md, A keeper that has stopped")
+	if err != nil {
+		v.log.Error().Err(err).Str("file", v.core.store.path).Msg("this keeper takes no further part; see docs/crew.md, A keeper that has stopped")
 	}
 }
 
@@ -200,9 +200,9 @@
 		}
 		messages = append(messages, m)
 	}
-	why, err := callOwner(v, func(reply func(error)) { reply(v.core.HandleMessages(from, messages)) })
+	refusal, err := callOwner(v, func(reply func(error)) { reply(v.core.HandleMessages(from, messages)) })
 	if err == nil {
-		err = why
+		err = refusal
 	}
 	return nil, err
 }
