--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -11,54 +11,54 @@
 	"heathgap/internal/versions"
 )
 
-// decMode bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
-// crew has may come and go at once.
+// decMode bounds what a member decodes of the members and the placement, before memory is allocated. The longest list is that of
+// changed members: twice as many as a cluster has may join and leave at once.
 var decMode, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 
-// EffectiveRules is what a member acts on.
+// EffectiveRules is what a member applies at a given time.
 type EffectiveRules struct {
 	Rules    versions.Rules
-	Cautious bool   // it holds no lease: the rules agree with every version
-	Active   uint64 // the version acted on
-	Next     uint64 // acted on together with it, while that is prepared; 0 for none
+	Cautious bool   // it holds no lease: the rules are safe under every possible version
+	Active   uint64 // the active version
+	Next     uint64 // the prepared version applied together with Active; 0 if there is none
 	Epoch    uint64
 }
 
-// LeaseHolder is a member's side of the leases. What it is told it acts on until its lease
-// ends, counted from before it asked.
+// LeaseHolder is a member's side of its lease. The member applies what the leader granted until the lease ends. The lease is
+// counted from the moment before the request was sent.
 type LeaseHolder struct {
 	Self     Member
 	params   Params
 	ownRules versions.Rules
-	// connectTimeout is the time that a connection to an endpoint may take: windows are judged less that.
+	// connectTimeout is how long connecting to an endpoint may take: versions.Rules.With shortens windows by it.
 	connectTimeout decide.Time
 
-	leaseEnd      BootTime // of the lease; 0 before the first
-	requestedAt   BootTime // when the newest word was asked for that was taken
-	lastEcho      Echo     // of the newest answer
+	leaseEnd      BootTime // 0 before the first lease
+	requestedAt   BootTime // when the request of the newest accepted answer was sent
+	lastEcho      Echo     // from the newest answer
 	epoch         uint64
 	active        VersionRecord
 	next          *VersionRecord
 	checked       uint64
 	refusal       string
 	prepared      uint64
-	rules         versions.Rules // of the lease
+	rules         versions.Rules // that apply while the lease lasts
 	cautiousRules versions.Rules
 	view          holdings.View
-	deltaFailures int   // deltas in a row that could not be taken, of this leader; 1: the whole is asked for
-	viewErr       error // the last one's
-	// What this sidecar's store says, for the next renewal.
+	deltaFailures int   // consecutive deltas of this leader that could not be applied; after 1 the full view is requested
+	viewErr       error // from the newest delta or view that could not be applied
+	// What the member's holdings store reports, for the next renewal.
 	CaughtUp        []holdings.CaughtUp
 	Unreachable     []holdings.Incarnation
 	Decommissioning bool // it wants to leave
 }
 
-// NewLeaseHolder returns that of a process that has not been told anything.
+// NewLeaseHolder returns the lease holder of a process that has not received any grant.
 func NewLeaseHolder(self Member, params Params, ownRules versions.Rules, connectTimeout decide.Time) *LeaseHolder {
 	return &LeaseHolder{Self: self, params: params, ownRules: ownRules, connectTimeout: connectTimeout, rules: ownRules, cautiousRules: ownRules.Cautious(params.FixedClasses)}
 }
 
-// NextRenewal returns the renewal to be sent now. The caller notes the time before it, for Told.
+// NextRenewal returns the renewal to send now. The caller notes the time before sending it and passes it to HandleGrant.
 func (h *LeaseHolder) NextRenewal() Renewal {
 	r := Renewal{Member: h.Self, ParamsHash: h.params.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
 		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.lastEcho, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: deltaFormat}
@@ -74,15 +74,15 @@
 	return r
 }
 
-// HandleGrant takes the answer to what was asked at a time. It tells whether what is acted on
-// has changed: then the caller puts Acting in force before it asks again, since the next
-// renewal says so. An error is an answer that can't be true.
+// HandleGrant processes the answer to a renewal that was sent at requestedAt. It reports whether the effective rules have changed: then the
+// caller must put Effective into effect before it sends the next renewal, which confirms them to the leader. An error means an
+// answer that contradicts an earlier one.
 func (h *LeaseHolder) HandleGrant(requestedAt BootTime, g *Grant) (changed bool, err error) {
 	if requestedAt < h.requestedAt {
-		return false, nil // late word: what was asked for after it says more
+		return false, nil // stale message: the answer to a later request has been processed
 	}
 	if g.Echo.Term != h.lastEcho.Term {
-		h.deltaFailures = 0 // another leader, maybe of another build
+		h.deltaFailures = 0 // another leader, possibly of another build
 	}
 	h.requestedAt, h.lastEcho = requestedAt, g.Echo
 	if g.Epoch < h.epoch {
@@ -111,7 +111,7 @@
 	return h.versionStamp() != before, nil
 }
 
-// versionStamp is equal as long as the rules are.
+// versionStamp identifies the versions and states that the rules follow from; it changes whenever they do.
 func (h *LeaseHolder) versionStamp() [3]uint64 {
 	stamp := [3]uint64{h.active.Number}
 	if h.next != nil {
@@ -120,7 +120,7 @@
 	return stamp
 }
 
-// withDocument returns a round with its document: from what came, or from what is known.
+// withDocument returns a version record with its document: the one received, or the one already known if the leader left it out.
 func (h *LeaseHolder) withDocument(r *VersionRecord) (*VersionRecord, error) {
 	if r.Number == 0 {
 		return r, nil
@@ -138,7 +138,7 @@
 	return r, nil
 }
 
-// updateRules works out what is acted on, and what is to be said of the proposal under way.
+// updateRules derives the rules from the active and the next version, and what to report about the proposal in progress.
 func (h *LeaseHolder) updateRules() {
 	activeRules := h.ownRules.With(&h.active.Doc, h.connectTimeout)
 	h.rules = activeRules
@@ -156,14 +156,13 @@
 		h.rules, h.prepared = both, h.next.Number
 		return
 	}
-	// A ban binds at once wherever it is heard, be it only proposed.
+	// A ban takes effect as soon as a member learns of it, even if it is only proposed.
 	for _, name := range h.next.Doc.Banned {
 		h.rules.Banned[name] = true
 	}
 }
 
-// Effective is what is acted on at a time, and until when that may be relied on without
-// another look.
+// Effective returns what the member applies at the given time. Without a valid lease these are the cautious rules.
 func (h *LeaseHolder) Effective(now BootTime) EffectiveRules {
 	s := EffectiveRules{Rules: h.rules, Active: h.active.Number, Epoch: h.epoch}
 	if h.next != nil && h.next.State == Prepared && h.prepared == h.next.Number {
@@ -178,11 +177,11 @@
 	return s
 }
 
-// maxDeltaFailures deltas in a row that can't be taken, the last of them whole, have a member ask for the whole as builds do that take no
-// changes, without a checksum, for as long as this leader leads.
+// maxDeltaFailures is the number of consecutive deltas that can't be applied, the last of them a full view, after which a member
+// requests the full view in the format without a checksum that older builds use, for as long as this leader leads.
 const maxDeltaFailures = 2
 
-// updateView takes what is told of members and placement, or leaves both as they were.
+// updateView applies the members and the placement of a grant. If they can't be applied, it leaves both as they were and sets viewErr.
 func (h *LeaseHolder) updateView(g *Grant) {
 	switch {
 	case len(g.Delta) > 0:
@@ -215,14 +214,14 @@
 	}
 }
 
-// ViewErr is why what the leader told of members and placement could not be taken the last time; nil while it always could.
+// ViewErr returns why the members or the placement of a grant could last not be applied; nil if that never happened.
 func (h *LeaseHolder) ViewErr() error { return h.viewErr }
 
-// View is what it was told last of members and placement; zero before the first, or where nothing is held. What is told here is never
-// changed afterwards.
+// View returns the newest members and placement received; zero before the first, or if the cluster has no holdings. A returned view
+// is never changed afterwards.
 func (h *LeaseHolder) View() holdings.View { return h.view }
 
-// Incarnation is this process's incarnation in the crew, by that view; zero where it is not in.
+// Incarnation returns this process's incarnation in the cluster, by the newest view; zero if it isn't a member.
 func (h *LeaseHolder) Incarnation() holdings.Incarnation {
 	for _, m := range h.view.Members {
 		if m.Token == h.Self.Token && m.Name == h.Self.Name {
@@ -232,5 +231,5 @@
 	return holdings.Incarnation{}
 }
 
-// LeaseEnd is when the lease ends; 0 before the first.
+// LeaseEnd returns when the lease ends; 0 before the first lease.
 func (h *LeaseHolder) LeaseEnd() BootTime { return h.leaseEnd }
--- a/internal/cluster/leaserenewer.go
+++ b/internal/cluster/leaserenewer.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// Figures of a member's questions.
+// Limits of a member's renewals.
 const (
-	// HeartbeatsPerLease of a lease: a member asks so often, so that several answers may be lost before it is cut off.
+	// HeartbeatsPerLease is how often a member renews within one lease, so that several answers may be lost before the lease ends.
 	HeartbeatsPerLease = 8
-	// CallTimeoutPart of a lease is how long one question may take: two keepers can be tried before it ends.
+	// CallTimeoutPart is the part of a lease that one call may take (a third): two voters can be tried before the lease ends.
 	CallTimeoutPart        = 3
-	maxAnswersPerHeartbeat = 4 // rounds of questions in a heartbeat: the leader wants more said, or there is more to say
+	maxAnswersPerHeartbeat = 4 // of the leader in one heartbeat; more calls follow when either side has something new to report
 )
 
-// ErrNoLeader is that no keeper leads, or none that can be reached.
+// ErrNoLeader means that no voter leads, or none that can be reached.
 var ErrNoLeader = errors.New("no keeper leads that can be reached")
 
-// LeaseRenewer keeps a member's lease: it finds the leader among the keepers and asks it, one question at a time. With each heartbeat
-// its driver calls Heartbeat; then it asks what Question says and hands over what came of that, for as long as Answer says so.
+// LeaseRenewer renews a member's lease: it finds the leader among the voters and calls it, one call at a time. With each heartbeat the
+// driver calls StartHeartbeat; then it sends what NextRequest returns and passes the result to HandleResponse, as long as that sets RenewNow.
 type LeaseRenewer struct {
 	holder      *LeaseHolder
-	voters      []string // keepers' names, the one to be asked first in front
-	requestedAt BootTime // the present question
-	seriesEnd   BootTime // of the present round
-	calls       int      // in it
-	answers     int      // in this heartbeat
+	voters      []string // voters' names, the next one to call first
+	requestedAt BootTime // when the current request was made
+	seriesEnd   BootTime // when the current series of calls, in search of the leader, ends
+	calls       int      // calls in the series without an answer from the leader
+	answers     int      // from the leader in this heartbeat
 	sent        Renewal
 }
 
-// NewLeaseRenewer returns that of a holder. keepers are names.
+// NewLeaseRenewer returns a renewer for a lease holder; voters are the voters' names.
 func NewLeaseRenewer(holder *LeaseHolder, voters []string) *LeaseRenewer {
 	return &LeaseRenewer{holder: holder, voters: slices.Clone(voters)}
 }
 
-// FirstVoter is the keeper that is asked first.
+// FirstVoter returns the voter that is called first.
 func (lr *LeaseRenewer) FirstVoter() string { return lr.voters[0] }
 
-// StartHeartbeat begins anew.
+// StartHeartbeat begins a new heartbeat.
 func (lr *LeaseRenewer) StartHeartbeat() { lr.calls, lr.answers = 0, 0 }
 
-// NextRequest is what to ask now, and whom.
+// NextRequest returns the renewal to send now and the voter to send it to.
 func (lr *LeaseRenewer) NextRequest(now BootTime) (voter string, r Renewal) {
 	if lr.calls == 0 {
 		lr.seriesEnd = now + lr.holder.params.Lease
@@ -49,15 +49,15 @@
 	return lr.voters[0], lr.sent
 }
 
-// RenewalStep is what comes of an answer.
+// RenewalStep is the result of a call and what to do next.
 type RenewalStep struct {
-	RenewNow bool  // the next question is to be asked at once, when Acting has been put in force; else with the next heartbeat
-	Done     bool  // a round has ended: with Err, a refusal, or a lease
-	Err      error // ErrNoLeader, or a word that can't be true
+	RenewNow bool  // send the next request at once, after Effective has been put into effect; otherwise with the next heartbeat
+	Done     bool  // a series of calls has ended: with Err, with a refusal, or with a lease
+	Err      error // ErrNoLeader, or the grant contradicts an earlier one
 	Reason   string
 }
 
-// HandleResponse takes what came of the present question: a grant, or the leader's name, or neither.
+// HandleResponse processes the result of the current call: a grant, or the leader's name, or neither.
 func (lr *LeaseRenewer) HandleResponse(now BootTime, grant *Grant, leader string) RenewalStep {
 	if grant == nil {
 		lr.calls++
@@ -66,7 +66,7 @@
 		} else {
 			lr.voters = append(lr.voters[1:], lr.voters[0])
 		}
-		// Two more than there are keepers: the last one may name the leader, and that may change.
+		// Two calls more than there are voters: the last voter may name the leader, and the leader may change.
 		if lr.calls >= len(lr.voters)+2 || now >= lr.seriesEnd {
 			return RenewalStep{Done: true, Err: ErrNoLeader}
 		}
@@ -85,8 +85,8 @@
 		}
 		return step
 	}
-	// What is new to the leader it hears now, not with the next heartbeat: a version comes through that much sooner. What was
-	// said under an older epoch was not taken.
+	// Report what is new to the leader at once instead of with the next heartbeat, so that versions become active sooner. The leader
+	// has ignored what was reported under an older epoch.
 	next := lr.holder.NextRenewal()
 	hasNews := next.Checked != lr.sent.Checked || next.Prepared != lr.sent.Prepared || grant.Next != nil && next.Epoch != lr.sent.Epoch
 	return RenewalStep{Done: true, RenewNow: more && hasNews}
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -1,9 +1,9 @@
-// Package cluster holds what the sidecars of a crew agree on, and by which rules: who is in, in which epoch, which version of
-// the rules is acted on, and until when each may act on it. It is pure: no clock, no I/O, no goroutine. Its folders carry
-// it out: keeper the agreement, member a sidecar's part.
+// Package cluster holds the state that the sidecars of a cluster agree on and the rules by which it changes: the members, the epoch,
+// the version of the rules in effect, and how long each member may apply it. The package is pure: it has no clock, no I/O and no
+// goroutines. Package voter replicates the state through raft; package member is a sidecar's part.
 //
-// Three parts: Ledger is what the keepers' log says, the same everywhere; Granter is what their leader keeps in memory
-// alone; Holder is a member's side.
+// Its three main types are Ledger, the replicated state; Lessor, what the raft leader keeps in memory to grant leases; and
+// LeaseHolder, a member's side of its lease. LeaseRenewer drives a LeaseHolder: it finds the leader and renews the lease.
 package cluster
 
 import (
@@ -18,33 +18,33 @@
 	"heathgap/internal/versions"
 )
 
-// BootTime is a moment on a machine's clock that goes on while it is suspended (CLOCK_BOOTTIME). Moments of different
-// processes are never compared.
+// BootTime is a time on a machine's clock that keeps running while the machine is suspended (CLOCK_BOOTTIME). BootTimes of
+// different processes are never compared.
 type BootTime = time.Duration
 
-// Params are those of the operator's file.
+// Params are the cluster parameters from the operator's file, which all processes of a cluster must share.
 type Params = clusterparams.Params
 
-// Member is a process that is in the crew.
+// Member is a process that belongs to the cluster.
 type Member struct {
 	Name    string `cbor:"1,keyasint"`
-	Token   uint64 `cbor:"2,keyasint"` // of one start of the process: the same name twice is two tokens
+	Token   uint64 `cbor:"2,keyasint"` // identifies one start of the process: two processes under one name have different tokens
 	Zone    string `cbor:"3,keyasint,omitempty"`
-	Address string `cbor:"4,keyasint"` // where peers reach it
+	Address string `cbor:"4,keyasint"` // where peers connect to it
 }
 
-// State is how far a proposed version has come.
+// State is the stage of a proposed version.
 type State uint8
 
-// The states, in their order.
+// The states of a version, in order.
 const (
-	Checking State = iota + 1 // each member looks whether it can take it
-	Prepared                  // each acts on what both neighbours allow
-	Active                    // acted on
-	Refused                   // ended; it was never acted on
+	Checking State = iota + 1 // each member checks whether it can apply the version
+	Prepared                  // each member applies only what both the active and the next version allow
+	Active                    // in effect
+	Refused                   // ended without ever having been active
 )
 
-// String is the word that people read.
+// String returns the state's name as shown to people.
 func (s State) String() string {
 	return [...]string{"none", "checking", "prepared", "active", "refused"}[min(int(s), 4)]
 }
@@ -52,83 +52,83 @@
 // VersionRecord is a version with its state.
 type VersionRecord struct {
 	versions.Version
-	ID     uint64 `cbor:"20,keyasint"` // of the proposal: said twice, it counts once
+	ID     uint64 `cbor:"20,keyasint"` // of the proposal; a proposal that is sent twice counts once
 	State  State  `cbor:"21,keyasint"`
-	Reason string `cbor:"22,keyasint,omitempty"` // it was refused
+	Reason string `cbor:"22,keyasint,omitempty"` // why it was refused
 }
 
-// maxRejectedProposals bounds the proposals that are remembered as turned down: more than are on their way in a minute.
+// maxRejectedProposals bounds the remembered ids of rejected proposals. It is above the number of proposals in flight within a minute.
 const maxRejectedProposals = 256
 
-// MaxReplacedVoters bounds the replaced folders that are remembered: far more than are ever tried again.
+// MaxReplacedVoters bounds the remembered ids of replaced data directories. It is far above the number that ever reconnect.
 const MaxReplacedVoters = 256
 
-// maxHistory bounds the ended rounds that the ledger keeps, for people and for proposals
-// that are said again; documents of 64 KiB make 8 MiB of it at most.
+// maxHistory bounds the ended versions that the ledger keeps, for people and to recognize proposals that are sent again.
+// With documents of 64 KiB they take at most 8 MiB.
 const maxHistory = 128
 
-// Ledger is what the keepers agree on. It changes by Apply alone, in the order of their
-// log, and is the same after the same entries.
+// Ledger is the state that the voters replicate. Only Apply changes it, in the order of the raft log, so that the same entries
+// always lead to the same ledger.
 type Ledger struct {
-	Epoch   uint64            `cbor:"1,keyasint"` // rises with each change of members
+	Epoch   uint64            `cbor:"1,keyasint"` // incremented with each change of members
 	Members map[string]Member `cbor:"2,keyasint"` // by name
 	Active  VersionRecord     `cbor:"3,keyasint"` // number 0 before the first version
 	Next    *VersionRecord    `cbor:"4,keyasint,omitempty"`
-	// History holds rounds that have ended, the newest last: refused, or active once.
+	// History holds versions that are no longer current, the newest last: refused, or formerly active.
 	History    []VersionRecord `cbor:"5,keyasint,omitempty"`
-	LastNumber uint64          `cbor:"6,keyasint"` // the highest number given
-	// Voters are ids by names: of the folders that take part in the agreement.
+	LastNumber uint64          `cbor:"6,keyasint"` // the highest version number assigned
+	// Voters holds the ids of the data directories that take part in raft, by voter name.
 	Voters map[string]uint64 `cbor:"7,keyasint"`
-	// ReplacedVoters are ids of folders that others took the place of, the newest last.
+	// ReplacedVoters holds the ids of data directories that have been replaced by others, the newest last.
 	ReplacedVoters []uint64 `cbor:"8,keyasint,omitempty"`
-	// RejectedProposals are ids of proposals that were turned down, the newest last. Guards against one whose author was told no, and
-	// of which an earlier word, held up on its way, comes when it would count.
+	// RejectedProposals holds the ids of rejected proposals, the newest last. It guards against a delayed copy of a proposal
+	// that arrives after its author was told of the rejection and that would be accepted by then.
 	RejectedProposals []uint64 `cbor:"9,keyasint,omitempty"`
-	// JoinEpochs are the epochs in which members came in, by name: who was counted out and came in again is another incarnation.
+	// JoinEpochs holds the epoch in which each member joined, by name. A member that was removed and joined again is another incarnation.
 	JoinEpochs map[string]uint64 `cbor:"10,keyasint,omitempty"`
-	// Placement are the replicas in the shards of what sidecars hold for one another; nil where they hold nothing.
+	// Placement assigns the replicas of the holdings' shards to members; nil if the cluster has no holdings.
 	Placement *holdings.Placement `cbor:"11,keyasint,omitempty"`
 
-	// history is what Apply has changed lately, so that members can be told changes. It is each keeper's own: no part of what is
-	// agreed on, nor of what is encoded.
+	// history records recent changes, from which Delta is formed for members. Each voter has its own: it is neither replicated nor
+	// encoded.
 	history holdings.History
 }
 
-// NewLedger returns that of a crew without members and versions.
+// NewLedger returns a ledger without members and versions.
 func NewLedger() *Ledger {
 	return &Ledger{Members: map[string]Member{}, JoinEpochs: map[string]uint64{}}
 }
 
-// Entry is one change that a leader proposes. One of its parts is set.
+// Entry is one change that a leader proposes to raft. Exactly one of its parts is set: the changes of members (Join and Leave) or
+// one of the other fields; Epoch goes with any of them.
 type Entry struct {
 	Join           []Member                   `cbor:"1,keyasint,omitempty"`
-	Leave          []Member                   `cbor:"2,keyasint,omitempty"` // by name and token
+	Leave          []Member                   `cbor:"2,keyasint,omitempty"` // matched by name and token
 	Propose        *Proposal                  `cbor:"3,keyasint,omitempty"`
-	Prepare        uint64                     `cbor:"4,keyasint,omitempty"` // number
+	Prepare        uint64                     `cbor:"4,keyasint,omitempty"` // version number
 	Activate       uint64                     `cbor:"5,keyasint,omitempty"`
 	End            *ProposalEnd               `cbor:"6,keyasint,omitempty"`
 	ReplicaChanges []holdings.PlacementChange `cbor:"8,keyasint,omitempty"`
-	// Epoch under which the leader came to the conclusion; 0 where it rests on no members.
+	// Epoch is the epoch from whose members the leader derived this entry; 0 where the entry doesn't depend on the members.
 	Epoch uint64 `cbor:"7,keyasint,omitempty"`
 }
 
-// Proposal is a version that somebody asks for.
+// Proposal asks for a new version.
 type Proposal struct {
 	ID     uint64            `cbor:"1,keyasint"`
-	Parent uint64            `cbor:"2,keyasint"` // what the author saw as active
+	Parent uint64            `cbor:"2,keyasint"` // the version that the author saw as active
 	Author string            `cbor:"3,keyasint,omitempty"`
 	Note   string            `cbor:"4,keyasint,omitempty"`
 	Doc    versions.Document `cbor:"5,keyasint"`
 }
 
-// ProposalEnd is a proposal's end by refusal.
+// ProposalEnd ends a proposal that a member refused.
 type ProposalEnd struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Reason string `cbor:"2,keyasint"`
 }
 
-// Apply takes one entry of the log. An entry that does not fit any more changes nothing:
-// its reason is for whoever proposed it.
+// Apply applies one entry of the raft log. An entry that is no longer valid changes nothing; the error tells its proposer why.
 func (l *Ledger) Apply(e *Entry) error {
 	switch {
 	case len(e.Join) > 0 || len(e.Leave) > 0:
@@ -136,7 +136,7 @@
 	case e.Propose != nil:
 		return l.propose(e.Propose)
 	case e.Epoch != l.Epoch:
-		// Guards against a conclusion about members that have changed since it was drawn.
+		// Guards against a conclusion drawn from members that have changed since.
 		return fmt.Errorf("epoch %d has passed, it is %d", e.Epoch, l.Epoch)
 	case len(e.ReplicaChanges) > 0:
 		if l.Placement == nil {
@@ -181,14 +181,14 @@
 		}
 	}
 	for _, m := range joining {
-		// Guards against a second process under one name: the first must be gone before.
+		// Guards against a second process under one name: the first one must have left before.
 		if in, there := l.Members[m.Name]; there && in.Token != m.Token || !there && len(l.Members) >= clusterparams.MaxMembers {
 			continue
 		}
 		changed = changed || l.Members[m.Name] != m
 		l.Members[m.Name] = m
 		if _, stays := l.JoinEpochs[m.Name]; !stays {
-			if l.JoinEpochs == nil { // a ledger that an older build wrote
+			if l.JoinEpochs == nil { // decoded from a ledger that an older build wrote
 				l.JoinEpochs = map[string]uint64{}
 			}
 			l.JoinEpochs[m.Name] = l.Epoch + 1
@@ -204,7 +204,7 @@
 func (l *Ledger) propose(p *Proposal) error {
 	switch {
 	case l.Find(p.ID) != nil:
-		return nil // said again: its answer was lost
+		return nil // sent again because the answer was lost
 	case slices.Contains(l.RejectedProposals, p.ID):
 		return errors.New("this proposal was turned down before; propose anew")
 	}
@@ -251,7 +251,7 @@
 	l.History = append(l.History, r)
 }
 
-// VersionRecords are all rounds that are kept, the oldest first.
+// VersionRecords returns all versions that the ledger keeps, the oldest first.
 func (l *Ledger) VersionRecords() []VersionRecord {
 	all := slices.Clone(l.History)
 	if l.Active.Number > 0 {
@@ -264,7 +264,7 @@
 	return all
 }
 
-// Find returns the round of a proposal, nil if there is none or it is too long ago.
+// Find returns the version of a proposal, or nil if there is none or it is no longer kept.
 func (l *Ledger) Find(id uint64) *VersionRecord {
 	for _, r := range l.VersionRecords() {
 		if r.ID == id {
@@ -274,7 +274,7 @@
 	return nil
 }
 
-// Membership are the members as holdings know them, in one order.
+// Membership returns the members in the form that package holdings uses, sorted by name.
 func (l *Ledger) Membership() []holdings.Member {
 	out := make([]holdings.Member, 0, len(l.Members))
 	for _, name := range slices.Sorted(maps.Keys(l.Members)) {
@@ -284,12 +284,13 @@
 	return out
 }
 
-// View is what members are told of it. It shares the placement, which Apply changes: encode it before that.
+// View returns the members and the placement as members receive them. It shares the placement, which Apply changes: encode the view
+// before the next Apply.
 func (l *Ledger) View() holdings.View {
 	return holdings.View{Epoch: l.Epoch, Members: l.Membership(), Placement: l.Placement}
 }
 
-// Clone returns a ledger that changes by itself, and knows of no change before. Documents are never changed, and shared.
+// Clone returns an independent copy, without the history of changes. Documents are never changed, so both share them.
 func (l *Ledger) Clone() *Ledger {
 	c := *l
 	c.history = holdings.History{}
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -11,102 +11,104 @@
 	"heathgap/internal/holdings"
 )
 
-// Renewal is what a member asks the leader for: a lease, again and again.
+// Renewal is a member's request for a lease, repeated with each heartbeat.
 type Renewal struct {
 	Member
-	ParamsHash string `cbor:"10,keyasint"` // Terms.Hash
+	ParamsHash string `cbor:"10,keyasint"` // Params.Hash
 	Epoch      uint64 `cbor:"11,keyasint"` // as the member knows it
-	// Checked is the number of the proposal that it has looked at, and Refusal why it can't take it.
+	// Checked is the number of the proposal that the member has checked, and Refusal is why it can't apply it (empty if it can).
 	Checked uint64 `cbor:"12,keyasint,omitempty"`
 	Refusal string `cbor:"13,keyasint,omitempty"`
-	// Prepared is the number of the proposal that it acts on together with the active version.
+	// Prepared is the number of the proposal that the member applies together with the active version.
 	Prepared uint64 `cbor:"14,keyasint,omitempty"`
-	// HasActive and HasNext are the versions whose documents it has: they are not sent again.
+	// HasActive and HasNext are the versions whose documents the member has; the leader doesn't send these again.
 	HasActive uint64 `cbor:"15,keyasint,omitempty"`
 	HasNext   uint64 `cbor:"16,keyasint,omitempty"`
-	Leaving   bool   `cbor:"17,keyasint,omitempty"` // the process ends: its name is free
-	LastEcho  Echo   `cbor:"18,keyasint"`           // of the newest answer that came
-	// HasPlacement is the number of the placement that it has, and HasMembership the epoch of the members that it knows. Filled
-	// are its words on replicas that lack nothing any more.
+	Leaving   bool   `cbor:"17,keyasint,omitempty"` // the process ends: its name becomes free
+	LastEcho  Echo   `cbor:"18,keyasint"`           // of the newest answer that the member received
+	// HasPlacement is the number of the placement that the member has, and HasMembership the epoch of its list of members. CaughtUp
+	// lists replicas that have every entry of their shard.
 	HasPlacement  uint64              `cbor:"19,keyasint,omitempty"`
 	HasMembership uint64              `cbor:"20,keyasint,omitempty"`
 	CaughtUp      []holdings.CaughtUp `cbor:"21,keyasint,omitempty"`
-	// Decommissioning says that it will leave when its replicas have been given to others, and Unheard are those that it does not reach.
+	// Decommissioning means that the member will leave once its replicas are elsewhere; Unreachable lists the peers that it can't reach.
 	Decommissioning bool                   `cbor:"22,keyasint,omitempty"`
 	Unreachable     []holdings.Incarnation `cbor:"23,keyasint,omitempty"`
-	// Takes is the form in which it takes changes, formDelta; 0 for none, as a build says that is older than they are.
+	// Takes is the format of deltas that the member accepts, deltaFormat; 0 for none, as sent by builds that predate deltas.
 	Takes uint64 `cbor:"24,keyasint,omitempty"`
 }
 
-// deltaFormat is the form of changes that this build says and takes: what is in a Delta, and what its checksum goes over. Another
-// number is another form, and who takes that is told the whole.
+// deltaFormat is the format of deltas that this build sends and accepts: the fields of a holdings.Delta and what its checksum covers.
+// A member that accepts another format gets the full view.
 const deltaFormat = 1
 
-// Echo is what a member says back so that the leader knows that it hears: which leader answered, and when by its clock.
+// Echo is sent back by a member, so that the leader knows that its answers arrive: the term of the leader that answered, and when
+// it answered by its own clock.
 type Echo struct {
 	Term uint64   `cbor:"1,keyasint,omitempty"`
 	At   BootTime `cbor:"2,keyasint,omitempty"`
 }
 
-// Grant is the leader's answer.
+// Grant is the leader's answer to a renewal.
 type Grant struct {
-	// Granted tells whether the member holds a lease, from before it asked. What else is told binds no leader, but who has
-	// no lease keeps the bans that it hears of: a process that has just started does not send to what was banned before.
+	// Granted means that the member holds a lease, counted from before it sent the request. Without a lease the other fields
+	// guarantee nothing, but the member applies the bans in them: a process that has just started must not send to an endpoint
+	// that was banned before.
 	Granted  bool   `cbor:"1,keyasint"`
-	Reason   string `cbor:"2,keyasint,omitempty"` // if not
-	RetryNow bool   `cbor:"3,keyasint,omitempty"` // if not: asking again at once, with what is told here, may do
+	Reason   string `cbor:"2,keyasint,omitempty"` // why no lease was granted
+	RetryNow bool   `cbor:"3,keyasint,omitempty"` // no lease was granted, but a retry at once with what this answer reports may succeed
 	Epoch    uint64 `cbor:"4,keyasint"`
-	// Active and Next are told without their documents where the member has them.
+	// Active and Next come without their documents if the member has these.
 	Active VersionRecord  `cbor:"5,keyasint"`
 	Next   *VersionRecord `cbor:"6,keyasint,omitempty"`
-	Echo   Echo           `cbor:"7,keyasint"` // to be said back
-	// Placement (holdings.Placement) and Membership (a list of holdings.Member) are told whole, where the member has others and
-	// takes no changes; Delta (holdings.Delta) where it does. They stand here as encoded: many are told the same.
+	Echo   Echo           `cbor:"7,keyasint"` // for the member to send back
+	// Placement (holdings.Placement) and Membership (a list of holdings.Member) are sent in full if the member's are out of date and it
+	// accepts no deltas; Delta (holdings.Delta) if it does. They are kept encoded because many members get the same bytes.
 	Placement  cbor.RawMessage `cbor:"8,keyasint,omitempty"`
 	Membership cbor.RawMessage `cbor:"9,keyasint,omitempty"`
 	Delta      cbor.RawMessage `cbor:"10,keyasint,omitempty"`
 }
 
-// memberState is what a granter knows of a member, in memory alone.
+// memberState is what a lessor knows of a member. It is in memory only.
 type memberState struct {
 	token       uint64
-	leaseEnd    BootTime // its lease may be acted on until then
+	leaseEnd    BootTime // the lease may be applied until then
 	checked     uint64
 	refusal     string
 	prepared    uint64
-	epoch       uint64   // under which the three above were said
-	noEchoSince BootTime // since when no answer of ours has been said back; 0 for not
+	epoch       uint64   // under which the three fields above were reported
+	noEchoSince BootTime // since when the member has sent back no echo of this leader; 0 if it does
 }
 
-// noEchoPart of a lease is how long a member that says no answer back goes on being granted it: four of its questions.
+// noEchoPart is the part of a lease (a half, four renewals) for which a member that sends back no echo is still granted leases.
 const noEchoPart = 2
 
-// Lessor is the leader's side of the leases. It lives for one term of a leader; a new
-// one knows nothing of leases given before, and takes each for held for their whole time.
+// Lessor is the leader's side of the leases. It exists for one term of a leader. A new lessor knows nothing of leases granted
+// before and assumes that each member holds one for the full time.
 type Lessor struct {
 	params  Params
 	term    uint64
 	states  map[string]*memberState
-	joining map[string]Member // asked to come in, and are not in the ledger yet
-	leaving map[string]Member // said that they leave
+	joining map[string]Member // have requested to join and are not in the ledger yet
+	leaving map[string]Member // have announced that they leave
 
-	// What follows spares a leader the look at each member with each renewal: at 3,000 members that look was most of its work.
-	recheck         bool                              // something was said since the last look that may make an entry due
-	recheckAt       BootTime                          // no lease that was known then ends before
-	checkedStage    ledgerStage                       // the ledger then
-	caughtUp        map[string][]holdings.CaughtUp    // as each member said last
-	unreachable     map[string][]holdings.Incarnation // likewise
-	decommissioning map[string]bool                   // likewise
-	plannedFor      viewVersion                       // for which replicas were planned last
-	deadSince       map[int]BootTime                  // since when no ready replica of a shard is in the crew
-	encoded         encodedView                       // what members are told of the ledger's present state
-	waitingFor      string                            // a member whose word the round under way waited for then
+	// The following fields spare the leader a check of every member with each renewal, which was most of its work at 3,000 members.
+	recheck         bool                              // something was reported since the last check that may make an entry due
+	recheckAt       BootTime                          // before then no lease ends that was known at the last check
+	checkedStage    ledgerStage                       // of the ledger at the last check
+	caughtUp        map[string][]holdings.CaughtUp    // as last reported by each member
+	unreachable     map[string][]holdings.Incarnation // as last reported by each member
+	decommissioning map[string]bool                   // as last reported by each member
+	plannedFor      viewVersion                       // the state for which replicas were last planned
+	deadSince       map[int]BootTime                  // since when no ready replica of a shard is on a member
+	encoded         encodedView                       // what members receive of the ledger's current state
+	waitingFor      string                            // a member whose report on the current proposal was missing at the last check
 }
 
-// viewVersion is what replicas follow from.
+// viewVersion identifies the members and the placement: what the plan of replicas and the encoded view follow from.
 type viewVersion struct{ epoch, placement uint64 }
 
-// ledgerStage is how far a ledger is, of what makes entries due.
+// ledgerStage is the part of a ledger's state that decides which entries are due.
 type ledgerStage struct {
 	epoch, active, next uint64
 	state               State
@@ -120,14 +122,14 @@
 	return s
 }
 
-// NewLessor returns that of a leader that has just come to lead, in a term.
+// NewLessor returns the lessor of a leader that was just elected in the given term.
 func NewLessor(params Params, term uint64) *Lessor {
 	return &Lessor{params: params, term: term, states: map[string]*memberState{}, joining: map[string]Member{}, leaving: map[string]Member{}, recheck: true,
 		caughtUp: map[string][]holdings.CaughtUp{}, unreachable: map[string][]holdings.Incarnation{}, decommissioning: map[string]bool{}, deadSince: map[int]BootTime{}}
 }
 
-// stateOf returns what is known of a member of the ledger. One that is met for the first time may have been granted a lease a
-// moment ago, by a leader before, or has just come in.
+// stateOf returns the state of a member of the ledger. A member that is seen for the first time has just joined, or may have been granted
+// a lease a moment ago by an earlier leader.
 func (le *Lessor) stateOf(now BootTime, m Member) *memberState {
 	s := le.states[m.Name]
 	if s == nil || s.token != m.Token {
@@ -137,13 +139,12 @@
 	return s
 }
 
-// Renew answers a renewal. The caller has made sure, after the renewal came, that a
-// majority still takes it for the leader and that the ledger is up to date; it calls
-// Told when the answer has been handed to the network.
+// Renew answers a renewal. After the renewal arrived, the caller must have confirmed that a majority still accepts it as the leader
+// and that the ledger is up to date. It calls AnswerSent when the answer has been handed to the network.
 func (le *Lessor) Renew(now BootTime, l *Ledger, r *Renewal) Grant {
 	grant := Grant{Epoch: l.Epoch, Active: l.Active, Echo: Echo{le.term, now}}
 	if l.Next != nil {
-		next := *l.Next // a grant is on its way while the ledger goes on
+		next := *l.Next // copied because the ledger may change before the grant is encoded
 		grant.Next = &next
 	}
 	refuse := func(retryNow bool, format string, args ...any) Grant {
@@ -181,13 +182,13 @@
 		return refuse(true, "%q is coming in", r.Name)
 	}
 	s := le.stateOf(now, member)
-	// Guards against a lease for a member whose end is on its way through the log: it would act on it when others have gone on
-	// without it (seed 277 of the crew's simulation). Who has been late so long comes in anew.
+	// Guards against a lease for a member whose removal is already in the log: it would apply its lease after the others have
+	// continued without it (seed 277 of the cluster simulation). A member that is this late joins again.
 	if leaving, isLeaving := le.leaving[r.Name]; s.leaseEnd <= now || isLeaving && leaving.Token == r.Token {
 		return refuse(true, "%q is being counted out", r.Name)
 	}
-	// Guards against a member that is heard and hears nothing: it acts on no lease, and would hold up each version for as long as
-	// its questions come.
+	// Guards against a member that does not receive answers but whose renewals arrive: it applies no lease, and would delay each version
+	// for as long as its renewals come.
 	switch {
 	case le.receivesAnswers(now, r):
 		s.noEchoSince = 0
@@ -196,9 +197,9 @@
 	case now-s.noEchoSince > le.params.Lease/noEchoPart:
 		return refuse(true, "%q has said back no answer for %v: it does not seem to hear", r.Name, now-s.noEchoSince)
 	}
-	// What it says counts under the present epoch alone; the lease rests on who it is. Guards against members that are
-	// refused, and counted out, because others come and go: at 300 that raised the epoch faster than renewals could name it,
-	// and went on by itself (seed 2001 of the crew's simulation with 300 members).
+	// Reports count only under the current epoch, but the lease is granted for any epoch. Guards against members that are refused and
+	// removed because others join and leave: with 300 members that raised the epoch faster than renewals could name it, and the
+	// removals caused further ones (seed 2001 of the cluster simulation with 300 members).
 	if r.Epoch == l.Epoch {
 		le.recheck = le.recheck || l.Next != nil && (r.Refusal != "" || r.Name == le.waitingFor)
 		s.checked, s.refusal, s.prepared, s.epoch = r.Checked, r.Refusal, r.Prepared, r.Epoch
@@ -223,25 +224,25 @@
 	return grant
 }
 
-// receivesAnswers tells whether a member has said back an answer of this leader that is not older than a lease.
+// receivesAnswers reports whether a member has sent back an echo of this leader that is not older than a lease.
 func (le *Lessor) receivesAnswers(now BootTime, r *Renewal) bool {
 	return r.LastEcho.Term == le.term && now-r.LastEcho.At <= le.params.Lease
 }
 
-// maxEncodedDeltas bounds the states that changes are kept for: members lag by one or two of them, and after a cut by some more. What
-// is not kept is encoded for each.
+// maxEncodedDeltas bounds the starting points for which an encoded delta is kept: members lag by one or two states, and after a
+// network partition by a few more. Any further delta is encoded anew for each request.
 const maxEncodedDeltas = 16
 
-// encodedView are what members are told of one state of a ledger, encoded once for all of them.
+// encodedView is what members receive of one state of a ledger, encoded once for all of them.
 type encodedView struct {
 	version               viewVersion
 	view                  holdings.View
-	checksum              uint64                          // of it
-	membership, placement cbor.RawMessage                 // whole, for those that take no changes; nil until one asks
-	deltas                map[viewVersion]cbor.RawMessage // by what they start from
+	checksum              uint64                          // of view
+	membership, placement cbor.RawMessage                 // in full, for members that accept no deltas; nil until one requests it
+	deltas                map[viewVersion]cbor.RawMessage // by the state from which they lead to this one
 }
 
-// addView tells a member what it lacks of members and placement.
+// addView adds to a grant what the member lacks of the members and the placement.
 func (le *Lessor) addView(grant *Grant, l *Ledger, r *Renewal) {
 	if at := (viewVersion{l.Epoch, l.Placement.Number}); le.encoded.version != at {
 		le.encoded = encodedView{version: at, view: l.View(), deltas: map[viewVersion]cbor.RawMessage{}}
@@ -270,24 +271,24 @@
 func mustEncode(value any) cbor.RawMessage {
 	encoded, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // it has nothing that can't be encoded
+		panic(err) // these types have nothing that can't be encoded
 	}
 	return encoded
 }
 
-// AnswerSent counts a lease from the moment after its answer went: now is read then. (The holder counts from before it
-// asked, so that counting from Renew on would do; an answer's time on its way is a margin more.)
+// AnswerSent extends a lease to count from now, a moment after its answer was sent. (Counting from Renew would suffice, since the
+// holder counts from before its request; the time to send the answer is an additional margin.)
 func (le *Lessor) AnswerSent(now BootTime, r *Renewal) {
 	if s := le.states[r.Name]; s != nil && s.token == r.Token && s.leaseEnd > now {
 		s.leaseEnd = max(s.leaseEnd, now+le.params.LessorWait())
 	}
 }
 
-// Due returns the entries that the leader has to propose now. It is called when none is on its way.
+// Due returns the entries that the leader should propose now. It is called only while none of its entries is in flight.
 func (le *Lessor) Due(now BootTime, l *Ledger) []Entry {
 	if at := stageOf(l); le.recheck || now >= le.recheckAt || at != le.checkedStage {
 		due := le.findDue(now, l)
-		le.recheck, le.checkedStage = len(due) > 0, at // what is due stays so until it is agreed on
+		le.recheck, le.checkedStage = len(due) > 0, at // what is due stays due until it is committed
 		return due
 	}
 	return nil
@@ -312,7 +313,7 @@
 		}
 		change.Join = append(change.Join, m)
 	}
-	clear(le.joining) // proposed once; who is not in then asks again
+	clear(le.joining) // proposed once; a member that did not get in sends another renewal
 	maps.DeleteFunc(le.leaving, func(name string, m Member) bool { return l.Members[name].Token != m.Token })
 	isGone := func(name string) bool { return l.Members[name].Token == 0 }
 	maps.DeleteFunc(le.caughtUp, func(name string, _ []holdings.CaughtUp) bool { return isGone(name) })
@@ -320,7 +321,7 @@
 	maps.DeleteFunc(le.decommissioning, func(name string, _ bool) bool { return isGone(name) })
 	maps.DeleteFunc(le.states, func(name string, s *memberState) bool { return l.Members[name].Token != s.token })
 	if len(change.Leave) > 0 || len(change.Join) > 0 {
-		return append(due, change) // the rest waits for the new epoch
+		return append(due, change) // everything else waits for the new epoch
 	}
 	if e, ok := le.proposalEntry(now, l); ok {
 		due = append(due, e)
@@ -331,7 +332,7 @@
 	return due
 }
 
-// placementEntry tells which replicas follow from who is in the crew, and from what primaries have said.
+// placementEntry returns the entry that changes replicas, if one follows from the members and from what primaries have reported.
 func (le *Lessor) placementEntry(now BootTime, l *Ledger) (Entry, bool) {
 	if le.params.Holdings.Copies == 0 {
 		return Entry{}, false
@@ -340,7 +341,7 @@
 	if placement == nil {
 		placement = &holdings.Placement{}
 	}
-	waitOver := false // a shard has waited for long enough
+	waitOver := false // some shard has been without a ready replica for LostAfter
 	for i := range placement.Shards {
 		if !placement.Shards[i].Dead(func(incarnation holdings.Incarnation, token uint64) bool {
 			return l.Members[incarnation.Name].Token == token
@@ -377,8 +378,8 @@
 	return Entry{ReplicaChanges: changes, Epoch: l.Epoch}, true
 }
 
-// proposalEntry tells whether the proposal under way may go on: when each member has said so, in
-// this epoch. Who says nothing is counted out when its lease has surely ended.
+// proposalEntry returns the entry that moves the current proposal on, if one is due: each member must have reported under the current
+// epoch. A member that does not report is removed from the cluster once its lease has certainly ended.
 func (le *Lessor) proposalEntry(now BootTime, l *Ledger) (Entry, bool) {
 	if l.Next == nil {
 		return Entry{}, false
@@ -408,7 +409,7 @@
 	return Entry{Activate: number, Epoch: l.Epoch}, true
 }
 
-// decommissioningMembers are the members that will go when their replicas have been given to others.
+// decommissioningMembers returns the members that leave once their replicas are elsewhere.
 func (le *Lessor) decommissioningMembers(l *Ledger) map[holdings.Incarnation]bool {
 	out := map[holdings.Incarnation]bool{}
 	for name, leaving := range le.decommissioning {
@@ -419,7 +420,7 @@
 	return out
 }
 
-// unreachablePairs are the pairs of members of which the first does not reach the second.
+// unreachablePairs returns the pairs of members of which the first can't reach the second.
 func (le *Lessor) unreachablePairs(l *Ledger) map[[2]holdings.Incarnation]bool {
 	out := map[[2]holdings.Incarnation]bool{}
 	for name, list := range le.unreachable {
@@ -430,7 +431,7 @@
 	return out
 }
 
-// LeaseEnd is when a member's lease has surely ended, for people.
+// LeaseEnd returns when a member's lease has certainly ended, for display.
 func (le *Lessor) LeaseEnd(now BootTime, l *Ledger, name string) BootTime {
 	return le.stateOf(now, l.Members[name]).leaseEnd
 }
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -1,5 +1,5 @@
-// Package voter carries a crew's agreement: etcd's raft over a bbolt file, the ledger that follows from its log, and the
-// leases that its leader grants. One goroutine owns all of it; what comes over the network is handed to it as events.
+// Package voter implements a member that takes part in raft: etcd's raft on a bbolt file, the ledger that follows from the raft log,
+// and the leases that the leader grants. One goroutine owns all state; messages from the network are handed to it as events.
 package voter
 
 import (
@@ -21,120 +21,121 @@
 	"heathgap/internal/cluster"
 )
 
-// Figures of a keeper.
+// Intervals and limits of a voter.
 const (
-	// TickEvery is how often a core is to be told that time has passed.
+	// TickEvery is the interval at which Tick must be called.
 	TickEvery = 50 * time.Millisecond
-	// electionTicks without word from a leader begin an election, up to twice as many at random: above a bad fsync.
+	// A follower that hears nothing from a leader for electionTicks, plus a random time of up to as much again, starts an election.
+	// This is longer than a slow fsync.
 	electionTicks  = 10
 	heartbeatTicks = 2
-	readTimeout    = time.Second     // a majority must have confirmed the leader by then
-	announceEvery  = time.Second / 4 // keepers that form a crew ask each other
-	compactEvery   = 1000            // entries of the log, until a snapshot takes their place
-	compactKeep    = 200             // of which stay for followers that lag
+	readTimeout    = time.Second     // for a majority to confirm the leader
+	announceEvery  = time.Second / 4 // between announcements while the voters form a cluster
+	compactEvery   = 1000            // entries of the log before a snapshot replaces them
+	compactKeep    = 200             // of these entries stay in memory for followers that lag
 )
 
-// Conf is what a keeper is started with.
+// Conf is the configuration of a voter.
 type Conf struct {
 	Cluster string
 	Name    string
-	Voters  map[string]string // addresses by names, this one's too
+	Voters  map[string]string // addresses by voter name, including this voter's
 	Params  cluster.Params
-	DataDir string // folder
+	DataDir string // data directory
 }
 
-// Clock is a keeper's view of time; env.Env has it.
+// Clock gives a voter the time; env.Env implements it.
 type Clock interface {
 	Now() time.Time
 	BootTime() time.Duration
 }
 
-// Transport are how a keeper speaks to the others. Calls return at once, and may lose what they are given.
+// Transport sends messages to the other voters. Its methods return at once, and messages may be lost.
 type Transport interface {
-	// Send has messages of raft said to another keeper; false when there was no room for them.
+	// Send queues a raft message for another voter; it returns false if the queue is full.
 	Send(keeper string, m *raftpb.Message) bool
-	// Announce has another keeper told this one's word; its answer is to come to Hear.
+	// Announce sends this voter's announcement to another voter. The answer must be passed to HandleAnnouncement.
 	Announce(keeper string, mine Announcement)
 }
 
-// Core is a keeper without network and goroutines: what comes is told to it, what it says goes to its Ways, and Settle does
-// all that follows. A process drives it (Keeper), and so does the simulation. It is to be called by one goroutine. Raft
-// panics on a log that can't be; whoever drives it takes that for an error that ends it.
+// Core is a voter without network and goroutines: messages are passed in by method calls, outgoing ones go to its Transport, and
+// ProcessReady does everything that follows from the calls. It is driven by Voter in a process, and by the simulation. All calls must
+// come from one goroutine. Raft panics on an impossible log; the driver must treat a panic as an error that ends the voter.
 type Core struct {
 	conf      Conf
 	clock     Clock
 	log       zerolog.Logger
 	store     *store
 	transport Transport
-	failure   error // why it ended
+	failure   error // why the voter stopped taking part
 
-	node             *raft.RawNode // nil until the crew is formed
+	node             *raft.RawNode // nil until the cluster is formed
 	ledger           *cluster.Ledger
 	applied          uint64
-	confState        *raftpb.ConfState // as applied
-	leaderID         uint64            // id; 0 for none
+	confState        *raftpb.ConfState // of the newest applied change of voters
+	leaderID         uint64            // 0 for none
 	raftState        raft.StateType
-	lessor           *cluster.Lessor // while it leads
-	leaderTerm       uint64          // in which it came to lead
-	pendingMark      uint64          // of the entry of its own that is on its way; 0 for none
+	lessor           *cluster.Lessor // nil unless this voter leads
+	leaderTerm       uint64          // the term in which this voter was last elected
+	pendingMark      uint64          // of the leader's own entry in flight; 0 for none
 	markCount        uint64
-	waitingRenewals  []waitingRenewal // for a majority's word
+	waitingRenewals  []waitingRenewal // for a majority to confirm the leader
 	pendingRead      *readIndexRequest
 	readCount        uint64
-	waitingProposals map[uint64][]func(ProposeResult, error) // proposals on their way, by id
+	waitingProposals map[uint64][]func(ProposeResult, error) // proposals in flight, by id
 	announcements    map[string]Announcement
-	lastIDs          map[string]uint64           // ids of folders that others have last spoken with, by names
-	observed         map[uint64]observedProgress // of other keepers' folders, by id
+	lastIDs          map[string]uint64           // id of the data directory from which each voter last sent messages, by name
+	observed         map[uint64]observedProgress // of other voters' data directories, by id
 	nextAnnounce     time.Time
-	dropped          int64 // messages to keepers that there was no room for
-	// What the others told when this keeper started with a folder: see clear.go.
+	dropped          int64 // raft messages that the transport's queues had no room for
+	// The rest is what the other voters reported after this one started with an existing data directory; see startcheck.go.
 	startCheck      *startCheck
 	voteAfterTerm   uint64
 	minLogEnd       logEnd
-	requiredLogEnds map[string]logEnd    // whose words made it so, by names
-	lastHeard       map[uint64]time.Time // when each folder was last heard, by id
+	requiredLogEnds map[string]logEnd    // the reported log ends from which minLogEnd follows, by voter name
+	lastHeard       map[uint64]time.Time // when each data directory last sent a message, by id
 }
 
-// waitingRenewal is a member's renewal that waits.
+// waitingRenewal is a member's renewal that has not been answered yet.
 type waitingRenewal struct {
 	request cluster.Renewal
 	reply   func(RenewResult)
 }
 
-// readIndexRequest is a question to a majority whether this is the leader.
+// readIndexRequest asks a majority to confirm that this voter is the leader.
 type readIndexRequest struct {
 	id       uint64
 	batch    []waitingRenewal
-	index    uint64 // 0 until a majority has said yes
+	index    uint64 // 0 until a majority has confirmed the leader
 	deadline time.Time
 }
 
-// RenewResult is the answer to a renewal.
+// RenewResult is the answer to a renewal. Both fields are empty if no leader is known or it was not confirmed.
 type RenewResult struct {
 	Grant  *cluster.Grant `cbor:"1,keyasint,omitempty"`
-	Leader string         `cbor:"2,keyasint,omitempty"` // its name, where this keeper does not lead
+	Leader string         `cbor:"2,keyasint,omitempty"` // the leader's name, if this voter does not lead
 }
 
-// ProposeResult is the answer to a proposal.
+// ProposeResult is the answer to a proposal: its version number, or the leader's name if this voter does not lead.
 type ProposeResult struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Leader string `cbor:"2,keyasint,omitempty"`
 }
 
-// logEntry is an entry of the log. The mark tells a leader its own.
+// logEntry is an entry of the raft log. The mark lets a leader recognize its own entry.
 type logEntry struct {
 	Mark  uint64        `cbor:"1,keyasint"`
 	Entry cluster.Entry `cbor:"2,keyasint"`
 }
 
-// NewID draws an id, never 0.
+// NewID returns a random id, never 0.
 func NewID() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) //nolint:errcheck // it does not fail
+	rand.Read(b[:]) //nolint:errcheck // rand.Read never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// NewCore opens a keeper on its disk; where names that to people. fresh draws the id of a new folder.
+// NewCore opens a voter's data on a disk. path names the disk in messages; newID returns the id of a new data directory.
 func NewCore(conf Conf, clock Clock, log zerolog.Logger, disk Disk, path string, newID func() uint64, transport Transport) (*Core, error) {
 	store, err := newStore(disk, path, conf.Cluster, conf.Name, newID)
 	if err != nil {
@@ -144,18 +145,18 @@
 		waitingProposals: map[uint64][]func(ProposeResult, error){}, announcements: map[string]Announcement{}, lastIDs: map[string]uint64{}, lastHeard: map[uint64]time.Time{}, observed: map[uint64]observedProgress{}}, nil
 }
 
-// Err is why it takes no further part; nil while it does.
+// Err returns why the voter stopped taking part; nil while it does take part.
 func (c *Core) Err() error { return c.failure }
 
-// IsLeader tells whether it takes itself for the leader, and in which term.
+// IsLeader reports whether this voter considers itself the leader, and the term in which it was last elected.
 func (c *Core) IsLeader() (term uint64, leads bool) {
 	return c.leaderTerm, c.raftState == raft.StateLeader
 }
 
-// Ledger is what it knows to be agreed on, after so many entries of the log. It is not to be changed, and not to be kept.
+// Ledger returns the ledger and the index of the last log entry applied to it. The caller must neither change nor keep the ledger.
 func (c *Core) Ledger() (l *cluster.Ledger, applied uint64) { return c.ledger, c.applied }
 
-// Tick tells it that TickEvery has passed.
+// Tick advances the voter's time by TickEvery.
 func (c *Core) Tick() {
 	if c.node != nil && c.startCheckDone() {
 		c.node.Tick()
@@ -166,7 +167,8 @@
 	}
 }
 
-// ProcessReady does what follows from all that it was told: it writes, and then speaks. After an error it is not to be used.
+// ProcessReady does what follows from the calls before: it writes to disk, and then sends messages. After an error the voter must not
+// be used any more.
 func (c *Core) ProcessReady() error {
 	if c.failure == nil && c.node != nil {
 		c.failure = c.handleReady()
@@ -174,10 +176,10 @@
 	return c.failure
 }
 
-// FailWaiting answers all that wait.
+// FailWaiting answers all waiting renewals and proposals with a failure.
 func (c *Core) FailWaiting() { c.failAll() }
 
-// Start begins raft where the folder is that of a formed crew.
+// Start starts raft if the data directory belongs to a cluster that has been formed.
 func (c *Core) Start() error {
 	if hard, conf, err := c.store.mem.InitialState(); err != nil || raft.IsEmptyHardState(hard) && len(conf.GetVoters()) == 0 {
 		return err
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// startRaft begins raft with what the folder holds.
+// startRaft starts raft with the contents of the data directory.
 func (c *Core) startRaft() error {
 	snap, err := c.store.mem.Snapshot()
 	if err != nil {
@@ -210,7 +212,7 @@
 	return err
 }
 
-// restoreSnapshot takes the ledger of a snapshot.
+// restoreSnapshot replaces the ledger by that of a snapshot.
 func (c *Core) restoreSnapshot(snap *raftpb.Snapshot) error {
 	ledger := cluster.NewLedger()
 	if err := cbor.Unmarshal(snap.GetData(), ledger); err != nil {
@@ -220,7 +222,7 @@
 	return nil
 }
 
-// handleReady does what raft wants done, and what follows from it.
+// handleReady does what raft has ready: it saves, sends and applies, until there is nothing more.
 func (c *Core) handleReady() error {
 	for {
 		if c.raftState == raft.StateLeader {
@@ -232,7 +234,7 @@
 		ready := c.node.Ready()
 		if ready.HardState != nil || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot) {
 			if err := c.store.save(ready.HardState, ready.Entries, ready.Snapshot, ready.MustSync); err != nil {
-				return fmt.Errorf("writing: %w", err) // whether it is on the disk is not known: nothing more may be said
+				return fmt.Errorf("writing: %w", err) // it is unknown whether the data is on disk, so nothing more may be sent
 			}
 		}
 		if !raft.IsEmptySnap(ready.Snapshot) {
@@ -261,7 +263,7 @@
 	}
 }
 
-// handleSoftState books a change of leader.
+// handleSoftState records a change of leader.
 func (c *Core) handleSoftState(s *raft.SoftState) {
 	if term := c.node.BasicStatus().HardState.GetTerm(); s.RaftState == raft.StateLeader && (c.lessor == nil || c.leaderTerm != term) {
 		c.lessor, c.leaderTerm, c.pendingMark = cluster.NewLessor(c.conf.Params, term), term, 0
@@ -285,7 +287,7 @@
 			w.reply(RenewResult{Grant: &grant})
 		}
 	} else if read != nil && now.After(read.deadline) {
-		c.pendingRead = nil // its members ask again
+		c.pendingRead = nil // the members repeat their renewals
 		for _, w := range read.batch {
 			w.reply(RenewResult{})
 		}
@@ -296,8 +298,8 @@
 		c.waitingRenewals = nil
 		c.node.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readCount))
 	}
-	// Guards against conclusions from a ledger that lacks what the leaders before have agreed on: the leader's own
-	// first entry is behind all of that.
+	// Guards against conclusions from a ledger that lacks entries of earlier leaders: the leader's own first entry comes after
+	// all of them.
 	if c.pendingMark == 0 && c.applied > 0 && c.appliedOwnTerm() {
 		if due := c.lessor.Due(c.clock.BootTime(), c.ledger); len(due) > 0 {
 			c.propose(due[0])
@@ -305,13 +307,13 @@
 	}
 }
 
-// appliedOwnTerm tells whether an entry of this leader's own term has been applied.
+// appliedOwnTerm reports whether an entry of raft's current term has been applied.
 func (c *Core) appliedOwnTerm() bool {
 	term, err := c.store.mem.Term(c.applied)
 	return err == nil && term == c.node.BasicStatus().HardState.GetTerm()
 }
 
-// propose gives an entry of this leader's own to raft.
+// propose proposes an entry of this leader's own to raft.
 func (c *Core) propose(e cluster.Entry) {
 	c.markCount++
 	mark := NewID() + 2*c.markCount
@@ -328,7 +330,7 @@
 	return c.node.Propose(text)
 }
 
-// apply takes an entry that is agreed on.
+// apply applies a committed entry.
 func (c *Core) apply(e *raftpb.Entry) error {
 	c.applied = e.GetIndex()
 	switch e.GetType() {
@@ -336,7 +338,7 @@
 		return c.applyConf(e)
 	}
 	if len(e.GetData()) == 0 {
-		return nil // a leader's first
+		return nil // the empty entry with which a leader starts its term
 	}
 	var entry logEntry
 	if err := cbor.Unmarshal(e.GetData(), &entry); err != nil {
@@ -362,7 +364,7 @@
 	return nil
 }
 
-// logApplied writes what has been agreed on into the log.
+// logApplied logs what an applied entry has changed.
 func (c *Core) logApplied(entry *cluster.Entry) {
 	event := c.log.Info().Uint64("epoch", c.ledger.Epoch)
 	names := func(list []cluster.Member) (out []string) {
@@ -393,7 +395,7 @@
 	}
 }
 
-// compact puts a snapshot in the place of a long log.
+// compact replaces a long log by a snapshot.
 func (c *Core) compact() error {
 	first, err := c.store.mem.FirstIndex()
 	if err != nil || c.confState == nil || c.applied < first+compactEvery {
@@ -402,7 +404,7 @@
 	return c.takeSnapshot()
 }
 
-// takeSnapshot puts one of the present ledger in the place of the log up to here.
+// takeSnapshot replaces the log up to the last applied entry by a snapshot of the current ledger.
 func (c *Core) takeSnapshot() error {
 	text, err := cbor.Marshal(c.ledger)
 	if err != nil {
@@ -414,7 +416,7 @@
 	return nil
 }
 
-// failAll answers all that wait: this keeper does not lead any more.
+// failAll answers all waiting renewals and proposals, because this voter does not lead any more.
 func (c *Core) failAll() {
 	if c.pendingRead != nil {
 		c.waitingRenewals = append(c.waitingRenewals, c.pendingRead.batch...)
@@ -432,18 +434,19 @@
 	clear(c.waitingProposals)
 }
 
-// ErrUnknownOutcome leaves open whether a proposal counts.
+// ErrUnknownOutcome means that it is unknown whether a proposal was committed.
 var ErrUnknownOutcome = errors.New("the leader was lost before the proposal was agreed on: whether it counts shows in `heathgap crew versions`; the same proposal said again counts once")
 
-// voterName is the name of the keeper with an id; empty where there is none.
+// voterName returns the name of the voter with an id; empty if there is none.
 func (c *Core) voterName(id uint64) string {
 	for name, other := range c.ledger.Voters {
 		if other == id {
 			return name
 		}
 	}
-	// A newcomer has no ledger yet, and must answer who fills its folder; and one that lags must answer a folder of which its
-	// ledger does not know yet: else it never hears the log's end (seed 200 of the crew's simulation, storm seed 365).
+	// A new voter has no ledger yet and must answer the leader that sends it one; and a voter that lags must answer a data directory
+	// that its ledger does not contain yet. Otherwise neither would ever receive the end of the log (seed 200 of the cluster
+	// simulation, seed 365 of the lab's storms).
 	for name, other := range c.lastIDs {
 		if other == id {
 			return name
@@ -457,7 +460,7 @@
 	return ""
 }
 
-// Renew answers a renewal: at once, or when a majority has said that this is the leader.
+// Renew answers a renewal: with the leader's name at once if this voter does not lead, otherwise once a majority has confirmed it as leader.
 func (c *Core) Renew(r cluster.Renewal, reply func(RenewResult)) {
 	if c.raftState != raft.StateLeader {
 		reply(RenewResult{Leader: c.voterName(c.leaderID)})
@@ -466,14 +469,14 @@
 	c.waitingRenewals = append(c.waitingRenewals, waitingRenewal{r, reply})
 }
 
-// LeaseAnswerSent hears that a lease's answer has been handed to the network.
+// LeaseAnswerSent must be called when the answer that grants a lease has been handed to the network.
 func (c *Core) LeaseAnswerSent(r *cluster.Renewal) {
 	if c.lessor != nil {
 		c.lessor.AnswerSent(c.clock.BootTime(), r)
 	}
 }
 
-// Propose has a version proposed: the reply comes when that is agreed on, or refused.
+// Propose proposes a version. The reply comes when the proposal has been committed or refused.
 func (c *Core) Propose(p cluster.Proposal, reply func(ProposeResult, error)) {
 	if c.raftState != raft.StateLeader {
 		reply(ProposeResult{Leader: c.voterName(c.leaderID)}, nil)
@@ -486,7 +489,7 @@
 	c.waitingProposals[p.ID] = append(c.waitingProposals[p.ID], reply)
 }
 
-// sendMessages has messages said.
+// sendMessages passes raft's messages to the transport.
 func (c *Core) sendMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
 		name := c.voterName(m.GetTo())
@@ -500,7 +503,7 @@
 	}
 }
 
-// SnapshotReported hears whether a snapshot has come to who it was for.
+// SnapshotReported must be called with the outcome of sending a snapshot to the voter with an id.
 func (c *Core) SnapshotReported(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
 	if !delivered {
@@ -511,19 +514,19 @@
 	}
 }
 
-// Status is what a keeper knows.
+// Status describes a voter and what it knows of the cluster.
 type Status struct {
 	Name          string          `cbor:"1,keyasint"`
-	Leader        string          `cbor:"2,keyasint,omitempty"` // name
+	Leader        string          `cbor:"2,keyasint,omitempty"` // the leader's name
 	Term          uint64          `cbor:"3,keyasint"`
 	Applied       uint64          `cbor:"4,keyasint"`
 	Ledger        *cluster.Ledger `cbor:"5,keyasint"`
-	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
-	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
+	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // voters that it waits for before the cluster is formed
+	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // known to the leader only: milliseconds until each member's lease has certainly ended
 	Dropped       int64           `cbor:"8,keyasint,omitempty"`
 }
 
-// Status tells what it knows.
+// Status returns the voter's current status.
 func (c *Core) Status() Status {
 	s := Status{Name: c.conf.Name, Applied: c.applied, Ledger: c.ledger.Clone(), Dropped: c.dropped}
 	if c.node == nil {
@@ -533,7 +536,7 @@
 			}
 		}
 	} else {
-		// Both of one moment: between two steps raft may be in a later term than the leader that was booked last.
+		// Leader and term are read at the same moment: between two calls of handleReady raft may be in a later term than c.leaderID.
 		status := c.node.BasicStatus()
 		s.Leader, s.Term = c.voterName(status.Lead), status.HardState.GetTerm()
 	}
@@ -546,27 +549,27 @@
 	return s
 }
 
-// HandleMessages hears messages of another keeper's raft. An error is for who said them.
+// HandleMessages passes messages of another voter to raft. An error is sent back to that voter.
 func (c *Core) HandleMessages(from string, messages []*raftpb.Message) error {
 	for _, m := range messages {
 		if m.GetTo() != c.store.identity.ID {
 			return fmt.Errorf("%s has another folder now: this word was for the one before", c.conf.Name)
 		}
-		// Only what is agreed on is refused. Guards against a keeper that lags behind a change of folders and refuses the new
-		// one, which may lead: it was never filled (storm seed 365).
+		// Refused only if the replacement is committed. Guards against a voter that lags behind a replacement and refuses the new
+		// data directory, which may lead: the lagging voter never caught up (seed 365 of the lab's storms).
 		if slices.Contains(c.ledger.ReplacedVoters, m.GetFrom()) && !c.changingVoters(m.GetFrom()) {
 			return fmt.Errorf("the folder of %s was replaced: it takes no part any more; move it away and start again", from)
 		}
-		if c.node == nil { // a newcomer in the place of a folder that is lost
+		if c.node == nil { // an empty data directory that replaces a lost one
 			if c.store.identity.Set != nil {
-				continue // it waits for the others to form the crew
+				continue // it waits for the others to form the cluster
 			}
 			if err := c.startRaft(); err != nil {
 				return err
 			}
 		}
 		if c.startCheck != nil || !c.mayVote(m) {
-			continue // raft asks again
+			continue // raft sends it again
 		}
 		if c.conf.Voters[from] != "" {
 			c.lastIDs[from] = m.GetFrom()
@@ -579,11 +582,11 @@
 			return fmt.Errorf("raft: a message of type %v", m.GetType())
 		}
 		if last, _ := c.store.mem.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last {
-			// Guards against a folder that was set back: raft would panic, and what it has voted since is not known.
+			// Guards against a data directory that was set back to an earlier copy: raft would panic, and the votes since that copy are unknown.
 			c.failure = fmt.Errorf("this folder ends at entry %d, and the crew knows that it held %d: it was set back to an earlier copy", last, m.GetCommit())
 			return c.failure
 		}
-		c.node.Step(m) //nolint:errcheck // raft drops what does not fit
+		c.node.Step(m) //nolint:errcheck // raft ignores messages that don't apply
 	}
 	return nil
 }
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -14,27 +14,28 @@
 	"heathgap/internal/cluster"
 )
 
-// Form: how keepers with empty folders become a crew, and how one with an empty folder comes into a crew that stands.
+// How voters with empty data directories form a cluster, and how one with an empty data directory joins a cluster that exists.
 //
-// Each draws an id when its folder is made. A keeper that has heard the ids of all keepers named in its file writes this
-// set into its folder, where it does not change any more; it begins when every other one has said that it holds the same
-// set, or one that holds it says that it has begun. So a folder that is lost on the way can't make two crews of one: its
-// new id is in nobody's set, and the others wait until all start anew, or have begun without it.
+// Each data directory gets a random id when it is created. A voter that has the ids of all voters named in its configuration saves
+// this set of ids in its data directory, where it does not change any more. The voter starts raft when every other voter has
+// announced the same set, or when one of those that hold it has announced that it has started. So a data directory that is lost
+// meanwhile can't lead to two clusters: its new id is in nobody's set, and the others wait until all of them start anew, or have
+// started without it.
 
-// Announcement is what a keeper says of itself.
+// Announcement is what a voter reports of itself to the others.
 type Announcement struct {
 	Name       string            `cbor:"1,keyasint"`
 	ID         uint64            `cbor:"2,keyasint"`
 	Set        map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	Begun      bool              `cbor:"4,keyasint,omitempty"`
 	ParamsHash string            `cbor:"5,keyasint"`
-	// What a keeper that starts with an older folder must know.
+	// Needed by a voter that starts with an existing data directory: see startcheck.go.
 	Term uint64                      `cbor:"6,keyasint,omitempty"`
 	End  logEnd                      `cbor:"7,keyasint"`
 	Seen map[uint64]observedProgress `cbor:"8,keyasint,omitempty"`
 }
 
-// Announcement is what it says of itself.
+// Announcement returns this voter's announcement.
 func (c *Core) Announcement() Announcement {
 	a := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, Set: maps.Clone(c.store.identity.Set), Begun: c.node != nil && len(c.ledger.Voters) > 0,
 		ParamsHash: c.conf.Params.Hash(), End: c.logEnd(), Seen: maps.Clone(c.observed)}
@@ -44,12 +45,12 @@
 	return a
 }
 
-// isCurrentVoter tells whether this keeper's own folder takes part in the agreement.
+// isCurrentVoter reports whether the ledger lists this voter with its present data directory.
 func (c *Core) isCurrentVoter() bool {
 	return c.node != nil && c.ledger.Voters[c.conf.Name] == c.store.identity.ID
 }
 
-// announce asks the other keepers.
+// announce sends this voter's announcement to the other voters.
 func (c *Core) announce() {
 	for _, name := range slices.Sorted(maps.Keys(c.conf.Voters)) {
 		if name != c.conf.Name {
@@ -58,7 +59,7 @@
 	}
 }
 
-// HandleAnnouncement takes another keeper's word.
+// HandleAnnouncement processes another voter's announcement.
 func (c *Core) HandleAnnouncement(a Announcement) {
 	if c.failure != nil || a.Name == c.conf.Name || c.conf.Voters[a.Name] == "" || a.ID == 0 {
 		return
@@ -84,12 +85,12 @@
 	}
 }
 
-// tryForm takes the next step towards a crew, if there is one to take.
+// tryForm takes the next step of forming a cluster, if the announcements allow one.
 func (c *Core) tryForm() error {
 	ownSet := c.store.identity.Set
 	for _, w := range c.announcements {
-		// Formed, or about to be, with a folder that is lost: this one is to replace it. Guards against a newcomer that
-		// makes up a beginning of its own from who stands in for the first ones.
+		// The cluster is formed, or about to be, with a data directory of this voter that was lost: this one must replace it. Guards
+		// against a new voter that forms a second cluster with voters that have replaced the first ones.
 		if (w.Set != nil || w.Begun) && w.Set[c.conf.Name] != c.store.identity.ID {
 			return nil
 		}
@@ -125,7 +126,7 @@
 	return c.bootstrap(ownSet)
 }
 
-// bootstrap writes the beginning that all keepers of a set have in common: a snapshot with an empty ledger.
+// bootstrap saves the initial state, a snapshot with an empty ledger that is the same for all voters of the set, and starts raft.
 func (c *Core) bootstrap(set map[string]uint64) error {
 	ledger := cluster.NewLedger()
 	ledger.Voters = maps.Clone(set)
@@ -133,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(set))} // in one order with all
+	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(set))} // sorted, so that it is the same for all voters
 	first := uint64(1)
 	snap := &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &first, Term: &first}}
 	if err := c.store.save(&raftpb.HardState{Term: &first, Commit: &first}, nil, snap, true); err != nil {
@@ -143,14 +144,15 @@
 	return c.startRaft()
 }
 
-// voterReplacement is the context of a change of keepers.
+// voterReplacement is the context of a raft configuration change: the voter and the id of its new data directory.
 type voterReplacement struct {
 	Name string `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// replaceVoter has the leader put a keeper's new folder in the place of the one that it lost, one at a time, and only if the
-// old one has not been heard of for an election's time: the same name started twice must not push out who serves.
+// replaceVoter, on the leader, proposes to replace a voter's lost data directory by its new one. It does so for one voter at a time, and
+// only if the old directory has been silent for an election timeout: a second process under the same name must not push out the
+// first one while that serves.
 func (c *Core) replaceVoter(a Announcement) {
 	previousID, known := c.ledger.Voters[a.Name]
 	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
@@ -173,7 +175,8 @@
 	}
 }
 
-// changingVoters tells whether a change of keepers is under way; with an id, whether that one is a part of it.
+// changingVoters reports, for id 0, whether a replacement of voters is in progress, and otherwise whether the id is part of raft's
+// configuration, the old or the new one.
 func (c *Core) changingVoters(id uint64) bool {
 	if c.confState == nil {
 		return false
@@ -188,7 +191,7 @@
 	return id == 0 && len(c.confState.GetVotersOutgoing()) > 0
 }
 
-// applyConf takes a change of keepers that is agreed on.
+// applyConf applies a committed change of raft's configuration.
 func (c *Core) applyConf(e *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
@@ -196,8 +199,8 @@
 	}
 	c.confState = c.node.ApplyConfChange(change)
 	if len(change.GetContext()) == 0 {
-		// The end of a joint change. Guards against a keeper that after a restart is still between the two, since how far the log
-		// is agreed on is not synced, and can't do without folders that are lost (three keepers, seed 1473 of the simulation).
+		// This entry ends a joint change. The snapshot guards against a voter that, after a restart, is still within the change, because the
+		// commit index is not synced, and that then needs lost data directories for a majority (three voters, seed 1473 of the simulation).
 		return c.takeSnapshot()
 	}
 	var r voterReplacement
@@ -211,7 +214,7 @@
 	maps.DeleteFunc(c.observed, func(id uint64, _ observedProgress) bool { return !slices.Contains(current, id) })
 	maps.DeleteFunc(c.lastHeard, func(id uint64, _ time.Time) bool { return !slices.Contains(current, id) })
 	c.log.Info().Str("keeper", r.Name).Msg("a keeper's folder was replaced")
-	// Guards against a newcomer that never gets the log: raft gives it a snapshot, and turns down one whose members it is
-	// not among.
+	// Guards against a new voter that never gets the log: the leader sends it a snapshot, and raft rejects a snapshot whose
+	// configuration does not contain the receiver.
 	return c.takeSnapshot()
 }
--- a/internal/cluster/voter/startcheck.go
+++ b/internal/cluster/voter/startcheck.go
@@ -7,28 +7,29 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Clear: a folder that was set back to an earlier copy has forgotten votes and entries that others rest on. So a keeper
-// that starts with the folder of a formed crew takes no part until it has asked the others what they know.
+// The start check guards against a data directory that was set back to an earlier copy: it lacks votes and log entries that other
+// voters rely on. Therefore a voter that starts with the data directory of a formed cluster does not take part in raft until it has
+// asked the others what they know.
 //
-// A vote or an entry that counted rests on n/2+1 folders, this one among them, so on n/2 others. Whoever has heard of
-// n - n/2 others has heard of one of those. From their terms it knows in which it must not vote any more, and from the ends
-// of their logs how long its own, and that of whom it votes for, must be. Where one of them proves that this folder held
-// more, it is refused.
+// Of n voters, a vote or an entry that counted is held by at least n/2+1 data directories, this one among them, so by n/2 others.
+// A voter that has answers from n - n/2 others therefore has one from a voter that holds it. From the terms in the answers the
+// voter learns in which terms it must not vote any more. From the log ends it learns how long its own log, and that of a candidate
+// that it votes for, must be. If an answer proves that this data directory held more than it does now, the voter stops.
 //
-// With fewer others to be reached it goes on after a while by what its folder says: a crew with one keeper dead must
-// survive a restart of another. A folder that was set back is then taken for true (docs/crew.md says so).
+// If too few others can be reached, the voter goes on after startCheckTimeout with what its data directory holds, because a cluster with one
+// voter dead must survive the restart of another. A data directory that was set back is then not noticed (see docs/crew.md).
 
 const startCheckTimeout = 3 * time.Second
 
-// observedProgress is what is known of a folder: the highest term in which it has spoken, and the highest entry that it has said, in that
-// term, to hold. Guards against a sound folder that is refused (seed 219 of the crew's simulation): what it held of an older
-// term, and was not agreed on, a later leader may have overwritten by less.
+// observedProgress is what is known of another data directory: the highest term of its messages, and the highest log index that it
+// acknowledged in that term. Indexes of older terms don't count, because a later leader may have replaced uncommitted entries by
+// fewer ones: counting them refused a sound data directory (seed 219 of the cluster simulation).
 type observedProgress struct {
 	Term  uint64 `cbor:"1,keyasint"`
 	Index uint64 `cbor:"2,keyasint"`
 }
 
-// logEnd is where a log ends; a later one has all that was agreed on up to an earlier one.
+// logEnd is the position of the last entry of a log. A log with a later end has all entries that were committed up to an earlier end.
 type logEnd struct {
 	Term  uint64 `cbor:"1,keyasint"`
 	Index uint64 `cbor:"2,keyasint"`
@@ -38,13 +39,13 @@
 	return l.Term < other.Term || l.Term == other.Term && l.Index < other.Index
 }
 
-// startCheck is a keeper's part between its start and its taking part; nil else.
+// startCheck is the state of a start check; nil when none is running.
 type startCheck struct {
 	deadline      time.Time
 	announcements map[string]Announcement
 }
 
-// logEnd is that of this keeper's folder.
+// logEnd returns the end of this voter's log.
 func (c *Core) logEnd() logEnd {
 	last, err := c.store.mem.LastIndex()
 	if err != nil {
@@ -57,7 +58,7 @@
 	return logEnd{term, last}
 }
 
-// recordObserved remembers what another keeper has let on of its folder. A pre-vote names a term that is not in its folder.
+// recordObserved records what a message shows of the sender's data directory. Pre-votes are ignored, because their term is not saved.
 func (c *Core) recordObserved(m *raftpb.Message) {
 	if t := m.GetType(); t == raftpb.MsgPreVote || t == raftpb.MsgPreVoteResp {
 		return
@@ -72,7 +73,7 @@
 	c.observed[m.GetFrom()] = progress
 }
 
-// handleStartCheck takes another keeper's word while this one takes no part yet.
+// handleStartCheck processes another voter's announcement during the start check, and ends the check when there are enough of them.
 func (c *Core) handleStartCheck(a Announcement) error {
 	if a.ID != c.ledger.Voters[a.Name] {
 		return nil
@@ -97,15 +98,15 @@
 	c.updateMinLogEnd()
 	c.startCheck = nil
 	if c.voteAfterTerm > hard.GetTerm() {
-		// Words of older leaders are refused from now on, as by any member that has heard of a newer term.
+		// From now on raft rejects messages of older leaders, as any voter does that has learned of a newer term.
 		c.node.Step(&raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: &a.ID, To: &c.store.identity.ID, Term: &c.voteAfterTerm}) //nolint:errcheck
 	} else if c.voteAfterTerm < hard.GetTerm() || hard.GetVote() != 0 {
-		c.voteAfterTerm = 0 // its own folder holds whom it has voted for
+		c.voteAfterTerm = 0 // the vote in this term is in the data directory
 	}
 	return nil
 }
 
-// updateMinLogEnd works out how long a log must be from what was told.
+// updateMinLogEnd derives minLogEnd, how long a log must be, from the log ends that others reported.
 func (c *Core) updateMinLogEnd() {
 	c.minLogEnd = logEnd{}
 	for _, end := range c.requiredLogEnds {
@@ -115,10 +116,11 @@
 	}
 }
 
-// dropLostLogEnd drops what a keeper told whose folder is lost: it comes with an empty one, and the old one has not been heard of for
-// two elections' time. Guards against a crew without a leader for good (three keepers, seed 560 of the simulation): the end of
-// a log that was nowhere else went with that folder, and this keeper waited for it. What the entries there rested on beside
-// it would be this folder alone: one that was set back, and another one lost, are two at once, of which nothing is promised.
+// dropLostLogEnd drops the log end that a voter reported whose data directory has been lost: the voter announces an empty one, and the old
+// one has sent nothing for two election timeouts. Guards against a cluster that stays without a leader (three voters, seed 560 of the
+// simulation): the entries up to that log end were lost with the directory, and this voter waited for them. An entry that only
+// the lost directory and an earlier state of this one held may be lost thereby; that takes two failures at once, one directory set back
+// and another lost, for which nothing is guaranteed.
 func (c *Core) dropLostLogEnd(a Announcement) {
 	previousID := c.ledger.Voters[a.Name]
 	if _, required := c.requiredLogEnds[a.Name]; !required || a.ID == previousID || a.Set != nil || a.Begun {
@@ -131,9 +133,10 @@
 	}
 }
 
-// mayVote tells whether a vote that is asked for may be given, or is refused by raft itself. Guards against a crew without a
-// leader for good (three keepers, seed 1100 of the crew's simulation): one that asked in a term that this keeper had heard of got no
-// word, so it never learnt which term it is.
+// mayVote reports whether a message may be passed to raft: false for requests of votes that this voter must not give. Requests of
+// a term older than raft's are passed on, because raft answers them with its term. Guards against a cluster that stays
+// without a leader (three voters, seed 1100 of the cluster simulation): a candidate in an older term got no answer and never
+// learned the current term.
 func (c *Core) mayVote(m *raftpb.Message) bool {
 	t := m.GetType()
 	switch {
@@ -142,10 +145,10 @@
 	case (logEnd{m.GetLogTerm(), m.GetIndex()}).before(c.minLogEnd):
 		return false
 	}
-	return m.GetTerm() > c.voteAfterTerm || t == raftpb.MsgPreVote // which gives no vote away
+	return m.GetTerm() > c.voteAfterTerm || t == raftpb.MsgPreVote // a pre-vote is not a vote that could be given twice
 }
 
-// startCheckDone tells whether this keeper has asked the others, or waited long enough for them.
+// startCheckDone reports whether the start check is over. It ends the check when the timeout has passed.
 func (c *Core) startCheckDone() bool {
 	if c.startCheck != nil && !c.clock.Now().Before(c.startCheck.deadline) {
 		c.startCheck = nil
@@ -154,7 +157,7 @@
 	return c.startCheck == nil
 }
 
-// maySend tells whether a message may go out: this keeper asks for no votes while its log lacks what the others have told of.
+// maySend reports whether a message may be sent: a voter requests no votes while its log is shorter than the others reported.
 func (c *Core) maySend(m *raftpb.Message) bool {
 	t := m.GetType()
 	return t != raftpb.MsgPreVote && t != raftpb.MsgVote || !c.logEnd().before(c.minLogEnd)
