--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -86,7 +86,7 @@
 	}
 	h.requestedAt, h.lastEcho = requestedAt, g.Echo
 	if g.Epoch < h.epoch {
-		return false, fmt.Errorf("epoch %d after %d: late word, or a crew that was formed anew (then restart this process)", g.Epoch, h.epoch)
+		return false, fmt.Errorf("the grant is of epoch %d, after epoch %d: a stale message, or the crew was formed anew (then restart this process)", g.Epoch, h.epoch)
 	}
 	active, err := h.withDocument(&g.Active)
 	if err != nil {
@@ -99,7 +99,7 @@
 		}
 	}
 	if active.Number < h.active.Number {
-		return false, fmt.Errorf("version %d after %d: what has been active does not come back", active.Number, h.active.Number)
+		return false, fmt.Errorf("the grant names active version %d after version %d: an earlier version never becomes active again", active.Number, h.active.Number)
 	}
 	before := h.versionStamp()
 	h.active, h.next, h.epoch = *active, next, g.Epoch
@@ -188,7 +188,7 @@
 		var d holdings.Delta
 		err := decMode.Unmarshal(g.Delta, &d)
 		if err == nil && d.Epoch != g.Epoch {
-			err = fmt.Errorf("%w: to epoch %d, in one of %d", holdings.ErrDelta, d.Epoch, g.Epoch)
+			err = fmt.Errorf("%w: the delta leads to epoch %d, in a grant of epoch %d", holdings.ErrDelta, d.Epoch, g.Epoch)
 		}
 		next := h.view
 		if err == nil {
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -22,25 +22,25 @@
 	"heathgap/internal/pipeline"
 )
 
-// Figures of a sidecar's part in what is held.
+// Timeouts and limits of a sidecar's holdings.
 const (
 	holdingsTick = 20 * time.Millisecond
-	// storeTimeout is for one word to a copy: ages are wrong by that at most (holdings.Slack).
+	// storeTimeout is for one batch to a replica. The ages in a batch may be wrong by that much (see holdings.AgeSlack).
 	storeTimeout      = holdings.AgeSlack / 2
-	commandTimeout    = 300 * time.Millisecond // for one word to a primary; it is said again
-	minRetryDelay     = 10 * time.Millisecond  // until it is said again, at first; twice as long each time
+	commandTimeout    = 300 * time.Millisecond // for one command to a primary; it is retried
+	minRetryDelay     = 10 * time.Millisecond  // before the first retry; doubled with each further one up to maxRetryDelay
 	maxRetryDelay     = 80 * time.Millisecond
-	maxClientsPerPeer = 16 // to one sidecar, from its callers' goroutines
-	// refusedRetryAfter is what a refused caller is told: a lost primary is replaced within about a lease.
+	maxClientsPerPeer = 16 // connections to one sidecar, shared by the goroutines of its callers
+	// refusedRetryAfter is sent to refused callers: a lost primary is replaced within about a lease.
 	refusedRetryAfter = time.Second
-	refusalLogEvery   = time.Second // a line in the log, of each kind
-	// backgroundTimeout is how long what a request's own time did not suffice for is asked, above the time until a lost primary is
-	// replaced, and mostLater bounds how many are at a time.
+	refusalLogEvery   = time.Second // at most one log line for each kind of refusal
+	// backgroundTimeout is how long a command is retried after its request's own time is up: longer than it takes to replace a lost
+	// primary. maxBackground bounds the number of such commands at a time.
 	backgroundTimeout = 15 * time.Second
 	maxBackground     = 1024
 )
 
-// holdingsService is a sidecar's part in what the crew's sidecars hold for one another: its store, and its own claims.
+// holdingsService is a sidecar's part in the cluster's holdings: its store of replicas, and the claims of its own requests.
 type holdingsService struct {
 	member    *Member
 	classes   map[string]heldClass
@@ -48,28 +48,29 @@
 	lastClaim atomic.Uint64
 
 	mu        sync.Mutex
-	store     *holdings.Store // guarded by mu, as all that follows
+	store     *holdings.Store // guarded by mu, as are the fields below up to pools
 	me        holdings.Incarnation
-	view      holdings.View // as the store has learnt it
+	view      holdings.View // the newest one applied to the store
 	addresses map[holdings.Incarnation]string
 	stopped   bool
 	pools     map[string]*clientPool
 
-	refusalLogged map[holdings.Kind]time.Time // when a refusal of this kind was last logged
+	refusalLogged map[holdings.Kind]time.Time // when a refusal of this kind was last logged; guarded by mu
 
 	claimed, known, refused, alone, background atomic.Int64
 }
 
+// heldClass is a class whose requests are recorded in the holdings, and what to do with them when no primary answers.
 type heldClass struct {
 	decide.Class
 	alone operator.WhenAlone
 }
 
-// clientPool are connections to one address.
+// clientPool holds the connections to one address.
 type clientPool struct {
 	free   chan *peerrpc.Client
 	made   atomic.Int64
-	closed atomic.Bool // nobody goes by the address any more
+	closed atomic.Bool // no member uses the address any more
 }
 
 func newHoldingsService(m *Member, conf *config.Config) (*holdingsService, error) {
@@ -89,7 +90,7 @@
 		return nil, errors.New("holdings.copies: this sidecar's settings name no zone, and copies stand in different ones; set settings.az")
 	}
 	var b [8]byte
-	rand.Read(b[:]) //nolint:errcheck // it does not fail
+	rand.Read(b[:]) //nolint:errcheck // rand.Read never fails
 	c.lastClaim.Store(binary.BigEndian.Uint64(b[:]))
 	c.store = holdings.NewStore(m.conf.Params.Holdings, m.conf.Holdings.MaxEntries)
 	return c, nil
@@ -97,7 +98,7 @@
 
 func (hs *holdingsService) now() cluster.BootTime { return hs.member.env.BootTime() }
 
-// update takes what a renewal brought. The member's lock is held.
+// update applies what the newest grant brought. The caller holds the member's lock.
 func (hs *holdingsService) update(holder *cluster.LeaseHolder) {
 	me, view := holder.Incarnation(), holder.View()
 	ends := holder.LeaseEnd()
@@ -119,14 +120,14 @@
 	hs.sendPending()
 }
 
-// leaseReport is what the store has to say to the leader.
+// leaseReport returns what the store has to report with the next renewal: its replicas that are caught up, and unreachable peers.
 func (hs *holdingsService) leaseReport() ([]holdings.CaughtUp, []holdings.Incarnation) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.store.CaughtUp(), hs.store.Unreachable(hs.now())
 }
 
-// countReplicas is in how many shards this sidecar has one.
+// countReplicas returns the number of shards of which this sidecar has a replica.
 func (hs *holdingsService) countReplicas() int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
@@ -141,7 +142,7 @@
 	return n
 }
 
-// run ends what is over, until stop.
+// run lets the store's timeouts expire until stop is called.
 func (hs *holdingsService) run() {
 	for {
 		hs.member.env.Sleep(holdingsTick)
@@ -156,7 +157,7 @@
 	}
 }
 
-// dropUnusedPools ends connections to addresses that no member has any more. The lock is held.
+// dropUnusedPools closes connections to addresses that no member uses any more. The caller holds hs.mu.
 func (hs *holdingsService) dropUnusedPools() {
 	inUse := map[string]bool{}
 	for _, address := range hs.addresses {
@@ -185,7 +186,7 @@
 	}
 }
 
-// sendPending has said what there is to say. The lock is held.
+// sendPending starts sending the store's pending batches. The caller holds hs.mu.
 func (hs *holdingsService) sendPending() {
 	if hs.stopped {
 		return
@@ -198,7 +199,7 @@
 	}
 }
 
-// sendBatches says batches to one sidecar until there are none.
+// sendBatches sends batches to one sidecar until none are left.
 func (hs *holdingsService) sendBatches(to holdings.Incarnation, address string, batch *holdings.Batch) {
 	for batch != nil {
 		var reply *holdings.BatchReply
@@ -220,7 +221,7 @@
 	}
 }
 
-// call says one thing on a connection of its own.
+// call makes a call on a connection that no other call uses meanwhile.
 func (hs *holdingsService) call(address, kind string, body, reply any, timeout time.Duration) error {
 	hs.mu.Lock()
 	pool := hs.pools[address]
@@ -234,7 +235,7 @@
 		return err
 	}
 	err = client.Call(kind, body, reply, timeout)
-	pool.free <- client // there is room for all that are made
+	pool.free <- client // does not block: the channel has a slot for each connection
 	if pool.closed.Load() {
 		pool.close()
 	}
@@ -263,7 +264,7 @@
 	}
 }
 
-// close ends those that are not at work, and has the others end when they are done.
+// close closes the idle connections. Those in use are closed when their calls end.
 func (p *clientPool) close() {
 	p.closed.Store(true)
 	for {
@@ -276,7 +277,7 @@
 	}
 }
 
-// handlers answer peers.
+// handlers returns the handlers of peers' calls.
 func (hs *holdingsService) handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"hold-ask": func(_ string, body []byte) (any, error) {
@@ -316,13 +317,13 @@
 	}
 }
 
-// KeyState is what a sidecar has of a key.
+// KeyState is what a sidecar's store has of a key.
 type KeyState struct {
 	Found bool           `cbor:"1,keyasint"`
 	Entry holdings.Entry `cbor:"2,keyasint"`
 }
 
-// handleCommand answers an owner's ask as the primary.
+// handleCommand processes an owner's command as the primary.
 func (hs *holdingsService) handleCommand(command *holdings.Command) holdings.Answer {
 	answers := make(chan holdings.Answer, 1)
 	hs.mu.Lock()
@@ -339,8 +340,8 @@
 	}
 }
 
-// execute says an owner's word to the primary of its key, again and again, until there is an answer that more asking does not
-// change, or the time is over: then it returns the last one. A running request is asked for until it ends.
+// execute sends an owner's command to the primary of its key, and retries until there is an answer that retries would not change,
+// or until the deadline: then it returns the last answer. While the request is running elsewhere, it retries until that ends.
 func (hs *holdingsService) execute(command *holdings.Command, deadline time.Time) holdings.Answer {
 	delay := minRetryDelay
 	for {
@@ -368,7 +369,7 @@
 		}
 	}
 	hs.mu.Unlock()
-	if command.Op == holdings.OpClaim && command.Owner != me { // it has come into the crew anew since: the claim is to be of this incarnation
+	if command.Op == holdings.OpClaim && command.Owner != me { // this sidecar has joined anew: the claim must belong to its present incarnation
 		command.Owner = me
 	}
 	switch {
@@ -384,20 +385,20 @@
 	return answer
 }
 
-// Holds is pipeline.Holdings'.
+// Holds implements pipeline.Holdings.
 func (hs *holdingsService) Holds(class string) bool {
 	_, held := hs.classes[class]
 	return held
 }
 
-// claim is one claim of a request's key.
+// claim is the claim of one request on its key.
 type claim struct {
 	service *holdingsService
 	class   heldClass
 	command holdings.Command
 }
 
-// Claim is pipeline.Holdings'.
+// Claim implements pipeline.Holdings.
 func (hs *holdingsService) Claim(request *httpwire.Request, fingerprint [16]byte, within time.Duration) pipeline.ClaimResult {
 	class := hs.classes[request.Class]
 	deadline := hs.member.env.Now().Add(within)
@@ -405,7 +406,7 @@
 		Op: holdings.OpClaim, Key: holdings.Key{Class: request.Class, Tenant: request.Tenant, Text: request.Key},
 		Claim: hs.lastClaim.Add(1), Fingerprint: fingerprint, Lifetime: within,
 	}
-	// What is left must be enough to send the request, and to keep its outcome.
+	// The time left must be enough to send the request and to store its outcome.
 	answer := hs.execute(&command, deadline.Add(-within/4))
 	var attemptsWithin time.Duration
 	if answer.Kind == holdings.AnswerUnknown {
@@ -433,15 +434,15 @@
 	if class.alone == operator.ProceedAlone {
 		return pipeline.ClaimResult{}
 	}
-	if answer.Kind == holdings.AnswerNone && command.Op == holdings.OpClaim { // else it was out before
+	if answer.Kind == holdings.AnswerNone && command.Op == holdings.OpClaim { // after a reclaim, an earlier attempt may have run
 		command.Op = holdings.OpDrop
 		hs.executeInBackground(command)
 	}
 	return hs.refuse(&command, answer)
 }
 
-// executeInBackground goes on asking when the request's own time is over. Guards against keys that stay unclear though their owner knows what
-// came of them, because the primary was lost at the wrong moment: a claim that nobody confirmed, an outcome that nobody copied.
+// executeInBackground retries a command after its request's own time is up. Guards against keys whose outcome stays unknown although their owner
+// knows it, because the primary was lost at the wrong moment: a claim was not confirmed, or an outcome was not replicated.
 func (hs *holdingsService) executeInBackground(command holdings.Command) {
 	if hs.background.Add(1) > maxBackground {
 		hs.background.Add(-1)
@@ -453,7 +454,7 @@
 	})
 }
 
-// refuse refuses a request. A kind of reason is logged once a while.
+// refuse refuses a request. Each kind of refusal is logged at most once per refusalLogEvery.
 func (hs *holdingsService) refuse(command *holdings.Command, answer holdings.Answer) pipeline.ClaimResult {
 	hs.refused.Add(1)
 	hs.mu.Lock()
@@ -470,7 +471,7 @@
 	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: refusedRetryAfter}}
 }
 
-// keptAnswer is the answer that a request had.
+// keptAnswer returns the answer to a request that finished earlier, from its stored outcome.
 func keptAnswer(outcome *holdings.Outcome) *httpwire.Answer {
 	if outcome == nil || outcome.TooLong {
 		return &httpwire.Answer{Verdict: httpwire.Failed}
@@ -478,7 +479,7 @@
 	return &httpwire.Answer{Verdict: httpwire.Served, Body: outcome.Body, Type: outcome.Type, Encoding: outcome.Encoding}
 }
 
-// MayWrite is pipeline.Hold's: the lease holds, and this is the incarnation that claimed.
+// MayWrite implements pipeline.Claim: the lease must be valid, and this sidecar must still be the incarnation that claimed the key.
 func (cl *claim) MayWrite() bool {
 	if cl.service.member.Effective().Cautious {
 		return false
@@ -488,7 +489,7 @@
 	return cl.service.me == cl.command.Owner
 }
 
-// Finish is pipeline.Hold's.
+// Finish implements pipeline.Claim.
 func (cl *claim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	command := cl.command
 	switch {
@@ -519,7 +520,7 @@
 	return httpwire.Answer{Verdict: httpwire.Failed, Reserved: answer.Reserved}
 }
 
-// appendMetrics appends those of what is held.
+// appendMetrics appends the metrics of the holdings.
 func (hs *holdingsService) appendMetrics(text []byte) []byte {
 	hs.mu.Lock()
 	entries, bytes := hs.store.Entries, hs.store.Bytes
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -1,5 +1,5 @@
-// Package member makes a sidecar a member of a crew: it keeps the sidecar's lease, tells the engine what to act on, and
-// runs a keeper where this sidecar is one.
+// Package member makes a sidecar a member of a cluster: it renews the sidecar's lease, gives the pipeline the rules in effect, and
+// runs a voter if this sidecar is one.
 package member
 
 import (
@@ -25,47 +25,47 @@
 	"heathgap/internal/versions"
 )
 
-// Figures of a member.
+// Timeouts of a member that stops.
 const (
-	leaveTimeout = 500 * time.Millisecond // for the word that this process ends
-	// decommissionTimeout is how long a process that ends waits for others to take over what it holds: platforms give 10 s or more before
-	// they kill, and its callers' answers have gone by then.
+	leaveTimeout = 500 * time.Millisecond // for the message that this process ends
+	// decommissionTimeout is how long a process that ends waits until its replicas are on other members. Platforms give a process 10 s or more
+	// before they kill it; by then the answers to its callers have been sent.
 	decommissionTimeout = 4 * time.Second
 )
 
-// Member is a sidecar's part in a crew.
+// Member is a sidecar's membership in a cluster.
 type Member struct {
 	conf         operator.Cluster
 	env          env.Env
 	log          zerolog.Logger
 	server       *peerrpc.Server
-	voter        *voter.Voter               // nil where this sidecar is none
-	voterClients map[string]*peerrpc.Client // to keepers, by name
+	voter        *voter.Voter               // nil if this sidecar is not a voter
+	voterClients map[string]*peerrpc.Client // by voter name
 
 	mu            sync.Mutex
-	holder        *cluster.LeaseHolder // guarded by mu, as the seeker is
+	holder        *cluster.LeaseHolder // guarded by mu, as is renewer
 	renewer       *cluster.LeaseRenewer
 	generation    uint64
 	lastWarning   string // the last reason that was logged; guarded by mu
-	viewErrLogged bool   // it was logged that changes of members and placement could not be taken; guarded by mu
+	viewErrLogged bool   // whether an error of updating members and placement was logged; guarded by mu
 	effective     atomic.Pointer[effectiveState]
-	firstAnswer   chan struct{} // closed by the first word of a leader
+	firstAnswer   chan struct{} // closed when the first grant arrives
 	stopRequested chan struct{}
 	ended         chan struct{}
 
 	renewals, refused, noLeader atomic.Int64
 
-	holdings *holdingsService // nil where nothing is held
+	holdings *holdingsService // nil if the cluster has no holdings
 }
 
-// effectiveState is what is acted on until a time.
+// effectiveState is what the member applies until a given time.
 type effectiveState struct {
 	pipeline.EffectiveRules
 	versions cluster.EffectiveRules
-	until    cluster.BootTime // of the lease; what stands here holds no longer
+	until    cluster.BootTime // end of the lease; afterwards this state is not valid
 }
 
-// Start begins; the sidecar acts cautiously until the crew has told it more.
+// Start joins the cluster. Until the first grant arrives the sidecar applies the cautious rules.
 func Start(table operator.Cluster, conf *config.Config, environment env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
 	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
@@ -110,8 +110,8 @@
 	}
 	m.server.Serve(environment, handlers)
 	environment.Go("lease", m.run)
-	// Guards against a process that sends to what was banned while it was away. Keepers that can't be heard delay a start
-	// by a lease at most.
+	// Guards against a process that sends to endpoints that were banned while it was down. If no voter can be reached, this delays
+	// the start by one lease.
 	timer := environment.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
@@ -122,8 +122,8 @@
 	return m, nil
 }
 
-// Effective is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
-// acts.
+// Effective implements pipeline.RulesSource. It checks the lease with each call, so that a process that was paused notices that the lease has
+// ended before it applies the rules.
 func (m *Member) Effective() *pipeline.EffectiveRules {
 	a := m.effective.Load()
 	if now := m.env.BootTime(); now >= a.until && !a.Cautious {
@@ -132,7 +132,7 @@
 	return &a.EffectiveRules
 }
 
-// publish puts in force what the holder says, if it differs.
+// publish puts the lease holder's rules into effect, if they have changed.
 func (m *Member) publish(now cluster.BootTime) *effectiveState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,7 +144,7 @@
 	before := m.effective.Load()
 	if before != nil && before.Cautious == rules.Cautious && before.versions.Active == rules.Active &&
 		before.versions.Next == rules.Next && maps.Equal(before.Banned, rules.Rules.Banned) {
-		next := *before // the same, for longer
+		next := *before // same rules, later end of the lease
 		next.until, next.versions.Epoch = m.holder.LeaseEnd(), rules.Epoch
 		m.effective.Store(&next)
 		return &next
@@ -163,7 +163,7 @@
 	return next
 }
 
-// run keeps the lease until Stop.
+// run renews the lease until Stop is called.
 func (m *Member) run() {
 	defer close(m.ended)
 	heartbeat := m.conf.Params.Lease / cluster.HeartbeatsPerLease
@@ -180,12 +180,12 @@
 		m.mu.Unlock()
 		for m.renewOnce() {
 		}
-		m.Effective() // an end of the lease is told when it comes, not with the next request
+		m.Effective() // publishes the end of the lease in time, even without requests
 		timer.Reset(heartbeat)
 	}
 }
 
-// renewOnce asks one keeper for the lease. It tells whether to ask again at once.
+// renewOnce sends one renewal to a voter. It reports whether to send the next one at once.
 func (m *Member) renewOnce() (renewNow bool) {
 	m.mu.Lock()
 	if m.holdings != nil {
@@ -218,7 +218,7 @@
 		m.holdings.update(m.holder)
 	}
 	if err := m.holder.ViewErr(); err != nil && !m.viewErrLogged {
-		m.viewErrLogged = true // once for a process: what can't be taken is asked for whole
+		m.viewErrLogged = true // logged once per process; the lease holder then requests the full view
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
 	select {
@@ -238,7 +238,7 @@
 	return step.RenewNow
 }
 
-// warn writes a line, but not the same one with each heartbeat.
+// warn logs a warning, unless it has the same reason as the one before: reasons may repeat with each heartbeat.
 func (m *Member) warn(message, reason string) {
 	if key, _, _ := strings.Cut(reason, "whose lease"); key != m.lastWarning {
 		m.lastWarning = key
@@ -246,14 +246,14 @@
 	}
 }
 
-// Status is what a member says that it acts on.
+// Status is a member's report of what it applies.
 type Status struct {
 	Name     string   `cbor:"1,keyasint"`
 	Cautious bool     `cbor:"2,keyasint"`
 	Active   uint64   `cbor:"3,keyasint"`
 	Next     uint64   `cbor:"4,keyasint"`
 	Epoch    uint64   `cbor:"5,keyasint"`
-	LeaseMS  int      `cbor:"6,keyasint"` // left; below 0 when it has ended
+	LeaseMS  int      `cbor:"6,keyasint"` // milliseconds until the lease ends; negative if it has ended
 	Banned   []string `cbor:"7,keyasint,omitempty"`
 	Renewals int64    `cbor:"8,keyasint"`
 	Refused  int64    `cbor:"9,keyasint"`
@@ -267,10 +267,10 @@
 	return status, nil
 }
 
-// Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
+// Status returns what the member applies now, without the list of banned endpoints, which frequent callers don't need.
 func (m *Member) Status() Status { return m.statusOf(m.current()) }
 
-// current is what is acted on at this moment.
+// current returns the state in effect now.
 func (m *Member) current() *effectiveState {
 	m.Effective()
 	return m.effective.Load()
@@ -284,7 +284,7 @@
 	}
 }
 
-// Metrics is lifecycle.Crew's.
+// Metrics implements lifecycle.Cluster.
 func (m *Member) Metrics(text []byte) []byte {
 	m.Effective()
 	a := m.effective.Load()
@@ -315,7 +315,7 @@
 	return text
 }
 
-// Holdings is lifecycle.Crew's.
+// Holdings implements lifecycle.Cluster.
 func (m *Member) Holdings() pipeline.Holdings {
 	if m.holdings == nil {
 		return nil
@@ -323,14 +323,14 @@
 	return m.holdings
 }
 
-// Leaving is lifecycle.Crew's.
+// Leaving implements lifecycle.Cluster.
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.Decommissioning = m.holdings != nil
 }
 
-// leaveReplicas waits, not for long, until others have what this sidecar holds for them.
+// leaveReplicas waits, for at most decommissionTimeout, until other members have taken over this sidecar's replicas.
 func (m *Member) leaveReplicas() {
 	m.Leaving()
 	for deadline := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(deadline); m.env.Sleep(holdingsTick) {
@@ -341,7 +341,7 @@
 	m.log.Warn().Int("shards", m.holdings.countReplicas()).Dur("after", decommissionTimeout).Msg("leaves with seats that nobody else has taken yet")
 }
 
-// Stop says that this process ends, so that its name is free and nobody waits for its lease, and ends the keeper.
+// Stop leaves the cluster, so that the member's name is free and nobody waits for its lease to end, and stops the voter.
 func (m *Member) Stop() {
 	if m.holdings != nil {
 		m.leaveReplicas()
@@ -356,7 +356,7 @@
 	m.mu.Unlock()
 	r.Leaving = true
 	var reply voter.RenewResult
-	m.voterClients[firstVoter].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // else its lease's end says it
+	m.voterClients[firstVoter].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // if this fails, the member is removed when its lease ends
 	for _, l := range m.voterClients {
 		l.Close()
 	}
--- a/internal/cluster/member/process.go
+++ b/internal/cluster/member/process.go
@@ -14,7 +14,7 @@
 	"heathgap/internal/operator"
 )
 
-// Process runs a sidecar as a member of the crew that its operator's file names, and returns the process's exit code.
+// Process runs a sidecar as a member of the cluster in its operator's file, and returns the process's exit code.
 func Process() int {
 	file, err := operator.FromEnv(os.Getenv)
 	if err == nil && file.Cluster == nil {
@@ -25,13 +25,13 @@
 		log.Error().Err(err).Msg("bad operator's file")
 		return 1
 	}
-	// A limit on the size of files is a write that fails, as a full disk is: the keeper takes no further part, the sidecar
+	// With SIGXFSZ ignored, reaching the limit on file sizes is a failed write, as on a full disk: the voter stops, and the sidecar
 	// goes on.
 	signal.Ignore(syscall.SIGXFSZ)
 	return lifecycle.Main(lifecycle.Options{Operator: file, Cluster: JoinFunc(*file.Cluster)})
 }
 
-// JoinFunc makes sidecars members of the crew that a table names.
+// JoinFunc returns a function that makes a sidecar a member of the cluster in a table of the operator's file.
 func JoinFunc(table operator.Cluster) func(*config.Config, env.Env, zerolog.Logger) (lifecycle.Cluster, error) {
 	return func(conf *config.Config, environment env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
 		m, err := Start(table, conf, environment, log)
--- a/internal/cluster/voter/disk.go
+++ b/internal/cluster/voter/disk.go
@@ -12,10 +12,10 @@
 	bbolterr "go.etcd.io/bbolt/errors"
 )
 
-// boltDisk is a Disk in a bbolt file.
+// boltDisk implements Disk on a bbolt file.
 type boltDisk struct{ db *bbolt.DB }
 
-// openDisk opens or makes a folder with its file.
+// openDisk opens the data directory dir and its file, and creates them if they don't exist.
 func openDisk(dir string) (disk boltDisk, path string, err error) {
 	path = filepath.Join(dir, fileName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -39,7 +39,7 @@
 	return disk, path, fmt.Errorf("%s: %w: %w; %s", path, errDamaged, err, damagedRemedy)
 }
 
-// makeBuckets makes those of a new file. One that has others, or not all, is torn.
+// makeBuckets creates the buckets of a new file. It refuses a file with unknown or missing buckets as damaged.
 func makeBuckets(tx *bbolt.Tx) error {
 	known, total := 0, 0
 	err := tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
@@ -52,7 +52,7 @@
 	case err != nil:
 		return err
 	case total > 0 && (known != len(buckets) || total > known):
-		return fmt.Errorf("%d of its %d buckets are known, and there are %d", known, total, len(buckets))
+		return fmt.Errorf("%d of the file's %d buckets are known; expected exactly the %d known ones", known, total, len(buckets))
 	case total > 0:
 		return nil
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// syncDir makes the names in a folder durable.
+// syncDir makes the creation of files in a directory durable.
 func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -74,36 +74,36 @@
 	return f.Sync()
 }
 
-// Update is Disk's.
+// Update implements Disk.
 func (d boltDisk) Update(do func(Tx) error) error {
 	return d.db.Update(func(tx *bbolt.Tx) error { return do(boltTx{tx}) })
 }
 
-// View is Disk's.
+// View implements Disk.
 func (d boltDisk) View(do func(Tx) error) error {
 	return d.db.View(func(tx *bbolt.Tx) error { return do(boltTx{tx}) })
 }
 
-// Close is Disk's.
+// Close implements Disk.
 func (d boltDisk) Close() error { return d.db.Close() }
 
-// boltTx is a Tx on it.
+// boltTx implements Tx on a bbolt transaction.
 type boltTx struct{ tx *bbolt.Tx }
 
 func (t boltTx) bucketNamed(bucket string) *bbolt.Bucket { return t.tx.Bucket([]byte(bucket)) }
 
-// Get is Tx's.
+// Get implements Tx.
 func (t boltTx) Get(bucket, key string) []byte { return t.bucketNamed(bucket).Get([]byte(key)) }
 
-// Put is Tx's.
+// Put implements Tx.
 func (t boltTx) Put(bucket, key string, value []byte) error {
 	return t.bucketNamed(bucket).Put([]byte(key), value)
 }
 
-// Delete is Tx's.
+// Delete implements Tx.
 func (t boltTx) Delete(bucket, key string) error { return t.bucketNamed(bucket).Delete([]byte(key)) }
 
-// From is Tx's.
+// From implements Tx.
 func (t boltTx) From(bucket, key string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		c := t.bucketNamed(bucket).Cursor()
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -9,12 +9,12 @@
 	"heathgap/internal/peerrpc"
 )
 
-// outbox holds messages for another keeper until its goroutine has said them. Raft says again what is lost.
+// outbox queues messages for another voter until a goroutine sends them. Raft repeats lost messages.
 type outbox struct {
 	queue chan *raftpb.Message
 }
 
-// Send is Ways'.
+// Send implements Transport.
 func (v *Voter) Send(name string, m *raftpb.Message) bool {
 	o := v.outboxes[name]
 	if o == nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Announce is Ways': each question has a goroutine and a connection of its own.
+// Announce implements Transport: each announcement has its own goroutine and connection.
 func (v *Voter) Announce(name string, mine Announcement) {
 	v.env.Go("form", func() {
 		client := v.newClient(name)
@@ -46,7 +46,7 @@
 	return peerrpc.NewClient(v.env, v.core.conf.Cluster, v.core.conf.Name, v.core.conf.Voters[name])
 }
 
-// sendOutbox says what is in an outbox until it is closed.
+// sendOutbox sends the messages of an outbox until its queue is closed.
 func (v *Voter) sendOutbox(box *outbox, name string) {
 	client := v.newClient(name)
 	defer client.Close()
@@ -74,7 +74,7 @@
 			v.post(func() { v.core.SnapshotReported(id, err == nil) })
 		}
 		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != lastRefusal {
-			lastRefusal = err.Error() // once, not with each message
+			lastRefusal = err.Error() // log each reason once, not with each message
 			v.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
 		}
 	}
--- a/internal/cluster/voter/startcheck.go
+++ b/internal/cluster/voter/startcheck.go
@@ -129,7 +129,7 @@
 	if c.clock.Now().Sub(c.lastHeard[previousID]) > 2*electionTicks*TickEvery {
 		delete(c.requiredLogEnds, a.Name)
 		c.updateMinLogEnd()
-		c.log.Warn().Str("keeper", a.Name).Msg("its folder is lost: what it told of its log binds this keeper no more")
+		c.log.Warn().Str("keeper", a.Name).Msg("the folder of this keeper is lost: the log end that it reported is no longer waited for")
 	}
 }
 
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -16,8 +16,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The data folder of a keeper holds one file, crew.db, a bbolt database. Each value is a
-// CRC-32C (Castagnoli, big endian) of key and content, and the content:
+// The data directory of a voter holds one file, crew.db, a bbolt database. Each value consists of a CRC-32C (Castagnoli, big endian)
+// of key and content, and the content:
 //
 //	bucket meta   "identity"  CBOR of Identity
 //	bucket raft   "hard"      raftpb.HardState: term, vote, commit
@@ -25,14 +25,14 @@
 //	              "last"      index of the log's last entry, 8 bytes big endian
 //	bucket log    index, 8 bytes big endian: raftpb.Entry
 //
-// Sums find a value that was torn, "last" and the check for buckets find those that are no longer listed.
+// The checksums detect damaged values; "last" and the check of the buckets detect missing ones.
 //
-// Every transaction is synced before anything that rests on it is said. bbolt finds a torn
-// last transaction by the checksum of its two meta pages and goes on from the one before.
+// Every transaction is synced before any message that relies on it is sent. If the last transaction was torn, bbolt detects it
+// by the checksum of its two meta pages and continues from the one before.
 const (
 	fileName    = "crew.db"
 	storeFormat = 1
-	lockTimeout = 500 * time.Millisecond // another process has the folder
+	lockTimeout = 500 * time.Millisecond // how long to wait if another process has locked the file
 
 	bucketMeta, bucketRaft, bucketLog = "meta", "raft", "log"
 	keyIdentity, keyHard, keySnapshot = "identity", "hard", "snapshot"
@@ -44,50 +44,50 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Identity is whose folder it is.
+// Identity says to which voter of which cluster a data directory belongs.
 type Identity struct {
 	Format int    `cbor:"1,keyasint"`
 	Crew   string `cbor:"2,keyasint"`
 	Name   string `cbor:"3,keyasint"`
-	// ID is drawn when a folder is made: a keeper that has lost its folder does not come back under the old one, under
-	// which it may have voted.
+	// ID is drawn at random when the data directory is created: a voter that has lost its directory must not come back under the old
+	// id, because it may have voted under it.
 	ID uint64 `cbor:"4,keyasint"`
-	// Set is by which keepers the crew was formed, ids by names; once it stands here it does not change.
+	// Set holds the ids, by name, of the voters that formed the cluster. Once saved it does not change.
 	Set map[string]uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// store is a keeper's folder.
+// store is a voter's data directory.
 type store struct {
 	disk     Disk
-	path     string // for people
+	path     string // for messages
 	identity Identity
-	mem      *raft.MemoryStorage // what raft reads; always written after db
+	mem      *raft.MemoryStorage // what raft reads; always written after disk
 }
 
-// errDamaged ends the start: which of the data is true can't be known.
+// errDamaged prevents a start: it is unknown which of the data is correct.
 var errDamaged = errors.New("damaged")
 
-// damagedRemedy ends the line of a folder that is refused.
+// damagedRemedy ends the error message about a data directory that can't be used.
 const damagedRemedy = "end this process, move the folder away and start again: the keeper comes back empty, under a new id"
 
-// Disk keeps a keeper's values, in buckets: bbolt's file in a process, a model in the simulation. What the function of
-// Update has put is durable, the whole of it, when that returns nil; after an error nobody knows.
+// Disk stores a voter's values in buckets: a bbolt file in a process, a model in the simulation. When Update returns nil, everything
+// that its function has put is durable; after an error it is unknown what is.
 type Disk interface {
 	Update(do func(Tx) error) error
 	View(do func(Tx) error) error
 	Close() error
 }
 
-// Tx is one transaction on a Disk. What it returns is valid within it, and not to be changed.
+// Tx is a transaction on a Disk. The values it returns are valid only within it and must not be changed.
 type Tx interface {
-	Get(bucket, key string) []byte // nil where there is none
+	Get(bucket, key string) []byte // nil if there is none
 	Put(bucket, key string, value []byte) error
 	Delete(bucket, key string) error
-	// From goes through a bucket's values in the order of their keys, from one key on, while nothing is written.
+	// From iterates over a bucket's values in the order of their keys, starting at key. Nothing may be written meanwhile.
 	From(bucket, key string) iter.Seq2[string, []byte]
 }
 
-// newStore reads or begins what a disk holds. fresh draws the id of a new folder.
+// newStore loads what a disk holds, or initializes an empty one. newID returns the id of a new data directory.
 func newStore(disk Disk, path, cluster, name string, newID func() uint64) (*store, error) {
 	s := &store{disk: disk, path: path, mem: raft.NewMemoryStorage()}
 	if err := recoverPanics(func() error { return s.load(cluster, name, newID) }); err != nil {
@@ -96,7 +96,7 @@
 	return s, nil
 }
 
-// recoverPanics turns bbolt's panics over pages that can't be, and faults of memory that a cut file no longer backs, into errors.
+// recoverPanics turns panics into errors: bbolt panics on impossible pages, and reading a truncated file that is mapped faults.
 func recoverPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -114,9 +114,9 @@
 			return err
 		}
 		if text == nil {
-			// Guards against a new id beside the votes and entries of the one that is torn away.
+			// Guards against a new id next to the votes and entries of an old one whose identity was lost.
 			if !hasNoRaftData(tx) {
-				return fmt.Errorf("%w: votes or entries, and nothing says whose", errDamaged)
+				return fmt.Errorf("%w: votes or entries, and no identity that says whose they are", errDamaged)
 			}
 			s.identity = Identity{Format: storeFormat, Crew: cluster, Name: name, ID: newID()}
 			return s.putIdentity(tx)
@@ -146,14 +146,14 @@
 	return put(tx, bucketMeta, keyIdentity, text)
 }
 
-// loadRaft fills what raft reads.
+// loadRaft loads the snapshot, term, vote and log into mem, from which raft reads them.
 func (s *store) loadRaft(tx Tx) error {
 	text, err := get(tx, bucketRaft, keySnapshot)
 	if err != nil {
 		return err
 	}
 	snap := &raftpb.Snapshot{}
-	if text != nil { // none: there is no crew yet, or this folder is new in one
+	if text != nil { // without a snapshot the cluster isn't formed yet, or this data directory is new in it
 		if err := proto.Unmarshal(text, snap); err != nil {
 			return fmt.Errorf("%w: snapshot: %w", errDamaged, err)
 		}
@@ -175,7 +175,7 @@
 	if err := proto.Unmarshal(text, hard); err != nil {
 		return fmt.Errorf("%w: term and vote: %w", errDamaged, err)
 	}
-	// How far the log is agreed on is not synced by itself: a snapshot says more.
+	// The commit index is not always synced, so the snapshot may be ahead of it.
 	if index := snap.GetMetadata().GetIndex(); hard.GetCommit() < index {
 		hard.Commit = &index
 	}
@@ -197,19 +197,19 @@
 		next++
 	}
 	if hard.GetCommit() >= next {
-		return fmt.Errorf("%w: %d entries are agreed on and %d stand here", errDamaged, hard.GetCommit(), next-1)
+		return fmt.Errorf("%w: %d entries are committed, and the log here ends at entry %d", errDamaged, hard.GetCommit(), next-1)
 	}
 	if text, err = get(tx, bucketRaft, keyLast); err != nil {
 		return err
 	}
-	// A newcomer to a crew that stands may have heard of a term, and of nothing else yet.
+	// A voter that is new in an existing cluster may have learned of a term and of nothing else yet.
 	if newcomer := text == nil && next == 1; !newcomer && (len(text) != 8 || binary.BigEndian.Uint64(text) != next-1) {
-		return fmt.Errorf("%w: the log ends at entry %d, and more was written", errDamaged, next-1)
+		return fmt.Errorf("%w: the log ends at entry %d, which is not the last entry that was written", errDamaged, next-1)
 	}
 	return s.mem.Append(entries)
 }
 
-// hasNoRaftData tells whether nothing of raft's stands on a disk.
+// hasNoRaftData reports whether a disk holds nothing of raft: no snapshot, term, vote or entries.
 func hasNoRaftData(tx Tx) bool {
 	for _, bucket := range []string{bucketRaft, bucketLog} {
 		for range tx.From(bucket, "") {
@@ -219,14 +219,14 @@
 	return true
 }
 
-// saveSet books the set by which the crew is formed.
+// saveSet saves the ids of the voters that form the cluster.
 func (s *store) saveSet(set map[string]uint64) error {
 	s.identity.Set = set
 	return s.disk.Update(s.putIdentity)
 }
 
-// save makes durable what raft wants saved before its messages go, and then lets raft read it. Without sync only how far
-// the log is agreed on has changed, which a restart learns anew.
+// save makes durable what raft wants saved before its messages are sent, and then lets raft read it. If sync is false, only the commit
+// index has changed, which a restarted voter learns from the others.
 func (s *store) save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot, sync bool) error {
 	hasSnap := !raft.IsEmptySnap(snap)
 	if !sync && len(entries) == 0 && !hasSnap {
@@ -234,7 +234,7 @@
 	}
 	err := s.disk.Update(func(tx Tx) error {
 		last := uint64(0)
-		if hasSnap { // it takes the place of the whole log, as raft has it
+		if hasSnap { // it replaces the whole log
 			if err := putProto(tx, bucketRaft, keySnapshot, snap); err != nil {
 				return err
 			}
@@ -248,7 +248,7 @@
 				return err
 			}
 		}
-		if len(entries) > 0 { // what a later leader overwrites goes
+		if len(entries) > 0 { // entries behind the new ones are from an older term
 			last = entries[len(entries)-1].GetIndex()
 			if err := deleteEntries(tx, last+1, ^uint64(0)); err != nil {
 				return err
@@ -280,7 +280,7 @@
 	return s.mem.Append(entries)
 }
 
-// compact puts a snapshot in the place of the log up to an index, of which some entries stay for followers that lag.
+// compact replaces the log up to an index by a snapshot. The last keep of these entries stay in memory for followers that lag.
 func (s *store) compact(index uint64, conf *raftpb.ConfState, ledger []byte, keep uint64) error {
 	snap, err := s.mem.CreateSnapshot(index, conf, ledger)
 	if err != nil {
@@ -301,7 +301,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from one index up to, but not including, another.
+// deleteEntries deletes the log entries from index from up to, but not including, index to.
 func deleteEntries(tx Tx, from, to uint64) error {
 	var keys []string
 	for key := range tx.From(bucketLog, indexKey(from)) {
@@ -333,7 +333,7 @@
 	return tx.Put(bucket, key, append(sealed, text...))
 }
 
-// get returns a value, nil where there is none.
+// get returns a value, nil if there is none.
 func get(tx Tx, bucket, key string) ([]byte, error) {
 	value := tx.Get(bucket, key)
 	if value == nil {
@@ -348,7 +348,7 @@
 
 func verifyValue(key string, value []byte) ([]byte, error) {
 	if len(value) < 4 || binary.BigEndian.Uint32(value) != checksum(key, value[4:]) {
-		return nil, fmt.Errorf("%w: the checksum of %q does not fit", errDamaged, key)
+		return nil, fmt.Errorf("%w: the checksum of %q does not match its content", errDamaged, key)
 	}
 	return append([]byte(nil), value[4:]...), nil
 }
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -15,19 +15,19 @@
 	"heathgap/internal/peerrpc"
 )
 
-// Figures of a keeper's process.
+// Limits of a voter's process.
 const (
 	eventQueue       = 1024
-	maxEventsPerSync = 256         // taken before what follows from them is written: one sync for all
-	peerQueue        = 256         // messages that wait for another keeper
-	peerTimeout      = time.Second // for one exchange with it
-	batchBytes       = 4 << 20     // of messages in one exchange, about
+	maxEventsPerSync = 256         // processed before their results are saved, so that one sync serves all
+	peerQueue        = 256         // raft messages queued for another voter
+	peerTimeout      = time.Second // for one call to it
+	batchBytes       = 4 << 20     // approximate size of the raft messages in one call
 )
 
-// ErrEnded is the answer of a keeper that has stopped.
+// ErrEnded is returned by calls to a voter that has stopped.
 var ErrEnded = errors.New("this keeper has ended")
 
-// Voter is one keeper of a crew: its core, and the goroutine that owns it.
+// Voter runs one voter of a cluster: a Core, the goroutine that owns it, and its network connections.
 type Voter struct {
 	core *Core
 	env  env.Env
@@ -37,10 +37,10 @@
 	stopRequested chan struct{}
 	ended         chan struct{}
 	leading       atomic.Bool
-	outboxes      map[string]*outbox // the owner's
+	outboxes      map[string]*outbox // by voter name; used by the owner goroutine only
 }
 
-// Open opens a keeper's folder; Run begins.
+// Open opens a voter's data directory; Run starts the voter.
 func Open(conf Conf, environment env.Env, log zerolog.Logger) (*Voter, error) {
 	disk, path, err := openDisk(conf.DataDir)
 	if err != nil {
@@ -55,7 +55,8 @@
 	return k, nil
 }
 
-// Run carries the keeper until Stop, or until what it rests on fails: then it takes no further part in the agreement.
+// Run runs the voter until Stop is called, or until the disk fails or its data turns out to be wrong: then the voter takes no further
+// part in raft.
 func (v *Voter) Run() {
 	defer close(v.ended)
 	defer v.core.store.close()
@@ -97,7 +98,7 @@
 	}
 }
 
-// Stop ends it and waits until it has.
+// Stop stops the voter and waits until it has ended.
 func (v *Voter) Stop() {
 	select {
 	case <-v.stopRequested:
@@ -107,10 +108,10 @@
 	<-v.ended
 }
 
-// IsLeader tells whether it took itself for the leader a moment ago.
+// IsLeader reports whether the voter considered itself the leader after the last events that it processed.
 func (v *Voter) IsLeader() bool { return v.leading.Load() }
 
-// post hands something to the owner; false when that has ended.
+// post passes a function to the owner goroutine; it returns false if that has ended.
 func (v *Voter) post(do func()) bool {
 	select {
 	case v.events <- do:
@@ -120,7 +121,7 @@
 	}
 }
 
-// callOwner has the owner do something and returns what that replies.
+// callOwner runs a function on the owner goroutine and returns what that passes to reply.
 func callOwner[T any](k *Voter, do func(reply func(T))) (T, error) {
 	answer := make(chan T, 1)
 	var none T
@@ -135,7 +136,7 @@
 	}
 }
 
-// Renew answers a renewal: here, or by the name of the leader.
+// Renew answers a renewal with a grant, or with the leader's name if this voter does not lead.
 func (v *Voter) Renew(r cluster.Renewal) (RenewResult, error) {
 	a, err := callOwner(v, func(reply func(RenewResult)) { v.core.Renew(r, reply) })
 	if a.Grant != nil && a.Grant.Granted {
@@ -144,7 +145,7 @@
 	return a, err
 }
 
-// Propose has a version proposed: it returns when that is agreed on, or refused.
+// Propose proposes a version. It returns when the proposal has been committed or refused.
 func (v *Voter) Propose(p cluster.Proposal) (ProposeResult, error) {
 	type proposed struct {
 		answer ProposeResult
@@ -159,12 +160,12 @@
 	return a.answer, err
 }
 
-// Status tells what it knows.
+// Status returns the voter's current status.
 func (v *Voter) Status() (Status, error) {
 	return callOwner(v, func(reply func(Status)) { reply(v.core.Status()) })
 }
 
-// Handlers answer peers.
+// Handlers returns the handlers of peers' calls.
 func (v *Voter) Handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"raft": v.handleRaft, "form": v.handleForm,
@@ -186,7 +187,7 @@
 	}
 }
 
-// handleRaft takes messages of another keeper's raft.
+// handleRaft processes raft messages of another voter.
 func (v *Voter) handleRaft(from string, body []byte) (any, error) {
 	var texts [][]byte
 	if err := peerrpc.Decode(body, &texts); err != nil {
@@ -207,7 +208,7 @@
 	return nil, err
 }
 
-// handleForm answers another keeper's word with the own one.
+// handleForm processes another voter's announcement and returns this voter's own.
 func (v *Voter) handleForm(_ string, body []byte) (any, error) {
 	var theirs Announcement
 	if err := peerrpc.Decode(body, &theirs); err != nil {
