--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -9,12 +9,12 @@
 	"heathgap/internal/holdings"
 )
 
-// BenchmarkRenewal is what one renewal costs a leader of a crew of so many, without the network: the answer, and the look whether
+// BenchmarkRenewal measures what one renewal costs the leader of a cluster, without the network: the answer, and the check whether
 // anything is due.
 func BenchmarkRenewal(b *testing.B) {
 	for _, members := range []int{30, 300, 3000} {
-		for _, looks := range []string{"when due", "each time"} {
-			b.Run(fmt.Sprintf("%d members, %s", members, looks), func(b *testing.B) {
+		for _, check := range []string{"when due", "each time"} {
+			b.Run(fmt.Sprintf("%d members, %s", members, check), func(b *testing.B) {
 				conf := Params{Lease: time.Second, Drift: 0.01}
 				l := NewLedger()
 				for i := range members {
@@ -22,28 +22,28 @@
 				}
 				g := NewLessor(conf, 1)
 				now := BootTime(time.Second)
-				heard := Echo{Term: 1, At: now}
+				echo := Echo{Term: 1, At: now}
 				gap := conf.Lease / HeartbeatsPerLease / time.Duration(members)
 				for i := 0; b.Loop(); i++ {
 					n := i % members
-					r := Renewal{Member: Member{Name: fmt.Sprint("m", n), Token: uint64(n + 1)}, ParamsHash: conf.Hash(), Epoch: l.Epoch, LastEcho: heard}
+					r := Renewal{Member: Member{Name: fmt.Sprint("m", n), Token: uint64(n + 1)}, ParamsHash: conf.Hash(), Epoch: l.Epoch, LastEcho: echo}
 					grant := g.Renew(now, l, &r)
 					if !grant.Granted {
 						b.Fatal(grant.Reason)
 					}
-					g.recheck = g.recheck || looks == "each time"
+					g.recheck = g.recheck || check == "each time"
 					if due := g.Due(now, l); len(due) > 0 {
 						b.Fatalf("%+v", due)
 					}
-					heard, now = grant.Echo, now+gap
+					echo, now = grant.Echo, now+gap
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkParts is what the parts of one change cost a leader of a crew of so many that holds: the list of members, a copy of the
-// placement, the plan that follows, a copy of the ledger as a status tells it, and the hash of the terms with each renewal.
+// BenchmarkParts measures the parts of what one change costs the leader of a cluster with holdings: the list of members, a copy of the
+// placement, the plan of replicas, a copy of the ledger as for a status, the hash of the parameters with each renewal, and the check.
 func BenchmarkParts(b *testing.B) {
 	for _, members := range []int{60, 120, 240, 580} {
 		conf := Params{Lease: time.Second, Drift: 0.01, Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: time.Minute}}
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -12,43 +12,43 @@
 	"heathgap/internal/versions"
 )
 
-// dice draws from 0 up to, but not including, n.
-type dice func(n int) int
+// randInt returns a random number from 0 up to, but not including, n.
+type randInt func(n int) int
 
-// bug is planted round the pure parts: what their driver could get wrong.
+// bug is a fault injected around the pure code: an error that its caller could make.
 type bug string
 
 const (
 	none          bug = ""
-	countsFromNow bug = "the holder counts its lease from the answer"
-	noWait        bug = "a new leader takes leases given before it for ended"
-	shortWait     bug = "the granter waits for the lease alone, without drift"
-	noPrepare     bug = "a version is active at once"
-	stoppedClock  bug = "a holder does not see its lease end"
-	oldLeader     bug = "a leader that was replaced goes on granting"
-	staleMessage  bug = "a holder takes late word for new"
-	renewsLeaving bug = "a granter renews the lease of a member whose end is on its way"
+	countsFromNow bug = "the lease holder counts its lease from the answer instead of the request"
+	noWait        bug = "a new leader assumes that leases granted before it have ended"
+	shortWait     bug = "the lessor waits for the length of the lease, without drift and slack"
+	noPrepare     bug = "a version becomes active without waiting for the members"
+	stoppedClock  bug = "a lease holder's clock stops, so that its lease does not end"
+	oldLeader     bug = "a leader that was replaced goes on granting leases"
+	staleMessage  bug = "a lease holder accepts stale answers"
+	renewsLeaving bug = "a lessor renews the lease of a member whose removal is already in the log"
 )
 
-// model plays several members, leaders that come and go, clocks that differ, and answers that come late or never.
+// model simulates several members, changes of leader, clocks at different rates, and answers that arrive late or never.
 type model struct {
-	roll        dice
-	bug         bug
-	params      Params
-	now         time.Duration // true time
-	rates       []float64
-	holders     []*LeaseHolder
-	ledger      *Ledger
-	lessor      *Lessor
-	oldLessor   *Lessor
-	oldLedger   *Ledger
-	leaderRate  float64 // rate of its clock
-	term        uint64
-	pending     *Entry        // proposed, not agreed on yet
-	commitAt    time.Duration // when it will be
-	inFlight    []delayedAnswer
-	stopped     time.Duration
-	partitioned int // a member that hears nothing and is not heard
+	intn           randInt
+	bug            bug
+	params         Params
+	now            time.Duration // simulated time
+	rates          []float64
+	holders        []*LeaseHolder
+	ledger         *Ledger
+	lessor         *Lessor
+	oldLessor      *Lessor
+	oldLedger      *Ledger
+	leaderRate     float64 // of the leader's clock
+	term           uint64
+	pending        *Entry        // proposed, not committed yet
+	commitAt       time.Duration // when pending is committed
+	inFlight       []delayedAnswer
+	clockStoppedAt time.Duration
+	partitioned    int // index of the member that can neither send nor receive
 }
 
 type delayedAnswer struct {
@@ -57,12 +57,12 @@
 	grant       Grant
 }
 
-func newModel(roll dice, b bug) *model {
-	m := &model{roll: roll, bug: b, ledger: NewLedger(), leaderRate: 1, stopped: -1,
+func newModel(intn randInt, injected bug) *model {
+	m := &model{intn: intn, bug: injected, ledger: NewLedger(), leaderRate: 1, clockStoppedAt: -1,
 		params: Params{Lease: time.Second, Drift: 0.1, Slack: 10 * time.Millisecond}}
 	own := versions.FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
 	for i := range 3 {
-		m.rates = append(m.rates, 1+m.params.Drift*float64(roll(3)-1))
+		m.rates = append(m.rates, 1+m.params.Drift*float64(intn(3)-1))
 		m.holders = append(m.holders, NewLeaseHolder(Member{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}, m.params, own, 0))
 	}
 	m.changeLeader()
@@ -70,35 +70,35 @@
 }
 
 func (m *model) boot(i int) BootTime {
-	if m.bug == stoppedClock && i == 0 && m.stopped >= 0 {
-		return BootTime(float64(m.stopped) * m.rates[i])
+	if m.bug == stoppedClock && i == 0 && m.clockStoppedAt >= 0 {
+		return BootTime(float64(m.clockStoppedAt) * m.rates[i])
 	}
 	return BootTime(float64(m.now) * m.rates[i])
 }
 
 func (m *model) leaderBoot() BootTime { return BootTime(float64(m.now) * m.leaderRate) }
 
-// changeLeader brings a new leader.
+// changeLeader replaces the leader by a new one.
 func (m *model) changeLeader() {
 	m.oldLessor, m.oldLedger = m.lessor, m.ledger.Clone()
-	if m.pending != nil && m.roll(2) == 0 { // the next leader has it, else it is lost
+	if m.pending != nil && m.intn(2) == 0 { // the next leader has the entry; otherwise it is lost
 		m.ledger.Apply(m.pending)
 	}
 	m.pending = nil
-	m.leaderRate = 1 + m.params.Drift*float64(m.roll(3)-1)
+	m.leaderRate = 1 + m.params.Drift*float64(m.intn(3)-1)
 	conf := m.params
 	if m.bug == shortWait {
 		conf.Drift, conf.Slack = 0, 0
 	}
 	m.term++
 	m.lessor = NewLessor(conf, m.term)
-	m.lessor.Due(m.leaderBoot(), m.ledger.Clone()) // it looks at the members at once
+	m.lessor.Due(m.leaderBoot(), m.ledger.Clone()) // a new leader checks all members at once
 	if m.bug == noWait {
 		for _, s := range m.lessor.states {
 			s.leaseEnd = 0
 		}
 	}
-	// Terms are told by their hash: the planted wait must not show there.
+	// Members and leader compare the hashes of their parameters: the injected wait must not change the hash.
 	if m.bug == shortWait {
 		for _, h := range m.holders {
 			h.params = Params{Lease: m.params.Lease}
@@ -106,23 +106,23 @@
 	}
 }
 
-// step takes one step. Most are small, so that what takes several fits into the time between two leases' ends.
+// step makes one step. Most steps are short, so that sequences of several fit between the ends of two leases.
 func (m *model) step() {
-	m.now += time.Duration(m.roll(15)) * time.Millisecond
-	switch m.roll(120) {
+	m.now += time.Duration(m.intn(15)) * time.Millisecond
+	switch m.intn(120) {
 	case 0:
-		m.now += time.Duration(m.roll(1500)) * time.Millisecond
+		m.now += time.Duration(m.intn(1500)) * time.Millisecond
 	case 1, 2:
 		m.changeLeader()
 	case 3, 4, 5:
-		m.partitioned = m.roll(len(m.holders) + 1) // the last one is nobody
+		m.partitioned = m.intn(len(m.holders) + 1) // the last value stands for no member
 	}
-	if m.ledger.Next == nil && m.roll(20) == 0 {
+	if m.ledger.Next == nil && m.intn(20) == 0 {
 		effect := decide.Unsafe
 		if m.ledger.Active.Number%2 == 1 {
 			effect = decide.Safe
 		}
-		m.ledger.Apply(&Entry{Propose: &Proposal{ID: uint64(m.roll(1<<30)) + 1, Parent: m.ledger.Active.Number,
+		m.ledger.Apply(&Entry{Propose: &Proposal{ID: uint64(m.intn(1<<30)) + 1, Parent: m.ledger.Active.Number,
 			Doc: versions.Document{Classes: map[string]versions.Class{"pay": {Effect: effect}}}}})
 	}
 	if m.bug == noPrepare && m.ledger.Next != nil && m.ledger.Next.State == Prepared {
@@ -132,55 +132,55 @@
 		m.ledger.Apply(m.pending)
 		m.pending = nil
 	}
-	if m.pending == nil && m.roll(3) > 0 {
+	if m.pending == nil && m.intn(3) > 0 {
 		if due := m.lessor.Due(m.leaderBoot(), m.ledger); len(due) > 0 {
-			m.pending, m.commitAt = &due[0], m.now+time.Duration(m.roll(40))*time.Millisecond
+			m.pending, m.commitAt = &due[0], m.now+time.Duration(m.intn(40))*time.Millisecond
 		}
 	}
-	if i := m.roll(len(m.holders)); i != m.partitioned {
+	if i := m.intn(len(m.holders)); i != m.partitioned {
 		m.renew(i)
-		if m.roll(4) > 0 {
+		if m.intn(4) > 0 {
 			m.deliver(len(m.inFlight) - 1)
 		}
 	}
-	if len(m.inFlight) > 0 && m.roll(8) == 0 {
-		m.deliver(m.roll(len(m.inFlight)))
+	if len(m.inFlight) > 0 && m.intn(8) == 0 {
+		m.deliver(m.intn(len(m.inFlight)))
 	}
 }
 
 func (m *model) renew(i int) {
 	r, asked := m.holders[i].NextRenewal(), m.boot(i)
-	by, ledger := m.lessor, m.ledger
-	if m.bug == oldLeader && m.oldLessor != nil && m.roll(2) == 0 {
-		by, ledger = m.oldLessor, m.oldLedger
+	lessor, ledger := m.lessor, m.ledger
+	if m.bug == oldLeader && m.oldLessor != nil && m.intn(2) == 0 {
+		lessor, ledger = m.oldLessor, m.oldLedger
 	}
-	if s := by.states[r.Name]; m.bug == renewsLeaving && s != nil {
+	if s := lessor.states[r.Name]; m.bug == renewsLeaving && s != nil {
 		s.leaseEnd = max(s.leaseEnd, m.leaderBoot()+1)
 	}
-	m.inFlight = append(m.inFlight, delayedAnswer{i, asked, by.Renew(m.leaderBoot(), ledger, &r)})
+	m.inFlight = append(m.inFlight, delayedAnswer{i, asked, lessor.Renew(m.leaderBoot(), ledger, &r)})
 }
 
-// deliver hands over an answer that is on its way, or loses it.
+// deliver delivers a delayed answer, or loses it.
 func (m *model) deliver(n int) {
-	f := m.inFlight[n]
+	answer := m.inFlight[n]
 	m.inFlight = append(m.inFlight[:n], m.inFlight[n+1:]...)
-	if m.roll(8) == 0 {
+	if m.intn(8) == 0 {
 		return
 	}
 	if m.bug == countsFromNow {
-		f.requestedAt = m.boot(f.to)
+		answer.requestedAt = m.boot(answer.to)
 	}
 	if m.bug == staleMessage {
-		m.holders[f.to].requestedAt = 0
+		m.holders[answer.to].requestedAt = 0
 	}
-	m.holders[f.to].HandleGrant(f.requestedAt, &f.grant)
-	if f.to == 0 && m.stopped < 0 && f.grant.Granted && m.now > time.Second {
-		m.stopped = m.now
+	m.holders[answer.to].HandleGrant(answer.requestedAt, &answer.grant)
+	if answer.to == 0 && m.clockStoppedAt < 0 && answer.grant.Granted && m.now > time.Second {
+		m.clockStoppedAt = m.now
 	}
 }
 
-// check tells whether two members vouch for versions that have none in common: one acts by rules that the other has
-// left, or has not come to.
+// check returns an error if two members with valid leases apply contradicting versions: one applies a version that the other has
+// already left or not reached yet.
 func (m *model) check() error {
 	for i, a := range m.holders {
 		x := a.Effective(m.boot(i))
@@ -190,7 +190,7 @@
 				continue
 			}
 			if x.Active != y.Active && x.Next != y.Active && y.Next != x.Active {
-				return fmt.Errorf("at %v m%d acts on %d+%d and m%d on %d+%d", m.now, i, x.Active, x.Next, j, y.Active, y.Next)
+				return fmt.Errorf("at %v m%d applies versions %d+%d and m%d applies %d+%d", m.now, i, x.Active, x.Next, j, y.Active, y.Next)
 			}
 		}
 	}
@@ -213,7 +213,7 @@
 	})
 }
 
-// Each planted bug is caught, and versions do come through without one.
+// Each injected bug is found, and versions do become active without one.
 func TestModelCatchesInjectedBugs(t *testing.T) {
 	const seeds = 4000
 	for _, b := range []bug{countsFromNow, noWait, shortWait, noPrepare, stoppedClock, oldLeader, staleMessage, renewsLeaving} {
@@ -249,15 +249,15 @@
 		versions += m.ledger.Active.Number
 	}
 	if versions < 300 {
-		t.Errorf("%d versions became active in 1000 runs: nothing is shown of those that do not", versions)
+		t.Errorf("only %d versions became active in 1000 runs: too few to test changes of version", versions)
 	}
 }
 
-func propose(id, parent uint64, max int) *Entry {
-	return &Entry{Propose: &Proposal{ID: id, Parent: parent, Doc: versions.Document{MaxAttempts: max}}}
+func propose(id, parent uint64, maxAttempts int) *Entry {
+	return &Entry{Propose: &Proposal{ID: id, Parent: parent, Doc: versions.Document{MaxAttempts: maxAttempts}}}
 }
 
-// Two proposals at once, one said twice, one on an old parent, one that refuses, and conclusions of an older epoch.
+// Two proposals at once, a proposal sent twice, one with an outdated parent, one that is refused, and entries of an older epoch.
 func TestLedger(t *testing.T) {
 	l := NewLedger()
 	must := func(want bool, e *Entry) {
@@ -273,19 +273,19 @@
 		t.Fatalf("%+v", l)
 	}
 	must(true, propose(7, 0, 2))
-	must(true, propose(7, 0, 2)) // said again
+	must(true, propose(7, 0, 2)) // sent again
 	must(false, propose(8, 0, 3))
 	must(false, &Entry{Prepare: 1, Epoch: 0})
 	must(true, &Entry{Prepare: 1, Epoch: 1})
-	must(false, &Entry{End: &ProposalEnd{1, "late"}, Epoch: 1}) // prepared: it can't end by a refusal any more
-	must(true, &Entry{Leave: []Member{b}})                      // not the one that is in
+	must(false, &Entry{End: &ProposalEnd{1, "late"}, Epoch: 1}) // prepared: it can't be refused any more
+	must(true, &Entry{Leave: []Member{b}})                      // not the process that is a member
 	must(true, &Entry{Activate: 1, Epoch: 1})
 	must(false, propose(20, 0, 3)) // its author saw version 0
-	must(false, propose(21, 1, 2)) // nothing differs
+	must(false, propose(21, 1, 2)) // no difference from the active version
 	must(true, propose(9, 1, 3))
-	must(false, propose(10, 1, 4)) // version 2 is under way
+	must(false, propose(10, 1, 4)) // version 2 is in progress
 	must(true, &Entry{End: &ProposalEnd{2, "m refuses"}, Epoch: 1})
-	must(false, propose(10, 1, 4)) // its author was told no: late word of it changes nothing
+	must(false, propose(10, 1, 4)) // it was rejected before: a delayed copy changes nothing
 	if l.LastNumber != 2 || l.Active.Number != 1 || l.Next != nil || len(l.VersionRecords()) != 2 || l.Find(9).State != Refused {
 		t.Errorf("%+v", l)
 	}
@@ -295,12 +295,12 @@
 	}
 }
 
-// What the granter says no to.
+// Requests that the lessor refuses.
 func TestRenewRefuses(t *testing.T) {
-	terms := Params{Lease: time.Second}
+	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
-	g := NewLessor(terms, 0)
+	g := NewLessor(params, 0)
 	for _, c := range []struct {
 		name    string
 		r       Renewal
@@ -316,7 +316,7 @@
 		{"no name", Renewal{}, 0, false, false},
 	} {
 		if c.r.ParamsHash == "" {
-			c.r.ParamsHash = terms.Hash()
+			c.r.ParamsHash = params.Hash()
 		}
 		if got := g.Renew(c.now, l, &c.r); got.Granted != c.granted || got.RetryNow != c.again || (got.Reason == "") != c.granted {
 			t.Errorf("%s: %+v", c.name, got)
@@ -324,61 +324,61 @@
 	}
 }
 
-// What a member says under an older epoch is not taken, and its lease is renewed all the same.
+// What a member reports under an older epoch is ignored, but its lease is renewed.
 func TestReportOfOlderEpochIsIgnored(t *testing.T) {
-	terms := Params{Lease: time.Second}
+	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
 	l.Apply(propose(7, 0, 2))
-	g := NewLessor(terms, 0)
+	g := NewLessor(params, 0)
 	for epoch, due := range []int{0, 1} {
-		r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: terms.Hash(), Epoch: uint64(epoch), Checked: 1}
+		r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: params.Hash(), Epoch: uint64(epoch), Checked: 1}
 		if got := g.Renew(0, l, &r); !got.Granted || got.Epoch != 1 {
-			t.Errorf("said in epoch %d: %+v", epoch, got)
+			t.Errorf("reported in epoch %d: %+v", epoch, got)
 		}
 		if got := g.Due(0, l); len(got) != due {
-			t.Errorf("said in epoch %d: %+v is due", epoch, got)
+			t.Errorf("reported in epoch %d: %+v is due", epoch, got)
 		}
 	}
 }
 
-// Guards against a member that is heard and hears nothing: it held up each version for as long as its questions came. It is
-// counted out, and does not come in again before it says an answer back.
+// Guards against a member that does not receive answers but whose renewals arrive: it delayed each version for as long as its renewals
+// came. It is removed from the cluster, and does not join again before it sends back an echo.
 func TestMemberWithoutEchoIsRemoved(t *testing.T) {
-	terms := Params{Lease: time.Second}
+	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
-	g := NewLessor(terms, 5)
-	r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: terms.Hash(), Epoch: 1}
+	g := NewLessor(params, 5)
+	r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: params.Hash(), Epoch: 1}
 	now, last := BootTime(time.Second), BootTime(0)
-	for ; len(g.Due(now, l)) == 0 && now < 5*time.Second; now += terms.Lease / HeartbeatsPerLease {
+	for ; len(g.Due(now, l)) == 0 && now < 5*time.Second; now += params.Lease / HeartbeatsPerLease {
 		if got := g.Renew(now, l, &r); got.Granted {
 			last = now
 		}
 	}
-	if last == 0 || now-last > terms.LessorWait()+terms.Lease/HeartbeatsPerLease {
-		t.Fatalf("granted last at %v, counted out at %v", last, now)
+	if last == 0 || now-last > params.LessorWait()+params.Lease/HeartbeatsPerLease {
+		t.Fatalf("last granted at %v, removed from the cluster at %v", last, now)
 	}
 	l.Apply(&g.Due(now, l)[0])
 	if g.Renew(now, l, &r); len(g.Due(now, l)) > 0 {
-		t.Error("it comes in and says nothing back")
+		t.Error("the member joins again although it has sent back no echo")
 	}
 	r.LastEcho = g.Renew(now, l, &r).Echo
 	if g.Renew(now, l, &r); len(g.Due(now, l)) != 1 {
-		t.Error("it hears, and does not come in")
+		t.Error("the member has sent back an echo and does not join")
 	}
 }
 
-// Guards against a process that sends, after a restart, to what was banned while it was away: without a lease, since the
-// one of the process before still holds, it keeps the bans all the same.
+// Guards against a process that sends, after a restart, to endpoints that were banned while it was down. It gets no lease, because
+// the lease of the process before is still valid, but it applies the bans.
 func TestMemberWithoutLeaseKeepsBans(t *testing.T) {
-	terms := Params{Lease: time.Second}
+	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
 	l.Apply(&Entry{Propose: &Proposal{ID: 1, Doc: versions.Document{Banned: []string{"e"}}}})
-	h := NewLeaseHolder(Member{Name: "a", Token: 2}, terms, versions.FromSettings(&decide.Settings{}), 0)
+	h := NewLeaseHolder(Member{Name: "a", Token: 2}, params, versions.FromSettings(&decide.Settings{}), 0)
 	r := h.NextRenewal()
-	grant := NewLessor(terms, 0).Renew(0, l, &r)
+	grant := NewLessor(params, 0).Renew(0, l, &r)
 	if _, err := h.HandleGrant(0, &grant); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/delta_test.go
+++ b/internal/cluster/delta_test.go
@@ -8,137 +8,138 @@
 	"heathgap/internal/holdings"
 )
 
-// Guards against a fleet in which each restart is paid by everybody: at 580 members one restart cost each of them 172 KB, and the
-// leader 101 MB, when the whole of members and placement was told with each change.
+// Guards against restarts whose cost grows with the cluster for each member: when all members and the placement were sent with each
+// change, one restart at 580 members cost each of them 172 KB, and the leader 101 MB.
 func TestOneRestartAt580(t *testing.T) {
 	const (
 		members  = 580
-		mostEach = 2500  // bytes above what a member hears when nothing happens: measured 600
-		mostBack = 60000 // for the one that comes back, and is told the whole once: measured 36,000
+		mostEach = 2500  // bytes above what a member receives when nothing happens; measured: 600
+		mostBack = 60000 // for the member that comes back, which receives the full view once; measured: 36,000
 	)
 	f := newFleet(t, members)
 	f.check()
-	f.clear()
+	f.resetCounts()
 	f.run(4 * time.Second)
-	idle := f.told / members / 4
-	i := f.holder(true)
-	f.clear()
+	idle := f.answerBytes / members / 4
+	i := f.findMember(true)
+	f.resetCounts()
 	began := f.now
 	f.restart(i)
 	f.run(2 * time.Second)
 	f.settle(20 * time.Second)
 	seconds := int((f.now - began) / time.Second)
 	f.check()
-	for n, m := range f.all {
+	for n, m := range f.members {
 		most := idle*(seconds+1) + mostEach
 		if n == i {
 			most += mostBack
 		}
-		if m.told > most {
-			t.Errorf("%s was told %d bytes in %d s; allowed: %d", m.self.Name, m.told, seconds, most)
+		if m.answerBytes > most {
+			t.Errorf("%s received %d bytes in %d s; allowed: %d", m.self.Name, m.answerBytes, seconds, most)
 		}
 	}
-	if most := members*(idle*(seconds+1)+mostEach) + mostBack; f.told > most {
-		t.Errorf("the leader said %d bytes; allowed: %d", f.told, most)
+	if most := members*(idle*(seconds+1)+mostEach) + mostBack; f.answerBytes > most {
+		t.Errorf("the leader sent %d bytes; allowed: %d", f.answerBytes, most)
 	}
-	t.Logf("%d entries; the leader said %d bytes in %d s, %d of them to the one that came back; %d to a member a second when nothing happens",
-		f.entries, f.told, seconds, f.all[i].told, idle)
+	t.Logf("%d entries; the leader sent %d bytes in %d s, %d of them to the member that came back; %d to a member a second when nothing happens",
+		f.entries, f.answerBytes, seconds, f.members[i].answerBytes, idle)
 }
 
-// A new leader, from a snapshot and so without a history, tells nothing to who is up to date, and changes from its first entry on.
-func TestNewLeaderTellsChanges(t *testing.T) {
+// A new leader starts from a snapshot, so without a history of changes. It sends nothing to members that are up to date, and deltas
+// from its first entry on.
+func TestNewLeaderSendsDeltas(t *testing.T) {
 	const members = 100
 	f := newFleet(t, members)
-	f.clear()
-	f.lead()
+	f.resetCounts()
+	f.changeLeader()
 	f.run(time.Second)
-	if most := members * 1000; f.told > most {
-		t.Errorf("a change of leader: %d bytes; allowed: %d", f.told, most)
+	if most := members * 1000; f.answerBytes > most {
+		t.Errorf("a change of leader: %d bytes; allowed: %d", f.answerBytes, most)
 	}
-	f.clear()
-	f.restart(f.holder(true))
+	f.resetCounts()
+	f.restart(f.findMember(true))
 	f.run(2 * time.Second)
 	f.settle(20 * time.Second)
 	f.check()
-	if most := members * 6000; f.told > most {
-		t.Errorf("a restart under a new leader: %d bytes; allowed: %d", f.told, most)
+	if most := members * 6000; f.answerBytes > most {
+		t.Errorf("a restart under a new leader: %d bytes; allowed: %d", f.answerBytes, most)
 	}
 }
 
-// Builds that know no changes, as members and as leaders, live in one crew with those that do.
-func TestOlderBuildsAreToldTheWhole(t *testing.T) {
+// Builds that predate deltas, as members and as leaders, work in one cluster with builds that use them.
+func TestOlderBuildsGetFullView(t *testing.T) {
 	f := newFleet(t, 40)
 	deltas := 0
-	f.spoil = func(m *fellow, _ *holdings.Delta) {
-		if deltas++; m.old {
-			t.Errorf("%s takes no changes, and was told some", m.self.Name)
+	f.alterDelta = func(m *fleetMember, _ *holdings.Delta) {
+		if deltas++; m.acceptsNoDeltas {
+			t.Errorf("%s accepts no deltas, and received one", m.self.Name)
 		}
 	}
-	for i, m := range f.all {
-		m.old = i%3 == 0
+	for i, m := range f.members {
+		m.acceptsNoDeltas = i%3 == 0
 	}
 	for _, old := range []bool{false, true, false} {
-		f.oldLeader = old
-		f.lead()
+		f.leaderSendsNoDeltas = old
+		f.changeLeader()
 		deltas = 0
-		for _, i := range []int{f.holder(true), 1, 3} {
+		for _, i := range []int{f.findMember(true), 1, 3} {
 			f.restart(i)
 			f.run(2 * time.Second)
 			f.settle(20 * time.Second)
 			f.check()
 		}
 		if old != (deltas == 0) {
-			t.Errorf("%d deltas by a leader that tells changes: %v", deltas, !old)
+			t.Errorf("%d deltas from a leader that sends deltas: %v", deltas, !old)
 		}
 	}
 }
 
-// A member whose result differs stays as it was, names nothing and is told the whole; when that does not add up either, it asks for
-// it in the older way, for as long as that leader leads.
-func TestDifferingMemberAsksForTheWhole(t *testing.T) {
+// A member that gets another checksum than the delta names keeps its view and requests the full view. If that has a wrong checksum too,
+// it requests the older format without a checksum, for as long as that leader leads.
+func TestMemberWithWrongChecksumRequestsFullView(t *testing.T) {
 	f := newFleet(t, 40)
-	one := f.all[5]
-	spoils, whole := 0, 0
-	f.spoil = func(m *fellow, d *holdings.Delta) {
-		if m != one {
+	member := f.members[5]
+	toAlter, fullViews := 0, 0
+	f.alterDelta = func(m *fleetMember, d *holdings.Delta) {
+		if m != member {
 			return
 		}
 		if d.SinceEpoch == 0 && d.SinceNumber == 0 {
-			whole++
+			fullViews++
 		}
-		if spoils > 0 {
-			spoils--
+		if toAlter > 0 {
+			toAlter--
 			d.Checksum++
 		}
 	}
 	for _, c := range []struct{ spoils, whole int }{{1, 1}, {2, 1}} {
-		f.lead()
+		f.changeLeader()
 		f.run(time.Second)
-		before := one.holder.View()
-		spoils, whole = c.spoils, 0
-		f.restart(f.holder(true))
-		for limit := f.now + 10*time.Second; spoils == c.spoils; f.tick() {
+		before := member.holder.View()
+		toAlter, fullViews = c.spoils, 0
+		f.restart(f.findMember(true))
+		for limit := f.now + 10*time.Second; toAlter == c.spoils; f.tick() {
 			if f.now > limit {
-				t.Fatal("it was told no delta in 10 s")
+				t.Fatal("the member received no delta in 10 s")
 			}
 		}
-		after := one.holder.View()
-		if after.Epoch != before.Epoch || after.Placement != before.Placement || !errors.Is(one.holder.ViewErr(), holdings.ErrChecksum) {
-			t.Errorf("what it knows is of epoch %d after %d, because of %v", after.Epoch, before.Epoch, one.holder.ViewErr())
+		after := member.holder.View()
+		if after.Epoch != before.Epoch || after.Placement != before.Placement || !errors.Is(member.holder.ViewErr(), holdings.ErrChecksum) {
+			t.Errorf("the member's view is of epoch %d after %d, with error %v; it must stay as it was, with a checksum error", after.Epoch, before.Epoch, member.holder.ViewErr())
 		}
 		f.run(2 * time.Second)
 		f.settle(20 * time.Second)
 		f.check()
-		if whole != c.whole || spoils != 0 {
-			t.Errorf("%d spoilt: told the whole %d times, not %d; %d not played", c.spoils, whole, c.whole, spoils)
+		if fullViews != c.whole || toAlter != 0 {
+			t.Errorf("%d deltas altered: the full view was received %d times, not %d; %d were not altered yet", c.spoils, fullViews, c.whole, toAlter)
 		}
-		if takes := one.holder.NextRenewal().Takes; (takes == 0) != (c.spoils > 1) {
-			t.Errorf("%d spoilt: it takes the form %d", c.spoils, takes)
+		if takes := member.holder.NextRenewal().Takes; (takes == 0) != (c.spoils > 1) {
+			t.Errorf("%d deltas altered: the member accepts deltas of format %d", c.spoils, takes)
 		}
 	}
-	f.lead()
+	f.changeLeader()
 	f.run(time.Second)
-	if one.holder.NextRenewal().Takes == 0 {
-		t.Error("it takes no changes of another leader either")
+	if member.holder.NextRenewal().Takes == 0 {
+		t.Error("the member accepts no deltas of a new leader either")
 	}
 }
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -28,54 +28,54 @@
 	fleetRelease = flag.Int("crew.release", 20, "seconds of a release with one restart a second")
 )
 
-// fleet is one leader's ledger and granter with members that ask it, eight times a lease, on virtual time. What they say is coded and
-// decoded as on the wire, and the bytes are counted; raft and the network are not there. An entry is agreed on one tick after it
-// was due. A member's copies are filled at once.
+// fleet is a leader's ledger and lessor with members that renew eight times a lease, on virtual time. Requests and answers are encoded
+// and decoded as on the wire, and their bytes are counted; raft and the network are left out. An entry is committed one tick after
+// it became due. A member's replicas are caught up at once.
 type fleet struct {
 	t       testing.TB
-	terms   cluster.Params
+	params  cluster.Params
 	now     cluster.BootTime
 	ledger  *cluster.Ledger
-	granter *cluster.Lessor
+	lessor  *cluster.Lessor
 	pending *cluster.Entry
-	all     []*fellow
+	members []*fleetMember
 	tokens  uint64
 
-	asked, told    int           // bytes of questions, and of answers
-	leader, member time.Duration // processor time
-	planning       time.Duration // of the leader's, what is due
-	entries        int
-	term           uint64
-	spoil          func(m *fellow, d *holdings.Delta) // where set: what befalls a delta on its way
-	oldLeader      bool                               // the leader's build tells no changes
-	last           cluster.BootTime                   // when the last entry was applied
+	requestBytes, answerBytes int           // bytes of requests to the leader and of its answers
+	leaderCPU, memberCPU      time.Duration // processor time
+	dueCPU                    time.Duration // the leader's processor time for entries that are due
+	entries                   int
+	term                      uint64
+	alterDelta                func(m *fleetMember, d *holdings.Delta) // if set: alters a delta on its way to the member
+	leaderSendsNoDeltas       bool                                    // the leader's build predates deltas
+	lastEntryAt               cluster.BootTime                        // when the last entry was applied
 }
 
-// fellow is a member of a fleet.
-type fellow struct {
-	i       int
-	self    cluster.Member
-	holder  *cluster.LeaseHolder
-	seeker  *cluster.LeaseRenewer
-	store   *holdings.Store
-	me      holdings.Incarnation
-	view    holdings.View    // as its store has learnt it
-	told    int              // bytes of answers
-	leaveBy cluster.BootTime // it wants to leave, and does so by then; 0 for not
-	down    bool
-	comes   cluster.BootTime // again, when it is down
-	old     bool             // its build takes no changes
+// fleetMember is a member of a fleet.
+type fleetMember struct {
+	i               int
+	self            cluster.Member
+	holder          *cluster.LeaseHolder
+	renewer         *cluster.LeaseRenewer
+	store           *holdings.Store
+	me              holdings.Incarnation
+	view            holdings.View    // the newest one applied to its store
+	answerBytes     int              // bytes of the answers that it received
+	leaveBy         cluster.BootTime // it wants to leave, and does so by then at the latest; 0 if not
+	down            bool
+	returnsAt       cluster.BootTime // when it starts again, if it is down
+	acceptsNoDeltas bool             // its build predates deltas
 }
 
 const (
-	fleetTicks  = 25 // of a heartbeat
-	fleetZones  = 5
-	fleetMove   = 4 * time.Second // member.moveTime
-	fleetReturn = time.Second     // until a process that has left is there again
+	fleetTicks        = 25 // per heartbeat
+	fleetZones        = 5
+	fleetDecommission = 4 * time.Second // member.decommissionTimeout
+	fleetReturn       = time.Second     // until a process that has left starts again
 )
 
-// processor is the time that this thread has had on one.
-func processor() time.Duration {
+// threadCPUTime returns the processor time that this thread has used.
+func threadCPUTime() time.Duration {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts) != nil {
 		return 0
@@ -84,30 +84,30 @@
 }
 
 func newFleet(t testing.TB, members int) *fleet {
-	f := &fleet{t: t, now: time.Second, ledger: cluster.NewLedger(), terms: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
+	f := &fleet{t: t, now: time.Second, ledger: cluster.NewLedger(), params: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond,
 		Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 30 * time.Second}}}
-	f.lead()
+	f.changeLeader()
 	for i := range members {
-		m := &fellow{i: i}
-		f.all = append(f.all, m)
+		m := &fleetMember{i: i}
+		f.members = append(f.members, m)
 		f.start(m)
 	}
 	f.settle(20 * time.Second)
 	return f
 }
 
-// lead brings another leader, which began from a snapshot a moment ago.
-func (f *fleet) lead() {
+// changeLeader replaces the leader by one that has just started from a snapshot.
+func (f *fleet) changeLeader() {
 	f.term++
 	f.ledger, f.pending = f.ledger.Clone(), nil
-	f.granter = cluster.NewLessor(f.terms, f.term)
+	f.lessor = cluster.NewLessor(f.params, f.term)
 }
 
-// check tells whether all members that are up know the ledger's members and placement.
+// check fails the test unless all running members know the ledger's members and placement.
 func (f *fleet) check() {
 	f.t.Helper()
 	want := f.ledger.View()
-	for _, m := range f.all {
+	for _, m := range f.members {
 		got := m.holder.View()
 		if !m.down && (got.Epoch != want.Epoch || !slices.Equal(got.Members, want.Members) || !reflect.DeepEqual(got.Placement, want.Placement)) {
 			f.t.Fatalf("%s knows %d members of epoch %d and another placement than the ledger, whose epoch is %d with %d members", m.self.Name,
@@ -117,23 +117,23 @@
 }
 
 // start starts a member's process.
-func (f *fleet) start(m *fellow) {
+func (f *fleet) start(m *fleetMember) {
 	f.tokens++
 	zone := m.i % fleetZones
 	m.self = cluster.Member{Name: fmt.Sprintf("sidecar-%04d", m.i), Token: 0x9e3779b97f4a7c15 * f.tokens, Zone: fmt.Sprintf("eu-%d%c", 1+zone/3, 'a'+zone),
 		Address: fmt.Sprintf("10.%d.%d.%d:7411", 16+zone, m.i/250, m.i%250)}
-	m.holder = cluster.NewLeaseHolder(m.self, f.terms, versions.FromSettings(&decide.Settings{}), 0)
-	m.seeker = cluster.NewLeaseRenewer(m.holder, []string{"k1"})
-	m.store = holdings.NewStore(f.terms.Holdings, 1<<16)
+	m.holder = cluster.NewLeaseHolder(m.self, f.params, versions.FromSettings(&decide.Settings{}), 0)
+	m.renewer = cluster.NewLeaseRenewer(m.holder, []string{"k1"})
+	m.store = holdings.NewStore(f.params.Holdings, 1<<16)
 	m.view, m.me, m.leaveBy, m.down = holdings.View{}, holdings.Incarnation{}, 0, false
 }
 
-// settle lets a fleet go on until nothing has been due for a second.
-func (f *fleet) settle(most time.Duration) {
-	limit := f.now + most
-	for f.last = f.now; f.now < f.last+time.Second; f.tick() {
+// settle runs the fleet until nothing has been due for a second.
+func (f *fleet) settle(timeout time.Duration) {
+	limit := f.now + timeout
+	for f.lastEntryAt = f.now; f.now < f.lastEntryAt+time.Second; f.tick() {
 		if f.now > limit {
-			f.t.Fatalf("not settled after %v", most)
+			f.t.Fatalf("not settled after %v", timeout)
 		}
 	}
 }
@@ -144,54 +144,54 @@
 	}
 }
 
-// tick is a moment in which a part of the members asks.
+// tick advances the time by a fraction of a heartbeat, in which some of the members renew.
 func (f *fleet) tick() {
-	gap := f.terms.Lease / cluster.HeartbeatsPerLease / fleetTicks
+	gap := f.params.Lease / cluster.HeartbeatsPerLease / fleetTicks
 	f.now += gap
-	for _, m := range f.all[int(f.now/gap)%fleetTicks*len(f.all)/fleetTicks : (int(f.now/gap)%fleetTicks+1)*len(f.all)/fleetTicks] {
+	for _, m := range f.members[int(f.now/gap)%fleetTicks*len(f.members)/fleetTicks : (int(f.now/gap)%fleetTicks+1)*len(f.members)/fleetTicks] {
 		f.heartbeat(m)
 	}
-	began := processor()
+	began := threadCPUTime()
 	if e := f.pending; e != nil {
 		f.pending = nil
 		if err := f.ledger.Apply(e); err != nil {
 			f.t.Fatal(err)
 		}
 		f.entries++
-		f.last = f.now
-	} else if due := f.granter.Due(f.now, f.ledger); len(due) > 0 {
+		f.lastEntryAt = f.now
+	} else if due := f.lessor.Due(f.now, f.ledger); len(due) > 0 {
 		f.pending = &due[0]
 	}
-	f.planning += processor() - began
+	f.dueCPU += threadCPUTime() - began
 }
 
-func (f *fleet) heartbeat(m *fellow) {
+func (f *fleet) heartbeat(m *fleetMember) {
 	if m.down {
-		if f.now < m.comes {
+		if f.now < m.returnsAt {
 			return
 		}
 		f.start(m)
 	}
 	if m.leaveBy > 0 {
 		m.holder.Decommissioning = true
-		held := m.view.Placement != nil && slices.ContainsFunc(m.view.Placement.Shards[:], func(s holdings.Shard) bool {
+		hasReplicas := m.view.Placement != nil && slices.ContainsFunc(m.view.Placement.Shards[:], func(s holdings.Shard) bool {
 			return slices.ContainsFunc(s.Replicas, func(r holdings.Replica) bool { return r.Incarnation == m.me })
 		})
-		if !held || f.now > m.leaveBy {
+		if !hasReplicas || f.now > m.leaveBy {
 			r := m.holder.NextRenewal()
 			r.Leaving = true
 			f.renew(m, &r)
-			m.down, m.comes = true, f.now+fleetReturn
+			m.down, m.returnsAt = true, f.now+fleetReturn
 			return
 		}
 	}
-	m.seeker.StartHeartbeat()
+	m.renewer.StartHeartbeat()
 	for {
 		m.holder.CaughtUp = m.store.CaughtUp()
-		_, r := m.seeker.NextRequest(f.now)
+		_, r := m.renewer.NextRequest(f.now)
 		grant := f.renew(m, &r)
-		began := processor()
-		next := m.seeker.HandleResponse(f.now, grant, "")
+		began := threadCPUTime()
+		next := m.renewer.HandleResponse(f.now, grant, "")
 		if next.Err != nil {
 			f.t.Fatal(next.Err)
 		}
@@ -199,16 +199,16 @@
 			m.me, m.view = me, view
 			m.store.ApplyView(f.now, me, view.Placement, view.Members)
 		}
-		f.member += processor() - began
+		f.memberCPU += threadCPUTime() - began
 		if !next.RenewNow {
 			return
 		}
 	}
 }
 
-// renew has the leader answer, over the wire.
-func (f *fleet) renew(m *fellow, r *cluster.Renewal) *cluster.Grant {
-	if m.old {
+// renew passes a renewal to the leader and returns its answer, both encoded and decoded as on the wire.
+func (f *fleet) renew(m *fleetMember, r *cluster.Renewal) *cluster.Grant {
+	if m.acceptsNoDeltas {
 		r.Takes = 0
 	}
 	body, err := cbor.Marshal(r)
@@ -219,42 +219,42 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.asked += len(text)
-	began := processor()
+	f.requestBytes += len(text)
+	began := threadCPUTime()
 	var message peerrpc.Message
-	var heard cluster.Renewal
+	var received cluster.Renewal
 	if err := peerrpc.Decode(text, &message); err != nil {
 		f.t.Fatal(err)
 	}
-	if err := peerrpc.Decode(message.Body, &heard); err != nil {
+	if err := peerrpc.Decode(message.Body, &received); err != nil {
 		f.t.Fatal(err)
 	}
-	if f.oldLeader {
-		heard.Takes = 0
+	if f.leaderSendsNoDeltas {
+		received.Takes = 0
 	}
-	grant := f.granter.Renew(f.now, f.ledger, &heard)
+	grant := f.lessor.Renew(f.now, f.ledger, &received)
 	answer, err := cbor.Marshal(voter.RenewResult{Grant: &grant})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	if grant.Granted {
-		f.granter.AnswerSent(f.now, &heard)
+		f.lessor.AnswerSent(f.now, &received)
 	}
-	f.leader += processor() - began
-	f.told += len(answer)
-	m.told += len(answer)
-	began = processor()
+	f.leaderCPU += threadCPUTime() - began
+	f.answerBytes += len(answer)
+	m.answerBytes += len(answer)
+	began = threadCPUTime()
 	var renewed voter.RenewResult
 	if err := peerrpc.Decode(answer, &renewed); err != nil {
 		f.t.Fatal(err)
 	}
-	f.member += processor() - began
-	if f.spoil != nil && len(renewed.Grant.Delta) > 0 {
+	f.memberCPU += threadCPUTime() - began
+	if f.alterDelta != nil && len(renewed.Grant.Delta) > 0 {
 		var d holdings.Delta
 		if err := cbor.Unmarshal(renewed.Grant.Delta, &d); err != nil {
 			f.t.Fatal(err)
 		}
-		f.spoil(m, &d)
+		f.alterDelta(m, &d)
 		if renewed.Grant.Delta, err = cbor.Marshal(d); err != nil {
 			f.t.Fatal(err)
 		}
@@ -262,37 +262,37 @@
 	return renewed.Grant
 }
 
-// clear begins to count anew.
-func (f *fleet) clear() {
-	f.asked, f.told, f.leader, f.member, f.planning, f.entries = 0, 0, 0, 0, 0, 0
-	for _, m := range f.all {
-		m.told = 0
+// resetCounts sets all counts to zero.
+func (f *fleet) resetCounts() {
+	f.requestBytes, f.answerBytes, f.leaderCPU, f.memberCPU, f.dueCPU, f.entries = 0, 0, 0, 0, 0, 0
+	for _, m := range f.members {
+		m.answerBytes = 0
 	}
 }
 
-// holder is a member that holds something, or one that does not.
-func (f *fleet) holder(holds bool) int {
-	return slices.IndexFunc(f.all, func(m *fellow) bool {
+// findMember returns the index of a member that holds replicas, or of one that does not; -1 if there is none.
+func (f *fleet) findMember(holds bool) int {
+	return slices.IndexFunc(f.members, func(m *fleetMember) bool {
 		return holds == slices.ContainsFunc(f.ledger.Placement.Shards[:], func(s holdings.Shard) bool {
 			return slices.ContainsFunc(s.Replicas, func(r holdings.Replica) bool { return r.Name == m.self.Name })
 		})
 	})
 }
 
-// restart has a member leave in order and come back.
-func (f *fleet) restart(i int) { f.all[i].leaveBy = f.now + fleetMove }
+// restart makes a member leave regularly and come back.
+func (f *fleet) restart(i int) { f.members[i].leaveBy = f.now + fleetDecommission }
 
-// spreadOf tells the least, the median and the most of what members were told.
+// spreadOf returns the minimum, the median and the maximum of the bytes that members received.
 func (f *fleet) spreadOf() (least, median, most int) {
 	var all []int
-	for _, m := range f.all {
-		all = append(all, m.told)
+	for _, m := range f.members {
+		all = append(all, m.answerBytes)
 	}
 	slices.Sort(all)
 	return all[0], all[len(all)/2], all[len(all)-1]
 }
 
-// TestMeasureFleet prints what restarts cost the leader and the members. It is for figures: run it with -crew.fleet 60,120,240,580.
+// TestMeasureFleet prints what restarts cost the leader and the members. It only measures: run it with -crew.fleet 60,120,240,580.
 func TestMeasureFleet(t *testing.T) {
 	if *fleetSizes == "" {
 		t.Skip("run with -crew.fleet")
@@ -305,58 +305,58 @@
 			t.Fatal(err)
 		}
 		f := newFleet(t, members)
-		say := func(what string, seconds float64, rest func() string) {
+		report := func(what string, seconds float64, rest func() string) {
 			_, median, most := f.spreadOf()
 			t.Logf("%d members, %s: to a member %.1f KB median, %.1f KB most; a second %.2f and %.2f KB; leader %.1f KB out, %.1f KB/s; "+
 				"processor a second: answers %.2f ms, due %.2f ms, a member %.3f ms%s", members, what, kb(median), kb(most),
-				kb(median)/seconds, kb(most)/seconds, kb(f.told),
-				kb(f.told)/seconds, ms(f.leader)/seconds, ms(f.planning)/seconds, ms(f.member)/seconds/float64(members), rest())
+				kb(median)/seconds, kb(most)/seconds, kb(f.answerBytes),
+				kb(f.answerBytes)/seconds, ms(f.leaderCPU)/seconds, ms(f.dueCPU)/seconds, ms(f.memberCPU)/seconds/float64(members), rest())
 		}
-		f.clear()
+		f.resetCounts()
 		f.run(4 * time.Second)
-		idle, idleLeader := float64(f.told)/4/float64(members), f.leader/4
-		say("nothing happens", 4, func() string { return "" })
+		idle, idleLeader := float64(f.answerBytes)/4/float64(members), f.leaderCPU/4
+		report("nothing happens", 4, func() string { return "" })
 
-		// A member that holds nothing, and one that does.
+		// A member that holds no replicas, and one that does.
 		for _, holds := range []bool{false, true} {
-			i := f.holder(holds)
+			i := f.findMember(holds)
 			if i < 0 {
-				continue // all do
+				continue // every member holds replicas
 			}
-			f.clear()
+			f.resetCounts()
 			began := f.now
 			f.restart(i)
 			f.run(2 * time.Second)
 			f.settle(20 * time.Second)
 			seconds := (f.now - began).Seconds()
-			say(fmt.Sprintf("one restart, it holds %v", holds), seconds, func() string {
-				above := float64(f.told)/float64(members) - idle*seconds
+			report(fmt.Sprintf("one restart, it holds %v", holds), seconds, func() string {
+				above := float64(f.answerBytes)/float64(members) - idle*seconds
 				return fmt.Sprintf("; above nothing: %.1f KB to a member, %.1f ms of answers; %d entries", above/1000,
-					ms(f.leader)-ms(idleLeader)*seconds, f.entries)
+					ms(f.leaderCPU)-ms(idleLeader)*seconds, f.entries)
 			})
 		}
 
-		// A fifth of them is lost at once, and comes back at once.
-		f.clear()
+		// A fifth of the members, a zone, is lost at once, and comes back at once.
+		f.resetCounts()
 		began := f.now
-		for i, m := range f.all {
+		for i, m := range f.members {
 			if i%fleetZones == 0 {
-				m.down, m.comes = true, f.now+5*time.Second
+				m.down, m.returnsAt = true, f.now+5*time.Second
 			}
 		}
 		f.run(5 * time.Second)
 		f.settle(30 * time.Second)
-		say("a zone goes and comes back", (f.now - began).Seconds(), func() string { return fmt.Sprintf("; %d entries", f.entries) })
+		report("a zone goes and comes back", (f.now - began).Seconds(), func() string { return fmt.Sprintf("; %d entries", f.entries) })
 		f.check()
 
-		f.clear()
+		f.resetCounts()
 		began = f.now
 		for n := range *fleetRelease {
 			f.restart(n * 7 % members)
 			f.run(time.Second)
 		}
 		seconds := (f.now - began).Seconds()
-		say("a restart a second", seconds, func() string {
+		report("a restart a second", seconds, func() string {
 			_, median, _ := f.spreadOf()
 			return fmt.Sprintf("; %d entries; %.2f of 22 KB/s", f.entries, kb(median)/seconds/22)
 		})
--- a/internal/cluster/member/holdings_test.go
+++ b/internal/cluster/member/holdings_test.go
@@ -16,8 +16,8 @@
 	"heathgap/internal/versions"
 )
 
-// What a sidecar's own settings do not bear is told with the key at fault, before anything is held.
-func TestHoldingsThatDoNotFit(t *testing.T) {
+// Settings of the sidecar that don't suit its holdings are refused, with the key of the setting, before the holdings start.
+func TestHoldingsRejectBadSettings(t *testing.T) {
 	good := func() (operator.Cluster, *config.Config) {
 		table := operator.Cluster{Params: clusterparams.Params{Holdings: clusterparams.Holdings{Copies: 2, Keep: time.Minute}},
 			Holdings: operator.Holdings{Classes: map[string]operator.WhenAlone{"pay": operator.RefuseAlone}, MaxEntries: 1000}}
@@ -26,7 +26,7 @@
 		}}}
 		return table, conf
 	}
-	for want, spoil := range map[string]func(*operator.Cluster, *config.Config){
+	for want, change := range map[string]func(*operator.Cluster, *config.Config){
 		"": func(*operator.Cluster, *config.Config) {},
 		`holdings.class: "look"; allowed`: func(c *operator.Cluster, _ *config.Config) {
 			c.Holdings.Classes = map[string]operator.WhenAlone{"look": operator.ProceedAlone}
@@ -38,7 +38,7 @@
 		"holdings.copies: this sidecar's settings name no zone": func(_ *operator.Cluster, conf *config.Config) { conf.Settings.Zone = "" },
 	} {
 		table, conf := good()
-		spoil(&table, conf)
+		change(&table, conf)
 		_, err := newHoldingsService(&Member{conf: table}, conf)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
@@ -46,20 +46,20 @@
 	}
 }
 
-// Guards against a sidecar that is told of a newcomer, or of one that is gone, while the placement stays, and goes on with the
-// addresses that it had: members and placement are told apart from each other.
+// Guards against a sidecar that keeps using old addresses when a member joins or leaves while the placement stays the same: members and
+// placement change independently of each other.
 func TestMembersChangeWhileThePlacementStays(t *testing.T) {
 	conf := clusterparams.Params{Lease: time.Second, Holdings: clusterparams.Holdings{Copies: 1, Keep: time.Minute, LostAfter: time.Minute}}
 	l, g := cluster.NewLedger(), cluster.NewLessor(conf, 1)
-	of := func(i int) cluster.Member {
+	memberNo := func(i int) cluster.Member {
 		return cluster.Member{Name: fmt.Sprint("m", i), Token: uint64(i), Zone: "a", Address: fmt.Sprint("127.0.0.1:", i)}
 	}
-	enter := func(i int) {
-		if err := l.Apply(&cluster.Entry{Join: []cluster.Member{of(i)}}); err != nil {
+	join := func(i int) {
+		if err := l.Apply(&cluster.Entry{Join: []cluster.Member{memberNo(i)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	enter(1)
+	join(1)
 	var changes []holdings.PlacementChange
 	for i := range holdings.NumShards {
 		changes = append(changes, holdings.PlacementChange{Shard: i, Replicas: []holdings.Replica{{Incarnation: holdings.Incarnation{Name: "m1", JoinEpoch: 1}, Token: 1, Ready: true}}})
@@ -67,7 +67,7 @@
 	if err := l.Apply(&cluster.Entry{ReplicaChanges: changes, Epoch: l.Epoch}); err != nil {
 		t.Fatal(err)
 	}
-	h := cluster.NewLeaseHolder(of(1), conf, versions.FromSettings(&decide.Settings{}), 0)
+	h := cluster.NewLeaseHolder(memberNo(1), conf, versions.FromSettings(&decide.Settings{}), 0)
 	c := &holdingsService{member: &Member{env: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), pools: map[string]*clientPool{}}
 	at := time.Second
 	renew := func() {
@@ -81,16 +81,16 @@
 	}
 	renew()
 	before := c.view.Placement
-	enter(2)
+	join(2)
 	renew()
-	if who := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.addresses[who] != "127.0.0.1:2" || c.view.Placement != before {
-		t.Errorf("addresses %v after %+v came in", c.addresses, who)
+	if incarnation := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.addresses[incarnation] != "127.0.0.1:2" || c.view.Placement != before {
+		t.Errorf("addresses %v after %+v joined", c.addresses, incarnation)
 	}
-	if err := l.Apply(&cluster.Entry{Leave: []cluster.Member{of(2)}}); err != nil {
+	if err := l.Apply(&cluster.Entry{Leave: []cluster.Member{memberNo(2)}}); err != nil {
 		t.Fatal(err)
 	}
 	renew()
 	if len(c.addresses) != 1 {
-		t.Errorf("addresses %v after m2 has gone", c.addresses)
+		t.Errorf("addresses %v after m2 left", c.addresses)
 	}
 }
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -53,9 +53,9 @@
 // Transport sends messages to the other voters. Its methods return at once, and messages may be lost.
 type Transport interface {
 	// Send queues a raft message for another voter; it returns false if the queue is full.
-	Send(keeper string, m *raftpb.Message) bool
+	Send(voter string, m *raftpb.Message) bool
 	// Announce sends this voter's announcement to another voter. The answer must be passed to HandleAnnouncement.
-	Announce(keeper string, mine Announcement)
+	Announce(voter string, own Announcement)
 }
 
 // Core is a voter without network and goroutines: messages are passed in by method calls, outgoing ones go to its Transport, and
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -31,12 +31,12 @@
 }
 
 // Announce implements Transport: each announcement has its own goroutine and connection.
-func (v *Voter) Announce(name string, mine Announcement) {
+func (v *Voter) Announce(name string, own Announcement) {
 	v.env.Go("form", func() {
 		client := v.newClient(name)
 		defer client.Close()
 		var theirs Announcement
-		if err := client.Call("form", mine, &theirs, peerTimeout); err == nil {
+		if err := client.Call("form", own, &theirs, peerTimeout); err == nil {
 			v.post(func() { v.core.HandleAnnouncement(theirs) })
 		}
 	})
--- a/internal/cluster/voter/store_test.go
+++ b/internal/cluster/voter/store_test.go
@@ -15,21 +15,21 @@
 	"heathgap/internal/cluster"
 )
 
-func open(t *testing.T, dir, crewName, name string) (*store, error) {
+func openStore(t *testing.T, dir, cluster, name string) (*store, error) {
 	t.Helper()
 	disk, path, err := openDisk(dir)
 	if err != nil {
 		return nil, err
 	}
-	s, err := newStore(disk, path, crewName, name, NewID)
+	s, err := newStore(disk, path, cluster, name, NewID)
 	if err != nil {
 		disk.Close()
 	}
 	return s, err
 }
 
-// fill writes so many entries, one sync each, behind the beginning of a crew.
-func fill(t *testing.T, s *store, n uint64, after func(i uint64)) {
+// writeEntries writes n entries after the initial snapshot of a cluster, each with its own sync, and calls after for each.
+func writeEntries(t *testing.T, s *store, n uint64, after func(i uint64)) {
 	t.Helper()
 	k := &Core{conf: Conf{Name: s.identity.Name}, store: s, ledger: cluster.NewLedger()}
 	if err := k.bootstrap(map[string]uint64{s.identity.Name: s.identity.ID}); err != nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// digest is all that raft would go on with.
-func digest(t *testing.T, s *store) string {
+// raftState returns as a text everything with which raft would continue.
+func raftState(t *testing.T, s *store) string {
 	t.Helper()
 	hard, conf, err := s.mem.InitialState()
 	first, _ := s.mem.FirstIndex()
@@ -64,16 +64,16 @@
 	return text
 }
 
-// What was saved before a process died is there after: at every single step.
-func TestStoreKeepsEachStep(t *testing.T) {
+// What was saved before a process died is there afterwards, at every single step.
+func TestStoreKeepsEachSave(t *testing.T) {
 	dir, copies := t.TempDir(), t.TempDir()
-	s, err := open(t, dir, "c", "k")
+	s, err := openStore(t, dir, "c", "k")
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[uint64]string{}
-	fill(t, s, 60, func(i uint64) {
-		want[i] = digest(t, s)
+	writeEntries(t, s, 60, func(i uint64) {
+		want[i] = raftState(t, s)
 		if err := os.CopyFS(filepath.Join(copies, fmt.Sprint(i)), os.DirFS(dir)); err != nil {
 			t.Fatal(err)
 		}
@@ -85,38 +85,38 @@
 		}
 	})
 	s.close()
-	for i, digested := range want {
-		again, err := open(t, filepath.Join(copies, fmt.Sprint(i)), "c", "k")
+	for i, wantState := range want {
+		reopened, err := openStore(t, filepath.Join(copies, fmt.Sprint(i)), "c", "k")
 		if err != nil {
 			t.Fatalf("step %d: %v", i, err)
 		}
-		// Entries that stay in memory for followers that lag are not on the disk behind a snapshot.
-		if got := digest(t, again); got != digested && i <= 40 {
-			t.Errorf("step %d:\n%s\nwant\n%s", i, got, digested)
+		// Entries that are kept in memory for followers that lag are not on disk once a snapshot covers them.
+		if got := raftState(t, reopened); got != wantState && i <= 40 {
+			t.Errorf("step %d:\n%s\nwant\n%s", i, got, wantState)
 		}
-		if last, _ := again.mem.LastIndex(); last != i {
+		if last, _ := reopened.mem.LastIndex(); last != i {
 			t.Errorf("step %d: the log ends at %d", i, last)
 		}
-		again.close()
+		reopened.close()
 	}
 }
 
-// A folder that is another's, damaged or cut is refused, or is what it was: never something else.
-func TestStoreRefuses(t *testing.T) {
+// A data directory that belongs to another voter, is damaged or is truncated is refused, or loads a state that it really had.
+func TestStoreRefusesDamagedFiles(t *testing.T) {
 	dir := t.TempDir()
-	s, err := open(t, dir, "c", "k")
+	s, err := openStore(t, dir, "c", "k")
 	if err != nil {
 		t.Fatal(err)
 	}
 	before := map[string]bool{}
-	fill(t, s, 20, func(uint64) { before[digest(t, s)] = true })
-	good := digest(t, s)
-	if _, err := open(t, dir, "c", "k"); err == nil || !strings.Contains(err.Error(), "another process") {
+	writeEntries(t, s, 20, func(uint64) { before[raftState(t, s)] = true })
+	good := raftState(t, s)
+	if _, err := openStore(t, dir, "c", "k"); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("the same folder twice: %v", err)
 	}
 	s.close()
 	for _, who := range [][2]string{{"c", "other"}, {"other", "k"}} {
-		if _, err := open(t, dir, who[0], who[1]); err == nil || !strings.Contains(err.Error(), "belongs to") {
+		if _, err := openStore(t, dir, who[0], who[1]); err == nil || !strings.Contains(err.Error(), "belongs to") {
 			t.Errorf("%v: %v", who, err)
 		}
 	}
@@ -131,7 +131,7 @@
 		if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := open(t, dir, "c", "k")
+		s, err := openStore(t, dir, "c", "k")
 		if err != nil {
 			refused++
 			if !strings.Contains(err.Error(), "move the folder away") {
@@ -140,8 +140,8 @@
 			return
 		}
 		defer s.close()
-		if got := digest(t, s); got != good && !before[got] {
-			t.Errorf("%s: taken for\n%s", what, got)
+		if got := raftState(t, s); got != good && !before[got] {
+			t.Errorf("%s: loaded as a state that it never had:\n%s", what, got)
 		}
 		same++
 	}
@@ -154,22 +154,22 @@
 		try(fmt.Sprintf("cut at %d", size), text[:size])
 	}
 	if refused < 20 || same < 20 {
-		t.Errorf("%d refused, %d the same: the one or the other is not tried", refused, same)
+		t.Errorf("%d refused, %d loaded: too few of one kind, so it is not tested", refused, same)
 	}
 }
 
-// Guards against values that are whole, in a folder in which others are no longer listed: a torn page's head hid the
-// identity, and the folder came back under a new id with the votes of the old one.
-func TestStoreMissesValues(t *testing.T) {
+// Guards against intact values in a data directory that lacks others: a torn page head hid the identity, and the voter
+// came back under a new id with the votes of the old one.
+func TestStoreDetectsMissingValues(t *testing.T) {
 	for _, missing := range [][2]string{{bucketMeta, keyIdentity}, {bucketRaft, keyHard}, {bucketRaft, keyLast}, {bucketRaft, keySnapshot},
 		{bucketLog, indexKey(6)}, {bucketLog, indexKey(3)}} {
 		dir := t.TempDir()
-		s, err := open(t, dir, "c", "k")
+		s, err := openStore(t, dir, "c", "k")
 		if err != nil {
 			t.Fatal(err)
 		}
-		fill(t, s, 4, nil)
-		term, last := uint64(1), uint64(6) // written, and not agreed on yet
+		writeEntries(t, s, 4, nil)
+		term, last := uint64(1), uint64(6) // written, but not committed yet
 		if err := s.save(nil, []*raftpb.Entry{{Index: &last, Term: &term}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
@@ -177,16 +177,16 @@
 			t.Fatal(err)
 		}
 		s.close()
-		if _, err := open(t, dir, "c", "k"); !errors.Is(err, errDamaged) {
+		if _, err := openStore(t, dir, "c", "k"); !errors.Is(err, errDamaged) {
 			t.Errorf("%q: %v", missing, err)
 		}
 	}
 }
 
-// Guards against a newcomer that is refused: it has heard of a term, and has neither snapshot nor log yet.
-func TestStoreOfNewcomer(t *testing.T) {
+// Guards against refusing the data directory of a new voter that has learned of a term, and has neither snapshot nor log yet.
+func TestStoreOfNewVoter(t *testing.T) {
 	dir := t.TempDir()
-	s, err := open(t, dir, "c", "k")
+	s, err := openStore(t, dir, "c", "k")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 		t.Fatal(err)
 	}
 	s.close()
-	if s, err = open(t, dir, "c", "k"); err != nil {
+	if s, err = openStore(t, dir, "c", "k"); err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
@@ -204,10 +204,10 @@
 	}
 }
 
-// A later build's folder is named as one.
+// The format of a later build is reported as such, not as damage.
 func TestStoreOfLaterFormat(t *testing.T) {
 	dir := t.TempDir()
-	s, err := open(t, dir, "c", "k")
+	s, err := openStore(t, dir, "c", "k")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,22 +216,22 @@
 		t.Fatal(err)
 	}
 	s.close()
-	if _, err := open(t, dir, "c", "k"); err == nil || !strings.Contains(err.Error(), "of format 2") || errors.Is(err, errDamaged) {
+	if _, err := openStore(t, dir, "c", "k"); err == nil || !strings.Contains(err.Error(), "of format 2") || errors.Is(err, errDamaged) {
 		t.Error(err)
 	}
 }
 
-// Guards against a keeper that can't start any more: its snapshot stood behind a commit that had not been synced, and raft
-// takes no such folder.
-func TestSnapshotPastTheSyncedCommit(t *testing.T) {
+// Guards against a voter that can't start any more: its snapshot was ahead of the last synced commit index, which raft does not
+// accept.
+func TestSnapshotBeyondSyncedCommit(t *testing.T) {
 	dir := t.TempDir()
-	s, err := open(t, dir, "c", "k")
+	s, err := openStore(t, dir, "c", "k")
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill(t, s, 5, nil)
+	writeEntries(t, s, 5, nil)
 	term, commit, last := uint64(1), uint64(6), uint64(12)
-	for i := commit + 1; i <= last; i++ { // agreed on, but only the entries are synced
+	for i := commit + 1; i <= last; i++ { // committed, but only the entries are synced
 		if err := s.save(&raftpb.HardState{Term: &term, Commit: &commit}, []*raftpb.Entry{{Index: &i, Term: &term}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
@@ -247,7 +247,7 @@
 		t.Fatal(err)
 	}
 	s.close()
-	if s, err = open(t, dir, "c", "k"); err != nil {
+	if s, err = openStore(t, dir, "c", "k"); err != nil {
 		t.Fatal(err)
 	}
 	defer s.close()
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -122,16 +122,16 @@
 }
 
 // callOwner runs a function on the owner goroutine and returns what that passes to reply.
-func callOwner[T any](k *Voter, do func(reply func(T))) (T, error) {
+func callOwner[T any](v *Voter, do func(reply func(T))) (T, error) {
 	answer := make(chan T, 1)
 	var none T
-	if !k.post(func() { do(func(t T) { answer <- t }) }) {
+	if !v.post(func() { do(func(t T) { answer <- t }) }) {
 		return none, ErrEnded
 	}
 	select {
 	case t := <-answer:
 		return t, nil
-	case <-k.ended:
+	case <-v.ended:
 		return none, ErrEnded
 	}
 }
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -15,18 +15,18 @@
 	"heathgap/internal/versions"
 )
 
-// three are keepers on loopback in this process.
-type three struct {
+// threeVoters is a cluster of three voters on loopback in this process.
+type threeVoters struct {
 	t       *testing.T
 	dir     string
-	keepers map[string]*Voter
+	voters  map[string]*Voter
 	servers map[string]*peerrpc.Server
 	conf    Conf
 }
 
-func startThree(t *testing.T) *three {
+func startThree(t *testing.T) *threeVoters {
 	t.Helper()
-	c := &three{t: t, dir: t.TempDir(), keepers: map[string]*Voter{}, servers: map[string]*peerrpc.Server{},
+	c := &threeVoters{t: t, dir: t.TempDir(), voters: map[string]*Voter{}, servers: map[string]*peerrpc.Server{},
 		conf: Conf{Cluster: "c", Voters: map[string]string{}, Params: cluster.Params{Lease: time.Second}}}
 	for _, name := range []string{"a", "b", "c"} {
 		s, err := peerrpc.Listen(env.Real{}, "127.0.0.1:0", "c")
@@ -39,14 +39,14 @@
 		c.start(name)
 	}
 	t.Cleanup(func() {
-		for name := range c.keepers {
+		for name := range c.voters {
 			c.stop(name)
 		}
 	})
 	return c
 }
 
-func (c *three) start(name string) {
+func (c *threeVoters) start(name string) {
 	c.t.Helper()
 	conf := c.conf
 	conf.Name, conf.DataDir = name, c.dir+"/"+name
@@ -60,52 +60,52 @@
 			c.t.Fatal(err)
 		}
 	}
-	c.keepers[name], c.servers[name] = k, s
+	c.voters[name], c.servers[name] = k, s
 	s.Serve(env.Real{}, k.Handlers())
 	go k.Run()
 }
 
-func (c *three) stop(name string) {
-	c.keepers[name].Stop()
+func (c *threeVoters) stop(name string) {
+	c.voters[name].Stop()
 	c.servers[name].Close()
-	delete(c.keepers, name)
+	delete(c.voters, name)
 	delete(c.servers, name)
 }
 
-// leader waits for one that all agree on, with the same entries applied.
-func (c *three) leader() string {
+// leader waits until all voters agree on a leader and have applied the same entries, and returns its name.
+func (c *threeVoters) leader() string {
 	c.t.Helper()
 	last := ""
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
 		seen := map[string]int{}
 		last = ""
-		for name, k := range c.keepers {
+		for name, k := range c.voters {
 			s, err := k.Status()
 			if err != nil {
 				continue
 			}
 			seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Voters)]++
 			last += fmt.Sprintf(" %s: leader %q term %d applied %d;", name, s.Leader, s.Term, s.Applied)
-			if s.Leader != "" && seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Voters)] == len(c.keepers) {
+			if s.Leader != "" && seen[fmt.Sprint(s.Leader, s.Applied, s.Ledger.Active.Number, s.Ledger.Voters)] == len(c.voters) {
 				return s.Leader
 			}
 		}
 	}
-	c.t.Fatalf("no agreement:%s", last)
+	c.t.Fatalf("the voters do not agree on a leader:%s", last)
 	return ""
 }
 
-// Guards against a keeper with an empty folder that is put in the lost one's place and never filled: each in turn, and the
-// version that was told is still there.
-func TestLostFoldersAreFilled(t *testing.T) {
+// Guards against a voter with an empty data directory that replaces the lost one but never receives the log. Each voter loses its
+// directory in turn, and the proposed version must survive.
+func TestLostDataDirsAreReplaced(t *testing.T) {
 	c := startThree(t)
-	lead := c.leader()
+	leader := c.leader()
 	p := cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}
-	if told, err := c.keepers[lead].Propose(p); err != nil || told.Number != 1 {
+	if told, err := c.voters[leader].Propose(p); err != nil || told.Number != 1 {
 		t.Fatalf("%+v, %v", told, err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
-		before := c.keepers[name].core.store.identity.ID
+		before := c.voters[name].core.store.identity.ID
 		c.stop(name)
 		if err := os.RemoveAll(c.dir + "/" + name); err != nil {
 			t.Fatal(err)
@@ -113,30 +113,30 @@
 		c.leader()
 		c.start(name)
 		for limit := time.Now().Add(10 * time.Second); ; time.Sleep(50 * time.Millisecond) {
-			s, err := c.keepers[c.leader()].Status()
+			s, err := c.voters[c.leader()].Status()
 			if err == nil && s.Ledger.Voters[name] != before {
 				break
 			}
 			if time.Now().After(limit) {
-				t.Fatalf("%s is not taken in", name)
+				t.Fatalf("%s with its new data directory does not become a voter", name)
 			}
 		}
 	}
-	s, err := c.keepers[c.leader()].Status()
+	s, err := c.voters[c.leader()].Status()
 	if err != nil || s.Ledger.Find(7) == nil {
-		t.Errorf("the version that was told is gone: %+v, %v", s, err)
+		t.Errorf("the proposed version is lost: %+v, %v", s, err)
 	}
 }
 
-// The last majority of folders is lost for good: what docs/crew.md has operators do forms a crew anew, without versions, and it
-// takes proposals. Who was in the former crew does not take its word.
-func TestAllFoldersLost(t *testing.T) {
+// All data directories are lost for good: what docs/crew.md tells operators to do forms a new cluster, without versions, that accepts
+// proposals. A member of the former cluster does not accept the new one's grants.
+func TestAllDataDirsLost(t *testing.T) {
 	c := startThree(t)
-	if told, err := c.keepers[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
+	if told, err := c.voters[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
 		t.Fatalf("%+v, %v", told, err)
 	}
 	member := cluster.NewLeaseHolder(cluster.Member{Name: "m", Token: 1}, c.conf.Params, versions.FromSettings(&decide.Settings{}), 0)
-	grant := ask(t, c, member)
+	grant := renewUntilFinal(t, c, member)
 	if _, err := member.HandleGrant(0, grant); err != nil || grant.Next == nil && grant.Active.Number != 1 {
 		t.Fatalf("%+v, %v", grant, err)
 	}
@@ -149,23 +149,23 @@
 	for _, name := range []string{"a", "b", "c"} {
 		c.start(name)
 	}
-	lead := c.leader()
-	if s, err := c.keepers[lead].Status(); err != nil || len(s.Ledger.VersionRecords()) != 0 {
+	leader := c.leader()
+	if s, err := c.voters[leader].Status(); err != nil || len(s.Ledger.VersionRecords()) != 0 {
 		t.Fatalf("%+v, %v", s.Ledger, err)
 	}
-	if _, err := member.HandleGrant(1, ask(t, c, member)); err == nil {
-		t.Error("a member of the former crew takes the new one's word")
+	if _, err := member.HandleGrant(1, renewUntilFinal(t, c, member)); err == nil {
+		t.Error("a member of the former cluster accepts a grant of the new one")
 	}
-	if told, err := c.keepers[lead].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
+	if told, err := c.voters[leader].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
 		t.Errorf("%+v, %v", told, err)
 	}
 }
 
-// ask has a member ask the leader until it is in, or refused for good.
-func ask(t *testing.T, c *three, h *cluster.LeaseHolder) *cluster.Grant {
+// renewUntilFinal sends a member's renewals to the leader until it gets a lease or is refused for good.
+func renewUntilFinal(t *testing.T, c *threeVoters, h *cluster.LeaseHolder) *cluster.Grant {
 	t.Helper()
 	for limit := time.Now().Add(10 * time.Second); time.Now().Before(limit); time.Sleep(20 * time.Millisecond) {
-		a, err := c.keepers[c.leader()].Renew(h.NextRenewal())
+		a, err := c.voters[c.leader()].Renew(h.NextRenewal())
 		if err != nil || a.Grant == nil {
 			continue
 		}
@@ -176,6 +176,6 @@
 			return a.Grant
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("no final answer to the renewals")
 	return nil
 }
