--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -20,19 +20,19 @@
 				for i := range members {
 					l.Apply(&Entry{Join: []Member{{Name: fmt.Sprint("m", i), Token: uint64(i + 1)}}})
 				}
-				g := NewLessor(conf, 1)
+				lessor := NewLessor(conf, 1)
 				now := BootTime(time.Second)
 				echo := Echo{Term: 1, At: now}
 				gap := conf.Lease / HeartbeatsPerLease / time.Duration(members)
 				for i := 0; b.Loop(); i++ {
 					n := i % members
 					r := Renewal{Member: Member{Name: fmt.Sprint("m", n), Token: uint64(n + 1)}, ParamsHash: conf.Hash(), Epoch: l.Epoch, LastEcho: echo}
-					grant := g.Renew(now, l, &r)
+					grant := lessor.Renew(now, l, &r)
 					if !grant.Granted {
 						b.Fatal(grant.Reason)
 					}
-					g.recheck = g.recheck || check == "each time"
-					if due := g.Due(now, l); len(due) > 0 {
+					lessor.recheck = lessor.recheck || check == "each time"
+					if due := lessor.Due(now, l); len(due) > 0 {
 						b.Fatalf("%+v", due)
 					}
 					echo, now = grant.Echo, now+gap
@@ -69,9 +69,9 @@
 			{"ledger's copy", func() { l.Clone() }},
 			{"hash of the terms", func() { conf.Hash() }},
 			{"look", func() {
-				g := NewLessor(conf, 1)
-				g.plannedFor = viewVersion{l.Epoch, l.Placement.Number}
-				g.findDue(time.Second, l)
+				lessor := NewLessor(conf, 1)
+				lessor.plannedFor = viewVersion{l.Epoch, l.Placement.Number}
+				lessor.findDue(time.Second, l)
 			}},
 		} {
 			b.Run(fmt.Sprintf("%d members, %s", members, part.name), func(b *testing.B) {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -300,7 +300,7 @@
 	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
-	g := NewLessor(params, 0)
+	lessor := NewLessor(params, 0)
 	for _, c := range []struct {
 		name    string
 		r       Renewal
@@ -318,7 +318,7 @@
 		if c.r.ParamsHash == "" {
 			c.r.ParamsHash = params.Hash()
 		}
-		if got := g.Renew(c.now, l, &c.r); got.Granted != c.granted || got.RetryNow != c.again || (got.Reason == "") != c.granted {
+		if got := lessor.Renew(c.now, l, &c.r); got.Granted != c.granted || got.RetryNow != c.again || (got.Reason == "") != c.granted {
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
@@ -330,13 +330,13 @@
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
 	l.Apply(propose(7, 0, 2))
-	g := NewLessor(params, 0)
+	lessor := NewLessor(params, 0)
 	for epoch, due := range []int{0, 1} {
 		r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: params.Hash(), Epoch: uint64(epoch), Checked: 1}
-		if got := g.Renew(0, l, &r); !got.Granted || got.Epoch != 1 {
+		if got := lessor.Renew(0, l, &r); !got.Granted || got.Epoch != 1 {
 			t.Errorf("reported in epoch %d: %+v", epoch, got)
 		}
-		if got := g.Due(0, l); len(got) != due {
+		if got := lessor.Due(0, l); len(got) != due {
 			t.Errorf("reported in epoch %d: %+v is due", epoch, got)
 		}
 	}
@@ -348,23 +348,23 @@
 	params := Params{Lease: time.Second}
 	l := NewLedger()
 	l.Apply(&Entry{Join: []Member{{Name: "a", Token: 1}}})
-	g := NewLessor(params, 5)
+	lessor := NewLessor(params, 5)
 	r := Renewal{Member: Member{Name: "a", Token: 1}, ParamsHash: params.Hash(), Epoch: 1}
 	now, last := BootTime(time.Second), BootTime(0)
-	for ; len(g.Due(now, l)) == 0 && now < 5*time.Second; now += params.Lease / HeartbeatsPerLease {
-		if got := g.Renew(now, l, &r); got.Granted {
+	for ; len(lessor.Due(now, l)) == 0 && now < 5*time.Second; now += params.Lease / HeartbeatsPerLease {
+		if got := lessor.Renew(now, l, &r); got.Granted {
 			last = now
 		}
 	}
 	if last == 0 || now-last > params.LessorWait()+params.Lease/HeartbeatsPerLease {
 		t.Fatalf("last granted at %v, removed from the cluster at %v", last, now)
 	}
-	l.Apply(&g.Due(now, l)[0])
-	if g.Renew(now, l, &r); len(g.Due(now, l)) > 0 {
+	l.Apply(&lessor.Due(now, l)[0])
+	if lessor.Renew(now, l, &r); len(lessor.Due(now, l)) > 0 {
 		t.Error("the member joins again although it has sent back no echo")
 	}
-	r.LastEcho = g.Renew(now, l, &r).Echo
-	if g.Renew(now, l, &r); len(g.Due(now, l)) != 1 {
+	r.LastEcho = lessor.Renew(now, l, &r).Echo
+	if lessor.Renew(now, l, &r); len(lessor.Due(now, l)) != 1 {
 		t.Error("the member has sent back an echo and does not join")
 	}
 }
--- a/internal/cluster/delta_test.go
+++ b/internal/cluster/delta_test.go
@@ -12,9 +12,9 @@
 // change, one restart at 580 members cost each of them 172 KB, and the leader 101 MB.
 func TestOneRestartAt580(t *testing.T) {
 	const (
-		members  = 580
-		mostEach = 2500  // bytes above what a member receives when nothing happens; measured: 600
-		mostBack = 60000 // for the member that comes back, which receives the full view once; measured: 36,000
+		members      = 580
+		maxEach      = 2500  // bytes above what a member receives when nothing happens; measured: 600
+		maxReturning = 60000 // for the member that comes back, which receives the full view once; measured: 36,000
 	)
 	f := newFleet(t, members)
 	f.check()
@@ -30,16 +30,16 @@
 	seconds := int((f.now - began) / time.Second)
 	f.check()
 	for n, m := range f.members {
-		most := idle*(seconds+1) + mostEach
+		allowed := idle*(seconds+1) + maxEach
 		if n == i {
-			most += mostBack
+			allowed += maxReturning
 		}
-		if m.answerBytes > most {
-			t.Errorf("%s received %d bytes in %d s; allowed: %d", m.self.Name, m.answerBytes, seconds, most)
+		if m.answerBytes > allowed {
+			t.Errorf("%s received %d bytes in %d s; allowed: %d", m.self.Name, m.answerBytes, seconds, allowed)
 		}
 	}
-	if most := members*(idle*(seconds+1)+mostEach) + mostBack; f.answerBytes > most {
-		t.Errorf("the leader sent %d bytes; allowed: %d", f.answerBytes, most)
+	if allowed := members*(idle*(seconds+1)+maxEach) + maxReturning; f.answerBytes > allowed {
+		t.Errorf("the leader sent %d bytes; allowed: %d", f.answerBytes, allowed)
 	}
 	t.Logf("%d entries; the leader sent %d bytes in %d s, %d of them to the member that came back; %d to a member a second when nothing happens",
 		f.entries, f.answerBytes, seconds, f.members[i].answerBytes, idle)
@@ -53,16 +53,16 @@
 	f.resetCounts()
 	f.changeLeader()
 	f.run(time.Second)
-	if most := members * 1000; f.answerBytes > most {
-		t.Errorf("a change of leader: %d bytes; allowed: %d", f.answerBytes, most)
+	if allowed := members * 1000; f.answerBytes > allowed {
+		t.Errorf("a change of leader: %d bytes; allowed: %d", f.answerBytes, allowed)
 	}
 	f.resetCounts()
 	f.restart(f.findMember(true))
 	f.run(2 * time.Second)
 	f.settle(20 * time.Second)
 	f.check()
-	if most := members * 6000; f.answerBytes > most {
-		t.Errorf("a restart under a new leader: %d bytes; allowed: %d", f.answerBytes, most)
+	if allowed := members * 6000; f.answerBytes > allowed {
+		t.Errorf("a restart under a new leader: %d bytes; allowed: %d", f.answerBytes, allowed)
 	}
 }
 
--- a/internal/cluster/leaserenewer_test.go
+++ b/internal/cluster/leaserenewer_test.go
@@ -30,8 +30,8 @@
 		t.Fatalf("%+v", n)
 	}
 	s.StartHeartbeat()
-	for i, keeper := range []string{"c", "a", "b", "c", "a"} { // each in turn; none of them knows a leader
-		expectCall(keeper)
+	for i, voter := range []string{"c", "a", "b", "c", "a"} { // each in turn; none of them knows a leader
+		expectCall(voter)
 		if n := s.HandleResponse(3, nil, ""); n.RenewNow != (i < 4) || errors.Is(n.Err, ErrNoLeader) != (i == 4) {
 			t.Fatalf("%d: %+v", i, n)
 		}
@@ -48,9 +48,9 @@
 	s := NewLeaseRenewer(NewLeaseHolder(Member{Name: "m", Token: 1}, Params{Lease: time.Second}, versions.FromSettings(&decide.Settings{}), 0), []string{"a"})
 	s.StartHeartbeat()
 	answers := 0
-	for again := true; again && answers < 100; answers++ {
+	for renewNow := true; renewNow && answers < 100; answers++ {
 		s.NextRequest(0)
-		again = s.HandleResponse(0, &Grant{RetryNow: true}, "").RenewNow
+		renewNow = s.HandleResponse(0, &Grant{RetryNow: true}, "").RenewNow
 	}
 	if answers != maxAnswersPerHeartbeat {
 		t.Errorf("%d answers in one heartbeat", answers)
--- a/internal/cluster/member/holdings_test.go
+++ b/internal/cluster/member/holdings_test.go
@@ -50,7 +50,7 @@
 // placement change independently of each other.
 func TestMembersChangeWhileThePlacementStays(t *testing.T) {
 	conf := clusterparams.Params{Lease: time.Second, Holdings: clusterparams.Holdings{Copies: 1, Keep: time.Minute, LostAfter: time.Minute}}
-	l, g := cluster.NewLedger(), cluster.NewLessor(conf, 1)
+	l, lessor := cluster.NewLedger(), cluster.NewLessor(conf, 1)
 	memberNo := func(i int) cluster.Member {
 		return cluster.Member{Name: fmt.Sprint("m", i), Token: uint64(i), Zone: "a", Address: fmt.Sprint("127.0.0.1:", i)}
 	}
@@ -73,7 +73,7 @@
 	renew := func() {
 		at += time.Millisecond
 		r := h.NextRenewal()
-		grant := g.Renew(at, l, &r)
+		grant := lessor.Renew(at, l, &r)
 		if _, err := h.HandleGrant(at, &grant); err != nil || !grant.Granted {
 			t.Fatal(err, grant.Reason)
 		}
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -452,8 +452,8 @@
 			return name
 		}
 	}
-	for name, w := range c.announcements {
-		if w.ID == id {
+	for name, other := range c.announcements {
+		if other.ID == id {
 			return name
 		}
 	}
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -64,9 +64,9 @@
 	if c.failure != nil || a.Name == c.conf.Name || c.conf.Voters[a.Name] == "" || a.ID == 0 {
 		return
 	}
-	before, known := c.announcements[a.Name]
+	previous, known := c.announcements[a.Name]
 	if c.announcements[a.Name] = a; a.ParamsHash != c.conf.Params.Hash() {
-		if !known || before.ParamsHash != a.ParamsHash {
+		if !known || previous.ParamsHash != a.ParamsHash {
 			c.log.Error().Str("keeper", a.Name).Str("here", c.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
 		}
 		return
@@ -88,10 +88,10 @@
 // tryForm takes the next step of forming a cluster, if the announcements allow one.
 func (c *Core) tryForm() error {
 	ownSet := c.store.identity.Set
-	for _, w := range c.announcements {
+	for _, other := range c.announcements {
 		// The cluster is formed, or about to be, with a data directory of this voter that was lost: this one must replace it. Guards
 		// against a new voter that forms a second cluster with voters that have replaced the first ones.
-		if (w.Set != nil || w.Begun) && w.Set[c.conf.Name] != c.store.identity.ID {
+		if (other.Set != nil || other.Begun) && other.Set[c.conf.Name] != c.store.identity.ID {
 			return nil
 		}
 	}
@@ -100,11 +100,11 @@
 			return nil
 		}
 		set := map[string]uint64{c.conf.Name: c.store.identity.ID}
-		for name, w := range c.announcements {
-			set[name] = w.ID
+		for name, other := range c.announcements {
+			set[name] = other.ID
 		}
-		for _, w := range c.announcements {
-			if w.ParamsHash != c.conf.Params.Hash() || w.Set != nil && !maps.Equal(w.Set, set) {
+		for _, other := range c.announcements {
+			if other.ParamsHash != c.conf.Params.Hash() || other.Set != nil && !maps.Equal(other.Set, set) {
 				return nil
 			}
 		}
@@ -114,10 +114,10 @@
 		ownSet = set
 	}
 	sameSet, begun := 0, false
-	for _, w := range c.announcements {
-		if maps.Equal(w.Set, ownSet) {
+	for _, other := range c.announcements {
+		if maps.Equal(other.Set, ownSet) {
 			sameSet++
-			begun = begun || w.Begun
+			begun = begun || other.Begun
 		}
 	}
 	if sameSet < len(ownSet)-1 && !begun {
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -16,14 +16,14 @@
 
 // Send implements Transport.
 func (v *Voter) Send(name string, m *raftpb.Message) bool {
-	o := v.outboxes[name]
-	if o == nil {
-		o = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
-		v.outboxes[name] = o
-		v.env.Go("keeper", func() { v.sendOutbox(o, name) })
+	box := v.outboxes[name]
+	if box == nil {
+		box = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
+		v.outboxes[name] = box
+		v.env.Go("keeper", func() { v.sendOutbox(box, name) })
 	}
 	select {
-	case o.queue <- m:
+	case box.queue <- m:
 		return true
 	default:
 		return false
--- a/internal/cluster/voter/startcheck_test.go
+++ b/internal/cluster/voter/startcheck_test.go
@@ -21,21 +21,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := opened.core
-	t.Cleanup(func() { k.store.close() })
-	if err := k.bootstrap(map[string]uint64{"a": k.store.identity.ID, "b": 2, "c": 3}); err != nil {
+	core := opened.core
+	t.Cleanup(func() { core.store.close() })
+	if err := core.bootstrap(map[string]uint64{"a": core.store.identity.ID, "b": 2, "c": 3}); err != nil {
 		t.Fatal(err)
 	}
 	term := uint64(4)
 	for i := uint64(2); i <= 5; i++ {
-		if err := k.store.save(&raftpb.HardState{Term: &term, Commit: &i}, []*raftpb.Entry{{Index: &i, Term: &term}}, nil, true); err != nil {
+		if err := core.store.save(&raftpb.HardState{Term: &term, Commit: &i}, []*raftpb.Entry{{Index: &i, Term: &term}}, nil, true); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.Start(); err != nil || k.startCheck == nil {
-		t.Fatalf("%v, start check %v", err, k.startCheck)
+	if err := core.Start(); err != nil || core.startCheck == nil {
+		t.Fatalf("%v, start check %v", err, core.startCheck)
 	}
-	return k
+	return core
 }
 
 func voteRequest(term, logTerm, index uint64) *raftpb.Message {
@@ -47,17 +47,17 @@
 // one term had two leaders.
 func TestSetBackDataDirIsDetected(t *testing.T) {
 	for name, seen := range map[string]observedProgress{"it held more": {Term: 4, Index: 9}, "it spoke in a later term": {Term: 5, Index: 5}} {
-		k := startedVoter(t)
-		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]observedProgress{k.store.identity.ID: seen}})
-		if k.failure == nil || !strings.Contains(k.failure.Error(), "set back to an earlier copy") {
-			t.Errorf("%s: %v", name, k.failure)
+		core := startedVoter(t)
+		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Seen: map[uint64]observedProgress{core.store.identity.ID: seen}})
+		if core.failure == nil || !strings.Contains(core.failure.Error(), "set back to an earlier copy") {
+			t.Errorf("%s: %v", name, core.failure)
 		}
 	}
 	for name, seen := range map[string]observedProgress{"it is as it was": {Term: 4, Index: 5}, "what it held more of was overwritten since": {Term: 3, Index: 9}} {
-		k := startedVoter(t)
-		k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: k.conf.Params.Hash(), Seen: map[uint64]observedProgress{k.store.identity.ID: seen}})
-		if k.failure != nil {
-			t.Errorf("%s: %v", name, k.failure)
+		core := startedVoter(t)
+		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Seen: map[uint64]observedProgress{core.store.identity.ID: seen}})
+		if core.failure != nil {
+			t.Errorf("%s: %v", name, core.failure)
 		}
 	}
 }
@@ -65,22 +65,22 @@
 // If no answer proves that the directory was set back, what the others report still restricts the voter: it does not vote in a term that
 // they know of, nor for a candidate whose log lacks what they have, and does not stand for election while its own log lacks it.
 func TestStartedVoterKeepsToReportedLogEnds(t *testing.T) {
-	k := startedVoter(t)
-	hash := k.conf.Params.Hash()
-	k.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: hash, Term: 6, End: logEnd{4, 5}})
-	if k.startCheckDone() {
+	core := startedVoter(t)
+	hash := core.conf.Params.Hash()
+	core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: hash, Term: 6, End: logEnd{4, 5}})
+	if core.startCheckDone() {
 		t.Fatal("the start check ends with one of two answers: the other voter may be the one that has this one's vote")
 	}
 	ask := voteRequest(7, 6, 8)
-	ask.To = &k.store.identity.ID
-	if err := k.HandleMessages("b", []*raftpb.Message{ask}); err != nil || k.node.BasicStatus().HardState.GetTerm() != 4 {
+	ask.To = &core.store.identity.ID
+	if err := core.HandleMessages("b", []*raftpb.Message{ask}); err != nil || core.node.BasicStatus().HardState.GetTerm() != 4 {
 		t.Errorf("a candidate's request is processed during the start check: %v", err)
 	}
-	k.HandleAnnouncement(Announcement{Name: "c", ID: 3, ParamsHash: hash, Term: 5, End: logEnd{6, 8}})
-	if !k.startCheckDone() {
+	core.HandleAnnouncement(Announcement{Name: "c", ID: 3, ParamsHash: hash, Term: 5, End: logEnd{6, 8}})
+	if !core.startCheckDone() {
 		t.Fatal("both others have answered and the start check goes on")
 	}
-	if term := k.node.BasicStatus().HardState.GetTerm(); term != 6 {
+	if term := core.node.BasicStatus().HardState.GetTerm(); term != 6 {
 		t.Errorf("term %d: messages of a leader of term 5 would be accepted", term)
 	}
 	for _, c := range []struct {
@@ -93,33 +93,33 @@
 		{voteRequest(7, 4, 99), false},
 		{voteRequest(5, 4, 5), true}, // raft rejects it and answers with the term, from which the candidate learns it
 	} {
-		if got := k.mayVote(c.m); got != c.want {
+		if got := core.mayVote(c.m); got != c.want {
 			t.Errorf("%v: %v", c.m, got)
 		}
 	}
-	if k.maySend(voteRequest(7, 4, 5)) {
+	if core.maySend(voteRequest(7, 4, 5)) {
 		t.Error("the voter requests votes with a log that lacks what c has")
 	}
 	// Guards against a voter that waits forever for a log end that was lost with its data directory.
-	k.lastHeard[3] = k.clock.Now()
+	core.lastHeard[3] = core.clock.Now()
 	back := Announcement{Name: "c", ID: 33, ParamsHash: hash}
-	if k.HandleAnnouncement(back); !k.minLogEnd.before(logEnd{6, 9}) || k.minLogEnd.before(logEnd{6, 8}) {
-		t.Errorf("log end required: %v, while c has sent messages a moment ago", k.minLogEnd)
+	if core.HandleAnnouncement(back); !core.minLogEnd.before(logEnd{6, 9}) || core.minLogEnd.before(logEnd{6, 8}) {
+		t.Errorf("log end required: %v, while c has sent messages a moment ago", core.minLogEnd)
 	}
-	delete(k.lastHeard, 3)
-	if k.HandleAnnouncement(back); k.minLogEnd != (logEnd{4, 5}) {
-		t.Errorf("log end required: %v, with c's data directory lost", k.minLogEnd)
+	delete(core.lastHeard, 3)
+	if core.HandleAnnouncement(back); core.minLogEnd != (logEnd{4, 5}) {
+		t.Errorf("log end required: %v, with c's data directory lost", core.minLogEnd)
 	}
 }
 
 // With answers from too few others the voter waits, and then goes on with its data directory: one dead voter does not stop another's restart.
 func TestStartWithTooFewOthers(t *testing.T) {
-	k := startedVoter(t)
-	if k.startCheckDone() {
+	core := startedVoter(t)
+	if core.startCheckDone() {
 		t.Error("the start check does not wait")
 	}
-	k.startCheck.deadline = k.clock.Now()
-	if !k.startCheckDone() || !k.mayVote(voteRequest(5, 4, 5)) {
+	core.startCheck.deadline = core.clock.Now()
+	if !core.startCheckDone() || !core.mayVote(voteRequest(5, 4, 5)) {
 		t.Error("the start check does not end at its deadline")
 	}
 }
@@ -127,18 +127,18 @@
 // Guards against a voter that lags behind a replacement and refuses the new data directory: messages of a directory that it does not
 // know are accepted, those of a replaced one are not.
 func TestMessagesOfUnknownDataDirAreAccepted(t *testing.T) {
-	k := startedVoter(t)
-	k.startCheck = nil
+	core := startedVoter(t)
+	core.startCheck = nil
 	from, term, commit := uint64(99), uint64(7), uint64(0)
-	m := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &from, To: &k.store.identity.ID, Term: &term, Commit: &commit}
-	if err := k.HandleMessages("b", []*raftpb.Message{m}); err != nil || k.node.BasicStatus().Lead != from {
-		t.Errorf("a data directory that is not known yet: %v, leader %d", err, k.node.BasicStatus().Lead)
+	m := &raftpb.Message{Type: raftpb.MsgHeartbeat.Enum(), From: &from, To: &core.store.identity.ID, Term: &term, Commit: &commit}
+	if err := core.HandleMessages("b", []*raftpb.Message{m}); err != nil || core.node.BasicStatus().Lead != from {
+		t.Errorf("a data directory that is not known yet: %v, leader %d", err, core.node.BasicStatus().Lead)
 	}
-	if k.voterName(from) != "b" {
+	if core.voterName(from) != "b" {
 		t.Error("the name of the unknown data directory's voter is not found")
 	}
-	k.ledger.ReplacedVoters = []uint64{from}
-	if err := k.HandleMessages("b", []*raftpb.Message{m}); err == nil || !strings.Contains(err.Error(), "was replaced") {
+	core.ledger.ReplacedVoters = []uint64{from}
+	if err := core.HandleMessages("b", []*raftpb.Message{m}); err == nil || !strings.Contains(err.Error(), "was replaced") {
 		t.Errorf("a data directory that was replaced: %v", err)
 	}
 }
--- a/internal/cluster/voter/store_test.go
+++ b/internal/cluster/voter/store_test.go
@@ -31,8 +31,8 @@
 // writeEntries writes n entries after the initial snapshot of a cluster, each with its own sync, and calls after for each.
 func writeEntries(t *testing.T, s *store, n uint64, after func(i uint64)) {
 	t.Helper()
-	k := &Core{conf: Conf{Name: s.identity.Name}, store: s, ledger: cluster.NewLedger()}
-	if err := k.bootstrap(map[string]uint64{s.identity.Name: s.identity.ID}); err != nil {
+	core := &Core{conf: Conf{Name: s.identity.Name}, store: s, ledger: cluster.NewLedger()}
+	if err := core.bootstrap(map[string]uint64{s.identity.Name: s.identity.ID}); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(2); i < n+2; i++ {
@@ -115,9 +115,9 @@
 		t.Errorf("the same folder twice: %v", err)
 	}
 	s.close()
-	for _, who := range [][2]string{{"c", "other"}, {"other", "k"}} {
-		if _, err := openStore(t, dir, who[0], who[1]); err == nil || !strings.Contains(err.Error(), "belongs to") {
-			t.Errorf("%v: %v", who, err)
+	for _, owner := range [][2]string{{"c", "other"}, {"other", "k"}} {
+		if _, err := openStore(t, dir, owner[0], owner[1]); err == nil || !strings.Contains(err.Error(), "belongs to") {
+			t.Errorf("%v: %v", owner, err)
 		}
 	}
 	text, err := os.ReadFile(filepath.Join(dir, fileName))
@@ -251,8 +251,8 @@
 		t.Fatal(err)
 	}
 	defer s.close()
-	k := &Core{conf: Conf{Name: "k"}, store: s, ledger: cluster.NewLedger()}
-	if err := k.startRaft(); err != nil || k.applied != 10 {
-		t.Errorf("applied %d, %v", k.applied, err)
+	core := &Core{conf: Conf{Name: "k"}, store: s, ledger: cluster.NewLedger()}
+	if err := core.startRaft(); err != nil || core.applied != 10 {
+		t.Errorf("applied %d, %v", core.applied, err)
 	}
 }
--- a/internal/cluster/voter/voter_test.go
+++ b/internal/cluster/voter/voter_test.go
@@ -50,7 +50,7 @@
 	c.t.Helper()
 	conf := c.conf
 	conf.Name, conf.DataDir = name, c.dir+"/"+name
-	k, err := Open(conf, env.Real{}, zerolog.New(zerolog.NewTestWriter(c.t)).With().Str("keeper", name).Logger())
+	v, err := Open(conf, env.Real{}, zerolog.New(zerolog.NewTestWriter(c.t)).With().Str("keeper", name).Logger())
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -60,9 +60,9 @@
 			c.t.Fatal(err)
 		}
 	}
-	c.voters[name], c.servers[name] = k, s
-	s.Serve(env.Real{}, k.Handlers())
-	go k.Run()
+	c.voters[name], c.servers[name] = v, s
+	s.Serve(env.Real{}, v.Handlers())
+	go v.Run()
 }
 
 func (c *threeVoters) stop(name string) {
@@ -79,8 +79,8 @@
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(50 * time.Millisecond) {
 		seen := map[string]int{}
 		last = ""
-		for name, k := range c.voters {
-			s, err := k.Status()
+		for name, v := range c.voters {
+			s, err := v.Status()
 			if err != nil {
 				continue
 			}
@@ -101,8 +101,8 @@
 	c := startThree(t)
 	leader := c.leader()
 	p := cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}
-	if told, err := c.voters[leader].Propose(p); err != nil || told.Number != 1 {
-		t.Fatalf("%+v, %v", told, err)
+	if result, err := c.voters[leader].Propose(p); err != nil || result.Number != 1 {
+		t.Fatalf("%+v, %v", result, err)
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		before := c.voters[name].core.store.identity.ID
@@ -132,8 +132,8 @@
 // proposals. A member of the former cluster does not accept the new one's grants.
 func TestAllDataDirsLost(t *testing.T) {
 	c := startThree(t)
-	if told, err := c.voters[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || told.Number != 1 {
-		t.Fatalf("%+v, %v", told, err)
+	if result, err := c.voters[c.leader()].Propose(cluster.Proposal{ID: 7, Doc: versions.Document{MaxAttempts: 2}}); err != nil || result.Number != 1 {
+		t.Fatalf("%+v, %v", result, err)
 	}
 	member := cluster.NewLeaseHolder(cluster.Member{Name: "m", Token: 1}, c.conf.Params, versions.FromSettings(&decide.Settings{}), 0)
 	grant := renewUntilFinal(t, c, member)
@@ -156,8 +156,8 @@
 	if _, err := member.HandleGrant(1, renewUntilFinal(t, c, member)); err == nil {
 		t.Error("a member of the former cluster accepts a grant of the new one")
 	}
-	if told, err := c.voters[leader].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || told.Number != 1 {
-		t.Errorf("%+v, %v", told, err)
+	if result, err := c.voters[leader].Propose(cluster.Proposal{ID: 8, Doc: versions.Document{MaxAttempts: 3}}); err != nil || result.Number != 1 {
+		t.Errorf("%+v, %v", result, err)
 	}
 }
 
