--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -27,7 +27,7 @@
 	stoppedClock  bug = "a lease holder's clock stops, so that its lease does not end"
 	oldLeader     bug = "a leader that was replaced goes on granting leases"
 	staleMessage  bug = "a lease holder accepts stale answers"
-	renewsLeaving bug = "a lessor renews the lease of a member whose removal is already in the log"
+	renewsLeaving bug = "a lessor renews the lease of a member whose removal may already be proposed"
 )
 
 // model simulates several members, changes of leader, clocks at different rates, and answers that arrive late or never.
--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -30,7 +30,8 @@
 	Self     Member
 	params   Params
 	ownRules versions.Rules
-	// connectTimeout is how long connecting to an endpoint may take: versions.Rules.With shortens windows by it.
+	// connectTimeout is how long connecting to an endpoint may take: versions.Rules.With shortens windows by it,
+	// because a repeat is judged that much earlier than its last byte arrives at the endpoint.
 	connectTimeout decide.Time
 
 	leaseEnd      BootTime // 0 before the first lease
@@ -76,7 +77,7 @@
 
 // HandleGrant processes the answer to a renewal that was sent at requestedAt. It reports whether the effective rules have changed: then the
 // caller must put Effective into effect before it sends the next renewal, which confirms them to the leader. An error means an
-// answer that contradicts an earlier one.
+// answer that contradicts an earlier one or names a malformed version.
 func (h *LeaseHolder) HandleGrant(requestedAt BootTime, g *Grant) (changed bool, err error) {
 	if requestedAt < h.requestedAt {
 		return false, nil // stale message: the answer to a later request has been processed
--- a/internal/cluster/leaserenewer.go
+++ b/internal/cluster/leaserenewer.go
@@ -26,7 +26,7 @@
 	seriesEnd   BootTime // when the current series of calls, in search of the leader, ends
 	calls       int      // calls in the series without an answer from the leader
 	answers     int      // from the leader in this heartbeat
-	sent        Renewal
+	sent        Renewal  // the current request
 }
 
 // NewLeaseRenewer returns a renewer for a lease holder; voters are the voters' names.
@@ -51,10 +51,10 @@
 
 // RenewalStep is the result of a call and what to do next.
 type RenewalStep struct {
-	RenewNow bool  // send the next request at once, after Effective has been put into effect; otherwise with the next heartbeat
-	Done     bool  // a series of calls has ended: with Err, with a refusal, or with a lease
-	Err      error // ErrNoLeader, or the grant contradicts an earlier one
-	Reason   string
+	RenewNow bool   // send the next request at once, after Effective has been put into effect; otherwise with the next heartbeat
+	Done     bool   // a series of calls has ended: with Err, with a refusal, or with a lease
+	Err      error  // ErrNoLeader, or the error of LeaseHolder.HandleGrant
+	Reason   string // why the leader refuses a lease; empty if a retry at once may succeed
 }
 
 // HandleResponse processes the result of the current call: a grant, or the leader's name, or neither.
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -167,6 +167,7 @@
 	return nil
 }
 
+// changeMembers removes and adds members. Members that are already gone, and joins under a name that another process has, are skipped.
 func (l *Ledger) changeMembers(joining, leaving []Member) error {
 	changed := false
 	names := make([]string, 0, len(joining)+len(leaving))
@@ -201,6 +202,7 @@
 	return nil
 }
 
+// propose handles a proposal, and remembers its id if it is rejected.
 func (l *Ledger) propose(p *Proposal) error {
 	switch {
 	case l.Find(p.ID) != nil:
@@ -216,6 +218,7 @@
 	return err
 }
 
+// acceptProposal makes a proposal the next version, if no other is in progress and it follows from the active version.
 func (l *Ledger) acceptProposal(p *Proposal) error {
 	switch {
 	case l.Next != nil:
@@ -236,6 +239,7 @@
 	return nil
 }
 
+// advanceNext moves the next version from one state to another.
 func (l *Ledger) advanceNext(number uint64, from, to State) error {
 	if l.Next == nil || l.Next.Number != number || l.Next.State != from {
 		return fmt.Errorf("version %d is not %v", number, from)
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -94,13 +94,13 @@
 
 	// The following fields spare the leader a check of every member with each renewal, which was most of its work at 3,000 members.
 	recheck         bool                              // something was reported since the last check that may make an entry due
-	recheckAt       BootTime                          // before then no lease ends that was known at the last check
+	recheckAt       BootTime                          // when the next lease ends or the next shard counts as lost, as known at the last check
 	checkedStage    ledgerStage                       // of the ledger at the last check
 	caughtUp        map[string][]holdings.CaughtUp    // as last reported by each member
 	unreachable     map[string][]holdings.Incarnation // as last reported by each member
 	decommissioning map[string]bool                   // as last reported by each member
 	plannedFor      viewVersion                       // the state for which replicas were last planned
-	deadSince       map[int]BootTime                  // since when no ready replica of a shard is on a member
+	deadSince       map[int]BootTime                  // since when no member has a ready replica, by shard
 	encoded         encodedView                       // what members receive of the ledger's current state
 	waitingFor      string                            // a member whose report on the current proposal was missing at the last check
 }
@@ -182,7 +182,7 @@
 		return refuse(true, "%q is coming in", r.Name)
 	}
 	s := le.stateOf(now, member)
-	// Guards against a lease for a member whose removal is already in the log: it would apply its lease after the others have
+	// Guards against a lease for a member whose removal may already be proposed: it would apply its lease after the others have
 	// continued without it (seed 277 of the cluster simulation). A member that is this late joins again.
 	if leaving, isLeaving := le.leaving[r.Name]; s.leaseEnd <= now || isLeaving && leaving.Token == r.Token {
 		return refuse(true, "%q is being counted out", r.Name)
@@ -248,20 +248,20 @@
 		le.encoded = encodedView{version: at, view: l.View(), deltas: map[viewVersion]cbor.RawMessage{}}
 		le.encoded.checksum = le.encoded.view.Checksum()
 	}
-	t := &le.encoded
+	cached := &le.encoded
 	if r.Takes != deltaFormat {
-		if t.membership == nil {
-			t.membership, t.placement = mustEncode(t.view.Members), mustEncode(t.view.Placement)
+		if cached.membership == nil {
+			cached.membership, cached.placement = mustEncode(cached.view.Members), mustEncode(cached.view.Placement)
 		}
-		grant.Membership, grant.Placement = t.membership, t.placement
+		grant.Membership, grant.Placement = cached.membership, cached.placement
 		return
 	}
 	from := viewVersion{r.HasMembership, r.HasPlacement}
-	encoded, found := t.deltas[from]
+	encoded, found := cached.deltas[from]
 	if !found {
-		encoded = mustEncode(l.history.Delta(from.epoch, from.placement, &t.view, t.checksum))
-		if len(t.deltas) < maxEncodedDeltas {
-			t.deltas[from] = encoded
+		encoded = mustEncode(l.history.Delta(from.epoch, from.placement, &cached.view, cached.checksum))
+		if len(cached.deltas) < maxEncodedDeltas {
+			cached.deltas[from] = encoded
 		}
 	}
 	grant.Delta = encoded
@@ -294,6 +294,7 @@
 	return nil
 }
 
+// findDue checks all members, the proposal in progress and the placement for entries that are due.
 func (le *Lessor) findDue(now BootTime, l *Ledger) []Entry {
 	var due []Entry
 	le.recheckAt = now + le.params.LessorWait()
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -57,6 +57,8 @@
 
 	refusalLogged map[holdings.Kind]time.Time // when a refusal of this kind was last logged; guarded by mu
 
+	// Counters, all but background for the metrics: claims granted, requests that had finished before, requests refused, and commands
+	// without a usable answer of a primary. background is the number of commands being retried in the background.
 	claimed, known, refused, alone, background atomic.Int64
 }
 
@@ -74,9 +76,9 @@
 }
 
 func newHoldingsService(m *Member, conf *config.Config) (*holdingsService, error) {
-	c := &holdingsService{member: m, classes: map[string]heldClass{}, maxBody: m.conf.Holdings.MaxBody, pools: map[string]*clientPool{}, refusalLogged: map[holdings.Kind]time.Time{}}
+	hs := &holdingsService{member: m, classes: map[string]heldClass{}, maxBody: m.conf.Holdings.MaxBody, pools: map[string]*clientPool{}, refusalLogged: map[holdings.Kind]time.Time{}}
 	for name, whenAlone := range m.conf.Holdings.Classes {
-		i := slices.IndexFunc(conf.Settings.Classes, func(k decide.Class) bool { return k.Name == name })
+		i := slices.IndexFunc(conf.Settings.Classes, func(class decide.Class) bool { return class.Name == name })
 		if i < 0 || conf.Settings.Classes[i].Effect != decide.Keyed {
 			return nil, fmt.Errorf("holdings.class: %q; allowed: a class of the settings whose effect is by_key", name)
 		}
@@ -84,16 +86,16 @@
 		if keep := m.conf.Params.Holdings.Keep; class.Window > keep {
 			return nil, fmt.Errorf("holdings.keep: %v, under the %v for which endpoints drop repeats of class %q; allowed: at least that", keep, class.Window, name)
 		}
-		c.classes[name] = heldClass{class, whenAlone}
+		hs.classes[name] = heldClass{class, whenAlone}
 	}
 	if m.conf.Params.Holdings.Copies > 1 && conf.Settings.Zone == "" {
 		return nil, errors.New("holdings.copies: this sidecar's settings name no zone, and copies stand in different ones; set settings.az")
 	}
 	var b [8]byte
 	rand.Read(b[:]) //nolint:errcheck // rand.Read never fails
-	c.lastClaim.Store(binary.BigEndian.Uint64(b[:]))
-	c.store = holdings.NewStore(m.conf.Params.Holdings, m.conf.Holdings.MaxEntries)
-	return c, nil
+	hs.lastClaim.Store(binary.BigEndian.Uint64(b[:]))
+	hs.store = holdings.NewStore(m.conf.Params.Holdings, m.conf.Holdings.MaxEntries)
+	return hs, nil
 }
 
 func (hs *holdingsService) now() cluster.BootTime { return hs.member.env.BootTime() }
@@ -101,10 +103,10 @@
 // update applies what the newest grant brought. The caller holds the member's lock.
 func (hs *holdingsService) update(holder *cluster.LeaseHolder) {
 	me, view := holder.Incarnation(), holder.View()
-	ends := holder.LeaseEnd()
+	leaseEnd := holder.LeaseEnd()
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.store.SetLease(ends)
+	hs.store.SetLease(leaseEnd)
 	if view.Placement == nil || me == (holdings.Incarnation{}) {
 		return
 	}
@@ -163,9 +165,9 @@
 	for _, address := range hs.addresses {
 		inUse[address] = true
 	}
-	for address, l := range hs.pools {
+	for address, pool := range hs.pools {
 		if !inUse[address] {
-			l.close()
+			pool.close()
 			delete(hs.pools, address)
 		}
 	}
@@ -181,8 +183,8 @@
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.stopped = true
-	for _, l := range hs.pools {
-		l.close()
+	for _, pool := range hs.pools {
+		pool.close()
 	}
 }
 
@@ -242,8 +244,10 @@
 	return err
 }
 
+// errBusy means that no connection of a pool became free in time.
 var errBusy = errors.New("all connections to it are busy")
 
+// get returns a free connection, or makes one if there are fewer than maxClientsPerPeer. Otherwise it waits for one to become free.
 func (p *clientPool) get(hs *holdingsService, address string, timeout time.Duration) (*peerrpc.Client, error) {
 	select {
 	case client := <-p.free:
@@ -281,14 +285,14 @@
 func (hs *holdingsService) handlers() map[string]peerrpc.Handler {
 	return map[string]peerrpc.Handler{
 		"hold-ask": func(_ string, body []byte) (any, error) {
-			var a holdings.Command
-			if err := peerrpc.Decode(body, &a); err != nil {
+			var command holdings.Command
+			if err := peerrpc.Decode(body, &command); err != nil {
 				return nil, fmt.Errorf("hold-ask: malformed: %w", err)
 			}
-			if err := a.Check(); err != nil {
+			if err := command.Check(); err != nil {
 				return nil, fmt.Errorf("hold-ask: %w", err)
 			}
-			return hs.handleCommand(&a), nil
+			return hs.handleCommand(&command), nil
 		},
 		"hold-show": func(_ string, body []byte) (any, error) {
 			var key holdings.Key
--- a/internal/cluster/member/holdings_test.go
+++ b/internal/cluster/member/holdings_test.go
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	h := cluster.NewLeaseHolder(memberNo(1), conf, versions.FromSettings(&decide.Settings{}), 0)
-	c := &holdingsService{member: &Member{env: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), pools: map[string]*clientPool{}}
+	hs := &holdingsService{member: &Member{env: env.Real{}, holder: h}, store: holdings.NewStore(conf.Holdings, 1000), pools: map[string]*clientPool{}}
 	at := time.Second
 	renew := func() {
 		at += time.Millisecond
@@ -77,20 +77,20 @@
 		if _, err := h.HandleGrant(at, &grant); err != nil || !grant.Granted {
 			t.Fatal(err, grant.Reason)
 		}
-		c.update(h)
+		hs.update(h)
 	}
 	renew()
-	before := c.view.Placement
+	before := hs.view.Placement
 	join(2)
 	renew()
-	if incarnation := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); c.addresses[incarnation] != "127.0.0.1:2" || c.view.Placement != before {
-		t.Errorf("addresses %v after %+v joined", c.addresses, incarnation)
+	if incarnation := (holdings.Incarnation{Name: "m2", JoinEpoch: 2}); hs.addresses[incarnation] != "127.0.0.1:2" || hs.view.Placement != before {
+		t.Errorf("addresses %v after %+v joined", hs.addresses, incarnation)
 	}
 	if err := l.Apply(&cluster.Entry{Leave: []cluster.Member{memberNo(2)}}); err != nil {
 		t.Fatal(err)
 	}
 	renew()
-	if len(c.addresses) != 1 {
-		t.Errorf("addresses %v after m2 left", c.addresses)
+	if len(hs.addresses) != 1 {
+		t.Errorf("addresses %v after m2 left", hs.addresses)
 	}
 }
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -53,6 +53,7 @@
 	stopRequested chan struct{}
 	ended         chan struct{}
 
+	// Counters for the metrics: series of calls that ended, grants without a lease, and series without a leader's answer.
 	renewals, refused, noLeader atomic.Int64
 
 	holdings *holdingsService // nil if the cluster has no holdings
@@ -125,11 +126,11 @@
 // Effective implements pipeline.RulesSource. It checks the lease with each call, so that a process that was paused notices that the lease has
 // ended before it applies the rules.
 func (m *Member) Effective() *pipeline.EffectiveRules {
-	a := m.effective.Load()
-	if now := m.env.BootTime(); now >= a.until && !a.Cautious {
+	state := m.effective.Load()
+	if now := m.env.BootTime(); now >= state.until && !state.Cautious {
 		return &m.publish(now).EffectiveRules
 	}
-	return &a.EffectiveRules
+	return &state.EffectiveRules
 }
 
 // publish puts the lease holder's rules into effect, if they have changed.
@@ -154,11 +155,11 @@
 		Generation: m.generation, Dynamic: rules.Rules.DynamicSettings(), Banned: rules.Rules.Banned, Cautious: rules.Cautious,
 	}}
 	m.effective.Store(next)
-	ev := m.log.Info()
+	event := m.log.Info()
 	if rules.Cautious {
-		ev = m.log.Warn()
+		event = m.log.Warn()
 	}
-	ev.Bool("cautious", rules.Cautious).Uint64("version", rules.Active).Uint64("next", rules.Next).Uint64("epoch", rules.Epoch).
+	event.Bool("cautious", rules.Cautious).Uint64("version", rules.Active).Uint64("next", rules.Next).Uint64("epoch", rules.Epoch).
 		Int("banned", len(rules.Rules.Banned)).Msg("rules in force")
 	return next
 }
@@ -261,9 +262,9 @@
 }
 
 func (m *Member) handleActing(string, []byte) (any, error) {
-	a := m.current()
-	status := m.statusOf(a)
-	status.Banned = slices.Sorted(maps.Keys(a.Banned))
+	state := m.current()
+	status := m.statusOf(state)
+	status.Banned = slices.Sorted(maps.Keys(state.Banned))
 	return status, nil
 }
 
@@ -276,10 +277,10 @@
 	return m.effective.Load()
 }
 
-func (m *Member) statusOf(a *effectiveState) Status {
+func (m *Member) statusOf(state *effectiveState) Status {
 	return Status{
-		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.versions.Active, Next: a.versions.Next, Epoch: a.versions.Epoch,
-		LeaseMS:  int((a.until - m.env.BootTime()).Milliseconds()),
+		Name: m.holder.Self.Name, Cautious: state.Cautious, Active: state.versions.Active, Next: state.versions.Next, Epoch: state.versions.Epoch,
+		LeaseMS:  int((state.until - m.env.BootTime()).Milliseconds()),
 		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.noLeader.Load(),
 	}
 }
@@ -287,9 +288,9 @@
 // Metrics implements lifecycle.Cluster.
 func (m *Member) Metrics(text []byte) []byte {
 	m.Effective()
-	a := m.effective.Load()
+	state := m.effective.Load()
 	cautious, leads := int64(0), int64(0)
-	if a.Cautious {
+	if state.Cautious {
 		cautious = 1
 	}
 	if m.voter != nil && m.voter.IsLeader() {
@@ -300,10 +301,10 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.versions.Active), metrics.Gauge},
-		{"crew_next", int64(a.versions.Next), metrics.Gauge}, {"crew_epoch", int64(a.versions.Epoch), metrics.Gauge},
-		{"crew_lease_ms", max(0, (a.until - m.env.BootTime()).Milliseconds()), metrics.Gauge},
-		{"crew_banned", int64(len(a.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
+		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(state.versions.Active), metrics.Gauge},
+		{"crew_next", int64(state.versions.Next), metrics.Gauge}, {"crew_epoch", int64(state.versions.Epoch), metrics.Gauge},
+		{"crew_lease_ms", max(0, (state.until - m.env.BootTime()).Milliseconds()), metrics.Gauge},
+		{"crew_banned", int64(len(state.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
 		{"crew_renewals", m.renewals.Load(), metrics.Counter}, {"crew_refused", m.refused.Load(), metrics.Counter},
 		{"crew_unheard", m.noLeader.Load(), metrics.Counter},
 	} {
@@ -357,8 +358,8 @@
 	r.Leaving = true
 	var reply voter.RenewResult
 	m.voterClients[firstVoter].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // if this fails, the member is removed when its lease ends
-	for _, l := range m.voterClients {
-		l.Close()
+	for _, client := range m.voterClients {
+		client.Close()
 	}
 	if m.voter != nil {
 		m.voter.Stop()
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -83,15 +83,15 @@
 	pendingRead      *readIndexRequest
 	readCount        uint64
 	waitingProposals map[uint64][]func(ProposeResult, error) // proposals in flight, by id
-	announcements    map[string]Announcement
-	lastIDs          map[string]uint64           // id of the data directory from which each voter last sent messages, by name
-	observed         map[uint64]observedProgress // of other voters' data directories, by id
+	announcements    map[string]Announcement                 // the newest of each other voter, by name
+	lastIDs          map[string]uint64                       // id of the data directory from which each voter last sent messages, by name
+	observed         map[uint64]observedProgress             // of other voters' data directories, by id
 	nextAnnounce     time.Time
 	dropped          int64 // raft messages that the transport's queues had no room for
 	// The rest is what the other voters reported after this one started with an existing data directory; see startcheck.go.
 	startCheck      *startCheck
-	voteAfterTerm   uint64
-	minLogEnd       logEnd
+	voteAfterTerm   uint64               // vote only in later terms; 0 for no such bound
+	minLogEnd       logEnd               // this voter's log, and that of a candidate it votes for, must end there or later
 	requiredLogEnds map[string]logEnd    // the reported log ends from which minLogEnd follows, by voter name
 	lastHeard       map[uint64]time.Time // when each data directory last sent a message, by id
 }
@@ -522,7 +522,7 @@
 	Applied       uint64          `cbor:"4,keyasint"`
 	Ledger        *cluster.Ledger `cbor:"5,keyasint"`
 	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // voters that it waits for before the cluster is formed
-	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // known to the leader only: milliseconds until each member's lease has certainly ended
+	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // on the leader only: ms until each member's lease has certainly ended
 	Dropped       int64           `cbor:"8,keyasint,omitempty"`
 }
 
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -11,7 +11,7 @@
 
 // outbox queues messages for another voter until a goroutine sends them. Raft repeats lost messages.
 type outbox struct {
-	queue chan *raftpb.Message
+	queue chan *raftpb.Message // closed when the voter stops
 }
 
 // Send implements Transport.
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -328,6 +328,7 @@
 	return put(tx, bucket, key, text)
 }
 
+// put stores a value together with its checksum.
 func put(tx Tx, bucket, key string, text []byte) error {
 	sealed := binary.BigEndian.AppendUint32(nil, checksum(key, text))
 	return tx.Put(bucket, key, append(sealed, text...))
@@ -346,6 +347,7 @@
 	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, text)
 }
 
+// verifyValue checks a stored value's checksum and returns a copy of its content.
 func verifyValue(key string, value []byte) ([]byte, error) {
 	if len(value) < 4 || binary.BigEndian.Uint32(value) != checksum(key, value[4:]) {
 		return nil, fmt.Errorf("%w: the checksum of %q does not match its content", errDamaged, key)
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -138,11 +138,11 @@
 
 // Renew answers a renewal with a grant, or with the leader's name if this voter does not lead.
 func (v *Voter) Renew(r cluster.Renewal) (RenewResult, error) {
-	a, err := callOwner(v, func(reply func(RenewResult)) { v.core.Renew(r, reply) })
-	if a.Grant != nil && a.Grant.Granted {
+	result, err := callOwner(v, func(reply func(RenewResult)) { v.core.Renew(r, reply) })
+	if result.Grant != nil && result.Grant.Granted {
 		v.post(func() { v.core.LeaseAnswerSent(&r) })
 	}
-	return a, err
+	return result, err
 }
 
 // Propose proposes a version. It returns when the proposal has been committed or refused.
