--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -149,7 +149,7 @@
 }
 
 func (m *model) renew(i int) {
-	r, asked := m.holders[i].NextRenewal(), m.boot(i)
+	r, requestedAt := m.holders[i].NextRenewal(), m.boot(i)
 	lessor, ledger := m.lessor, m.ledger
 	if m.bug == oldLeader && m.oldLessor != nil && m.intn(2) == 0 {
 		lessor, ledger = m.oldLessor, m.oldLedger
@@ -157,7 +157,7 @@
 	if s := lessor.states[r.Name]; m.bug == renewsLeaving && s != nil {
 		s.leaseEnd = max(s.leaseEnd, m.leaderBoot()+1)
 	}
-	m.inFlight = append(m.inFlight, delayedAnswer{i, asked, lessor.Renew(m.leaderBoot(), ledger, &r)})
+	m.inFlight = append(m.inFlight, delayedAnswer{i, requestedAt, lessor.Renew(m.leaderBoot(), ledger, &r)})
 }
 
 // deliver delivers a delayed answer, or loses it.
--- a/internal/cluster/leaserenewer.go
+++ b/internal/cluster/leaserenewer.go
@@ -18,7 +18,7 @@
 var ErrNoLeader = errors.New("no keeper leads that can be reached")
 
 // LeaseRenewer renews a member's lease: it finds the leader among the voters and calls it, one call at a time. With each heartbeat the
-// driver calls StartHeartbeat; then it sends what NextRequest returns and passes the result to HandleResponse, as long as that sets RenewNow.
+// driver calls StartHeartbeat; then it sends what NextRequest returns and passes the result to HandleResponse, while that sets RenewNow.
 type LeaseRenewer struct {
 	holder      *LeaseHolder
 	voters      []string // voters' names, the next one to call first
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -373,7 +373,7 @@
 		}
 	}
 	hs.mu.Unlock()
-	if command.Op == holdings.OpClaim && command.Owner != me { // this sidecar has joined anew: the claim must belong to its present incarnation
+	if command.Op == holdings.OpClaim && command.Owner != me { // this sidecar has joined anew: claim under its present incarnation
 		command.Owner = me
 	}
 	switch {
@@ -445,8 +445,8 @@
 	return hs.refuse(&command, answer)
 }
 
-// executeInBackground retries a command after its request's own time is up. Guards against keys whose outcome stays unknown although their owner
-// knows it, because the primary was lost at the wrong moment: a claim was not confirmed, or an outcome was not replicated.
+// executeInBackground retries a command after its request's own time is up. Guards against keys whose outcome stays unknown although
+// their owner knows it, because the primary was lost at the wrong moment: a claim was not confirmed, or an outcome was not replicated.
 func (hs *holdingsService) executeInBackground(command holdings.Command) {
 	if hs.background.Add(1) > maxBackground {
 		hs.background.Add(-1)
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -123,8 +123,8 @@
 	return m, nil
 }
 
-// Effective implements pipeline.RulesSource. It checks the lease with each call, so that a process that was paused notices that the lease has
-// ended before it applies the rules.
+// Effective implements pipeline.RulesSource. It checks the lease with each call, so that a process that was paused notices that the
+// lease has ended before it applies the rules.
 func (m *Member) Effective() *pipeline.EffectiveRules {
 	state := m.effective.Load()
 	if now := m.env.BootTime(); now >= state.until && !state.Cautious {
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -323,11 +323,11 @@
 }
 
 func (c *Core) appendEntry(e logEntry) error {
-	text, err := cbor.Marshal(e)
+	encoded, err := cbor.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return c.node.Propose(text)
+	return c.node.Propose(encoded)
 }
 
 // apply applies a committed entry.
@@ -406,11 +406,11 @@
 
 // takeSnapshot replaces the log up to the last applied entry by a snapshot of the current ledger.
 func (c *Core) takeSnapshot() error {
-	text, err := cbor.Marshal(c.ledger)
+	encoded, err := cbor.Marshal(c.ledger)
 	if err != nil {
 		return err
 	}
-	if err := c.store.compact(c.applied, c.confState, text, compactKeep); err != nil {
+	if err := c.store.compact(c.applied, c.confState, encoded, compactKeep); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
@@ -460,7 +460,8 @@
 	return ""
 }
 
-// Renew answers a renewal: with the leader's name at once if this voter does not lead, otherwise once a majority has confirmed it as leader.
+// Renew answers a renewal: with the leader's name at once if this voter does not lead, otherwise once a majority has
+// confirmed it as leader.
 func (c *Core) Renew(r cluster.Renewal, reply func(RenewResult)) {
 	if c.raftState != raft.StateLeader {
 		reply(RenewResult{Leader: c.voterName(c.leaderID)})
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -130,13 +130,13 @@
 func (c *Core) bootstrap(set map[string]uint64) error {
 	ledger := cluster.NewLedger()
 	ledger.Voters = maps.Clone(set)
-	text, err := cbor.Marshal(ledger)
+	encoded, err := cbor.Marshal(ledger)
 	if err != nil {
 		return err
 	}
 	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(set))} // sorted, so that it is the same for all voters
 	first := uint64(1)
-	snap := &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &first, Term: &first}}
+	snap := &raftpb.Snapshot{Data: encoded, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &first, Term: &first}}
 	if err := c.store.save(&raftpb.HardState{Term: &first, Commit: &first}, nil, snap, true); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -52,12 +52,12 @@
 	defer client.Close()
 	lastRefusal := ""
 	for m := range box.queue {
-		var texts [][]byte
+		var messages [][]byte
 		var snapshotsTo []uint64
 		for size := 0; m != nil; {
-			text, err := proto.Marshal(m)
+			encoded, err := proto.Marshal(m)
 			if err == nil {
-				texts, size = append(texts, text), size+len(text)
+				messages, size = append(messages, encoded), size+len(encoded)
 			}
 			if m.GetType() == raftpb.MsgSnap {
 				snapshotsTo = append(snapshotsTo, m.GetTo())
@@ -69,7 +69,7 @@
 				}
 			}
 		}
-		err := client.Call("raft", texts, nil, peerTimeout)
+		err := client.Call("raft", messages, nil, peerTimeout)
 		for _, id := range snapshotsTo {
 			v.post(func() { v.core.SnapshotReported(id, err == nil) })
 		}
--- a/internal/cluster/voter/startcheck.go
+++ b/internal/cluster/voter/startcheck.go
@@ -16,8 +16,8 @@
 // voter learns in which terms it must not vote any more. From the log ends it learns how long its own log, and that of a candidate
 // that it votes for, must be. If an answer proves that this data directory held more than it does now, the voter stops.
 //
-// If too few others can be reached, the voter goes on after startCheckTimeout with what its data directory holds, because a cluster with one
-// voter dead must survive the restart of another. A data directory that was set back is then not noticed (see docs/crew.md).
+// If too few others can be reached, the voter goes on after startCheckTimeout with what its data directory holds, because a cluster with
+// one voter dead must survive the restart of another. A data directory that was set back is then not noticed (see docs/crew.md).
 
 const startCheckTimeout = 3 * time.Second
 
--- a/internal/cluster/voter/startcheck_test.go
+++ b/internal/cluster/voter/startcheck_test.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// With answers from too few others the voter waits, and then goes on with its data directory: one dead voter does not stop another's restart.
+// With answers from too few others the voter waits, and then goes on with its data directory: one dead voter must not block another's restart.
 func TestStartWithTooFewOthers(t *testing.T) {
 	core := startedVoter(t)
 	if core.startCheckDone() {
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -109,11 +109,11 @@
 
 func (s *store) load(cluster, name string, newID func() uint64) error {
 	err := s.disk.Update(func(tx Tx) error {
-		text, err := get(tx, bucketMeta, keyIdentity)
+		content, err := get(tx, bucketMeta, keyIdentity)
 		if err != nil {
 			return err
 		}
-		if text == nil {
+		if content == nil {
 			// Guards against a new id next to the votes and entries of an old one whose identity was lost.
 			if !hasNoRaftData(tx) {
 				return fmt.Errorf("%w: votes or entries, and no identity that says whose they are", errDamaged)
@@ -121,7 +121,7 @@
 			s.identity = Identity{Format: storeFormat, Crew: cluster, Name: name, ID: newID()}
 			return s.putIdentity(tx)
 		}
-		if err := cbor.Unmarshal(text, &s.identity); err != nil {
+		if err := cbor.Unmarshal(content, &s.identity); err != nil {
 			return fmt.Errorf("%w: identity: %w", errDamaged, err)
 		}
 		switch {
@@ -139,40 +139,40 @@
 }
 
 func (s *store) putIdentity(tx Tx) error {
-	text, err := cbor.Marshal(s.identity)
+	encoded, err := cbor.Marshal(s.identity)
 	if err != nil {
 		return err
 	}
-	return put(tx, bucketMeta, keyIdentity, text)
+	return put(tx, bucketMeta, keyIdentity, encoded)
 }
 
 // loadRaft loads the snapshot, term, vote and log into mem, from which raft reads them.
 func (s *store) loadRaft(tx Tx) error {
-	text, err := get(tx, bucketRaft, keySnapshot)
+	content, err := get(tx, bucketRaft, keySnapshot)
 	if err != nil {
 		return err
 	}
 	snap := &raftpb.Snapshot{}
-	if text != nil { // without a snapshot the cluster isn't formed yet, or this data directory is new in it
-		if err := proto.Unmarshal(text, snap); err != nil {
+	if content != nil { // without a snapshot the cluster isn't formed yet, or this data directory is new in it
+		if err := proto.Unmarshal(content, snap); err != nil {
 			return fmt.Errorf("%w: snapshot: %w", errDamaged, err)
 		}
 		if err := s.mem.ApplySnapshot(snap); err != nil {
 			return err
 		}
 	}
-	hasSnap := text != nil
-	if text, err = get(tx, bucketRaft, keyHard); err != nil {
+	hasSnap := content != nil
+	if content, err = get(tx, bucketRaft, keyHard); err != nil {
 		return err
 	}
-	if text == nil {
+	if content == nil {
 		if hasSnap || !hasNoRaftData(tx) {
 			return fmt.Errorf("%w: entries without term and vote", errDamaged)
 		}
 		return nil
 	}
 	hard := &raftpb.HardState{}
-	if err := proto.Unmarshal(text, hard); err != nil {
+	if err := proto.Unmarshal(content, hard); err != nil {
 		return fmt.Errorf("%w: term and vote: %w", errDamaged, err)
 	}
 	// The commit index is not always synced, so the snapshot may be ahead of it.
@@ -185,12 +185,12 @@
 	next := snap.GetMetadata().GetIndex() + 1
 	var entries []*raftpb.Entry
 	for key, value := range tx.From(bucketLog, indexKey(next)) {
-		text, err := verifyValue(key, value)
+		content, err := verifyValue(key, value)
 		if err != nil {
 			return err
 		}
 		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil || e.GetIndex() != next {
+		if err := proto.Unmarshal(content, e); err != nil || e.GetIndex() != next {
 			return fmt.Errorf("%w: entry %d of the log", errDamaged, next)
 		}
 		entries = append(entries, e)
@@ -199,11 +199,11 @@
 	if hard.GetCommit() >= next {
 		return fmt.Errorf("%w: %d entries are committed, and the log here ends at entry %d", errDamaged, hard.GetCommit(), next-1)
 	}
-	if text, err = get(tx, bucketRaft, keyLast); err != nil {
+	if content, err = get(tx, bucketRaft, keyLast); err != nil {
 		return err
 	}
 	// A voter that is new in an existing cluster may have learned of a term and of nothing else yet.
-	if newcomer := text == nil && next == 1; !newcomer && (len(text) != 8 || binary.BigEndian.Uint64(text) != next-1) {
+	if newcomer := content == nil && next == 1; !newcomer && (len(content) != 8 || binary.BigEndian.Uint64(content) != next-1) {
 		return fmt.Errorf("%w: the log ends at entry %d, which is not the last entry that was written", errDamaged, next-1)
 	}
 	return s.mem.Append(entries)
@@ -248,7 +248,7 @@
 				return err
 			}
 		}
-		if len(entries) > 0 { // entries behind the new ones are from an older term
+		if len(entries) > 0 { // entries after the new ones are from an older term
 			last = entries[len(entries)-1].GetIndex()
 			if err := deleteEntries(tx, last+1, ^uint64(0)); err != nil {
 				return err
@@ -321,17 +321,17 @@
 func indexKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
 
 func putProto(tx Tx, bucket, key string, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return put(tx, bucket, key, text)
+	return put(tx, bucket, key, encoded)
 }
 
 // put stores a value together with its checksum.
-func put(tx Tx, bucket, key string, text []byte) error {
-	sealed := binary.BigEndian.AppendUint32(nil, checksum(key, text))
-	return tx.Put(bucket, key, append(sealed, text...))
+func put(tx Tx, bucket, key string, content []byte) error {
+	sealed := binary.BigEndian.AppendUint32(nil, checksum(key, content))
+	return tx.Put(bucket, key, append(sealed, content...))
 }
 
 // get returns a value, nil if there is none.
@@ -343,8 +343,8 @@
 	return verifyValue(key, value)
 }
 
-func checksum(key string, text []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, text)
+func checksum(key string, content []byte) uint32 {
+	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, content)
 }
 
 // verifyValue checks a stored value's checksum and returns a copy of its content.
--- a/internal/cluster/voter/voter.go
+++ b/internal/cluster/voter/voter.go
@@ -189,14 +189,14 @@
 
 // handleRaft processes raft messages of another voter.
 func (v *Voter) handleRaft(from string, body []byte) (any, error) {
-	var texts [][]byte
-	if err := peerrpc.Decode(body, &texts); err != nil {
+	var encoded [][]byte
+	if err := peerrpc.Decode(body, &encoded); err != nil {
 		return nil, fmt.Errorf("raft: malformed: %w", err)
 	}
 	var messages []*raftpb.Message
-	for _, text := range texts {
+	for _, message := range encoded {
 		m := &raftpb.Message{}
-		if err := proto.Unmarshal(text, m); err != nil {
+		if err := proto.Unmarshal(message, m); err != nil {
 			return nil, fmt.Errorf("raft: malformed: %w", err)
 		}
 		messages = append(messages, m)
