--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -11,61 +11,62 @@
 	"heathgap/internal/versions"
 )
 
-// decoding bounds what may be told of members and placement before memory is taken: of the widest part, members, twice as many as a
-// crew has may come and go at once.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
+// decMode bounds what a member decodes of the members and the placement, before memory is allocated. The longest list is that of
+// changed members: twice as many as a cluster has may join and leave at once.
+var decMode, _ = cbor.DecOptions{MaxArrayElements: 2 * clusterparams.MaxMembers, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 
-// EffectiveRules is what a member acts on.
+// EffectiveRules is what a member applies at a given time.
 type EffectiveRules struct {
 	Rules    versions.Rules
-	Cautious bool   // it holds no lease: the rules agree with every version
-	Active   uint64 // the version acted on
-	Next     uint64 // acted on together with it, while that is prepared; 0 for none
+	Cautious bool   // it holds no lease: the rules are safe under every possible version
+	Active   uint64 // the active version
+	Next     uint64 // the prepared version applied together with Active; 0 if there is none
 	Epoch    uint64
 }
 
-// LeaseHolder is a member's side of the leases. What it is told it acts on until its lease
-// ends, counted from before it asked.
+// LeaseHolder is a member's side of its lease. The member applies what the leader granted until the lease ends. The lease is
+// counted from the moment before the request was sent.
 type LeaseHolder struct {
-	Self  Member
-	terms Params
-	own   versions.Rules
-	// connect is the time that a connection to an endpoint may take: windows are judged less that.
-	connect decide.Time
-
-	ends     BootTime // of the lease; 0 before the first
-	asked    BootTime // when the newest word was asked for that was taken
-	heard    Echo     // of the newest answer
-	epoch    uint64
-	active   VersionRecord
-	next     *VersionRecord
-	checked  uint64
-	refusal  string
-	prepared uint64
-	rules    versions.Rules // of the lease
-	cautious versions.Rules
-	view     holdings.View
-	differs  int   // deltas in a row that could not be taken, of this leader; 1: the whole is asked for
-	differed error // the last one's
-	// What this sidecar's store says, for the next renewal.
+	Self     Member
+	params   Params
+	ownRules versions.Rules
+	// connectTimeout is how long connecting to an endpoint may take: versions.Rules.With shortens windows by it,
+	// because a repeat is judged that much earlier than its last byte arrives at the endpoint.
+	connectTimeout decide.Time
+
+	leaseEnd      BootTime // 0 before the first lease
+	requestedAt   BootTime // when the request of the newest accepted answer was sent
+	lastEcho      Echo     // from the newest answer
+	epoch         uint64
+	active        VersionRecord
+	next          *VersionRecord
+	checked       uint64
+	refusal       string
+	prepared      uint64
+	rules         versions.Rules // that apply while the lease lasts
+	cautiousRules versions.Rules
+	view          holdings.View
+	deltaFailures int   // consecutive deltas of this leader that could not be applied; after 1 the full view is requested
+	viewErr       error // from the newest delta or view that could not be applied
+	// What the member's holdings store reports, for the next renewal.
 	CaughtUp        []holdings.CaughtUp
 	Unreachable     []holdings.Incarnation
 	Decommissioning bool // it wants to leave
 }
 
-// NewLeaseHolder returns that of a process that has not been told anything.
-func NewLeaseHolder(self Member, terms Params, own versions.Rules, connect decide.Time) *LeaseHolder {
-	return &LeaseHolder{Self: self, terms: terms, own: own, connect: connect, rules: own, cautious: own.Cautious(terms.FixedClasses)}
+// NewLeaseHolder returns the lease holder of a process that has not received any grant.
+func NewLeaseHolder(self Member, params Params, ownRules versions.Rules, connectTimeout decide.Time) *LeaseHolder {
+	return &LeaseHolder{Self: self, params: params, ownRules: ownRules, connectTimeout: connectTimeout, rules: ownRules, cautiousRules: ownRules.Cautious(params.FixedClasses)}
 }
 
-// NextRenewal returns the renewal to be sent now. The caller notes the time before it, for Told.
+// NextRenewal returns the renewal to send now. The caller notes the time before sending it and passes it to HandleGrant.
 func (h *LeaseHolder) NextRenewal() Renewal {
-	r := Renewal{Member: h.Self, ParamsHash: h.terms.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
-		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.heard, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: formDelta}
-	if h.view.Placement != nil && h.differs != 1 {
+	r := Renewal{Member: h.Self, ParamsHash: h.params.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
+		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.lastEcho, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: deltaFormat}
+	if h.view.Placement != nil && h.deltaFailures != 1 {
 		r.HasMembership, r.HasPlacement = h.view.Epoch, h.view.Placement.Number
 	}
-	if h.differs >= mostDiffers {
+	if h.deltaFailures >= maxDeltaFailures {
 		r.Takes = 0
 	}
 	if h.next != nil {
@@ -74,54 +75,54 @@
 	return r
 }
 
-// HandleGrant takes the answer to what was asked at a time. It tells whether what is acted on
-// has changed: then the caller puts Acting in force before it asks again, since the next
-// renewal says so. An error is an answer that can't be true.
-func (h *LeaseHolder) HandleGrant(asked BootTime, g *Grant) (changed bool, err error) {
-	if asked < h.asked {
-		return false, nil // late word: what was asked for after it says more
+// HandleGrant processes the answer to a renewal that was sent at requestedAt. It reports whether the effective rules have changed: then the
+// caller must put Effective into effect before it sends the next renewal, which confirms them to the leader. An error means an
+// answer that contradicts an earlier one or names a malformed version.
+func (h *LeaseHolder) HandleGrant(requestedAt BootTime, g *Grant) (changed bool, err error) {
+	if requestedAt < h.requestedAt {
+		return false, nil // stale message: the answer to a later request has been processed
 	}
-	if g.Echo.Term != h.heard.Term {
-		h.differs = 0 // another leader, maybe of another build
+	if g.Echo.Term != h.lastEcho.Term {
+		h.deltaFailures = 0 // another leader, possibly of another build
 	}
-	h.asked, h.heard = asked, g.Echo
+	h.requestedAt, h.lastEcho = requestedAt, g.Echo
 	if g.Epoch < h.epoch {
-		return false, fmt.Errorf("epoch %d after %d: late word, or a crew that was formed anew (then restart this process)", g.Epoch, h.epoch)
+		return false, fmt.Errorf("the grant is of epoch %d, after epoch %d: a stale message, or the crew was formed anew (then restart this process)", g.Epoch, h.epoch)
 	}
-	active, err := h.whole(&g.Active)
+	active, err := h.withDocument(&g.Active)
 	if err != nil {
 		return false, err
 	}
 	var next *VersionRecord
 	if g.Next != nil {
-		if next, err = h.whole(g.Next); err != nil {
+		if next, err = h.withDocument(g.Next); err != nil {
 			return false, err
 		}
 	}
 	if active.Number < h.active.Number {
-		return false, fmt.Errorf("version %d after %d: what has been active does not come back", active.Number, h.active.Number)
+		return false, fmt.Errorf("the grant names active version %d after version %d: an earlier version never becomes active again", active.Number, h.active.Number)
 	}
-	before := h.stamp()
+	before := h.versionStamp()
 	h.active, h.next, h.epoch = *active, next, g.Epoch
 	if g.Granted {
-		h.ends = max(h.ends, asked+h.terms.Lease)
-		h.learn(g)
+		h.leaseEnd = max(h.leaseEnd, requestedAt+h.params.Lease)
+		h.updateView(g)
 	}
-	h.look()
-	return h.stamp() != before, nil
+	h.updateRules()
+	return h.versionStamp() != before, nil
 }
 
-// stamp is equal as long as the rules are.
-func (h *LeaseHolder) stamp() [3]uint64 {
-	s := [3]uint64{h.active.Number}
+// versionStamp identifies the versions and states that the rules follow from; it changes whenever they do.
+func (h *LeaseHolder) versionStamp() [3]uint64 {
+	stamp := [3]uint64{h.active.Number}
 	if h.next != nil {
-		s[1], s[2] = h.next.Number, uint64(h.next.State)
+		stamp[1], stamp[2] = h.next.Number, uint64(h.next.State)
 	}
-	return s
+	return stamp
 }
 
-// whole returns a round with its document: from what came, or from what is known.
-func (h *LeaseHolder) whole(r *VersionRecord) (*VersionRecord, error) {
+// withDocument returns a version record with its document: the one received, or the one already known if the leader left it out.
+func (h *LeaseHolder) withDocument(r *VersionRecord) (*VersionRecord, error) {
 	if r.Number == 0 {
 		return r, nil
 	}
@@ -138,91 +139,90 @@
 	return r, nil
 }
 
-// look works out what is acted on, and what is to be said of the proposal under way.
-func (h *LeaseHolder) look() {
-	now := h.own.With(&h.active.Doc, h.connect)
-	h.rules = now
+// updateRules derives the rules from the active and the next version, and what to report about the proposal in progress.
+func (h *LeaseHolder) updateRules() {
+	activeRules := h.ownRules.With(&h.active.Doc, h.connectTimeout)
+	h.rules = activeRules
 	if h.next == nil {
 		return
 	}
 	if h.checked != h.next.Number {
 		h.checked, h.refusal = h.next.Number, ""
-		if err := h.own.CheckTransition(&h.active.Doc, &h.next.Doc, h.terms.FixedClasses); err != nil {
+		if err := h.ownRules.CheckTransition(&h.active.Doc, &h.next.Doc, h.params.FixedClasses); err != nil {
 			h.refusal = err.Error()
 		}
 	}
-	both, err := now.Intersect(h.own.With(&h.next.Doc, h.connect))
+	both, err := activeRules.Intersect(h.ownRules.With(&h.next.Doc, h.connectTimeout))
 	if h.next.State == Prepared && err == nil {
 		h.rules, h.prepared = both, h.next.Number
 		return
 	}
-	// A ban binds at once wherever it is heard, be it only proposed.
+	// A ban takes effect as soon as a member learns of it, even if it is only proposed.
 	for _, name := range h.next.Doc.Banned {
 		h.rules.Banned[name] = true
 	}
 }
 
-// Effective is what is acted on at a time, and until when that may be relied on without
-// another look.
+// Effective returns what the member applies at the given time. Without a valid lease these are the cautious rules.
 func (h *LeaseHolder) Effective(now BootTime) EffectiveRules {
 	s := EffectiveRules{Rules: h.rules, Active: h.active.Number, Epoch: h.epoch}
 	if h.next != nil && h.next.State == Prepared && h.prepared == h.next.Number {
 		s.Next = h.next.Number
 	}
-	if now >= h.ends {
+	if now >= h.leaseEnd {
 		s.Cautious, s.Next = true, 0
-		s.Rules = h.cautious
+		s.Rules = h.cautiousRules
 		s.Rules.Banned = h.rules.Banned // bans and drains are kept
 		s.Rules.MaxAttempts = h.rules.MaxAttempts
 	}
 	return s
 }
 
-// mostDiffers deltas in a row that can't be taken, the last of them whole, have a member ask for the whole as builds do that take no
-// changes, without a checksum, for as long as this leader leads.
-const mostDiffers = 2
+// maxDeltaFailures is the number of consecutive deltas that can't be applied, the last of them a full view, after which a member
+// requests the full view in the format without a checksum that older builds use, for as long as this leader leads.
+const maxDeltaFailures = 2
 
-// learn takes what is told of members and placement, or leaves both as they were.
-func (h *LeaseHolder) learn(g *Grant) {
+// updateView applies the members and the placement of a grant. If they can't be applied, it leaves both as they were and sets viewErr.
+func (h *LeaseHolder) updateView(g *Grant) {
 	switch {
 	case len(g.Delta) > 0:
 		var d holdings.Delta
-		err := decoding.Unmarshal(g.Delta, &d)
+		err := decMode.Unmarshal(g.Delta, &d)
 		if err == nil && d.Epoch != g.Epoch {
-			err = fmt.Errorf("%w: to epoch %d, in one of %d", holdings.ErrDelta, d.Epoch, g.Epoch)
+			err = fmt.Errorf("%w: the delta leads to epoch %d, in a grant of epoch %d", holdings.ErrDelta, d.Epoch, g.Epoch)
 		}
 		next := h.view
 		if err == nil {
 			next, err = h.view.Apply(&d)
 		}
 		if err != nil {
-			h.differs, h.differed = h.differs+1, err
+			h.deltaFailures, h.viewErr = h.deltaFailures+1, err
 			return
 		}
-		h.view, h.differs = next, 0
+		h.view, h.deltaFailures = next, 0
 	case len(g.Placement) > 0:
 		var members []holdings.Member
 		var placement holdings.Placement
-		err := decoding.Unmarshal(g.Membership, &members)
+		err := decMode.Unmarshal(g.Membership, &members)
 		if err == nil {
-			err = decoding.Unmarshal(g.Placement, &placement)
+			err = decMode.Unmarshal(g.Placement, &placement)
 		}
 		if err != nil {
-			h.differed = err
+			h.viewErr = err
 			return
 		}
 		h.view = holdings.NewView(g.Epoch, members, &placement)
 	}
 }
 
-// ViewErr is why what the leader told of members and placement could not be taken the last time; nil while it always could.
-func (h *LeaseHolder) ViewErr() error { return h.differed }
+// ViewErr returns why the members or the placement of a grant could last not be applied; nil if that never happened.
+func (h *LeaseHolder) ViewErr() error { return h.viewErr }
 
-// View is what it was told last of members and placement; zero before the first, or where nothing is held. What is told here is never
-// changed afterwards.
+// View returns the newest members and placement received; zero before the first, or if the cluster has no holdings. A returned view
+// is never changed afterwards.
 func (h *LeaseHolder) View() holdings.View { return h.view }
 
-// Incarnation is this process's incarnation in the crew, by that view; zero where it is not in.
+// Incarnation returns this process's incarnation in the cluster, by the newest view; zero if it isn't a member.
 func (h *LeaseHolder) Incarnation() holdings.Incarnation {
 	for _, m := range h.view.Members {
 		if m.Token == h.Self.Token && m.Name == h.Self.Name {
@@ -232,5 +232,5 @@
 	return holdings.Incarnation{}
 }
 
-// LeaseEnd is when the lease ends; 0 before the first.
-func (h *LeaseHolder) LeaseEnd() BootTime { return h.ends }
+// LeaseEnd returns when the lease ends; 0 before the first lease.
+func (h *LeaseHolder) LeaseEnd() BootTime { return h.leaseEnd }
--- a/internal/cluster/leaserenewer.go
+++ b/internal/cluster/leaserenewer.go
@@ -5,89 +5,89 @@
 	"slices"
 )
 
-// Figures of a member's questions.
+// Limits of a member's renewals.
 const (
-	// HeartbeatsPerLease of a lease: a member asks so often, so that several answers may be lost before it is cut off.
+	// HeartbeatsPerLease is how often a member renews within one lease, so that several answers may be lost before the lease ends.
 	HeartbeatsPerLease = 8
-	// CallTimeoutPart of a lease is how long one question may take: two keepers can be tried before it ends.
-	CallTimeoutPart = 3
-	mostAgain       = 4 // rounds of questions in a heartbeat: the leader wants more said, or there is more to say
+	// CallTimeoutPart is the part of a lease that one call may take (a third): two voters can be tried before the lease ends.
+	CallTimeoutPart        = 3
+	maxAnswersPerHeartbeat = 4 // of the leader in one heartbeat; more calls follow when either side has something new to report
 )
 
-// ErrNoLeader is that no keeper leads, or none that can be reached.
+// ErrNoLeader means that no voter leads, or none that can be reached.
 var ErrNoLeader = errors.New("no keeper leads that can be reached")
 
-// LeaseRenewer keeps a member's lease: it finds the leader among the keepers and asks it, one question at a time. With each heartbeat
-// its driver calls Heartbeat; then it asks what Question says and hands over what came of that, for as long as Answer says so.
+// LeaseRenewer renews a member's lease: it finds the leader among the voters and calls it, one call at a time. With each heartbeat the
+// driver calls StartHeartbeat; then it sends what NextRequest returns and passes the result to HandleResponse, while that sets RenewNow.
 type LeaseRenewer struct {
-	holder *LeaseHolder
-	order  []string // keepers' names, the one to be asked first in front
-	asked  BootTime // the present question
-	limit  BootTime // of the present round
-	tries  int      // in it
-	rounds int      // in this heartbeat
-	said   Renewal
+	holder      *LeaseHolder
+	voters      []string // voters' names, the next one to call first
+	requestedAt BootTime // when the current request was made
+	seriesEnd   BootTime // when the current series of calls, in search of the leader, ends
+	calls       int      // calls in the series without an answer from the leader
+	answers     int      // from the leader in this heartbeat
+	sent        Renewal  // the current request
 }
 
-// NewLeaseRenewer returns that of a holder. keepers are names.
-func NewLeaseRenewer(holder *LeaseHolder, keepers []string) *LeaseRenewer {
-	return &LeaseRenewer{holder: holder, order: slices.Clone(keepers)}
+// NewLeaseRenewer returns a renewer for a lease holder; voters are the voters' names.
+func NewLeaseRenewer(holder *LeaseHolder, voters []string) *LeaseRenewer {
+	return &LeaseRenewer{holder: holder, voters: slices.Clone(voters)}
 }
 
-// FirstVoter is the keeper that is asked first.
-func (s *LeaseRenewer) FirstVoter() string { return s.order[0] }
+// FirstVoter returns the voter that is called first.
+func (lr *LeaseRenewer) FirstVoter() string { return lr.voters[0] }
 
-// StartHeartbeat begins anew.
-func (s *LeaseRenewer) StartHeartbeat() { s.tries, s.rounds = 0, 0 }
+// StartHeartbeat begins a new heartbeat.
+func (lr *LeaseRenewer) StartHeartbeat() { lr.calls, lr.answers = 0, 0 }
 
-// NextRequest is what to ask now, and whom.
-func (s *LeaseRenewer) NextRequest(now BootTime) (keeper string, r Renewal) {
-	if s.tries == 0 {
-		s.limit = now + s.holder.terms.Lease
+// NextRequest returns the renewal to send now and the voter to send it to.
+func (lr *LeaseRenewer) NextRequest(now BootTime) (voter string, r Renewal) {
+	if lr.calls == 0 {
+		lr.seriesEnd = now + lr.holder.params.Lease
 	}
-	s.asked, s.said = now, s.holder.NextRenewal()
-	return s.order[0], s.said
+	lr.requestedAt, lr.sent = now, lr.holder.NextRenewal()
+	return lr.voters[0], lr.sent
 }
 
-// RenewalStep is what comes of an answer.
+// RenewalStep is the result of a call and what to do next.
 type RenewalStep struct {
-	RenewNow bool  // the next question is to be asked at once, when Acting has been put in force; else with the next heartbeat
-	Done     bool  // a round has ended: with Err, a refusal, or a lease
-	Err      error // ErrNoLeader, or a word that can't be true
-	Reason   string
+	RenewNow bool   // send the next request at once, after Effective has been put into effect; otherwise with the next heartbeat
+	Done     bool   // a series of calls has ended: with Err, with a refusal, or with a lease
+	Err      error  // ErrNoLeader, or the error of LeaseHolder.HandleGrant
+	Reason   string // why the leader refuses a lease; empty if a retry at once may succeed
 }
 
-// HandleResponse takes what came of the present question: a grant, or the leader's name, or neither.
-func (s *LeaseRenewer) HandleResponse(now BootTime, grant *Grant, leader string) RenewalStep {
+// HandleResponse processes the result of the current call: a grant, or the leader's name, or neither.
+func (lr *LeaseRenewer) HandleResponse(now BootTime, grant *Grant, leader string) RenewalStep {
 	if grant == nil {
-		s.tries++
-		if i := slices.Index(s.order, leader); leader != "" && i > 0 {
-			s.order = slices.Insert(slices.Delete(s.order, i, i+1), 0, leader)
+		lr.calls++
+		if i := slices.Index(lr.voters, leader); leader != "" && i > 0 {
+			lr.voters = slices.Insert(slices.Delete(lr.voters, i, i+1), 0, leader)
 		} else {
-			s.order = append(s.order[1:], s.order[0])
+			lr.voters = append(lr.voters[1:], lr.voters[0])
 		}
-		// Two more than there are keepers: the last one may name the leader, and that may change.
-		if s.tries >= len(s.order)+2 || now >= s.limit {
+		// Two calls more than there are voters: the last voter may name the leader, and the leader may change.
+		if lr.calls >= len(lr.voters)+2 || now >= lr.seriesEnd {
 			return RenewalStep{Done: true, Err: ErrNoLeader}
 		}
 		return RenewalStep{RenewNow: true}
 	}
-	s.tries = 0
-	if _, err := s.holder.HandleGrant(s.asked, grant); err != nil {
+	lr.calls = 0
+	if _, err := lr.holder.HandleGrant(lr.requestedAt, grant); err != nil {
 		return RenewalStep{Done: true, Err: err}
 	}
-	s.rounds++
-	more := s.rounds < mostAgain
+	lr.answers++
+	more := lr.answers < maxAnswersPerHeartbeat
 	if !grant.Granted {
-		n := RenewalStep{Done: true, RenewNow: grant.RetryNow && more}
+		step := RenewalStep{Done: true, RenewNow: grant.RetryNow && more}
 		if !grant.RetryNow {
-			n.Reason = grant.Reason
+			step.Reason = grant.Reason
 		}
-		return n
+		return step
 	}
-	// What is new to the leader it hears now, not with the next heartbeat: a version comes through that much sooner. What was
-	// said under an older epoch was not taken.
-	after := s.holder.NextRenewal()
-	news := after.Checked != s.said.Checked || after.Prepared != s.said.Prepared || grant.Next != nil && after.Epoch != s.said.Epoch
-	return RenewalStep{Done: true, RenewNow: more && news}
+	// Report what is new to the leader at once instead of with the next heartbeat, so that versions become active sooner. The leader
+	// has ignored what was reported under an older epoch.
+	next := lr.holder.NextRenewal()
+	hasNews := next.Checked != lr.sent.Checked || next.Prepared != lr.sent.Prepared || grant.Next != nil && next.Epoch != lr.sent.Epoch
+	return RenewalStep{Done: true, RenewNow: more && hasNews}
 }
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -1,5 +1,5 @@
-// Package member makes a sidecar a member of a crew: it keeps the sidecar's lease, tells the engine what to act on, and
-// runs a keeper where this sidecar is one.
+// Package member makes a sidecar a member of a cluster: it renews the sidecar's lease, gives the pipeline the rules in effect, and
+// runs a voter if this sidecar is one.
 package member
 
 import (
@@ -25,274 +25,275 @@
 	"heathgap/internal/versions"
 )
 
-// Figures of a member.
+// Timeouts of a member that stops.
 const (
-	leaveTime = 500 * time.Millisecond // for the word that this process ends
-	// moveTime is how long a process that ends waits for others to take over what it holds: platforms give 10 s or more before
-	// they kill, and its callers' answers have gone by then.
-	moveTime = 4 * time.Second
+	leaveTimeout = 500 * time.Millisecond // for the message that this process ends
+	// decommissionTimeout is how long a process that ends waits until its replicas are on other members. Platforms give a process 10 s or more
+	// before they kill it; by then the answers to its callers have been sent.
+	decommissionTimeout = 4 * time.Second
 )
 
-// Member is a sidecar's part in a crew.
+// Member is a sidecar's membership in a cluster.
 type Member struct {
-	conf   operator.Cluster
-	world  env.Env
-	log    zerolog.Logger
-	server *peerrpc.Server
-	keeper *voter.Voter               // nil where this sidecar is none
-	lines  map[string]*peerrpc.Client // to keepers, by name
+	conf         operator.Cluster
+	env          env.Env
+	log          zerolog.Logger
+	server       *peerrpc.Server
+	voter        *voter.Voter               // nil if this sidecar is not a voter
+	voterClients map[string]*peerrpc.Client // by voter name
 
-	mu         sync.Mutex
-	holder     *cluster.LeaseHolder // guarded by mu, as the seeker is
-	seeker     *cluster.LeaseRenewer
-	generation uint64
-	warned     string // the last reason that was logged; guarded by mu
-	differed   bool   // it was logged that changes of members and placement could not be taken; guarded by mu
-	acting     atomic.Pointer[acted]
-	heard      chan struct{} // closed by the first word of a leader
-	halt       chan struct{}
-	ended      chan struct{}
+	mu            sync.Mutex
+	holder        *cluster.LeaseHolder // guarded by mu, as is renewer
+	renewer       *cluster.LeaseRenewer
+	generation    uint64
+	lastWarning   string // the last reason that was logged; guarded by mu
+	viewErrLogged bool   // whether an error of updating members and placement was logged; guarded by mu
+	effective     atomic.Pointer[effectiveState]
+	firstAnswer   chan struct{} // closed when the first grant arrives
+	stopRequested chan struct{}
+	ended         chan struct{}
 
-	renewals, refused, lost atomic.Int64
+	// Counters for the metrics: series of calls that ended, grants without a lease, and series without a leader's answer.
+	renewals, refused, noLeader atomic.Int64
 
-	copies *copies // nil where nothing is held
+	holdings *holdingsService // nil if the cluster has no holdings
 }
 
-// acted is what is acted on until a time.
-type acted struct {
+// effectiveState is what the member applies until a given time.
+type effectiveState struct {
 	pipeline.EffectiveRules
-	stance cluster.EffectiveRules
-	until  cluster.BootTime // of the lease; what stands here holds no longer
+	versions cluster.EffectiveRules
+	until    cluster.BootTime // end of the lease; afterwards this state is not valid
 }
 
-// Start begins; the sidecar acts cautiously until the crew has told it more.
-func Start(table operator.Cluster, conf *config.Config, world env.Env, log zerolog.Logger) (*Member, error) {
+// Start joins the cluster. Until the first grant arrives the sidecar applies the cautious rules.
+func Start(table operator.Cluster, conf *config.Config, environment env.Env, log zerolog.Logger) (*Member, error) {
 	log = log.With().Str("crew", table.Name).Logger()
 	self := cluster.Member{Name: conf.Name, Token: voter.NewID(), Zone: conf.Settings.Zone, Address: table.Address}
 	m := &Member{
-		conf: table, world: world, log: log, lines: map[string]*peerrpc.Client{},
-		holder: cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
-		heard:  make(chan struct{}), halt: make(chan struct{}), ended: make(chan struct{}),
+		conf: table, env: environment, log: log, voterClients: map[string]*peerrpc.Client{},
+		holder:      cluster.NewLeaseHolder(self, table.Params, versions.FromSettings(&conf.Settings), conf.ConnectTimeout),
+		firstAnswer: make(chan struct{}), stopRequested: make(chan struct{}), ended: make(chan struct{}),
 	}
-	m.publish(world.BootTime())
+	m.publish(environment.BootTime())
 	var err error
 	if table.Params.Holdings.Copies > 0 {
-		if m.copies, err = newCopies(m, conf); err != nil {
+		if m.holdings, err = newHoldingsService(m, conf); err != nil {
 			return nil, err
 		}
 	}
-	if m.server, err = peerrpc.Listen(world, table.Address, table.Name); err != nil {
+	if m.server, err = peerrpc.Listen(environment, table.Address, table.Name); err != nil {
 		return nil, err
 	}
-	handlers := map[string]peerrpc.Handler{"acting": m.tellActing}
-	if _, is := table.Voters[conf.Name]; is {
+	handlers := map[string]peerrpc.Handler{"acting": m.handleActing}
+	if _, isVoter := table.Voters[conf.Name]; isVoter {
 		if table.DataDir == "" {
 			m.server.Close()
 			return nil, fmt.Errorf("crew.data: missing; allowed: a folder of this keeper's own (%s stands under crew.keeper)", conf.Name)
 		}
-		m.keeper, err = voter.Open(voter.Conf{
+		m.voter, err = voter.Open(voter.Conf{
 			Cluster: table.Name, Name: conf.Name, Voters: table.Voters, Params: table.Params, DataDir: table.DataDir,
-		}, world, log)
+		}, environment, log)
 		if err != nil {
 			m.server.Close()
 			return nil, err
 		}
-		maps.Copy(handlers, m.keeper.Handlers())
-		world.Go("keeper", m.keeper.Run)
+		maps.Copy(handlers, m.voter.Handlers())
+		environment.Go("keeper", m.voter.Run)
 	}
 	for _, name := range slices.Sorted(maps.Keys(table.Voters)) {
-		m.lines[name] = peerrpc.NewClient(world, table.Name, conf.Name, table.Voters[name])
+		m.voterClients[name] = peerrpc.NewClient(environment, table.Name, conf.Name, table.Voters[name])
 	}
-	m.seeker = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
-	if m.copies != nil {
-		maps.Copy(handlers, m.copies.handlers())
-		world.Go("holdings", m.copies.run)
+	m.renewer = cluster.NewLeaseRenewer(m.holder, slices.Sorted(maps.Keys(table.Voters)))
+	if m.holdings != nil {
+		maps.Copy(handlers, m.holdings.handlers())
+		environment.Go("holdings", m.holdings.run)
 	}
-	m.server.Serve(world, handlers)
-	world.Go("lease", m.run)
-	// Guards against a process that sends to what was banned while it was away. Keepers that can't be heard delay a start
-	// by a lease at most.
-	timer := world.NewTimer(table.Params.Lease)
+	m.server.Serve(environment, handlers)
+	environment.Go("lease", m.run)
+	// Guards against a process that sends to endpoints that were banned while it was down. If no voter can be reached, this delays
+	// the start by one lease.
+	timer := environment.NewTimer(table.Params.Lease)
 	defer timer.Stop()
 	select {
-	case <-m.heard:
+	case <-m.firstAnswer:
 	case <-timer.C():
 		log.Warn().Msg("no word from the crew yet: serving cautiously, without the bans of its version")
 	}
 	return m, nil
 }
 
-// Effective is pipeline.Rules': the lease is looked at each time, so that a process that was paused finds it ended before it
-// acts.
+// Effective implements pipeline.RulesSource. It checks the lease with each call, so that a process that was paused notices that the
+// lease has ended before it applies the rules.
 func (m *Member) Effective() *pipeline.EffectiveRules {
-	a := m.acting.Load()
-	if now := m.world.BootTime(); now >= a.until && !a.Cautious {
+	state := m.effective.Load()
+	if now := m.env.BootTime(); now >= state.until && !state.Cautious {
 		return &m.publish(now).EffectiveRules
 	}
-	return &a.EffectiveRules
+	return &state.EffectiveRules
 }
 
-// publish puts in force what the holder says, if it differs.
-func (m *Member) publish(now cluster.BootTime) *acted {
+// publish puts the lease holder's rules into effect, if they have changed.
+func (m *Member) publish(now cluster.BootTime) *effectiveState {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.publishLocked(now)
 }
 
-func (m *Member) publishLocked(now cluster.BootTime) *acted {
-	stance := m.holder.Effective(now)
-	before := m.acting.Load()
-	if before != nil && before.Cautious == stance.Cautious && before.stance.Active == stance.Active &&
-		before.stance.Next == stance.Next && maps.Equal(before.Banned, stance.Rules.Banned) {
-		next := *before // the same, for longer
-		next.until, next.stance.Epoch = m.holder.LeaseEnd(), stance.Epoch
-		m.acting.Store(&next)
+func (m *Member) publishLocked(now cluster.BootTime) *effectiveState {
+	rules := m.holder.Effective(now)
+	before := m.effective.Load()
+	if before != nil && before.Cautious == rules.Cautious && before.versions.Active == rules.Active &&
+		before.versions.Next == rules.Next && maps.Equal(before.Banned, rules.Rules.Banned) {
+		next := *before // same rules, later end of the lease
+		next.until, next.versions.Epoch = m.holder.LeaseEnd(), rules.Epoch
+		m.effective.Store(&next)
 		return &next
 	}
 	m.generation++
-	next := &acted{stance: stance, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
-		Generation: m.generation, Dynamic: stance.Rules.DynamicSettings(), Banned: stance.Rules.Banned, Cautious: stance.Cautious,
+	next := &effectiveState{versions: rules, until: m.holder.LeaseEnd(), EffectiveRules: pipeline.EffectiveRules{
+		Generation: m.generation, Dynamic: rules.Rules.DynamicSettings(), Banned: rules.Rules.Banned, Cautious: rules.Cautious,
 	}}
-	m.acting.Store(next)
-	ev := m.log.Info()
-	if stance.Cautious {
-		ev = m.log.Warn()
+	m.effective.Store(next)
+	event := m.log.Info()
+	if rules.Cautious {
+		event = m.log.Warn()
 	}
-	ev.Bool("cautious", stance.Cautious).Uint64("version", stance.Active).Uint64("next", stance.Next).Uint64("epoch", stance.Epoch).
-		Int("banned", len(stance.Rules.Banned)).Msg("rules in force")
+	event.Bool("cautious", rules.Cautious).Uint64("version", rules.Active).Uint64("next", rules.Next).Uint64("epoch", rules.Epoch).
+		Int("banned", len(rules.Rules.Banned)).Msg("rules in force")
 	return next
 }
 
-// run keeps the lease until Stop.
+// run renews the lease until Stop is called.
 func (m *Member) run() {
 	defer close(m.ended)
 	heartbeat := m.conf.Params.Lease / cluster.HeartbeatsPerLease
-	timer := m.world.NewTimer(0)
+	timer := m.env.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
-		case <-m.halt:
+		case <-m.stopRequested:
 			return
 		case <-timer.C():
 		}
 		m.mu.Lock()
-		m.seeker.StartHeartbeat()
+		m.renewer.StartHeartbeat()
 		m.mu.Unlock()
-		for m.ask() {
+		for m.renewOnce() {
 		}
-		m.Effective() // an end of the lease is told when it comes, not with the next request
+		m.Effective() // publishes the end of the lease in time, even without requests
 		timer.Reset(heartbeat)
 	}
 }
 
-// ask asks one keeper for the lease. It tells whether to ask again at once.
-func (m *Member) ask() (again bool) {
+// renewOnce sends one renewal to a voter. It reports whether to send the next one at once.
+func (m *Member) renewOnce() (renewNow bool) {
 	m.mu.Lock()
-	if m.copies != nil {
-		m.holder.CaughtUp, m.holder.Unreachable = m.copies.says()
+	if m.holdings != nil {
+		m.holder.CaughtUp, m.holder.Unreachable = m.holdings.leaseReport()
 	}
-	name, r := m.seeker.NextRequest(m.world.BootTime())
+	voterName, r := m.renewer.NextRequest(m.env.BootTime())
 	m.mu.Unlock()
 	var reply voter.RenewResult
-	if err := m.lines[name].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
+	if err := m.voterClients[voterName].Call("renew", r, &reply, m.conf.Params.Lease/cluster.CallTimeoutPart); err != nil {
 		reply = voter.RenewResult{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := m.seeker.HandleResponse(m.world.BootTime(), reply.Grant, reply.Leader)
-	if next.Done {
+	step := m.renewer.HandleResponse(m.env.BootTime(), reply.Grant, reply.Leader)
+	if step.Done {
 		m.renewals.Add(1)
 	}
 	switch {
-	case errors.Is(next.Err, cluster.ErrNoLeader):
-		m.lost.Add(1)
+	case errors.Is(step.Err, cluster.ErrNoLeader):
+		m.noLeader.Add(1)
 		return false
-	case next.Err != nil:
-		m.warn("the crew's word can't be taken", next.Err.Error())
+	case step.Err != nil:
+		m.warn("the crew's word can't be taken", step.Err.Error())
 		return false
-	case !next.Done:
-		return next.RenewNow
+	case !step.Done:
+		return step.RenewNow
 	}
-	m.publishLocked(m.world.BootTime())
-	if m.copies != nil {
-		m.copies.learn(m.holder)
+	m.publishLocked(m.env.BootTime())
+	if m.holdings != nil {
+		m.holdings.update(m.holder)
 	}
-	if err := m.holder.ViewErr(); err != nil && !m.differed {
-		m.differed = true // once for a process: what can't be taken is asked for whole
+	if err := m.holder.ViewErr(); err != nil && !m.viewErrLogged {
+		m.viewErrLogged = true // logged once per process; the lease holder then requests the full view
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
 	select {
-	case <-m.heard:
+	case <-m.firstAnswer:
 	default:
-		close(m.heard)
+		close(m.firstAnswer)
 	}
 	switch {
 	case reply.Grant.Granted:
-		m.warned = ""
-	case next.Reason != "":
-		m.warn("the crew grants no lease", next.Reason)
+		m.lastWarning = ""
+	case step.Reason != "":
+		m.warn("the crew grants no lease", step.Reason)
 		fallthrough
 	default:
 		m.refused.Add(1)
 	}
-	return next.RenewNow
+	return step.RenewNow
 }
 
-// warn writes a line, but not the same one with each heartbeat.
-func (m *Member) warn(what, why string) {
-	if key, _, _ := strings.Cut(why, "whose lease"); key != m.warned {
-		m.warned = key
-		m.log.Warn().Str("why", why).Msg(what)
+// warn logs a warning, unless it has the same reason as the one before: reasons may repeat with each heartbeat.
+func (m *Member) warn(message, reason string) {
+	if key, _, _ := strings.Cut(reason, "whose lease"); key != m.lastWarning {
+		m.lastWarning = key
+		m.log.Warn().Str("why", reason).Msg(message)
 	}
 }
 
-// Status is what a member says that it acts on.
+// Status is a member's report of what it applies.
 type Status struct {
 	Name     string   `cbor:"1,keyasint"`
 	Cautious bool     `cbor:"2,keyasint"`
 	Active   uint64   `cbor:"3,keyasint"`
 	Next     uint64   `cbor:"4,keyasint"`
 	Epoch    uint64   `cbor:"5,keyasint"`
-	LeaseMS  int      `cbor:"6,keyasint"` // left; below 0 when it has ended
+	LeaseMS  int      `cbor:"6,keyasint"` // milliseconds until the lease ends; negative if it has ended
 	Banned   []string `cbor:"7,keyasint,omitempty"`
 	Renewals int64    `cbor:"8,keyasint"`
 	Refused  int64    `cbor:"9,keyasint"`
 	Lost     int64    `cbor:"10,keyasint"`
 }
 
-func (m *Member) tellActing(string, []byte) (any, error) {
-	a := m.current()
-	acts := m.acts(a)
-	acts.Banned = slices.Sorted(maps.Keys(a.Banned))
-	return acts, nil
+func (m *Member) handleActing(string, []byte) (any, error) {
+	state := m.current()
+	status := m.statusOf(state)
+	status.Banned = slices.Sorted(maps.Keys(state.Banned))
+	return status, nil
 }
 
-// Status tells what it acts on at this moment, but for the names that are banned: who looks often is spared their list.
-func (m *Member) Status() Status { return m.acts(m.current()) }
+// Status returns what the member applies now, without the list of banned endpoints, which frequent callers don't need.
+func (m *Member) Status() Status { return m.statusOf(m.current()) }
 
-// current is what is acted on at this moment.
-func (m *Member) current() *acted {
+// current returns the state in effect now.
+func (m *Member) current() *effectiveState {
 	m.Effective()
-	return m.acting.Load()
+	return m.effective.Load()
 }
 
-func (m *Member) acts(a *acted) Status {
+func (m *Member) statusOf(state *effectiveState) Status {
 	return Status{
-		Name: m.holder.Self.Name, Cautious: a.Cautious, Active: a.stance.Active, Next: a.stance.Next, Epoch: a.stance.Epoch,
-		LeaseMS:  int((a.until - m.world.BootTime()).Milliseconds()),
-		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.lost.Load(),
+		Name: m.holder.Self.Name, Cautious: state.Cautious, Active: state.versions.Active, Next: state.versions.Next, Epoch: state.versions.Epoch,
+		LeaseMS:  int((state.until - m.env.BootTime()).Milliseconds()),
+		Renewals: m.renewals.Load(), Refused: m.refused.Load(), Lost: m.noLeader.Load(),
 	}
 }
 
-// Metrics is lifecycle.Crew's.
+// Metrics implements lifecycle.Cluster.
 func (m *Member) Metrics(text []byte) []byte {
 	m.Effective()
-	a := m.acting.Load()
+	state := m.effective.Load()
 	cautious, leads := int64(0), int64(0)
-	if a.Cautious {
+	if state.Cautious {
 		cautious = 1
 	}
-	if m.keeper != nil && m.keeper.IsLeader() {
+	if m.voter != nil && m.voter.IsLeader() {
 		leads = 1
 	}
 	for _, f := range []struct {
@@ -300,68 +301,68 @@
 		value int64
 		kind  byte
 	}{
-		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(a.stance.Active), metrics.Gauge},
-		{"crew_next", int64(a.stance.Next), metrics.Gauge}, {"crew_epoch", int64(a.stance.Epoch), metrics.Gauge},
-		{"crew_lease_ms", max(0, (a.until - m.world.BootTime()).Milliseconds()), metrics.Gauge},
-		{"crew_banned", int64(len(a.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
+		{"crew_cautious", cautious, metrics.Gauge}, {"crew_version", int64(state.versions.Active), metrics.Gauge},
+		{"crew_next", int64(state.versions.Next), metrics.Gauge}, {"crew_epoch", int64(state.versions.Epoch), metrics.Gauge},
+		{"crew_lease_ms", max(0, (state.until - m.env.BootTime()).Milliseconds()), metrics.Gauge},
+		{"crew_banned", int64(len(state.Banned)), metrics.Gauge}, {"crew_leads", leads, metrics.Gauge},
 		{"crew_renewals", m.renewals.Load(), metrics.Counter}, {"crew_refused", m.refused.Load(), metrics.Counter},
-		{"crew_unheard", m.lost.Load(), metrics.Counter},
+		{"crew_unheard", m.noLeader.Load(), metrics.Counter},
 	} {
 		text = metrics.Append(text, f.name, f.value, f.kind)
 	}
-	if m.copies != nil {
-		text = m.copies.figures(text)
+	if m.holdings != nil {
+		text = m.holdings.appendMetrics(text)
 	}
 	return text
 }
 
-// Holdings is lifecycle.Crew's.
+// Holdings implements lifecycle.Cluster.
 func (m *Member) Holdings() pipeline.Holdings {
-	if m.copies == nil {
+	if m.holdings == nil {
 		return nil
 	}
-	return m.copies
+	return m.holdings
 }
 
-// Leaving is lifecycle.Crew's.
+// Leaving implements lifecycle.Cluster.
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.holder.Decommissioning = m.copies != nil
+	m.holder.Decommissioning = m.holdings != nil
 }
 
-// leaveReplicas waits, not for long, until others have what this sidecar holds for them.
+// leaveReplicas waits, for at most decommissionTimeout, until other members have taken over this sidecar's replicas.
 func (m *Member) leaveReplicas() {
 	m.Leaving()
-	for limit := m.world.Now().Add(moveTime); m.world.Now().Before(limit); m.world.Sleep(tickHoldings) {
-		if m.copies.replicas() == 0 || m.Effective().Cautious {
+	for deadline := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(deadline); m.env.Sleep(holdingsTick) {
+		if m.holdings.countReplicas() == 0 || m.Effective().Cautious {
 			return
 		}
 	}
-	m.log.Warn().Int("shards", m.copies.replicas()).Dur("after", moveTime).Msg("leaves with seats that nobody else has taken yet")
+	m.log.Warn().Int("shards", m.holdings.countReplicas()).Dur("after", decommissionTimeout).Msg("leaves with seats that nobody else has taken yet")
 }
 
-// Stop says that this process ends, so that its name is free and nobody waits for its lease, and ends the keeper.
+// Stop leaves the cluster, so that the member's name is free and nobody waits for its lease to end, and stops the voter.
 func (m *Member) Stop() {
-	if m.copies != nil {
+	if m.holdings != nil {
 		m.leaveReplicas()
 	}
-	close(m.halt)
+	close(m.stopRequested)
 	<-m.ended
-	if m.copies != nil {
-		m.copies.stop()
+	if m.holdings != nil {
+		m.holdings.stop()
 	}
 	m.mu.Lock()
-	r, first := m.holder.NextRenewal(), m.seeker.FirstVoter()
+	r, firstVoter := m.holder.NextRenewal(), m.renewer.FirstVoter()
 	m.mu.Unlock()
 	r.Leaving = true
 	var reply voter.RenewResult
-	m.lines[first].Call("renew", &r, &reply, leaveTime) //nolint:errcheck // else its lease's end says it
-	for _, l := range m.lines {
-		l.Close()
+	m.voterClients[firstVoter].Call("renew", &r, &reply, leaveTimeout) //nolint:errcheck // if this fails, the member is removed when its lease ends
+	for _, client := range m.voterClients {
+		client.Close()
 	}
-	if m.keeper != nil {
-		m.keeper.Stop()
+	if m.voter != nil {
+		m.voter.Stop()
 	}
 	m.server.Close()
 }
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -1,5 +1,5 @@
-// Package voter carries a crew's agreement: etcd's raft over a bbolt file, the ledger that follows from its log, and the
-// leases that its leader grants. One goroutine owns all of it; what comes over the network is handed to it as events.
+// Package voter implements a member that takes part in raft: etcd's raft on a bbolt file, the ledger that follows from the raft log,
+// and the leases that the leader grants. One goroutine owns all state; messages from the network are handed to it as events.
 package voter
 
 import (
@@ -21,186 +21,190 @@
 	"heathgap/internal/cluster"
 )
 
-// Figures of a keeper.
+// Intervals and limits of a voter.
 const (
-	// TickEvery is how often a core is to be told that time has passed.
+	// TickEvery is the interval at which Tick must be called.
 	TickEvery = 50 * time.Millisecond
-	// electionTicks without word from a leader begin an election, up to twice as many at random: above a bad fsync.
+	// A follower that hears nothing from a leader for electionTicks, plus a random time of up to as much again, starts an election.
+	// This is longer than a slow fsync.
 	electionTicks  = 10
 	heartbeatTicks = 2
-	readTime       = time.Second     // a majority must have confirmed the leader by then
-	formEvery      = time.Second / 4 // keepers that form a crew ask each other
-	compactEvery   = 1000            // entries of the log, until a snapshot takes their place
-	compactKeep    = 200             // of which stay for followers that lag
+	readTimeout    = time.Second     // for a majority to confirm the leader
+	announceEvery  = time.Second / 4 // between announcements while the voters form a cluster
+	compactEvery   = 1000            // entries of the log before a snapshot replaces them
+	compactKeep    = 200             // of these entries stay in memory for followers that lag
 )
 
-// Conf is what a keeper is started with.
+// Conf is the configuration of a voter.
 type Conf struct {
 	Cluster string
 	Name    string
-	Voters  map[string]string // addresses by names, this one's too
+	Voters  map[string]string // addresses by voter name, including this voter's
 	Params  cluster.Params
-	DataDir string // folder
+	DataDir string // data directory
 }
 
-// Clock is a keeper's view of time; env.Env has it.
+// Clock gives a voter the time; env.Env implements it.
 type Clock interface {
 	Now() time.Time
 	BootTime() time.Duration
 }
 
-// Transport are how a keeper speaks to the others. Calls return at once, and may lose what they are given.
+// Transport sends messages to the other voters. Its methods return at once, and messages may be lost.
 type Transport interface {
-	// Send has messages of raft said to another keeper; false when there was no room for them.
-	Send(keeper string, m *raftpb.Message) bool
-	// Announce has another keeper told this one's word; its answer is to come to Hear.
-	Announce(keeper string, mine Announcement)
+	// Send queues a raft message for another voter; it returns false if the queue is full.
+	Send(voter string, m *raftpb.Message) bool
+	// Announce sends this voter's announcement to another voter. The answer must be passed to HandleAnnouncement.
+	Announce(voter string, own Announcement)
 }
 
-// Core is a keeper without network and goroutines: what comes is told to it, what it says goes to its Ways, and Settle does
-// all that follows. A process drives it (Keeper), and so does the simulation. It is to be called by one goroutine. Raft
-// panics on a log that can't be; whoever drives it takes that for an error that ends it.
+// Core is a voter without network and goroutines: messages are passed in by method calls, outgoing ones go to its Transport, and
+// ProcessReady does everything that follows from the calls. It is driven by Voter in a process, and by the simulation. All calls must
+// come from one goroutine. Raft panics on an impossible log; the driver must treat a panic as an error that ends the voter.
 type Core struct {
-	conf  Conf
-	clock Clock
-	log   zerolog.Logger
-	store *store
-	ways  Transport
-	fail  error // why it ended
-
-	node     *raft.RawNode // nil until the crew is formed
-	ledger   *cluster.Ledger
-	applied  uint64
-	conf3    *raftpb.ConfState // as applied
-	leader   uint64            // id; 0 for none
-	state    raft.StateType
-	granter  *cluster.Lessor // while it leads
-	term     uint64          // in which it came to lead
-	mark     uint64          // of the entry of its own that is on its way; 0 for none
-	marks    uint64
-	waiting  []renewal // for a majority's word
-	reading  *read
-	reads    uint64
-	asked    map[uint64][]func(ProposeResult, error) // proposals on their way, by id
-	heard    map[string]Announcement
-	met      map[string]uint64 // ids of folders that others have last spoken with, by names
-	seen     map[uint64]past   // of other keepers' folders, by id
-	nextForm time.Time
-	dropped  int64 // messages to keepers that there was no room for
-	// What the others told when this keeper started with a folder: see clear.go.
-	clearing  *clearing
-	voteAfter uint64
-	atLeast   logEnd
-	bounds    map[string]logEnd    // whose words made it so, by names
-	spoke     map[uint64]time.Time // when each folder was last heard, by id
-}
-
-// renewal is a member's renewal that waits.
-type renewal struct {
-	r     cluster.Renewal
-	reply func(RenewResult)
-}
-
-// read is a question to a majority whether this is the leader.
-type read struct {
-	id    uint64
-	batch []renewal
-	index uint64 // 0 until a majority has said yes
-	until time.Time
-}
-
-// RenewResult is the answer to a renewal.
+	conf      Conf
+	clock     Clock
+	log       zerolog.Logger
+	store     *store
+	transport Transport
+	failure   error // why the voter stopped taking part
+
+	node             *raft.RawNode // nil until the cluster is formed
+	ledger           *cluster.Ledger
+	applied          uint64
+	confState        *raftpb.ConfState // of the newest applied change of voters
+	leaderID         uint64            // 0 for none
+	raftState        raft.StateType
+	lessor           *cluster.Lessor // nil unless this voter leads
+	leaderTerm       uint64          // the term in which this voter was last elected
+	pendingMark      uint64          // of the leader's own entry in flight; 0 for none
+	markCount        uint64
+	waitingRenewals  []waitingRenewal // for a majority to confirm the leader
+	pendingRead      *readIndexRequest
+	readCount        uint64
+	waitingProposals map[uint64][]func(ProposeResult, error) // proposals in flight, by id
+	announcements    map[string]Announcement                 // the newest of each other voter, by name
+	lastIDs          map[string]uint64                       // id of the data directory from which each voter last sent messages, by name
+	observed         map[uint64]observedProgress             // of other voters' data directories, by id
+	nextAnnounce     time.Time
+	dropped          int64 // raft messages that the transport's queues had no room for
+	// The rest is what the other voters reported after this one started with an existing data directory; see startcheck.go.
+	startCheck      *startCheck
+	voteAfterTerm   uint64               // vote only in later terms; 0 for no such bound
+	minLogEnd       logEnd               // this voter's log, and that of a candidate it votes for, must end there or later
+	requiredLogEnds map[string]logEnd    // the reported log ends from which minLogEnd follows, by voter name
+	lastHeard       map[uint64]time.Time // when each data directory last sent a message, by id
+}
+
+// waitingRenewal is a member's renewal that has not been answered yet.
+type waitingRenewal struct {
+	request cluster.Renewal
+	reply   func(RenewResult)
+}
+
+// readIndexRequest asks a majority to confirm that this voter is the leader.
+type readIndexRequest struct {
+	id       uint64
+	batch    []waitingRenewal
+	index    uint64 // 0 until a majority has confirmed the leader
+	deadline time.Time
+}
+
+// RenewResult is the answer to a renewal. Both fields are empty if no leader is known or it was not confirmed.
 type RenewResult struct {
 	Grant  *cluster.Grant `cbor:"1,keyasint,omitempty"`
-	Leader string         `cbor:"2,keyasint,omitempty"` // its name, where this keeper does not lead
+	Leader string         `cbor:"2,keyasint,omitempty"` // the leader's name, if this voter does not lead
 }
 
-// ProposeResult is the answer to a proposal.
+// ProposeResult is the answer to a proposal: its version number, or the leader's name if this voter does not lead.
 type ProposeResult struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Leader string `cbor:"2,keyasint,omitempty"`
 }
 
-// logged is an entry of the log. The mark tells a leader its own.
-type logged struct {
+// logEntry is an entry of the raft log. The mark lets a leader recognize its own entry.
+type logEntry struct {
 	Mark  uint64        `cbor:"1,keyasint"`
 	Entry cluster.Entry `cbor:"2,keyasint"`
 }
 
-// NewID draws an id, never 0.
+// NewID returns a random id, never 0.
 func NewID() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) //nolint:errcheck // it does not fail
+	rand.Read(b[:]) //nolint:errcheck // rand.Read never fails
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// NewCore opens a keeper on its disk; where names that to people. fresh draws the id of a new folder.
-func NewCore(conf Conf, clock Clock, logTo zerolog.Logger, disk Disk, where string, fresh func() uint64, ways Transport) (*Core, error) {
-	store, err := newStore(disk, where, conf.Cluster, conf.Name, fresh)
+// NewCore opens a voter's data on a disk. path names the disk in messages; newID returns the id of a new data directory.
+func NewCore(conf Conf, clock Clock, log zerolog.Logger, disk Disk, path string, newID func() uint64, transport Transport) (*Core, error) {
+	store, err := newStore(disk, path, conf.Cluster, conf.Name, newID)
 	if err != nil {
 		return nil, err
 	}
-	return &Core{conf: conf, clock: clock, log: logTo, store: store, ways: ways, ledger: cluster.NewLedger(),
-		asked: map[uint64][]func(ProposeResult, error){}, heard: map[string]Announcement{}, met: map[string]uint64{}, spoke: map[uint64]time.Time{}, seen: map[uint64]past{}}, nil
+	return &Core{conf: conf, clock: clock, log: log, store: store, transport: transport, ledger: cluster.NewLedger(),
+		waitingProposals: map[uint64][]func(ProposeResult, error){}, announcements: map[string]Announcement{}, lastIDs: map[string]uint64{}, lastHeard: map[uint64]time.Time{}, observed: map[uint64]observedProgress{}}, nil
 }
 
-// Err is why it takes no further part; nil while it does.
-func (k *Core) Err() error { return k.fail }
+// Err returns why the voter stopped taking part; nil while it does take part.
+func (c *Core) Err() error { return c.failure }
 
-// IsLeader tells whether it takes itself for the leader, and in which term.
-func (k *Core) IsLeader() (term uint64, leads bool) { return k.term, k.state == raft.StateLeader }
+// IsLeader reports whether this voter considers itself the leader, and the term in which it was last elected.
+func (c *Core) IsLeader() (term uint64, leads bool) {
+	return c.leaderTerm, c.raftState == raft.StateLeader
+}
 
-// Ledger is what it knows to be agreed on, after so many entries of the log. It is not to be changed, and not to be kept.
-func (k *Core) Ledger() (l *cluster.Ledger, applied uint64) { return k.ledger, k.applied }
+// Ledger returns the ledger and the index of the last log entry applied to it. The caller must neither change nor keep the ledger.
+func (c *Core) Ledger() (l *cluster.Ledger, applied uint64) { return c.ledger, c.applied }
 
-// Tick tells it that TickEvery has passed.
-func (k *Core) Tick() {
-	if k.node != nil && k.takesPart() {
-		k.node.Tick()
+// Tick advances the voter's time by TickEvery.
+func (c *Core) Tick() {
+	if c.node != nil && c.startCheckDone() {
+		c.node.Tick()
 	}
-	if now := k.clock.Now(); (!k.settled() || k.clearing != nil) && !now.Before(k.nextForm) {
-		k.nextForm = now.Add(formEvery)
-		k.askToForm()
+	if now := c.clock.Now(); (!c.isCurrentVoter() || c.startCheck != nil) && !now.Before(c.nextAnnounce) {
+		c.nextAnnounce = now.Add(announceEvery)
+		c.announce()
 	}
 }
 
-// ProcessReady does what follows from all that it was told: it writes, and then speaks. After an error it is not to be used.
-func (k *Core) ProcessReady() error {
-	if k.fail == nil && k.node != nil {
-		k.fail = k.step()
+// ProcessReady does what follows from the calls before: it writes to disk, and then sends messages. After an error the voter must not
+// be used any more.
+func (c *Core) ProcessReady() error {
+	if c.failure == nil && c.node != nil {
+		c.failure = c.handleReady()
 	}
-	return k.fail
+	return c.failure
 }
 
-// FailWaiting answers all that wait.
-func (k *Core) FailWaiting() { k.failAll() }
+// FailWaiting answers all waiting renewals and proposals with a failure.
+func (c *Core) FailWaiting() { c.failAll() }
 
-// Start begins raft where the folder is that of a formed crew.
-func (k *Core) Start() error {
-	if hard, conf, err := k.store.mem.InitialState(); err != nil || raft.IsEmptyHardState(hard) && len(conf.GetVoters()) == 0 {
+// Start starts raft if the data directory belongs to a cluster that has been formed.
+func (c *Core) Start() error {
+	if hard, conf, err := c.store.mem.InitialState(); err != nil || raft.IsEmptyHardState(hard) && len(conf.GetVoters()) == 0 {
 		return err
 	}
-	if err := k.begin(); err != nil || len(k.ledger.Voters) < 2 {
+	if err := c.startRaft(); err != nil || len(c.ledger.Voters) < 2 {
 		return err
 	}
-	k.clearing = &clearing{until: k.clock.Now().Add(clearTime), words: map[string]Announcement{}}
+	c.startCheck = &startCheck{deadline: c.clock.Now().Add(startCheckTimeout), announcements: map[string]Announcement{}}
 	return nil
 }
 
-// begin begins raft with what the folder holds.
-func (k *Core) begin() error {
-	snap, err := k.store.mem.Snapshot()
+// startRaft starts raft with the contents of the data directory.
+func (c *Core) startRaft() error {
+	snap, err := c.store.mem.Snapshot()
 	if err != nil {
 		return err
 	}
-	k.applied = snap.GetMetadata().GetIndex()
+	c.applied = snap.GetMetadata().GetIndex()
 	if !raft.IsEmptySnap(snap) {
-		if err := k.restore(snap); err != nil {
+		if err := c.restoreSnapshot(snap); err != nil {
 			return err
 		}
 	}
-	k.node, err = raft.NewRawNode(&raft.Config{
-		ID: k.store.who.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: k.store.mem, Applied: k.applied,
+	c.node, err = raft.NewRawNode(&raft.Config{
+		ID: c.store.identity.ID, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: c.store.mem, Applied: c.applied,
 		MaxSizePerMsg: 1 << 20, MaxUncommittedEntriesSize: 8 << 20, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true,
 		ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, StepDownOnRemoval: true,
 		Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
@@ -208,161 +212,161 @@
 	return err
 }
 
-// restore takes the ledger of a snapshot.
-func (k *Core) restore(snap *raftpb.Snapshot) error {
+// restoreSnapshot replaces the ledger by that of a snapshot.
+func (c *Core) restoreSnapshot(snap *raftpb.Snapshot) error {
 	ledger := cluster.NewLedger()
 	if err := cbor.Unmarshal(snap.GetData(), ledger); err != nil {
 		return fmt.Errorf("%w: ledger: %w", errDamaged, err)
 	}
-	k.ledger, k.applied, k.conf3 = ledger, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
+	c.ledger, c.applied, c.confState = ledger, snap.GetMetadata().GetIndex(), snap.GetMetadata().GetConfState()
 	return nil
 }
 
-// step does what raft wants done, and what follows from it.
-func (k *Core) step() error {
+// handleReady does what raft has ready: it saves, sends and applies, until there is nothing more.
+func (c *Core) handleReady() error {
 	for {
-		if k.state == raft.StateLeader {
-			k.lead()
+		if c.raftState == raft.StateLeader {
+			c.serveAsLeader()
 		}
-		if !k.node.HasReady() {
+		if !c.node.HasReady() {
 			return nil
 		}
-		rd := k.node.Ready()
-		if rd.HardState != nil || len(rd.Entries) > 0 || !raft.IsEmptySnap(rd.Snapshot) {
-			if err := k.store.save(rd.HardState, rd.Entries, rd.Snapshot, rd.MustSync); err != nil {
-				return fmt.Errorf("writing: %w", err) // whether it is on the disk is not known: nothing more may be said
+		ready := c.node.Ready()
+		if ready.HardState != nil || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot) {
+			if err := c.store.save(ready.HardState, ready.Entries, ready.Snapshot, ready.MustSync); err != nil {
+				return fmt.Errorf("writing: %w", err) // it is unknown whether the data is on disk, so nothing more may be sent
 			}
 		}
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			if err := k.restore(rd.Snapshot); err != nil {
+		if !raft.IsEmptySnap(ready.Snapshot) {
+			if err := c.restoreSnapshot(ready.Snapshot); err != nil {
 				return err
 			}
 		}
-		if rd.SoftState != nil {
-			k.turn(rd.SoftState)
+		if ready.SoftState != nil {
+			c.handleSoftState(ready.SoftState)
 		}
-		k.send(rd.Messages)
-		for _, e := range rd.CommittedEntries {
-			if err := k.apply(e); err != nil {
+		c.sendMessages(ready.Messages)
+		for _, e := range ready.CommittedEntries {
+			if err := c.apply(e); err != nil {
 				return err
 			}
 		}
-		for _, rs := range rd.ReadStates {
-			if k.reading != nil && binary.BigEndian.Uint64(rs.RequestCtx) == k.reading.id {
-				k.reading.index = max(1, rs.Index)
+		for _, rs := range ready.ReadStates {
+			if c.pendingRead != nil && binary.BigEndian.Uint64(rs.RequestCtx) == c.pendingRead.id {
+				c.pendingRead.index = max(1, rs.Index)
 			}
 		}
-		k.node.Advance(rd)
-		if err := k.compact(); err != nil {
+		c.node.Advance(ready)
+		if err := c.compact(); err != nil {
 			return err
 		}
 	}
 }
 
-// turn books a change of leader.
-func (k *Core) turn(s *raft.SoftState) {
-	if term := k.node.BasicStatus().HardState.GetTerm(); s.RaftState == raft.StateLeader && (k.granter == nil || k.term != term) {
-		k.granter, k.term, k.mark = cluster.NewLessor(k.conf.Params, term), term, 0
-		k.log.Info().Uint64("term", term).Msg("this keeper leads the crew")
+// handleSoftState records a change of leader.
+func (c *Core) handleSoftState(s *raft.SoftState) {
+	if term := c.node.BasicStatus().HardState.GetTerm(); s.RaftState == raft.StateLeader && (c.lessor == nil || c.leaderTerm != term) {
+		c.lessor, c.leaderTerm, c.pendingMark = cluster.NewLessor(c.conf.Params, term), term, 0
+		c.log.Info().Uint64("term", term).Msg("this keeper leads the crew")
 	}
-	if s.RaftState != raft.StateLeader && k.state == raft.StateLeader {
-		k.granter = nil
-		k.failAll()
-		k.log.Info().Msg("this keeper no longer leads the crew")
+	if s.RaftState != raft.StateLeader && c.raftState == raft.StateLeader {
+		c.lessor = nil
+		c.failAll()
+		c.log.Info().Msg("this keeper no longer leads the crew")
 	}
-	k.state, k.leader = s.RaftState, s.Lead
+	c.raftState, c.leaderID = s.RaftState, s.Lead
 }
 
-// lead answers renewals and proposes what is due.
-func (k *Core) lead() {
-	now := k.clock.Now()
-	if rd := k.reading; rd != nil && rd.index > 0 && k.applied >= rd.index {
-		k.reading = nil
-		for _, w := range rd.batch {
-			grant := k.granter.Renew(k.clock.BootTime(), k.ledger, &w.r)
+// serveAsLeader answers renewals and proposes what is due.
+func (c *Core) serveAsLeader() {
+	now := c.clock.Now()
+	if read := c.pendingRead; read != nil && read.index > 0 && c.applied >= read.index {
+		c.pendingRead = nil
+		for _, w := range read.batch {
+			grant := c.lessor.Renew(c.clock.BootTime(), c.ledger, &w.request)
 			w.reply(RenewResult{Grant: &grant})
 		}
-	} else if rd != nil && now.After(rd.until) {
-		k.reading = nil // its members ask again
-		for _, w := range rd.batch {
+	} else if read != nil && now.After(read.deadline) {
+		c.pendingRead = nil // the members repeat their renewals
+		for _, w := range read.batch {
 			w.reply(RenewResult{})
 		}
 	}
-	if k.reading == nil && len(k.waiting) > 0 {
-		k.reads++
-		k.reading = &read{id: k.reads, batch: k.waiting, until: now.Add(readTime)}
-		k.waiting = nil
-		k.node.ReadIndex(binary.BigEndian.AppendUint64(nil, k.reads))
+	if c.pendingRead == nil && len(c.waitingRenewals) > 0 {
+		c.readCount++
+		c.pendingRead = &readIndexRequest{id: c.readCount, batch: c.waitingRenewals, deadline: now.Add(readTimeout)}
+		c.waitingRenewals = nil
+		c.node.ReadIndex(binary.BigEndian.AppendUint64(nil, c.readCount))
 	}
-	// Guards against conclusions from a ledger that lacks what the leaders before have agreed on: the leader's own
-	// first entry is behind all of that.
-	if k.mark == 0 && k.applied > 0 && k.caughtUp() {
-		if due := k.granter.Due(k.clock.BootTime(), k.ledger); len(due) > 0 {
-			k.propose(due[0])
+	// Guards against conclusions from a ledger that lacks entries of earlier leaders: the leader's own first entry comes after
+	// all of them.
+	if c.pendingMark == 0 && c.applied > 0 && c.appliedOwnTerm() {
+		if due := c.lessor.Due(c.clock.BootTime(), c.ledger); len(due) > 0 {
+			c.propose(due[0])
 		}
 	}
 }
 
-// caughtUp tells whether an entry of this leader's own term has been applied.
-func (k *Core) caughtUp() bool {
-	term, err := k.store.mem.Term(k.applied)
-	return err == nil && term == k.node.BasicStatus().HardState.GetTerm()
+// appliedOwnTerm reports whether an entry of raft's current term has been applied.
+func (c *Core) appliedOwnTerm() bool {
+	term, err := c.store.mem.Term(c.applied)
+	return err == nil && term == c.node.BasicStatus().HardState.GetTerm()
 }
 
-// propose gives an entry of this leader's own to raft.
-func (k *Core) propose(e cluster.Entry) {
-	k.marks++
-	mark := NewID() + 2*k.marks
-	if k.append(logged{mark, e}) == nil {
-		k.mark = mark
+// propose proposes an entry of this leader's own to raft.
+func (c *Core) propose(e cluster.Entry) {
+	c.markCount++
+	mark := NewID() + 2*c.markCount
+	if c.appendEntry(logEntry{mark, e}) == nil {
+		c.pendingMark = mark
 	}
 }
 
-func (k *Core) append(e logged) error {
-	text, err := cbor.Marshal(e)
+func (c *Core) appendEntry(e logEntry) error {
+	encoded, err := cbor.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return k.node.Propose(text)
+	return c.node.Propose(encoded)
 }
 
-// apply takes an entry that is agreed on.
-func (k *Core) apply(e *raftpb.Entry) error {
-	k.applied = e.GetIndex()
+// apply applies a committed entry.
+func (c *Core) apply(e *raftpb.Entry) error {
+	c.applied = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryConfChangeV2, raftpb.EntryConfChange:
-		return k.applyConf(e)
+		return c.applyConf(e)
 	}
 	if len(e.GetData()) == 0 {
-		return nil // a leader's first
+		return nil // the empty entry with which a leader starts its term
 	}
-	var l logged
-	if err := cbor.Unmarshal(e.GetData(), &l); err != nil {
+	var entry logEntry
+	if err := cbor.Unmarshal(e.GetData(), &entry); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	err := k.ledger.Apply(&l.Entry)
-	if l.Mark == k.mark {
-		k.mark = 0
+	err := c.ledger.Apply(&entry.Entry)
+	if entry.Mark == c.pendingMark {
+		c.pendingMark = 0
 	}
-	if p := l.Entry.Propose; p != nil {
+	if p := entry.Entry.Propose; p != nil {
 		var answer ProposeResult
-		if round := k.ledger.Find(p.ID); round != nil {
-			answer.Number = round.Number
+		if record := c.ledger.Find(p.ID); record != nil {
+			answer.Number = record.Number
 		}
-		for _, reply := range k.asked[p.ID] {
+		for _, reply := range c.waitingProposals[p.ID] {
 			reply(answer, err)
 		}
-		delete(k.asked, p.ID)
+		delete(c.waitingProposals, p.ID)
 	}
 	if err == nil {
-		k.tell(&l.Entry)
+		c.logApplied(&entry.Entry)
 	}
 	return nil
 }
 
-// tell writes what has been agreed on into the log.
-func (k *Core) tell(e *cluster.Entry) {
-	ev := k.log.Info().Uint64("epoch", k.ledger.Epoch)
+// logApplied logs what an applied entry has changed.
+func (c *Core) logApplied(entry *cluster.Entry) {
+	event := c.log.Info().Uint64("epoch", c.ledger.Epoch)
 	names := func(list []cluster.Member) (out []string) {
 		for _, m := range list {
 			out = append(out, m.Name)
@@ -370,218 +374,220 @@
 		return out
 	}
 	switch {
-	case len(e.Join) > 0 || len(e.Leave) > 0:
-		ev.Strs("in", names(e.Join)).Strs("gone", names(e.Leave)).Int("members", len(k.ledger.Members)).Msg("the crew has changed")
-	case e.Propose != nil:
-		ev.Uint64("version", k.ledger.LastNumber).Msg("a version is proposed")
-	case e.Prepare > 0:
-		ev.Uint64("version", e.Prepare).Msg("a version is prepared")
-	case e.Activate > 0:
-		ev.Uint64("version", e.Activate).Msg("a version is active")
-	case len(e.ReplicaChanges) > 0:
+	case len(entry.Join) > 0 || len(entry.Leave) > 0:
+		event.Strs("in", names(entry.Join)).Strs("gone", names(entry.Leave)).Int("members", len(c.ledger.Members)).Msg("the crew has changed")
+	case entry.Propose != nil:
+		event.Uint64("version", c.ledger.LastNumber).Msg("a version is proposed")
+	case entry.Prepare > 0:
+		event.Uint64("version", entry.Prepare).Msg("a version is prepared")
+	case entry.Activate > 0:
+		event.Uint64("version", entry.Activate).Msg("a version is active")
+	case len(entry.ReplicaChanges) > 0:
 		lost := 0
-		for _, c := range e.ReplicaChanges {
-			if c.Lost {
+		for _, change := range entry.ReplicaChanges {
+			if change.Lost {
 				lost++
 			}
 		}
-		ev.Int("shards", len(e.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
-	case e.End != nil:
-		ev.Uint64("version", e.End.Number).Str("why", e.End.Reason).Msg("a version is refused")
+		event.Int("shards", len(entry.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
+	case entry.End != nil:
+		event.Uint64("version", entry.End.Number).Str("why", entry.End.Reason).Msg("a version is refused")
 	}
 }
 
-// compact puts a snapshot in the place of a long log.
-func (k *Core) compact() error {
-	first, err := k.store.mem.FirstIndex()
-	if err != nil || k.conf3 == nil || k.applied < first+compactEvery {
+// compact replaces a long log by a snapshot.
+func (c *Core) compact() error {
+	first, err := c.store.mem.FirstIndex()
+	if err != nil || c.confState == nil || c.applied < first+compactEvery {
 		return err
 	}
-	return k.snapshot()
+	return c.takeSnapshot()
 }
 
-// snapshot puts one of the present ledger in the place of the log up to here.
-func (k *Core) snapshot() error {
-	text, err := cbor.Marshal(k.ledger)
+// takeSnapshot replaces the log up to the last applied entry by a snapshot of the current ledger.
+func (c *Core) takeSnapshot() error {
+	encoded, err := cbor.Marshal(c.ledger)
 	if err != nil {
 		return err
 	}
-	if err := k.store.compact(k.applied, k.conf3, text, compactKeep); err != nil {
+	if err := c.store.compact(c.applied, c.confState, encoded, compactKeep); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
 	return nil
 }
 
-// failAll answers all that wait: this keeper does not lead any more.
-func (k *Core) failAll() {
-	if k.reading != nil {
-		k.waiting = append(k.waiting, k.reading.batch...)
-		k.reading = nil
+// failAll answers all waiting renewals and proposals, because this voter does not lead any more.
+func (c *Core) failAll() {
+	if c.pendingRead != nil {
+		c.waitingRenewals = append(c.waitingRenewals, c.pendingRead.batch...)
+		c.pendingRead = nil
 	}
-	for _, w := range k.waiting {
+	for _, w := range c.waitingRenewals {
 		w.reply(RenewResult{})
 	}
-	k.waiting = nil
-	for _, id := range slices.Sorted(maps.Keys(k.asked)) {
-		for _, reply := range k.asked[id] {
+	c.waitingRenewals = nil
+	for _, id := range slices.Sorted(maps.Keys(c.waitingProposals)) {
+		for _, reply := range c.waitingProposals[id] {
 			reply(ProposeResult{}, ErrUnknownOutcome)
 		}
 	}
-	clear(k.asked)
+	clear(c.waitingProposals)
 }
 
-// ErrUnknownOutcome leaves open whether a proposal counts.
+// ErrUnknownOutcome means that it is unknown whether a proposal was committed.
 var ErrUnknownOutcome = errors.New("the leader was lost before the proposal was agreed on: whether it counts shows in `heathgap crew versions`; the same proposal said again counts once")
 
-// nameOf is the name of the keeper with an id; empty where there is none.
-func (k *Core) nameOf(id uint64) string {
-	for name, other := range k.ledger.Voters {
+// voterName returns the name of the voter with an id; empty if there is none.
+func (c *Core) voterName(id uint64) string {
+	for name, other := range c.ledger.Voters {
 		if other == id {
 			return name
 		}
 	}
-	// A newcomer has no ledger yet, and must answer who fills its folder; and one that lags must answer a folder of which its
-	// ledger does not know yet: else it never hears the log's end (seed 200 of the crew's simulation, storm seed 365).
-	for name, other := range k.met {
+	// A new voter has no ledger yet and must answer the leader that sends it one; and a voter that lags must answer a data directory
+	// that its ledger does not contain yet. Otherwise neither would ever receive the end of the log (seed 200 of the cluster
+	// simulation, seed 365 of the lab's storms).
+	for name, other := range c.lastIDs {
 		if other == id {
 			return name
 		}
 	}
-	for name, w := range k.heard {
-		if w.ID == id {
+	for name, other := range c.announcements {
+		if other.ID == id {
 			return name
 		}
 	}
 	return ""
 }
 
-// Renew answers a renewal: at once, or when a majority has said that this is the leader.
-func (k *Core) Renew(r cluster.Renewal, reply func(RenewResult)) {
-	if k.state != raft.StateLeader {
-		reply(RenewResult{Leader: k.nameOf(k.leader)})
+// Renew answers a renewal: with the leader's name at once if this voter does not lead, otherwise once a majority has
+// confirmed it as leader.
+func (c *Core) Renew(r cluster.Renewal, reply func(RenewResult)) {
+	if c.raftState != raft.StateLeader {
+		reply(RenewResult{Leader: c.voterName(c.leaderID)})
 		return
 	}
-	k.waiting = append(k.waiting, renewal{r, reply})
+	c.waitingRenewals = append(c.waitingRenewals, waitingRenewal{r, reply})
 }
 
-// LeaseAnswerSent hears that a lease's answer has been handed to the network.
-func (k *Core) LeaseAnswerSent(r *cluster.Renewal) {
-	if k.granter != nil {
-		k.granter.AnswerSent(k.clock.BootTime(), r)
+// LeaseAnswerSent must be called when the answer that grants a lease has been handed to the network.
+func (c *Core) LeaseAnswerSent(r *cluster.Renewal) {
+	if c.lessor != nil {
+		c.lessor.AnswerSent(c.clock.BootTime(), r)
 	}
 }
 
-// Propose has a version proposed: the reply comes when that is agreed on, or refused.
-func (k *Core) Propose(p cluster.Proposal, reply func(ProposeResult, error)) {
-	if k.state != raft.StateLeader {
-		reply(ProposeResult{Leader: k.nameOf(k.leader)}, nil)
+// Propose proposes a version. The reply comes when the proposal has been committed or refused.
+func (c *Core) Propose(p cluster.Proposal, reply func(ProposeResult, error)) {
+	if c.raftState != raft.StateLeader {
+		reply(ProposeResult{Leader: c.voterName(c.leaderID)}, nil)
 		return
 	}
-	if err := k.append(logged{Entry: cluster.Entry{Propose: &p}}); err != nil {
+	if err := c.appendEntry(logEntry{Entry: cluster.Entry{Propose: &p}}); err != nil {
 		reply(ProposeResult{}, err)
 		return
 	}
-	k.asked[p.ID] = append(k.asked[p.ID], reply)
+	c.waitingProposals[p.ID] = append(c.waitingProposals[p.ID], reply)
 }
 
-// send has messages said.
-func (k *Core) send(messages []*raftpb.Message) {
+// sendMessages passes raft's messages to the transport.
+func (c *Core) sendMessages(messages []*raftpb.Message) {
 	for _, m := range messages {
-		name := k.nameOf(m.GetTo())
-		if k.conf.Voters[name] == "" || !k.maySay(m) {
+		name := c.voterName(m.GetTo())
+		if c.conf.Voters[name] == "" || !c.maySend(m) {
 			continue
 		}
-		if !k.ways.Send(name, m) {
-			k.dropped++
-			k.node.ReportUnreachable(m.GetTo())
+		if !c.transport.Send(name, m) {
+			c.dropped++
+			c.node.ReportUnreachable(m.GetTo())
 		}
 	}
 }
 
-// SnapshotReported hears whether a snapshot has come to who it was for.
-func (k *Core) SnapshotReported(id uint64, whole bool) {
+// SnapshotReported must be called with the outcome of sending a snapshot to the voter with an id.
+func (c *Core) SnapshotReported(id uint64, delivered bool) {
 	status := raft.SnapshotFinish
-	if !whole {
+	if !delivered {
 		status = raft.SnapshotFailure
 	}
-	if k.node != nil {
-		k.node.ReportSnapshot(id, status)
+	if c.node != nil {
+		c.node.ReportSnapshot(id, status)
 	}
 }
 
-// Status is what a keeper knows.
+// Status describes a voter and what it knows of the cluster.
 type Status struct {
 	Name          string          `cbor:"1,keyasint"`
-	Leader        string          `cbor:"2,keyasint,omitempty"` // name
+	Leader        string          `cbor:"2,keyasint,omitempty"` // the leader's name
 	Term          uint64          `cbor:"3,keyasint"`
 	Applied       uint64          `cbor:"4,keyasint"`
 	Ledger        *cluster.Ledger `cbor:"5,keyasint"`
-	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // keepers that it waits for, while there is no crew
-	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // of the leader: ms until each surely ends
+	MissingVoters []string        `cbor:"6,keyasint,omitempty"` // voters that it waits for before the cluster is formed
+	Leases        map[string]int  `cbor:"7,keyasint,omitempty"` // on the leader only: ms until each member's lease has certainly ended
 	Dropped       int64           `cbor:"8,keyasint,omitempty"`
 }
 
-// Status tells what it knows.
-func (k *Core) Status() Status {
-	s := Status{Name: k.conf.Name, Applied: k.applied, Ledger: k.ledger.Clone(), Dropped: k.dropped}
-	if k.node == nil {
-		for _, name := range slices.Sorted(maps.Keys(k.conf.Voters)) {
-			if _, there := k.heard[name]; !there && name != k.conf.Name {
+// Status returns the voter's current status.
+func (c *Core) Status() Status {
+	s := Status{Name: c.conf.Name, Applied: c.applied, Ledger: c.ledger.Clone(), Dropped: c.dropped}
+	if c.node == nil {
+		for _, name := range slices.Sorted(maps.Keys(c.conf.Voters)) {
+			if _, there := c.announcements[name]; !there && name != c.conf.Name {
 				s.MissingVoters = append(s.MissingVoters, name)
 			}
 		}
 	} else {
-		// Both of one moment: between two steps raft may be in a later term than the leader that was booked last.
-		now := k.node.BasicStatus()
-		s.Leader, s.Term = k.nameOf(now.Lead), now.HardState.GetTerm()
+		// Leader and term are read at the same moment: between two calls of handleReady raft may be in a later term than c.leaderID.
+		status := c.node.BasicStatus()
+		s.Leader, s.Term = c.voterName(status.Lead), status.HardState.GetTerm()
 	}
-	if k.granter != nil {
+	if c.lessor != nil {
 		s.Leases = map[string]int{}
-		for name := range k.ledger.Members {
-			s.Leases[name] = int((k.granter.LeaseEnd(k.clock.BootTime(), k.ledger, name) - k.clock.BootTime()).Milliseconds())
+		for name := range c.ledger.Members {
+			s.Leases[name] = int((c.lessor.LeaseEnd(c.clock.BootTime(), c.ledger, name) - c.clock.BootTime()).Milliseconds())
 		}
 	}
 	return s
 }
 
-// HandleMessages hears messages of another keeper's raft. An error is for who said them.
-func (k *Core) HandleMessages(from string, messages []*raftpb.Message) error {
+// HandleMessages passes messages of another voter to raft. An error is sent back to that voter.
+func (c *Core) HandleMessages(from string, messages []*raftpb.Message) error {
 	for _, m := range messages {
-		if m.GetTo() != k.store.who.ID {
-			return fmt.Errorf("%s has another folder now: this word was for the one before", k.conf.Name)
+		if m.GetTo() != c.store.identity.ID {
+			return fmt.Errorf("%s has another folder now: this word was for the one before", c.conf.Name)
 		}
-		// Only what is agreed on is refused. Guards against a keeper that lags behind a change of folders and refuses the new
-		// one, which may lead: it was never filled (storm seed 365).
-		if slices.Contains(k.ledger.ReplacedVoters, m.GetFrom()) && !k.changing(m.GetFrom()) {
+		// Refused only if the replacement is committed. Guards against a voter that lags behind a replacement and refuses the new
+		// data directory, which may lead: the lagging voter never caught up (seed 365 of the lab's storms).
+		if slices.Contains(c.ledger.ReplacedVoters, m.GetFrom()) && !c.changingVoters(m.GetFrom()) {
 			return fmt.Errorf("the folder of %s was replaced: it takes no part any more; move it away and start again", from)
 		}
-		if k.node == nil { // a newcomer in the place of a folder that is lost
-			if k.store.who.Set != nil {
-				continue // it waits for the others to form the crew
+		if c.node == nil { // an empty data directory that replaces a lost one
+			if c.store.identity.Set != nil {
+				continue // it waits for the others to form the cluster
 			}
-			if err := k.begin(); err != nil {
+			if err := c.startRaft(); err != nil {
 				return err
 			}
 		}
-		if k.clearing != nil || !k.mayVote(m) {
-			continue // raft asks again
+		if c.startCheck != nil || !c.mayVote(m) {
+			continue // raft sends it again
 		}
-		if k.conf.Voters[from] != "" {
-			k.met[from] = m.GetFrom()
+		if c.conf.Voters[from] != "" {
+			c.lastIDs[from] = m.GetFrom()
 		}
-		if k.ledger.Voters[from] == m.GetFrom() {
-			k.spoke[m.GetFrom()] = k.clock.Now()
+		if c.ledger.Voters[from] == m.GetFrom() {
+			c.lastHeard[m.GetFrom()] = c.clock.Now()
 		}
-		k.noteSeen(m)
+		c.recordObserved(m)
 		if raft.IsLocalMsg(m.GetType()) {
 			return fmt.Errorf("raft: a message of type %v", m.GetType())
 		}
-		if last, _ := k.store.mem.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last {
-			// Guards against a folder that was set back: raft would panic, and what it has voted since is not known.
-			k.fail = fmt.Errorf("this folder ends at entry %d, and the crew knows that it held %d: it was set back to an earlier copy", last, m.GetCommit())
-			return k.fail
+		if last, _ := c.store.mem.LastIndex(); m.GetType() == raftpb.MsgHeartbeat && m.GetCommit() > last {
+			// Guards against a data directory that was set back to an earlier copy: raft would panic, and the votes since that copy are unknown.
+			c.failure = fmt.Errorf("this folder ends at entry %d, and the crew knows that it held %d: it was set back to an earlier copy", last, m.GetCommit())
+			return c.failure
 		}
-		k.node.Step(m) //nolint:errcheck // raft drops what does not fit
+		c.node.Step(m) //nolint:errcheck // raft ignores messages that don't apply
 	}
 	return nil
 }
--- a/internal/cluster/voter/disk.go
+++ b/internal/cluster/voter/disk.go
@@ -12,38 +12,38 @@
 	bbolterr "go.etcd.io/bbolt/errors"
 )
 
-// boltDisk is a Disk in a bbolt file.
+// boltDisk implements Disk on a bbolt file.
 type boltDisk struct{ db *bbolt.DB }
 
-// openDisk opens or makes a folder with its file.
+// openDisk opens the data directory dir and its file, and creates them if they don't exist.
 func openDisk(dir string) (disk boltDisk, path string, err error) {
 	path = filepath.Join(dir, fileName)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return disk, path, fmt.Errorf("crew.data: %w", err)
 	}
-	err = guard(func() (err error) {
-		if disk.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime}); err != nil {
+	err = recoverPanics(func() (err error) {
+		if disk.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout}); err != nil {
 			return err
 		}
 		return disk.db.Update(makeBuckets)
 	})
 	switch {
 	case err == nil:
-		return disk, path, syncFolder(dir)
+		return disk, path, syncDir(dir)
 	case errors.Is(err, bbolterr.ErrTimeout):
 		return disk, path, fmt.Errorf("%s: another process uses it; end that first, or give this one a folder of its own", path)
 	}
 	if disk.db != nil {
 		disk.db.Close()
 	}
-	return disk, path, fmt.Errorf("%s: %w: %w; %s", path, errDamaged, err, remedy)
+	return disk, path, fmt.Errorf("%s: %w: %w; %s", path, errDamaged, err, damagedRemedy)
 }
 
-// makeBuckets makes those of a new file. One that has others, or not all, is torn.
+// makeBuckets creates the buckets of a new file. It refuses a file with unknown or missing buckets as damaged.
 func makeBuckets(tx *bbolt.Tx) error {
-	known, all := 0, 0
+	known, total := 0, 0
 	err := tx.ForEach(func(name []byte, _ *bbolt.Bucket) error {
-		if all++; slices.Contains(buckets, string(name)) {
+		if total++; slices.Contains(buckets, string(name)) {
 			known++
 		}
 		return nil
@@ -51,9 +51,9 @@
 	switch {
 	case err != nil:
 		return err
-	case all > 0 && (known != len(buckets) || all > known):
-		return fmt.Errorf("%d of its %d buckets are known, and there are %d", known, all, len(buckets))
-	case all > 0:
+	case total > 0 && (known != len(buckets) || total > known):
+		return fmt.Errorf("%d of the file's %d buckets are known; expected exactly the %d known ones", known, total, len(buckets))
+	case total > 0:
 		return nil
 	}
 	for _, b := range buckets {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// syncFolder makes the names in a folder durable.
-func syncFolder(dir string) error {
+// syncDir makes the creation of files in a directory durable.
+func syncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -74,39 +74,39 @@
 	return f.Sync()
 }
 
-// Update is Disk's.
+// Update implements Disk.
 func (d boltDisk) Update(do func(Tx) error) error {
 	return d.db.Update(func(tx *bbolt.Tx) error { return do(boltTx{tx}) })
 }
 
-// View is Disk's.
+// View implements Disk.
 func (d boltDisk) View(do func(Tx) error) error {
 	return d.db.View(func(tx *bbolt.Tx) error { return do(boltTx{tx}) })
 }
 
-// Close is Disk's.
+// Close implements Disk.
 func (d boltDisk) Close() error { return d.db.Close() }
 
-// boltTx is a Tx on it.
+// boltTx implements Tx on a bbolt transaction.
 type boltTx struct{ tx *bbolt.Tx }
 
-func (t boltTx) of(bucket string) *bbolt.Bucket { return t.tx.Bucket([]byte(bucket)) }
+func (t boltTx) bucketNamed(bucket string) *bbolt.Bucket { return t.tx.Bucket([]byte(bucket)) }
 
-// Get is Tx's.
-func (t boltTx) Get(bucket, key string) []byte { return t.of(bucket).Get([]byte(key)) }
+// Get implements Tx.
+func (t boltTx) Get(bucket, key string) []byte { return t.bucketNamed(bucket).Get([]byte(key)) }
 
-// Put is Tx's.
+// Put implements Tx.
 func (t boltTx) Put(bucket, key string, value []byte) error {
-	return t.of(bucket).Put([]byte(key), value)
+	return t.bucketNamed(bucket).Put([]byte(key), value)
 }
 
-// Delete is Tx's.
-func (t boltTx) Delete(bucket, key string) error { return t.of(bucket).Delete([]byte(key)) }
+// Delete implements Tx.
+func (t boltTx) Delete(bucket, key string) error { return t.bucketNamed(bucket).Delete([]byte(key)) }
 
-// From is Tx's.
+// From implements Tx.
 func (t boltTx) From(bucket, key string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
-		c := t.of(bucket).Cursor()
+		c := t.bucketNamed(bucket).Cursor()
 		for k, v := c.Seek([]byte(key)); k != nil && yield(string(k), v); k, v = c.Next() {
 		}
 	}
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -14,204 +14,207 @@
 	"heathgap/internal/cluster"
 )
 
-// Form: how keepers with empty folders become a crew, and how one with an empty folder comes into a crew that stands.
+// How voters with empty data directories form a cluster, and how one with an empty data directory joins a cluster that exists.
 //
-// Each draws an id when its folder is made. A keeper that has heard the ids of all keepers named in its file writes this
-// set into its folder, where it does not change any more; it begins when every other one has said that it holds the same
-// set, or one that holds it says that it has begun. So a folder that is lost on the way can't make two crews of one: its
-// new id is in nobody's set, and the others wait until all start anew, or have begun without it.
+// Each data directory gets a random id when it is created. A voter that has the ids of all voters named in its configuration saves
+// this set of ids in its data directory, where it does not change any more. The voter starts raft when every other voter has
+// announced the same set, or when one of those that hold it has announced that it has started. So a data directory that is lost
+// meanwhile can't lead to two clusters: its new id is in nobody's set, and the others wait until all of them start anew, or have
+// started without it.
 
-// Announcement is what a keeper says of itself.
+// Announcement is what a voter reports of itself to the others.
 type Announcement struct {
 	Name       string            `cbor:"1,keyasint"`
 	ID         uint64            `cbor:"2,keyasint"`
 	Set        map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	Begun      bool              `cbor:"4,keyasint,omitempty"`
 	ParamsHash string            `cbor:"5,keyasint"`
-	// What a keeper that starts with an older folder must know.
-	Term uint64          `cbor:"6,keyasint,omitempty"`
-	End  logEnd          `cbor:"7,keyasint"`
-	Seen map[uint64]past `cbor:"8,keyasint,omitempty"`
+	// Needed by a voter that starts with an existing data directory: see startcheck.go.
+	Term uint64                      `cbor:"6,keyasint,omitempty"`
+	End  logEnd                      `cbor:"7,keyasint"`
+	Seen map[uint64]observedProgress `cbor:"8,keyasint,omitempty"`
 }
 
-// Announcement is what it says of itself.
-func (k *Core) Announcement() Announcement {
-	w := Announcement{Name: k.conf.Name, ID: k.store.who.ID, Set: maps.Clone(k.store.who.Set), Begun: k.node != nil && len(k.ledger.Voters) > 0,
-		ParamsHash: k.conf.Params.Hash(), End: k.logEnd(), Seen: maps.Clone(k.seen)}
-	if k.node != nil {
-		w.Term = k.node.BasicStatus().HardState.GetTerm()
-	}
-	return w
+// Announcement returns this voter's announcement.
+func (c *Core) Announcement() Announcement {
+	a := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, Set: maps.Clone(c.store.identity.Set), Begun: c.node != nil && len(c.ledger.Voters) > 0,
+		ParamsHash: c.conf.Params.Hash(), End: c.logEnd(), Seen: maps.Clone(c.observed)}
+	if c.node != nil {
+		a.Term = c.node.BasicStatus().HardState.GetTerm()
+	}
+	return a
 }
 
-// settled tells whether this keeper's own folder takes part in the agreement.
-func (k *Core) settled() bool {
-	return k.node != nil && k.ledger.Voters[k.conf.Name] == k.store.who.ID
+// isCurrentVoter reports whether the ledger lists this voter with its present data directory.
+func (c *Core) isCurrentVoter() bool {
+	return c.node != nil && c.ledger.Voters[c.conf.Name] == c.store.identity.ID
 }
 
-// askToForm asks the other keepers.
-func (k *Core) askToForm() {
-	for _, name := range slices.Sorted(maps.Keys(k.conf.Voters)) {
-		if name != k.conf.Name {
-			k.ways.Announce(name, k.Announcement())
+// announce sends this voter's announcement to the other voters.
+func (c *Core) announce() {
+	for _, name := range slices.Sorted(maps.Keys(c.conf.Voters)) {
+		if name != c.conf.Name {
+			c.transport.Announce(name, c.Announcement())
 		}
 	}
 }
 
-// HandleAnnouncement takes another keeper's word.
-func (k *Core) HandleAnnouncement(w Announcement) {
-	if k.fail != nil || w.Name == k.conf.Name || k.conf.Voters[w.Name] == "" || w.ID == 0 {
+// HandleAnnouncement processes another voter's announcement.
+func (c *Core) HandleAnnouncement(a Announcement) {
+	if c.failure != nil || a.Name == c.conf.Name || c.conf.Voters[a.Name] == "" || a.ID == 0 {
 		return
 	}
-	before, known := k.heard[w.Name]
-	if k.heard[w.Name] = w; w.ParamsHash != k.conf.Params.Hash() {
-		if !known || before.ParamsHash != w.ParamsHash {
-			k.log.Error().Str("keeper", w.Name).Str("here", k.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
+	previous, known := c.announcements[a.Name]
+	if c.announcements[a.Name] = a; a.ParamsHash != c.conf.Params.Hash() {
+		if !known || previous.ParamsHash != a.ParamsHash {
+			c.log.Error().Str("keeper", a.Name).Str("here", c.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
 		}
 		return
 	}
-	if k.clearing != nil {
-		k.fail = k.hearClearing(w)
+	if c.startCheck != nil {
+		c.failure = c.handleStartCheck(a)
 		return
 	}
-	if k.node != nil && len(k.ledger.Voters) > 0 {
-		k.unbind(w)
-		k.replace(w)
+	if c.node != nil && len(c.ledger.Voters) > 0 {
+		c.dropLostLogEnd(a)
+		c.replaceVoter(a)
 		return
 	}
-	if k.node == nil {
-		k.fail = k.form()
+	if c.node == nil {
+		c.failure = c.tryForm()
 	}
 }
 
-// form takes the next step towards a crew, if there is one to take.
-func (k *Core) form() error {
-	mine := k.store.who.Set
-	for _, w := range k.heard {
-		// Formed, or about to be, with a folder that is lost: this one is to replace it. Guards against a newcomer that
-		// makes up a beginning of its own from who stands in for the first ones.
-		if (w.Set != nil || w.Begun) && w.Set[k.conf.Name] != k.store.who.ID {
+// tryForm takes the next step of forming a cluster, if the announcements allow one.
+func (c *Core) tryForm() error {
+	ownSet := c.store.identity.Set
+	for _, other := range c.announcements {
+		// The cluster is formed, or about to be, with a data directory of this voter that was lost: this one must replace it. Guards
+		// against a new voter that forms a second cluster with voters that have replaced the first ones.
+		if (other.Set != nil || other.Begun) && other.Set[c.conf.Name] != c.store.identity.ID {
 			return nil
 		}
 	}
-	if mine == nil {
-		if len(k.heard) < len(k.conf.Voters)-1 {
+	if ownSet == nil {
+		if len(c.announcements) < len(c.conf.Voters)-1 {
 			return nil
 		}
-		set := map[string]uint64{k.conf.Name: k.store.who.ID}
-		for name, w := range k.heard {
-			set[name] = w.ID
+		set := map[string]uint64{c.conf.Name: c.store.identity.ID}
+		for name, other := range c.announcements {
+			set[name] = other.ID
 		}
-		for _, w := range k.heard {
-			if w.ParamsHash != k.conf.Params.Hash() || w.Set != nil && !maps.Equal(w.Set, set) {
+		for _, other := range c.announcements {
+			if other.ParamsHash != c.conf.Params.Hash() || other.Set != nil && !maps.Equal(other.Set, set) {
 				return nil
 			}
 		}
-		if err := k.store.form(set); err != nil {
+		if err := c.store.saveSet(set); err != nil {
 			return fmt.Errorf("writing: %w", err)
 		}
-		mine = set
+		ownSet = set
 	}
-	alike, begun := 0, false
-	for _, w := range k.heard {
-		if maps.Equal(w.Set, mine) {
-			alike++
-			begun = begun || w.Begun
+	sameSet, begun := 0, false
+	for _, other := range c.announcements {
+		if maps.Equal(other.Set, ownSet) {
+			sameSet++
+			begun = begun || other.Begun
 		}
 	}
-	if alike < len(mine)-1 && !begun {
+	if sameSet < len(ownSet)-1 && !begun {
 		return nil
 	}
-	return k.found(mine)
+	return c.bootstrap(ownSet)
 }
 
-// found writes the beginning that all keepers of a set have in common: a snapshot with an empty ledger.
-func (k *Core) found(set map[string]uint64) error {
+// bootstrap saves the initial state, a snapshot with an empty ledger that is the same for all voters of the set, and starts raft.
+func (c *Core) bootstrap(set map[string]uint64) error {
 	ledger := cluster.NewLedger()
 	ledger.Voters = maps.Clone(set)
-	text, err := cbor.Marshal(ledger)
+	encoded, err := cbor.Marshal(ledger)
 	if err != nil {
 		return err
 	}
-	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(set))} // in one order with all
+	conf := &raftpb.ConfState{Voters: slices.Sorted(maps.Values(set))} // sorted, so that it is the same for all voters
 	first := uint64(1)
-	snap := &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &first, Term: &first}}
-	if err := k.store.save(&raftpb.HardState{Term: &first, Commit: &first}, nil, snap, true); err != nil {
+	snap := &raftpb.Snapshot{Data: encoded, Metadata: &raftpb.SnapshotMetadata{ConfState: conf, Index: &first, Term: &first}}
+	if err := c.store.save(&raftpb.HardState{Term: &first, Commit: &first}, nil, snap, true); err != nil {
 		return fmt.Errorf("writing: %w", err)
 	}
-	k.log.Info().Int("keepers", len(set)).Msg("the crew is formed")
-	return k.begin()
+	c.log.Info().Int("keepers", len(set)).Msg("the crew is formed")
+	return c.startRaft()
 }
 
-// replacement is the context of a change of keepers.
-type replacement struct {
+// voterReplacement is the context of a raft configuration change: the voter and the id of its new data directory.
+type voterReplacement struct {
 	Name string `cbor:"1,keyasint"`
 	ID   uint64 `cbor:"2,keyasint"`
 }
 
-// replace has the leader put a keeper's new folder in the place of the one that it lost, one at a time, and only if the
-// old one has not been heard of for an election's time: the same name started twice must not push out who serves.
-func (k *Core) replace(w Announcement) {
-	old, there := k.ledger.Voters[w.Name]
-	if k.state != raft.StateLeader || !there || old == w.ID || w.Set != nil || k.changing(0) || k.mark != 0 || !k.caughtUp() {
+// replaceVoter, on the leader, proposes to replace a voter's lost data directory by its new one. It does so for one voter at a time, and
+// only if the old directory has been silent for an election timeout: a second process under the same name must not push out the
+// first one while that serves.
+func (c *Core) replaceVoter(a Announcement) {
+	previousID, known := c.ledger.Voters[a.Name]
+	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
 		return
 	}
-	if p, ok := k.node.Status().Progress[old]; ok && p.RecentActive {
-		k.log.Warn().Str("keeper", w.Name).Msg("a second process under this name has an empty folder; the first one serves, nothing is changed")
+	if p, ok := c.node.Status().Progress[previousID]; ok && p.RecentActive {
+		c.log.Warn().Str("keeper", a.Name).Msg("a second process under this name has an empty folder; the first one serves, nothing is changed")
 		return
 	}
-	context, err := cbor.Marshal(replacement{w.Name, w.ID})
+	encoded, err := cbor.Marshal(voterReplacement{a.Name, a.ID})
 	if err != nil {
 		return
 	}
 	add, remove := raftpb.ConfChangeAddNode, raftpb.ConfChangeRemoveNode
-	err = k.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: context, Changes: []*raftpb.ConfChangeSingle{
-		{Type: &add, NodeId: &w.ID}, {Type: &remove, NodeId: &old},
+	err = c.node.ProposeConfChange(&raftpb.ConfChangeV2{Context: encoded, Changes: []*raftpb.ConfChangeSingle{
+		{Type: &add, NodeId: &a.ID}, {Type: &remove, NodeId: &previousID},
 	}})
 	if err == nil {
-		k.log.Info().Str("keeper", w.Name).Msg("a keeper comes back with an empty folder")
+		c.log.Info().Str("keeper", a.Name).Msg("a keeper comes back with an empty folder")
 	}
 }
 
-// changing tells whether a change of keepers is under way; with an id, whether that one is a part of it.
-func (k *Core) changing(id uint64) bool {
-	if k.conf3 == nil {
+// changingVoters reports, for id 0, whether a replacement of voters is in progress, and otherwise whether the id is part of raft's
+// configuration, the old or the new one.
+func (c *Core) changingVoters(id uint64) bool {
+	if c.confState == nil {
 		return false
 	}
-	for _, voters := range [][]uint64{k.conf3.GetVoters(), k.conf3.GetVotersOutgoing()} {
+	for _, voters := range [][]uint64{c.confState.GetVoters(), c.confState.GetVotersOutgoing()} {
 		for _, v := range voters {
 			if id != 0 && v == id {
 				return true
 			}
 		}
 	}
-	return id == 0 && len(k.conf3.GetVotersOutgoing()) > 0
+	return id == 0 && len(c.confState.GetVotersOutgoing()) > 0
 }
 
-// applyConf takes a change of keepers that is agreed on.
-func (k *Core) applyConf(e *raftpb.Entry) error {
+// applyConf applies a committed change of raft's configuration.
+func (c *Core) applyConf(e *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(e.GetData(), change); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	k.conf3 = k.node.ApplyConfChange(change)
+	c.confState = c.node.ApplyConfChange(change)
 	if len(change.GetContext()) == 0 {
-		// The end of a joint change. Guards against a keeper that after a restart is still between the two, since how far the log
-		// is agreed on is not synced, and can't do without folders that are lost (three keepers, seed 1473 of the simulation).
-		return k.snapshot()
+		// This entry ends a joint change. The snapshot guards against a voter that, after a restart, is still within the change, because the
+		// commit index is not synced, and that then needs lost data directories for a majority (three voters, seed 1473 of the simulation).
+		return c.takeSnapshot()
 	}
-	var r replacement
+	var r voterReplacement
 	if err := cbor.Unmarshal(change.GetContext(), &r); err != nil {
 		return fmt.Errorf("%w: entry %d: %w", errDamaged, e.GetIndex(), err)
 	}
-	former := append(k.ledger.ReplacedVoters, k.ledger.Voters[r.Name])
-	k.ledger.ReplacedVoters = former[max(0, len(former)-cluster.MaxReplacedVoters):]
-	k.ledger.Voters[r.Name] = r.ID
-	in := slices.Collect(maps.Values(k.ledger.Voters))
-	maps.DeleteFunc(k.seen, func(id uint64, _ past) bool { return !slices.Contains(in, id) })
-	maps.DeleteFunc(k.spoke, func(id uint64, _ time.Time) bool { return !slices.Contains(in, id) })
-	k.log.Info().Str("keeper", r.Name).Msg("a keeper's folder was replaced")
-	// Guards against a newcomer that never gets the log: raft gives it a snapshot, and turns down one whose members it is
-	// not among.
-	return k.snapshot()
+	replaced := append(c.ledger.ReplacedVoters, c.ledger.Voters[r.Name])
+	c.ledger.ReplacedVoters = replaced[max(0, len(replaced)-cluster.MaxReplacedVoters):]
+	c.ledger.Voters[r.Name] = r.ID
+	current := slices.Collect(maps.Values(c.ledger.Voters))
+	maps.DeleteFunc(c.observed, func(id uint64, _ observedProgress) bool { return !slices.Contains(current, id) })
+	maps.DeleteFunc(c.lastHeard, func(id uint64, _ time.Time) bool { return !slices.Contains(current, id) })
+	c.log.Info().Str("keeper", r.Name).Msg("a keeper's folder was replaced")
+	// Guards against a new voter that never gets the log: the leader sends it a snapshot, and raft rejects a snapshot whose
+	// configuration does not contain the receiver.
+	return c.takeSnapshot()
 }
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -9,73 +9,73 @@
 	"heathgap/internal/peerrpc"
 )
 
-// outbox holds messages for another keeper until its goroutine has said them. Raft says again what is lost.
+// outbox queues messages for another voter until a goroutine sends them. Raft repeats lost messages.
 type outbox struct {
-	queue chan *raftpb.Message
+	queue chan *raftpb.Message // closed when the voter stops
 }
 
-// Send is Ways'.
-func (k *Voter) Send(name string, m *raftpb.Message) bool {
-	o := k.out[name]
-	if o == nil {
-		o = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
-		k.out[name] = o
-		k.world.Go("keeper", func() { k.deliver(o, name) })
+// Send implements Transport.
+func (v *Voter) Send(name string, m *raftpb.Message) bool {
+	box := v.outboxes[name]
+	if box == nil {
+		box = &outbox{queue: make(chan *raftpb.Message, peerQueue)}
+		v.outboxes[name] = box
+		v.env.Go("keeper", func() { v.sendOutbox(box, name) })
 	}
 	select {
-	case o.queue <- m:
+	case box.queue <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// Announce is Ways': each question has a goroutine and a connection of its own.
-func (k *Voter) Announce(name string, mine Announcement) {
-	k.world.Go("form", func() {
-		line := k.line(name)
-		defer line.Close()
+// Announce implements Transport: each announcement has its own goroutine and connection.
+func (v *Voter) Announce(name string, own Announcement) {
+	v.env.Go("form", func() {
+		client := v.newClient(name)
+		defer client.Close()
 		var theirs Announcement
-		if err := line.Call("form", mine, &theirs, peerTime); err == nil {
-			k.post(func() { k.core.HandleAnnouncement(theirs) })
+		if err := client.Call("form", own, &theirs, peerTimeout); err == nil {
+			v.post(func() { v.core.HandleAnnouncement(theirs) })
 		}
 	})
 }
 
-func (k *Voter) line(name string) *peerrpc.Client {
-	return peerrpc.NewClient(k.world, k.core.conf.Cluster, k.core.conf.Name, k.core.conf.Voters[name])
+func (v *Voter) newClient(name string) *peerrpc.Client {
+	return peerrpc.NewClient(v.env, v.core.conf.Cluster, v.core.conf.Name, v.core.conf.Voters[name])
 }
 
-// deliver says what is in an outbox until it is closed.
-func (k *Voter) deliver(o *outbox, name string) {
-	line := k.line(name)
-	defer line.Close()
-	refused := ""
-	for m := range o.queue {
-		var texts [][]byte
-		var snapTo []uint64
+// sendOutbox sends the messages of an outbox until its queue is closed.
+func (v *Voter) sendOutbox(box *outbox, name string) {
+	client := v.newClient(name)
+	defer client.Close()
+	lastRefusal := ""
+	for m := range box.queue {
+		var messages [][]byte
+		var snapshotsTo []uint64
 		for size := 0; m != nil; {
-			text, err := proto.Marshal(m)
+			encoded, err := proto.Marshal(m)
 			if err == nil {
-				texts, size = append(texts, text), size+len(text)
+				messages, size = append(messages, encoded), size+len(encoded)
 			}
 			if m.GetType() == raftpb.MsgSnap {
-				snapTo = append(snapTo, m.GetTo())
+				snapshotsTo = append(snapshotsTo, m.GetTo())
 			}
 			if m = nil; size < batchBytes {
 				select {
-				case m = <-o.queue:
+				case m = <-box.queue:
 				default:
 				}
 			}
 		}
-		err := line.Call("raft", texts, nil, peerTime)
-		for _, id := range snapTo {
-			k.post(func() { k.core.SnapshotReported(id, err == nil) })
+		err := client.Call("raft", messages, nil, peerTimeout)
+		for _, id := range snapshotsTo {
+			v.post(func() { v.core.SnapshotReported(id, err == nil) })
 		}
-		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != refused {
-			refused = err.Error() // once, not with each message
-			k.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
+		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != lastRefusal {
+			lastRefusal = err.Error() // log each reason once, not with each message
+			v.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
 		}
 	}
 }
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -16,8 +16,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The data folder of a keeper holds one file, crew.db, a bbolt database. Each value is a
-// CRC-32C (Castagnoli, big endian) of key and content, and the content:
+// The data directory of a voter holds one file, crew.db, a bbolt database. Each value consists of a CRC-32C (Castagnoli, big endian)
+// of key and content, and the content:
 //
 //	bucket meta   "identity"  CBOR of Identity
 //	bucket raft   "hard"      raftpb.HardState: term, vote, commit
@@ -25,14 +25,14 @@
 //	              "last"      index of the log's last entry, 8 bytes big endian
 //	bucket log    index, 8 bytes big endian: raftpb.Entry
 //
-// Sums find a value that was torn, "last" and the check for buckets find those that are no longer listed.
+// The checksums detect damaged values; "last" and the check of the buckets detect missing ones.
 //
-// Every transaction is synced before anything that rests on it is said. bbolt finds a torn
-// last transaction by the checksum of its two meta pages and goes on from the one before.
+// Every transaction is synced before any message that relies on it is sent. If the last transaction was torn, bbolt detects it
+// by the checksum of its two meta pages and continues from the one before.
 const (
 	fileName    = "crew.db"
 	storeFormat = 1
-	lockTime    = 500 * time.Millisecond // another process has the folder
+	lockTimeout = 500 * time.Millisecond // how long to wait if another process has locked the file
 
 	bucketMeta, bucketRaft, bucketLog = "meta", "raft", "log"
 	keyIdentity, keyHard, keySnapshot = "identity", "hard", "snapshot"
@@ -44,60 +44,60 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Identity is whose folder it is.
+// Identity says to which voter of which cluster a data directory belongs.
 type Identity struct {
 	Format int    `cbor:"1,keyasint"`
 	Crew   string `cbor:"2,keyasint"`
 	Name   string `cbor:"3,keyasint"`
-	// ID is drawn when a folder is made: a keeper that has lost its folder does not come back under the old one, under
-	// which it may have voted.
+	// ID is drawn at random when the data directory is created: a voter that has lost its directory must not come back under the old
+	// id, because it may have voted under it.
 	ID uint64 `cbor:"4,keyasint"`
-	// Set is by which keepers the crew was formed, ids by names; once it stands here it does not change.
+	// Set holds the ids, by name, of the voters that formed the cluster. Once saved it does not change.
 	Set map[string]uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// store is a keeper's folder.
+// store is a voter's data directory.
 type store struct {
-	disk Disk
-	path string // for people
-	who  Identity
-	mem  *raft.MemoryStorage // what raft reads; always written after db
+	disk     Disk
+	path     string // for messages
+	identity Identity
+	mem      *raft.MemoryStorage // what raft reads; always written after disk
 }
 
-// errDamaged ends the start: which of the data is true can't be known.
+// errDamaged prevents a start: it is unknown which of the data is correct.
 var errDamaged = errors.New("damaged")
 
-// remedy ends the line of a folder that is refused.
-const remedy = "end this process, move the folder away and start again: the keeper comes back empty, under a new id"
+// damagedRemedy ends the error message about a data directory that can't be used.
+const damagedRemedy = "end this process, move the folder away and start again: the keeper comes back empty, under a new id"
 
-// Disk keeps a keeper's values, in buckets: bbolt's file in a process, a model in the simulation. What the function of
-// Update has put is durable, the whole of it, when that returns nil; after an error nobody knows.
+// Disk stores a voter's values in buckets: a bbolt file in a process, a model in the simulation. When Update returns nil, everything
+// that its function has put is durable; after an error it is unknown what is.
 type Disk interface {
 	Update(do func(Tx) error) error
 	View(do func(Tx) error) error
 	Close() error
 }
 
-// Tx is one transaction on a Disk. What it returns is valid within it, and not to be changed.
+// Tx is a transaction on a Disk. The values it returns are valid only within it and must not be changed.
 type Tx interface {
-	Get(bucket, key string) []byte // nil where there is none
+	Get(bucket, key string) []byte // nil if there is none
 	Put(bucket, key string, value []byte) error
 	Delete(bucket, key string) error
-	// From goes through a bucket's values in the order of their keys, from one key on, while nothing is written.
+	// From iterates over a bucket's values in the order of their keys, starting at key. Nothing may be written meanwhile.
 	From(bucket, key string) iter.Seq2[string, []byte]
 }
 
-// newStore reads or begins what a disk holds. fresh draws the id of a new folder.
-func newStore(disk Disk, path, crewName, name string, fresh func() uint64) (*store, error) {
+// newStore loads what a disk holds, or initializes an empty one. newID returns the id of a new data directory.
+func newStore(disk Disk, path, cluster, name string, newID func() uint64) (*store, error) {
 	s := &store{disk: disk, path: path, mem: raft.NewMemoryStorage()}
-	if err := guard(func() error { return s.load(crewName, name, fresh) }); err != nil {
-		return nil, fmt.Errorf("%s: %w; %s", path, err, remedy)
+	if err := recoverPanics(func() error { return s.load(cluster, name, newID) }); err != nil {
+		return nil, fmt.Errorf("%s: %w; %s", path, err, damagedRemedy)
 	}
 	return s, nil
 }
 
-// guard turns bbolt's panics over pages that can't be, and faults of memory that a cut file no longer backs, into errors.
-func guard(do func() error) (err error) {
+// recoverPanics turns panics into errors: bbolt panics on impossible pages, and reading a truncated file that is mapped faults.
+func recoverPanics(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -107,28 +107,28 @@
 	return do()
 }
 
-func (s *store) load(crewName, name string, fresh func() uint64) error {
+func (s *store) load(cluster, name string, newID func() uint64) error {
 	err := s.disk.Update(func(tx Tx) error {
-		text, err := get(tx, bucketMeta, keyIdentity)
+		content, err := get(tx, bucketMeta, keyIdentity)
 		if err != nil {
 			return err
 		}
-		if text == nil {
-			// Guards against a new id beside the votes and entries of the one that is torn away.
-			if !empty(tx) {
-				return fmt.Errorf("%w: votes or entries, and nothing says whose", errDamaged)
+		if content == nil {
+			// Guards against a new id next to the votes and entries of an old one whose identity was lost.
+			if !hasNoRaftData(tx) {
+				return fmt.Errorf("%w: votes or entries, and no identity that says whose they are", errDamaged)
 			}
-			s.who = Identity{Format: storeFormat, Crew: crewName, Name: name, ID: fresh()}
+			s.identity = Identity{Format: storeFormat, Crew: cluster, Name: name, ID: newID()}
 			return s.putIdentity(tx)
 		}
-		if err := cbor.Unmarshal(text, &s.who); err != nil {
+		if err := cbor.Unmarshal(content, &s.identity); err != nil {
 			return fmt.Errorf("%w: identity: %w", errDamaged, err)
 		}
 		switch {
-		case s.who.Format != storeFormat:
-			return fmt.Errorf("of format %d; this build reads %d", s.who.Format, storeFormat)
-		case s.who.Crew != crewName || s.who.Name != name:
-			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.who.Name, s.who.Crew, name, crewName)
+		case s.identity.Format != storeFormat:
+			return fmt.Errorf("of format %d; this build reads %d", s.identity.Format, storeFormat)
+		case s.identity.Crew != cluster || s.identity.Name != name:
+			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Crew, name, cluster)
 		}
 		return nil
 	})
@@ -139,43 +139,43 @@
 }
 
 func (s *store) putIdentity(tx Tx) error {
-	text, err := cbor.Marshal(s.who)
+	encoded, err := cbor.Marshal(s.identity)
 	if err != nil {
 		return err
 	}
-	return put(tx, bucketMeta, keyIdentity, text)
+	return put(tx, bucketMeta, keyIdentity, encoded)
 }
 
-// loadRaft fills what raft reads.
+// loadRaft loads the snapshot, term, vote and log into mem, from which raft reads them.
 func (s *store) loadRaft(tx Tx) error {
-	text, err := get(tx, bucketRaft, keySnapshot)
+	content, err := get(tx, bucketRaft, keySnapshot)
 	if err != nil {
 		return err
 	}
 	snap := &raftpb.Snapshot{}
-	if text != nil { // none: there is no crew yet, or this folder is new in one
-		if err := proto.Unmarshal(text, snap); err != nil {
+	if content != nil { // without a snapshot the cluster isn't formed yet, or this data directory is new in it
+		if err := proto.Unmarshal(content, snap); err != nil {
 			return fmt.Errorf("%w: snapshot: %w", errDamaged, err)
 		}
 		if err := s.mem.ApplySnapshot(snap); err != nil {
 			return err
 		}
 	}
-	hasSnap := text != nil
-	if text, err = get(tx, bucketRaft, keyHard); err != nil {
+	hasSnap := content != nil
+	if content, err = get(tx, bucketRaft, keyHard); err != nil {
 		return err
 	}
-	if text == nil {
-		if hasSnap || !empty(tx) {
+	if content == nil {
+		if hasSnap || !hasNoRaftData(tx) {
 			return fmt.Errorf("%w: entries without term and vote", errDamaged)
 		}
 		return nil
 	}
 	hard := &raftpb.HardState{}
-	if err := proto.Unmarshal(text, hard); err != nil {
+	if err := proto.Unmarshal(content, hard); err != nil {
 		return fmt.Errorf("%w: term and vote: %w", errDamaged, err)
 	}
-	// How far the log is agreed on is not synced by itself: a snapshot says more.
+	// The commit index is not always synced, so the snapshot may be ahead of it.
 	if index := snap.GetMetadata().GetIndex(); hard.GetCommit() < index {
 		hard.Commit = &index
 	}
@@ -185,32 +185,32 @@
 	next := snap.GetMetadata().GetIndex() + 1
 	var entries []*raftpb.Entry
 	for key, value := range tx.From(bucketLog, indexKey(next)) {
-		text, err := unseal(key, value)
+		content, err := verifyValue(key, value)
 		if err != nil {
 			return err
 		}
 		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil || e.GetIndex() != next {
+		if err := proto.Unmarshal(content, e); err != nil || e.GetIndex() != next {
 			return fmt.Errorf("%w: entry %d of the log", errDamaged, next)
 		}
 		entries = append(entries, e)
 		next++
 	}
 	if hard.GetCommit() >= next {
-		return fmt.Errorf("%w: %d entries are agreed on and %d stand here", errDamaged, hard.GetCommit(), next-1)
+		return fmt.Errorf("%w: %d entries are committed, and the log here ends at entry %d", errDamaged, hard.GetCommit(), next-1)
 	}
-	if text, err = get(tx, bucketRaft, keyLast); err != nil {
+	if content, err = get(tx, bucketRaft, keyLast); err != nil {
 		return err
 	}
-	// A newcomer to a crew that stands may have heard of a term, and of nothing else yet.
-	if newcomer := text == nil && next == 1; !newcomer && (len(text) != 8 || binary.BigEndian.Uint64(text) != next-1) {
-		return fmt.Errorf("%w: the log ends at entry %d, and more was written", errDamaged, next-1)
+	// A voter that is new in an existing cluster may have learned of a term and of nothing else yet.
+	if newcomer := content == nil && next == 1; !newcomer && (len(content) != 8 || binary.BigEndian.Uint64(content) != next-1) {
+		return fmt.Errorf("%w: the log ends at entry %d, which is not the last entry that was written", errDamaged, next-1)
 	}
 	return s.mem.Append(entries)
 }
 
-// empty tells whether nothing of raft's stands on a disk.
-func empty(tx Tx) bool {
+// hasNoRaftData reports whether a disk holds nothing of raft: no snapshot, term, vote or entries.
+func hasNoRaftData(tx Tx) bool {
 	for _, bucket := range []string{bucketRaft, bucketLog} {
 		for range tx.From(bucket, "") {
 			return false
@@ -219,14 +219,14 @@
 	return true
 }
 
-// form books the set by which the crew is formed.
-func (s *store) form(set map[string]uint64) error {
-	s.who.Set = set
+// saveSet saves the ids of the voters that form the cluster.
+func (s *store) saveSet(set map[string]uint64) error {
+	s.identity.Set = set
 	return s.disk.Update(s.putIdentity)
 }
 
-// save makes durable what raft wants saved before its messages go, and then lets raft read it. Without sync only how far
-// the log is agreed on has changed, which a restart learns anew.
+// save makes durable what raft wants saved before its messages are sent, and then lets raft read it. If sync is false, only the commit
+// index has changed, which a restarted voter learns from the others.
 func (s *store) save(hard *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot, sync bool) error {
 	hasSnap := !raft.IsEmptySnap(snap)
 	if !sync && len(entries) == 0 && !hasSnap {
@@ -234,11 +234,11 @@
 	}
 	err := s.disk.Update(func(tx Tx) error {
 		last := uint64(0)
-		if hasSnap { // it takes the place of the whole log, as raft has it
+		if hasSnap { // it replaces the whole log
 			if err := putProto(tx, bucketRaft, keySnapshot, snap); err != nil {
 				return err
 			}
-			if err := cut(tx, 0, ^uint64(0)); err != nil {
+			if err := deleteEntries(tx, 0, ^uint64(0)); err != nil {
 				return err
 			}
 			last = snap.GetMetadata().GetIndex()
@@ -248,9 +248,9 @@
 				return err
 			}
 		}
-		if len(entries) > 0 { // what a later leader overwrites goes
+		if len(entries) > 0 { // entries after the new ones are from an older term
 			last = entries[len(entries)-1].GetIndex()
-			if err := cut(tx, last+1, ^uint64(0)); err != nil {
+			if err := deleteEntries(tx, last+1, ^uint64(0)); err != nil {
 				return err
 			}
 		}
@@ -280,7 +280,7 @@
 	return s.mem.Append(entries)
 }
 
-// compact puts a snapshot in the place of the log up to an index, of which some entries stay for followers that lag.
+// compact replaces the log up to an index by a snapshot. The last keep of these entries stay in memory for followers that lag.
 func (s *store) compact(index uint64, conf *raftpb.ConfState, ledger []byte, keep uint64) error {
 	snap, err := s.mem.CreateSnapshot(index, conf, ledger)
 	if err != nil {
@@ -290,7 +290,7 @@
 		if err := putProto(tx, bucketRaft, keySnapshot, snap); err != nil {
 			return err
 		}
-		return cut(tx, 0, index+1)
+		return deleteEntries(tx, 0, index+1)
 	})
 	if err != nil || index <= keep {
 		return err
@@ -301,8 +301,8 @@
 	return nil
 }
 
-// cut deletes the entries from one index up to, but not including, another.
-func cut(tx Tx, from, to uint64) error {
+// deleteEntries deletes the log entries from index from up to, but not including, index to.
+func deleteEntries(tx Tx, from, to uint64) error {
 	var keys []string
 	for key := range tx.From(bucketLog, indexKey(from)) {
 		if key >= indexKey(to) {
@@ -321,34 +321,36 @@
 func indexKey(index uint64) string { return string(binary.BigEndian.AppendUint64(nil, index)) }
 
 func putProto(tx Tx, bucket, key string, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return put(tx, bucket, key, text)
+	return put(tx, bucket, key, encoded)
 }
 
-func put(tx Tx, bucket, key string, text []byte) error {
-	sealed := binary.BigEndian.AppendUint32(nil, sumOf(key, text))
-	return tx.Put(bucket, key, append(sealed, text...))
+// put stores a value together with its checksum.
+func put(tx Tx, bucket, key string, content []byte) error {
+	sealed := binary.BigEndian.AppendUint32(nil, checksum(key, content))
+	return tx.Put(bucket, key, append(sealed, content...))
 }
 
-// get returns a value, nil where there is none.
+// get returns a value, nil if there is none.
 func get(tx Tx, bucket, key string) ([]byte, error) {
 	value := tx.Get(bucket, key)
 	if value == nil {
 		return nil, nil
 	}
-	return unseal(key, value)
+	return verifyValue(key, value)
 }
 
-func sumOf(key string, text []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, text)
+func checksum(key string, content []byte) uint32 {
+	return crc32.Update(crc32.Checksum([]byte(key), castagnoli), castagnoli, content)
 }
 
-func unseal(key string, value []byte) ([]byte, error) {
-	if len(value) < 4 || binary.BigEndian.Uint32(value) != sumOf(key, value[4:]) {
-		return nil, fmt.Errorf("%w: the checksum of %q does not fit", errDamaged, key)
+// verifyValue checks a stored value's checksum and returns a copy of its content.
+func verifyValue(key string, value []byte) ([]byte, error) {
+	if len(value) < 4 || binary.BigEndian.Uint32(value) != checksum(key, value[4:]) {
+		return nil, fmt.Errorf("%w: the checksum of %q does not match its content", errDamaged, key)
 	}
 	return append([]byte(nil), value[4:]...), nil
 }
