--- a/internal/clusterparams/params.go
+++ b/internal/clusterparams/params.go
@@ -32,27 +32,27 @@
 
 // LessorWait is how long after its last word a granter takes a lease for held: however far
 // apart both clocks go within the drift, the holder has stopped by then.
-func (t Params) LessorWait() time.Duration {
-	return time.Duration(float64(t.Lease)*(1+t.Drift)/(1-t.Drift)) + t.Slack
+func (p Params) LessorWait() time.Duration {
+	return time.Duration(float64(p.Lease)*(1+p.Drift)/(1-p.Drift)) + p.Slack
 }
 
 // Hash is equal for equal terms.
-func (t Params) Hash() string {
-	fixed := slices.Sorted(slices.Values(t.FixedClasses))
-	text := fmt.Appendf(nil, "%d %v %d %q", t.Lease, t.Drift, t.Slack, fixed)
-	if t.Holdings.Copies > 0 {
-		text = fmt.Appendf(text, " %+v", t.Holdings)
+func (p Params) Hash() string {
+	fixed := slices.Sorted(slices.Values(p.FixedClasses))
+	text := fmt.Appendf(nil, "%d %v %d %q", p.Lease, p.Drift, p.Slack, fixed)
+	if p.Holdings.Copies > 0 {
+		text = fmt.Appendf(text, " %+v", p.Holdings)
 	}
 	sum := sha256.Sum256(text)
 	return fmt.Sprintf("%x", sum[:8])
 }
 
 // String names them as the operator's file does.
-func (t Params) String() string {
+func (p Params) String() string {
 	holdings := ""
-	if h := t.Holdings; h.Copies > 0 {
+	if h := p.Holdings; h.Copies > 0 {
 		holdings = fmt.Sprintf(", holdings: copies %d, keep %v, lost_after %v", h.Copies, h.Keep, h.LostAfter)
 	}
-	return fmt.Sprintf("lease %v, drift %v, slack %v, fixed_classes [%s]%s", t.Lease, t.Drift, t.Slack,
-		strings.Join(t.FixedClasses, " "), holdings)
+	return fmt.Sprintf("lease %v, drift %v, slack %v, fixed_classes [%s]%s", p.Lease, p.Drift, p.Slack,
+		strings.Join(p.FixedClasses, " "), holdings)
 }
--- a/internal/holdings/delta.go
+++ b/internal/holdings/delta.go
@@ -15,11 +15,11 @@
 
 // Bounds of a history.
 const (
-	// mostNoted names of members and shards a history keeps: as many as a crew may have members. Who needs changes of more is
+	// maxChanges names of members and shards a history keeps: as many as a crew may have members. Who needs changes of more is
 	// nearly always told the whole in fewer bytes.
-	mostNoted = clusterparams.MaxMembers
-	// mostRecords of changes it keeps: a restart makes two epochs, so that this reaches over half an hour of a restart a second.
-	mostRecords = 4096
+	maxChanges = clusterparams.MaxMembers
+	// maxRecords of changes it keeps: a restart makes two epochs, so that this reaches over half an hour of a restart a second.
+	maxRecords = 4096
 )
 
 // History is which members and shards changed with which epoch and number of a ledger, the newest of them: what a keeper keeps in
@@ -29,62 +29,62 @@
 // What must hold: a delta that Delta returns leads from the members and the placement that the ledger had at the epoch and number
 // that were named to those that it has. Where the history does not reach so far, it starts from nothing and names all.
 type History struct {
-	epochs  track[string]
-	numbers track[int]
+	members changeLog[string]
+	shards  changeLog[int]
 }
 
-// track is which things changed with which number, from one number on to another, without a gap.
-type track[T cmp.Ordered] struct {
+// changeLog is which things changed with which number, from one number on to another, without a gap.
+type changeLog[T cmp.Ordered] struct {
 	from, to uint64 // what changed above from, and up to to, stands here
-	records  []record[T]
-	noted    int // things in all records
-	most     int // of them; 0 for mostNoted. Tests set it
+	records  []changeRecord[T]
+	size     int // things in all records
+	maxSize  int // of them; 0 for mostNoted. Tests set it
 }
 
-// record is what changed with one number.
-type record[T cmp.Ordered] struct {
-	number uint64
-	things []T
+// changeRecord is what changed with one number.
+type changeRecord[T cmp.Ordered] struct {
+	number  uint64
+	changed []T
 }
 
-// note books what changed between two numbers. One that does not follow on what is known begins the track anew.
-func (t *track[T]) note(before, after uint64, things []T) {
+// add books what changed between two numbers. One that does not follow on what is known begins the track anew.
+func (l *changeLog[T]) add(before, after uint64, changed []T) {
 	if after == before {
 		return
 	}
-	if t.to != before {
-		*t = track[T]{from: before, most: t.most}
+	if l.to != before {
+		*l = changeLog[T]{from: before, maxSize: l.maxSize}
 	}
-	t.to = after
-	t.records = append(t.records, record[T]{after, things})
-	t.noted += len(things)
+	l.to = after
+	l.records = append(l.records, changeRecord[T]{after, changed})
+	l.size += len(changed)
 	drop := 0
-	for ; drop < len(t.records) && (t.noted > cmp.Or(t.most, mostNoted) || len(t.records)-drop > mostRecords); drop++ {
-		t.from = t.records[drop].number
-		t.noted -= len(t.records[drop].things)
+	for ; drop < len(l.records) && (l.size > cmp.Or(l.maxSize, maxChanges) || len(l.records)-drop > maxRecords); drop++ {
+		l.from = l.records[drop].number
+		l.size -= len(l.records[drop].changed)
 	}
-	t.records = slices.Delete(t.records, 0, drop)
+	l.records = slices.Delete(l.records, 0, drop)
 }
 
 // since is what changed from one number to another, in order, each once; false where that is not known.
-func (t *track[T]) since(number, now uint64) (things []T, known bool) {
+func (l *changeLog[T]) since(number, now uint64) (changed []T, known bool) {
 	switch {
 	case number == now:
 		return nil, true
-	case number == 0 || number < t.from || number > now || t.to != now:
+	case number == 0 || number < l.from || number > now || l.to != now:
 		return nil, false
 	}
-	first, _ := slices.BinarySearchFunc(t.records, number+1, func(r record[T], n uint64) int { return cmp.Compare(r.number, n) })
-	for _, r := range t.records[first:] {
-		things = append(things, r.things...)
+	first, _ := slices.BinarySearchFunc(l.records, number+1, func(r changeRecord[T], n uint64) int { return cmp.Compare(r.number, n) })
+	for _, r := range l.records[first:] {
+		changed = append(changed, r.changed...)
 	}
-	slices.Sort(things)
-	return slices.Compact(things), true
+	slices.Sort(changed)
+	return slices.Compact(changed), true
 }
 
 // RecordMembers books members that came, went or changed between two epochs.
 func (h *History) RecordMembers(before, after uint64, names []string) {
-	h.epochs.note(before, after, names)
+	h.members.add(before, after, names)
 }
 
 // RecordChanges books changes of a placement between two of its numbers.
@@ -93,7 +93,7 @@
 	for _, c := range changes {
 		shards = append(shards, c.Shard)
 	}
-	h.numbers.note(before, after, shards)
+	h.shards.add(before, after, shards)
 }
 
 // Delta leads from what somebody knows of a ledger's members and placement to what the ledger has at one moment.
@@ -119,9 +119,9 @@
 
 // Delta returns what leads from a state, of which epoch and number are named (0 for none), to one that is the ledger's.
 // Each of both parts is told whole where that takes no more. sum is the checksum of to, which has a placement.
-func (h *History) Delta(sinceEpoch, sinceNumber uint64, to *View, sum uint64) *Delta {
-	d := &Delta{SinceEpoch: sinceEpoch, Epoch: to.Epoch, SinceNumber: sinceNumber, Number: to.number(), Checksum: sum}
-	names, known := h.epochs.since(sinceEpoch, to.Epoch)
+func (h *History) Delta(sinceEpoch, sinceNumber uint64, to *View, checksum uint64) *Delta {
+	d := &Delta{SinceEpoch: sinceEpoch, Epoch: to.Epoch, SinceNumber: sinceNumber, Number: to.placementNumber(), Checksum: checksum}
+	names, known := h.members.since(sinceEpoch, to.Epoch)
 	if !known || len(names) > 0 && len(names) >= len(to.Members) {
 		d.SinceEpoch, d.Joined = 0, to.Members
 	}
@@ -129,17 +129,17 @@
 		if d.SinceEpoch == 0 {
 			break
 		}
-		if i, in := to.find(name); in {
+		if i, found := to.find(name); found {
 			d.Joined = append(d.Joined, to.Members[i])
 		} else {
 			d.Gone = append(d.Gone, name)
 		}
 	}
-	shards, known := h.numbers.since(sinceNumber, to.number())
+	shards, known := h.shards.since(sinceNumber, to.placementNumber())
 	if !known {
 		d.SinceNumber = 0
 		for i := range NumShards {
-			if !to.Placement.Shards[i].empty() {
+			if !to.Placement.Shards[i].neverAssigned() {
 				shards = append(shards, i)
 			}
 		}
@@ -150,8 +150,8 @@
 	return d
 }
 
-// empty tells whether a shard was never given to anybody.
-func (s *Shard) empty() bool { return s.Config == 0 && len(s.Replicas) == 0 && s.Lost == 0 }
+// neverAssigned tells whether a shard was never given to anybody.
+func (s *Shard) neverAssigned() bool { return s.Config == 0 && len(s.Replicas) == 0 && s.Lost == 0 }
 
 // View is what a ledger says of members and placement at one moment. The zero value is that of who was told nothing. It is never
 // changed: who takes a delta gets another one, and both may share what is equal.
@@ -184,7 +184,7 @@
 
 func byName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
-func (v *View) number() uint64 {
+func (v *View) placementNumber() uint64 {
 	if v.Placement == nil {
 		return 0
 	}
@@ -202,11 +202,11 @@
 	if err := d.check(); err != nil {
 		return v, err
 	}
-	if d.Epoch == v.Epoch && d.Number == v.number() && d.SinceEpoch != 0 && d.SinceNumber != 0 {
+	if d.Epoch == v.Epoch && d.Number == v.placementNumber() && d.SinceEpoch != 0 && d.SinceNumber != 0 {
 		return v, nil // said twice
 	}
-	if d.SinceEpoch != 0 && d.SinceEpoch != v.Epoch || d.SinceNumber != 0 && d.SinceNumber != v.number() {
-		return v, fmt.Errorf("%w: epoch %d and placement %d; %d and %d are known", ErrBase, d.SinceEpoch, d.SinceNumber, v.Epoch, v.number())
+	if d.SinceEpoch != 0 && d.SinceEpoch != v.Epoch || d.SinceNumber != 0 && d.SinceNumber != v.placementNumber() {
+		return v, fmt.Errorf("%w: epoch %d and placement %d; %d and %d are known", ErrBase, d.SinceEpoch, d.SinceNumber, v.Epoch, v.placementNumber())
 	}
 	next := v.apply(d)
 	if next.Checksum() != d.Checksum {
@@ -223,7 +223,7 @@
 		if d.SinceEpoch == 0 {
 			base = nil
 		}
-		next.Members = merged(base, d.Joined, d.Gone)
+		next.Members = mergeMembers(base, d.Joined, d.Gone)
 	}
 	if d.SinceNumber != d.Number {
 		p := Placement{}
@@ -255,18 +255,18 @@
 	return nil
 }
 
-// merged are members, by name, with those that came or changed and without those that are gone.
-func merged(base, in []Member, gone []string) []Member {
-	changed := make(map[string]*Member, len(in)+len(gone)) // nil for gone
+// mergeMembers are members, by name, with those that came or changed and without those that are gone.
+func mergeMembers(base, joined []Member, gone []string) []Member {
+	changed := make(map[string]*Member, len(joined)+len(gone)) // nil for gone
 	for _, name := range gone {
 		changed[name] = nil
 	}
-	for i := range in {
-		changed[in[i].Name] = &in[i]
+	for i := range joined {
+		changed[joined[i].Name] = &joined[i]
 	}
-	out := make([]Member, 0, len(base)+len(in))
+	out := make([]Member, 0, len(base)+len(joined))
 	for i := range base {
-		if _, does := changed[base[i].Name]; !does {
+		if _, isChanged := changed[base[i].Name]; !isChanged {
 			out = append(out, base[i])
 		}
 	}
@@ -285,7 +285,7 @@
 	var h xxh3.Hasher
 	var buffer [256]byte
 	b := buffer[:0]
-	text := func(s string) {
+	appendText := func(s string) {
 		b = binary.AppendUvarint(b, uint64(len(s)))
 		b = append(b, s...)
 	}
@@ -293,11 +293,11 @@
 	b = binary.AppendUvarint(b, uint64(len(v.Members)))
 	for i := range v.Members {
 		m := &v.Members[i]
-		text(m.Name)
+		appendText(m.Name)
 		b = binary.AppendUvarint(b, m.JoinEpoch)
 		b = binary.AppendUvarint(b, m.Token)
-		text(m.Zone)
-		text(m.Address)
+		appendText(m.Zone)
+		appendText(m.Address)
 		h.Write(b) //nolint:errcheck // it does not fail
 		b = b[:0]
 	}
@@ -309,7 +309,7 @@
 				b = binary.AppendUvarint(b, n)
 			}
 			for _, r := range s.Replicas {
-				text(r.Name)
+				appendText(r.Name)
 				b = binary.AppendUvarint(b, r.JoinEpoch)
 				b = binary.AppendUvarint(b, r.Token)
 				ready := byte(0)
--- a/internal/holdings/delta_test.go
+++ b/internal/holdings/delta_test.go
@@ -20,8 +20,8 @@
 func (a *author) clone() *author {
 	c := *a
 	c.view.Members, c.view.Placement = slices.Clone(a.view.Members), a.view.Placement.Clone()
-	c.history.epochs.records = slices.Clone(a.history.epochs.records)
-	c.history.numbers.records = slices.Clone(a.history.numbers.records)
+	c.history.members.records = slices.Clone(a.history.members.records)
+	c.history.shards.records = slices.Clone(a.history.shards.records)
 	return &c
 }
 
@@ -30,7 +30,7 @@
 	for _, m := range in {
 		names = append(names, m.Name)
 	}
-	a.view.Members = merged(a.view.Members, in, gone)
+	a.view.Members = mergeMembers(a.view.Members, in, gone)
 	a.view.Epoch++
 	a.history.RecordMembers(a.view.Epoch-1, a.view.Epoch, append(names, gone...))
 }
@@ -73,7 +73,7 @@
 
 func newAuthor(most int) *author {
 	a := &author{view: View{Placement: &Placement{}}}
-	a.history.epochs.most, a.history.numbers.most = most, most
+	a.history.members.maxSize, a.history.shards.maxSize = most, most
 	a.members(nil, []Member{{Incarnation: Incarnation{"m00", 1}, Token: 1}})
 	return a
 }
@@ -106,7 +106,7 @@
 			return v
 		}
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			truth[[2]uint64{leader.view.Epoch, leader.view.number()}] = keep(leader.view)
+			truth[[2]uint64{leader.view.Epoch, leader.view.placementNumber()}] = keep(leader.view)
 			m := &all[rapid.IntRange(0, 2).Draw(t, "member")]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
@@ -120,9 +120,9 @@
 			case 3, 4: // it asks
 				var epoch, number uint64
 				if !m.distrusts {
-					epoch, number = m.view.Epoch, m.view.number()
+					epoch, number = m.view.Epoch, m.view.placementNumber()
 				}
-				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Checksum()); epoch != leader.view.Epoch || number != leader.view.number() {
+				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Checksum()); epoch != leader.view.Epoch || number != leader.view.placementNumber() {
 					c := *d // coded, on its way
 					c.Joined, c.Gone, c.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 					for i := range c.Shards {
@@ -139,7 +139,7 @@
 				if rapid.IntRange(0, 3).Draw(t, "again") > 0 {
 					m.flying = slices.Delete(m.flying, i, i+1)
 				}
-				if d.Epoch < m.view.Epoch || d.Epoch == m.view.Epoch && d.Number < m.view.number() {
+				if d.Epoch < m.view.Epoch || d.Epoch == m.view.Epoch && d.Number < m.view.placementNumber() {
 					continue // late word: who asks in order drops it
 				}
 				next, err := m.view.Apply(d)
@@ -157,9 +157,9 @@
 				if m.view.Placement == nil {
 					continue
 				}
-				want, known := truth[[2]uint64{m.view.Epoch, m.view.number()}]
+				want, known := truth[[2]uint64{m.view.Epoch, m.view.placementNumber()}]
 				if !known || !same(&m.view, &want) {
-					t.Fatalf("a member has %+v at epoch %d and number %d, and the ledger had %+v", m.view, m.view.Epoch, m.view.number(), want)
+					t.Fatalf("a member has %+v at epoch %d and number %d, and the ledger had %+v", m.view, m.view.Epoch, m.view.placementNumber(), want)
 				}
 				if !same(&m.view, &m.copied) {
 					t.Fatal("what a member knows has changed under it")
@@ -169,7 +169,7 @@
 		// In the end whoever asks has all.
 		for i := range all {
 			v := &all[i].view
-			d := leader.history.Delta(v.Epoch, v.number(), &leader.view, leader.view.Checksum())
+			d := leader.history.Delta(v.Epoch, v.placementNumber(), &leader.view, leader.view.Checksum())
 			if next, err := v.Apply(d); err != nil || !same(&next, &leader.view) {
 				t.Fatalf("%+v: %v", d, err)
 			}
@@ -230,7 +230,7 @@
 // deltaFaults are what a leader could say wrongly to who knows a view. middle is the leader one entry before.
 var deltaFaults = map[string]func(a, middle *author, known *View) (*Delta, bool){
 	"a change is left out": func(a, _ *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(known.Epoch, known.number(), &a.view, a.view.Checksum())
+		d := *a.history.Delta(known.Epoch, known.placementNumber(), &a.view, a.view.Checksum())
 		switch {
 		case len(d.Gone) > 0:
 			d.Gone = d.Gone[1:]
@@ -245,38 +245,38 @@
 	},
 	"a change is applied again after a later one": func(a, middle *author, known *View) (*Delta, bool) {
 		// The delta of one entry before, said to lead to the present one.
-		d := *middle.history.Delta(known.Epoch, known.number(), &middle.view, a.view.Checksum())
+		d := *middle.history.Delta(known.Epoch, known.placementNumber(), &middle.view, a.view.Checksum())
 		if d.SinceEpoch != 0 && d.SinceEpoch == d.Epoch && a.view.Epoch != d.Epoch {
 			return nil, false // it has no members, and would have to
 		}
-		d.Epoch, d.Number = a.view.Epoch, a.view.number()
+		d.Epoch, d.Number = a.view.Epoch, a.view.placementNumber()
 		return &d, d.SinceNumber == 0 || d.SinceNumber != d.Number
 	},
 	"a wrong base number": func(a, middle *author, known *View) (*Delta, bool) {
 		// From one entry before, said to start from what is known.
-		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Checksum())
-		if d.SinceEpoch == 0 || d.SinceNumber == 0 || middle.view.Epoch == known.Epoch && middle.view.number() == known.number() {
+		d := *a.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &a.view, a.view.Checksum())
+		if d.SinceEpoch == 0 || d.SinceNumber == 0 || middle.view.Epoch == known.Epoch && middle.view.placementNumber() == known.placementNumber() {
 			return nil, false
 		}
-		d.SinceEpoch, d.SinceNumber = known.Epoch, known.number()
+		d.SinceEpoch, d.SinceNumber = known.Epoch, known.placementNumber()
 		return &d, true
 	},
 	"a wrong base number that is said": func(a, middle *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(middle.view.Epoch, middle.view.number(), &a.view, a.view.Checksum())
-		return &d, d.SinceEpoch > known.Epoch || d.SinceNumber > known.number()
+		d := *a.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &a.view, a.view.Checksum())
+		return &d, d.SinceEpoch > known.Epoch || d.SinceNumber > known.placementNumber()
 	},
 	"the history is cut short and the whole is not sent": func(a, _ *author, known *View) (*Delta, bool) {
 		short := a.clone()
-		short.history.epochs.most, short.history.numbers.most = 1, 1
-		cut(&short.history.epochs)
-		cut(&short.history.numbers)
-		d := short.history.Delta(known.Epoch, known.number(), &short.view, a.view.Checksum())
+		short.history.members.maxSize, short.history.shards.maxSize = 1, 1
+		cut(&short.history.members)
+		cut(&short.history.shards)
+		d := short.history.Delta(known.Epoch, known.placementNumber(), &short.view, a.view.Checksum())
 		return d, d.SinceEpoch != 0 || d.SinceNumber != 0
 	},
 }
 
 // cut drops all records but the newest, and forgets that it did.
-func cut[T interface{ ~int | ~string }](t *track[T]) {
+func cut[T interface{ ~int | ~string }](t *changeLog[T]) {
 	if len(t.records) > 1 {
 		t.records = t.records[len(t.records)-1:]
 	}
@@ -293,12 +293,12 @@
 			t.Errorf("%+v: %v, %+v", d, err, got)
 		}
 	}
-	var h track[string]
-	for n := range uint64(3 * mostRecords) {
-		h.note(n, n+1, []string{fmt.Sprint("m", n%7), fmt.Sprint("n", n)})
+	var h changeLog[string]
+	for n := range uint64(3 * maxRecords) {
+		h.add(n, n+1, []string{fmt.Sprint("m", n%7), fmt.Sprint("n", n)})
 	}
-	if h.noted > mostNoted || len(h.records) > mostRecords || h.to != 3*mostRecords {
-		t.Errorf("%d names in %d records, up to %d", h.noted, len(h.records), h.to)
+	if h.size > maxChanges || len(h.records) > maxRecords || h.to != 3*maxRecords {
+		t.Errorf("%d names in %d records, up to %d", h.size, len(h.records), h.to)
 	}
 	if _, known := h.since(h.from-1, h.to); known || h.from == 0 {
 		t.Errorf("changes since %d are known, and the history begins at %d", h.from-1, h.from)
@@ -306,10 +306,10 @@
 	if things, known := h.since(h.from, h.to); !known || len(things) == 0 {
 		t.Errorf("changes since %d are not known", h.from)
 	}
-	if h.note(9, 10, []string{"late"}); h.from != 9 || len(h.records) != 1 {
+	if h.add(9, 10, []string{"late"}); h.from != 9 || len(h.records) != 1 {
 		t.Errorf("after a gap: from %d, %d records", h.from, len(h.records))
 	}
-	if h.note(10, 11, make([]string, mostNoted+1)); h.from != 11 || len(h.records) != 0 {
+	if h.add(10, 11, make([]string, maxChanges+1)); h.from != 11 || len(h.records) != 0 {
 		t.Errorf("after too many at once: from %d, %d records", h.from, len(h.records))
 	}
 }
--- a/internal/holdings/entry.go
+++ b/internal/holdings/entry.go
@@ -96,18 +96,18 @@
 }
 
 // Check turns down an ask that breaks a bound. Its error begins with what is wrong.
-func (a *Command) Check() error {
+func (c *Command) Check() error {
 	switch {
-	case a.Op < OpClaim || a.Op > OpDrop:
-		return fmt.Errorf("do: %d; allowed: %d to %d", a.Op, OpClaim, OpDrop)
-	case a.Key.Text == "" || max(len(a.Key.Text), len(a.Key.Class), len(a.Key.Tenant), len(a.Owner.Name)) > MaxName:
+	case c.Op < OpClaim || c.Op > OpDrop:
+		return fmt.Errorf("do: %d; allowed: %d to %d", c.Op, OpClaim, OpDrop)
+	case c.Key.Text == "" || max(len(c.Key.Text), len(c.Key.Class), len(c.Key.Tenant), len(c.Owner.Name)) > MaxName:
 		return fmt.Errorf("key, class, tenant, owner: allowed: a key, and up to %d bytes each", MaxName)
-	case a.Outcome != nil && len(a.Outcome.Body) > MaxBody:
-		return fmt.Errorf("outcome: %d bytes; allowed: up to %d", len(a.Outcome.Body), MaxBody)
-	case a.Op == OpFinish && a.Outcome == nil:
+	case c.Outcome != nil && len(c.Outcome.Body) > MaxBody:
+		return fmt.Errorf("outcome: %d bytes; allowed: up to %d", len(c.Outcome.Body), MaxBody)
+	case c.Op == OpFinish && c.Outcome == nil:
 		return errors.New("outcome: missing")
-	case a.Lifetime < 0 || a.Lifetime > MaxLifetime:
-		return fmt.Errorf("lasts: %v; allowed: 0s to %v", a.Lifetime, MaxLifetime)
+	case c.Lifetime < 0 || c.Lifetime > MaxLifetime:
+		return fmt.Errorf("lasts: %v; allowed: 0s to %v", c.Lifetime, MaxLifetime)
 	}
 	return nil
 }
--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -184,8 +184,8 @@
 		})
 		now := View{m.epoch, m.members(), m.placement.Clone()}
 		var delta *Delta
-		if now.number() > 0 && (known.Epoch != now.Epoch || known.number() != now.number()) {
-			delta = m.history.Delta(known.Epoch, known.number(), &now, now.Checksum())
+		if now.placementNumber() > 0 && (known.Epoch != now.Epoch || known.placementNumber() != now.placementNumber()) {
+			delta = m.history.Delta(known.Epoch, known.placementNumber(), &now, now.Checksum())
 		}
 		m.after(m.between(time.Millisecond, 30*time.Millisecond), func() {
 			s.on(func() {
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -81,40 +81,40 @@
 var ErrConfig = errors.New("the shard's configuration has passed")
 
 // Apply takes changes that were agreed on, all or none.
-func (t *Placement) Apply(changes []PlacementChange) error {
+func (p *Placement) Apply(changes []PlacementChange) error {
 	for _, c := range changes {
 		if c.Shard < 0 || c.Shard >= NumShards {
 			return fmt.Errorf("shard %d; allowed: 0 to %d", c.Shard, NumShards-1)
 		}
-		if t.Shards[c.Shard].Config != c.Config {
-			return fmt.Errorf("shard %d: %w: %d, it is %d", c.Shard, ErrConfig, c.Config, t.Shards[c.Shard].Config)
+		if p.Shards[c.Shard].Config != c.Config {
+			return fmt.Errorf("shard %d: %w: %d, it is %d", c.Shard, ErrConfig, c.Config, p.Shards[c.Shard].Config)
 		}
 	}
 	for _, c := range changes {
-		s := &t.Shards[c.Shard]
+		s := &p.Shards[c.Shard]
 		s.Config, s.Replicas = s.Config+1, slices.Clone(c.Replicas)
 		if c.Lost {
 			s.Lost++
 		}
 	}
 	if len(changes) > 0 {
-		t.Number++
+		p.Number++
 	}
 	return nil
 }
 
 // Clone returns a placement that changes by itself.
-func (t *Placement) Clone() *Placement {
-	c := *t
+func (p *Placement) Clone() *Placement {
+	c := *p
 	for i := range c.Shards {
 		c.Shards[i].Replicas = slices.Clone(c.Shards[i].Replicas)
 	}
 	return &c
 }
 
-// mostMoves bounds the shards that are being copied to a better replica at a time: what is new goes on meanwhile, with one word more
+// maxShardMoves bounds the shards that are being copied to a better replica at a time: what is new goes on meanwhile, with one word more
 // for each.
-const mostMoves = 4
+const maxShardMoves = 4
 
 // PlacementInput is what replicas follow from.
 type PlacementInput struct {
@@ -133,74 +133,74 @@
 // planner is a crew as a plan looks things up.
 type planner struct {
 	*PlacementInput
-	in        map[Incarnation]Member
-	processes map[uint64]Member
-	said      map[CaughtUp]bool
-	deaf      map[Incarnation]bool // who reaches hardly anybody: it is at fault itself
-	moving    int                  // shards with a replica that is being filled
+	byIncarnation    map[Incarnation]Member
+	byToken          map[uint64]Member
+	reportedCaughtUp map[CaughtUp]bool
+	isolated         map[Incarnation]bool // who reaches hardly anybody: it is at fault itself
+	moving           int                  // shards with a replica that is being filled
 }
 
 // Plan returns the changes that follow from who is in the crew, and from what primaries have said of their replicas. The same
 // placement and crew give the same changes.
-func (t *Placement) Plan(crew *PlacementInput) []PlacementChange {
-	p := &planner{PlacementInput: crew, in: map[Incarnation]Member{}, processes: map[uint64]Member{}, said: map[CaughtUp]bool{}, deaf: map[Incarnation]bool{}}
-	for _, m := range crew.Members {
-		p.in[m.Incarnation], p.processes[m.Token] = m, m
+func (p *Placement) Plan(input *PlacementInput) []PlacementChange {
+	pl := &planner{PlacementInput: input, byIncarnation: map[Incarnation]Member{}, byToken: map[uint64]Member{}, reportedCaughtUp: map[CaughtUp]bool{}, isolated: map[Incarnation]bool{}}
+	for _, m := range input.Members {
+		pl.byIncarnation[m.Incarnation], pl.byToken[m.Token] = m, m
 	}
-	for _, f := range crew.CaughtUp {
-		p.said[f] = true
+	for _, report := range input.CaughtUp {
+		pl.reportedCaughtUp[report] = true
 	}
-	unheard := map[Incarnation]int{}
-	for pair := range crew.Unreachable {
-		unheard[pair[0]]++
+	unreachable := map[Incarnation]int{}
+	for pair := range input.Unreachable {
+		unreachable[pair[0]]++
 	}
-	for who, n := range unheard {
-		p.deaf[who] = 2*n >= len(crew.Members) && n > 1
+	for reporter, n := range unreachable {
+		pl.isolated[reporter] = 2*n >= len(input.Members) && n > 1
 	}
-	for i := range t.Shards {
-		if slices.ContainsFunc(t.Shards[i].Replicas, func(s Replica) bool { return !s.Ready }) {
-			p.moving++
+	for i := range p.Shards {
+		if slices.ContainsFunc(p.Shards[i].Replicas, func(s Replica) bool { return !s.Ready }) {
+			pl.moving++
 		}
 	}
 	var changes []PlacementChange
-	for i := range t.Shards {
-		s := &t.Shards[i]
+	for i := range p.Shards {
+		s := &p.Shards[i]
 		c := PlacementChange{Shard: i, Config: s.Config}
-		if p.plan(&c, s); !slices.Equal(c.Replicas, s.Replicas) {
+		if pl.planShard(&c, s); !slices.Equal(c.Replicas, s.Replicas) {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
-func (p *planner) plan(c *PlacementChange, s *Shard) {
+func (p *planner) planShard(c *PlacementChange, s *Shard) {
 	for _, replica := range s.Replicas {
-		m, there := p.in[replica.Incarnation]
-		if !there {
+		m, isMember := p.byIncarnation[replica.Incarnation]
+		if !isMember {
 			// The process may be in anew: nothing was told under this configuration without its word, so that it lacks nothing.
-			if m, there = p.processes[replica.Token]; !there || m.Name != replica.Name {
+			if m, isMember = p.byToken[replica.Token]; !isMember || m.Name != replica.Name {
 				continue
 			}
 			replica.Incarnation = m.Incarnation
 		}
-		if !replica.Ready && p.said[CaughtUp{c.Shard, s.Config, replica.Incarnation}] {
+		if !replica.Ready && p.reportedCaughtUp[CaughtUp{c.Shard, s.Config, replica.Incarnation}] {
 			replica.Ready = true
 		}
 		c.Replicas = append(c.Replicas, replica)
 	}
-	without := p.without(s)
+	without := p.excluded(s)
 	// Guards against a primary that lacks what was told: who is not ready comes behind all that are, in their order. Who reaches
 	// nobody comes behind those who do.
-	place := func(replica Replica) int {
+	priority := func(replica Replica) int {
 		switch {
 		case !replica.Ready:
 			return 2
-		case p.deaf[replica.Incarnation]:
+		case p.isolated[replica.Incarnation]:
 			return 1
 		}
 		return 0
 	}
-	slices.SortStableFunc(c.Replicas, func(a, b Replica) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(c.Replicas, func(a, b Replica) int { return cmp.Compare(priority(a), priority(b)) })
 	if len(c.Replicas) == 0 || !c.Replicas[0].Ready {
 		if s.Config > 0 && !p.Lost(c.Shard) {
 			c.Replicas = s.Replicas
@@ -212,35 +212,35 @@
 			c.Replicas[0].Ready = true
 		}
 	}
-	ranked := ranked(c.Shard, p.Members)
-	best := p.best(ranked, c.Replicas, without)
-	ready := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !without[replica.Incarnation] })
+	ranked := rankMembers(c.Shard, p.Members)
+	best := p.bestReplicas(ranked, c.Replicas, without)
+	allCaughtUp := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !without[replica.Incarnation] })
 	switch {
 	case len(best) < p.Copies:
 		// Too few, leaving ones not counted: the next of the order in zones that have none.
-		zones := map[string]bool{}
+		usedZones := map[string]bool{}
 		for _, replica := range best {
-			zones[p.in[replica.Incarnation].Zone] = true
+			usedZones[p.byIncarnation[replica.Incarnation].Zone] = true
 		}
 		for _, m := range ranked {
-			if n := len(zones); n < p.Copies && !zones[m.Zone] && takes(c, m, without) {
-				zones[m.Zone] = true
+			if n := len(usedZones); n < p.Copies && !usedZones[m.Zone] && canAddReplica(c, m, without) {
+				usedZones[m.Zone] = true
 				c.Replicas = append(c.Replicas, Replica{Incarnation: m.Incarnation, Token: m.Token, Ready: len(c.Replicas) == 0})
 			}
 		}
-	case !ready:
+	case !allCaughtUp:
 	case len(c.Replicas) > p.Copies:
 		c.Replicas = best // one that was to come in has come
-	case p.moving < mostMoves:
+	case p.moving < maxShardMoves:
 		// All is well, and somebody else should sit here: who came into the crew since.
-		var want []Replica
+		var candidates []Replica
 		for _, m := range ranked {
-			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation }) && !takes(c, m, without) {
+			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation }) && !canAddReplica(c, m, without) {
 				continue
 			}
-			want = append(want, Replica{Incarnation: m.Incarnation, Token: m.Token})
+			candidates = append(candidates, Replica{Incarnation: m.Incarnation, Token: m.Token})
 		}
-		for _, replica := range p.best(ranked, want, without) {
+		for _, replica := range p.bestReplicas(ranked, candidates, without) {
 			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == replica.Incarnation }) {
 				c.Replicas = append(c.Replicas, replica)
 				p.moving++
@@ -250,71 +250,71 @@
 	}
 }
 
-// without tells which members a shard should do without, of those that are in the crew: who leaves, who reaches hardly anybody,
+// excluded tells which members a shard should do without, of those that are in the crew: who leaves, who reaches hardly anybody,
 // and whom its primary does not reach. Guards against replicas that go before others have what they held: a way that is cut is no
 // machine lost, and the primary that complains may be lost next (seed 12 of the model).
-func (p *planner) without(s *Shard) map[Incarnation]bool {
+func (p *planner) excluded(s *Shard) map[Incarnation]bool {
 	out := maps.Clone(p.Leaving)
 	if out == nil {
 		out = map[Incarnation]bool{}
 	}
-	for who, deaf := range p.deaf {
-		out[who] = out[who] || deaf
+	for member, deaf := range p.isolated {
+		out[member] = out[member] || deaf
 	}
-	if len(s.Replicas) > 0 && !p.deaf[s.Replicas[0].Incarnation] {
-		for pair, unheard := range p.Unreachable {
+	if len(s.Replicas) > 0 && !p.isolated[s.Replicas[0].Incarnation] {
+		for pair, unreachable := range p.Unreachable {
 			if pair[0] == s.Replicas[0].Incarnation {
-				out[pair[1]] = out[pair[1]] || unheard
+				out[pair[1]] = out[pair[1]] || unreachable
 			}
 		}
 	}
 	return out
 }
 
-// takes tells whether a member may have a new replica in a shard.
-func takes(c *PlacementChange, m Member, without map[Incarnation]bool) bool {
-	return !without[m.Incarnation] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
+// canAddReplica tells whether a member may have a new replica in a shard.
+func canAddReplica(c *PlacementChange, m Member, excluded map[Incarnation]bool) bool {
+	return !excluded[m.Incarnation] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
 }
 
-// best are the replicas that should stay, by their order, one a zone.
-func (p *planner) best(ranked []Member, replicas []Replica, without map[Incarnation]bool) (out []Replica) {
-	zones := map[string]bool{}
+// bestReplicas are the replicas that should stay, by their order, one a zone.
+func (p *planner) bestReplicas(ranked []Member, replicas []Replica, excluded map[Incarnation]bool) (out []Replica) {
+	usedZones := map[string]bool{}
 	for _, m := range ranked {
 		if len(out) >= p.Copies {
 			break
 		}
 		i := slices.IndexFunc(replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
-		if i < 0 || without[m.Incarnation] || zones[m.Zone] {
+		if i < 0 || excluded[m.Incarnation] || usedZones[m.Zone] {
 			continue
 		}
-		zones[m.Zone] = true
+		usedZones[m.Zone] = true
 		out = append(out, replicas[i])
 	}
 	return out
 }
 
 // Dead tells whether no ready replica of a shard is in the crew.
-func (s *Shard) Dead(in func(Incarnation, uint64) bool) bool {
-	return s.Config > 0 && !slices.ContainsFunc(s.Replicas, func(replica Replica) bool { return replica.Ready && in(replica.Incarnation, replica.Token) })
+func (s *Shard) Dead(isMember func(Incarnation, uint64) bool) bool {
+	return s.Config > 0 && !slices.ContainsFunc(s.Replicas, func(replica Replica) bool { return replica.Ready && isMember(replica.Incarnation, replica.Token) })
 }
 
-// ranked is the order in which members are taken into a shard: rendezvous hashing, so that one who comes or goes changes
+// rankMembers is the order in which members are taken into a shard: rendezvous hashing, so that one who comes or goes changes
 // nobody else's places.
-func ranked(shard int, members []Member) []Member {
-	type place struct {
+func rankMembers(shard int, members []Member) []Member {
+	type rankedMember struct {
 		m    Member
 		rank uint64
 	}
-	places := make([]place, 0, len(members))
+	ranking := make([]rankedMember, 0, len(members))
 	for _, m := range members {
-		places = append(places, place{m, xxh3.HashStringSeed(m.Name, uint64(shard)+1)})
+		ranking = append(ranking, rankedMember{m, xxh3.HashStringSeed(m.Name, uint64(shard)+1)})
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(ranking, func(a, b rankedMember) int {
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.m.Name, b.m.Name), cmp.Compare(a.m.JoinEpoch, b.m.JoinEpoch))
 	})
-	out := make([]Member, 0, len(places))
-	for _, p := range places {
-		out = append(out, p.m)
+	out := make([]Member, 0, len(ranking))
+	for _, r := range ranking {
+		out = append(out, r.m)
 	}
 	return out
 }
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -25,17 +25,17 @@
 const (
 	// MaxMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
 	MaxMessage = 16 << 20
-	// mostConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
-	mostConns = 8192
-	readTime  = 5 * time.Second  // for a message, once its first byte has come
-	idleTime  = 70 * time.Second // above the longest lease: members renew more often
-	dialTime  = time.Second
-	closeTime = 200 * time.Millisecond
-	mostWhy   = 4096 // bytes of a refusal
+	// maxConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
+	maxConns   = 8192
+	readTime   = 5 * time.Second  // for a message, once its first byte has come
+	idleTime   = 70 * time.Second // above the longest lease: members renew more often
+	dialTime   = time.Second
+	closeTime  = 200 * time.Millisecond
+	maxRefusal = 4096 // bytes of a refusal
 )
 
-// prefix of all paths; the number is the version of what is said.
-const prefix = "/crew/1/"
+// pathPrefix of all paths; the number is the version of what is said.
+const pathPrefix = "/crew/1/"
 
 // Message is what goes over the wire: whose it is, and what it says.
 type Message struct {
@@ -50,15 +50,15 @@
 // Handler answers messages of one kind. Its error is told to who asked.
 type Handler func(from string, body []byte) (any, error)
 
-// decoding bounds what a message may hold before memory is taken.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
+// boundedDecoding bounds what a message may hold before memory is taken.
+var boundedDecoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 
 // Decode reads a message's body.
-func Decode(body []byte, into any) error { return decoding.Unmarshal(body, into) }
+func Decode(body []byte, into any) error { return boundedDecoding.Unmarshal(body, into) }
 
 // Server answers peers.
 type Server struct {
-	crew     string
+	cluster  string
 	handlers map[string]Handler
 	listener net.Listener
 	server   *fasthttp.Server
@@ -69,16 +69,16 @@
 }
 
 // Listen opens an address; Serve begins to answer there.
-func Listen(world env.Env, address, crew string) (*Server, error) {
-	l, err := world.Listen(address)
+func Listen(environment env.Env, address, cluster string) (*Server, error) {
+	l, err := environment.Listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("crew.address: %w", err)
 	}
-	s := &Server{crew: crew, listener: l}
+	s := &Server{cluster: cluster, listener: l}
 	s.server = &fasthttp.Server{
-		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
+		Handler: s.handle, Concurrency: 2 * maxConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
 		WriteTimeout: readTime, IdleTimeout: idleTime, NoDefaultServerHeader: true, NoDefaultDate: true,
-		NoDefaultContentType: true, Logger: silent{}, CloseOnShutdown: true,
+		NoDefaultContentType: true, Logger: silentLogger{}, CloseOnShutdown: true,
 		ConnState: func(_ net.Conn, state fasthttp.ConnState) {
 			switch state {
 			case fasthttp.StateNew:
@@ -91,15 +91,15 @@
 	return s, nil
 }
 
-type silent struct{}
+type silentLogger struct{}
 
 // Printf is fasthttp.Logger's.
-func (silent) Printf(string, ...any) {}
+func (silentLogger) Printf(string, ...any) {}
 
 // Serve answers messages by their kinds until Close.
-func (s *Server) Serve(world env.Env, handlers map[string]Handler) {
+func (s *Server) Serve(environment env.Env, handlers map[string]Handler) {
 	s.handlers = handlers
-	world.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it ends with Close
+	environment.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it ends with Close
 }
 
 // Address is where it listens.
@@ -114,17 +114,17 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.conns.Load() > mostConns {
+	if s.conns.Load() > maxConns {
 		s.Refused.Add(1)
 		ctx.SetConnectionClose()
 		ctx.Error("too many connections", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	s.BytesIn.Add(int64(len(ctx.Request.Body())))
-	kind, ok := strings.CutPrefix(string(ctx.Path()), prefix)
-	do := s.handlers[kind]
-	if !ok || do == nil || !ctx.IsPost() {
-		ctx.Error(fmt.Sprintf("%s %.100s: unknown; allowed: POST %s... of a heathgap of this version", ctx.Method(), ctx.Path(), prefix),
+	kind, ok := strings.CutPrefix(string(ctx.Path()), pathPrefix)
+	handler := s.handlers[kind]
+	if !ok || handler == nil || !ctx.IsPost() {
+		ctx.Error(fmt.Sprintf("%s %.100s: unknown; allowed: POST %s... of a heathgap of this version", ctx.Method(), ctx.Path(), pathPrefix),
 			fasthttp.StatusNotFound)
 		return
 	}
@@ -133,106 +133,106 @@
 		ctx.Error(fmt.Sprintf("%s: malformed: %v", kind, err), fasthttp.StatusBadRequest)
 		return
 	}
-	if m.Cluster != s.crew {
-		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.crew), fasthttp.StatusForbidden)
+	if m.Cluster != s.cluster {
+		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.cluster), fasthttp.StatusForbidden)
 		return
 	}
-	answer, err := do(m.From, m.Body)
+	answer, err := handler(m.From, m.Body)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
 		return
 	}
-	text, err := cbor.Marshal(answer)
+	encoded, err := cbor.Marshal(answer)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	s.BytesOut.Add(int64(len(text)))
-	ctx.SetBody(text)
+	s.BytesOut.Add(int64(len(encoded)))
+	ctx.SetBody(encoded)
 }
 
 // Client calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
 // goroutine; they wait for one another.
 type Client struct {
-	world      env.Env
-	crew, from string
-	address    string
+	env           env.Env
+	cluster, from string
+	address       string
 
 	mu   sync.Mutex
 	link *httpwire.Link
 }
 
 // NewClient returns one that is not connected.
-func NewClient(world env.Env, crew, from, address string) *Client {
-	return &Client{world: world, crew: crew, from: from, address: address}
+func NewClient(environment env.Env, cluster, from, address string) *Client {
+	return &Client{env: environment, cluster: cluster, from: from, address: address}
 }
 
 // Address is where it calls.
-func (l *Client) Address() string { return l.address }
+func (c *Client) Address() string { return c.address }
 
 // Close ends its connection.
-func (l *Client) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.drop()
+func (c *Client) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLink()
 }
 
-func (l *Client) drop() {
-	if l.link != nil {
-		l.link.Close()
-		l.link = nil
+func (c *Client) closeLink() {
+	if c.link != nil {
+		c.link.Close()
+		c.link = nil
 	}
 }
 
 // Call says one thing and reads the answer into a value, within a time. An error that is ErrRefused came from the peer;
 // after any other one nobody knows whether the peer has heard it.
-func (l *Client) Call(kind string, body, answer any, within time.Duration) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	err := l.call(kind, body, answer, within)
+func (c *Client) Call(kind string, body, answer any, timeout time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	err := c.call(kind, body, answer, timeout)
 	if err != nil && !errors.Is(err, ErrRefused) {
-		l.drop()
+		c.closeLink()
 	}
 	return err
 }
 
-func (l *Client) call(kind string, body, answer any, within time.Duration) error {
+func (c *Client) call(kind string, body, answer any, timeout time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return err
 	}
-	text, err := cbor.Marshal(Message{l.crew, l.from, raw})
+	encoded, err := cbor.Marshal(Message{c.cluster, c.from, raw})
 	if err != nil {
 		return err
 	}
-	until := l.world.Now().Add(within)
-	if l.link != nil && !l.link.Usable() {
-		l.drop()
+	deadline := c.env.Now().Add(timeout)
+	if c.link != nil && !c.link.Usable() {
+		c.closeLink()
 	}
-	if l.link == nil {
-		if l.link, err = httpwire.Dial(context.Background(), l.world, l.address, min(dialTime, within)); err != nil {
+	if c.link == nil {
+		if c.link, err = httpwire.Dial(context.Background(), c.env, c.address, min(dialTime, timeout)); err != nil {
 			return err
 		}
 	}
 	var head bytes.Buffer
-	fmt.Fprintf(&head, "POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", prefix, kind, l.address, len(text))
-	head.Write(text)
-	if whole, err := l.link.Send(head.Bytes(), until); !whole {
-		return fmt.Errorf("%s: writing: %w", l.address, err)
+	fmt.Fprintf(&head, "POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", pathPrefix, kind, c.address, len(encoded))
+	head.Write(encoded)
+	if complete, err := c.link.Send(head.Bytes(), deadline); !complete {
+		return fmt.Errorf("%s: writing: %w", c.address, err)
 	}
 	var r fasthttp.Response
-	if err := r.ReadLimitBody(l.link.Reader(), MaxMessage); err != nil {
+	if err := r.ReadLimitBody(c.link.Reader(), MaxMessage); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return fmt.Errorf("%s: answer: %w", l.address, err)
+		return fmt.Errorf("%s: answer: %w", c.address, err)
 	}
 	if r.ConnectionClose() {
-		l.drop()
+		c.closeLink()
 	}
 	if r.StatusCode() != fasthttp.StatusOK {
-		why := r.Body()
-		return fmt.Errorf("%w by %s: %s", ErrRefused, l.address, why[:min(len(why), mostWhy)])
+		reason := r.Body()
+		return fmt.Errorf("%w by %s: %s", ErrRefused, c.address, reason[:min(len(reason), maxRefusal)])
 	}
 	if answer == nil {
 		return nil
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -16,15 +16,15 @@
 	GroupNames  = map[decide.Group]string{decide.GroupAll: "all", decide.GroupZone: "zone", decide.GroupCell: "cell"}
 )
 
-// keyOf finds the key of a word.
-func keyOf[K comparable](words map[K]string, word string) K {
-	for k, w := range words {
-		if w == word {
+// keyByName finds the key of a word.
+func keyByName[K comparable](names map[K]string, name string) K {
+	for k, n := range names {
+		if n == name {
 			return k
 		}
 	}
-	var none K
-	return none
+	var zero K
+	return zero
 }
 
 // Load reads a document that people wrote, with its note. The error tells all that is wrong, a line each.
@@ -54,13 +54,13 @@
 		t.Need("name", "the name of a class")
 		t.Need("effect", "repeatable, by_key, once")
 		name := t.Text("name", "")
-		if _, twice := doc.Classes[name]; twice {
+		if _, found := doc.Classes[name]; found {
 			t.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c := Class{Effect: keyOf(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
+		c := Class{Effect: keyByName(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
 		if c.Effect == decide.Keyed {
 			t.Need("window", `a time such as "800ms"`)
-			c.Group = keyOf(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
+			c.Group = keyByName(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
 			c.Window = t.Duration("window", time.Second, 0, MaxWindow)
 		}
 		doc.Classes[name] = c
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -23,7 +23,7 @@
 	MaxBytes      = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
 	AttemptsLimit = 16
 	MaxWindow     = time.Hour
-	mostName      = 256
+	maxName       = 256
 )
 
 // Class is what a document says of a class of requests: all of it, or the class is not
@@ -43,8 +43,8 @@
 	Banned    []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
 }
 
-// encoding gives the same bytes for the same document, whatever a map's order.
-var encoding, _ = cbor.CoreDetEncOptions().EncMode()
+// canonicalEncoding gives the same bytes for the same document, whatever a map's order.
+var canonicalEncoding, _ = cbor.CoreDetEncOptions().EncMode()
 
 // Hash identifies a document's content.
 type Hash [sha256.Size]byte
@@ -54,15 +54,15 @@
 
 // Hash returns the hash of the canonical encoding (RFC 8949, 4.2.1).
 func (d *Document) Hash() Hash {
-	return sha256.Sum256(d.encoded())
+	return sha256.Sum256(d.encode())
 }
 
-func (d *Document) encoded() []byte {
-	text, err := encoding.Marshal(d)
+func (d *Document) encode() []byte {
+	encoded, err := canonicalEncoding.Marshal(d)
 	if err != nil {
 		panic(err) // a struct of plain fields
 	}
-	return text
+	return encoded
 }
 
 // Version is a document with its place among the others.
@@ -84,8 +84,8 @@
 	if got := v.Doc.Hash(); got != v.Hash {
 		return fmt.Errorf("hash: %v, of what came %v", v.Hash, got)
 	}
-	if len(v.Note) > mostName || len(v.Author) > mostName {
-		return fmt.Errorf("note, author: over %d bytes", mostName)
+	if len(v.Note) > maxName || len(v.Author) > maxName {
+		return fmt.Errorf("note, author: over %d bytes", maxName)
 	}
 	return nil
 }
@@ -100,8 +100,8 @@
 		c := d.Classes[name]
 		key := func(k string) string { return fmt.Sprintf("class.%s.%s", name, k) }
 		switch {
-		case name == "" || len(name) > mostName:
-			return fmt.Errorf("class.name: %d bytes; allowed: 1 to %d", len(name), mostName)
+		case name == "" || len(name) > maxName:
+			return fmt.Errorf("class.name: %d bytes; allowed: 1 to %d", len(name), maxName)
 		case c.Effect != decide.Safe && c.Effect != decide.Keyed && c.Effect != decide.Unsafe:
 			return fmt.Errorf("%s: %d; allowed: repeatable, by_key, once", key("effect"), c.Effect)
 		case c.Group > decide.GroupCell:
@@ -119,11 +119,11 @@
 		return fmt.Errorf("banned: %d names; allowed: up to %d", len(d.Banned), MaxBanned)
 	}
 	for i, name := range d.Banned {
-		if name == "" || len(name) > mostName || i > 0 && name <= d.Banned[i-1] {
-			return fmt.Errorf("banned[%d]: %.40q; allowed: names of 1 to %d bytes, sorted, each once", i, name, mostName)
+		if name == "" || len(name) > maxName || i > 0 && name <= d.Banned[i-1] {
+			return fmt.Errorf("banned[%d]: %.40q; allowed: names of 1 to %d bytes, sorted, each once", i, name, maxName)
 		}
 	}
-	if size := len(d.encoded()); size > MaxBytes {
+	if size := len(d.encode()); size > MaxBytes {
 		return fmt.Errorf("document: %d bytes; allowed: up to %d", size, MaxBytes)
 	}
 	return nil
@@ -188,7 +188,7 @@
 func (r Rules) Intersect(other Rules) (Rules, error) {
 	out := r.clone()
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-		c, err := stricterClass(r.Classes[name], other.Classes[name])
+		c, err := intersectClass(r.Classes[name], other.Classes[name])
 		if err != nil {
 			return Rules{}, fmt.Errorf("class.%s.%w", name, err)
 		}
@@ -200,7 +200,7 @@
 	return out, nil
 }
 
-func stricterClass(a, b Class) (Class, error) {
+func intersectClass(a, b Class) (Class, error) {
 	switch {
 	case a.Effect > b.Effect:
 		return a, nil
@@ -304,7 +304,7 @@
 	}
 	maps.Copy(names, to.Classes)
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		add("class."+name, show(from.Classes, name), show(to.Classes, name))
+		add("class."+name, describeClass(from.Classes, name), describeClass(to.Classes, name))
 	}
 	add("max_attempts", from.MaxAttempts, to.MaxAttempts)
 	add("second_copies", !from.NoHedging, !to.NoHedging)
@@ -321,10 +321,10 @@
 	return lines
 }
 
-func show(classes map[string]Class, name string) string {
-	c, there := classes[name]
+func describeClass(classes map[string]Class, name string) string {
+	c, found := classes[name]
 	switch {
-	case !there:
+	case !found:
 		return "each sidecar's own"
 	case c.Effect == decide.Keyed:
 		return fmt.Sprintf("%s/%s/%v", EffectNames[c.Effect], GroupNames[c.Group], c.Window)
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -130,10 +130,10 @@
 	}
 	long := Document{}
 	for i := range MaxBanned {
-		long.Banned = append(long.Banned, fmt.Sprintf("%0*d", mostName, i))
+		long.Banned = append(long.Banned, fmt.Sprintf("%0*d", maxName, i))
 	}
 	if err := long.Check(); err == nil || !strings.HasPrefix(err.Error(), "document: ") {
-		t.Errorf("a document of %d names of %d bytes: %v", MaxBanned, mostName, err)
+		t.Errorf("a document of %d names of %d bytes: %v", MaxBanned, maxName, err)
 	}
 	for text, want := range map[string]string{
 		"max_attempts = 0":                             "v.toml:1: max_attempts",
