--- a/internal/env/bench_test.go
+++ b/internal/env/bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// BenchmarkSeam shows what the seam costs beside the straight call.
-func BenchmarkSeam(b *testing.B) {
-	var world Env = Real{}
+// BenchmarkEnv shows what the seam costs beside the straight call.
+func BenchmarkEnv(b *testing.B) {
+	var environment Env = Real{}
 	var sum time.Time
 	b.Run("time.Now", func(b *testing.B) {
 		b.ReportAllocs()
@@ -18,7 +18,7 @@
 	b.Run("Env.Now", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			sum = world.Now()
+			sum = environment.Now()
 		}
 	})
 	done := make(chan int)
@@ -32,7 +32,7 @@
 	b.Run("Env.Go", func(b *testing.B) {
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			world.Go("x", func() { send(done, i) })
+			environment.Go("x", func() { send(done, i) })
 			<-done
 		}
 	})
--- a/internal/env/seam_test.go
+++ b/internal/env/bypass_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// covered are the packages that meet the world through the seam alone.
-var covered = []string{"pipeline", "httpwire", "state", "cluster", "peerrpc"}
+// coveredPackages are the packages that meet the world through the seam alone.
+var coveredPackages = []string{"pipeline", "httpwire", "state", "cluster", "peerrpc"}
 
 // lifecycleFile is covered too, but for what the process itself does.
 const lifecycleFile = "lifecycle/sidecar.go"
 
-// past are the functions that would go past the seam.
-var past = map[string][]string{
+// bypasses are the functions that would go past the seam.
+var bypasses = map[string][]string{
 	"time":         {"Now", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep", "Since", "Until"},
 	"net":          {"Dial", "DialTimeout", "Listen", "Dialer", "ListenConfig"},
 	"math/rand/v2": nil, // nothing of it
@@ -27,9 +27,9 @@
 
 // Guards against code that reads the machine's clock, dials, starts goroutines or
 // draws by itself: the simulation would not be in command of it.
-func TestNothingGoesPastTheSeam(t *testing.T) {
+func TestNetworkCodeUsesOnlyEnv(t *testing.T) {
 	files := []string{filepath.Join("..", lifecycleFile)}
-	for _, name := range covered {
+	for _, name := range coveredPackages {
 		err := filepath.WalkDir(filepath.Join("..", name), func(path string, _ fs.DirEntry, err error) error {
 			if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
 				files = append(files, path)
@@ -44,14 +44,14 @@
 		t.Fatalf("only %d files are looked at", len(files))
 	}
 	for _, path := range files {
-		for _, found := range goesPast(t, path, nil) {
+		for _, found := range findBypasses(t, path, nil) {
 			t.Error(found)
 		}
 	}
 }
 
 // The check itself must be able to fail.
-func TestTheCheckNotices(t *testing.T) {
+func TestFindBypassesDetects(t *testing.T) {
 	const text = `package x
 import ("time"; "net"; rnd "math/rand/v2")
 func f() {
@@ -61,12 +61,12 @@
 	_ = rnd.N(3)
 	_ = time.Second
 }`
-	if found := goesPast(t, "x.go", text); len(found) != 4 {
+	if found := findBypasses(t, "x.go", text); len(found) != 4 {
 		t.Errorf("found %q, want 4 places", found)
 	}
 }
 
-func goesPast(t *testing.T, path string, text any) (found []string) {
+func findBypasses(t *testing.T, path string, text any) (found []string) {
 	t.Helper()
 	files := token.NewFileSet()
 	f, err := parser.ParseFile(files, path, text, parser.SkipObjectResolution)
@@ -94,8 +94,8 @@
 			if !ok {
 				break
 			}
-			names, watched := past[imported[x.Name]]
-			if watched && (names == nil || contains(names, n.Sel.Name)) {
+			names, listed := bypasses[imported[x.Name]]
+			if listed && (names == nil || contains(names, n.Sel.Name)) {
 				found = append(found, files.Position(n.Pos()).String()+": "+x.Name+"."+n.Sel.Name+" goes past the seam")
 			}
 		}
--- a/internal/holdings/delta_test.go
+++ b/internal/holdings/delta_test.go
@@ -10,76 +10,76 @@
 	"pgregory.net/rapid"
 )
 
-// author is a ledger's members and placement with their history, as a keeper has them.
-type author struct {
+// testLedger is a ledger's members and placement with their history, as a keeper has them.
+type testLedger struct {
 	view    View
 	history History
 }
 
 // clone is another keeper's, that knows the same and has a history of its own.
-func (a *author) clone() *author {
-	c := *a
-	c.view.Members, c.view.Placement = slices.Clone(a.view.Members), a.view.Placement.Clone()
-	c.history.members.records = slices.Clone(a.history.members.records)
-	c.history.shards.records = slices.Clone(a.history.shards.records)
+func (l *testLedger) clone() *testLedger {
+	c := *l
+	c.view.Members, c.view.Placement = slices.Clone(l.view.Members), l.view.Placement.Clone()
+	c.history.members.records = slices.Clone(l.history.members.records)
+	c.history.shards.records = slices.Clone(l.history.shards.records)
 	return &c
 }
 
-func (a *author) members(gone []string, in []Member) {
+func (l *testLedger) changeMembers(gone []string, joined []Member) {
 	var names []string
-	for _, m := range in {
+	for _, m := range joined {
 		names = append(names, m.Name)
 	}
-	a.view.Members = mergeMembers(a.view.Members, in, gone)
-	a.view.Epoch++
-	a.history.RecordMembers(a.view.Epoch-1, a.view.Epoch, append(names, gone...))
+	l.view.Members = mergeMembers(l.view.Members, joined, gone)
+	l.view.Epoch++
+	l.history.RecordMembers(l.view.Epoch-1, l.view.Epoch, append(names, gone...))
 }
 
-func (a *author) place(t *rapid.T, changes []PlacementChange) {
-	before := a.view.Placement.Number
-	if err := a.view.Placement.Apply(changes); err != nil {
+func (l *testLedger) changePlacement(t *rapid.T, changes []PlacementChange) {
+	before := l.view.Placement.Number
+	if err := l.view.Placement.Apply(changes); err != nil {
 		t.Fatal(err)
 	}
-	a.history.RecordChanges(before, a.view.Placement.Number, changes)
+	l.history.RecordChanges(before, l.view.Placement.Number, changes)
 }
 
-// change draws an entry.
-func (a *author) change(t *rapid.T) {
+// changeAtRandom draws an entry.
+func (l *testLedger) changeAtRandom(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		var changes []PlacementChange
 		for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, NumShards-1), 1, 6, rapid.ID[int]).Draw(t, "shards") {
-			c := PlacementChange{Shard: i, Config: a.view.Placement.Shards[i].Config, Lost: rapid.Bool().Draw(t, "lost")}
+			c := PlacementChange{Shard: i, Config: l.view.Placement.Shards[i].Config, Lost: rapid.Bool().Draw(t, "lost")}
 			for n := range rapid.IntRange(0, 2).Draw(t, "replicas") {
-				c.Replicas = append(c.Replicas, Replica{Incarnation: Incarnation{fmt.Sprint("m", n), a.view.Epoch}, Token: rapid.Uint64().Draw(t, "token"), Ready: n == 0})
+				c.Replicas = append(c.Replicas, Replica{Incarnation: Incarnation{fmt.Sprint("m", n), l.view.Epoch}, Token: rapid.Uint64().Draw(t, "token"), Ready: n == 0})
 			}
 			changes = append(changes, c)
 		}
-		a.place(t, changes)
+		l.changePlacement(t, changes)
 		return
 	}
-	var in []Member
+	var joined []Member
 	var gone []string
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 30), 1, 4, rapid.ID[int]).Draw(t, "who") {
 		name := fmt.Sprintf("m%02d", i)
-		if _, there := a.view.find(name); there && rapid.Bool().Draw(t, "goes") {
+		if _, there := l.view.find(name); there && rapid.Bool().Draw(t, "goes") {
 			gone = append(gone, name)
 			continue
 		}
-		in = append(in, Member{Incarnation: Incarnation{name, a.view.Epoch + 1}, Token: rapid.Uint64().Draw(t, "token"), Zone: fmt.Sprint(i % 3),
+		joined = append(joined, Member{Incarnation: Incarnation{name, l.view.Epoch + 1}, Token: rapid.Uint64().Draw(t, "token"), Zone: fmt.Sprint(i % 3),
 			Address: fmt.Sprint("10.0.0.", i)})
 	}
-	a.members(gone, in)
+	l.changeMembers(gone, joined)
 }
 
-func newAuthor(most int) *author {
-	a := &author{view: View{Placement: &Placement{}}}
-	a.history.members.maxSize, a.history.shards.maxSize = most, most
-	a.members(nil, []Member{{Incarnation: Incarnation{"m00", 1}, Token: 1}})
-	return a
+func newTestLedger(maxChanges int) *testLedger {
+	l := &testLedger{view: View{Placement: &Placement{}}}
+	l.history.members.maxSize, l.history.shards.maxSize = maxChanges, maxChanges
+	l.changeMembers(nil, []Member{{Incarnation: Incarnation{"m00", 1}, Token: 1}})
+	return l
 }
 
-// same tells whether two views are equal, without the checksum.
-func same(a, b *View) bool {
+// sameView tells whether two views are equal, without the checksum.
+func sameView(a, b *View) bool {
 	return a.Epoch == b.Epoch && slices.Equal(a.Members, b.Members) && reflect.DeepEqual(a.Placement.Shards, b.Placement.Shards) &&
 		a.Placement.Number == b.Placement.Number
 }
@@ -87,18 +87,18 @@
 // Entries, answers that come late, twice or never, leaders that come and go with histories of their own, long or short: whoever
 // takes a delta has the ledger's members and placement, as they were at the epoch and number that it is told; who can't has
 // what it had, and its state is never changed under it.
-func TestDeltaLeadsToTheLedger(t *testing.T) {
+func TestDeltaYieldsLedgerState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader := newAuthor(rapid.IntRange(1, 40).Draw(t, "most"))
-		leader.place(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
+		leader := newTestLedger(rapid.IntRange(1, 40).Draw(t, "most"))
+		leader.changePlacement(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
 		type member struct {
-			view, copied View // as it is, and as it was when it came
-			flying       []*Delta
-			distrusts    bool
+			view, snapshot View // as it is, and as it was when it came
+			inFlight       []*Delta
+			needsFullView  bool
 		}
-		all := make([]member, 3)
-		truth := map[[2]uint64]View{}
-		keep := func(v View) View {
+		members := make([]member, 3)
+		ledgerStates := map[[2]uint64]View{}
+		snapshot := func(v View) View {
 			v.Members = slices.Clone(v.Members)
 			if v.Placement != nil {
 				v.Placement = v.Placement.Clone()
@@ -106,11 +106,11 @@
 			return v
 		}
 		for range rapid.IntRange(10, 80).Draw(t, "steps") {
-			truth[[2]uint64{leader.view.Epoch, leader.view.placementNumber()}] = keep(leader.view)
-			m := &all[rapid.IntRange(0, 2).Draw(t, "member")]
+			ledgerStates[[2]uint64{leader.view.Epoch, leader.view.placementNumber()}] = snapshot(leader.view)
+			m := &members[rapid.IntRange(0, 2).Draw(t, "member")]
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				leader.change(t)
+				leader.changeAtRandom(t)
 			case 2: // another leader: it has applied the same entries, from its beginning on or from a snapshot
 				next := leader.clone()
 				if rapid.Bool().Draw(t, "from a snapshot") {
@@ -119,7 +119,7 @@
 				leader = next
 			case 3, 4: // it asks
 				var epoch, number uint64
-				if !m.distrusts {
+				if !m.needsFullView {
 					epoch, number = m.view.Epoch, m.view.placementNumber()
 				}
 				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Checksum()); epoch != leader.view.Epoch || number != leader.view.placementNumber() {
@@ -128,16 +128,16 @@
 					for i := range c.Shards {
 						c.Shards[i].Of.Replicas = slices.Clone(c.Shards[i].Of.Replicas)
 					}
-					m.flying = append(m.flying, &c)
+					m.inFlight = append(m.inFlight, &c)
 				}
 			default: // an answer comes: any of those on their way, maybe again later
-				if len(m.flying) == 0 {
+				if len(m.inFlight) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(m.flying)-1).Draw(t, "answer")
-				d := m.flying[i]
+				i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "answer")
+				d := m.inFlight[i]
 				if rapid.IntRange(0, 3).Draw(t, "again") > 0 {
-					m.flying = slices.Delete(m.flying, i, i+1)
+					m.inFlight = slices.Delete(m.inFlight, i, i+1)
 				}
 				if d.Epoch < m.view.Epoch || d.Epoch == m.view.Epoch && d.Number < m.view.placementNumber() {
 					continue // late word: who asks in order drops it
@@ -146,31 +146,31 @@
 				if errors.Is(err, ErrChecksum) || errors.Is(err, ErrDelta) {
 					t.Fatalf("%+v: %v", d, err)
 				}
-				if err != nil && m.view.Placement != nil && !same(&next, &m.copied) {
+				if err != nil && m.view.Placement != nil && !sameView(&next, &m.snapshot) {
 					t.Fatalf("%+v is not taken, and has changed what is known", d)
 				}
-				m.distrusts = err != nil
-				m.view, m.copied = next, keep(next)
+				m.needsFullView = err != nil
+				m.view, m.snapshot = next, snapshot(next)
 			}
-			for i := range all {
-				m := &all[i]
+			for i := range members {
+				m := &members[i]
 				if m.view.Placement == nil {
 					continue
 				}
-				want, known := truth[[2]uint64{m.view.Epoch, m.view.placementNumber()}]
-				if !known || !same(&m.view, &want) {
+				want, known := ledgerStates[[2]uint64{m.view.Epoch, m.view.placementNumber()}]
+				if !known || !sameView(&m.view, &want) {
 					t.Fatalf("a member has %+v at epoch %d and number %d, and the ledger had %+v", m.view, m.view.Epoch, m.view.placementNumber(), want)
 				}
-				if !same(&m.view, &m.copied) {
+				if !sameView(&m.view, &m.snapshot) {
 					t.Fatal("what a member knows has changed under it")
 				}
 			}
 		}
 		// In the end whoever asks has all.
-		for i := range all {
-			v := &all[i].view
+		for i := range members {
+			v := &members[i].view
 			d := leader.history.Delta(v.Epoch, v.placementNumber(), &leader.view, leader.view.Checksum())
-			if next, err := v.Apply(d); err != nil || !same(&next, &leader.view) {
+			if next, err := v.Apply(d); err != nil || !sameView(&next, &leader.view) {
 				t.Fatalf("%+v: %v", d, err)
 			}
 		}
@@ -179,58 +179,58 @@
 
 // Each fault of a delta is met by the checksum, and would lead to another state than the ledger's without it; the view is then as it
 // was, and the whole mends it.
-func TestDeltaFaultsAreMet(t *testing.T) {
-	for name, spoil := range deltaFaults {
+func TestDeltaFaultsAreDetected(t *testing.T) {
+	for name, alter := range deltaFaults {
 		t.Run(name, func(t *testing.T) {
-			met := 0 // faults that would lead to another state than the ledger's
+			detected := 0 // faults that would lead to another state than the ledger's
 			rapid.Check(t, func(t *rapid.T) {
-				a := newAuthor(rapid.IntRange(4, 200).Draw(t, "most"))
-				a.place(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
+				l := newTestLedger(rapid.IntRange(4, 200).Draw(t, "most"))
+				l.changePlacement(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
 				for range rapid.IntRange(0, 8).Draw(t, "before") {
-					a.change(t)
+					l.changeAtRandom(t)
 				}
-				whole := a.history.Delta(0, 0, &a.view, a.view.Checksum())
-				known, err := View{}.Apply(whole)
+				full := l.history.Delta(0, 0, &l.view, l.view.Checksum())
+				known, err := View{}.Apply(full)
 				if err != nil {
 					t.Fatal(err)
 				}
 				known.Members, known.Placement = slices.Clone(known.Members), known.Placement.Clone()
-				middle := a.clone()
+				middle := l.clone()
 				for range rapid.IntRange(1, 8).Draw(t, "after") {
-					middle = a.clone()
-					a.change(t)
+					middle = l.clone()
+					l.changeAtRandom(t)
 				}
-				d, does := spoil(a, middle, &known)
-				if !does {
+				d, applies := alter(l, middle, &known)
+				if !applies {
 					return
 				}
-				if wrong := known.apply(d); same(&wrong, &a.view) {
+				if wrong := known.apply(d); sameView(&wrong, &l.view) {
 					return // it is no fault this time: it leads to what is true, and would without the checksum
 				}
 				next, err := known.Apply(d)
-				if !same(&next, &known) {
+				if !sameView(&next, &known) {
 					t.Fatalf("%+v is taken: %+v", d, next)
 				}
 				if err == nil {
 					t.Fatalf("%+v: no error", d)
 				}
-				met++
-				if next, err = next.Apply(a.history.Delta(0, 0, &a.view, a.view.Checksum())); err != nil || !same(&next, &a.view) {
+				detected++
+				if next, err = next.Apply(l.history.Delta(0, 0, &l.view, l.view.Checksum())); err != nil || !sameView(&next, &l.view) {
 					t.Fatalf("the whole does not mend it: %v", err)
 				}
 			})
-			t.Logf("met %d times", met)
-			if met < 5 {
-				t.Errorf("played only %d times", met)
+			t.Logf("met %d times", detected)
+			if detected < 5 {
+				t.Errorf("played only %d times", detected)
 			}
 		})
 	}
 }
 
 // deltaFaults are what a leader could say wrongly to who knows a view. middle is the leader one entry before.
-var deltaFaults = map[string]func(a, middle *author, known *View) (*Delta, bool){
-	"a change is left out": func(a, _ *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(known.Epoch, known.placementNumber(), &a.view, a.view.Checksum())
+var deltaFaults = map[string]func(l, middle *testLedger, known *View) (*Delta, bool){
+	"a change is left out": func(l, _ *testLedger, known *View) (*Delta, bool) {
+		d := *l.history.Delta(known.Epoch, known.placementNumber(), &l.view, l.view.Checksum())
 		switch {
 		case len(d.Gone) > 0:
 			d.Gone = d.Gone[1:]
@@ -243,40 +243,40 @@
 		}
 		return &d, true
 	},
-	"a change is applied again after a later one": func(a, middle *author, known *View) (*Delta, bool) {
+	"a change is applied again after a later one": func(l, middle *testLedger, known *View) (*Delta, bool) {
 		// The delta of one entry before, said to lead to the present one.
-		d := *middle.history.Delta(known.Epoch, known.placementNumber(), &middle.view, a.view.Checksum())
-		if d.SinceEpoch != 0 && d.SinceEpoch == d.Epoch && a.view.Epoch != d.Epoch {
+		d := *middle.history.Delta(known.Epoch, known.placementNumber(), &middle.view, l.view.Checksum())
+		if d.SinceEpoch != 0 && d.SinceEpoch == d.Epoch && l.view.Epoch != d.Epoch {
 			return nil, false // it has no members, and would have to
 		}
-		d.Epoch, d.Number = a.view.Epoch, a.view.placementNumber()
+		d.Epoch, d.Number = l.view.Epoch, l.view.placementNumber()
 		return &d, d.SinceNumber == 0 || d.SinceNumber != d.Number
 	},
-	"a wrong base number": func(a, middle *author, known *View) (*Delta, bool) {
+	"a wrong base number": func(l, middle *testLedger, known *View) (*Delta, bool) {
 		// From one entry before, said to start from what is known.
-		d := *a.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &a.view, a.view.Checksum())
+		d := *l.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &l.view, l.view.Checksum())
 		if d.SinceEpoch == 0 || d.SinceNumber == 0 || middle.view.Epoch == known.Epoch && middle.view.placementNumber() == known.placementNumber() {
 			return nil, false
 		}
 		d.SinceEpoch, d.SinceNumber = known.Epoch, known.placementNumber()
 		return &d, true
 	},
-	"a wrong base number that is said": func(a, middle *author, known *View) (*Delta, bool) {
-		d := *a.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &a.view, a.view.Checksum())
+	"a wrong base number that is said": func(l, middle *testLedger, known *View) (*Delta, bool) {
+		d := *l.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &l.view, l.view.Checksum())
 		return &d, d.SinceEpoch > known.Epoch || d.SinceNumber > known.placementNumber()
 	},
-	"the history is cut short and the whole is not sent": func(a, _ *author, known *View) (*Delta, bool) {
-		short := a.clone()
+	"the history is cut short and the whole is not sent": func(l, _ *testLedger, known *View) (*Delta, bool) {
+		short := l.clone()
 		short.history.members.maxSize, short.history.shards.maxSize = 1, 1
-		cut(&short.history.members)
-		cut(&short.history.shards)
-		d := short.history.Delta(known.Epoch, known.placementNumber(), &short.view, a.view.Checksum())
+		dropOldRecords(&short.history.members)
+		dropOldRecords(&short.history.shards)
+		d := short.history.Delta(known.Epoch, known.placementNumber(), &short.view, l.view.Checksum())
 		return d, d.SinceEpoch != 0 || d.SinceNumber != 0
 	},
 }
 
-// cut drops all records but the newest, and forgets that it did.
-func cut[T interface{ ~int | ~string }](t *changeLog[T]) {
+// dropOldRecords drops all records but the newest, and forgets that it did.
+func dropOldRecords[T interface{ ~int | ~string }](t *changeLog[T]) {
 	if len(t.records) > 1 {
 		t.records = t.records[len(t.records)-1:]
 	}
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -188,7 +188,7 @@
 		}
 		c.Replicas = append(c.Replicas, replica)
 	}
-	without := p.excluded(s)
+	excluded := p.excluded(s)
 	// Guards against a primary that lacks what was told: who is not ready comes behind all that are, in their order. Who reaches
 	// nobody comes behind those who do.
 	priority := func(replica Replica) int {
@@ -213,8 +213,8 @@
 		}
 	}
 	ranked := rankMembers(c.Shard, p.Members)
-	best := p.bestReplicas(ranked, c.Replicas, without)
-	allCaughtUp := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !without[replica.Incarnation] })
+	best := p.bestReplicas(ranked, c.Replicas, excluded)
+	allCaughtUp := !slices.ContainsFunc(c.Replicas, func(replica Replica) bool { return !replica.Ready && !excluded[replica.Incarnation] })
 	switch {
 	case len(best) < p.Copies:
 		// Too few, leaving ones not counted: the next of the order in zones that have none.
@@ -223,7 +223,7 @@
 			usedZones[p.byIncarnation[replica.Incarnation].Zone] = true
 		}
 		for _, m := range ranked {
-			if n := len(usedZones); n < p.Copies && !usedZones[m.Zone] && canAddReplica(c, m, without) {
+			if n := len(usedZones); n < p.Copies && !usedZones[m.Zone] && canAddReplica(c, m, excluded) {
 				usedZones[m.Zone] = true
 				c.Replicas = append(c.Replicas, Replica{Incarnation: m.Incarnation, Token: m.Token, Ready: len(c.Replicas) == 0})
 			}
@@ -235,12 +235,12 @@
 		// All is well, and somebody else should sit here: who came into the crew since.
 		var candidates []Replica
 		for _, m := range ranked {
-			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation }) && !canAddReplica(c, m, without) {
+			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation }) && !canAddReplica(c, m, excluded) {
 				continue
 			}
 			candidates = append(candidates, Replica{Incarnation: m.Incarnation, Token: m.Token})
 		}
-		for _, replica := range p.bestReplicas(ranked, candidates, without) {
+		for _, replica := range p.bestReplicas(ranked, candidates, excluded) {
 			if !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == replica.Incarnation }) {
 				c.Replicas = append(c.Replicas, replica)
 				p.moving++
--- a/internal/holdings/placement_test.go
+++ b/internal/holdings/placement_test.go
@@ -16,65 +16,65 @@
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
 		placement, epoch := &Placement{}, uint64(0)
-		crew := &PlacementInput{Copies: copies, Lost: func(int) bool { return false }}
+		input := &PlacementInput{Copies: copies, Lost: func(int) bool { return false }}
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
-			crew.Leaving, crew.Unreachable, crew.CaughtUp = map[Incarnation]bool{}, map[[2]Incarnation]bool{}, nil
-			pick := func(what string) int { return rapid.IntRange(0, len(crew.Members)-1).Draw(t, what) }
+			input.Leaving, input.Unreachable, input.CaughtUp = map[Incarnation]bool{}, map[[2]Incarnation]bool{}, nil
+			pick := func(what string) int { return rapid.IntRange(0, len(input.Members)-1).Draw(t, what) }
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				epoch++
 				n := rapid.IntRange(0, 7).Draw(t, "name")
 				name := fmt.Sprint("s", n)
-				if !slices.ContainsFunc(crew.Members, func(m Member) bool { return m.Name == name }) {
-					crew.Members = append(crew.Members, Member{Incarnation: Incarnation{name, epoch}, Token: epoch, Zone: fmt.Sprint(n % 4)})
+				if !slices.ContainsFunc(input.Members, func(m Member) bool { return m.Name == name }) {
+					input.Members = append(input.Members, Member{Incarnation: Incarnation{name, epoch}, Token: epoch, Zone: fmt.Sprint(n % 4)})
 				}
 			case 2:
-				if len(crew.Members) > 0 {
+				if len(input.Members) > 0 {
 					i := pick("gone")
-					crew.Members = slices.Delete(slices.Clone(crew.Members), i, i+1)
+					input.Members = slices.Delete(slices.Clone(input.Members), i, i+1)
 				}
 			case 3:
-				if len(crew.Members) > 0 {
-					crew.Leaving[crew.Members[pick("leaves")].Incarnation] = true
+				if len(input.Members) > 0 {
+					input.Leaving[input.Members[pick("leaves")].Incarnation] = true
 				}
 			case 4:
-				if len(crew.Members) > 1 {
-					crew.Unreachable[[2]Incarnation{crew.Members[pick("who")].Incarnation, crew.Members[pick("whom")].Incarnation}] = true
+				if len(input.Members) > 1 {
+					input.Unreachable[[2]Incarnation{input.Members[pick("who")].Incarnation, input.Members[pick("whom")].Incarnation}] = true
 				}
 			}
-			fills := rapid.IntRange(0, 2).Draw(t, "fills") // none, some, all
+			caughtUp := rapid.IntRange(0, 2).Draw(t, "fills") // none, some, all
 			for i, s := range placement.Shards {
 				for _, replica := range s.Replicas {
-					if !replica.Ready && (fills == 2 || fills == 1 && i%2 == 0) {
-						crew.CaughtUp = append(crew.CaughtUp, CaughtUp{i, s.Config, replica.Incarnation})
+					if !replica.Ready && (caughtUp == 2 || caughtUp == 1 && i%2 == 0) {
+						input.CaughtUp = append(input.CaughtUp, CaughtUp{i, s.Config, replica.Incarnation})
 					}
 				}
 			}
 			before := placement.Clone()
-			changes := placement.Plan(crew)
-			if again := placement.Plan(crew); !reflect.DeepEqual(changes, again) {
+			changes := placement.Plan(input)
+			if again := placement.Plan(input); !reflect.DeepEqual(changes, again) {
 				t.Fatalf("%v, and then %v", changes, again)
 			}
 			if err := placement.Apply(changes); err != nil {
 				t.Fatal(err)
 			}
 			for i := range placement.Shards {
-				checkReplicas(t, crew, i, &before.Shards[i], &placement.Shards[i])
+				checkReplicas(t, input, i, &before.Shards[i], &placement.Shards[i])
 			}
 		}
 	})
 }
 
-func checkReplicas(t *rapid.T, crew *PlacementInput, number int, before, after *Shard) {
-	in := func(replica Replica) bool {
-		return slices.ContainsFunc(crew.Members, func(m Member) bool { return m.Token == replica.Token })
+func checkReplicas(t *rapid.T, input *PlacementInput, number int, before, after *Shard) {
+	isMember := func(replica Replica) bool {
+		return slices.ContainsFunc(input.Members, func(m Member) bool { return m.Token == replica.Token })
 	}
 	ready := 0
 	for n, replica := range after.Replicas {
 		if slices.ContainsFunc(after.Replicas[:n], func(other Replica) bool { return other.Name == replica.Name }) {
 			t.Fatalf("shard %d: %s sits twice: %v", number, replica.Name, after.Replicas)
 		}
-		if in(replica) && replica.Ready {
+		if isMember(replica) && replica.Ready {
 			ready++
 		}
 	}
@@ -85,9 +85,9 @@
 		t.Fatalf("shard %d: other replicas under configuration %d", number, after.Config)
 	}
 	dropped := slices.ContainsFunc(before.Replicas, func(replica Replica) bool {
-		return replica.Ready && in(replica) && !slices.ContainsFunc(after.Replicas, func(s Replica) bool { return s.Token == replica.Token })
+		return replica.Ready && isMember(replica) && !slices.ContainsFunc(after.Replicas, func(s Replica) bool { return s.Token == replica.Token })
 	})
-	if dropped && ready < crew.Copies {
+	if dropped && ready < input.Copies {
 		t.Fatalf("shard %d: a replica that was ready is gone, and only %d others are: %v, %v", number, ready, before.Replicas, after.Replicas)
 	}
 }
@@ -103,31 +103,31 @@
 			t.Errorf("shard %d has %d of 6,400 keys", i, n)
 		}
 	}
-	same := 0
+	sameShard := 0
 	for i := range 100 {
 		if (Key{"pay", "a", fmt.Sprint("b", i)}).Shard() == (Key{"pay", "ab", fmt.Sprint(i)}).Shard() {
-			same++
+			sameShard++
 		}
 	}
-	if same > 10 {
-		t.Errorf("%d of 100 keys whose parts run together fall into one shard", same)
+	if sameShard > 10 {
+		t.Errorf("%d of 100 keys whose parts run together fall into one shard", sameShard)
 	}
 }
 
 // An ask that breaks a bound is told what is allowed; one within them is taken.
-func TestAskBounds(t *testing.T) {
-	for want, spoil := range map[string]func(*Command){
+func TestCommandBounds(t *testing.T) {
+	for want, alter := range map[string]func(*Command){
 		"":                       func(*Command) {},
-		"do: 9; allowed: 1 to 5": func(a *Command) { a.Op = 9 },
-		"up to 256 bytes":        func(a *Command) { a.Key.Tenant = strings.Repeat("t", MaxName+1) },
-		"allowed: a key":         func(a *Command) { a.Key.Text = "" },
-		"outcome: missing":       func(a *Command) { a.Op = OpFinish },
-		"outcome: 65537 bytes":   func(a *Command) { a.Outcome = &Outcome{Body: make([]byte, MaxBody+1)} },
-		"lasts: 2h0m0s":          func(a *Command) { a.Lifetime = 2 * MaxLifetime },
+		"do: 9; allowed: 1 to 5": func(c *Command) { c.Op = 9 },
+		"up to 256 bytes":        func(c *Command) { c.Key.Tenant = strings.Repeat("t", MaxName+1) },
+		"allowed: a key":         func(c *Command) { c.Key.Text = "" },
+		"outcome: missing":       func(c *Command) { c.Op = OpFinish },
+		"outcome: 65537 bytes":   func(c *Command) { c.Outcome = &Outcome{Body: make([]byte, MaxBody+1)} },
+		"lasts: 2h0m0s":          func(c *Command) { c.Lifetime = 2 * MaxLifetime },
 	} {
-		a := Command{Op: OpClaim, Key: Key{Class: "pay", Text: "k"}}
-		spoil(&a)
-		if err := a.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+		c := Command{Op: OpClaim, Key: Key{Class: "pay", Text: "k"}}
+		alter(&c)
+		if err := c.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -63,7 +63,7 @@
 	claimedAt, changedAt BootTime
 	lastConfig           uint64               // the configuration under which it was said last
 	replicatedConfig     uint64               // the configuration under which all replicas have it
-	missing              map[Incarnation]bool // replicas whose word is missing
+	unacked              map[Incarnation]bool // replicas whose word is missing
 	onReplicated         []func()             // when it comes
 	queue                []pendingCommand
 }
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, k := range keys { // what was on its way is said under the new configuration, to the new replicas
-		if t := s.entries[k]; t.missing != nil {
+		if t := s.entries[k]; t.unacked != nil {
 			st.replicate(s, t)
 		}
 	}
@@ -196,7 +196,7 @@
 	for _, k := range st.sortedKeys(s) {
 		t := s.entries[k]
 		queue := t.queue
-		t.missing, t.onReplicated, t.queue = nil, nil, nil
+		t.unacked, t.onReplicated, t.queue = nil, nil, nil
 		for _, p := range queue {
 			p.reply(Answer{Kind: AnswerNotPrimary})
 		}
@@ -234,7 +234,7 @@
 	}
 	defer st.completeSingleCopy(now)
 	t := s.entries[c.Key]
-	if t != nil && t.missing != nil {
+	if t != nil && t.unacked != nil {
 		if len(t.queue) >= maxQueued {
 			reply(Answer{Kind: AnswerFull})
 			return
@@ -258,19 +258,19 @@
 		st.replicate(s, t)
 		return
 	}
-	mine := t != nil && t.Owner == c.Owner && t.Claim == c.Claim
+	ownClaim := t != nil && t.Owner == c.Owner && t.Claim == c.Claim
 	switch {
 	case t == nil || t.State == Free:
 		st.executeNew(now, s, t, p)
 	case t.Fingerprint != c.Fingerprint:
 		p.reply(Answer{Kind: AnswerMismatch})
-	case t.State == Done && (c.Op == OpClaim || c.Op == OpReclaim || c.Op == OpFinish && mine):
+	case t.State == Done && (c.Op == OpClaim || c.Op == OpReclaim || c.Op == OpFinish && ownClaim):
 		if c.Op == OpFinish {
 			p.reply(Answer{Kind: AnswerOK})
 			return
 		}
 		p.reply(Answer{Kind: AnswerFinished, Outcome: t.Outcome})
-	case c.Op == OpClaim && mine && t.State == Claimed, c.Op == OpGiveUp && mine && t.State == Unknown, c.Op == OpReclaim && mine && t.State == Claimed:
+	case c.Op == OpClaim && ownClaim && t.State == Claimed, c.Op == OpGiveUp && ownClaim && t.State == Unknown, c.Op == OpReclaim && ownClaim && t.State == Claimed:
 		p.reply(Answer{Kind: AnswerOK, Rev: t.Rev}) // said again: its answer was lost
 	case c.Op == OpClaim || c.Op == OpReclaim && c.Rev != t.Rev:
 		kind := AnswerUnknown
@@ -284,7 +284,7 @@
 			return
 		}
 		st.changeEntry(now, s, t, p, func(e *Entry) { e.State, e.Owner, e.Claim, e.Lifetime = Claimed, c.Owner, c.Claim, c.Lifetime })
-	case !mine || t.State != Claimed:
+	case !ownClaim || t.State != Claimed:
 		// Guards against an owner that was paused, and counted out meanwhile: its key may be another's now.
 		p.reply(Answer{Kind: AnswerFenced})
 	case c.Op == OpFinish:
@@ -350,25 +350,25 @@
 // replicate has all replicas told an entry.
 func (st *Store) replicate(s *shard, t *trackedEntry) {
 	t.lastConfig = s.Config
-	t.missing = map[Incarnation]bool{}
+	t.unacked = map[Incarnation]bool{}
 	for _, replica := range s.Replicas[1:] {
-		t.missing[replica.Incarnation] = true
+		t.unacked[replica.Incarnation] = true
 		st.outboxFor(replica.Incarnation).items = append(st.outboxFor(replica.Incarnation).items, outboxItem{s.number, s.Config, t.Key, false})
 	}
-	if len(t.missing) == 0 {
+	if len(t.unacked) == 0 {
 		st.singleCopy = append(st.singleCopy, outboxItem{s.number, s.Config, t.Key, false})
 	}
 }
 
 // completeReplication books that all replicas have an entry, and goes on with what waited for that.
 func (st *Store) completeReplication(now BootTime, s *shard, t *trackedEntry) {
-	then, queue := t.onReplicated, t.queue
-	t.replicatedConfig, t.missing, t.onReplicated, t.queue = s.Config, nil, nil, nil
-	for _, f := range then {
+	callbacks, queue := t.onReplicated, t.queue
+	t.replicatedConfig, t.unacked, t.onReplicated, t.queue = s.Config, nil, nil, nil
+	for _, f := range callbacks {
 		f()
 	}
 	for i, p := range queue {
-		if t.missing != nil { // the one before has changed it
+		if t.unacked != nil { // the one before has changed it
 			t.queue = append(t.queue, queue[i:]...)
 			return
 		}
@@ -400,18 +400,18 @@
 	take := func(from []outboxItem, limit int) []outboxItem {
 		n, taken := 0, 0 // what nobody asks for any more does not count
 		for ; n < len(from) && taken < limit && size < batchBytes; n++ {
-			it := from[n]
-			s := st.shards[it.shard]
-			t := s.entries[it.key]
-			if it.config != s.Config || !st.isPrimary(s) || !it.catchUp && (t == nil || !t.missing[to]) {
+			item := from[n]
+			s := st.shards[item.shard]
+			t := s.entries[item.key]
+			if item.config != s.Config || !st.isPrimary(s) || !item.catchUp && (t == nil || !t.unacked[to]) {
 				continue // what asked for it has passed
 			}
-			if updates[it.shard] == nil {
-				updates[it.shard] = &Update{Shard: it.shard, Of: s.Shard}
-				order = append(order, it.shard)
+			if updates[item.shard] == nil {
+				updates[item.shard] = &Update{Shard: item.shard, Of: s.Shard}
+				order = append(order, item.shard)
 			}
-			u := updates[it.shard]
-			u.items = append(u.items, it)
+			u := updates[item.shard]
+			u.items = append(u.items, item)
 			taken++
 			if t == nil {
 				continue // it has ended: nothing is lacking
@@ -461,19 +461,19 @@
 			continue // all that still counts has been put into the outbox anew
 		}
 		if rejected {
-			for _, it := range u.items {
-				box.put(it)
+			for _, item := range u.items {
+				box.put(item)
 			}
 			continue
 		}
-		for _, it := range u.items {
-			if it.catchUp {
+		for _, item := range u.items {
+			if item.catchUp {
 				s.catchUpLeft[to]--
 			}
 		}
 		for _, e := range u.Entries {
-			if t := s.entries[e.Key]; t != nil && t.missing[to] && t.Rev == e.Rev && t.lastConfig == s.Config {
-				if delete(t.missing, to); len(t.missing) == 0 {
+			if t := s.entries[e.Key]; t != nil && t.unacked[to] && t.Rev == e.Rev && t.lastConfig == s.Config {
+				if delete(t.unacked, to); len(t.unacked) == 0 {
 					st.completeReplication(now, s, t)
 				}
 			}
@@ -482,12 +482,12 @@
 	st.completeSingleCopy(now)
 }
 
-func (o *outbox) put(it outboxItem) {
-	if it.catchUp {
-		o.catchUp = append(o.catchUp, it)
+func (o *outbox) put(item outboxItem) {
+	if item.catchUp {
+		o.catchUp = append(o.catchUp, item)
 		return
 	}
-	o.items = append(o.items, it)
+	o.items = append(o.items, item)
 }
 
 // HandleBatch takes what a primary says.
@@ -532,12 +532,12 @@
 	default:
 		st.Bytes -= t.size()
 	}
-	since := now - e.Age
+	claimedAt := now - e.Age
 	if t.Rev == e.Rev {
-		since = min(since, t.claimedAt) // the older of two ages: the way took time
+		claimedAt = min(claimedAt, t.claimedAt) // the older of two ages: the way took time
 	}
 	t.Entry, t.lastConfig, t.replicatedConfig = *e, s.Config, 0
-	t.claimedAt, t.changedAt = since, now-e.SinceChange
+	t.claimedAt, t.changedAt = claimedAt, now-e.SinceChange
 	st.Bytes += t.size()
 }
 
@@ -593,7 +593,7 @@
 		end := t.changedAt + st.params.Keep
 		if !st.isPrimary(s) {
 			end += backupGrace
-		} else if st.ownerActive(now, t) || t.missing != nil {
+		} else if st.ownerActive(now, t) || t.unacked != nil {
 			continue // its owner ends it
 		}
 		if now >= end {
@@ -608,10 +608,10 @@
 // primary that was counted out that it is none any more: it looks at its lease.
 func (st *Store) completeSingleCopy(now BootTime) {
 	for len(st.singleCopy) > 0 && now < st.leaseEnd {
-		it := st.singleCopy[0]
+		item := st.singleCopy[0]
 		st.singleCopy = st.singleCopy[1:]
-		s := st.shards[it.shard]
-		if t := s.entries[it.key]; t != nil && t.missing != nil && len(t.missing) == 0 && st.isPrimary(s) {
+		s := st.shards[item.shard]
+		if t := s.entries[item.key]; t != nil && t.unacked != nil && len(t.unacked) == 0 && st.isPrimary(s) {
 			st.completeReplication(now, s, t)
 		}
 	}
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -11,11 +11,11 @@
 	"heathgap/internal/env"
 )
 
-const within = 2 * time.Second
+const timeout = 2 * time.Second
 
-func serve(t *testing.T, crew string) *Server {
+func serve(t *testing.T, cluster string) *Server {
 	t.Helper()
-	s, err := Listen(env.Real{}, "127.0.0.1:0", crew)
+	s, err := Listen(env.Real{}, "127.0.0.1:0", cluster)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,48 +36,48 @@
 // What is said is heard, refusals are told from losses, and a connection that broke is made anew.
 func TestCall(t *testing.T) {
 	s := serve(t, "c")
-	l := NewClient(env.Real{}, "c", "me", s.Address())
-	defer l.Close()
+	c := NewClient(env.Real{}, "c", "me", s.Address())
+	defer c.Close()
 	var answer string
 	for range 2 {
-		if err := l.Call("echo", "hello", &answer, within); err != nil || answer != "me:hello" {
+		if err := c.Call("echo", "hello", &answer, timeout); err != nil || answer != "me:hello" {
 			t.Fatalf("%q, %v", answer, err)
 		}
 	}
 	for kind, want := range map[string]string{"no": "it may not be", "none": "unknown; allowed"} {
-		if err := l.Call(kind, "x", nil, within); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), want) {
+		if err := c.Call(kind, "x", nil, timeout); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
-	if err := l.Call("echo", 7, &answer, within); !errors.Is(err, ErrRefused) {
+	if err := c.Call("echo", 7, &answer, timeout); !errors.Is(err, ErrRefused) {
 		t.Errorf("a body of another kind: %v", err)
 	}
-	l.link.Close()
-	if err := l.Call("echo", "again", &answer, within); err != nil || answer != "me:again" {
+	c.link.Close()
+	if err := c.Call("echo", "again", &answer, timeout); err != nil || answer != "me:again" {
 		t.Errorf("after a broken connection: %q, %v", answer, err)
 	}
 	other := NewClient(env.Real{}, "other", "me", s.Address())
 	defer other.Close()
-	if err := other.Call("echo", "x", nil, within); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "for the crew") {
+	if err := other.Call("echo", "x", nil, timeout); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "for the crew") {
 		t.Errorf("another crew's: %v", err)
 	}
 	nobody := NewClient(env.Real{}, "c", "me", "127.0.0.1:9")
-	if err := nobody.Call("echo", "x", nil, within); err == nil || errors.Is(err, ErrRefused) {
+	if err := nobody.Call("echo", "x", nil, timeout); err == nil || errors.Is(err, ErrRefused) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
 
 // A peer that never answers costs a call its time and no more.
-func TestCallEnds(t *testing.T) {
+func TestCallTimesOut(t *testing.T) {
 	silentPeer, err := (env.Real{}).Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silentPeer.Close()
-	l := NewClient(env.Real{}, "c", "me", silentPeer.Addr().String())
-	defer l.Close()
+	c := NewClient(env.Real{}, "c", "me", silentPeer.Addr().String())
+	defer c.Close()
 	began := time.Now()
-	if err := l.Call("echo", "x", nil, 100*time.Millisecond); err == nil || time.Since(began) > within {
+	if err := c.Call("echo", "x", nil, 100*time.Millisecond); err == nil || time.Since(began) > timeout {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
 }
@@ -97,11 +97,11 @@
 		{"POST", "/crew/2/echo", "", 404},
 		{"POST", "/", "", 404},
 	} {
-		q, err := http.NewRequest(c.method, url+c.path, strings.NewReader(c.body))
+		request, err := http.NewRequest(c.method, url+c.path, strings.NewReader(c.body))
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.DefaultClient.Do(q)
+		answer, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatalf("%+v: %v", c, err)
 		}
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/tomlread"
 )
 
-func drawRules(rt *rapid.T, label string) Rules {
+func generateRules(rt *rapid.T, label string) Rules {
 	r := Rules{Classes: map[string]Class{}, Banned: map[string]bool{}}
 	for _, name := range []string{"a", "b"} {
 		c := Class{Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(rt, label)}
@@ -32,13 +32,13 @@
 
 // What is acted on between two versions does nothing that either forbids, and what a member acts on that is cut off does
 // nothing that any version forbids.
-func TestStricterIsAllowedByBoth(t *testing.T) {
+func TestIntersectIsAllowedByBoth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a, b := drawRules(rt, "a"), drawRules(rt, "b")
-		both, err := a.Intersect(b)
-		back, errBack := b.Intersect(a)
-		if (err == nil) != (errBack == nil) {
-			rt.Fatalf("one way %v, the other %v", err, errBack)
+		a, b := generateRules(rt, "a"), generateRules(rt, "b")
+		intersection, err := a.Intersect(b)
+		reverse, errReverse := b.Intersect(a)
+		if (err == nil) != (errReverse == nil) {
+			rt.Fatalf("one way %v, the other %v", err, errReverse)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "group") {
@@ -46,9 +46,9 @@
 			}
 			return
 		}
-		for _, other := range []Rules{a, b, back} {
-			if key, ok := other.Allows(both); !ok {
-				rt.Fatalf("%s: %+v does not allow %+v", key, other, both)
+		for _, other := range []Rules{a, b, reverse} {
+			if key, ok := other.Allows(intersection); !ok {
+				rt.Fatalf("%s: %+v does not allow %+v", key, other, intersection)
 			}
 		}
 		cautious := a.Cautious(nil)
@@ -60,7 +60,7 @@
 }
 
 // Allows itself must be able to say no, key by key.
-func TestAllowsSaysNo(t *testing.T) {
+func TestAllowsRejectsLooserRules(t *testing.T) {
 	strict := Rules{Classes: map[string]Class{"a": {Effect: decide.Unsafe}, "b": {decide.Keyed, decide.GroupZone, 1}}, MaxAttempts: 1,
 		Banned: map[string]bool{"e": true}}
 	for key, change := range map[string]func(*Rules){
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestFits(t *testing.T) {
+func TestCheckTransition(t *testing.T) {
 	own := FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe},
 		{Name: "pay", Effect: decide.Keyed, Group: decide.GroupAll, Window: time.Second}}})
 	doc := func(name string, c Class) *Document { return &Document{Classes: map[string]Class{name: c}} }
