--- a/internal/clusterparams/holdings.go
+++ b/internal/clusterparams/holdings.go
@@ -2,15 +2,18 @@
 
 import "time"
 
-// Holdings are the terms of what sidecars hold for one another.
+// Holdings are the parameters of package holdings, the replicated records that sidecars hold for one another.
+//
+// Params.Hash prints this struct with %+v, and processes compare the hash: the names of the fields, their order and their types must not
+// change.
 type Holdings struct {
-	Copies int           // sidecars, in as many zones; 0 for no holdings
+	Copies int           // replication factor: each entry is kept by so many sidecars of different zones; 0 disables holdings
 	Keep   time.Duration // how long an entry is kept after its last change
-	// LostAfter is how long a shard waits for one of its ready seats when all are gone, before it begins empty.
+	// LostAfter is how long a shard that has no ready replica left waits for one of them to come back before it starts empty.
 	LostAfter time.Duration
 }
 
-// Bounds of those terms.
+// Limits of these parameters.
 const (
 	MaxCopies    = 5
 	MinKeep      = time.Second
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -1,6 +1,6 @@
-// Package env is the seam between the network code and the world: clock, timers,
-// connections, goroutines and chance come through it. The sidecar runs on Real;
-// internal/sim puts a world in its place in which a seed decides what comes next.
+// Package env defines the interface between the network code and its environment: clock, timers, connections, goroutines and random
+// durations. A sidecar runs on Real. A simulation (package sim) uses an implementation in which a seed determines the order of events.
+// bypass_test.go checks that the network code uses nothing else.
 package env
 
 import (
@@ -12,43 +12,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Env is the world as a sidecar meets it.
+// Env is the environment of a sidecar: all of its network code uses the outside world through it.
 type Env interface {
-	// Now is the present time, monotonic within a process.
+	// Now returns the present time, monotonic within a process.
 	Now() time.Time
-	// BootTime is the time since some moment before the process's start; unlike Now's it goes on while the machine is
-	// suspended. A lease is counted by it.
+	// BootTime returns the time since some moment before the process started. Unlike the clock of Now, it also runs while the machine
+	// is suspended. Leases are measured by it.
 	BootTime() time.Duration
 	// NewTimer returns a timer that fires once, as time.NewTimer does.
 	NewTimer(d time.Duration) Timer
-	// AfterFunc calls f in a goroutine of its own after a time.
+	// AfterFunc calls f in a goroutine of its own after a duration.
 	AfterFunc(d time.Duration, f func())
 	// Sleep pauses the calling goroutine.
 	Sleep(d time.Duration)
-	// Dial opens a TCP connection; it fails when the context ends or the time passes.
+	// Dial opens a TCP connection. It fails when the context ends or the timeout passes.
 	Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
-	// Listen opens a TCP address.
+	// Listen listens at a TCP address.
 	Listen(address string) (net.Listener, error)
-	// Go runs f in a goroutine of its own; the name says what for.
+	// Go runs f in a goroutine of its own. The name says what the goroutine does.
 	Go(name string, f func())
-	// RandomDuration draws a time from 0 up to, but not including, d, which is above 0.
+	// RandomDuration returns a random duration from 0 up to, but not including, d, which must be above 0.
 	RandomDuration(d time.Duration) time.Duration
 }
 
-// Timer is a time.Timer. After Stop or Reset no stale time is received.
+// Timer is a timer like time.Timer. After Stop or Reset, no time of an earlier setting is received.
 type Timer interface {
 	C() <-chan time.Time
 	Reset(d time.Duration)
 	Stop()
 }
 
-// Real is the machine that the process runs on.
+// Real is the environment of the machine that the process runs on.
 type Real struct{}
 
-// Now is time.Now.
+// Now returns time.Now().
 func (Real) Now() time.Time { return time.Now() }
 
-// BootTime is CLOCK_BOOTTIME. Where the kernel has none (Linux before 2.6.39) there is nothing to count a lease by.
+// BootTime returns the time of CLOCK_BOOTTIME. It panics where the kernel has no such clock (Linux before 2.6.39), because there is no other
+// clock to measure a lease by.
 func (Real) BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -57,36 +58,37 @@
 	return time.Duration(t.Nano())
 }
 
-// NewTimer is time.NewTimer.
+// NewTimer calls time.NewTimer.
 func (Real) NewTimer(d time.Duration) Timer { return realTimer{time.NewTimer(d)} }
 
+// realTimer implements Timer by a time.Timer.
 type realTimer struct{ t *time.Timer }
 
-// C is where the time comes.
+// C returns the channel on which the time is received.
 func (r realTimer) C() <-chan time.Time { return r.t.C }
 
-// Reset is time.Timer's.
+// Reset calls time.Timer.Reset.
 func (r realTimer) Reset(d time.Duration) { r.t.Reset(d) }
 
-// Stop is time.Timer's.
+// Stop calls time.Timer.Stop.
 func (r realTimer) Stop() { r.t.Stop() }
 
-// AfterFunc is time.AfterFunc.
+// AfterFunc calls time.AfterFunc.
 func (Real) AfterFunc(d time.Duration, f func()) { time.AfterFunc(d, f) }
 
-// Sleep is time.Sleep.
+// Sleep calls time.Sleep.
 func (Real) Sleep(d time.Duration) { time.Sleep(d) }
 
-// Dial is net.Dialer's.
+// Dial opens a TCP connection with a net.Dialer.
 func (Real) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	return (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
 }
 
-// Listen is net.Listen.
+// Listen listens at a TCP address with net.Listen.
 func (Real) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
 
-// Go starts a goroutine.
+// Go starts a goroutine. The name is not used.
 func (Real) Go(_ string, f func()) { go f() }
 
-// RandomDuration draws from the process's source.
+// RandomDuration returns a random duration from the process's global random source.
 func (Real) RandomDuration(d time.Duration) time.Duration { return rand.N(d) }
--- a/internal/holdings/entry.go
+++ b/internal/holdings/entry.go
@@ -32,7 +32,7 @@
 	Free                     // nothing of it was sent: the key may be claimed again
 )
 
-// String returns the state's name in output for people. Tools match these texts: they stay.
+// String returns the state's name as a command prints it, also in JSON; the texts stay.
 func (s State) String() string {
 	return [...]string{"none", "claimed", "unknown", "done", "free"}[min(int(s), 4)]
 }
@@ -145,7 +145,7 @@
 	AnswerNone                           // no answer came
 )
 
-// String returns the kind's name in output for people. Tools match these texts: they stay, though they differ from the constants' names.
+// String returns the kind's name as it is logged as the reason of a refusal. The texts stay, though they differ from the constants' names.
 func (k Kind) String() string {
 	return [...]string{"none", "yes", "was", "unclear", "running", "other", "missing", "short", "full", "fenced", "not here", "away"}[min(int(k), 11)]
 }
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -1,5 +1,6 @@
-// Package peerrpc is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
-// encryption and no sign-in: a crew's addresses are loopback, or a closed network of the operators.
+// Package peerrpc implements the calls between the processes of a cluster: HTTP/1.1 POST requests with CBOR bodies. The client side uses
+// package httpwire, the sidecar's own network code. There is no encryption and no authentication: a cluster's addresses must be loopback
+// addresses, or in a closed network of the operators.
 package peerrpc
 
 import (
@@ -21,54 +22,56 @@
 	"heathgap/internal/httpwire"
 )
 
-// Bounds.
+// Limits and timeouts.
 const (
-	// MaxMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
+	// MaxMessage bounds the size of a message in bytes. The largest message is the voters' snapshot with the longest history of the
+	// longest documents.
 	MaxMessage = 16 << 20
-	// maxConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
+	// maxConns bounds the connections that are served at a time. Each member has one; members of a fleet that starts all at once
+	// connect a few times.
 	maxConns   = 8192
-	readTime   = 5 * time.Second  // for a message, once its first byte has come
-	idleTime   = 70 * time.Second // above the longest lease: members renew more often
+	readTime   = 5 * time.Second  // for reading a message, once its first byte has arrived, and for writing an answer
+	idleTime   = 70 * time.Second // after which an idle connection is closed; above the longest lease, and members renew more often
 	dialTime   = time.Second
-	closeTime  = 200 * time.Millisecond
-	maxRefusal = 4096 // bytes of a refusal
+	closeTime  = 200 * time.Millisecond // for pending answers when the server closes
+	maxRefusal = 4096                   // bytes of a refusal that the client reads
 )
 
-// pathPrefix of all paths; the number is the version of what is said.
+// pathPrefix is the prefix of all paths. The number is the version of the protocol.
 const pathPrefix = "/crew/1/"
 
-// Message is what goes over the wire: whose it is, and what it says.
+// Message is the body of a request.
 type Message struct {
-	Cluster string          `cbor:"1,keyasint"` // another crew's is refused
-	From    string          `cbor:"2,keyasint"`
+	Cluster string          `cbor:"1,keyasint"` // name of the sender's cluster; messages of other clusters are refused
+	From    string          `cbor:"2,keyasint"` // name of the sender
 	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// ErrRefused is that a peer understood a message and did not take it.
+// ErrRefused means that a peer has answered a message with a refusal.
 var ErrRefused = errors.New("refused")
 
-// Handler answers messages of one kind. Its error is told to who asked.
+// Handler answers messages of one kind. It returns the answer, or an error, whose text is sent to the caller as a refusal.
 type Handler func(from string, body []byte) (any, error)
 
-// boundedDecoding bounds what a message may hold before memory is taken.
+// boundedDecoding limits the elements of a message, which is checked before memory is allocated for them.
 var boundedDecoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 
-// Decode reads a message's body.
+// Decode decodes a message's body into a value.
 func Decode(body []byte, into any) error { return boundedDecoding.Unmarshal(body, into) }
 
-// Server answers peers.
+// Server answers the messages of peers.
 type Server struct {
 	cluster  string
 	handlers map[string]Handler
 	listener net.Listener
 	server   *fasthttp.Server
 	conns    atomic.Int64
-	Refused  atomic.Int64 // connections that there was no room for
-	BytesIn  atomic.Int64
-	BytesOut atomic.Int64
+	Refused  atomic.Int64 // messages that were refused because there were too many connections
+	BytesIn  atomic.Int64 // bytes of received request bodies
+	BytesOut atomic.Int64 // bytes of sent answers, without refusals
 }
 
-// Listen opens an address; Serve begins to answer there.
+// Listen returns a server that listens at an address for the messages of one cluster. It answers them once Serve is called.
 func Listen(environment env.Env, address, cluster string) (*Server, error) {
 	l, err := environment.Listen(address)
 	if err != nil {
@@ -91,28 +94,30 @@
 	return s, nil
 }
 
+// silentLogger is a fasthttp.Logger that drops all messages.
 type silentLogger struct{}
 
-// Printf is fasthttp.Logger's.
+// Printf implements fasthttp.Logger.
 func (silentLogger) Printf(string, ...any) {}
 
-// Serve answers messages by their kinds until Close.
+// Serve starts to answer messages, each with the handler of its kind, until Close. It returns at once and must be called once.
 func (s *Server) Serve(environment env.Env, handlers map[string]Handler) {
 	s.handlers = handlers
-	environment.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it ends with Close
+	environment.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it returns when Close is called
 }
 
-// Address is where it listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends it, with the connections that it keeps; what is being answered has a moment to go.
+// Close stops the server and closes its connections. Answers that are being sent have closeTime to finish.
 func (s *Server) Close() {
 	s.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
-	s.server.ShutdownWithContext(ctx) //nolint:errcheck // what does not end in time ends with the process
+	s.server.ShutdownWithContext(ctx) //nolint:errcheck // connections that do not close in time close with the process
 }
 
+// handle answers one HTTP request. The texts of its errors are sent to peers, which may run another build: they stay.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if s.conns.Load() > maxConns {
 		s.Refused.Add(1)
@@ -151,26 +156,27 @@
 	ctx.SetBody(encoded)
 }
 
-// Client calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
-// goroutine; they wait for one another.
+// Client sends messages to one address, one at a time, on a connection that it keeps open. It is safe for concurrent use; concurrent calls
+// wait for one another.
 type Client struct {
 	env           env.Env
 	cluster, from string
 	address       string
 
 	mu   sync.Mutex
-	link *httpwire.Link
+	link *httpwire.Link // nil without a connection
 }
 
-// NewClient returns one that is not connected.
+// NewClient returns a client that is not connected. cluster and from are the names of the cluster and of the sender; Call sends them with
+// each message.
 func NewClient(environment env.Env, cluster, from, address string) *Client {
 	return &Client{env: environment, cluster: cluster, from: from, address: address}
 }
 
-// Address is where it calls.
+// Address returns the address that the client calls.
 func (c *Client) Address() string { return c.address }
 
-// Close ends its connection.
+// Close closes the connection. A later Call opens a new one.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,8 +190,9 @@
 	}
 }
 
-// Call says one thing and reads the answer into a value, within a time. An error that is ErrRefused came from the peer;
-// after any other one nobody knows whether the peer has heard it.
+// Call sends a message of one kind and decodes the answer into a value; a nil answer means that the caller does not need it. An error that
+// wraps ErrRefused came from the peer. After any other error it is unknown whether the peer has received the message. A new connection
+// counts as part of the timeout.
 func (c *Client) Call(kind string, body, answer any, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -10,13 +10,13 @@
 	"heathgap/internal/tomlread"
 )
 
-// EffectNames and GroupNames are the words of files, the same as in the settings.
+// EffectNames and GroupNames are the enum values in document files. The settings use the same ones.
 var (
 	EffectNames = map[decide.Effect]string{decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once"}
 	GroupNames  = map[decide.Group]string{decide.GroupAll: "all", decide.GroupZone: "zone", decide.GroupCell: "cell"}
 )
 
-// keyByName finds the key of a word.
+// keyByName returns the key whose name is given, or the zero value if there is none.
 func keyByName[K comparable](names map[K]string, name string) K {
 	for k, n := range names {
 		if n == name {
@@ -27,7 +27,7 @@
 	return zero
 }
 
-// Load reads a document that people wrote, with its note. The error tells all that is wrong, a line each.
+// Load reads a document and its note from a TOML file that people wrote. The error lists all faults, one per line.
 func Load(path string) (doc Document, note string, err error) {
 	file, err := tomlread.Load(path)
 	if err != nil {
@@ -40,7 +40,7 @@
 	root := file.Root
 	note = root.Text("note", "")
 	doc.MaxAttempts = root.Int("max_attempts", 0, 1, AttemptsLimit)
-	// Only false says something: where copies are barred, no version may bring them in.
+	// Only false has a meaning: no version may allow hedged requests on a sidecar whose own settings forbid them.
 	if root.Has("second_copies") && root.Bool("second_copies", false) {
 		root.Fail("second_copies", "true", "false, or no key: each sidecar's own setting holds then")
 	}
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -1,6 +1,7 @@
-// Package versions holds the rules that the sidecars of a crew agree on: documents with
-// a number, a hash and a parent, what a sidecar acts on between two of them, and what it
-// acts on when it can't know which one holds. It is pure.
+// Package versions implements the versions of the rules that the sidecars of a cluster agree on. A version is a document of rules with a
+// number, a hash and a parent. The package computes the effective rules of a sidecar: from its own settings and one version; while the
+// cluster changes from one version to another (Intersect); and when the sidecar cannot know which version is in effect (Cautious). The
+// package is pure.
 package versions
 
 import (
@@ -16,43 +17,44 @@
 	"heathgap/decide"
 )
 
-// Bounds of a document: every member keeps two of them, and the keepers their history.
+// Limits of a document. Every member keeps two documents in memory, and the voters keep the history of documents.
 const (
 	MaxClasses    = 64
-	MaxBanned     = 1024     // as many as a sidecar keeps bans by hand
-	MaxBytes      = 64 << 10 // bytes, encoded: the keepers' history holds 8 MiB of them then
+	MaxBanned     = 1024     // a sidecar keeps as many bans that were set by hand
+	MaxBytes      = 64 << 10 // bytes of an encoded document, so that the voters' history takes at most 8 MiB
 	AttemptsLimit = 16
 	MaxWindow     = time.Hour
-	maxName       = 256
+	maxName       = 256 // bytes of a name, a note or an author
 )
 
-// Class is what a document says of a class of requests: all of it, or the class is not
-// in the document.
+// Class holds the rules for a class of requests. A document that contains a class sets all of its fields.
 type Class struct {
 	Effect decide.Effect `cbor:"1,keyasint"`
 	Group  decide.Group  `cbor:"2,keyasint"`
-	Window time.Duration `cbor:"3,keyasint"` // in which a group of endpoints drops repeats, as they state it
+	Window time.Duration `cbor:"3,keyasint"` // for how long the endpoints of a group drop repeats of a request, as the endpoints state it
 }
 
-// Document is the rules of one version. What it leaves out is each sidecar's own.
+// Document holds the rules of one version. For what it leaves out, each sidecar's own settings apply. Hash covers its encoding, and all
+// processes of a cluster compare hashes: the types and the numbers of the fields must not change.
 type Document struct {
 	Classes     map[string]Class `cbor:"1,keyasint,omitempty"`
-	MaxAttempts int              `cbor:"2,keyasint,omitempty"` // 0: each sidecar's own
-	// NoHedging bars two attempts of one request at once; without it the sidecar's own setting holds.
+	MaxAttempts int              `cbor:"2,keyasint,omitempty"` // 0: each sidecar's own setting applies
+	// NoHedging forbids hedged requests, which are two attempts of one request at once. If it is false, each sidecar's own setting
+	// applies.
 	NoHedging bool     `cbor:"3,keyasint,omitempty"`
-	Banned    []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get nothing new; sorted, each once
+	Banned    []string `cbor:"4,keyasint,omitempty"` // names of endpoints that get no new requests; sorted, without duplicates
 }
 
-// canonicalEncoding gives the same bytes for the same document, whatever a map's order.
+// canonicalEncoding gives the same bytes for equal documents, in whatever order a map is iterated.
 var canonicalEncoding, _ = cbor.CoreDetEncOptions().EncMode()
 
 // Hash identifies a document's content.
 type Hash [sha256.Size]byte
 
-// String is the hash's first 12 hex digits, as people compare it.
+// String returns the first 12 hex digits of the hash, for people.
 func (h Hash) String() string { return hex.EncodeToString(h[:6]) }
 
-// Hash returns the hash of the canonical encoding (RFC 8949, 4.2.1).
+// Hash returns the SHA-256 hash of the document's canonical CBOR encoding (RFC 8949, 4.2.1).
 func (d *Document) Hash() Hash {
 	return sha256.Sum256(d.encode())
 }
@@ -60,23 +62,23 @@
 func (d *Document) encode() []byte {
 	encoded, err := canonicalEncoding.Marshal(d)
 	if err != nil {
-		panic(err) // a struct of plain fields
+		panic(err) // it does not happen: all fields can be encoded
 	}
 	return encoded
 }
 
-// Version is a document with its place among the others.
+// Version is a document with its number and origin.
 type Version struct {
-	Number uint64   `cbor:"1,keyasint"` // from 1; 0 is the sidecars' own files, before any version
-	Parent uint64   `cbor:"2,keyasint"`
+	Number uint64   `cbor:"1,keyasint"` // from 1; 0 stands for the sidecars' own settings, before any version
+	Parent uint64   `cbor:"2,keyasint"` // number of the version that was active when this one was proposed
 	Hash   Hash     `cbor:"3,keyasint"`
 	Author string   `cbor:"4,keyasint,omitempty"`
 	Note   string   `cbor:"5,keyasint,omitempty"`
 	Doc    Document `cbor:"6,keyasint"`
 }
 
-// Check turns down a version that no sidecar could take: what came over the network, or
-// from a file, is not what it says.
+// Check returns an error for a version that no sidecar can take: its document is invalid, its hash does not match the document, or a text
+// is too long. Versions that came over the network or from a file must be checked.
 func (v *Version) Check() error {
 	if err := v.Doc.Check(); err != nil {
 		return err
@@ -90,8 +92,7 @@
 	return nil
 }
 
-// Check turns down a document that breaks a bound or contradicts itself. Its error begins
-// with the key.
+// Check returns an error for a document that exceeds a limit or contradicts itself. The error begins with the offending key.
 func (d *Document) Check() error {
 	if len(d.Classes) > MaxClasses {
 		return fmt.Errorf("class: %d of them; allowed: up to %d", len(d.Classes), MaxClasses)
@@ -129,16 +130,16 @@
 	return nil
 }
 
-// Rules are all that a sidecar acts on of what versions may change: its own settings with
-// a document laid over them.
+// Rules are the rules of one sidecar, for all that versions may change: those of its own settings, or those with a document applied. Its
+// methods return new Rules and do not change the receiver.
 type Rules struct {
-	Classes     map[string]Class // every class that the sidecar knows
+	Classes     map[string]Class // every class of the sidecar's settings
 	MaxAttempts int
-	Hedging     bool
-	Banned      map[string]bool
+	Hedging     bool            // hedged requests are allowed
+	Banned      map[string]bool // names of endpoints that get no new requests
 }
 
-// FromSettings are the rules of a sidecar's own settings. They are not shared with them.
+// FromSettings returns the rules of a sidecar's own settings. They share no memory with the settings.
 func FromSettings(set *decide.Settings) Rules {
 	r := Rules{
 		Classes: map[string]Class{}, MaxAttempts: max(1, set.Limits.MaxAttempts), Hedging: set.Limits.Hedging,
@@ -150,8 +151,9 @@
 	return r
 }
 
-// With returns the rules with a document laid over them. connect is the time that a
-// connection may take: a sidecar judges a repeat that much before its last byte has come.
+// With returns the rules with a document applied. Classes that this sidecar does not know are left out. connect is the time that opening a
+// connection may take; the document's windows are shortened by it, because a sidecar decides about a repeat up to that time before the
+// repeat's last byte arrives.
 func (r Rules) With(d *Document, connect time.Duration) Rules {
 	out := r.clone()
 	for name, c := range d.Classes {
@@ -175,14 +177,14 @@
 	return r
 }
 
-// Intersect returns the rules that allow only what both allow: what a sidecar acts on
-// between two versions. An error names the key that has no stricter side. Per key, the
-// stricter side is (docs/crew.md holds the same table):
+// Intersect returns the rules that allow only what both allow. They are in effect on a sidecar while the cluster changes from one version
+// to another. The error names the key of which neither side is the stricter one. The stricter side of each key is (docs/crew.md has the
+// same table):
 //
 //	class.effect         once before by_key before repeatable
-//	class.group          zone or cell before all; zone and cell have none
-//	class.window         the shorter
-//	max_attempts         the lower
+//	class.group          zone or cell before all; between zone and cell there is none
+//	class.window         the shorter one
+//	max_attempts         the lower one
 //	second_copies        not allowed
 //	banned               banned by either
 func (r Rules) Intersect(other Rules) (Rules, error) {
@@ -200,6 +202,7 @@
 	return out, nil
 }
 
+// intersectClass returns the class that allows only what both a and b allow. Effects are ordered by strictness: Safe, Keyed, Unsafe.
 func intersectClass(a, b Class) (Class, error) {
 	switch {
 	case a.Effect > b.Effect:
@@ -216,8 +219,7 @@
 	return out, nil
 }
 
-// Allows tells whether the rules allow all that others allow; if not, it names one key
-// by which they do not.
+// Allows reports whether the rules allow all that the other rules allow. If not, key is a key in which the other rules are looser.
 func (r Rules) Allows(other Rules) (key string, ok bool) {
 	for _, name := range slices.Sorted(maps.Keys(other.Classes)) {
 		mine, theirs := r.Classes[name], other.Classes[name]
@@ -245,9 +247,9 @@
 	return "", true
 }
 
-// Cautious returns what a sidecar acts on that can't know which version holds: nothing
-// that any version could forbid. Classes that are fixed no version may change, so they
-// stay as they are.
+// Cautious returns the rules for a sidecar that cannot know which version is in effect. They allow nothing that a version could forbid,
+// except that MaxAttempts and Banned stay as they are: the caller sets them from the last known version. The fixed classes stay too, because
+// no version may change them.
 func (r Rules) Cautious(fixed []string) Rules {
 	out := r.clone()
 	for name := range out.Classes {
@@ -259,8 +261,8 @@
 	return out
 }
 
-// CheckTransition tells whether a sidecar with these own rules can take a document after another:
-// the check that each member makes of a proposal. Its error begins with the key.
+// CheckTransition returns an error if a sidecar with these own rules cannot replace one document by another. Each member checks every proposal
+// with it and sends the text of the error to the leader. The error begins with the offending key.
 func (r Rules) CheckTransition(from, to *Document, fixed []string) error {
 	for _, name := range slices.Sorted(maps.Keys(to.Classes)) {
 		own, known := r.Classes[name]
@@ -269,7 +271,8 @@
 			return fmt.Errorf("class.%s: this sidecar has no such class; allowed: %v", name, slices.Sorted(maps.Keys(r.Classes)))
 		case slices.Contains(fixed, name):
 			return fmt.Errorf("class.%s: fixed by crew.fixed_classes, no version may change it", name)
-		// A keyed class is asked for by POST with a key, a repeatable one by GET: callers would have to change with it.
+		// Callers send requests of a keyed class by POST with a key, those of a repeatable class by GET. The callers would have to
+		// change together with the rules.
 		case own.Effect == decide.Safe && to.Classes[name].Effect == decide.Keyed:
 			return fmt.Errorf("class.%s.effect: callers send this class without keys; allowed: repeatable, once", name)
 		}
@@ -281,7 +284,7 @@
 	return err
 }
 
-// DynamicSettings is what the module is told to act on.
+// DynamicSettings returns the rules as settings for package decide. Bans are not part of them.
 func (r Rules) DynamicSettings() *decide.DynamicSettings {
 	out := &decide.DynamicSettings{MaxAttempts: r.MaxAttempts, Hedging: r.Hedging, Classes: map[string]decide.DynamicClass{}}
 	for name, c := range r.Classes {
@@ -290,7 +293,7 @@
 	return out
 }
 
-// Diff tells what differs between two documents, a line a key.
+// Diff returns the differences between two documents, for people: a line for each key.
 func Diff(from, to *Document) []string {
 	var lines []string
 	add := func(key string, a, b any) {
