--- a/internal/env/bench_test.go
+++ b/internal/env/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkEnv shows what the seam costs beside the straight call.
+// BenchmarkEnv measures calls through Env beside direct calls.
 func BenchmarkEnv(b *testing.B) {
 	var environment Env = Real{}
 	var sum time.Time
--- a/internal/env/bypass_test.go
+++ b/internal/env/bypass_test.go
@@ -11,22 +11,22 @@
 	"testing"
 )
 
-// coveredPackages are the packages that meet the world through the seam alone.
+// coveredPackages are the packages whose code must use the environment only through Env.
 var coveredPackages = []string{"pipeline", "httpwire", "state", "cluster", "peerrpc"}
 
-// lifecycleFile is covered too, but for what the process itself does.
+// lifecycleFile must do so too. The other files of its package deal with the process itself and are not covered.
 const lifecycleFile = "lifecycle/sidecar.go"
 
-// bypasses are the functions that would go past the seam.
+// bypasses lists, by package, the functions and types that would bypass Env; nil stands for the whole package.
 var bypasses = map[string][]string{
 	"time":         {"Now", "After", "AfterFunc", "NewTimer", "NewTicker", "Tick", "Sleep", "Since", "Until"},
 	"net":          {"Dial", "DialTimeout", "Listen", "Dialer", "ListenConfig"},
-	"math/rand/v2": nil, // nothing of it
+	"math/rand/v2": nil,
 	"math/rand":    nil,
 }
 
-// Guards against code that reads the machine's clock, dials, starts goroutines or
-// draws by itself: the simulation would not be in command of it.
+// Guards against code that reads the machine's clock, opens connections, starts goroutines or uses random numbers other than through Env:
+// a simulation could not control that code.
 func TestNetworkCodeUsesOnlyEnv(t *testing.T) {
 	files := []string{filepath.Join("..", lifecycleFile)}
 	for _, name := range coveredPackages {
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(files) < 15 {
-		t.Fatalf("only %d files are looked at", len(files))
+		t.Fatalf("only %d files were found; want at least 15", len(files))
 	}
 	for _, path := range files {
 		for _, found := range findBypasses(t, path, nil) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// The check itself must be able to fail.
+// Guards against a check that cannot fail: findBypasses must find each bypass in a sample.
 func TestFindBypassesDetects(t *testing.T) {
 	const text = `package x
 import ("time"; "net"; rnd "math/rand/v2")
@@ -66,14 +66,15 @@
 	}
 }
 
+// findBypasses returns the places in a file that bypass Env. text is the file's content; if it is nil, the file is read from path.
 func findBypasses(t *testing.T, path string, text any) (found []string) {
 	t.Helper()
-	files := token.NewFileSet()
-	f, err := parser.ParseFile(files, path, text, parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	f, err := parser.ParseFile(fileSet, path, text, parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatal(err)
 	}
-	imported := map[string]string{} // what a name in this file stands for
+	imported := map[string]string{} // import path by the package's name in this file
 	for _, i := range f.Imports {
 		full, err := strconv.Unquote(i.Path.Value)
 		if err != nil {
@@ -88,7 +89,7 @@
 	ast.Inspect(f, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.GoStmt:
-			found = append(found, files.Position(n.Pos()).String()+": a goroutine past the seam")
+			found = append(found, fileSet.Position(n.Pos()).String()+": a go statement bypasses Env")
 		case *ast.SelectorExpr:
 			x, ok := n.X.(*ast.Ident)
 			if !ok {
@@ -96,7 +97,7 @@
 			}
 			names, listed := bypasses[imported[x.Name]]
 			if listed && (names == nil || contains(names, n.Sel.Name)) {
-				found = append(found, files.Position(n.Pos()).String()+": "+x.Name+"."+n.Sel.Name+" goes past the seam")
+				found = append(found, fileSet.Position(n.Pos()).String()+": "+x.Name+"."+n.Sel.Name+" bypasses Env")
 			}
 		}
 		return true
--- a/internal/holdings/delta_test.go
+++ b/internal/holdings/delta_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// testLedger is a ledger's members and placement with their history, as a keeper has them.
+// testLedger holds a ledger's members and placement with their history, as a voter has them.
 type testLedger struct {
 	view    View
 	history History
 }
 
-// clone is another keeper's, that knows the same and has a history of its own.
+// clone returns the ledger of another voter: with the same state, and a history of its own.
 func (l *testLedger) clone() *testLedger {
 	c := *l
 	c.view.Members, c.view.Placement = slices.Clone(l.view.Members), l.view.Placement.Clone()
@@ -43,7 +43,7 @@
 	l.history.RecordChanges(before, l.view.Placement.Number, changes)
 }
 
-// changeAtRandom draws an entry.
+// changeAtRandom applies a random change of the members or the placement.
 func (l *testLedger) changeAtRandom(t *rapid.T) {
 	if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
 		var changes []PlacementChange
@@ -61,7 +61,7 @@
 	var gone []string
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 30), 1, 4, rapid.ID[int]).Draw(t, "who") {
 		name := fmt.Sprintf("m%02d", i)
-		if _, there := l.view.find(name); there && rapid.Bool().Draw(t, "goes") {
+		if _, found := l.view.find(name); found && rapid.Bool().Draw(t, "goes") {
 			gone = append(gone, name)
 			continue
 		}
@@ -71,6 +71,7 @@
 	l.changeMembers(gone, joined)
 }
 
+// newTestLedger returns a ledger with one member. maxChanges bounds each log of its history.
 func newTestLedger(maxChanges int) *testLedger {
 	l := &testLedger{view: View{Placement: &Placement{}}}
 	l.history.members.maxSize, l.history.shards.maxSize = maxChanges, maxChanges
@@ -78,21 +79,21 @@
 	return l
 }
 
-// sameView tells whether two views are equal, without the checksum.
+// sameView reports whether two views are equal. It does not rely on the checksum.
 func sameView(a, b *View) bool {
 	return a.Epoch == b.Epoch && slices.Equal(a.Members, b.Members) && reflect.DeepEqual(a.Placement.Shards, b.Placement.Shards) &&
 		a.Placement.Number == b.Placement.Number
 }
 
-// Entries, answers that come late, twice or never, leaders that come and go with histories of their own, long or short: whoever
-// takes a delta has the ledger's members and placement, as they were at the epoch and number that it is told; who can't has
-// what it had, and its state is never changed under it.
+// Guards against deltas that lead to another state than the ledger's. Answers come late, twice or never, and leaders change and have
+// histories of different lengths. A member that applies a delta must have the members and the placement that the ledger had at the delta's
+// epoch and number. A member that cannot apply a delta must keep its view, and no view may change after it was returned.
 func TestDeltaYieldsLedgerState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := newTestLedger(rapid.IntRange(1, 40).Draw(t, "most"))
 		leader.changePlacement(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
 		type member struct {
-			view, snapshot View // as it is, and as it was when it came
+			view, snapshot View // its view, and a deep copy from when it got that view
 			inFlight       []*Delta
 			needsFullView  bool
 		}
@@ -111,26 +112,26 @@
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
 				leader.changeAtRandom(t)
-			case 2: // another leader: it has applied the same entries, from its beginning on or from a snapshot
+			case 2: // another leader: it has applied the same entries from the beginning, or started from a snapshot without a history
 				next := leader.clone()
 				if rapid.Bool().Draw(t, "from a snapshot") {
 					next.history = History{}
 				}
 				leader = next
-			case 3, 4: // it asks
+			case 3, 4: // the member sends a renewal request and is answered with a delta
 				var epoch, number uint64
 				if !m.needsFullView {
 					epoch, number = m.view.Epoch, m.view.placementNumber()
 				}
 				if d := leader.history.Delta(epoch, number, &leader.view, leader.view.Checksum()); epoch != leader.view.Epoch || number != leader.view.placementNumber() {
-					c := *d // coded, on its way
+					c := *d // a deep copy, as an encoded message is
 					c.Joined, c.Gone, c.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 					for i := range c.Shards {
 						c.Shards[i].Of.Replicas = slices.Clone(c.Shards[i].Of.Replicas)
 					}
 					m.inFlight = append(m.inFlight, &c)
 				}
-			default: // an answer comes: any of those on their way, maybe again later
+			default: // one of the answers in flight arrives; it may arrive again later
 				if len(m.inFlight) == 0 {
 					continue
 				}
@@ -140,14 +141,14 @@
 					m.inFlight = slices.Delete(m.inFlight, i, i+1)
 				}
 				if d.Epoch < m.view.Epoch || d.Epoch == m.view.Epoch && d.Number < m.view.placementNumber() {
-					continue // late word: who asks in order drops it
+					continue // stale message: a member drops it
 				}
 				next, err := m.view.Apply(d)
 				if errors.Is(err, ErrChecksum) || errors.Is(err, ErrDelta) {
 					t.Fatalf("%+v: %v", d, err)
 				}
 				if err != nil && m.view.Placement != nil && !sameView(&next, &m.snapshot) {
-					t.Fatalf("%+v is not taken, and has changed what is known", d)
+					t.Fatalf("%+v cannot be applied, but the view has changed", d)
 				}
 				m.needsFullView = err != nil
 				m.view, m.snapshot = next, snapshot(next)
@@ -159,14 +160,14 @@
 				}
 				want, known := ledgerStates[[2]uint64{m.view.Epoch, m.view.placementNumber()}]
 				if !known || !sameView(&m.view, &want) {
-					t.Fatalf("a member has %+v at epoch %d and number %d, and the ledger had %+v", m.view, m.view.Epoch, m.view.placementNumber(), want)
+					t.Fatalf("a member has %+v at epoch %d and placement %d; the ledger had %+v", m.view, m.view.Epoch, m.view.placementNumber(), want)
 				}
 				if !sameView(&m.view, &m.snapshot) {
-					t.Fatal("what a member knows has changed under it")
+					t.Fatal("a member's view has changed without a delta")
 				}
 			}
 		}
-		// In the end whoever asks has all.
+		// At last each member can reach the leader's state.
 		for i := range members {
 			v := &members[i].view
 			d := leader.history.Delta(v.Epoch, v.placementNumber(), &leader.view, leader.view.Checksum())
@@ -177,12 +178,12 @@
 	})
 }
 
-// Each fault of a delta is met by the checksum, and would lead to another state than the ledger's without it; the view is then as it
-// was, and the whole mends it.
+// Guards against faulty deltas that are applied. Each fault would lead to another state than the ledger's if View.Apply did not detect it.
+// Apply must return an error and leave the view as it was; a full delta must then lead to the ledger's state.
 func TestDeltaFaultsAreDetected(t *testing.T) {
 	for name, alter := range deltaFaults {
 		t.Run(name, func(t *testing.T) {
-			detected := 0 // faults that would lead to another state than the ledger's
+			detected := 0 // number of detected deltas that would have led to another state than the ledger's
 			rapid.Check(t, func(t *rapid.T) {
 				l := newTestLedger(rapid.IntRange(4, 200).Draw(t, "most"))
 				l.changePlacement(t, []PlacementChange{{Shard: 0, Replicas: []Replica{{Incarnation: Incarnation{"m00", 1}, Ready: true}}}})
@@ -195,40 +196,41 @@
 					t.Fatal(err)
 				}
 				known.Members, known.Placement = slices.Clone(known.Members), known.Placement.Clone()
-				middle := l.clone()
+				previous := l.clone()
 				for range rapid.IntRange(1, 8).Draw(t, "after") {
-					middle = l.clone()
+					previous = l.clone()
 					l.changeAtRandom(t)
 				}
-				d, applies := alter(l, middle, &known)
+				d, applies := alter(l, previous, &known)
 				if !applies {
 					return
 				}
 				if wrong := known.apply(d); sameView(&wrong, &l.view) {
-					return // it is no fault this time: it leads to what is true, and would without the checksum
+					return // not a fault this time: the delta leads to the ledger's state
 				}
 				next, err := known.Apply(d)
 				if !sameView(&next, &known) {
-					t.Fatalf("%+v is taken: %+v", d, next)
+					t.Fatalf("the faulty delta %+v was applied: %+v", d, next)
 				}
 				if err == nil {
 					t.Fatalf("%+v: no error", d)
 				}
 				detected++
 				if next, err = next.Apply(l.history.Delta(0, 0, &l.view, l.view.Checksum())); err != nil || !sameView(&next, &l.view) {
-					t.Fatalf("the whole does not mend it: %v", err)
+					t.Fatalf("the full delta does not lead to the ledger's state: %v", err)
 				}
 			})
-			t.Logf("met %d times", detected)
+			t.Logf("detected %d times", detected)
 			if detected < 5 {
-				t.Errorf("played only %d times", detected)
+				t.Errorf("the fault was detected only %d times; want at least 5", detected)
 			}
 		})
 	}
 }
 
-// deltaFaults are what a leader could say wrongly to who knows a view. middle is the leader one entry before.
-var deltaFaults = map[string]func(l, middle *testLedger, known *View) (*Delta, bool){
+// deltaFaults are deltas that a leader could wrongly send to a member with the view known. l is the leader's ledger, and previous the same
+// one entry earlier. A function returns false if the fault does not apply to the given states.
+var deltaFaults = map[string]func(l, previous *testLedger, known *View) (*Delta, bool){
 	"a change is left out": func(l, _ *testLedger, known *View) (*Delta, bool) {
 		d := *l.history.Delta(known.Epoch, known.placementNumber(), &l.view, l.view.Checksum())
 		switch {
@@ -239,33 +241,33 @@
 		case len(d.Shards) > 0:
 			d.Shards = d.Shards[1:]
 		default:
-			return nil, false // all members are gone, which is told whole: nothing stands there that could be left out
+			return nil, false // all members are gone: the delta is full and empty, and there is nothing to leave out
 		}
 		return &d, true
 	},
-	"a change is applied again after a later one": func(l, middle *testLedger, known *View) (*Delta, bool) {
-		// The delta of one entry before, said to lead to the present one.
-		d := *middle.history.Delta(known.Epoch, known.placementNumber(), &middle.view, l.view.Checksum())
+	"a change is applied again after a later one": func(l, previous *testLedger, known *View) (*Delta, bool) {
+		// The delta to the state one entry earlier, labelled as leading to the present one.
+		d := *previous.history.Delta(known.Epoch, known.placementNumber(), &previous.view, l.view.Checksum())
 		if d.SinceEpoch != 0 && d.SinceEpoch == d.Epoch && l.view.Epoch != d.Epoch {
-			return nil, false // it has no members, and would have to
+			return nil, false // it holds no change of members, but its labels would announce one
 		}
 		d.Epoch, d.Number = l.view.Epoch, l.view.placementNumber()
 		return &d, d.SinceNumber == 0 || d.SinceNumber != d.Number
 	},
-	"a wrong base number": func(l, middle *testLedger, known *View) (*Delta, bool) {
-		// From one entry before, said to start from what is known.
-		d := *l.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &l.view, l.view.Checksum())
-		if d.SinceEpoch == 0 || d.SinceNumber == 0 || middle.view.Epoch == known.Epoch && middle.view.placementNumber() == known.placementNumber() {
+	"a wrong base number": func(l, previous *testLedger, known *View) (*Delta, bool) {
+		// The delta from one entry earlier, labelled as starting from the member's view.
+		d := *l.history.Delta(previous.view.Epoch, previous.view.placementNumber(), &l.view, l.view.Checksum())
+		if d.SinceEpoch == 0 || d.SinceNumber == 0 || previous.view.Epoch == known.Epoch && previous.view.placementNumber() == known.placementNumber() {
 			return nil, false
 		}
 		d.SinceEpoch, d.SinceNumber = known.Epoch, known.placementNumber()
 		return &d, true
 	},
-	"a wrong base number that is said": func(l, middle *testLedger, known *View) (*Delta, bool) {
-		d := *l.history.Delta(middle.view.Epoch, middle.view.placementNumber(), &l.view, l.view.Checksum())
+	"a base number that the member does not have": func(l, previous *testLedger, known *View) (*Delta, bool) {
+		d := *l.history.Delta(previous.view.Epoch, previous.view.placementNumber(), &l.view, l.view.Checksum())
 		return &d, d.SinceEpoch > known.Epoch || d.SinceNumber > known.placementNumber()
 	},
-	"the history is cut short and the whole is not sent": func(l, _ *testLedger, known *View) (*Delta, bool) {
+	"the history is truncated and the full state is not sent": func(l, _ *testLedger, known *View) (*Delta, bool) {
 		short := l.clone()
 		short.history.members.maxSize, short.history.shards.maxSize = 1, 1
 		dropOldRecords(&short.history.members)
@@ -275,14 +277,15 @@
 	},
 }
 
-// dropOldRecords drops all records but the newest, and forgets that it did.
-func dropOldRecords[T interface{ ~int | ~string }](t *changeLog[T]) {
-	if len(t.records) > 1 {
-		t.records = t.records[len(t.records)-1:]
+// dropOldRecords drops all records but the newest, without noting in the log that it covers less.
+func dropOldRecords[T interface{ ~int | ~string }](l *changeLog[T]) {
+	if len(l.records) > 1 {
+		l.records = l.records[len(l.records)-1:]
 	}
 }
 
-// Bounds: what a delta may not hold is told, and a history forgets its oldest records and says so.
+// Guards against deltas that exceed a limit and are applied, and against a history that grows without limit or claims to cover records that it
+// has dropped.
 func TestDeltaBounds(t *testing.T) {
 	for want, d := range map[error]Delta{
 		ErrDelta:    {Epoch: 1, Number: 1, Shards: []ChangedShard{{Shard: NumShards}}},
@@ -303,7 +306,7 @@
 	if _, known := h.since(h.from-1, h.to); known || h.from == 0 {
 		t.Errorf("changes since %d are known, and the history begins at %d", h.from-1, h.from)
 	}
-	if things, known := h.since(h.from, h.to); !known || len(things) == 0 {
+	if changed, known := h.since(h.from, h.to); !known || len(changed) == 0 {
 		t.Errorf("changes since %d are not known", h.from)
 	}
 	if h.add(9, 10, []string{"late"}); h.from != 9 || len(h.records) != 1 {
--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -14,40 +14,42 @@
 )
 
 var (
-	seeds   = flag.Int("holdings.seeds", 24, "so many seeds are played")
-	oneSeed = flag.Int("holdings.seed", -1, "only this one")
+	seeds   = flag.Int("holdings.seeds", 24, "number of seeds that the model runs")
+	oneSeed = flag.Int("holdings.seed", -1, "run only this seed")
 )
 
-// The model: sidecars with their stores, a ledger that is always right (the keepers'), owners that claim keys and finish
-// them, ways that delay, lose and double, machines that die with what they held, and processes that stand still. An effect that
-// happens twice, or an outcome that was told and is not there, breaks it.
+// Times of the model. The model consists of sidecars with their stores, a ledger that is always right (the voters'), owners that claim keys
+// and finish them, routes that delay, lose and duplicate messages, machines that are lost with their entries, and processes that pause. A
+// run fails if a request has its effect twice, or if an outcome that was delivered is not found later.
 const (
 	modelLease      = time.Second
 	modelLessorWait = 1200 * time.Millisecond
 	modelTime       = 30 * time.Second
-	exchangeTime    = 500 * time.Millisecond // for one exchange
-	requestTime     = 2 * time.Second        // a request's
+	exchangeTime    = 500 * time.Millisecond // timeout of a message and its answer
+	requestTime     = 2 * time.Second        // deadline of a request
 )
 
-// Planted bugs.
+// Injected faults: each is a way in which the protocol could be implemented wrongly.
 const (
-	faultEarlyAnswer    = "a primary answers before the copies' word"
-	faultNoFinalCheck   = "an owner sends without a last look at time and lease"
-	faultNoFencing      = "late word counts as the newest"
-	faultOneZone        = "copies stand in one zone"
-	faultEarlyReady     = "a replica counts as ready before it is filled"
+	faultEarlyAnswer    = "a primary answers before the replicas have acknowledged the change"
+	faultNoFinalCheck   = "an owner sends without a final check of time and lease"
+	faultNoFencing      = "a stale update counts as the newest"
+	faultOneZone        = "all replicas of a shard may be in one zone"
+	faultEarlyReady     = "a replica counts as ready before it has caught up"
 	faultUnreadyPrimary = "a replica that is not ready becomes the primary"
 )
 
-// orderClass is the class of what is claimed: endpoints drop its repeats for so long.
+// orderClass is the class of all requests in the model. Its endpoints drop repeats within the window.
 var orderClass = decide.Class{Effect: decide.Keyed, Window: 5 * time.Second}
 
+// modelEvent is a function that the model calls at a simulated time. number orders events of the same time.
 type modelEvent struct {
 	at     BootTime
 	number int
 	do     func()
 }
 
+// modelQueue is a heap.Interface of events, by time.
 type modelQueue []modelEvent
 
 func (q modelQueue) Len() int { return len(q) }
@@ -63,21 +65,23 @@
 	return e
 }
 
+// sidecar is a machine of the model with the sidecar's process on it. A restart gives it another token and an empty store.
 type sidecar struct {
 	name, zone      string
 	token           uint64
 	dead            bool
 	paused          bool
-	partitioned     bool // from the keepers
-	decommissioning bool // it leaves when its replicas are others'
-	inbox           []func()
+	partitioned     bool     // it cannot reach the voters
+	decommissioning bool     // it leaves once other members have its replicas
+	inbox           []func() // what it has to do when its pause ends
 	store           *Store
 	me              Incarnation
 	leaseEnd        BootTime
-	view            View // what it was told of members and placement
-	needsFullView   bool // a delta could not be taken: it names nothing
+	view            View // the members and the placement that it received
+	needsFullView   bool // it could not apply a delta, and requests the full view
 }
 
+// model is the state of one run.
 type model struct {
 	t               *testing.T
 	random          *rand.Rand
@@ -92,20 +96,20 @@
 	memberUntil     map[string]BootTime
 	caughtUp        map[string][]CaughtUp
 	unreachable     map[string][]Incarnation
-	brokenRoutes    map[[2]string]bool // that are cut
+	brokenRoutes    map[[2]string]bool // pairs of sidecars between which messages are lost
 	placement       *Placement
 	history         History
 	deadSince       [NumShards]BootTime
-	machineLossOnly bool // machines are lost and leave, and nothing else happens: often enough within what is promised
-	effects         map[string]int
-	firstArrival    map[string]BootTime // when each key came to an endpoint
-	delivered       map[string]string
+	machineLossOnly bool                // the only faults are lost and decommissioned machines, so that machines are lost often
+	effects         map[string]int      // how often each key had its effect
+	firstArrival    map[string]BootTime // when a request of each key first arrived at an endpoint
+	delivered       map[string]string   // outcome of each key that was recorded and delivered to the client
 	lastID          uint64
 	violation       string
 	counts          map[string]int
 }
 
-func (m *model) after(d time.Duration, do func()) {
+func (m *model) schedule(d time.Duration, do func()) {
 	m.eventCount++
 	heap.Push(&m.queue, modelEvent{m.now + d, m.eventCount, do})
 }
@@ -114,13 +118,13 @@
 	return a + time.Duration(m.random.Int64N(int64(b-a)))
 }
 
-func (m *model) violate(format string, args ...any) {
+func (m *model) reportViolation(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf("%v: ", m.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// run has a sidecar do something, when it goes on.
+// run calls a function on a sidecar: at once, after its pause, or never if it is dead.
 func (s *sidecar) run(do func()) {
 	switch {
 	case s.dead:
@@ -131,6 +135,7 @@
 	}
 }
 
+// start starts a new process on a sidecar's machine.
 func (m *model) start(s *sidecar) {
 	m.lastID++
 	s.token, s.dead, s.paused, s.me, s.leaseEnd, s.inbox = m.lastID, false, false, Incarnation{}, 0, nil
@@ -145,15 +150,15 @@
 		return
 	}
 	s.run(func() { s.store.Tick(m.now); m.sendBatches(s) })
-	m.after(20*time.Millisecond, func() { m.tick(s, token) })
+	m.schedule(20*time.Millisecond, func() { m.tick(s, token) })
 }
 
-// heartbeat renews a lease; the ledger is the keepers', and never wrong.
+// heartbeat renews a sidecar's lease again and again. The voters' ledger is part of the model and is always right.
 func (m *model) heartbeat(s *sidecar, token uint64) {
 	if s.dead || s.token != token {
 		return
 	}
-	m.after(m.between(100*time.Millisecond, 150*time.Millisecond), func() { m.heartbeat(s, token) })
+	m.schedule(m.between(100*time.Millisecond, 150*time.Millisecond), func() { m.heartbeat(s, token) })
 	if s.paused || s.partitioned {
 		return
 	}
@@ -161,7 +166,7 @@
 	if s.needsFullView {
 		known = View{}
 	}
-	m.after(m.between(time.Millisecond, 30*time.Millisecond), func() {
+	m.schedule(m.between(time.Millisecond, 30*time.Millisecond), func() {
 		if s.token != token {
 			return
 		}
@@ -187,7 +192,7 @@
 		if now.placementNumber() > 0 && (known.Epoch != now.Epoch || known.placementNumber() != now.placementNumber()) {
 			delta = m.history.Delta(known.Epoch, known.placementNumber(), &now, now.Checksum())
 		}
-		m.after(m.between(time.Millisecond, 30*time.Millisecond), func() {
+		m.schedule(m.between(time.Millisecond, 30*time.Millisecond), func() {
 			s.run(func() {
 				if s.token != token || requestedAt+modelLease < s.leaseEnd {
 					return
@@ -204,21 +209,21 @@
 	})
 }
 
-// applyView has a sidecar take what it is told, as a delta from what it had when it asked.
+// applyView lets a sidecar apply the delta in a grant. The delta starts from the view that the sidecar had when it sent the renewal request.
 func (m *model) applyView(s *sidecar, now *View, delta *Delta) {
 	if delta == nil {
 		return
 	}
 	next, err := s.view.Apply(delta)
 	switch {
-	case errors.Is(err, ErrBase): // two answers came at once, after a pause: the second starts from before the first
+	case errors.Is(err, ErrBase): // after a pause, two answers arrived at once; the second starts from the view before the first
 		m.counts["other base"]++
 	case err != nil:
-		m.violate("%s takes no delta: %v", s.name, err)
+		m.reportViolation("%s cannot apply a delta: %v", s.name, err)
 	case !sameView(&next, now):
-		m.violate("%s has %+v, and the ledger %+v", s.name, next, *now)
+		m.reportViolation("%s has %+v, and the ledger %+v", s.name, next, *now)
 	case delta.SinceEpoch == 0 || delta.SinceNumber == 0:
-		m.counts["whole"]++
+		m.counts["full view"]++
 	default:
 		m.counts["delta"]++
 	}
@@ -235,9 +240,9 @@
 	return out
 }
 
-// voters counts out whose lease has surely ended, and plans replicas.
-func (m *model) voters() {
-	m.after(m.between(30*time.Millisecond, 300*time.Millisecond), m.voters) // members hear of each other before replicas follow
+// stepVoters removes the members whose lease has certainly ended from the cluster, and plans replicas.
+func (m *model) stepVoters() {
+	m.schedule(m.between(30*time.Millisecond, 300*time.Millisecond), m.stepVoters) // slower than renewals: members learn of one another before replicas change
 	for _, s := range m.sidecars {
 		if _, found := m.members[s.name]; found && m.now >= m.memberUntil[s.name] {
 			delete(m.members, s.name)
@@ -279,7 +284,7 @@
 		}) {
 			m.counts["left"]++
 			s.dead = true
-			m.after(time.Second, func() { m.start(s) })
+			m.schedule(time.Second, func() { m.start(s) })
 		}
 		for _, peer := range m.unreachable[s.name] {
 			unreachable[[2]Incarnation{m.members[s.name].Incarnation, peer}] = true
@@ -295,12 +300,12 @@
 	}
 	before := m.placement.Number
 	if err := m.placement.Apply(changes); err != nil {
-		m.violate("plan: %v", err)
+		m.reportViolation("plan: %v", err)
 	}
 	m.history.RecordChanges(before, m.placement.Number, changes)
 }
 
-// sendBatches sends what is to be said.
+// sendBatches sends the pending batches of a sidecar. Batches may be lost, delayed and duplicated.
 func (m *model) sendBatches(s *sidecar) {
 	for _, to := range s.store.PendingPeers() {
 		b := s.store.NextBatch(m.now, to.Incarnation)
@@ -317,13 +322,13 @@
 				}
 			})
 		}
-		m.after(exchangeTime, func() { end(nil) })
+		m.schedule(exchangeTime, func() { end(nil) })
 		other := m.sidecars[slices.IndexFunc(m.sidecars, func(o *sidecar) bool { return o.name == to.Name })]
 		arrive := func() {
-			m.after(m.delay(), func() {
+			m.schedule(m.delay(), func() {
 				other.run(func() {
 					if a := other.store.HandleBatch(m.now, m.alterBatch(other, b)); a != nil {
-						m.after(m.delay(), func() { end(a) })
+						m.schedule(m.delay(), func() { end(a) })
 					}
 				})
 			})
@@ -332,17 +337,17 @@
 			arrive()
 		}
 		if m.random.Float64() < 0.02 {
-			m.after(m.delay(), arrive)
+			m.schedule(m.delay(), arrive)
 		} else if m.fault == faultNoFencing && m.random.Float64() < 0.3 {
-			m.after(200*time.Millisecond, arrive)
+			m.schedule(200*time.Millisecond, arrive)
 		}
 		if m.fault == faultEarlyAnswer {
-			m.after(0, func() { end(&BatchReply{}) })
+			m.schedule(0, func() { end(&BatchReply{}) })
 		}
 	}
 }
 
-// alterBatch is a batch as a sidecar takes it.
+// alterBatch returns the batch as a sidecar handles it. With faultNoFencing, it has the revisions of a batch that is newer than all others.
 func (m *model) alterBatch(to *sidecar, b *Batch) *Batch {
 	if m.fault != faultNoFencing {
 		return b
@@ -367,11 +372,12 @@
 	return m.between(200*time.Microsecond, 3*time.Millisecond)
 }
 
-// sendCommand says an owner's word to the primary that it knows of, until it has an answer that counts, or its time is over.
+// sendCommand sends an owner's command to the primary that the owner knows, again and again until there is an answer that a repeat does not
+// change, or until the deadline. It then calls onAnswer with the last answer.
 func (m *model) sendCommand(s *sidecar, c *Command, until BootTime, onAnswer func(Answer)) {
 	token := s.token
 	retry := func(last Answer) {
-		m.after(50*time.Millisecond, func() {
+		m.schedule(50*time.Millisecond, func() {
 			s.run(func() {
 				if s.token != token || m.now >= until {
 					if s.token == token {
@@ -403,17 +409,17 @@
 			}
 		})
 	}
-	m.after(exchangeTime, func() { end(Answer{Kind: AnswerNone}) })
+	m.schedule(exchangeTime, func() { end(Answer{Kind: AnswerNone}) })
 	other := m.sidecars[slices.IndexFunc(m.sidecars, func(o *sidecar) bool { return o.name == to.Name })]
-	m.after(m.delay(), func() {
+	m.schedule(m.delay(), func() {
 		other.run(func() {
-			other.store.Handle(m.now, c, func(got Answer) { m.after(m.delay(), func() { end(got) }) })
+			other.store.Handle(m.now, c, func(got Answer) { m.schedule(m.delay(), func() { end(got) }) })
 			m.sendBatches(other)
 		})
 	})
 }
 
-// request is a client's, through one sidecar.
+// request sends a client's request through one sidecar. It calls next when the claim of the key has been answered.
 func (m *model) request(s *sidecar, key string, next func()) {
 	if s.dead || s.me == (Incarnation{}) {
 		next()
@@ -425,12 +431,14 @@
 	m.claim(s, c, until, next)
 }
 
+// claim claims a key and, if the claim succeeds, sends the request to an endpoint and records its outcome. It checks each answer against what
+// was delivered before.
 func (m *model) claim(s *sidecar, c *Command, until BootTime, next func()) {
 	token, key, owner := s.token, c.Key.Text, c.Owner
-	_, wasDelivered := m.delivered[key] // an answer may come long after it was given
+	_, wasDelivered := m.delivered[key] // as of now: an answer may arrive long after it was made
 	m.sendCommand(s, c, until, func(got Answer) {
 		if got.Kind == AnswerUnknown && MayRepeat(&orderClass, got.Age, until-m.now, 0) {
-			m.counts["again"]++
+			m.counts["reclaimed"]++
 			reclaim := *c
 			reclaim.Op, reclaim.Rev, reclaim.Lifetime = OpReclaim, got.Rev, until-m.now
 			m.claim(s, &reclaim, until, next)
@@ -442,18 +450,18 @@
 		switch got.Kind {
 		case AnswerFinished:
 			if isDelivered && string(got.Outcome.Body) != want {
-				m.violate("key %s: %q, and %q was told", key, got.Outcome.Body, want)
+				m.reportViolation("key %s: the recorded outcome is %q, but %q was delivered", key, got.Outcome.Body, want)
 			}
 		case AnswerOK:
 			if wasDelivered && c.Op == OpClaim {
-				m.violate("key %s: claimed anew, and %q was told", key, want)
+				m.reportViolation("key %s: it was claimed again after %q was delivered", key, want)
 			}
-			if !m.machineLossOnly && m.random.Float64() < 0.01 { // between the word and the first byte
+			if !m.machineLossOnly && m.random.Float64() < 0.01 { // a pause between the answer to the claim and the request's first byte
 				m.pause(s, m.between(time.Second, 10*time.Second))
 			}
-			m.after(m.delay(), func() {
+			m.schedule(m.delay(), func() {
 				s.run(func() {
-					// The last look before the first byte.
+					// The owner's final check before the request's first byte.
 					if s.token != token || m.fault != faultNoFinalCheck && (m.now >= until || s.me != owner || m.now >= s.leaseEnd) {
 						return
 					}
@@ -461,21 +469,21 @@
 						m.firstArrival[key] = m.now
 					} else if m.now < first+orderClass.Window {
 						m.counts["dropped"]++
-						return // its answer would be the first one's; this owner dies of it
+						return // the endpoint drops the repeat, and this owner records no outcome
 					}
 					m.effects[key]++
 					if m.effects[key] > 1 {
-						m.violate("key %s: %d effects", key, m.effects[key])
+						m.reportViolation("key %s: %d effects", key, m.effects[key])
 					}
 					outcome := fmt.Sprintf("%s by %s", key, s.name)
-					m.after(m.between(time.Millisecond, 100*time.Millisecond), func() {
+					m.schedule(m.between(time.Millisecond, 100*time.Millisecond), func() {
 						s.run(func() {
 							finish := *c
 							finish.Op, finish.Outcome = OpFinish, &Outcome{Body: []byte(outcome)}
 							m.sendCommand(s, &finish, until, func(got Answer) {
 								if got.Kind == AnswerOK {
 									m.delivered[key] = outcome
-									m.counts["told"]++
+									m.counts["delivered"]++
 								}
 							})
 						})
@@ -484,7 +492,7 @@
 			})
 		case AnswerUnknown, AnswerLost:
 			if wasDelivered {
-				m.violate("key %s: %v, and %q was told", key, got.Kind, want)
+				m.reportViolation("key %s: the answer is %v after %q was delivered", key, got.Kind, want)
 			}
 		}
 	})
@@ -496,7 +504,7 @@
 	}
 	m.counts["pauses"]++
 	s.paused = true
-	m.after(d, func() {
+	m.schedule(d, func() {
 		if !s.paused {
 			return
 		}
@@ -509,10 +517,10 @@
 	})
 }
 
-// fullyReplicated tells whether each shard has its copies, so that the next machine may be lost.
+// fullyReplicated reports whether each shard has as many ready replicas as Params.Copies, so that another machine may be lost.
 func (m *model) fullyReplicated() bool {
 	for _, s := range m.sidecars {
-		if m.members[s.name].Token != s.token { // the ledger still has the process before
+		if m.members[s.name].Token != s.token { // the ledger still has the former process
 			return false
 		}
 	}
@@ -531,6 +539,8 @@
 	return true
 }
 
+// runModel runs the model with a seed and an injected fault, "" for none. It returns the first violation, "" for none, and how often things
+// happened.
 func runModel(t *testing.T, seed uint64, fault string) (string, map[string]int) {
 	m := &model{t: t, random: rand.New(rand.NewPCG(seed, 0x401d)), fault: fault, params: Params{Copies: 2, Keep: time.Minute, LostAfter: 2 * modelTime},
 		members: map[string]Member{}, memberUntil: map[string]BootTime{}, caughtUp: map[string][]CaughtUp{}, unreachable: map[string][]Incarnation{}, brokenRoutes: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, firstArrival: map[string]BootTime{}, delivered: map[string]string{},
@@ -543,11 +553,11 @@
 		m.sidecars = append(m.sidecars, s)
 		m.start(s)
 	}
-	m.after(500*time.Millisecond, m.voters)
+	m.schedule(500*time.Millisecond, m.stepVoters)
 	keys := 0
-	var load func()
-	load = func() {
-		m.after(m.between(5*time.Millisecond, 40*time.Millisecond), load)
+	var sendRequests func()
+	sendRequests = func() {
+		m.schedule(m.between(5*time.Millisecond, 40*time.Millisecond), sendRequests)
 		keys++
 		key := fmt.Sprint("k", keys)
 		if keys > 20 && m.random.Float64() < 0.5 {
@@ -555,16 +565,16 @@
 		}
 		first, second := m.sidecars[m.random.IntN(6)], m.sidecars[m.random.IntN(6)]
 		m.request(first, key, func() {
-			m.after(m.between(0, 400*time.Millisecond), func() { m.request(second, key, func() {}) })
+			m.schedule(m.between(0, 400*time.Millisecond), func() { m.request(second, key, func() {}) })
 		})
-		if m.random.Float64() < 0.3 { // two at once
+		if m.random.Float64() < 0.3 { // two requests of one key at once
 			m.request(second, key, func() {})
 		}
 	}
-	m.after(2*time.Second, load)
+	m.schedule(2*time.Second, sendRequests)
 	var injectFault func()
 	injectFault = func() {
-		m.after(m.between(300*time.Millisecond, 2*time.Second), injectFault)
+		m.schedule(m.between(300*time.Millisecond, 2*time.Second), injectFault)
 		s := m.sidecars[m.random.IntN(6)]
 		duration := m.between(100*time.Millisecond, 4*time.Second)
 		if s.dead || s.paused || s.partitioned || s.decommissioning {
@@ -576,13 +586,13 @@
 			kind *= 5
 		}
 		switch kind {
-		case 3, 4: // two do not reach each other, or one reaches nobody, though all hear the keepers
-			m.counts["ways"]++
+		case 3, 4: // some pairs do not reach each other, or one sidecar reaches no other, though all reach the voters
+			m.counts["broken routes"]++
 			for _, o := range m.sidecars {
 				if o != s && (m.random.IntN(4) == 0 || duration > 3*time.Second) {
 					pair := [2]string{s.name, o.name}
 					m.brokenRoutes[pair] = true
-					m.after(duration, func() { delete(m.brokenRoutes, pair) })
+					m.schedule(duration, func() { delete(m.brokenRoutes, pair) })
 				}
 			}
 		case 5:
@@ -591,22 +601,22 @@
 			if !m.fullyReplicated() || slices.ContainsFunc(m.sidecars, func(o *sidecar) bool { return o.dead || o.paused || o.partitioned }) {
 				return
 			}
-			for _, o := range m.sidecars { // alone, or with all of its zone
+			for _, o := range m.sidecars { // one machine, or all machines of its zone
 				if o == s || o.zone == s.zone && duration > 2*time.Second {
 					m.counts["lost machines"]++
 					o.dead = true
-					m.after(duration, func() { m.start(o) })
+					m.schedule(duration, func() { m.start(o) })
 				}
 			}
 		case 1:
 			m.pause(s, duration)
 		case 2:
-			m.counts["cuts"]++
+			m.counts["partitions"]++
 			s.partitioned = true
-			m.after(duration, func() { s.partitioned = false })
+			m.schedule(duration, func() { s.partitioned = false })
 		}
 	}
-	m.after(4*time.Second, injectFault)
+	m.schedule(4*time.Second, injectFault)
 	for m.violation == "" && len(m.queue) > 0 && m.now < modelTime {
 		e := heap.Pop(&m.queue).(modelEvent)
 		m.now = e.at
@@ -615,7 +625,8 @@
 	return m.violation, m.counts
 }
 
-// Through all seeds no effect happens twice, and what was told is told again.
+// Guards against requests that have their effect twice and against delivered outcomes that are lost, under lost machines, pauses, partitions,
+// and lost or duplicated messages. It also checks that the seeds cover each of these often enough.
 func TestModel(t *testing.T) {
 	total := map[string]int{}
 	for seed := range *seeds {
@@ -631,14 +642,14 @@
 		}
 	}
 	t.Logf("%d seeds: %v", *seeds, total)
-	for _, kind := range []string{"yes", "was", "unclear", "told", "lost machines", "pauses", "cuts", "ways", "left", "delta"} {
+	for _, kind := range []string{"yes", "was", "unclear", "delivered", "lost machines", "pauses", "partitions", "broken routes", "left", "delta"} {
 		if total[kind] < *seeds/2 && *oneSeed < 0 {
-			t.Errorf("%s: only %d in %d seeds", kind, total[kind], *seeds)
+			t.Errorf("%s: happened only %d times in %d seeds", kind, total[kind], *seeds)
 		}
 	}
 }
 
-// Each planted bug breaks the model within some seeds.
+// Guards against a model that cannot fail: each injected fault must lead to a violation with at least one of the seeds.
 func TestModelCatchesInjectedFaults(t *testing.T) {
 	for _, fault := range []string{faultEarlyAnswer, faultNoFinalCheck, faultNoFencing, faultOneZone, faultEarlyReady, faultUnreadyPrimary} {
 		found := 0
@@ -649,7 +660,7 @@
 		}
 		t.Logf("%s: found by %d of 12 seeds", fault, found)
 		if found == 0 {
-			t.Errorf("%s: not found", fault)
+			t.Errorf("%s: no seed found this fault", fault)
 		}
 	}
 }
--- a/internal/holdings/placement_test.go
+++ b/internal/holdings/placement_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Members come, go, leave, and do not reach one another; primaries say what is filled. After each plan: a shard's first replica is
-// ready, no member sits twice, and who is in the crew and had all of a shard goes only when as many others as copies have it.
+// Guards against plans that lose entries. Members join, are removed, are decommissioned and do not reach one another; primaries report
+// replicas as caught up. After each plan, a shard's first replica must be ready, and no member may have two replicas of a shard. A ready
+// replica of a member that is in the cluster may be removed only if as many others as Copies are ready.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
@@ -42,7 +43,7 @@
 					input.Unreachable[[2]Incarnation{input.Members[pick("who")].Incarnation, input.Members[pick("whom")].Incarnation}] = true
 				}
 			}
-			caughtUp := rapid.IntRange(0, 2).Draw(t, "fills") // none, some, all
+			caughtUp := rapid.IntRange(0, 2).Draw(t, "fills") // how many of the replicas that catch up are reported: none, some, all
 			for i, s := range placement.Shards {
 				for _, replica := range s.Replicas {
 					if !replica.Ready && (caughtUp == 2 || caughtUp == 1 && i%2 == 0) {
@@ -53,7 +54,7 @@
 			before := placement.Clone()
 			changes := placement.Plan(input)
 			if again := placement.Plan(input); !reflect.DeepEqual(changes, again) {
-				t.Fatalf("%v, and then %v", changes, again)
+				t.Fatalf("two plans of the same state differ: %v, and then %v", changes, again)
 			}
 			if err := placement.Apply(changes); err != nil {
 				t.Fatal(err)
@@ -65,6 +66,7 @@
 	})
 }
 
+// checkReplicas checks one shard before and after a plan was applied.
 func checkReplicas(t *rapid.T, input *PlacementInput, number int, before, after *Shard) {
 	isMember := func(replica Replica) bool {
 		return slices.ContainsFunc(input.Members, func(m Member) bool { return m.Token == replica.Token })
@@ -72,7 +74,7 @@
 	ready := 0
 	for n, replica := range after.Replicas {
 		if slices.ContainsFunc(after.Replicas[:n], func(other Replica) bool { return other.Name == replica.Name }) {
-			t.Fatalf("shard %d: %s sits twice: %v", number, replica.Name, after.Replicas)
+			t.Fatalf("shard %d: %s has two replicas: %v", number, replica.Name, after.Replicas)
 		}
 		if isMember(replica) && replica.Ready {
 			ready++
@@ -82,17 +84,18 @@
 		t.Fatalf("shard %d: its first replica is not ready: %v", number, after.Replicas)
 	}
 	if !slices.Equal(before.Replicas, after.Replicas) && after.Config == before.Config {
-		t.Fatalf("shard %d: other replicas under configuration %d", number, after.Config)
+		t.Fatalf("shard %d: the replicas have changed, but configuration %d has not", number, after.Config)
 	}
 	dropped := slices.ContainsFunc(before.Replicas, func(replica Replica) bool {
 		return replica.Ready && isMember(replica) && !slices.ContainsFunc(after.Replicas, func(s Replica) bool { return s.Token == replica.Token })
 	})
 	if dropped && ready < input.Copies {
-		t.Fatalf("shard %d: a replica that was ready is gone, and only %d others are: %v, %v", number, ready, before.Replicas, after.Replicas)
+		t.Fatalf("shard %d: a ready replica was removed, and only %d others are ready: %v, %v", number, ready, before.Replicas, after.Replicas)
 	}
 }
 
-// Keys of two tenants, or whose parts run together, are different keys.
+// Guards against shards that get far more keys than others, and against a hash that does not separate the parts of a key: "a" and "b1" would
+// then be the same key as "ab" and "1".
 func TestKeys(t *testing.T) {
 	shards := map[int]int{}
 	for i := range 6400 {
@@ -110,11 +113,11 @@
 		}
 	}
 	if sameShard > 10 {
-		t.Errorf("%d of 100 keys whose parts run together fall into one shard", sameShard)
+		t.Errorf("%d of 100 pairs of keys with the same concatenated parts are in the same shard", sameShard)
 	}
 }
 
-// An ask that breaks a bound is told what is allowed; one within them is taken.
+// Guards against commands that exceed a limit: Check must name what is allowed. A command within the limits must pass.
 func TestCommandBounds(t *testing.T) {
 	for want, alter := range map[string]func(*Command){
 		"":                       func(*Command) {},
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -222,10 +222,12 @@
 	clear(s.entries)
 }
 
+// isPrimary reports whether this incarnation of the sidecar is the shard's primary.
 func (st *Store) isPrimary(s *shard) bool {
 	return len(s.Replicas) > 0 && s.Replicas[0].Incarnation == st.me
 }
 
+// outboxFor returns the outbox of a peer. It creates it if there is none.
 func (st *Store) outboxFor(peer Incarnation) *outbox {
 	if st.outboxes[peer] == nil {
 		st.outboxes[peer] = &outbox{}
@@ -478,7 +480,7 @@
 		}
 		if rejected {
 			for _, item := range u.items {
-				box.put(item)
+				box.add(item)
 			}
 			continue
 		}
@@ -498,7 +500,8 @@
 	st.completeSingleCopy(now)
 }
 
-func (o *outbox) put(item outboxItem) {
+// add queues an item again.
+func (o *outbox) add(item outboxItem) {
 	if item.catchUp {
 		o.catchUp = append(o.catchUp, item)
 		return
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -183,6 +183,7 @@
 	c.closeLink()
 }
 
+// closeLink closes the connection, if there is one. The lock is held.
 func (c *Client) closeLink() {
 	if c.link != nil {
 		c.link.Close()
@@ -203,6 +204,7 @@
 	return err
 }
 
+// call is Call without the lock. It leaves a broken connection open.
 func (c *Client) call(kind string, body, answer any, timeout time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -13,6 +13,7 @@
 
 const timeout = 2 * time.Second
 
+// serve starts a server of a cluster with the handlers echo and no, which refuses.
 func serve(t *testing.T, cluster string) *Server {
 	t.Helper()
 	s, err := Listen(env.Real{}, "127.0.0.1:0", cluster)
@@ -33,7 +34,7 @@
 	return s
 }
 
-// What is said is heard, refusals are told from losses, and a connection that broke is made anew.
+// Guards against calls that lose messages, that confuse refusals with failures, or that do not reconnect after a broken connection.
 func TestCall(t *testing.T) {
 	s := serve(t, "c")
 	c := NewClient(env.Real{}, "c", "me", s.Address())
@@ -50,7 +51,7 @@
 		}
 	}
 	if err := c.Call("echo", 7, &answer, timeout); !errors.Is(err, ErrRefused) {
-		t.Errorf("a body of another kind: %v", err)
+		t.Errorf("a body of the wrong type: %v", err)
 	}
 	c.link.Close()
 	if err := c.Call("echo", "again", &answer, timeout); err != nil || answer != "me:again" {
@@ -59,15 +60,15 @@
 	other := NewClient(env.Real{}, "other", "me", s.Address())
 	defer other.Close()
 	if err := other.Call("echo", "x", nil, timeout); !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), "for the crew") {
-		t.Errorf("another crew's: %v", err)
+		t.Errorf("a message of another cluster: %v", err)
 	}
 	nobody := NewClient(env.Real{}, "c", "me", "127.0.0.1:9")
 	if err := nobody.Call("echo", "x", nil, timeout); err == nil || errors.Is(err, ErrRefused) {
-		t.Errorf("nobody there: %v", err)
+		t.Errorf("an address where no server listens: %v", err)
 	}
 }
 
-// A peer that never answers costs a call its time and no more.
+// Guards against calls that block for longer than their timeout on a peer that accepts connections and never answers.
 func TestCallTimesOut(t *testing.T) {
 	silentPeer, err := (env.Real{}).Listen("127.0.0.1:0")
 	if err != nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// What is no message is answered by what is wrong with it, and does no harm.
+// Guards against malformed requests that crash the server or that are answered without a reason.
 func TestBadMessages(t *testing.T) {
 	s := serve(t, "c")
 	url := "http://" + s.Address()
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -36,6 +36,7 @@
 	return decode(file)
 }
 
+// decode reads a document and its note from a parsed file.
 func decode(file *tomlread.Doc) (doc Document, note string, err error) {
 	root := file.Root
 	note = root.Text("note", "")
--- a/internal/versions/versions.go
+++ b/internal/versions/versions.go
@@ -59,6 +59,7 @@
 	return sha256.Sum256(d.encode())
 }
 
+// encode returns the document's canonical encoding.
 func (d *Document) encode() []byte {
 	encoded, err := canonicalEncoding.Marshal(d)
 	if err != nil {
@@ -324,6 +325,7 @@
 	return lines
 }
 
+// describeClass returns a class of a document as Diff shows it.
 func describeClass(classes map[string]Class, name string) string {
 	c, found := classes[name]
 	switch {
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -13,6 +13,7 @@
 	"heathgap/internal/tomlread"
 )
 
+// generateRules picks rules of two classes at random.
 func generateRules(rt *rapid.T, label string) Rules {
 	r := Rules{Classes: map[string]Class{}, Banned: map[string]bool{}}
 	for _, name := range []string{"a", "b"} {
@@ -30,15 +31,15 @@
 	return r
 }
 
-// What is acted on between two versions does nothing that either forbids, and what a member acts on that is cut off does
-// nothing that any version forbids.
+// Guards against rules that are too loose: the intersection of two rules must allow nothing that either forbids, in either order, and the
+// cautious rules must allow nothing that any version forbids.
 func TestIntersectIsAllowedByBoth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a, b := generateRules(rt, "a"), generateRules(rt, "b")
 		intersection, err := a.Intersect(b)
 		reverse, errReverse := b.Intersect(a)
 		if (err == nil) != (errReverse == nil) {
-			rt.Fatalf("one way %v, the other %v", err, errReverse)
+			rt.Fatalf("the intersection depends on the order: %v, and in reverse %v", err, errReverse)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "group") {
@@ -59,7 +60,7 @@
 	})
 }
 
-// Allows itself must be able to say no, key by key.
+// Guards against an Allows that overlooks a key, as the other tests rely on it: for each key, it must reject looser rules and name the key.
 func TestAllowsRejectsLooserRules(t *testing.T) {
 	strict := Rules{Classes: map[string]Class{"a": {Effect: decide.Unsafe}, "b": {decide.Keyed, decide.GroupZone, 1}}, MaxAttempts: 1,
 		Banned: map[string]bool{"e": true}}
@@ -77,11 +78,12 @@
 			t.Errorf("%s: %q, %v", key, got, ok)
 		}
 		if got, ok := loose.Allows(strict); !ok {
-			t.Errorf("%s: the other way is refused by %q", key, got)
+			t.Errorf("%s: the looser rules do not allow the stricter ones, because of %q", key, got)
 		}
 	}
 }
 
+// Guards against proposals that a member accepts although it cannot apply them, or rejects without naming the key.
 func TestCheckTransition(t *testing.T) {
 	own := FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe},
 		{Name: "pay", Effect: decide.Keyed, Group: decide.GroupAll, Window: time.Second}}})
@@ -102,11 +104,12 @@
 		}
 	}
 	if err := own.CheckTransition(&Document{}, doc("pay", Class{Effect: decide.Unsafe}), []string{"pay"}); err == nil {
-		t.Error("a fixed class changes")
+		t.Error("a document that changes a fixed class was accepted")
 	}
 }
 
-// A file that people write, and what is wrong with one, by line.
+// Guards against documents that are read wrongly from a file, against errors that do not name the line or key, and against hashes that do not
+// follow the document's content.
 func TestDecode(t *testing.T) {
 	read := func(text string) (Document, error) {
 		file, err := tomlread.Parse("v.toml", []byte(text))
@@ -123,10 +126,10 @@
 	}
 	other := doc
 	if other.Hash() != doc.Hash() {
-		t.Error("equal documents, other hashes")
+		t.Error("equal documents have different hashes")
 	}
 	if other.MaxAttempts = 3; other.Hash() == doc.Hash() {
-		t.Error("other documents, equal hashes")
+		t.Error("different documents have equal hashes")
 	}
 	long := Document{}
 	for i := range MaxBanned {
