--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -543,7 +543,8 @@
 // happened.
 func runModel(t *testing.T, seed uint64, fault string) (string, map[string]int) {
 	m := &model{t: t, random: rand.New(rand.NewPCG(seed, 0x401d)), fault: fault, params: Params{Copies: 2, Keep: time.Minute, LostAfter: 2 * modelTime},
-		members: map[string]Member{}, memberUntil: map[string]BootTime{}, caughtUp: map[string][]CaughtUp{}, unreachable: map[string][]Incarnation{}, brokenRoutes: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, firstArrival: map[string]BootTime{}, delivered: map[string]string{},
+		members: map[string]Member{}, memberUntil: map[string]BootTime{}, caughtUp: map[string][]CaughtUp{}, unreachable: map[string][]Incarnation{},
+		brokenRoutes: map[[2]string]bool{}, placement: &Placement{}, effects: map[string]int{}, firstArrival: map[string]BootTime{}, delivered: map[string]string{},
 		counts: map[string]int{}, machineLossOnly: seed%2 == 1}
 	if m.machineLossOnly {
 		m.params.LostAfter = 3 * time.Second
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -22,7 +22,7 @@
 
 const (
 	// NumShards is the number of shards that the keys are divided into. With 64, the placement takes a few KB. In a cluster of 300
-	// machines, a machine has a replica in one shard out of a hundred.
+	// machines, each machine has a replica of about one shard in a hundred.
 	NumShards = 64
 )
 
@@ -141,14 +141,15 @@
 	byIncarnation    map[Incarnation]Member
 	byToken          map[uint64]Member
 	reportedCaughtUp map[CaughtUp]bool
-	isolated         map[Incarnation]bool // members that do not reach many others: the fault is likely their own
+	isolated         map[Incarnation]bool // members that report at least half of the members as unreachable: the fault is taken to be their own
 	moving           int                  // number of shards with a replica that is catching up
 }
 
 // Plan returns the changes of replicas that follow from the members of the cluster and the reports about replicas. It is deterministic: the
 // same placement and input give the same changes.
 func (p *Placement) Plan(input *PlacementInput) []PlacementChange {
-	pl := &planner{PlacementInput: input, byIncarnation: map[Incarnation]Member{}, byToken: map[uint64]Member{}, reportedCaughtUp: map[CaughtUp]bool{}, isolated: map[Incarnation]bool{}}
+	pl := &planner{PlacementInput: input, byIncarnation: map[Incarnation]Member{}, byToken: map[uint64]Member{},
+		reportedCaughtUp: map[CaughtUp]bool{}, isolated: map[Incarnation]bool{}}
 	for _, m := range input.Members {
 		pl.byIncarnation[m.Incarnation], pl.byToken[m.Token] = m, m
 	}
@@ -266,8 +267,8 @@
 	if out == nil {
 		out = map[Incarnation]bool{}
 	}
-	for member, deaf := range p.isolated {
-		out[member] = out[member] || deaf
+	for member, isolated := range p.isolated {
+		out[member] = out[member] || isolated
 	}
 	if len(s.Replicas) > 0 && !p.isolated[s.Replicas[0].Incarnation] {
 		for pair, unreachable := range p.Unreachable {
@@ -279,7 +280,7 @@
 	return out
 }
 
-// canAddReplica reports whether a member that is not excluded may get a new replica of a shard: it has none there yet.
+// canAddReplica reports whether a member may get a new replica of a shard: it is not excluded and has no replica there yet.
 func canAddReplica(c *PlacementChange, m Member, excluded map[Incarnation]bool) bool {
 	return !excluded[m.Incarnation] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
 }
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -35,7 +35,7 @@
 type Store struct {
 	me          Incarnation
 	params      Params
-	maxPerShard int // entries of a shard
+	maxPerShard int // bound on the entries of a shard, for claims
 	placement   *Placement
 	members     map[Incarnation]Member
 	leaseEnd    BootTime // until then this sidecar may act as a primary
@@ -56,7 +56,7 @@
 	entries     map[Key]*trackedEntry
 	revCount    uint64              // number of changes under the present configuration
 	knownLost   uint64              // the highest Lost received
-	lostAt      BootTime            // when knownLost rose last; until Params.Keep later, a key without an entry may be one whose entry was lost
+	lostAt      BootTime            // when knownLost rose last; until Keep and backupGrace later, a key without an entry may have lost it
 	catchUpLeft map[Incarnation]int // on a primary: how many entries each replica that catches up still lacks
 }
 
@@ -116,7 +116,8 @@
 	Later map[int]Shard `cbor:"1,keyasint,omitempty"`
 }
 
-// NewStore returns an empty store. It takes at most maxEntries/NumShards new entries for each shard, and at least one.
+// NewStore returns an empty store. A claim creates no entry in a shard that has maxEntries/NumShards (at least one); entries that a primary
+// sends are stored regardless of that.
 func NewStore(params Params, maxEntries int) *Store {
 	st := &Store{params: params, maxPerShard: max(1, maxEntries/NumShards), members: map[Incarnation]Member{}, outboxes: map[Incarnation]*outbox{}}
 	for i := range st.shards {
--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -204,7 +204,7 @@
 	return err
 }
 
-// call is Call without the lock. It leaves a broken connection open.
+// call is Call without the lock. It leaves it to Call to close a broken connection.
 func (c *Client) call(kind string, body, answer any, timeout time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
