--- a/internal/peerrpc/peerrpc.go
+++ b/internal/peerrpc/peerrpc.go
@@ -1,5 +1,6 @@
-// Package peerrpc is how processes of a crew talk: HTTP/1.1 on the sidecar's own network code, with CBOR bodies. It has no
-// encryption and no sign-in: a crew's addresses are loopback, or a closed network of the operators.
+// Package peerrpc implements the calls between the processes of a cluster: HTTP/1.1 POST requests with CBOR bodies. The client side uses
+// package httpwire, the sidecar's own network code. There is no encryption and no authentication: a cluster's addresses must be loopback
+// addresses, or in a closed network of the operators.
 package peerrpc
 
 import (
@@ -21,64 +22,66 @@
 	"heathgap/internal/httpwire"
 )
 
-// Bounds.
+// Limits and timeouts.
 const (
-	// MaxMessage bounds a message in bytes: the keepers' snapshot with the longest history of the longest documents.
+	// MaxMessage bounds the size of a message in bytes. The largest message is the voters' snapshot with the longest history of the
+	// longest documents.
 	MaxMessage = 16 << 20
-	// mostConns are served at a time: each member has one, and members of a fleet that starts at once come a few times.
-	mostConns = 8192
-	readTime  = 5 * time.Second  // for a message, once its first byte has come
-	idleTime  = 70 * time.Second // above the longest lease: members renew more often
-	dialTime  = time.Second
-	closeTime = 200 * time.Millisecond
-	mostWhy   = 4096 // bytes of a refusal
+	// maxConns bounds the connections that are served at a time. Each member has one; members of a fleet that starts all at once
+	// connect a few times.
+	maxConns   = 8192
+	readTime   = 5 * time.Second  // for reading a message, once its first byte has arrived, and for writing an answer
+	idleTime   = 70 * time.Second // after which an idle connection is closed; above the longest lease, and members renew more often
+	dialTime   = time.Second
+	closeTime  = 200 * time.Millisecond // for pending answers when the server closes
+	maxRefusal = 4096                   // bytes of a refusal that the client reads
 )
 
-// prefix of all paths; the number is the version of what is said.
-const prefix = "/crew/1/"
+// pathPrefix is the prefix of all paths. The number is the version of the protocol.
+const pathPrefix = "/crew/1/"
 
-// Message is what goes over the wire: whose it is, and what it says.
+// Message is the body of a request.
 type Message struct {
-	Cluster string          `cbor:"1,keyasint"` // another crew's is refused
-	From    string          `cbor:"2,keyasint"`
+	Cluster string          `cbor:"1,keyasint"` // name of the sender's cluster; messages of other clusters are refused
+	From    string          `cbor:"2,keyasint"` // name of the sender
 	Body    cbor.RawMessage `cbor:"3,keyasint"`
 }
 
-// ErrRefused is that a peer understood a message and did not take it.
+// ErrRefused means that a peer has answered a message with a refusal.
 var ErrRefused = errors.New("refused")
 
-// Handler answers messages of one kind. Its error is told to who asked.
+// Handler answers messages of one kind. It returns the answer, or an error, whose text is sent to the caller as a refusal.
 type Handler func(from string, body []byte) (any, error)
 
-// decoding bounds what a message may hold before memory is taken.
-var decoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
+// boundedDecoding limits the elements of a message, which is checked before memory is allocated for them.
+var boundedDecoding, _ = cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 
-// Decode reads a message's body.
-func Decode(body []byte, into any) error { return decoding.Unmarshal(body, into) }
+// Decode decodes a message's body into a value.
+func Decode(body []byte, into any) error { return boundedDecoding.Unmarshal(body, into) }
 
-// Server answers peers.
+// Server answers the messages of peers.
 type Server struct {
-	crew     string
+	cluster  string
 	handlers map[string]Handler
 	listener net.Listener
 	server   *fasthttp.Server
 	conns    atomic.Int64
-	Refused  atomic.Int64 // connections that there was no room for
-	BytesIn  atomic.Int64
-	BytesOut atomic.Int64
+	Refused  atomic.Int64 // messages that were refused because there were too many connections
+	BytesIn  atomic.Int64 // bytes of received request bodies
+	BytesOut atomic.Int64 // bytes of sent answers, without refusals
 }
 
-// Listen opens an address; Serve begins to answer there.
-func Listen(world env.Env, address, crew string) (*Server, error) {
-	l, err := world.Listen(address)
+// Listen returns a server that listens at an address for the messages of one cluster. It answers them once Serve is called.
+func Listen(environment env.Env, address, cluster string) (*Server, error) {
+	l, err := environment.Listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("crew.address: %w", err)
 	}
-	s := &Server{crew: crew, listener: l}
+	s := &Server{cluster: cluster, listener: l}
 	s.server = &fasthttp.Server{
-		Handler: s.handle, Concurrency: 2 * mostConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
+		Handler: s.handle, Concurrency: 2 * maxConns, MaxRequestBodySize: MaxMessage, ReadTimeout: readTime,
 		WriteTimeout: readTime, IdleTimeout: idleTime, NoDefaultServerHeader: true, NoDefaultDate: true,
-		NoDefaultContentType: true, Logger: silent{}, CloseOnShutdown: true,
+		NoDefaultContentType: true, Logger: silentLogger{}, CloseOnShutdown: true,
 		ConnState: func(_ net.Conn, state fasthttp.ConnState) {
 			switch state {
 			case fasthttp.StateNew:
@@ -91,40 +94,42 @@
 	return s, nil
 }
 
-type silent struct{}
+// silentLogger is a fasthttp.Logger that drops all messages.
+type silentLogger struct{}
 
-// Printf is fasthttp.Logger's.
-func (silent) Printf(string, ...any) {}
+// Printf implements fasthttp.Logger.
+func (silentLogger) Printf(string, ...any) {}
 
-// Serve answers messages by their kinds until Close.
-func (s *Server) Serve(world env.Env, handlers map[string]Handler) {
+// Serve starts to answer messages, each with the handler of its kind, until Close. It returns at once and must be called once.
+func (s *Server) Serve(environment env.Env, handlers map[string]Handler) {
 	s.handlers = handlers
-	world.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it ends with Close
+	environment.Go("peers", func() { s.server.Serve(s.listener) }) //nolint:errcheck // it returns when Close is called
 }
 
-// Address is where it listens.
+// Address returns the address at which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Close ends it, with the connections that it keeps; what is being answered has a moment to go.
+// Close stops the server and closes its connections. Answers that are being sent have closeTime to finish.
 func (s *Server) Close() {
 	s.listener.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), closeTime)
 	defer cancel()
-	s.server.ShutdownWithContext(ctx) //nolint:errcheck // what does not end in time ends with the process
+	s.server.ShutdownWithContext(ctx) //nolint:errcheck // connections that do not close in time close with the process
 }
 
+// handle answers one HTTP request. The texts of its errors are sent to peers, which may run another build: they stay.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if s.conns.Load() > mostConns {
+	if s.conns.Load() > maxConns {
 		s.Refused.Add(1)
 		ctx.SetConnectionClose()
 		ctx.Error("too many connections", fasthttp.StatusServiceUnavailable)
 		return
 	}
 	s.BytesIn.Add(int64(len(ctx.Request.Body())))
-	kind, ok := strings.CutPrefix(string(ctx.Path()), prefix)
-	do := s.handlers[kind]
-	if !ok || do == nil || !ctx.IsPost() {
-		ctx.Error(fmt.Sprintf("%s %.100s: unknown; allowed: POST %s... of a heathgap of this version", ctx.Method(), ctx.Path(), prefix),
+	kind, ok := strings.CutPrefix(string(ctx.Path()), pathPrefix)
+	handler := s.handlers[kind]
+	if !ok || handler == nil || !ctx.IsPost() {
+		ctx.Error(fmt.Sprintf("%s %.100s: unknown; allowed: POST %s... of a heathgap of this version", ctx.Method(), ctx.Path(), pathPrefix),
 			fasthttp.StatusNotFound)
 		return
 	}
@@ -133,106 +138,110 @@
 		ctx.Error(fmt.Sprintf("%s: malformed: %v", kind, err), fasthttp.StatusBadRequest)
 		return
 	}
-	if m.Cluster != s.crew {
-		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.crew), fasthttp.StatusForbidden)
+	if m.Cluster != s.cluster {
+		ctx.Error(fmt.Sprintf("%s: for the crew %.100q; this is one of %q", kind, m.Cluster, s.cluster), fasthttp.StatusForbidden)
 		return
 	}
-	answer, err := do(m.From, m.Body)
+	answer, err := handler(m.From, m.Body)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
 		return
 	}
-	text, err := cbor.Marshal(answer)
+	encoded, err := cbor.Marshal(answer)
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	s.BytesOut.Add(int64(len(text)))
-	ctx.SetBody(text)
+	s.BytesOut.Add(int64(len(encoded)))
+	ctx.SetBody(encoded)
 }
 
-// Client calls one address, one message at a time, on a connection that it keeps. Its methods may be called by any
-// goroutine; they wait for one another.
+// Client sends messages to one address, one at a time, on a connection that it keeps open. It is safe for concurrent use; concurrent calls
+// wait for one another.
 type Client struct {
-	world      env.Env
-	crew, from string
-	address    string
+	env           env.Env
+	cluster, from string
+	address       string
 
 	mu   sync.Mutex
-	link *httpwire.Link
+	link *httpwire.Link // nil without a connection
 }
 
-// NewClient returns one that is not connected.
-func NewClient(world env.Env, crew, from, address string) *Client {
-	return &Client{world: world, crew: crew, from: from, address: address}
+// NewClient returns a client that is not connected. cluster and from are the names of the cluster and of the sender; Call sends them with
+// each message.
+func NewClient(environment env.Env, cluster, from, address string) *Client {
+	return &Client{env: environment, cluster: cluster, from: from, address: address}
 }
 
-// Address is where it calls.
-func (l *Client) Address() string { return l.address }
+// Address returns the address that the client calls.
+func (c *Client) Address() string { return c.address }
 
-// Close ends its connection.
-func (l *Client) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.drop()
+// Close closes the connection. A later Call opens a new one.
+func (c *Client) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLink()
 }
 
-func (l *Client) drop() {
-	if l.link != nil {
-		l.link.Close()
-		l.link = nil
+// closeLink closes the connection, if there is one. The lock is held.
+func (c *Client) closeLink() {
+	if c.link != nil {
+		c.link.Close()
+		c.link = nil
 	}
 }
 
-// Call says one thing and reads the answer into a value, within a time. An error that is ErrRefused came from the peer;
-// after any other one nobody knows whether the peer has heard it.
-func (l *Client) Call(kind string, body, answer any, within time.Duration) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	err := l.call(kind, body, answer, within)
+// Call sends a message of one kind and decodes the answer into a value; a nil answer means that the caller does not need it. An error that
+// wraps ErrRefused came from the peer. After any other error it is unknown whether the peer has received the message. A new connection
+// counts as part of the timeout.
+func (c *Client) Call(kind string, body, answer any, timeout time.Duration) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	err := c.call(kind, body, answer, timeout)
 	if err != nil && !errors.Is(err, ErrRefused) {
-		l.drop()
+		c.closeLink()
 	}
 	return err
 }
 
-func (l *Client) call(kind string, body, answer any, within time.Duration) error {
+// call is Call without the lock. It leaves it to Call to close a broken connection.
+func (c *Client) call(kind string, body, answer any, timeout time.Duration) error {
 	raw, err := cbor.Marshal(body)
 	if err != nil {
 		return err
 	}
-	text, err := cbor.Marshal(Message{l.crew, l.from, raw})
+	encoded, err := cbor.Marshal(Message{c.cluster, c.from, raw})
 	if err != nil {
 		return err
 	}
-	until := l.world.Now().Add(within)
-	if l.link != nil && !l.link.Usable() {
-		l.drop()
+	deadline := c.env.Now().Add(timeout)
+	if c.link != nil && !c.link.Usable() {
+		c.closeLink()
 	}
-	if l.link == nil {
-		if l.link, err = httpwire.Dial(context.Background(), l.world, l.address, min(dialTime, within)); err != nil {
+	if c.link == nil {
+		if c.link, err = httpwire.Dial(context.Background(), c.env, c.address, min(dialTime, timeout)); err != nil {
 			return err
 		}
 	}
 	var head bytes.Buffer
-	fmt.Fprintf(&head, "POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", prefix, kind, l.address, len(text))
-	head.Write(text)
-	if whole, err := l.link.Send(head.Bytes(), until); !whole {
-		return fmt.Errorf("%s: writing: %w", l.address, err)
+	fmt.Fprintf(&head, "POST %s%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", pathPrefix, kind, c.address, len(encoded))
+	head.Write(encoded)
+	if complete, err := c.link.Send(head.Bytes(), deadline); !complete {
+		return fmt.Errorf("%s: writing: %w", c.address, err)
 	}
 	var r fasthttp.Response
-	if err := r.ReadLimitBody(l.link.Reader(), MaxMessage); err != nil {
+	if err := r.ReadLimitBody(c.link.Reader(), MaxMessage); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return fmt.Errorf("%s: answer: %w", l.address, err)
+		return fmt.Errorf("%s: answer: %w", c.address, err)
 	}
 	if r.ConnectionClose() {
-		l.drop()
+		c.closeLink()
 	}
 	if r.StatusCode() != fasthttp.StatusOK {
-		why := r.Body()
-		return fmt.Errorf("%w by %s: %s", ErrRefused, l.address, why[:min(len(why), mostWhy)])
+		reason := r.Body()
+		return fmt.Errorf("%w by %s: %s", ErrRefused, c.address, reason[:min(len(reason), maxRefusal)])
 	}
 	if answer == nil {
 		return nil
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -10,24 +10,24 @@
 	"heathgap/internal/tomlread"
 )
 
-// EffectNames and GroupNames are the words of files, the same as in the settings.
+// EffectNames and GroupNames are the enum values in document files. The settings use the same ones.
 var (
 	EffectNames = map[decide.Effect]string{decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once"}
 	GroupNames  = map[decide.Group]string{decide.GroupAll: "all", decide.GroupZone: "zone", decide.GroupCell: "cell"}
 )
 
-// keyOf finds the key of a word.
-func keyOf[K comparable](words map[K]string, word string) K {
-	for k, w := range words {
-		if w == word {
+// keyByName returns the key whose name is given, or the zero value if there is none.
+func keyByName[K comparable](names map[K]string, name string) K {
+	for k, n := range names {
+		if n == name {
 			return k
 		}
 	}
-	var none K
-	return none
+	var zero K
+	return zero
 }
 
-// Load reads a document that people wrote, with its note. The error tells all that is wrong, a line each.
+// Load reads a document and its note from a TOML file that people wrote. The error lists all faults, one per line.
 func Load(path string) (doc Document, note string, err error) {
 	file, err := tomlread.Load(path)
 	if err != nil {
@@ -36,11 +36,12 @@
 	return decode(file)
 }
 
+// decode reads a document and its note from a parsed file.
 func decode(file *tomlread.Doc) (doc Document, note string, err error) {
 	root := file.Root
 	note = root.Text("note", "")
 	doc.MaxAttempts = root.Int("max_attempts", 0, 1, AttemptsLimit)
-	// Only false says something: where copies are barred, no version may bring them in.
+	// Only false has a meaning: no version may allow hedged requests on a sidecar whose own settings forbid them.
 	if root.Has("second_copies") && root.Bool("second_copies", false) {
 		root.Fail("second_copies", "true", "false, or no key: each sidecar's own setting holds then")
 	}
@@ -54,13 +55,13 @@
 		t.Need("name", "the name of a class")
 		t.Need("effect", "repeatable, by_key, once")
 		name := t.Text("name", "")
-		if _, twice := doc.Classes[name]; twice {
+		if _, found := doc.Classes[name]; found {
 			t.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c := Class{Effect: keyOf(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
+		c := Class{Effect: keyByName(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
 		if c.Effect == decide.Keyed {
 			t.Need("window", `a time such as "800ms"`)
-			c.Group = keyOf(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
+			c.Group = keyByName(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
 			c.Window = t.Duration("window", time.Second, 0, MaxWindow)
 		}
 		doc.Classes[name] = c
--- a/internal/versions/versions_test.go
+++ b/internal/versions/versions_test.go
@@ -13,7 +13,8 @@
 	"heathgap/internal/tomlread"
 )
 
-func drawRules(rt *rapid.T, label string) Rules {
+// generateRules picks rules of two classes at random.
+func generateRules(rt *rapid.T, label string) Rules {
 	r := Rules{Classes: map[string]Class{}, Banned: map[string]bool{}}
 	for _, name := range []string{"a", "b"} {
 		c := Class{Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(rt, label)}
@@ -30,15 +31,15 @@
 	return r
 }
 
-// What is acted on between two versions does nothing that either forbids, and what a member acts on that is cut off does
-// nothing that any version forbids.
-func TestStricterIsAllowedByBoth(t *testing.T) {
+// Guards against rules that are too loose: the intersection of two rules must allow nothing that either forbids, in either order, and the
+// cautious rules must allow nothing that any version forbids.
+func TestIntersectIsAllowedByBoth(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		a, b := drawRules(rt, "a"), drawRules(rt, "b")
-		both, err := a.Intersect(b)
-		back, errBack := b.Intersect(a)
-		if (err == nil) != (errBack == nil) {
-			rt.Fatalf("one way %v, the other %v", err, errBack)
+		a, b := generateRules(rt, "a"), generateRules(rt, "b")
+		intersection, err := a.Intersect(b)
+		reverse, errReverse := b.Intersect(a)
+		if (err == nil) != (errReverse == nil) {
+			rt.Fatalf("the intersection depends on the order: %v, and in reverse %v", err, errReverse)
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), "group") {
@@ -46,9 +47,9 @@
 			}
 			return
 		}
-		for _, other := range []Rules{a, b, back} {
-			if key, ok := other.Allows(both); !ok {
-				rt.Fatalf("%s: %+v does not allow %+v", key, other, both)
+		for _, other := range []Rules{a, b, reverse} {
+			if key, ok := other.Allows(intersection); !ok {
+				rt.Fatalf("%s: %+v does not allow %+v", key, other, intersection)
 			}
 		}
 		cautious := a.Cautious(nil)
@@ -59,8 +60,8 @@
 	})
 }
 
-// Allows itself must be able to say no, key by key.
-func TestAllowsSaysNo(t *testing.T) {
+// Guards against an Allows that overlooks a key, as the other tests rely on it: for each key, it must reject looser rules and name the key.
+func TestAllowsRejectsLooserRules(t *testing.T) {
 	strict := Rules{Classes: map[string]Class{"a": {Effect: decide.Unsafe}, "b": {decide.Keyed, decide.GroupZone, 1}}, MaxAttempts: 1,
 		Banned: map[string]bool{"e": true}}
 	for key, change := range map[string]func(*Rules){
@@ -77,12 +78,13 @@
 			t.Errorf("%s: %q, %v", key, got, ok)
 		}
 		if got, ok := loose.Allows(strict); !ok {
-			t.Errorf("%s: the other way is refused by %q", key, got)
+			t.Errorf("%s: the looser rules do not allow the stricter ones, because of %q", key, got)
 		}
 	}
 }
 
-func TestFits(t *testing.T) {
+// Guards against proposals that a member accepts although it cannot apply them, or rejects without naming the key.
+func TestCheckTransition(t *testing.T) {
 	own := FromSettings(&decide.Settings{Classes: []decide.Class{{Name: "look", Effect: decide.Safe},
 		{Name: "pay", Effect: decide.Keyed, Group: decide.GroupAll, Window: time.Second}}})
 	doc := func(name string, c Class) *Document { return &Document{Classes: map[string]Class{name: c}} }
@@ -102,11 +104,12 @@
 		}
 	}
 	if err := own.CheckTransition(&Document{}, doc("pay", Class{Effect: decide.Unsafe}), []string{"pay"}); err == nil {
-		t.Error("a fixed class changes")
+		t.Error("a document that changes a fixed class was accepted")
 	}
 }
 
-// A file that people write, and what is wrong with one, by line.
+// Guards against documents that are read wrongly from a file, against errors that do not name the line or key, and against hashes that do not
+// follow the document's content.
 func TestDecode(t *testing.T) {
 	read := func(text string) (Document, error) {
 		file, err := tomlread.Parse("v.toml", []byte(text))
@@ -123,17 +126,17 @@
 	}
 	other := doc
 	if other.Hash() != doc.Hash() {
-		t.Error("equal documents, other hashes")
+		t.Error("equal documents have different hashes")
 	}
 	if other.MaxAttempts = 3; other.Hash() == doc.Hash() {
-		t.Error("other documents, equal hashes")
+		t.Error("different documents have equal hashes")
 	}
 	long := Document{}
 	for i := range MaxBanned {
-		long.Banned = append(long.Banned, fmt.Sprintf("%0*d", mostName, i))
+		long.Banned = append(long.Banned, fmt.Sprintf("%0*d", maxName, i))
 	}
 	if err := long.Check(); err == nil || !strings.HasPrefix(err.Error(), "document: ") {
-		t.Errorf("a document of %d names of %d bytes: %v", MaxBanned, mostName, err)
+		t.Errorf("a document of %d names of %d bytes: %v", MaxBanned, maxName, err)
 	}
 	for text, want := range map[string]string{
 		"max_attempts = 0":                             "v.toml:1: max_attempts",
