--- a/internal/command/crew.go
+++ b/internal/command/cluster.go
@@ -22,34 +22,34 @@
 
 // Times of calls to a crew.
 const (
-	crewCall  = 2 * time.Second        // for one answer
-	crewPause = 200 * time.Millisecond // between two looks
+	callTimeout  = 2 * time.Second        // for one answer
+	pollInterval = 200 * time.Millisecond // between two looks
 )
 
-// crewCommands are `heathgap crew ...`. Exit codes are those of all commands: 0 done, 1 failed or refused, 2 a faulty
+// clusterCommands are `heathgap crew ...`. Exit codes are those of all commands: 0 done, 1 failed or refused, 2 a faulty
 // command line.
-type crewCommands struct {
-	Status   crewStatus   `cmd:"" help:"Tell who leads, which version holds, and who is in."`
-	Members  crewMembers  `cmd:"" help:"Tell of each member what it acts on, until when."`
-	Versions crewVersions `cmd:"" help:"List the versions."`
-	Diff     crewDiff     `cmd:"" help:"Tell what differs between two versions."`
-	Propose  crewPropose  `cmd:"" help:"Propose a version, and wait until it is acted on or refused."`
-	Undo     crewUndo     `cmd:"" help:"Propose the version before the active one anew, as a new version."`
+type clusterCommands struct {
+	Status   clusterStatus   `cmd:"" help:"Tell who leads, which version holds, and who is in."`
+	Members  clusterMembers  `cmd:"" help:"Tell of each member what it acts on, until when."`
+	Versions clusterVersions `cmd:"" help:"List the versions."`
+	Diff     clusterDiff     `cmd:"" help:"Tell what differs between two versions."`
+	Propose  clusterPropose  `cmd:"" help:"Propose a version, and wait until it is acted on or refused."`
+	Undo     clusterUndo     `cmd:"" help:"Propose the version before the active one anew, as a new version."`
 }
 
-// crewAt is where a crew is asked.
-type crewAt struct {
+// clusterOptions is where a crew is asked.
+type clusterOptions struct {
 	Operator string `placeholder:"FILE" required:"" help:"An operator's file with [crew]: its keepers are asked."`
 	JSON     bool   `help:"Write JSON."`
 }
 
-// crewTalk is a conversation with the keepers of a crew.
-type crewTalk struct {
-	table *operator.Cluster
-	lines map[string]*peerrpc.Client
+// voterClients is a conversation with the keepers of a crew.
+type voterClients struct {
+	config  *operator.Cluster
+	clients map[string]*peerrpc.Client
 }
 
-func (a *crewAt) open() (*crewTalk, error) {
+func (a *clusterOptions) open() (*voterClients, error) {
 	file, err := operator.Load(a.Operator)
 	if err != nil {
 		return nil, err
@@ -57,19 +57,19 @@
 	if file.Cluster == nil {
 		return nil, fmt.Errorf("%s: no table [crew]", a.Operator)
 	}
-	t := &crewTalk{table: file.Cluster, lines: map[string]*peerrpc.Client{}}
+	t := &voterClients{config: file.Cluster, clients: map[string]*peerrpc.Client{}}
 	for name, address := range file.Cluster.Voters {
-		t.lines[name] = peerrpc.NewClient(env.Real{}, file.Cluster.Name, "cli", address)
+		t.clients[name] = peerrpc.NewClient(env.Real{}, file.Cluster.Name, "cli", address)
 	}
 	return t, nil
 }
 
 // status asks the keepers; the leader's word goes before any other's.
-func (t *crewTalk) status() (best voter.Status, err error) {
+func (t *voterClients) status() (best voter.Status, err error) {
 	var faults []error
-	for _, name := range slices.Sorted(maps.Keys(t.lines)) {
+	for _, name := range slices.Sorted(maps.Keys(t.clients)) {
 		var s voter.Status
-		if err := t.lines[name].Call("status", struct{}{}, &s, crewCall); err != nil {
+		if err := t.clients[name].Call("status", struct{}{}, &s, callTimeout); err != nil {
 			faults = append(faults, fmt.Errorf("keeper %s: %w", name, err))
 			continue
 		}
@@ -83,8 +83,8 @@
 	return best, nil
 }
 
-// look asks the keepers that the file names.
-func (a *crewAt) look() (*crewTalk, voter.Status, error) {
+// queryStatus asks the keepers that the file names.
+func (a *clusterOptions) queryStatus() (*voterClients, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
 		return nil, voter.Status{}, err
@@ -93,26 +93,26 @@
 	return t, s, err
 }
 
-// led is look, with a leader.
-func (a *crewAt) led() (*crewTalk, voter.Status, error) {
+// queryLeader is look, with a leader.
+func (a *clusterOptions) queryLeader() (*voterClients, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
 		return nil, voter.Status{}, err
 	}
-	s, err := t.led()
+	s, err := t.leaderStatus()
 	return t, s, err
 }
 
-// led is status, with a leader.
-func (t *crewTalk) led() (voter.Status, error) {
+// leaderStatus is status, with a leader.
+func (t *voterClients) leaderStatus() (voter.Status, error) {
 	s, err := t.status()
 	if err == nil && s.Leader != s.Name {
-		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(t.lines), formingOf(&s))
+		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(t.clients), missingVoters(&s))
 	}
 	return s, err
 }
 
-func formingOf(s *voter.Status) string {
+func missingVoters(s *voter.Status) string {
 	if len(s.MissingVoters) == 0 {
 		return ""
 	}
@@ -125,11 +125,11 @@
 	return e.Encode(v)
 }
 
-type crewStatus struct{ crewAt }
+type clusterStatus struct{ clusterOptions }
 
 // Run tells the crew's state.
-func (c *crewStatus) Run(o *Out) error {
-	t, s, err := c.look()
+func (c *clusterStatus) Run(o *Out) error {
+	t, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
@@ -138,15 +138,15 @@
 		next = map[string]any{"number": n.Number, "state": n.State.String(), "hash": n.Hash.String()}
 	}
 	if c.JSON {
-		return writeJSON(o, map[string]any{"crew": t.table.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
+		return writeJSON(o, map[string]any{"crew": t.config.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
 			"members": len(s.Ledger.Members), "version": s.Ledger.Active.Number, "hash": s.Ledger.Active.Hash.String(), "next": next,
 			"keepers": slices.Sorted(maps.Keys(s.Ledger.Voters)), "forming": s.MissingVoters})
 	}
 	leader := s.Leader
 	if leader == "" {
-		leader = "none " + formingOf(&s)
+		leader = "none " + missingVoters(&s)
 	}
-	fmt.Fprintf(o, "crew %s: leader %s, term %d, epoch %d, %d members, version %d (%v)\n", t.table.Name, leader, s.Term,
+	fmt.Fprintf(o, "crew %s: leader %s, term %d, epoch %d, %d members, version %d (%v)\n", t.config.Name, leader, s.Term,
 		s.Ledger.Epoch, len(s.Ledger.Members), s.Ledger.Active.Number, s.Ledger.Active.Hash)
 	if n := s.Ledger.Next; n != nil {
 		fmt.Fprintf(o, "version %d (%v) is %v\n", n.Number, n.Hash, n.State)
@@ -154,40 +154,40 @@
 	return nil
 }
 
-type crewMembers struct{ crewAt }
+type clusterMembers struct{ clusterOptions }
 
-// crewMember is a line of the members.
-type crewMember struct {
+// memberRow is a line of the members.
+type memberRow struct {
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone"`
 	Address string         `json:"address"`
 	LeaseMS *int           `json:"lease_ms,omitempty"` // until it has surely ended, by the leader
-	Acts    *member.Status `json:"acts,omitempty"`     // by its own word
+	Status  *member.Status `json:"acts,omitempty"`     // by its own word
 	Error   string         `json:"error,omitempty"`
 }
 
 // Run asks each member.
-func (c *crewMembers) Run(o *Out) error {
-	t, s, err := c.look()
+func (c *clusterMembers) Run(o *Out) error {
+	t, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	var all []crewMember
+	var all []memberRow
 	for _, name := range slices.Sorted(maps.Keys(s.Ledger.Members)) {
 		m := s.Ledger.Members[name]
-		one := crewMember{Name: name, Zone: m.Zone, Address: m.Address}
+		row := memberRow{Name: name, Zone: m.Zone, Address: m.Address}
 		if ms, known := s.Leases[name]; known {
-			one.LeaseMS = &ms
+			row.LeaseMS = &ms
 		}
-		line := peerrpc.NewClient(env.Real{}, t.table.Name, "cli", m.Address)
-		var acts member.Status
-		if err := line.Call("acting", struct{}{}, &acts, crewCall); err != nil {
-			one.Error = err.Error()
+		client := peerrpc.NewClient(env.Real{}, t.config.Name, "cli", m.Address)
+		var status member.Status
+		if err := client.Call("acting", struct{}{}, &status, callTimeout); err != nil {
+			row.Error = err.Error()
 		} else {
-			one.Acts = &acts
+			row.Status = &status
 		}
-		line.Close()
-		all = append(all, one)
+		client.Close()
+		all = append(all, row)
 	}
 	if c.JSON {
 		return writeJSON(o, all)
@@ -196,7 +196,7 @@
 	fmt.Fprintln(w, "NAME\tZONE\tADDRESS\tACTS ON\tLEASE")
 	for _, m := range all {
 		acts, lease := m.Error, ""
-		if a := m.Acts; a != nil {
+		if a := m.Status; a != nil {
 			acts, lease = "version "+strconv.FormatUint(a.Active, 10), fmt.Sprintf("%d ms", a.LeaseMS)
 			if a.Next > 0 {
 				acts += fmt.Sprintf(" and %d", a.Next)
@@ -210,33 +210,33 @@
 	return w.Flush()
 }
 
-type crewVersions struct{ crewAt }
+type clusterVersions struct{ clusterOptions }
 
-// crewVersion is a line of the versions.
-type crewVersion struct {
+// versionRow is a line of the versions.
+type versionRow struct {
 	Number uint64            `json:"number"`
 	Parent uint64            `json:"parent"`
 	State  string            `json:"state"`
 	Hash   string            `json:"hash"`
 	Author string            `json:"author"`
 	Note   string            `json:"note"`
-	Why    string            `json:"why,omitempty"`
+	Reason string            `json:"why,omitempty"`
 	Doc    versions.Document `json:"document"`
 }
 
 // Run lists what the keepers keep.
-func (c *crewVersions) Run(o *Out) error {
-	_, s, err := c.look()
+func (c *clusterVersions) Run(o *Out) error {
+	_, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	var all []crewVersion
+	var all []versionRow
 	for _, r := range s.Ledger.VersionRecords() {
 		state := r.State.String()
 		if r.State == cluster.Active && r.Number != s.Ledger.Active.Number {
 			state = "was active"
 		}
-		all = append(all, crewVersion{r.Number, r.Parent, state, r.Hash.String(), r.Author, r.Note, r.Reason, r.Doc})
+		all = append(all, versionRow{r.Number, r.Parent, state, r.Hash.String(), r.Author, r.Note, r.Reason, r.Doc})
 	}
 	if c.JSON {
 		return writeJSON(o, all)
@@ -245,30 +245,30 @@
 	fmt.Fprintln(w, "VERSION\tPARENT\tSTATE\tHASH\tAUTHOR\tNOTE")
 	for _, v := range all {
 		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\t%s\n", v.Number, v.Parent, v.State, v.Hash, v.Author, v.Note)
-		if v.Why != "" {
-			fmt.Fprintf(w, "\t\t%s\n", v.Why)
+		if v.Reason != "" {
+			fmt.Fprintf(w, "\t\t%s\n", v.Reason)
 		}
 	}
 	return w.Flush()
 }
 
-type crewDiff struct {
-	crewAt
+type clusterDiff struct {
+	clusterOptions
 	From uint64 `arg:"" help:"A version's number; 0 for no version."`
 	To   uint64 `arg:"" help:"Another's."`
 }
 
 // Run tells what differs.
-func (c *crewDiff) Run(o *Out) error {
-	_, s, err := c.look()
+func (c *clusterDiff) Run(o *Out) error {
+	_, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
-	from, err := docOf(s.Ledger, c.From)
+	from, err := findDocument(s.Ledger, c.From)
 	if err != nil {
 		return err
 	}
-	to, err := docOf(s.Ledger, c.To)
+	to, err := findDocument(s.Ledger, c.To)
 	if err != nil {
 		return err
 	}
@@ -282,8 +282,8 @@
 	return nil
 }
 
-// docOf finds a version's document.
-func docOf(l *cluster.Ledger, number uint64) (*versions.Document, error) {
+// findDocument finds a version's document.
+func findDocument(l *cluster.Ledger, number uint64) (*versions.Document, error) {
 	if number == 0 {
 		return &versions.Document{}, nil
 	}
@@ -295,8 +295,8 @@
 	return nil, fmt.Errorf("version %d is not kept; allowed: those of `heathgap crew versions`, and 0", number)
 }
 
-type crewPropose struct {
-	crewAt
+type clusterPropose struct {
+	clusterOptions
 	File   string        `arg:"" help:"The version's document (TOML): all that holds from then on, not what changes."`
 	Note   string        `help:"Why, for people; before the file's."`
 	Parent *uint64       `help:"The version that this one follows; the active one if not given."`
@@ -304,7 +304,7 @@
 }
 
 // Run proposes a file.
-func (c *crewPropose) Run(o *Out) error {
+func (c *clusterPropose) Run(o *Out) error {
 	doc, note, err := versions.Load(c.File)
 	if err != nil {
 		return err
@@ -312,7 +312,7 @@
 	if c.Note != "" {
 		note = c.Note
 	}
-	t, s, err := c.led()
+	t, s, err := c.queryLeader()
 	if err != nil {
 		return err
 	}
@@ -323,14 +323,14 @@
 	return t.propose(o, cluster.Proposal{Parent: parent, Note: note, Doc: doc}, c.Wait, c.JSON)
 }
 
-type crewUndo struct {
-	crewAt
+type clusterUndo struct {
+	clusterOptions
 	Wait time.Duration `default:"30s" help:"So long until it is acted on."`
 }
 
 // Run proposes what held before.
-func (c *crewUndo) Run(o *Out) error {
-	t, s, err := c.led()
+func (c *clusterUndo) Run(o *Out) error {
+	t, s, err := c.queryLeader()
 	if err != nil {
 		return err
 	}
@@ -338,7 +338,7 @@
 	if active.Number == 0 {
 		return errors.New("no version holds yet: there is nothing to undo")
 	}
-	doc, err := docOf(s.Ledger, active.Parent)
+	doc, err := findDocument(s.Ledger, active.Parent)
 	if err != nil {
 		return err
 	}
@@ -346,29 +346,29 @@
 }
 
 // propose says a proposal until it is told, and waits for its end.
-func (t *crewTalk) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
+func (t *voterClients) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
 	p.ID = voter.NewID()
 	if u, err := user.Current(); err == nil {
 		p.Author = u.Username
 	}
-	limit := time.Now().Add(wait)
-	began, number := time.Now(), uint64(0)
-	for ; time.Now().Before(limit); time.Sleep(crewPause) {
-		s, err := t.led()
+	deadline := time.Now().Add(wait)
+	start, number := time.Now(), uint64(0)
+	for ; time.Now().Before(deadline); time.Sleep(pollInterval) {
+		s, err := t.leaderStatus()
 		if err != nil {
 			continue
 		}
 		if number == 0 {
-			var told voter.ProposeResult
+			var result voter.ProposeResult
 			// The same proposal said again counts once: an answer that was lost does no harm.
-			err := t.lines[s.Name].Call("propose", p, &told, crewCall)
+			err := t.clients[s.Name].Call("propose", p, &result, callTimeout)
 			if errors.Is(err, peerrpc.ErrRefused) {
 				return err
 			}
-			if err != nil || told.Number == 0 {
+			if err != nil || result.Number == 0 {
 				continue
 			}
-			if number = told.Number; !asJSON {
+			if number = result.Number; !asJSON {
 				fmt.Fprintf(o, "version %d (%v) is proposed\n", number, p.Doc.Hash())
 			}
 			continue
@@ -377,7 +377,7 @@
 		if r == nil || r.State != cluster.Active && r.State != cluster.Refused {
 			continue
 		}
-		took := time.Since(began).Round(time.Millisecond)
+		took := time.Since(start).Round(time.Millisecond)
 		if r.State == cluster.Refused {
 			return fmt.Errorf("version %d is refused: %s", number, r.Reason)
 		}
--- a/internal/command/heathgap.go
+++ b/internal/command/heathgap.go
@@ -22,11 +22,11 @@
 	ExitUsage  = 2 // the command line itself is faulty
 )
 
-// heathgap is the command line of the sidecar.
-type heathgap struct {
+// commandLine is the command line of the sidecar.
+type commandLine struct {
 	Serve    serve            `cmd:"" default:"withargs" help:"Run one sidecar, told by BALANCER_CONFIG; without any command, this one."`
 	Check    check            `cmd:"" help:"Tell all that is wrong with files, and start nothing."`
-	Crew     crewCommands     `cmd:"" help:"Ask the crew that an operator's file names, and change its rules."`
+	Crew     clusterCommands  `cmd:"" help:"Ask the crew that an operator's file names, and change its rules."`
 	Holdings holdingsCommands `cmd:"" help:"Ask what the sidecars of a crew hold for one another."`
 	Version  version          `cmd:"" help:"Tell which build this is."`
 }
@@ -36,22 +36,22 @@
 
 // Heathgap runs the command line of bin/heathgap and returns the exit code.
 func Heathgap(args []string, stdout, stderr io.Writer) int {
-	return Run(&heathgap{}, "heathgap", "The load balancer of one caller.", args, stdout, stderr)
+	return Run(&commandLine{}, "heathgap", "The load balancer of one caller.", args, stdout, stderr)
 }
 
 // Run parses a command line and runs the command it names.
 func Run(cli any, name, about string, args []string, stdout, stderr io.Writer) int {
-	ended := -1 // the exit code, once help has been printed
+	exitCode := -1 // the exit code, once help has been printed
 	o := &Out{stdout}
 	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.UsageOnError(),
-		kong.Writers(stdout, stderr), kong.Exit(func(code int) { ended = code }),
+		kong.Writers(stdout, stderr), kong.Exit(func(code int) { exitCode = code }),
 		kong.Bind(o))
 	if err != nil {
 		panic(err) // the declaration of the commands is wrong
 	}
 	ctx, err := parser.Parse(args)
-	if ended >= 0 {
-		return ended
+	if exitCode >= 0 {
+		return exitCode
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "%s: %v\n", name, err)
@@ -71,15 +71,15 @@
 // Run checks the operator's file and becomes the sidecar, in this same process, so
 // that signals reach it.
 func (c *serve) Run() error {
-	path, env, err := c.target(os.Executable)
+	path, env, err := c.sidecarProgram(os.Executable)
 	if err != nil {
 		return err
 	}
 	return fmt.Errorf("%s: %w", path, syscall.Exec(path, []string{path}, env))
 }
 
-// target is the sidecar's program, beside this one, and its environment.
-func (c *serve) target(executable func() (string, error)) (path string, env []string, err error) {
+// sidecarProgram is the sidecar's program, beside this one, and its environment.
+func (c *serve) sidecarProgram(executable func() (string, error)) (path string, env []string, err error) {
 	env, program := os.Environ(), "heathgap"
 	if c.Operator != "" {
 		file, err := operator.Load(c.Operator)
--- a/internal/command/heathgap_test.go
+++ b/internal/command/heathgap_test.go
@@ -14,8 +14,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// files returns a function that writes files into a folder of the test's own.
-func files(t *testing.T) (write func(name, text string) string) {
+// fileWriter returns a function that writes files into a folder of the test's own.
+func fileWriter(t *testing.T) (write func(name, text string) string) {
 	dir := t.TempDir()
 	return func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -28,8 +28,8 @@
 
 // Guards against a check that passes a faulty file, stops at the first one, or
 // starts something.
-func TestCheck(t *testing.T) {
-	write := files(t)
+func TestCheckReportsAllFaults(t *testing.T) {
+	write := fileWriter(t)
 	good := write("good.toml", "[log]\nlevel = \"warn\"\n")
 	bad := write("bad.toml", "[log]\nlevel = \"loud\"\nevery = 3\n")
 	config := write("config.json", `{"name":"n","listen":"x"}`)
@@ -65,13 +65,13 @@
 
 // The sidecar's program starts with what the command line was given, and bad files
 // end the start before it.
-func TestServe(t *testing.T) {
+func TestServeSelectsProgram(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	c := serve{Operator: file}
-	path, env, err := c.target(func() (string, error) { return "/x/bin/heathgap-cli", nil })
+	path, env, err := c.sidecarProgram(func() (string, error) { return "/x/bin/heathgap-cli", nil })
 	if err != nil || path != "/x/bin/heathgap" || env[len(env)-1] != "HEATHGAP_OPERATOR="+file {
 		t.Errorf("%q, %q, %v", path, env[len(env)-1], err)
 	}
@@ -79,7 +79,7 @@
 
 // A crew that can't be reached, or a file that names none, ends a command with one line and exit code 1.
 func TestCrewCommandsFail(t *testing.T) {
-	write := files(t)
+	write := fileWriter(t)
 	bare, version := write("bare.toml", ""), write("version.toml", "max_attempts = 2\n")
 	away := write("away.toml", "[crew]\nname = \"c\"\naddress = \"127.0.0.1:9\"\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n")
 	for _, c := range []struct {
@@ -104,7 +104,7 @@
 	}
 	// A sidecar without the agreement's libraries must not pass over [crew].
 	s := serve{Operator: away}
-	if path, _, err := s.target(func() (string, error) { return "/x/bin/heathgap-cli", nil }); err != nil || path != "/x/bin/heathgap-crew" {
+	if path, _, err := s.sidecarProgram(func() (string, error) { return "/x/bin/heathgap-cli", nil }); err != nil || path != "/x/bin/heathgap-crew" {
 		t.Errorf("serve starts %q, %v", path, err)
 	}
 }
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -20,28 +20,28 @@
 	Show   holdingsShow   `cmd:"" help:"Tell what each copy has of one key."`
 }
 
-// heldStatus is what there is to tell of a placement of replicas.
-type heldStatus struct {
-	Copies  int            `json:"copies"`
-	Shards  int            `json:"shards"`
-	Whole   int            `json:"whole"`   // have all copies
-	Short   int            `json:"short"`   // have fewer, and serve
-	Waiting int            `json:"waiting"` // no seat that has all is in the crew: requests of their keys are refused
-	Filling int            `json:"filling"` // are being copied to a further seat
-	Lost    uint64         `json:"lost"`    // how often what a shard held was lost
-	Seats   map[string]int `json:"seats"`   // by members
+// placementStatus is what there is to tell of a placement of replicas.
+type placementStatus struct {
+	Copies      int            `json:"copies"`
+	Shards      int            `json:"shards"`
+	Complete    int            `json:"whole"`   // have all copies
+	Incomplete  int            `json:"short"`   // have fewer, and serve
+	Unavailable int            `json:"waiting"` // no seat that has all is in the crew: requests of their keys are refused
+	CatchingUp  int            `json:"filling"` // are being copied to a further seat
+	Lost        uint64         `json:"lost"`    // how often what a shard held was lost
+	Replicas    map[string]int `json:"seats"`   // by members
 }
 
-func statusOf(s *voter.Status, copies int) heldStatus {
-	out := heldStatus{Copies: copies, Shards: holdings.NumShards, Seats: map[string]int{}}
+func summarizePlacement(s *voter.Status, copies int) placementStatus {
+	out := placementStatus{Copies: copies, Shards: holdings.NumShards, Replicas: map[string]int{}}
 	for name := range s.Ledger.Members {
-		out.Seats[name] = 0
+		out.Replicas[name] = 0
 	}
 	for _, shard := range s.Ledger.Placement.Shards {
 		ready, filling := 0, false
 		for _, replica := range shard.Replicas {
 			if m, in := s.Ledger.Members[replica.Name]; in && m.Token == replica.Token {
-				out.Seats[replica.Name]++
+				out.Replicas[replica.Name]++
 				if replica.Ready {
 					ready++
 				}
@@ -50,66 +50,66 @@
 		}
 		switch out.Lost += shard.Lost; {
 		case ready >= copies:
-			out.Whole++
+			out.Complete++
 		case ready > 0:
-			out.Short++
+			out.Incomplete++
 		default:
-			out.Waiting++
+			out.Unavailable++
 		}
 		if filling {
-			out.Filling++
+			out.CatchingUp++
 		}
 	}
 	return out
 }
 
-type holdingsStatus struct{ crewAt }
+type holdingsStatus struct{ clusterOptions }
 
-// errNothingHeld is the answer where there is no [holdings].
-var errNothingHeld = fmt.Errorf("no table [holdings]: this crew's sidecars hold nothing for one another")
+// errNoHoldings is the answer where there is no [holdings].
+var errNoHoldings = fmt.Errorf("no table [holdings]: this crew's sidecars hold nothing for one another")
 
-// held asks for the present placement of replicas.
-func (a *crewAt) held() (*crewTalk, voter.Status, error) {
-	t, s, err := a.led()
+// queryPlacement asks for the present placement of replicas.
+func (a *clusterOptions) queryPlacement() (*voterClients, voter.Status, error) {
+	t, s, err := a.queryLeader()
 	switch {
 	case err != nil:
-	case t.table.Params.Holdings.Copies == 0:
-		err = fmt.Errorf("%s: %w", a.Operator, errNothingHeld)
+	case t.config.Params.Holdings.Copies == 0:
+		err = fmt.Errorf("%s: %w", a.Operator, errNoHoldings)
 	case s.Ledger.Placement == nil:
-		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.table.Params.Holdings.Copies)
+		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.config.Params.Holdings.Copies)
 	}
 	return t, s, err
 }
 
 // Run tells of all shards.
 func (c *holdingsStatus) Run(o *Out) error {
-	t, s, err := c.held()
+	t, s, err := c.queryPlacement()
 	if err != nil {
 		return err
 	}
-	st := statusOf(&s, t.table.Params.Holdings.Copies)
+	st := summarizePlacement(&s, t.config.Params.Holdings.Copies)
 	if c.JSON {
 		return writeJSON(o, st)
 	}
 	fmt.Fprintf(o, "%d shards with %d copies: %d whole, %d short, %d waiting for a seat that has all; %d being copied, %d lost so far\n",
-		st.Shards, st.Copies, st.Whole, st.Short, st.Waiting, st.Filling, st.Lost)
+		st.Shards, st.Copies, st.Complete, st.Incomplete, st.Unavailable, st.CatchingUp, st.Lost)
 	w := tabwriter.NewWriter(o, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tSEATS")
-	for _, name := range slices.Sorted(maps.Keys(st.Seats)) {
-		fmt.Fprintf(w, "%s\t%s\t%d\n", name, s.Ledger.Members[name].Zone, st.Seats[name])
+	for _, name := range slices.Sorted(maps.Keys(st.Replicas)) {
+		fmt.Fprintf(w, "%s\t%s\t%d\n", name, s.Ledger.Members[name].Zone, st.Replicas[name])
 	}
 	return w.Flush()
 }
 
 type holdingsShow struct {
-	crewAt
+	clusterOptions
 	Key    string `arg:"" help:"The request's key."`
 	Class  string `required:"" help:"Its class."`
 	Tenant string `help:"Its tenant, where it has one."`
 }
 
-// heldCopy is one replica's word on a key.
-type heldCopy struct {
+// replicaRow is one replica's word on a key.
+type replicaRow struct {
 	Name  string        `json:"name"`
 	Zone  string        `json:"zone"`
 	Ready bool          `json:"ready"`
@@ -122,31 +122,31 @@
 
 // Run asks each replica of the key's shard, its primary first.
 func (c *holdingsShow) Run(o *Out) error {
-	t, s, err := c.held()
+	t, s, err := c.queryPlacement()
 	if err != nil {
 		return err
 	}
 	key := holdings.Key{Class: c.Class, Tenant: c.Tenant, Text: c.Key}
 	shard := s.Ledger.Placement.Shards[key.Shard()]
-	var all []heldCopy
+	var all []replicaRow
 	for _, replica := range shard.Replicas {
 		m := s.Ledger.Members[replica.Name]
-		one := heldCopy{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
-		line := peerrpc.NewClient(env.Real{}, t.table.Name, "cli", m.Address)
-		var shown member.KeyState
-		switch err := line.Call("hold-show", key, &shown, crewCall); {
+		row := replicaRow{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
+		client := peerrpc.NewClient(env.Real{}, t.config.Name, "cli", m.Address)
+		var keyState member.KeyState
+		switch err := client.Call("hold-show", key, &keyState, callTimeout); {
 		case err != nil:
-			one.Error = err.Error()
-		case !shown.Found:
-			one.State = "nothing"
+			row.Error = err.Error()
+		case !keyState.Found:
+			row.State = "nothing"
 		default:
-			one.State, one.Owner, one.Age = shown.Entry.State.String(), shown.Entry.Owner.Name, shown.Entry.Age
-			if shown.Entry.Outcome != nil {
-				one.Bytes = len(shown.Entry.Outcome.Body)
+			row.State, row.Owner, row.Age = keyState.Entry.State.String(), keyState.Entry.Owner.Name, keyState.Entry.Age
+			if keyState.Entry.Outcome != nil {
+				row.Bytes = len(keyState.Entry.Outcome.Body)
 			}
 		}
-		line.Close()
-		all = append(all, one)
+		client.Close()
+		all = append(all, row)
 	}
 	if c.JSON {
 		return writeJSON(o, map[string]any{"shard": key.Shard(), "ballot": shard.Config, "lost": shard.Lost, "copies": all})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,25 +35,25 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 16 // fewer leave no room for both sides
+	minSockets      = 16 // fewer leave no room for both sides
 
-	answerShare   = 0.25 // of the heap, for bodies of answers
-	heapShare     = 0.6  // of the memory: stacks, buffers and the program need the rest
-	callerShare   = 0.6  // of the sockets, for callers
-	endpointShare = 0.3  // for endpoints; the rest is kept
-	keptShare     = 0.5  // of the sockets, so many may be kept at most: both sides need some as well
+	answerShare      = 0.25 // of the heap, for bodies of answers
+	heapShare        = 0.6  // of the memory: stacks, buffers and the program need the rest
+	callerShare      = 0.6  // of the sockets, for callers
+	endpointShare    = 0.3  // for endpoints; the rest is kept
+	maxReservedShare = 0.5  // of the sockets, so many may be kept at most: both sides need some as well
 
 	// Descriptors that are kept for what callers and endpoints do not count: standard input, output and error, the poller's
 	// two, the listener, discovery's connection and the next one's beside it, a configuration that is read, the one that a
 	// caller takes before it is counted, and two that the runtime may open.
-	keptSockets = 12
+	reservedSockets = 12
 	// With a console also: its listener, the calls that it serves at a time and two that still read the answer; of an
 	// upgrade the way in, the other process, the listener twice while it is handed over, and one that is turned away.
-	keptForConsole = 1 + 8 + 2 + 5
+	reservedForConsole = 1 + 8 + 2 + 5
 
-	idleShare          = 0.75 // of the time after which endpoints end idle connections
-	defaultIdle        = 10 * time.Second
-	defaultConnectTime = time.Second
+	idleShare             = 0.75 // of the time after which endpoints end idle connections
+	defaultIdleTimeout    = 10 * time.Second
+	defaultConnectTimeout = time.Second
 )
 
 // Config is all that a sidecar is told, with what follows from it.
@@ -150,10 +150,10 @@
 	if err := c.setLimits(memory, sockets); err != nil {
 		return nil, err
 	}
-	if err := c.readKnown(v.Get("known")); err != nil {
+	if err := c.decodeKnownList(v.Get("known")); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if err := c.readSettings(v.Get("settings")); err != nil {
+	if err := c.decodeSettings(v.Get("settings")); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return c, nil
@@ -223,26 +223,26 @@
 	if memoryMB < 0 {
 		return fmt.Errorf("limits.memory_mb: %v is not above 0", memoryMB)
 	}
-	if sockets < leastSockets {
-		return fmt.Errorf("limits.sockets: %d is below %d", sockets, leastSockets)
+	if sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is below %d", sockets, minSockets)
 	}
 	c.HeapBytes = int64(memoryMB * heapShare * (1 << 20))
 	c.AnswerBytes = int64(float64(c.HeapBytes) * answerShare)
 	c.Sockets = sockets
-	c.partSockets(sockets)
+	c.divideSockets(sockets)
 	return nil
 }
 
-// partSockets parts descriptors among their uses. What is kept comes first: guards against callers or endpoints that take
+// divideSockets parts descriptors among their uses. What is kept comes first: guards against callers or endpoints that take
 // the last descriptor, without which nothing is heard of discovery and no operator is.
-func (c *Config) partSockets(sockets int) {
-	kept := keptSockets
+func (c *Config) divideSockets(sockets int) {
+	reserved := reservedSockets
 	if c.Console != "" {
-		kept += keptForConsole
+		reserved += reservedForConsole
 	}
-	kept = min(kept, int(float64(sockets)*keptShare))
-	c.EndpointConns = min(int(float64(sockets)*endpointShare), int(float64(sockets-kept)*endpointShare/(callerShare+endpointShare)))
-	c.CallerConns = min(int(float64(sockets)*callerShare), sockets-kept-c.EndpointConns)
+	reserved = min(reserved, int(float64(sockets)*maxReservedShare))
+	c.EndpointConns = min(int(float64(sockets)*endpointShare), int(float64(sockets-reserved)*endpointShare/(callerShare+endpointShare)))
+	c.CallerConns = min(int(float64(sockets)*callerShare), sockets-reserved-c.EndpointConns)
 }
 
 // LimitSockets keeps to fewer descriptors than are configured, where the process may hold no more, and tells whether it may not.
@@ -250,11 +250,11 @@
 	if descriptors >= uint64(c.Sockets) {
 		return false
 	}
-	c.partSockets(max(int(descriptors), leastSockets))
+	c.divideSockets(max(int(descriptors), minSockets))
 	return true
 }
 
-func (c *Config) readKnown(v *fastjson.Value) error {
+func (c *Config) decodeKnownList(v *fastjson.Value) error {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
 	}
@@ -266,7 +266,7 @@
 	return nil
 }
 
-func (c *Config) readSettings(v *fastjson.Value) error {
+func (c *Config) decodeSettings(v *fastjson.Value) error {
 	if v == nil {
 		return errors.New("missing")
 	}
@@ -284,8 +284,8 @@
 		}
 		c.Classes[class.Name] = class
 	}
-	c.ConnectTimeout = cmp.Or(c.Transport.ConnectTimeout, defaultConnectTime)
-	idle := cmp.Or(c.Transport.IdleTimeout, defaultIdle)
+	c.ConnectTimeout = cmp.Or(c.Transport.ConnectTimeout, defaultConnectTimeout)
+	idle := cmp.Or(c.Transport.IdleTimeout, defaultIdleTimeout)
 	if c.ConnectTimeout < 0 || idle < 0 {
 		return errors.New("bounds.connect_timeout, bounds.conn_idle: below 0")
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,10 +17,10 @@
  "settings":{"profiles":[{"name":"look","effect":"repeatable","aim":500,"deadline":2000,"window":4000}],
   "bounds":{"connect_timeout":75,"conn_idle":10000,"most_held":50}}}`
 
-func none(string) string { return "" }
+func emptyEnv(string) string { return "" }
 
 func TestParse(t *testing.T) {
-	c, err := parse([]byte(good), none, false)
+	c, err := parse([]byte(good), emptyEnv, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestEnvironmentGoesFirst(t *testing.T) {
+func TestEnvironmentOverridesFile(t *testing.T) {
 	c, err := parse([]byte(good), func(key string) string {
 		if key == "BALANCER_NAME" {
 			return "other"
@@ -60,7 +60,7 @@
 func TestDefaults(t *testing.T) {
 	text := strings.Replace(good, `"limits":{"cores":1.0,"memory_mb":100,"sockets":1000},`, "", 1)
 	text = strings.Replace(text, `"bounds":{"connect_timeout":75,"conn_idle":10000,"most_held":50}`, `"bounds":{}`, 1)
-	c, err := parse([]byte(text), none, false)
+	c, err := parse([]byte(text), emptyEnv, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 }
 
 // Each message names the key that is at fault.
-func TestFaultsNameTheirKey(t *testing.T) {
+func TestErrorsNameTheirKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"name":"n3"`, `"name":3`, "name: "},
 		{`"name":"n3"`, `"nme":"n3"`, "name: missing"},
@@ -95,14 +95,14 @@
 		if text == good {
 			t.Fatalf("%s: nothing was changed", c.old)
 		}
-		if _, err := parse([]byte(text), none, false); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := parse([]byte(text), emptyEnv, false); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want %q in it", c.new, err, c.want)
 		}
 	}
 }
 
 func TestLoad(t *testing.T) {
-	if _, err := Load(none); err == nil || !strings.Contains(err.Error(), EnvFile) {
+	if _, err := Load(emptyEnv); err == nil || !strings.Contains(err.Error(), EnvFile) {
 		t.Errorf("without a file: %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "c.json")
@@ -120,7 +120,7 @@
 
 // Guards against a reload that goes on with the discovery of the start, which the
 // environment still names.
-func TestReloadTakesTheFilesDiscovery(t *testing.T) {
+func TestReloadPrefersFileDiscovery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	env := func(key string) string {
 		return map[string]string{EnvFile: path, envDiscovery: "127.0.0.1:1", envName: "n3"}[key]
@@ -145,7 +145,7 @@
 
 // What a running sidecar cannot take over is named.
 func TestNeedRestart(t *testing.T) {
-	c, err := parse([]byte(good), none, false)
+	c, err := parse([]byte(good), emptyEnv, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,7 +159,7 @@
 		{`"most_held":50`, `"most_held":51`, "settings"},
 		{`"aim":500`, `"aim":501`, "settings"},
 	} {
-		next, err := parse([]byte(strings.Replace(good, x.old, x.new, 1)), none, true)
+		next, err := parse([]byte(strings.Replace(good, x.old, x.new, 1)), emptyEnv, true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,18 +171,18 @@
 
 // Guards against descriptors of which callers and endpoints may take the last, whatever the limit is: what discovery, the
 // console and an upgrade need is kept, or half of few.
-func TestDescriptorsAreKept(t *testing.T) {
-	for sockets := leastSockets; sockets <= 4096; sockets++ {
+func TestDescriptorsAreReserved(t *testing.T) {
+	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, c := range []Config{{}, {Console: "127.0.0.1:1"}} {
-			need := keptSockets
+			need := reservedSockets
 			if c.Console != "" {
-				need += keptForConsole
+				need += reservedForConsole
 			}
 			if err := c.setLimits(0, sockets); err != nil {
 				t.Fatal(err)
 			}
-			if kept := sockets - c.CallerConns - c.EndpointConns; kept < min(need, sockets/2) {
-				t.Errorf("%d sockets: %d are kept, and %d are needed", sockets, kept, need)
+			if reserved := sockets - c.CallerConns - c.EndpointConns; reserved < min(need, sockets/2) {
+				t.Errorf("%d sockets: %d are kept, and %d are needed", sockets, reserved, need)
 			}
 			if c.CallerConns < 2 || c.EndpointConns < 2 || c.CallerConns > sockets*6/10 || c.EndpointConns > sockets*3/10 {
 				t.Errorf("%d sockets: %d callers, %d endpoints", sockets, c.CallerConns, c.EndpointConns)
@@ -190,7 +190,7 @@
 		}
 	}
 	few := Config{Sockets: 1024}
-	if few.LimitSockets(1024) || !few.LimitSockets(64) || few.CallerConns+few.EndpointConns+keptSockets > 64 || few.Sockets != 1024 {
+	if few.LimitSockets(1024) || !few.LimitSockets(64) || few.CallerConns+few.EndpointConns+reservedSockets > 64 || few.Sockets != 1024 {
 		t.Errorf("within 64: %+v", few)
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -22,17 +22,17 @@
 const (
 	// Callers that are served at a time: some for each who watches, and descriptors of
 	// these only. Beyond them, the one that has kept silent longest makes room.
-	mostCalls = 8
+	maxCalls = 8
 	// A call must have come by then, and its answer be taken in as long again. Operators
 	// type, and some callers take seconds; who never ends its line must not stay.
-	callTime = 5 * time.Second
+	callTimeout = 5 * time.Second
 	// Bytes of a call's line: the longest word, a space, and an id of any length met.
 	maxLine = 512
 	// What may still be read behind a line that is too long, in time and bytes.
-	lastRead = 500 * time.Millisecond
-	mostRead = 64 << 10
+	discardTimeout = 500 * time.Millisecond
+	maxDiscarded   = 64 << 10
 
-	acceptPause = 20 * time.Millisecond // after a failed accept: descriptors may run out for a moment
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept: descriptors may run out for a moment
 )
 
 // Operations are what a console can ask for. All may be called at any time.
@@ -51,7 +51,7 @@
 // Console serves operators' calls.
 type Console struct {
 	listener net.Listener
-	world    env.Env
+	env      env.Env
 	ops      Operations
 	log      zerolog.Logger
 
@@ -60,13 +60,13 @@
 }
 
 // Open listens at an address and serves calls until Close.
-func Open(address string, world env.Env, ops Operations, log zerolog.Logger) (*Console, error) {
-	listener, err := world.Listen(address)
+func Open(address string, e env.Env, ops Operations, log zerolog.Logger) (*Console, error) {
+	listener, err := e.Listen(address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	c := &Console{listener: listener, world: world, ops: ops, log: log}
-	world.Go("console", c.accept)
+	c := &Console{listener: listener, env: e, ops: ops, log: log}
+	e.Go("console", c.accept)
 	return c, nil
 }
 
@@ -83,28 +83,28 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			c.world.Sleep(acceptPause)
+			c.env.Sleep(acceptRetryDelay)
 			continue
 		}
-		c.enter(conn)
-		c.world.Go("call", func() { c.serve(conn) })
+		c.addCall(conn)
+		c.env.Go("call", func() { c.serve(conn) })
 	}
 }
 
-// enter books a call. Guards against callers that finish no call and hold all places:
+// addCall books a call. Guards against callers that finish no call and hold all places:
 // the oldest of them gives way.
-func (c *Console) enter(conn net.Conn) {
+func (c *Console) addCall(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.calls) >= mostCalls {
+	if len(c.calls) >= maxCalls {
 		c.calls[0].Close()
 		c.calls = append(c.calls[:0], c.calls[1:]...)
 	}
 	c.calls = append(c.calls, conn)
 }
 
-// leave forgets a call whose line has come, or never will.
-func (c *Console) leave(conn net.Conn) {
+// removeCall forgets a call whose line has come, or never will.
+func (c *Console) removeCall(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls = slices.DeleteFunc(c.calls, func(other net.Conn) bool { return other == conn })
@@ -112,59 +112,59 @@
 
 func (c *Console) serve(conn net.Conn) {
 	defer conn.Close()
-	conn.SetDeadline(c.world.Now().Add(callTime))
+	conn.SetDeadline(c.env.Now().Add(callTimeout))
 	line, err := bufio.NewReaderSize(conn, maxLine).ReadSlice('\n')
-	c.leave(conn)
+	c.removeCall(conn)
 	if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
 		return // it never ended its line
 	}
-	conn.SetDeadline(c.world.Now().Add(callTime))
+	conn.SetDeadline(c.env.Now().Add(callTimeout))
 	conn.Write(c.answer(line, err))
 	if tcp, ok := conn.(interface{ CloseWrite() error }); ok && err != nil {
 		// Guards against a reset that takes the answer with it: what still comes is read.
 		tcp.CloseWrite()
-		conn.SetDeadline(c.world.Now().Add(lastRead))
-		io.CopyN(io.Discard, conn, mostRead)
+		conn.SetDeadline(c.env.Now().Add(discardTimeout))
+		io.CopyN(io.Discard, conn, maxDiscarded)
 	}
 }
 
-// errCall is what a call must be.
-var errCall = errors.New("allowed are READY, STATS, DISABLE ID and ENABLE ID")
+// errAllowedCalls is what a call must be.
+var errAllowedCalls = errors.New("allowed are READY, STATS, DISABLE ID and ENABLE ID")
 
 // answer is all that a call is answered with.
 func (c *Console) answer(line []byte, err error) []byte {
 	if err != nil {
-		return refusal(fmt.Errorf("a line of %d bytes or more; %w", maxLine, errCall))
+		return refusalLine(fmt.Errorf("a line of %d bytes or more; %w", maxLine, errAllowedCalls))
 	}
 	words := strings.Fields(string(line))
 	if len(words) == 0 {
-		return refusal(fmt.Errorf("an empty line; %w", errCall))
+		return refusalLine(fmt.Errorf("an empty line; %w", errAllowedCalls))
 	}
-	word, ids := words[0], words[1:]
-	change := map[string]func(string) error{"DISABLE": c.ops.Disable, "ENABLE": c.ops.Enable}[word]
+	command, args := words[0], words[1:]
+	change := map[string]func(string) error{"DISABLE": c.ops.Disable, "ENABLE": c.ops.Enable}[command]
 	switch {
-	case change != nil && len(ids) == 1:
-		if err := change(ids[0]); err != nil {
-			return refusal(err)
+	case change != nil && len(args) == 1:
+		if err := change(args[0]); err != nil {
+			return refusalLine(err)
 		}
-		c.log.Info().Str("call", word).Str("endpoint", ids[0]).Msg("console")
-		return []byte("200 " + word + " done\n")
+		c.log.Info().Str("call", command).Str("endpoint", args[0]).Msg("console")
+		return []byte("200 " + command + " done\n")
 	case change != nil:
-		return refusal(fmt.Errorf("%s takes one id, not %d", word, len(ids)))
-	case word != "READY" && word != "STATS":
-		return refusal(fmt.Errorf("unknown call %.32q; %w", word, errCall))
-	case len(ids) > 0:
-		return refusal(fmt.Errorf("%s takes no argument", word))
-	case word == "STATS":
+		return refusalLine(fmt.Errorf("%s takes one id, not %d", command, len(args)))
+	case command != "READY" && command != "STATS":
+		return refusalLine(fmt.Errorf("unknown call %.32q; %w", command, errAllowedCalls))
+	case len(args) > 0:
+		return refusalLine(fmt.Errorf("%s takes no argument", command))
+	case command == "STATS":
 		return append(append([]byte("200 figures\n"), c.ops.Metrics()...), "EOF\n"...)
 	case !c.ops.Ready():
-		return refusal(errors.New("not ready: this process does not serve yet, or is ending"))
+		return refusalLine(errors.New("not ready: this process does not serve yet, or is ending"))
 	}
 	return []byte("200 ready\n")
 }
 
-// refusal is a no, in one line whatever the reason holds.
-func refusal(err error) []byte {
+// refusalLine is a no, in one line whatever the reason holds.
+func refusalLine(err error) []byte {
 	return []byte("400 " + strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
 			return '?'
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,17 +14,17 @@
 	"heathgap/internal/env"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// fake is a sidecar with one endpoint, e1.
-type fake struct{ calls chan string }
+// fakeOperations is a sidecar with one endpoint, e1.
+type fakeOperations struct{ calls chan string }
 
-func (f *fake) Ready() bool             { return true }
-func (f *fake) Metrics() []byte         { return []byte("sidecar.active:3|g\n") }
-func (f *fake) Disable(id string) error { return f.change("off ", id) }
-func (f *fake) Enable(id string) error  { return f.change("on ", id) }
+func (f *fakeOperations) Ready() bool             { return true }
+func (f *fakeOperations) Metrics() []byte         { return []byte("sidecar.active:3|g\n") }
+func (f *fakeOperations) Disable(id string) error { return f.change("off ", id) }
+func (f *fakeOperations) Enable(id string) error  { return f.change("on ", id) }
 
-func (f *fake) change(what, id string) error {
+func (f *fakeOperations) change(what, id string) error {
 	if id != "e1" {
 		return errors.New("endpoint " + id + " has never been listed")
 	}
@@ -32,9 +32,9 @@
 	return nil
 }
 
-func open(t *testing.T) (*Console, *fake) {
+func openConsole(t *testing.T) (*Console, *fakeOperations) {
 	t.Helper()
-	f := &fake{calls: make(chan string, 9)}
+	f := &fakeOperations{calls: make(chan string, 9)}
 	c, err := Open("127.0.0.1:0", env.Real{}, f, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, text)
 	answer, err := io.ReadAll(conn)
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	c, f := open(t)
+	c, f := openConsole(t)
 	for text, want := range map[string]string{
 		"READY\n":                           "200 ready\n",
 		"READY\r\n":                         "200 ready\n",
@@ -72,10 +72,10 @@
 		"DISABLE\n":                         "400 DISABLE takes one id, not 0\n",
 		"ENABLE e1 e2\n":                    "400 ENABLE takes one id, not 2\n",
 		"READY now\n":                       "400 READY takes no argument\n",
-		"ready\n":                           `400 unknown call "ready"; ` + errCall.Error() + "\n",
-		"\n":                                "400 an empty line; " + errCall.Error() + "\n",
-		"GET / HTTP/1.1\r\n":                `400 unknown call "GET"; ` + errCall.Error() + "\n",
-		strings.Repeat("x", maxLine) + "\n": "400 a line of 512 bytes or more; " + errCall.Error() + "\n",
+		"ready\n":                           `400 unknown call "ready"; ` + errAllowedCalls.Error() + "\n",
+		"\n":                                "400 an empty line; " + errAllowedCalls.Error() + "\n",
+		"GET / HTTP/1.1\r\n":                `400 unknown call "GET"; ` + errAllowedCalls.Error() + "\n",
+		strings.Repeat("x", maxLine) + "\n": "400 a line of 512 bytes or more; " + errAllowedCalls.Error() + "\n",
 	} {
 		if got := call(t, c, text); got != want {
 			t.Errorf("%.40q: %q, want %q", text, got, want)
@@ -89,9 +89,9 @@
 // Guards against callers that connect and finish no call: they must not keep others
 // out, and must end.
 func TestSilentCallers(t *testing.T) {
-	c, _ := open(t)
+	c, _ := openConsole(t)
 	var silent []net.Conn
-	for range 3 * mostCalls {
+	for range 3 * maxCalls {
 		conn, err := net.Dial("tcp", c.Address())
 		if err != nil {
 			t.Fatal(err)
@@ -104,26 +104,26 @@
 	if got := call(t, c, "READY\n"); got != "200 ready\n" || time.Since(begin) > time.Second {
 		t.Errorf("beside silent callers: %q after %v", got, time.Since(begin))
 	}
-	silent[0].SetDeadline(time.Now().Add(patience))
+	silent[0].SetDeadline(time.Now().Add(testTimeout))
 	if _, err := silent[0].Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the oldest silent caller is still there: %v", err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.calls) > mostCalls {
-		t.Errorf("%d calls are held, %d may be", len(c.calls), mostCalls)
+	if len(c.calls) > maxCalls {
+		t.Errorf("%d calls are held, %d may be", len(c.calls), maxCalls)
 	}
 }
 
 // Guards against an honest caller that takes its time.
 func TestSlowCaller(t *testing.T) {
-	c, _ := open(t)
+	c, _ := openConsole(t)
 	conn, err := net.Dial("tcp", c.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	for _, part := range []string{"RE", "AD", "Y\n"} {
 		io.WriteString(conn, part)
 		time.Sleep(100 * time.Millisecond)
--- a/internal/jsonread/jsonread.go
+++ b/internal/jsonread/jsonread.go
@@ -44,12 +44,12 @@
 	return v != nil && v.Type() != fastjson.TypeNull
 }
 
-func (o Object) get(key, want string, t ...fastjson.Type) *fastjson.Value {
+func (o Object) get(key, want string, types ...fastjson.Type) *fastjson.Value {
 	if !o.Has(key) {
 		return nil
 	}
 	v := o.v.Get(key)
-	for _, allowed := range t {
+	for _, allowed := range types {
 		if v.Type() == allowed {
 			return v
 		}
@@ -128,12 +128,12 @@
 func (o Object) Children(key string) []Object {
 	var all []Object
 	for i, item := range o.Array(key) {
-		place := fmt.Sprintf("%s[%d]", key, i)
+		elementKey := fmt.Sprintf("%s[%d]", key, i)
 		if item.Type() != fastjson.TypeObject {
-			o.Fail(place, "an object", item.Type().String())
+			o.Fail(elementKey, "an object", item.Type().String())
 			continue
 		}
-		all = append(all, Object{v: item, path: o.path + place + ".", err: o.err})
+		all = append(all, Object{v: item, path: o.path + elementKey + ".", err: o.err})
 	}
 	return all
 }
--- a/internal/metrics/listcalls.go
+++ b/internal/metrics/listcalls.go
@@ -18,10 +18,10 @@
 	ListBroken                   // its connection ended before a whole answer
 	ListNotConnected             // there was no connection
 	ListCanceled                 // this sidecar ended it: a reload, its own end, another call that was answered first
-	listCallEnds
+	numListCallEnds
 )
 
-var listCallEndNames = [listCallEnds]string{
+var listCallEndNames = [numListCallEnds]string{
 	"answered", "refused", "malformed", "silent", "broken", "not_connected", "called_off",
 }
 
@@ -29,7 +29,7 @@
 func (e ListCallEnd) String() string { return listCallEndNames[e] }
 
 // ListCalls counts calls to discovery by their ends. Any goroutine may count and read.
-type ListCalls [listCallEnds]atomic.Int64
+type ListCalls [numListCallEnds]atomic.Int64
 
 // Count books a call that has ended.
 func (c *ListCalls) Count(end ListCallEnd) { c[end].Add(1) }
@@ -41,8 +41,8 @@
 	}
 }
 
-// append writes the counts as figures, a line each.
-func (c *ListCalls) append(text []byte) []byte {
+// appendMetrics writes the counts as figures, a line each.
+func (c *ListCalls) appendMetrics(text []byte) []byte {
 	for end := range c {
 		text = Append(text, "list_calls."+listCallEndNames[end], c[end].Load(), Counter)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,7 +17,7 @@
 	Refused        // answered 429 or 503: trying again is harmless
 	Failed         // any other answer, or one that broke off half way
 	CallerLeft     // its caller went before its answer
-	ends
+	numEnds
 )
 
 // endNames are the figures' names of ends; one whose caller has gone has no figure.
@@ -30,7 +30,7 @@
 // and read.
 type Set struct {
 	names   []string // of classes, sorted
-	classes map[string]*[ends]atomic.Int64
+	classes map[string]*[numEnds]atomic.Int64
 
 	Attempts atomic.Int64 // attempts written whole to endpoints
 	Active   atomic.Int64 // requests taken whose answer is not written to its end
@@ -43,25 +43,25 @@
 
 // New returns a board for classes with these names.
 func New(classes []string) *Set {
-	b := &Set{names: slices.Sorted(slices.Values(classes)), classes: map[string]*[ends]atomic.Int64{}}
+	s := &Set{names: slices.Sorted(slices.Values(classes)), classes: map[string]*[numEnds]atomic.Int64{}}
 	for _, name := range classes {
-		b.classes[name] = new([ends]atomic.Int64)
+		s.classes[name] = new([numEnds]atomic.Int64)
 	}
-	return b
+	return s
 }
 
 // Count books the end of a request. A class that the board does not know is passed
 // over: no request of one is ever taken.
-func (b *Set) Count(class string, end End) {
-	if c := b.classes[class]; c != nil {
+func (s *Set) Count(class string, end End) {
+	if c := s.classes[class]; c != nil {
 		c[end].Add(1)
 	}
 }
 
 // Total is how many requests of all classes have ended so.
-func (b *Set) Total(end End) int {
+func (s *Set) Total(end End) int {
 	n := int64(0)
-	for _, c := range b.classes {
+	for _, c := range s.classes {
 		n += c[end].Load()
 	}
 	return int(n)
@@ -69,18 +69,18 @@
 
 // Append writes all figures, a line each: counts as name:value|c, present values as
 // name:value|g.
-func (b *Set) Append(text []byte) []byte {
-	for _, class := range b.names {
+func (s *Set) Append(text []byte) []byte {
+	for _, class := range s.names {
 		for end, name := range endNames {
-			text = Append(text, name+"."+class, b.classes[class][end].Load(), Counter)
+			text = Append(text, name+"."+class, s.classes[class][end].Load(), Counter)
 		}
 	}
-	text = Append(text, "tries", b.Attempts.Load(), Counter)
-	text = Append(text, "active", b.Active.Load(), Gauge)
-	text = Append(text, "pool_size", b.Pool.Load(), Gauge)
-	text = Append(text, "pool_ejected", b.Ejected.Load(), Gauge)
-	text = b.ListCalls.append(text)
-	return Append(text, "list_unheard_ms", b.ListStaleMS.Load(), Gauge)
+	text = Append(text, "tries", s.Attempts.Load(), Counter)
+	text = Append(text, "active", s.Active.Load(), Gauge)
+	text = Append(text, "pool_size", s.Pool.Load(), Gauge)
+	text = Append(text, "pool_ejected", s.Ejected.Load(), Gauge)
+	text = s.ListCalls.appendMetrics(text)
+	return Append(text, "list_unheard_ms", s.ListStaleMS.Load(), Gauge)
 }
 
 // The kinds of figures.
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -45,11 +45,11 @@
 	defaultKeep      = 10 * time.Minute // above the windows of most classes
 	defaultLostAfter = 30 * time.Second // above a restart, or a short cut
 	defaultEntries   = 200_000          // some 60 MB with short answers
-	leastEntries     = 1000
-	mostEntries      = 5_000_000
+	minEntries       = 1000
+	maxEntries       = 5_000_000
 	defaultBody      = 16 << 10
-	mostBody         = 64 << 10
-	mostHeld         = 64 // classes
+	maxBody          = 64 << 10
+	maxClasses       = 64 // classes
 )
 
 // decodeHoldings reads [holdings] into a crew's table.
@@ -60,16 +60,16 @@
 		LostAfter: t.Duration("lost_after", defaultLostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
 	}
 	c.Holdings = Holdings{
-		Classes: map[string]WhenAlone{}, MaxEntries: t.Int("most_entries", defaultEntries, leastEntries, mostEntries),
-		MaxBody: t.Int("most_body", defaultBody, 0, mostBody),
+		Classes: map[string]WhenAlone{}, MaxEntries: t.Int("most_entries", defaultEntries, minEntries, maxEntries),
+		MaxBody: t.Int("most_body", defaultBody, 0, maxBody),
 	}
-	for _, k := range t.Tables("class", mostHeld) {
-		k.Need("name", "the name of a keyed class")
-		name := k.Text("name", "")
+	for _, class := range t.Tables("class", maxClasses) {
+		class.Need("name", "the name of a keyed class")
+		name := class.Text("name", "")
 		if _, twice := c.Holdings.Classes[name]; twice {
-			k.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
+			class.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
-		c.Holdings.Classes[name] = map[string]WhenAlone{"refuse": RefuseAlone, "go_on": ProceedAlone}[k.Enum("when_alone", "refuse", "refuse", "go_on")]
+		c.Holdings.Classes[name] = map[string]WhenAlone{"refuse": RefuseAlone, "go_on": ProceedAlone}[class.Enum("when_alone", "refuse", "refuse", "go_on")]
 	}
 }
 
@@ -79,23 +79,23 @@
 	defaultDrift      = 0.01            // far above any clock that NTP steers; a virtual machine's may be worse
 	defaultSlack      = 200 * time.Millisecond
 	defaultContradict = 2500 * time.Millisecond
-	mostSlack         = 10 * time.Second
-	mostContradict    = 5 * time.Minute
+	maxSlack          = 10 * time.Second
+	maxContradict     = 5 * time.Minute
 )
 
-// decodeCrew reads [crew].
-func decodeCrew(t *tomlread.Table) *Cluster {
+// decodeCluster reads [crew].
+func decodeCluster(t *tomlread.Table) *Cluster {
 	t.Need("name", "the crew's name, the same in all its sidecars")
 	t.Need("address", "an address with a port, of this process alone")
 	t.Need("keeper", "[[crew.keeper]] with name and address, one to seven of them; three or five in different zones")
 	c := &Cluster{
-		Name: t.Text("name", ""), Address: addressIn(t, "address"), DataDir: t.Text("data", ""),
+		Name: t.Text("name", ""), Address: readAddress(t, "address"), DataDir: t.Text("data", ""),
 		Params: clusterparams.Params{
 			Lease: t.Duration("lease", defaultLease, clusterparams.MinLease, clusterparams.MaxLease),
 			Drift: t.Float("drift", defaultDrift, 0, clusterparams.MaxDrift),
-			Slack: t.Duration("slack", defaultSlack, 0, mostSlack), FixedClasses: t.Texts("fixed_classes"),
+			Slack: t.Duration("slack", defaultSlack, 0, maxSlack), FixedClasses: t.Texts("fixed_classes"),
 		},
-		ContradictAtMost: t.Duration("contradict_at_most", defaultContradict, clusterparams.MinLease, mostContradict),
+		ContradictAtMost: t.Duration("contradict_at_most", defaultContradict, clusterparams.MinLease, maxContradict),
 		Voters:           map[string]string{},
 	}
 	if wait := c.Params.LessorWait(); wait > c.ContradictAtMost {
@@ -108,30 +108,30 @@
 			"lease x (1 + drift) / (1 - drift) + slack up to contradict_at_most")
 	}
 	c.Routes = map[string]string{}
-	for _, w := range t.Tables("way", clusterparams.MaxMembers) {
-		w.Need("name", "the name of a member")
-		w.Need("address", "where this process reaches it")
-		name := w.Text("name", "")
+	for _, route := range t.Tables("way", clusterparams.MaxMembers) {
+		route.Need("name", "the name of a member")
+		route.Need("address", "where this process reaches it")
+		name := route.Text("name", "")
 		if c.Routes[name] != "" {
-			w.Fail("name", fmt.Sprintf("%q, a second time", name), "each name once")
+			route.Fail("name", fmt.Sprintf("%q, a second time", name), "each name once")
 		}
-		c.Routes[name] = addressIn(w, "address")
+		c.Routes[name] = readAddress(route, "address")
 	}
 	addresses := map[string]bool{}
-	for _, k := range t.Tables("keeper", clusterparams.MaxVoters) {
-		k.Need("name", "the name of the keeper's sidecar")
-		k.Need("address", "its crew.address")
-		name, address := k.Text("name", ""), addressIn(k, "address")
+	for _, voter := range t.Tables("keeper", clusterparams.MaxVoters) {
+		voter.Need("name", "the name of the keeper's sidecar")
+		voter.Need("address", "its crew.address")
+		name, address := voter.Text("name", ""), readAddress(voter, "address")
 		if c.Voters[name] != "" || addresses[address] {
-			k.Fail("name", fmt.Sprintf("%q at %q, a second time", name, address), "each name and address once")
+			voter.Fail("name", fmt.Sprintf("%q at %q, a second time", name, address), "each name and address once")
 		}
 		c.Voters[name], addresses[address] = address, true
 	}
 	return c
 }
 
-// addressIn reads an address with a port.
-func addressIn(t *tomlread.Table, key string) string {
+// readAddress reads an address with a port.
+func readAddress(t *tomlread.Table, key string) string {
 	address := t.Text(key, "")
 	if _, port, err := net.SplitHostPort(address); t.Has(key) && (err != nil || port == "" || port == "0") {
 		t.Fail(key, fmt.Sprintf("%q", address), "an address with a port, such as 10.0.0.5:9300")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -18,8 +18,8 @@
 
 // Bounds of sampling.
 const (
-	everyLine = 1
-	rarest    = 1_000_000 // of so many lines one is written: fewer would show nothing
+	everyLine         = 1
+	maxSampleInterval = 1_000_000 // of so many lines one is written: fewer would show nothing
 )
 
 // File is the operator's file.
@@ -79,10 +79,10 @@
 	f := Default()
 	log := doc.Root.Table("log")
 	f.Log.Level = levels[log.Enum("level", "info", "info", "warn", "error")]
-	f.Log.ConnectionEnded = log.Int("connection_ended_every", everyLine, everyLine, rarest)
+	f.Log.ConnectionEnded = log.Int("connection_ended_every", everyLine, everyLine, maxSampleInterval)
 	watch := doc.Root.Table("watch")
 	if path := watch.Text("settings", ""); path != "" {
-		set, err := watched(path)
+		set, err := loadShadowSettings(path)
 		if err != nil {
 			watch.Fail("settings", fmt.Sprintf("%q: %v", path, err), "the path of a JSON file that holds a settings object")
 		}
@@ -90,7 +90,7 @@
 	}
 	doc.Root.Skip("crew", "holdings") // tables that may stand there
 	if doc.Root.Has("crew") {
-		f.Cluster = decodeCrew(doc.Root.Table("crew"))
+		f.Cluster = decodeCluster(doc.Root.Table("crew"))
 	}
 	switch {
 	case !doc.Root.Has("holdings"):
@@ -105,9 +105,9 @@
 	return f, nil
 }
 
-// watched reads and checks the settings to be watched: the object that stands under "settings" in a sidecar's
+// loadShadowSettings reads and checks the settings to be watched: the object that stands under "settings" in a sidecar's
 // configuration.
-func watched(path string) (*decide.Settings, error) {
+func loadShadowSettings(path string) (*decide.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"heathgap/internal/clusterparams"
 )
 
-func load(t *testing.T, text string) (File, error) {
+func loadText(t *testing.T, text string) (File, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -21,17 +21,17 @@
 }
 
 func TestLoad(t *testing.T) {
-	f, err := load(t, "[log]\nlevel = \"warn\"\nconnection_ended_every = 100\n")
+	f, err := loadText(t, "[log]\nlevel = \"warn\"\nconnection_ended_every = 100\n")
 	if err != nil || f.Log.Level != zerolog.WarnLevel || f.Log.ConnectionEnded != 100 {
 		t.Errorf("%+v, %v", f, err)
 	}
-	if f, err = load(t, ""); err != nil || f != Default() {
+	if f, err = loadText(t, ""); err != nil || f != Default() {
 		t.Errorf("an empty file: %+v, %v; want the defaults", f, err)
 	}
 }
 
 // The documented file is a good one, and sets nothing but the defaults.
-func TestDocumentedFile(t *testing.T) {
+func TestDocumentedFileSetsDefaults(t *testing.T) {
 	f, err := Load("../../deploy/operator.toml")
 	if err != nil || f != Default() {
 		t.Errorf("%+v, %v; want the defaults", f, err)
@@ -39,8 +39,8 @@
 }
 
 // Guards against faults that are passed over, or of which only the first is told.
-func TestBadFiles(t *testing.T) {
-	_, err := load(t, "[log]\nlevel = \"loud\"\nconnection_ended_every = 0\nlevle = 1\n[tenants]\n")
+func TestReportsAllFaults(t *testing.T) {
+	_, err := loadText(t, "[log]\nlevel = \"loud\"\nconnection_ended_every = 0\nlevle = 1\n[tenants]\n")
 	if err == nil {
 		t.Fatal("taken")
 	}
@@ -57,7 +57,7 @@
 }
 
 // The crew's table as deploy/operator.toml shows it, and what is wrong with one, by line.
-func TestCrew(t *testing.T) {
+func TestClusterTable(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -66,36 +66,36 @@
 	if !found {
 		t.Fatal("deploy/operator.toml has no [crew]")
 	}
-	shown := "[crew]\n"
+	example := "[crew]\n"
 	for line := range strings.Lines(table) {
 		if bare := strings.TrimPrefix(line, "# "); strings.Contains(bare, " = ") || strings.HasPrefix(bare, "[") {
-			shown += bare
+			example += bare
 		}
 	}
-	f, err := load(t, shown)
+	f, err := loadText(t, example)
 	if err != nil || f.Cluster == nil || len(f.Cluster.Voters) != 1 || f.Cluster.Params.Lease != defaultLease || f.Cluster.ContradictAtMost != defaultContradict ||
 		f.Cluster.Params.Slack != defaultSlack || f.Cluster.Params.Drift != defaultDrift || len(f.Cluster.Holdings.Classes) != 1 ||
 		f.Cluster.Params.Holdings != (clusterparams.Holdings{Copies: defaultCopies, Keep: defaultKeep, LostAfter: defaultLostAfter}) ||
 		f.Cluster.Holdings.MaxEntries != defaultEntries || f.Cluster.Holdings.MaxBody != defaultBody {
-		t.Fatalf("%+v, %v of\n%s", f.Cluster, err, shown)
+		t.Fatalf("%+v, %v of\n%s", f.Cluster, err, example)
 	}
-	const keeper = "\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n"
+	const voterTable = "\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n"
 	const good = "[crew]\nname = \"c\"\naddress = \"127.0.0.1:9\"\n"
 	for more, want := range map[string]string{
-		"lease = \"3s\"" + keeper:                              ":4: crew.lease: lease, drift and slack add up to 3.26",
-		"lease = \"3s\"\ncontradict_at_most = \"3s\"" + keeper: ":5: crew.contradict_at_most",
-		"lease = \"1ms\"" + keeper:                             ":4: crew.lease: \"1ms\"; allowed",
-		"drift = 0.5" + keeper:                                 ":4: crew.drift",
-		"":                                                     "crew.keeper: missing",
-		keeper + keeper:                                        "a second time",
-		keeper + "[holdings]\n":                                "holdings.class: missing",
-		keeper + "[holdings]\ncopies = 9\n[[holdings.class]]\nname = \"p\"\n":                       ":9: holdings.copies: 9; allowed",
-		keeper + "[holdings]\n[[holdings.class]]\nname = \"p\"\nwhen_alone = \"wait\"\n":            ":11: holdings.class[0].when_alone",
-		keeper + "[holdings]\n[[holdings.class]]\nname = \"p\"\n[[holdings.class]]\nname = \"p\"\n": "\"p\", a second time",
-		"keepers = 3" + keeper:                               ":4: crew.keepers: unknown key",
+		"lease = \"3s\"" + voterTable:                              ":4: crew.lease: lease, drift and slack add up to 3.26",
+		"lease = \"3s\"\ncontradict_at_most = \"3s\"" + voterTable: ":5: crew.contradict_at_most",
+		"lease = \"1ms\"" + voterTable:                             ":4: crew.lease: \"1ms\"; allowed",
+		"drift = 0.5" + voterTable:                                 ":4: crew.drift",
+		"":                                                         "crew.keeper: missing",
+		voterTable + voterTable:                                    "a second time",
+		voterTable + "[holdings]\n":                                "holdings.class: missing",
+		voterTable + "[holdings]\ncopies = 9\n[[holdings.class]]\nname = \"p\"\n":                       ":9: holdings.copies: 9; allowed",
+		voterTable + "[holdings]\n[[holdings.class]]\nname = \"p\"\nwhen_alone = \"wait\"\n":            ":11: holdings.class[0].when_alone",
+		voterTable + "[holdings]\n[[holdings.class]]\nname = \"p\"\n[[holdings.class]]\nname = \"p\"\n": "\"p\", a second time",
+		"keepers = 3" + voterTable:                           ":4: crew.keepers: unknown key",
 		"\n[[crew.keeper]]\nname = \"k\"\naddress = \"x\"\n": "crew.keeper[0].address: \"x\"",
 	} {
-		if _, err := load(t, good+more); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := loadText(t, good+more); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", more, err, want)
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -28,8 +28,8 @@
 	"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell,
 }
 
-// hows are the words for how endpoints tell their load; an absent one is silence.
-var hows = map[string]decide.ReportMode{
+// reportModes are the words for how endpoints tell their load; an absent one is silence.
+var reportModes = map[string]decide.ReportMode{
 	"silent": decide.ReportNever, "piggyback": decide.ReportWithAnswers, "pull": decide.ReportWithProbes,
 }
 
@@ -95,7 +95,7 @@
 }
 
 func decodeReport(o jsonread.Object, r *decide.Report) {
-	r.Mode = jsonread.Enum(o, "how", hows)
+	r.Mode = jsonread.Enum(o, "how", reportModes)
 	for i, v := range o.Array("fields") {
 		name, err := v.StringBytes()
 		if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -52,7 +52,7 @@
 }
 
 // What is read for the shape with a sidecar beside every client; without it the settings are those of a pool.
-func TestDecodeTheNewShape(t *testing.T) {
+func TestDecodePerCaller(t *testing.T) {
 	const classes = `"profiles":[{"name":"p","effect":"once","aim":800,"deadline":2000,"worth":3}]`
 	s, _, err := Decode(parse(t, `{"family":"mesh","bounds":{"probing":true},"deductions":{"probe":0.002},
 		"report":{"how":"pull","fields":["utilization","recent_ms","outstanding"]},`+classes+`}`))
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// newShape are settings under which endpoints are asked before a request goes.
-func newShape() decide.Settings {
+// probingSettings are settings under which endpoints are asked before a request goes.
+func probingSettings() decide.Settings {
 	set := settings()
 	set.Entry, set.Peers, set.Limits.Probing = decide.PerCaller, 100, true
 	set.Report = decide.Report{Mode: decide.ReportWithProbes, Fields: []decide.LoadField{decide.Outstanding}}
@@ -40,8 +40,8 @@
 	return b
 }
 
-// day plays random events to a decider that answers for its endpoints, and returns all its actions.
-func day(d Decider, seed uint64) [][]decide.Action {
+// runRandomEvents plays random events to a decider that answers for its endpoints, and returns all its actions.
+func runRandomEvents(d Decider, seed uint64) [][]decide.Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := decide.Time(time.Hour)
 	type out struct {
@@ -51,9 +51,9 @@
 		at      decide.Time
 	}
 	var all [][]decide.Action
-	var outs []out
+	var inFlight []out
 	attempts := map[decide.RequestID]int{}
-	over := map[decide.RequestID]bool{}
+	done := map[decide.RequestID]bool{}
 	due := decide.Time(0)
 	handle := func(ev decide.Event) {
 		actions := d.Handle(now, &ev, nil)
@@ -61,10 +61,10 @@
 		for _, a := range actions {
 			switch a.Kind {
 			case decide.Send:
-				outs = append(outs, out{a.Request, attempts[a.Request], a.Endpoint, now + time.Duration(rng.IntN(300))*ms})
+				inFlight = append(inFlight, out{a.Request, attempts[a.Request], a.Endpoint, now + time.Duration(rng.IntN(300))*ms})
 				attempts[a.Request]++
 			case decide.Refuse, decide.Fail:
-				over[a.Request] = true
+				done[a.Request] = true
 			case decide.SetTimer:
 				due = now + a.After
 			}
@@ -82,15 +82,15 @@
 			due = 0
 			handle(decide.Event{Kind: decide.TimerDue})
 		}
-		for i := 0; i < len(outs); i++ {
-			if o := outs[i]; o.at <= now {
-				outs = append(outs[:i], outs[i+1:]...)
+		for i := 0; i < len(inFlight); i++ {
+			if o := inFlight[i]; o.at <= now {
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				i--
 				outcome := decide.Outcome(rng.IntN(7))
-				over[o.id] = over[o.id] || outcome == decide.Served
+				done[o.id] = done[o.id] || outcome == decide.Served
 				handle(decide.Event{
 					Kind: decide.Finished, Request: o.id, Attempt: o.attempt, Endpoint: o.to, Outcome: outcome,
-					Latency: 100 * ms, RequestDone: over[o.id],
+					Latency: 100 * ms, RequestDone: done[o.id],
 				})
 			}
 		}
@@ -107,34 +107,34 @@
 }
 
 // The watching balancer has no say: the same events bring the same actions with and without it.
-func TestWatchingChangesNothing(t *testing.T) {
+func TestShadowChangesNothing(t *testing.T) {
 	for seed := range uint64(20) {
-		w, err := New(balancer(t, settings()), newShape(), 99)
+		comparison, err := New(balancer(t, settings()), probingSettings(), 99)
 		if err != nil {
 			t.Fatal(err)
 		}
-		alone, watched := day(balancer(t, settings()), seed), day(w, seed)
+		alone, watched := runRandomEvents(balancer(t, settings()), seed), runRandomEvents(comparison, seed)
 		if !reflect.DeepEqual(alone, watched) {
 			t.Fatalf("seed %d: other actions with a watch than without", seed)
 		}
-		c := w.Counts()
+		c := comparison.Counts()
 		if c.Followed == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
 			t.Errorf("seed %d: nothing was seen: %+v", seed, c)
 		}
-		if len(w.views) > 300 || len(w.inFlight) > 6 {
-			t.Errorf("seed %d: %d views and %d counts are left", seed, len(w.views), len(w.inFlight))
+		if len(comparison.followed) > 300 || len(comparison.inFlight) > 6 {
+			t.Errorf("seed %d: %d views and %d counts are left", seed, len(comparison.followed), len(comparison.inFlight))
 		}
 	}
 }
 
 // The same settings and seed see no difference at all.
 func TestSameSettingsAgree(t *testing.T) {
-	w, err := New(balancer(t, settings()), settings(), 7)
+	comparison, err := New(balancer(t, settings()), settings(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	day(w, 3)
-	c := w.Counts()
+	runRandomEvents(comparison, 3)
+	c := comparison.Counts()
 	if c.Same < 1000 {
 		t.Errorf("%d steps were alike, of more than a thousand", c.Same)
 	}
@@ -144,7 +144,7 @@
 }
 
 // Each kind of difference is counted as what the watched settings would have done.
-func TestKinds(t *testing.T) {
+func TestDifferenceKinds(t *testing.T) {
 	one := []decide.Endpoint{{ID: 1, Zone: "z", Weight: 1}}
 	arrive := decide.Event{Kind: decide.Arrived, Request: 1, Class: "look", Grace: time.Second}
 	for name, c := range map[string]struct {
@@ -170,15 +170,15 @@
 	} {
 		real, watched := settings(), settings()
 		c.change(&real, &watched)
-		w, err := New(balancer(t, real), watched, 99)
+		comparison, err := New(balancer(t, real), watched, 99)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.Handle(time.Hour, &decide.Event{Kind: decide.ListReplaced, Endpoints: one}, nil)
+		comparison.Handle(time.Hour, &decide.Event{Kind: decide.ListReplaced, Endpoints: one}, nil)
 		for i := range c.events {
-			w.Handle(time.Hour, &c.events[i], nil)
+			comparison.Handle(time.Hour, &c.events[i], nil)
 		}
-		if got := w.Counts(); got != c.want {
+		if got := comparison.Counts(); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
@@ -186,7 +186,7 @@
 
 // Guards against counts that nothing ends: the outcome at an endpoint that has left the list names no endpoint.
 func TestOutcomeWithoutAnEndpoint(t *testing.T) {
-	w, err := New(balancer(t, settings()), newShape(), 99)
+	comparison, err := New(balancer(t, settings()), probingSettings(), 99)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,10 +195,10 @@
 		{Kind: decide.Arrived, Request: 1, Class: "look", Grace: time.Second},
 		{Kind: decide.Finished, Request: 1, Outcome: decide.TimedOut, Latency: time.Second, RequestDone: true},
 	} {
-		w.Handle(time.Hour, &ev, nil)
+		comparison.Handle(time.Hour, &ev, nil)
 	}
-	if len(w.views) != 0 || len(w.inFlight) != 0 {
-		t.Errorf("%d views and %d counts are left", len(w.views), len(w.inFlight))
+	if len(comparison.followed) != 0 || len(comparison.inFlight) != 0 {
+		t.Errorf("%d views and %d counts are left", len(comparison.followed), len(comparison.inFlight))
 	}
 }
 
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -85,13 +85,13 @@
 func Parse(file string, text []byte) (*Doc, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
-		fault := &Error{File: file, Line: 1, Found: "no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
+		parseError := &Error{File: file, Line: 1, Found: "no TOML: " + strings.TrimPrefix(err.Error(), "toml: ")}
 		var at *toml.DecodeError
 		if errors.As(err, &at) {
-			fault.Line, _ = at.Position()
-			fault.Key = strings.Join(at.Key(), ".")
+			parseError.Line, _ = at.Position()
+			parseError.Key = strings.Join(at.Key(), ".")
 		}
-		return nil, Errors{fault}
+		return nil, Errors{parseError}
 	}
 	d := &Doc{file: file, lines: lineIndex(text)}
 	d.Root = &Table{doc: d, values: values, used: map[string]bool{}}
@@ -100,7 +100,7 @@
 
 // Err returns all that was found wrong, also the keys that nobody asked for.
 func (d *Doc) Err() error {
-	d.Root.unknown()
+	d.Root.reportUnknown()
 	if len(d.errs) == 0 {
 		return nil
 	}
@@ -174,11 +174,11 @@
 // Table is one table of a file. Its readers return the default where a key is
 // absent, and also where its value is not allowed, which is then told by Err.
 type Table struct {
-	doc    *Doc
-	path   string
-	values map[string]any
-	used   map[string]bool
-	inner  []*Table
+	doc      *Doc
+	path     string
+	values   map[string]any
+	used     map[string]bool
+	children []*Table
 }
 
 // Has tells whether a key stands there.
@@ -209,15 +209,15 @@
 	})
 }
 
-// take returns the value of a key and marks it as asked for.
-func (t *Table) take(key string) (any, bool) {
+// lookup returns the value of a key and marks it as asked for.
+func (t *Table) lookup(key string) (any, bool) {
 	t.used[key] = true
 	v, there := t.values[key]
 	return v, there
 }
 
-// unknown tells the keys that nobody asked for, here and below.
-func (t *Table) unknown() {
+// reportUnknown tells the keys that nobody asked for, here and below.
+func (t *Table) reportUnknown() {
 	// Guards against an unknown key that the line of the next one names as allowed.
 	allowed := strings.Join(slices.Sorted(maps.Keys(t.used)), ", ")
 	for key := range t.values {
@@ -226,8 +226,8 @@
 			t.Fail(key, "unknown key", allowed)
 		}
 	}
-	for _, inner := range t.inner {
-		inner.unknown()
+	for _, inner := range t.children {
+		inner.reportUnknown()
 	}
 }
 
@@ -259,37 +259,37 @@
 }
 
 // Text reads a string of up to 256 bytes.
-func (t *Table) Text(key, byDefault string) string {
-	const longest = 256
-	allowed := fmt.Sprintf("a text of 1 to %d bytes", longest)
-	v, there := t.take(key)
+func (t *Table) Text(key, defaultValue string) string {
+	const maxBytes = 256
+	allowed := fmt.Sprintf("a text of 1 to %d bytes", maxBytes)
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
 	s, ok := v.(string)
-	if !ok || s == "" || len(s) > longest {
+	if !ok || s == "" || len(s) > maxBytes {
 		t.Fail(key, show(v), allowed)
-		return byDefault
+		return defaultValue
 	}
 	return s
 }
 
 // Enum reads one of a few words.
-func (t *Table) Enum(key, byDefault string, words ...string) string {
-	v, there := t.take(key)
+func (t *Table) Enum(key, defaultValue string, values ...string) string {
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
-	if s, ok := v.(string); ok && slices.Contains(words, s) {
+	if s, ok := v.(string); ok && slices.Contains(values, s) {
 		return s
 	}
-	t.Fail(key, show(v), strings.Join(words, ", "))
-	return byDefault
+	t.Fail(key, show(v), strings.Join(values, ", "))
+	return defaultValue
 }
 
 // Texts reads an array of strings.
 func (t *Table) Texts(key string) []string {
-	v, there := t.take(key)
+	v, there := t.lookup(key)
 	if !there {
 		return nil
 	}
@@ -308,71 +308,71 @@
 }
 
 // Bool reads true or false.
-func (t *Table) Bool(key string, byDefault bool) bool {
-	v, there := t.take(key)
+func (t *Table) Bool(key string, defaultValue bool) bool {
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
 	if b, ok := v.(bool); ok {
 		return b
 	}
 	t.Fail(key, show(v), "true or false")
-	return byDefault
+	return defaultValue
 }
 
 // Int reads a whole number within bounds, both of them allowed.
-func (t *Table) Int(key string, byDefault, least, most int) int {
-	v, there := t.take(key)
+func (t *Table) Int(key string, defaultValue, minimum, maximum int) int {
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
-	if n, ok := v.(int64); ok && n >= int64(least) && n <= int64(most) {
+	if n, ok := v.(int64); ok && n >= int64(minimum) && n <= int64(maximum) {
 		return int(n)
 	}
-	t.Fail(key, show(v), fmt.Sprintf("a whole number from %d to %d", least, most))
-	return byDefault
+	t.Fail(key, show(v), fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
+	return defaultValue
 }
 
 // Float reads a number within bounds, both of them allowed.
-func (t *Table) Float(key string, byDefault, least, most float64) float64 {
-	v, there := t.take(key)
+func (t *Table) Float(key string, defaultValue, minimum, maximum float64) float64 {
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
 	f, ok := v.(float64)
 	if n, whole := v.(int64); whole {
 		f, ok = float64(n), true
 	}
-	if ok && f >= least && f <= most { // NaN is in no bounds
+	if ok && f >= minimum && f <= maximum { // NaN is in no bounds
 		return f
 	}
-	t.Fail(key, show(v), fmt.Sprintf("a number from %v to %v", least, most))
-	return byDefault
+	t.Fail(key, show(v), fmt.Sprintf("a number from %v to %v", minimum, maximum))
+	return defaultValue
 }
 
 // Duration reads a time with its unit, such as "250ms", within bounds, both of
 // them allowed.
-func (t *Table) Duration(key string, byDefault, least, most time.Duration) time.Duration {
-	v, there := t.take(key)
+func (t *Table) Duration(key string, defaultValue, minimum, maximum time.Duration) time.Duration {
+	v, there := t.lookup(key)
 	if !there {
-		return byDefault
+		return defaultValue
 	}
 	s, ok := v.(string)
 	d, err := time.ParseDuration(s)
-	if ok && err == nil && d >= least && d <= most {
+	if ok && err == nil && d >= minimum && d <= maximum {
 		return d
 	}
-	allowed := fmt.Sprintf("a time from %q to %q", least, most)
+	allowed := fmt.Sprintf("a time from %q to %q", minimum, maximum)
 	if err != nil {
 		allowed += " with its unit (ms, s, m, h)"
 	}
 	t.Fail(key, show(v), allowed)
-	return byDefault
+	return defaultValue
 }
 
 // Table reads a table; an absent one is empty, so that its defaults hold.
 func (t *Table) Table(key string) *Table {
-	v, there := t.take(key)
+	v, there := t.lookup(key)
 	values, ok := v.(map[string]any)
 	if there && !ok {
 		t.Fail(key, show(v), "a table")
@@ -381,14 +381,14 @@
 }
 
 // Tables reads an array of tables, of so many at most.
-func (t *Table) Tables(key string, most int) []*Table {
-	v, there := t.take(key)
+func (t *Table) Tables(key string, maxTables int) []*Table {
+	v, there := t.lookup(key)
 	if !there {
 		return nil
 	}
 	list, ok := v.([]any)
-	if !ok || len(list) > most {
-		t.Fail(key, show(v), fmt.Sprintf("an array of up to %d tables", most))
+	if !ok || len(list) > maxTables {
+		t.Fail(key, show(v), fmt.Sprintf("an array of up to %d tables", maxTables))
 		return nil
 	}
 	var tables []*Table
@@ -405,7 +405,7 @@
 }
 
 func (t *Table) child(key string, values map[string]any) *Table {
-	inner := &Table{doc: t.doc, path: join(t.path, key), values: values, used: map[string]bool{}}
-	t.inner = append(t.inner, inner)
-	return inner
+	child := &Table{doc: t.doc, path: join(t.path, key), values: values, used: map[string]bool{}}
+	t.children = append(t.children, child)
+	return child
 }
--- a/internal/tomlread/tomlread_test.go
+++ b/internal/tomlread/tomlread_test.go
@@ -36,7 +36,7 @@
 	return waits, from
 }
 
-func TestReads(t *testing.T) {
+func TestReadValues(t *testing.T) {
 	d, err := Parse("f.toml", []byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 
 // Guards against errors that stand at the wrong line, or of which only the first
 // is told.
-func TestTellsAllAtOnceWithTheirLines(t *testing.T) {
+func TestReportsAllErrorsWithLines(t *testing.T) {
 	bad := strings.NewReplacer(
 		`every = 3`, `every = 30`, `"250ms"`, `250`, `share = 0.5`, `share = "much"`,
 		`from = 0.9`, "fromm = 0.9\nfrmo = 0.8", `name = "a"`, `name = 7`).Replace(good)
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestNoTOML(t *testing.T) {
+func TestInvalidTOML(t *testing.T) {
 	_, err := Parse("f.toml", []byte("a = 1\nb = = 2\n"))
 	if err == nil || !strings.HasPrefix(err.Error(), "f.toml:2: ") {
 		t.Errorf("told %v, want line 2", err)
