--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -20,30 +20,30 @@
 	"heathgap/internal/versions"
 )
 
-// Times of calls to a crew.
+// Times of calls to voters and members.
 const (
-	callTimeout  = 2 * time.Second        // for one answer
-	pollInterval = 200 * time.Millisecond // between two looks
+	callTimeout  = 2 * time.Second        // limit for one answer
+	pollInterval = 200 * time.Millisecond // between two status queries
 )
 
-// clusterCommands are `heathgap crew ...`. Exit codes are those of all commands: 0 done, 1 failed or refused, 2 a faulty
-// command line.
+// clusterCommands are the commands `heathgap crew ...`. Exit codes are those of all commands: 0 for success, 1 for
+// failure or refusal, 2 for a faulty command line.
 type clusterCommands struct {
-	Status   clusterStatus   `cmd:"" help:"Tell who leads, which version holds, and who is in."`
-	Members  clusterMembers  `cmd:"" help:"Tell of each member what it acts on, until when."`
+	Status   clusterStatus   `cmd:"" help:"Show the leader, the active version and the number of members."`
+	Members  clusterMembers  `cmd:"" help:"Show which version each member applies, and until when its lease lasts."`
 	Versions clusterVersions `cmd:"" help:"List the versions."`
-	Diff     clusterDiff     `cmd:"" help:"Tell what differs between two versions."`
-	Propose  clusterPropose  `cmd:"" help:"Propose a version, and wait until it is acted on or refused."`
-	Undo     clusterUndo     `cmd:"" help:"Propose the version before the active one anew, as a new version."`
+	Diff     clusterDiff     `cmd:"" help:"Show the differences between two versions."`
+	Propose  clusterPropose  `cmd:"" help:"Propose a version, and wait until it is active or refused."`
+	Undo     clusterUndo     `cmd:"" help:"Propose the document of the version before the active one again, as a new version."`
 }
 
-// clusterOptions is where a crew is asked.
+// clusterOptions are the options of all commands that query a cluster.
 type clusterOptions struct {
-	Operator string `placeholder:"FILE" required:"" help:"An operator's file with [crew]: its keepers are asked."`
+	Operator string `placeholder:"FILE" required:"" help:"An operator's file with [crew]; the command queries the keepers that it names."`
 	JSON     bool   `help:"Write JSON."`
 }
 
-// voterClients is a conversation with the keepers of a crew.
+// voterClients holds RPC clients for all voters of a cluster, by the voters' names.
 type voterClients struct {
 	config  *operator.Cluster
 	clients map[string]*peerrpc.Client
@@ -64,7 +64,8 @@
 	return t, nil
 }
 
-// status asks the keepers; the leader's word goes before any other's.
+// status queries all voters. It returns the status of the leader of the latest term, or that of the voter with the
+// latest term if no leader answers.
 func (t *voterClients) status() (best voter.Status, err error) {
 	var faults []error
 	for _, name := range slices.Sorted(maps.Keys(t.clients)) {
@@ -83,7 +84,7 @@
 	return best, nil
 }
 
-// queryStatus asks the keepers that the file names.
+// queryStatus returns the clients for the voters that the operator's file names, and the result of status.
 func (a *clusterOptions) queryStatus() (*voterClients, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
@@ -93,7 +94,7 @@
 	return t, s, err
 }
 
-// queryLeader is look, with a leader.
+// queryLeader is queryStatus, but fails if there is no leader.
 func (a *clusterOptions) queryLeader() (*voterClients, voter.Status, error) {
 	t, err := a.open()
 	if err != nil {
@@ -103,7 +104,7 @@
 	return t, s, err
 }
 
-// leaderStatus is status, with a leader.
+// leaderStatus is status, but fails if there is no leader.
 func (t *voterClients) leaderStatus() (voter.Status, error) {
 	s, err := t.status()
 	if err == nil && s.Leader != s.Name {
@@ -127,7 +128,7 @@
 
 type clusterStatus struct{ clusterOptions }
 
-// Run tells the crew's state.
+// Run prints the state of the cluster.
 func (c *clusterStatus) Run(o *Out) error {
 	t, s, err := c.queryStatus()
 	if err != nil {
@@ -156,17 +157,17 @@
 
 type clusterMembers struct{ clusterOptions }
 
-// memberRow is a line of the members.
+// memberRow is a member as `heathgap crew members` prints it.
 type memberRow struct {
 	Name    string         `json:"name"`
 	Zone    string         `json:"zone"`
 	Address string         `json:"address"`
-	LeaseMS *int           `json:"lease_ms,omitempty"` // until it has surely ended, by the leader
-	Status  *member.Status `json:"acts,omitempty"`     // by its own word
+	LeaseMS *int           `json:"lease_ms,omitempty"` // until its lease has surely ended, as the leader reports
+	Status  *member.Status `json:"acts,omitempty"`     // as the member itself reports
 	Error   string         `json:"error,omitempty"`
 }
 
-// Run asks each member.
+// Run queries each member.
 func (c *clusterMembers) Run(o *Out) error {
 	t, s, err := c.queryStatus()
 	if err != nil {
@@ -212,7 +213,7 @@
 
 type clusterVersions struct{ clusterOptions }
 
-// versionRow is a line of the versions.
+// versionRow is a version as `heathgap crew versions` prints it.
 type versionRow struct {
 	Number uint64            `json:"number"`
 	Parent uint64            `json:"parent"`
@@ -224,7 +225,7 @@
 	Doc    versions.Document `json:"document"`
 }
 
-// Run lists what the keepers keep.
+// Run lists the versions that the voters keep.
 func (c *clusterVersions) Run(o *Out) error {
 	_, s, err := c.queryStatus()
 	if err != nil {
@@ -255,10 +256,10 @@
 type clusterDiff struct {
 	clusterOptions
 	From uint64 `arg:"" help:"A version's number; 0 for no version."`
-	To   uint64 `arg:"" help:"Another's."`
+	To   uint64 `arg:"" help:"Another version's number; 0 for no version."`
 }
 
-// Run tells what differs.
+// Run prints the differences.
 func (c *clusterDiff) Run(o *Out) error {
 	_, s, err := c.queryStatus()
 	if err != nil {
@@ -282,7 +283,7 @@
 	return nil
 }
 
-// findDocument finds a version's document.
+// findDocument returns a version's document; that of version 0 is empty.
 func findDocument(l *cluster.Ledger, number uint64) (*versions.Document, error) {
 	if number == 0 {
 		return &versions.Document{}, nil
@@ -297,13 +298,13 @@
 
 type clusterPropose struct {
 	clusterOptions
-	File   string        `arg:"" help:"The version's document (TOML): all that holds from then on, not what changes."`
-	Note   string        `help:"Why, for people; before the file's."`
+	File   string        `arg:"" help:"The version's document (TOML): all that is in effect from then on, not only what changes."`
+	Note   string        `help:"The reason, for people; used instead of the file's note."`
 	Parent *uint64       `help:"The version that this one follows; the active one if not given."`
-	Wait   time.Duration `default:"30s" help:"So long until it is acted on, or the command fails and the version goes on by itself."`
+	Wait   time.Duration `default:"30s" help:"How long to wait until the version is active. After that the command fails, and the version goes on by itself."`
 }
 
-// Run proposes a file.
+// Run proposes the document of a file.
 func (c *clusterPropose) Run(o *Out) error {
 	doc, note, err := versions.Load(c.File)
 	if err != nil {
@@ -325,10 +326,10 @@
 
 type clusterUndo struct {
 	clusterOptions
-	Wait time.Duration `default:"30s" help:"So long until it is acted on."`
+	Wait time.Duration `default:"30s" help:"How long to wait until the version is active."`
 }
 
-// Run proposes what held before.
+// Run proposes the document of the version before the active one.
 func (c *clusterUndo) Run(o *Out) error {
 	t, s, err := c.queryLeader()
 	if err != nil {
@@ -345,7 +346,7 @@
 	return t.propose(o, cluster.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
 }
 
-// propose says a proposal until it is told, and waits for its end.
+// propose sends a proposal until the leader accepts it, and waits until the version is active or refused.
 func (t *voterClients) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
 	p.ID = voter.NewID()
 	if u, err := user.Current(); err == nil {
@@ -360,7 +361,7 @@
 		}
 		if number == 0 {
 			var result voter.ProposeResult
-			// The same proposal said again counts once: an answer that was lost does no harm.
+			// Sending the same proposal again is harmless, as after a lost answer: its ID makes it count once.
 			err := t.clients[s.Name].Call("propose", p, &result, callTimeout)
 			if errors.Is(err, peerrpc.ErrRefused) {
 				return err
--- a/internal/command/heathgap.go
+++ b/internal/command/heathgap.go
@@ -1,4 +1,4 @@
-// Package command is the command line of heathgap, and what its tools share of it.
+// Package command implements the command line of heathgap, and the parts of it that other programs' command lines use.
 package command
 
 import (
@@ -18,20 +18,20 @@
 
 // Exit codes.
 const (
-	ExitFailed = 1 // what was asked for failed, or a file is faulty
+	ExitFailed = 1 // the command failed or was refused, or a file is faulty
 	ExitUsage  = 2 // the command line itself is faulty
 )
 
-// commandLine is the command line of the sidecar.
+// commandLine declares the commands of heathgap.
 type commandLine struct {
-	Serve    serve            `cmd:"" default:"withargs" help:"Run one sidecar, told by BALANCER_CONFIG; without any command, this one."`
-	Check    check            `cmd:"" help:"Tell all that is wrong with files, and start nothing."`
-	Crew     clusterCommands  `cmd:"" help:"Ask the crew that an operator's file names, and change its rules."`
-	Holdings holdingsCommands `cmd:"" help:"Ask what the sidecars of a crew hold for one another."`
-	Version  version          `cmd:"" help:"Tell which build this is."`
+	Serve    serve            `cmd:"" default:"withargs" help:"Run one sidecar, configured by the file that BALANCER_CONFIG names. This is the default command."`
+	Check    check            `cmd:"" help:"Report all that is wrong with files, and start nothing."`
+	Crew     clusterCommands  `cmd:"" help:"Query the crew that an operator's file names, and change its rules."`
+	Holdings holdingsCommands `cmd:"" help:"Query what the sidecars of a crew hold for one another."`
+	Version  version          `cmd:"" help:"Show which build this is."`
 }
 
-// Out is where a command writes.
+// Out is the output of a command. kong passes it to each Run method.
 type Out struct{ io.Writer }
 
 // Heathgap runs the command line of bin/heathgap and returns the exit code.
@@ -41,7 +41,7 @@
 
 // Run parses a command line and runs the command it names.
 func Run(cli any, name, about string, args []string, stdout, stderr io.Writer) int {
-	exitCode := -1 // the exit code, once help has been printed
+	exitCode := -1 // the exit code once kong has printed the help; below 0 before
 	o := &Out{stdout}
 	parser, err := kong.New(cli, kong.Name(name), kong.Description(about), kong.UsageOnError(),
 		kong.Writers(stdout, stderr), kong.Exit(func(code int) { exitCode = code }),
@@ -65,11 +65,10 @@
 }
 
 type serve struct {
-	Operator string `placeholder:"FILE" help:"The operator's file (TOML). Without it, nothing is on but what BALANCER_CONFIG says."`
+	Operator string `placeholder:"FILE" help:"The operator's file (TOML). Without it, all that the file configures is off or at its default."`
 }
 
-// Run checks the operator's file and becomes the sidecar, in this same process, so
-// that signals reach it.
+// Run checks the operator's file and replaces this process by the sidecar (exec), so that signals reach the sidecar.
 func (c *serve) Run() error {
 	path, env, err := c.sidecarProgram(os.Executable)
 	if err != nil {
@@ -78,7 +77,8 @@
 	return fmt.Errorf("%s: %w", path, syscall.Exec(path, []string{path}, env))
 }
 
-// sidecarProgram is the sidecar's program, beside this one, and its environment.
+// sidecarProgram returns the path of the sidecar's program, which is in the same folder as this one, and its
+// environment.
 func (c *serve) sidecarProgram(executable func() (string, error)) (path string, env []string, err error) {
 	env, program := os.Environ(), "heathgap"
 	if c.Operator != "" {
@@ -102,10 +102,10 @@
 	Files []string `arg:"" name:"file" help:"An operator's file (.toml) or a sidecar's configuration (.json)."`
 }
 
-// Run tells of each file what is wrong with it.
+// Run reports all that is wrong with each file.
 func (c *check) Run(o *Out) error { return CheckAll(o, c.Files, checkFile) }
 
-// CheckAll checks files and tells all their faults.
+// CheckAll checks each file, prints those that are good and returns the errors of all others.
 func CheckAll(o *Out, paths []string, check func(path string) error) error {
 	var faults []error
 	for _, path := range paths {
@@ -131,7 +131,7 @@
 
 type version struct{}
 
-// Run tells the build's revision, as far as the build knows it.
+// Run prints the build's revision and Go version as far as the build records them.
 func (version) Run(o *Out) error {
 	revision, changed, goVersion := "unknown", "", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/command/heathgap_test.go
+++ b/internal/command/heathgap_test.go
@@ -14,7 +14,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// fileWriter returns a function that writes files into a folder of the test's own.
+// fileWriter returns a function that writes files into a temporary folder of the test.
 func fileWriter(t *testing.T) (write func(name, text string) string) {
 	dir := t.TempDir()
 	return func(name, text string) string {
@@ -26,8 +26,7 @@
 	}
 }
 
-// Guards against a check that passes a faulty file, stops at the first one, or
-// starts something.
+// Guards against a check that accepts a faulty file, stops at the first one, or starts something.
 func TestCheckReportsAllFaults(t *testing.T) {
 	write := fileWriter(t)
 	good := write("good.toml", "[log]\nlevel = \"warn\"\n")
@@ -63,8 +62,7 @@
 	}
 }
 
-// The sidecar's program starts with what the command line was given, and bad files
-// end the start before it.
+// Guards against a start of the sidecar without the operator's file that the command line names.
 func TestServeSelectsProgram(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
@@ -77,7 +75,7 @@
 	}
 }
 
-// A crew that can't be reached, or a file that names none, ends a command with one line and exit code 1.
+// When a cluster can't be reached or the file has no table [crew], a command ends with a clear error and exit code 1.
 func TestCrewCommandsFail(t *testing.T) {
 	write := fileWriter(t)
 	bare, version := write("bare.toml", ""), write("version.toml", "max_attempts = 2\n")
@@ -102,7 +100,7 @@
 			t.Errorf("%v: %d, %q", c.args, code, stderr)
 		}
 	}
-	// A sidecar without the agreement's libraries must not pass over [crew].
+	// heathgap-cli must start heathgap-crew for a file with [crew]: bin/heathgap is built without raft.
 	s := serve{Operator: away}
 	if path, _, err := s.sidecarProgram(func() (string, error) { return "/x/bin/heathgap-cli", nil }); err != nil || path != "/x/bin/heathgap-crew" {
 		t.Errorf("serve starts %q, %v", path, err)
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -14,24 +14,25 @@
 	"heathgap/internal/peerrpc"
 )
 
-// holdingsCommands are `heathgap holdings ...`.
+// holdingsCommands are the commands `heathgap holdings ...`.
 type holdingsCommands struct {
-	Status holdingsStatus `cmd:"" help:"Tell whether all that is held has its copies, and who holds how much."`
-	Show   holdingsShow   `cmd:"" help:"Tell what each copy has of one key."`
+	Status holdingsStatus `cmd:"" help:"Show how many shards have all their copies, and how many copies each member has."`
+	Show   holdingsShow   `cmd:"" help:"Show what each copy has of one key."`
 }
 
-// placementStatus is what there is to tell of a placement of replicas.
+// placementStatus summarizes where the replicas of all shards are. All numbers but Lost and Replicas count shards.
 type placementStatus struct {
 	Copies      int            `json:"copies"`
 	Shards      int            `json:"shards"`
-	Complete    int            `json:"whole"`   // have all copies
-	Incomplete  int            `json:"short"`   // have fewer, and serve
-	Unavailable int            `json:"waiting"` // no seat that has all is in the crew: requests of their keys are refused
-	CatchingUp  int            `json:"filling"` // are being copied to a further seat
-	Lost        uint64         `json:"lost"`    // how often what a shard held was lost
-	Replicas    map[string]int `json:"seats"`   // by members
+	Complete    int            `json:"whole"`   // shards with all copies caught up
+	Incomplete  int            `json:"short"`   // shards with fewer caught-up replicas, which serve
+	Unavailable int            `json:"waiting"` // shards without a caught-up replica in the cluster: requests of their keys are refused
+	CatchingUp  int            `json:"filling"` // shards with a replica that is catching up
+	Lost        uint64         `json:"lost"`    // how often the contents of a shard were lost
+	Replicas    map[string]int `json:"seats"`   // by member
 }
 
+// summarizePlacement counts the replicas that belong to present members, by shard and by member.
 func summarizePlacement(s *voter.Status, copies int) placementStatus {
 	out := placementStatus{Copies: copies, Shards: holdings.NumShards, Replicas: map[string]int{}}
 	for name := range s.Ledger.Members {
@@ -65,10 +66,10 @@
 
 type holdingsStatus struct{ clusterOptions }
 
-// errNoHoldings is the answer where there is no [holdings].
+// errNoHoldings is the error for a cluster without [holdings].
 var errNoHoldings = fmt.Errorf("no table [holdings]: this crew's sidecars hold nothing for one another")
 
-// queryPlacement asks for the present placement of replicas.
+// queryPlacement is queryLeader, but fails if there is no placement of replicas.
 func (a *clusterOptions) queryPlacement() (*voterClients, voter.Status, error) {
 	t, s, err := a.queryLeader()
 	switch {
@@ -76,12 +77,12 @@
 	case t.config.Params.Holdings.Copies == 0:
 		err = fmt.Errorf("%s: %w", a.Operator, errNoHoldings)
 	case s.Ledger.Placement == nil:
-		err = fmt.Errorf("no seats are given yet: are there members in %d zones?", t.config.Params.Holdings.Copies)
+		err = fmt.Errorf("no replicas are placed yet: are there members in %d zones?", t.config.Params.Holdings.Copies)
 	}
 	return t, s, err
 }
 
-// Run tells of all shards.
+// Run prints the summary of all shards.
 func (c *holdingsStatus) Run(o *Out) error {
 	t, s, err := c.queryPlacement()
 	if err != nil {
@@ -108,7 +109,7 @@
 	Tenant string `help:"Its tenant, where it has one."`
 }
 
-// replicaRow is one replica's word on a key.
+// replicaRow is what one replica has of a key.
 type replicaRow struct {
 	Name  string        `json:"name"`
 	Zone  string        `json:"zone"`
@@ -116,11 +117,11 @@
 	State string        `json:"state,omitempty"`
 	Owner string        `json:"owner,omitempty"`
 	Age   time.Duration `json:"age_ns,omitempty"`
-	Bytes int           `json:"bytes,omitempty"` // of the answer
+	Bytes int           `json:"bytes,omitempty"` // of the stored answer
 	Error string        `json:"error,omitempty"`
 }
 
-// Run asks each replica of the key's shard, its primary first.
+// Run queries each replica of the key's shard, the primary first.
 func (c *holdingsShow) Run(o *Out) error {
 	t, s, err := c.queryPlacement()
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads, checks and completes a sidecar's configuration: it is
-// the one place for that. Errors name the key that is at fault.
+// Package config reads and checks a sidecar's configuration and derives its limits. All of the configuration is read
+// here. Errors name the key that is at fault.
 package config
 
 import (
@@ -22,7 +22,7 @@
 	"heathgap/internal/settings"
 )
 
-// Variables of the environment.
+// Environment variables.
 const (
 	EnvFile      = "BALANCER_CONFIG" // path of the configuration file; required
 	envName      = "BALANCER_NAME"
@@ -31,61 +31,62 @@
 	envConsole   = "BALANCER_CONSOLE"
 )
 
-// Defaults, and parts of the limits that each use may take.
+// Defaults, and the shares of memory and sockets that each use gets.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	minSockets      = 16 // fewer leave no room for both sides
+	minSockets      = 16 // fewer leave too little for callers and endpoints
 
-	answerShare      = 0.25 // of the heap, for bodies of answers
-	heapShare        = 0.6  // of the memory: stacks, buffers and the program need the rest
+	answerShare      = 0.25 // of the heap, for answer bodies
+	heapShare        = 0.6  // of the memory, for the heap: stacks, buffers and the program need the rest
 	callerShare      = 0.6  // of the sockets, for callers
-	endpointShare    = 0.3  // for endpoints; the rest is kept
-	maxReservedShare = 0.5  // of the sockets, so many may be kept at most: both sides need some as well
+	endpointShare    = 0.3  // of the sockets, for endpoints
+	maxReservedShare = 0.5  // of the sockets, the most that may be reserved: callers and endpoints need some as well
 
-	// Descriptors that are kept for what callers and endpoints do not count: standard input, output and error, the poller's
-	// two, the listener, discovery's connection and the next one's beside it, a configuration that is read, the one that a
-	// caller takes before it is counted, and two that the runtime may open.
+	// Descriptors reserved for what counts neither as a caller's nor as an endpoint's connection: standard input,
+	// output and error (3), the poller (2), the listener, the connection to discovery and the next one that is opened
+	// beside it, a configuration file that is read, a caller's connection that is accepted and not yet counted, and two
+	// that the runtime may open.
 	reservedSockets = 12
-	// With a console also: its listener, the calls that it serves at a time and two that still read the answer; of an
-	// upgrade the way in, the other process, the listener twice while it is handed over, and one that is turned away.
+	// Reserved in addition with a console: its listener, the calls that it serves at a time (8) and two that still read
+	// the answer; for an upgrade the socket on which the successor connects, the connection to the other process, the
+	// listener twice while it is handed over, and one connection that is rejected.
 	reservedForConsole = 1 + 8 + 2 + 5
 
-	idleShare             = 0.75 // of the time after which endpoints end idle connections
+	idleShare             = 0.75 // of the time after which endpoints close idle connections: the sidecar closes them before
 	defaultIdleTimeout    = 10 * time.Second
 	defaultConnectTimeout = time.Second
 )
 
-// Config is all that a sidecar is told, with what follows from it.
+// Config is a sidecar's configuration, with the limits that follow from it.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	Console   string // where operators connect; empty for no console
+	Console   string // address for operators; empty for no console
 	Seed      uint64
-	KnownList *httpwire.List // the list as last known; nil without one
+	KnownList *httpwire.List // the last known list of endpoints; nil without one
 	Settings  decide.Settings
 	Transport settings.Transport
 	Classes   map[string]decide.Class
 
-	HeapBytes      int64         // the collector's limit
-	AnswerBytes    int64         // of it, what bodies of answers may take together
-	Sockets        int           // descriptors, as configured
-	CallerConns    int           // of them, or of fewer that the process may hold, connections of callers
-	EndpointConns  int           // connections to endpoints
-	ConnectTimeout time.Duration // for a connection to an endpoint
-	IdleTimeout    time.Duration // a connection to an endpoint may stand idle for so long
+	HeapBytes      int64         // memory limit of the garbage collector
+	AnswerBytes    int64         // the part of it that answer bodies may take together
+	Sockets        int           // file descriptors, as configured
+	CallerConns    int           // limit for connections of callers, from Sockets or the process's own lower limit
+	EndpointConns  int           // limit for connections to endpoints
+	ConnectTimeout time.Duration // for opening a connection to an endpoint
+	IdleTimeout    time.Duration // the sidecar closes a connection to an endpoint that is idle for this long
 }
 
-// Load reads the configuration that the environment names, for a start.
+// Load reads the configuration file that the environment names, at a start.
 func Load(env func(string) string) (*Config, error) { return load(env, false) }
 
-// Reload reads it anew while a sidecar runs. An environment cannot change then and
-// still has the discovery of the start: the file's goes before it.
+// Reload reads the configuration while a sidecar runs. The file's discovery then takes precedence over the
+// environment's, which cannot change in a running process and still has the value of the start.
 func Reload(env func(string) string) (*Config, error) { return load(env, true) }
 
-// Check reads a configuration file as a start would, and tells what is wrong with
-// it. Nothing of the environment counts.
+// Check reads a configuration file as at a start and returns what is wrong with it. It ignores the environment.
 func Check(path string) error {
 	_, err := Load(func(key string) string {
 		if key == EnvFile {
@@ -96,7 +97,7 @@
 	return err
 }
 
-// Parse reads a configuration's text as a start would.
+// Parse reads the text of a configuration as at a start.
 func Parse(text []byte, env func(string) string) (*Config, error) { return parse(text, env, false) }
 
 func load(env func(string) string, running bool) (*Config, error) {
@@ -115,8 +116,8 @@
 	return c, nil
 }
 
-// parse reads the configuration file. The environment goes before it where both
-// say the same thing, save for the discovery of a sidecar that runs already.
+// parse reads the text of a configuration. A variable of the environment takes precedence over its key in the file,
+// save for the discovery of a sidecar that is already running.
 func parse(text []byte, env func(string) string, running bool) (*Config, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -159,8 +160,8 @@
 	return c, nil
 }
 
-// NeedRestart names the keys by which next differs from c and that a running
-// sidecar cannot take over. Seed and known list only matter at a start.
+// NeedRestart returns the keys of next that differ from c and that a running sidecar cannot change. Seed and known list
+// matter only at a start.
 func (c *Config) NeedRestart(next *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -180,8 +181,8 @@
 	return keys
 }
 
-// IsForeign tells whether settings that name these classes are another installation's: there are some, and none of them is
-// one of c's. Guards against what belongs to one customer and is met where another's is expected.
+// IsForeign reports whether classes belong to another installation: there are some, and none of them is one of c's.
+// Guards against a configuration or state of one customer that reaches a sidecar of another.
 func (c *Config) IsForeign(classes []string) bool {
 	for _, name := range classes {
 		if _, ours := c.Classes[name]; ours {
@@ -191,7 +192,7 @@
 	return len(classes) > 0
 }
 
-// ClassNames are the names of the classes, in their order by name.
+// ClassNames returns the sorted names of the classes.
 func (c *Config) ClassNames() []string { return slices.Sorted(maps.Keys(c.Classes)) }
 
 func (c *Config) checkAddresses() error {
@@ -202,7 +203,7 @@
 		{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console},
 	} {
 		if a.value == "" && a.key == "console" {
-			continue // none is wanted
+			continue // no console is configured
 		}
 		if a.value == "" {
 			return fmt.Errorf("%s: missing", a.key)
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// setLimits parts memory and sockets among their uses.
+// setLimits divides memory and sockets among their uses.
 func (c *Config) setLimits(memoryMB float64, sockets int) error {
 	if memoryMB == 0 {
 		memoryMB = defaultMemoryMB
@@ -233,8 +234,8 @@
 	return nil
 }
 
-// divideSockets parts descriptors among their uses. What is kept comes first: guards against callers or endpoints that take
-// the last descriptor, without which nothing is heard of discovery and no operator is.
+// divideSockets divides descriptors among their uses, the reserved ones first. Guards against callers or endpoints that
+// take the last descriptor: without one, the sidecar could neither receive lists from discovery nor serve operators.
 func (c *Config) divideSockets(sockets int) {
 	reserved := reservedSockets
 	if c.Console != "" {
@@ -245,7 +246,8 @@
 	c.CallerConns = min(int(float64(sockets)*callerShare), sockets-reserved-c.EndpointConns)
 }
 
-// LimitSockets keeps to fewer descriptors than are configured, where the process may hold no more, and tells whether it may not.
+// LimitSockets lowers the limits to the descriptors that the process may open, if they are fewer than configured. It
+// reports whether they are.
 func (c *Config) LimitSockets(descriptors uint64) bool {
 	if descriptors >= uint64(c.Sockets) {
 		return false
@@ -294,9 +296,9 @@
 	return nil
 }
 
-// shortenWindows takes the time that a connection may need off the windows in
-// which repeats are dropped: the module judges a repeat when it decides, and the
-// endpoint when its last byte has come.
+// shortenWindows shortens each class's window, in which endpoints drop repeats, by the time that opening a connection
+// may take: the decision module checks the window when it decides, and the endpoint when the request's last byte has
+// arrived.
 func (c *Config) shortenWindows() {
 	for i := range c.Settings.Classes {
 		class := &c.Settings.Classes[i]
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -118,8 +118,7 @@
 	}
 }
 
-// Guards against a reload that goes on with the discovery of the start, which the
-// environment still names.
+// Guards against a reload that keeps the discovery of the start, which the environment still names.
 func TestReloadPrefersFileDiscovery(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	env := func(key string) string {
@@ -143,7 +142,7 @@
 	}
 }
 
-// What a running sidecar cannot take over is named.
+// NeedRestart names the keys that a running sidecar cannot change, and no others.
 func TestNeedRestart(t *testing.T) {
 	c, err := parse([]byte(good), emptyEnv, false)
 	if err != nil {
@@ -169,8 +168,8 @@
 	}
 }
 
-// Guards against descriptors of which callers and endpoints may take the last, whatever the limit is: what discovery, the
-// console and an upgrade need is kept, or half of few.
+// Guards against limits under which callers and endpoints take the last descriptor: for every number of sockets, what
+// discovery, the console and an upgrade need stays reserved, or half of the sockets if that is less.
 func TestDescriptorsAreReserved(t *testing.T) {
 	for sockets := minSockets; sockets <= 4096; sockets++ {
 		for _, c := range []Config{{}, {Console: "127.0.0.1:1"}} {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console is the operators' way into a running sidecar: one line a
-// connection, answered by one line (STATS: by the figures and a line EOF).
+// Package console lets operators control a running sidecar over TCP: each connection carries one call of one line and
+// gets an answer of one line. STATS is followed by the metrics and a line EOF.
 package console
 
 import (
@@ -18,33 +18,33 @@
 	"heathgap/internal/env"
 )
 
-// Bounds of a console.
+// Limits of the console.
 const (
-	// Callers that are served at a time: some for each who watches, and descriptors of
-	// these only. Beyond them, the one that has kept silent longest makes room.
+	// Calls that may wait for their line at the same time: enough for several operators, and a limit for the
+	// descriptors that they take. A further call closes the one that has waited longest.
 	maxCalls = 8
-	// A call must have come by then, and its answer be taken in as long again. Operators
-	// type, and some callers take seconds; who never ends its line must not stay.
+	// Time for a call's line to arrive, and again for its answer to be read. Operators type, and some callers take
+	// seconds; a caller that never ends its line must not stay.
 	callTimeout = 5 * time.Second
-	// Bytes of a call's line: the longest word, a space, and an id of any length met.
+	// Bytes of a call's line: the longest command, a space, and an ID of any length seen so far.
 	maxLine = 512
-	// What may still be read behind a line that is too long, in time and bytes.
+	// How much is read and discarded after a line that is too long, in time and in bytes.
 	discardTimeout = 500 * time.Millisecond
 	maxDiscarded   = 64 << 10
 
-	acceptRetryDelay = 20 * time.Millisecond // after a failed accept: descriptors may run out for a moment
+	acceptRetryDelay = 20 * time.Millisecond // after a failed accept: the process may be out of descriptors for a moment
 )
 
-// Operations are what a console can ask for. All may be called at any time.
+// Operations are what a console can request. All methods may be called at any time.
 type Operations interface {
-	// Ready tells whether this process serves.
+	// Ready reports whether this process serves requests.
 	Ready() bool
-	// Metrics returns the figures, a line each.
+	// Metrics returns all metrics, one per line.
 	Metrics() []byte
-	// Disable keeps everything from an endpoint until Enable; it returns when that binds.
-	// It fails where the endpoint has never been listed.
+	// Disable bans an endpoint until Enable: nothing is sent to it. It returns once the ban is in effect, and fails if
+	// the endpoint has never been listed.
 	Disable(id string) error
-	// Enable ends a ban, however often it was called for.
+	// Enable ends a ban, however often Disable was called.
 	Enable(id string) error
 }
 
@@ -56,7 +56,7 @@
 	log      zerolog.Logger
 
 	mu    sync.Mutex
-	calls []net.Conn // whose line has not come whole, the oldest first
+	calls []net.Conn // connections whose line is not complete, the oldest first
 }
 
 // Open listens at an address and serves calls until Close.
@@ -70,10 +70,10 @@
 	return c, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the console listens on.
 func (c *Console) Address() string { return c.listener.Addr().String() }
 
-// Close ends it. Calls whose line has come are still answered.
+// Close stops listening. Calls whose line has arrived are still answered.
 func (c *Console) Close() { c.listener.Close() }
 
 func (c *Console) accept() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// addCall books a call. Guards against callers that finish no call and hold all places:
-// the oldest of them gives way.
+// addCall records a connection whose line is not complete. Guards against callers that complete no call and take all
+// places: the oldest is closed to make room.
 func (c *Console) addCall(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,7 +103,7 @@
 	c.calls = append(c.calls, conn)
 }
 
-// removeCall forgets a call whose line has come, or never will.
+// removeCall forgets a connection whose line has arrived or will not arrive any more.
 func (c *Console) removeCall(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,22 +116,22 @@
 	line, err := bufio.NewReaderSize(conn, maxLine).ReadSlice('\n')
 	c.removeCall(conn)
 	if err != nil && !errors.Is(err, bufio.ErrBufferFull) {
-		return // it never ended its line
+		return // the line did not end in time, or the connection was closed
 	}
 	conn.SetDeadline(c.env.Now().Add(callTimeout))
 	conn.Write(c.answer(line, err))
 	if tcp, ok := conn.(interface{ CloseWrite() error }); ok && err != nil {
-		// Guards against a reset that takes the answer with it: what still comes is read.
+		// Guards against a TCP reset, which can discard the answer at the caller: read what still arrives.
 		tcp.CloseWrite()
 		conn.SetDeadline(c.env.Now().Add(discardTimeout))
 		io.CopyN(io.Discard, conn, maxDiscarded)
 	}
 }
 
-// errAllowedCalls is what a call must be.
+// errAllowedCalls lists the calls that are allowed.
 var errAllowedCalls = errors.New("allowed are READY, STATS, DISABLE ID and ENABLE ID")
 
-// answer is all that a call is answered with.
+// answer carries out a call and returns its answer. The error is that of reading the line.
 func (c *Console) answer(line []byte, err error) []byte {
 	if err != nil {
 		return refusalLine(fmt.Errorf("a line of %d bytes or more; %w", maxLine, errAllowedCalls))
@@ -163,7 +163,7 @@
 	return []byte("200 ready\n")
 }
 
-// refusalLine is a no, in one line whatever the reason holds.
+// refusalLine returns the answer to a call that failed: one line of printable ASCII, whatever the error contains.
 func refusalLine(err error) []byte {
 	return []byte("400 " + strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -86,8 +86,7 @@
 	}
 }
 
-// Guards against callers that connect and finish no call: they must not keep others
-// out, and must end.
+// Guards against callers that connect and complete no call: they must not keep others out, and must be closed.
 func TestSilentCallers(t *testing.T) {
 	c, _ := openConsole(t)
 	var silent []net.Conn
@@ -115,7 +114,7 @@
 	}
 }
 
-// Guards against an honest caller that takes its time.
+// Guards against closing a caller that sends its line slowly.
 func TestSlowCaller(t *testing.T) {
 	c, _ := openConsole(t)
 	conn, err := net.Dial("tcp", c.Address())
--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -1,8 +1,9 @@
-// Package shadow shows what other settings would decide, beside what is decided: a second balancer is told the
-// same events, and what it decides is counted and never carried out. It is for operators who are about to switch.
+// Package shadow shows what other settings would decide: a second balancer, the shadow, gets the same events as the
+// deciding balancer. Its decisions are compared and counted, and never carried out. Operators use it before they switch
+// to new settings.
 //
-// The watching balancer has no say. It cannot change, delay or re-seed the deciding one: it has its own random
-// numbers, gets no timer of its own, and its actions end here.
+// The shadow has no influence on the deciding balancer: it has its own random numbers and its own time of the next
+// timer, and its actions end in this package.
 package shadow
 
 import (
@@ -11,28 +12,28 @@
 	"heathgap/decide"
 )
 
-// maxFollowed bounds the requests that are followed at once: about 100 bytes each, 0.4 MB in all. What comes
-// beyond them is decided as ever and counted as unwatched.
+// maxFollowed limits the requests that are followed at the same time: about 100 bytes each, 0.4 MB in all. Further
+// requests are decided as usual and counted as not followed.
 const maxFollowed = 4096
 
-// Decider decides for real. A decide.Balancer is one.
+// Decider is what really decides. A decide.Balancer is one.
 type Decider interface {
 	Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action
 }
 
-// Counts are differences, by what the watching settings would have done where the deciding ones did something else.
+// Counts are the differences, by what the shadow would have done where the deciding balancer did something else.
 type Counts struct {
 	Followed      int // requests that were followed
-	NotFollowed   int // that came while too many were
-	Same          int // steps at which both did the same
+	NotFollowed   int // requests that arrived while maxFollowed were followed
+	Same          int // actions that both decided alike
 	SentElsewhere int // sent to another endpoint
-	Sent          int // sent, where the deciding settings held, refused or failed it
-	Retried       int // sent again, where the deciding settings did not
-	Held          int // held, where the deciding settings sent or ended it
+	Sent          int // sent, where the deciding balancer held, refused or failed the request
+	Retried       int // sent again, where the deciding balancer did not
+	Held          int // held back, where the deciding balancer sent or ended the request
 	Refused       int
 	Failed        int
-	Canceled      int // an attempt called off, where the deciding settings let it run
-	Probes        int // probes that would have been sent
+	Canceled      int // an attempt canceled, where the deciding balancer let it run
+	Probes        int // probes that the shadow would have sent
 }
 
 // MarshalZerologObject writes the counts into a log line.
@@ -42,42 +43,43 @@
 		Int("refused", c.Refused).Int("failed", c.Failed).Int("called_off", c.Canceled).Int("probes", c.Probes)
 }
 
-// Comparison is a decider that is watched. One goroutine owns it, as it would own the deciding one.
+// Comparison passes events to the deciding balancer and compares its actions with those of the shadow. Like a balancer,
+// it belongs to one goroutine.
 type Comparison struct {
 	deciding      Decider
 	shadow        *decide.Balancer
 	counts        Counts
 	followed      map[decide.RequestID]*followedRequest
-	inFlight      map[decide.EndpointID]int // followed requests' attempts out, for real
-	shadowTimer   decide.Time               // when the watching balancer wants to be woken; 0 when it does not
-	shadowActions []decide.Action           // of the watching balancer
-	unmatched     []decide.Action           // of the deciding one at this event, those that were matched struck out
-	decided       []decide.Action           // the same, whole
+	inFlight      map[decide.EndpointID]int // real attempts of followed requests that are in flight, by endpoint
+	shadowTimer   decide.Time               // when the shadow wants a TimerDue event; 0 for never
+	shadowActions []decide.Action           // actions of the shadow that are not processed yet
+	unmatched     []decide.Action           // the deciding balancer's actions at this event; those that the shadow decided as well are changed to SetTimer
+	decided       []decide.Action           // all actions of the deciding balancer at this event
 }
 
-// followedRequest is a request that is followed. It ends when the request is over for real and has nothing out: its outcomes,
-// its final answer and a caller that leaves are all told.
+// followedRequest is a request whose handling is compared. It is kept until the request is done and none of its real
+// attempts is in flight: each attempt's outcome, the final answer and a caller that leaves are all events.
 type followedRequest struct {
-	endpoints   []decide.EndpointID // of the attempts made for real
-	inFlight    int                 // of them without an outcome
-	done        bool                // it has its final answer, or nobody waits for one
-	differed    bool                // the watching balancer did something else: from there on its view of the request is not real
-	shadowSends int                 // attempts that the watching balancer takes for sent
+	endpoints   []decide.EndpointID // of the real attempts, by their number
+	inFlight    int                 // real attempts without an outcome
+	done        bool                // it has its final answer, or its caller has left
+	differed    bool                // the shadow decided otherwise; from then on what the shadow assumes about the request is not real, and nothing more is compared
+	shadowSends int                 // attempts that the shadow decided to send
 }
 
-// New watches what set would decide beside a decider. It fails where set cannot be acted on.
+// New returns a comparison of deciding with a shadow that has the settings set. It fails if set is not valid.
 func New(deciding Decider, set decide.Settings, seed uint64) (*Comparison, error) {
-	watching, err := decide.New(set, seed)
+	shadow, err := decide.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Comparison{
-		deciding: deciding, shadow: watching,
+		deciding: deciding, shadow: shadow,
 		followed: map[decide.RequestID]*followedRequest{}, inFlight: map[decide.EndpointID]int{},
 	}, nil
 }
 
-// Avoided is the deciding one's, where it tells.
+// Avoided returns how many endpoints the deciding balancer avoids, or 0 if it does not report that.
 func (c *Comparison) Avoided() int {
 	if d, ok := c.deciding.(interface{ Avoided() int }); ok {
 		return d.Avoided()
@@ -88,8 +90,8 @@
 // Counts returns what has been counted so far.
 func (c *Comparison) Counts() Counts { return c.counts }
 
-// Handle has the deciding one handle the event, and then looks at what the watching one would have done. What it
-// returns is the deciding one's alone.
+// Handle passes the event to the deciding balancer and returns that one's actions alone; then it compares what the
+// shadow would have done.
 func (c *Comparison) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	before := len(actions)
 	actions = c.deciding.Handle(now, ev, actions)
@@ -99,10 +101,10 @@
 	return actions
 }
 
-// updateShadow tells the watching balancer of the event, as far as it concerns it, and compares.
+// updateShadow passes the event on to the shadow if it concerns it, and compares the actions.
 func (c *Comparison) updateShadow(now decide.Time, ev *decide.Event) {
 	switch ev.Kind {
-	case decide.TimerDue, decide.ProbeFinished: // the deciding one's own
+	case decide.TimerDue, decide.ProbeFinished: // of the deciding balancer alone: the shadow has its own
 	case decide.Arrived:
 		if len(c.followed) >= maxFollowed {
 			c.counts.NotFollowed++
@@ -126,9 +128,9 @@
 	c.trackRequests(now, ev)
 }
 
-// trackRequests books how far the requests of this event have come for real, and ends the views of those that are done. The
-// watching balancer has had its own attempts out until here, as it would have: after a difference they end with an
-// outcome that teaches nothing.
+// trackRequests records what really became of the requests of this event, and closes those that are done. Only then do
+// the shadow's own attempts of a request that differed end, as they would have been in flight until then; their outcome
+// NotSent teaches the shadow nothing about the endpoint.
 func (c *Comparison) trackRequests(now decide.Time, ev *decide.Event) {
 	for _, r := range c.decided {
 		if f := c.followed[r.Request]; f != nil {
@@ -142,7 +144,7 @@
 	}
 	if f := c.followed[ev.Request]; f != nil && (ev.Kind == decide.Finished || ev.Kind == decide.ClientLeft) {
 		if ev.Kind == decide.Finished && ev.Attempt < len(f.endpoints) {
-			// By what was sent: the event of an endpoint that has left the list names none.
+			// By the endpoint that was sent to: the event of an endpoint that has left the list does not name it.
 			f.inFlight--
 			if to := f.endpoints[ev.Attempt]; c.inFlight[to] > 1 {
 				c.inFlight[to]--
@@ -156,6 +158,8 @@
 	c.processShadowActions(now)
 }
 
+// closeIfDone stops following a request that is done and has no real attempt in flight. If the shadow differed, its
+// attempts and the request are ended in the shadow, too.
 func (c *Comparison) closeIfDone(now decide.Time, id decide.RequestID, f *followedRequest) {
 	if !f.done || f.inFlight > 0 {
 		return
@@ -170,14 +174,14 @@
 	c.endInShadow(now, decide.Event{Kind: decide.ClientLeft, Request: id})
 }
 
-// notifyShadow gives the watching balancer an event and looks at what it decides on it. Its probes are answered here:
-// nobody is asked, so an endpoint's answer is what this sidecar itself has out there.
+// notifyShadow passes an event to the shadow and processes what it decides.
 func (c *Comparison) notifyShadow(now decide.Time, ev *decide.Event) {
 	c.shadowActions = c.shadow.Handle(now, ev, c.shadowActions)
 	c.processShadowActions(now)
 }
 
-// processShadowActions goes through what the watching balancer has decided, what it decides meanwhile included.
+// processShadowActions processes the actions of the shadow, also those that it decides meanwhile. No probe is sent:
+// each is answered here at once, with this sidecar's own attempts in flight as the endpoint's load.
 func (c *Comparison) processShadowActions(now decide.Time) {
 	for i := 0; i < len(c.shadowActions); i++ {
 		a := c.shadowActions[i]
@@ -198,7 +202,8 @@
 	c.shadowActions = c.shadowActions[:0]
 }
 
-// compareAction looks for an action on a request among the deciding one's of this event, and takes it from there.
+// compareAction looks for the shadow's action among those of the deciding balancer at this event. It marks the match,
+// or counts a difference.
 func (c *Comparison) compareAction(a decide.Action) {
 	f := c.followed[a.Request]
 	if f == nil {
@@ -224,7 +229,8 @@
 	c.countDifference(f, a)
 }
 
-// compareUnmatched finds what the deciding one did and the watching one did not.
+// compareUnmatched counts the actions that the deciding balancer decided and the shadow did not. A cancellation alone
+// is no difference.
 func (c *Comparison) compareUnmatched() {
 	for _, r := range c.unmatched {
 		if f := c.followed[r.Request]; f != nil && !f.differed && concernsRequest(r) && r.Kind != decide.Cancel {
@@ -233,6 +239,7 @@
 	}
 }
 
+// concernsRequest reports whether an action is about a request, not about probes, timers or the list.
 func concernsRequest(a decide.Action) bool {
 	switch a.Kind {
 	case decide.Send, decide.Cancel, decide.Refuse, decide.Fail:
@@ -241,10 +248,11 @@
 	return false
 }
 
-// countDifference counts a difference by what the watching balancer did (SetTimer: nothing).
+// countDifference counts a difference by the shadow's action a; SetTimer stands for none. Nothing more of the request
+// is compared.
 func (c *Comparison) countDifference(f *followedRequest, a decide.Action) {
 	f.differed = true
-	sent := false // by the deciding one, at this event
+	sent := false // by the deciding balancer, at this event
 	for _, r := range c.decided {
 		sent = sent || r.Request == a.Request && r.Kind == decide.Send
 	}
@@ -266,7 +274,8 @@
 	}
 }
 
-// endInShadow tells the watching balancer of an end; look goes through what it decides on that.
+// endInShadow passes the end of an attempt or of a request to the shadow. trackRequests has its actions processed
+// later.
 func (c *Comparison) endInShadow(now decide.Time, ev decide.Event) {
 	c.shadowActions = c.shadow.Handle(now, &ev, c.shadowActions)
 }
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// probingSettings are settings under which endpoints are asked before a request goes.
+// probingSettings are settings under which endpoints are probed before a request is sent.
 func probingSettings() decide.Settings {
 	set := settings()
 	set.Entry, set.Peers, set.Limits.Probing = decide.PerCaller, 100, true
@@ -40,18 +40,19 @@
 	return b
 }
 
-// runRandomEvents plays random events to a decider that answers for its endpoints, and returns all its actions.
+// runRandomEvents passes random events to a decider, among them the outcomes of its attempts, and returns all its
+// actions.
 func runRandomEvents(d Decider, seed uint64) [][]decide.Action {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := decide.Time(time.Hour)
-	type out struct {
+	type attemptInFlight struct {
 		id      decide.RequestID
 		attempt int
 		to      decide.EndpointID
 		at      decide.Time
 	}
 	var all [][]decide.Action
-	var inFlight []out
+	var inFlight []attemptInFlight
 	attempts := map[decide.RequestID]int{}
 	done := map[decide.RequestID]bool{}
 	due := decide.Time(0)
@@ -61,7 +62,7 @@
 		for _, a := range actions {
 			switch a.Kind {
 			case decide.Send:
-				inFlight = append(inFlight, out{a.Request, attempts[a.Request], a.Endpoint, now + time.Duration(rng.IntN(300))*ms})
+				inFlight = append(inFlight, attemptInFlight{a.Request, attempts[a.Request], a.Endpoint, now + time.Duration(rng.IntN(300))*ms})
 				attempts[a.Request]++
 			case decide.Refuse, decide.Fail:
 				done[a.Request] = true
@@ -106,15 +107,16 @@
 	return all
 }
 
-// The watching balancer has no say: the same events bring the same actions with and without it.
+// Guards against a shadow that influences the deciding balancer: the same events bring the same actions with and
+// without it.
 func TestShadowChangesNothing(t *testing.T) {
 	for seed := range uint64(20) {
 		comparison, err := New(balancer(t, settings()), probingSettings(), 99)
 		if err != nil {
 			t.Fatal(err)
 		}
-		alone, watched := runRandomEvents(balancer(t, settings()), seed), runRandomEvents(comparison, seed)
-		if !reflect.DeepEqual(alone, watched) {
+		alone, compared := runRandomEvents(balancer(t, settings()), seed), runRandomEvents(comparison, seed)
+		if !reflect.DeepEqual(alone, compared) {
 			t.Fatalf("seed %d: other actions with a watch than without", seed)
 		}
 		c := comparison.Counts()
@@ -127,7 +129,7 @@
 	}
 }
 
-// The same settings and seed see no difference at all.
+// With the same settings and seed there is no difference at all.
 func TestSameSettingsAgree(t *testing.T) {
 	comparison, err := New(balancer(t, settings()), settings(), 7)
 	if err != nil {
@@ -143,12 +145,12 @@
 	}
 }
 
-// Each kind of difference is counted as what the watched settings would have done.
+// Each kind of difference is counted by what the shadow would have done.
 func TestDifferenceKinds(t *testing.T) {
 	one := []decide.Endpoint{{ID: 1, Zone: "z", Weight: 1}}
 	arrive := decide.Event{Kind: decide.Arrived, Request: 1, Class: "look", Grace: time.Second}
 	for name, c := range map[string]struct {
-		change func(real, watched *decide.Settings)
+		change func(real, shadow *decide.Settings)
 		events []decide.Event
 		want   Counts
 	}{
@@ -158,19 +160,19 @@
 			Counts{Followed: 1, Same: 1, Retried: 1},
 		},
 		"refused": {
-			func(_, watched *decide.Settings) { watched.Limits.MaxAttempts = 1 },
+			func(_, shadow *decide.Settings) { shadow.Limits.MaxAttempts = 1 },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
 			Counts{Followed: 1, Same: 1, Refused: 1},
 		},
 		"failed": {
-			func(_, watched *decide.Settings) { watched.Classes[0].Effect = decide.Unsafe },
+			func(_, shadow *decide.Settings) { shadow.Classes[0].Effect = decide.Unsafe },
 			[]decide.Event{arrive, {Kind: decide.Finished, Request: 1, Endpoint: 1, Outcome: decide.ServerError, Latency: ms}},
 			Counts{Followed: 1, Same: 1, Failed: 1},
 		},
 	} {
-		real, watched := settings(), settings()
-		c.change(&real, &watched)
-		comparison, err := New(balancer(t, real), watched, 99)
+		real, shadow := settings(), settings()
+		c.change(&real, &shadow)
+		comparison, err := New(balancer(t, real), shadow, 99)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,7 +186,7 @@
 	}
 }
 
-// Guards against counts that nothing ends: the outcome at an endpoint that has left the list names no endpoint.
+// Guards against entries that are never removed: the outcome at an endpoint that has left the list names no endpoint.
 func TestOutcomeWithoutAnEndpoint(t *testing.T) {
 	comparison, err := New(balancer(t, settings()), probingSettings(), 99)
 	if err != nil {
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -226,8 +226,8 @@
 			t.Fail(key, "unknown key", allowed)
 		}
 	}
-	for _, inner := range t.children {
-		inner.reportUnknown()
+	for _, child := range t.children {
+		child.reportUnknown()
 	}
 }
 
