--- a/cmd/heathgap-cli/main.go
+++ b/cmd/heathgap-cli/main.go
@@ -1,5 +1,5 @@
-// Command heathgap-cli is the command line of heathgap, which starts it when it
-// is given arguments.
+// Command heathgap-cli is the command line of heathgap. bin/heathgap replaces itself by it when it is started with
+// arguments.
 package main
 
 import (
--- a/cmd/heathgap-crew/main.go
+++ b/cmd/heathgap-crew/main.go
@@ -1,6 +1,6 @@
-// Command heathgap-crew is a sidecar that is a member of a crew, and a keeper of it where its operator's file says so.
-// bin/heathgap-cli starts it in the place of bin/heathgap when the operator's file has a table [crew]: the agreement's
-// libraries would cost a sidecar without a crew 3 MB.
+// Command heathgap-crew is a sidecar that is a member of a cluster, and a voter if its operator's file makes it one.
+// bin/heathgap-cli starts it instead of bin/heathgap when the operator's file has a table [crew]: the raft libraries
+// would cost a sidecar outside a cluster 3 MB.
 package main
 
 import (
--- a/cmd/heathgap/main.go
+++ b/cmd/heathgap/main.go
@@ -1,8 +1,8 @@
 // Command heathgap is one sidecar: the load balancer of one caller.
 //
-// With arguments it becomes heathgap-cli, which stands beside it. The parser of
-// the command line keeps the linker from dropping code, 7 MB of it, of which a
-// sidecar would have 2.5 MB mapped; so it is no part of this program.
+// Started with arguments, it replaces itself by heathgap-cli from the same folder. The command line's parser is not
+// part of this program because it keeps the linker from dropping 7 MB of code, of which a sidecar would have 2.5 MB
+// mapped.
 package main
 
 import (
@@ -22,7 +22,7 @@
 	os.Exit(lifecycle.Process())
 }
 
-// becomeCLI returns only if it fails.
+// becomeCLI replaces this process by heathgap-cli. It returns only if that fails.
 func becomeCLI() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/heathlab/main.go
+++ b/cmd/heathlab/main.go
@@ -1,5 +1,5 @@
-// Command heathlab plays scenarios: real sidecars between stand-ins on loopback,
-// under load and faults, with a book that checks the rules.
+// Command heathlab runs scenarios: real sidecars with fake endpoints and a fake discovery on loopback, under load and
+// faults, and a checker that verifies the rules.
 package main
 
 import (
--- a/deploy/ci_test.go
+++ b/deploy/ci_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards against a list of known failures that lets through what it should not: lines that nobody can read or play again,
-// tests that were never there, tests that are listed twice.
+// Guards against a list of known failures with lines that can't be read or reproduced, with tests that do not exist, or
+// with tests that are listed twice.
 func TestKnownRed(t *testing.T) {
 	const (
 		good  = "./deploy TestKnownRed | go test ./deploy -run TestKnownRed -seed 7 | it is an example | issue 42\n"
@@ -49,7 +49,7 @@
 			t.Errorf("%s: said %q, want one line with %q", name, said, c.fault)
 		}
 	}
-	// The list that stands holds.
+	// The list in the repository is valid.
 	cmd := exec.Command(filepath.Join(".ci", "known-red"), "KNOWN-RED.txt")
 	cmd.Dir = ".."
 	if out, err := cmd.CombinedOutput(); err != nil {
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,4 +1,4 @@
-// Package deploy_test reads the operators' files as their bench does.
+// Package deploy_test checks the deploy files in the way in which the operators' test bench reads them.
 package deploy_test
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// value returns what the key of deploy/balancer.toml holds.
+// value returns the string under a key of deploy/balancer.toml.
 func value(t *testing.T, key string) string {
 	t.Helper()
 	text, err := os.ReadFile("balancer.toml")
@@ -22,8 +22,9 @@
 	return string(m[1])
 }
 
-// TestLinkMode guards against a deploy file that loses the dynamic link against the C library: the operators'
-// standing test can't lead a static program's sockets and clocks to itself, and the program would not start there.
+// TestLinkMode guards against a deploy file that loses the dynamic link against the C library: the operators' standing
+// test redirects the program's sockets and clocks to itself, which it can't do with a static program. That program
+// would not start there.
 func TestLinkMode(t *testing.T) {
 	build := value(t, "build")
 	if !strings.Contains(build, "go build -ldflags=-linkmode=external ") {
--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -298,7 +298,7 @@
 
 type clusterPropose struct {
 	clusterOptions
-	File   string        `arg:"" help:"The version's document (TOML): all that is in effect from then on, not only what changes."`
+	File   string        `arg:"" help:"The version's document (TOML): all that holds from then on, not what changes."`
 	Note   string        `help:"The reason, for people; used instead of the file's note."`
 	Parent *uint64       `help:"The version that this one follows; the active one if not given."`
 	Wait   time.Duration `default:"30s" help:"How long to wait until the version is active. After that the command fails, and the version goes on by itself."`
--- a/internal/jsonread/jsonread.go
+++ b/internal/jsonread/jsonread.go
@@ -1,4 +1,4 @@
-// Package jsonread reads JSON objects by key and says which key is at fault.
+// Package jsonread reads values of JSON objects by key. Its errors name the key that is at fault.
 package jsonread
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/valyala/fastjson"
 )
 
-// Object reads values by key and keeps the first error. Absent keys read as
-// zero; unknown keys are passed over.
+// Object reads values of an object by key and keeps the first error. Absent keys read as zero values; unknown keys are
+// ignored.
 type Object struct {
 	v    *fastjson.Value
 	path string
 	err  *error
 }
 
-// New returns a reader of v, or an error if v is no object.
+// New returns a reader of v, or an error if v is not an object.
 func New(v *fastjson.Value) (Object, error) {
 	if v == nil {
 		return Object{}, fmt.Errorf("want an object, got nothing")
@@ -28,22 +28,23 @@
 	return Object{v: v, err: new(error)}, nil
 }
 
-// Err returns the first error met by this reader and those made from it.
+// Err returns the first error of this reader and of those made from it by Child and Children.
 func (o Object) Err() error { return *o.err }
 
-// Fail records that the value of a key is not what is wanted.
+// Fail records that the value of a key is not what is expected, unless there is an error already.
 func (o Object) Fail(key, want, got string) {
 	if *o.err == nil {
 		*o.err = fmt.Errorf("%s%s: want %s, got %s", o.path, key, want, got)
 	}
 }
 
-// Has tells whether the key is there and not null.
+// Has reports whether the key is present and not null.
 func (o Object) Has(key string) bool {
 	v := o.v.Get(key)
 	return v != nil && v.Type() != fastjson.TypeNull
 }
 
+// get returns the value of a key, or nil if it is absent or has none of the types.
 func (o Object) get(key, want string, types ...fastjson.Type) *fastjson.Value {
 	if !o.Has(key) {
 		return nil
@@ -67,7 +68,7 @@
 	return v.GetFloat64()
 }
 
-// Integer reads a whole number.
+// Integer reads an integer.
 func (o Object) Integer(key string) int64 {
 	v := o.get(key, "a whole number", fastjson.TypeNumber)
 	if v == nil {
@@ -109,13 +110,13 @@
 	return v != nil && v.GetBool()
 }
 
-// Child returns the object under a key; an absent one reads as empty.
+// Child returns the object under a key; an absent one reads as an empty object.
 func (o Object) Child(key string) Object {
 	v := o.get(key, "an object", fastjson.TypeObject)
 	return Object{v: v, path: o.path + key + ".", err: o.err}
 }
 
-// Array returns the values of the array under a key; none if it is absent.
+// Array returns the values of the array under a key, or nil if it is absent.
 func (o Object) Array(key string) []*fastjson.Value {
 	v := o.get(key, "an array", fastjson.TypeArray)
 	if v == nil {
@@ -124,7 +125,7 @@
 	return v.GetArray()
 }
 
-// Children returns the objects of the array under a key.
+// Children returns readers of the objects in the array under a key.
 func (o Object) Children(key string) []Object {
 	var all []Object
 	for i, item := range o.Array(key) {
@@ -138,7 +139,7 @@
 	return all
 }
 
-// Enum translates a name by a table; an absent name is the table's zero value.
+// Enum returns the table's value for the name under a key, or the zero value for an absent name.
 func Enum[T any](o Object, key string, table map[string]T) (t T) {
 	name := o.Text(key)
 	if name == "" {
@@ -151,8 +152,7 @@
 	return t
 }
 
-// Duration turns a number of milliseconds into a duration, rounded to the
-// microsecond.
+// Duration converts a number of milliseconds, rounded to the microsecond.
 func Duration(v *fastjson.Value) (time.Duration, error) {
 	ms, err := v.Float64()
 	if err != nil {
--- a/internal/metrics/listcalls.go
+++ b/internal/metrics/listcalls.go
@@ -6,18 +6,18 @@
 	"github.com/rs/zerolog"
 )
 
-// ListCallEnd says how a call to discovery ended.
+// ListCallEnd is how a call to discovery ended.
 type ListCallEnd uint8
 
-// The ends of a call to discovery. Only the first brings a list.
+// The ends of a call to discovery. Only ListAnswered brings a list.
 const (
 	ListAnswered     ListCallEnd = iota
-	ListRefused                  // answered with a status other than 200
-	ListMalformed                // answered with what is no list
-	ListTimedOut                 // no answer in time, or one that stood still
-	ListBroken                   // its connection ended before a whole answer
-	ListNotConnected             // there was no connection
-	ListCanceled                 // this sidecar ended it: a reload, its own end, another call that was answered first
+	ListRefused                  // the answer had a status other than 200
+	ListMalformed                // the answer was not a valid list
+	ListTimedOut                 // no answer in time, or one that stalled
+	ListBroken                   // the connection ended before a complete answer
+	ListNotConnected             // no connection could be opened
+	ListCanceled                 // the sidecar canceled the call: at a reload, at its own end, or because another call was answered first
 	numListCallEnds
 )
 
@@ -25,13 +25,13 @@
 	"answered", "refused", "malformed", "silent", "broken", "not_connected", "called_off",
 }
 
-// String is the end's name in log and figures.
+// String returns the end's name in logs and metrics.
 func (e ListCallEnd) String() string { return listCallEndNames[e] }
 
-// ListCalls counts calls to discovery by their ends. Any goroutine may count and read.
+// ListCalls counts calls to discovery by how they ended. It is safe for concurrent use.
 type ListCalls [numListCallEnds]atomic.Int64
 
-// Count books a call that has ended.
+// Count records the end of a call.
 func (c *ListCalls) Count(end ListCallEnd) { c[end].Add(1) }
 
 // MarshalZerologObject writes the counts into a log line.
@@ -41,7 +41,7 @@
 	}
 }
 
-// appendMetrics writes the counts as figures, a line each.
+// appendMetrics writes the counts as metrics, one per line.
 func (c *ListCalls) appendMetrics(text []byte) []byte {
 	for end := range c {
 		text = Append(text, "list_calls."+listCallEndNames[end], c[end].Load(), Counter)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds what a sidecar counts for its operators: one set of counts
-// for each class, read while they change. The log's sums come from the same counts.
+// Package metrics holds the counters and gauges of a sidecar, those of requests by class. They can be read while they
+// change. The totals in the log come from the same counters.
 package metrics
 
 import (
@@ -8,40 +8,39 @@
 	"sync/atomic"
 )
 
-// End says how a request that was taken has ended.
+// End is how a request that the sidecar accepted has ended.
 type End uint8
 
-// The ends.
+// The ends of a request.
 const (
 	Served     End = iota
 	Refused        // answered 429 or 503: trying again is harmless
-	Failed         // any other answer, or one that broke off half way
-	CallerLeft     // its caller went before its answer
+	Failed         // any other answer, or one that was interrupted
+	CallerLeft     // the caller disconnected before its answer
 	numEnds
 )
 
-// endNames are the figures' names of ends; one whose caller has gone has no figure.
+// endNames are the metric names of the ends. CallerLeft has no metric.
 var endNames = [...]string{Served: "ok", Refused: "shed", Failed: "errors"}
 
-// prefix stands before each figure's name.
+// prefix precedes each metric's name.
 const prefix = "sidecar."
 
-// Set is all figures of one process, from 0 at its start. Any goroutine may count
-// and read.
+// Set holds all metrics of one process, counted from 0 at its start. It is safe for concurrent use.
 type Set struct {
-	names   []string // of classes, sorted
+	names   []string // the classes, sorted
 	classes map[string]*[numEnds]atomic.Int64
 
-	Attempts atomic.Int64 // attempts written whole to endpoints
-	Active   atomic.Int64 // requests taken whose answer is not written to its end
+	Attempts atomic.Int64 // attempts written completely to endpoints
+	Active   atomic.Int64 // requests accepted whose answer is not written completely
 	Pool     atomic.Int64 // endpoints in the list
-	Ejected  atomic.Int64 // of them those that are avoided now
+	Ejected  atomic.Int64 // endpoints in the list that are avoided at present
 
 	ListCalls   ListCalls    // calls to discovery
-	ListStaleMS atomic.Int64 // milliseconds for which discovery may have had news that have not come; 0 while none are missed
+	ListStaleMS atomic.Int64 // for how long discovery may have had a newer list, in milliseconds; 0 while the list is up to date
 }
 
-// New returns a board for classes with these names.
+// New returns the metrics of a process with these classes.
 func New(classes []string) *Set {
 	s := &Set{names: slices.Sorted(slices.Values(classes)), classes: map[string]*[numEnds]atomic.Int64{}}
 	for _, name := range classes {
@@ -50,15 +49,15 @@
 	return s
 }
 
-// Count books the end of a request. A class that the board does not know is passed
-// over: no request of one is ever taken.
+// Count records the end of a request. It ignores a class that the set does not know: no request of such a class is ever
+// accepted.
 func (s *Set) Count(class string, end End) {
 	if c := s.classes[class]; c != nil {
 		c[end].Add(1)
 	}
 }
 
-// Total is how many requests of all classes have ended so.
+// Total returns how many requests of all classes have ended in this way.
 func (s *Set) Total(end End) int {
 	n := int64(0)
 	for _, c := range s.classes {
@@ -67,8 +66,7 @@
 	return int(n)
 }
 
-// Append writes all figures, a line each: counts as name:value|c, present values as
-// name:value|g.
+// Append writes all metrics, one per line: counters as name:value|c, gauges as name:value|g.
 func (s *Set) Append(text []byte) []byte {
 	for _, class := range s.names {
 		for end, name := range endNames {
@@ -83,13 +81,13 @@
 	return Append(text, "list_unheard_ms", s.ListStaleMS.Load(), Gauge)
 }
 
-// The kinds of figures.
+// The kinds of metrics.
 const (
-	Counter = 'c' // from 0 at the process's start
+	Counter = 'c' // counted from 0 at the process's start
 	Gauge   = 'g'
 )
 
-// Append writes one figure's line.
+// Append writes the line of one metric.
 func Append(text []byte, name string, value int64, kind byte) []byte {
 	text = append(append(append(text, prefix...), name...), ':')
 	text = strconv.AppendInt(text, value, 10)
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -9,50 +9,51 @@
 	"heathgap/internal/tomlread"
 )
 
-// Cluster is the table [crew]: which crew a sidecar is in, and on which terms.
+// Cluster is the table [crew]: the cluster that a sidecar belongs to, and its parameters.
 type Cluster struct {
 	Name    string
-	Address string // where peers reach this process
-	DataDir string // folder, of a keeper alone
+	Address string // where the other sidecars of the cluster reach this process
+	DataDir string // data directory; needed by voters only
 	Params  clusterparams.Params
-	// ContradictAtMost is how long two members may act on rules that contradict each other.
+	// ContradictAtMost is the longest time for which two members may apply rules that contradict each other.
 	ContradictAtMost time.Duration
-	Voters           map[string]string // addresses by the names of their sidecars
-	// Routes are addresses by members' names, where this process reaches one by another address than that one's own.
+	Voters           map[string]string // addresses by the names of the voters' sidecars
+	// Routes are addresses by members' names, for members that this process reaches at another address than their own.
 	Routes   map[string]string
 	Holdings Holdings
 }
 
-// WhenAlone says what is done with a request whose copies can't be had in time.
+// WhenAlone is what happens to a request whose copies can't be written in time.
 type WhenAlone uint8
 
-// The ways.
+// The values of when_alone.
 const (
-	RefuseAlone  WhenAlone = iota // it is refused, with a time to return
-	ProceedAlone                  // it goes on, and nothing is promised
+	RefuseAlone  WhenAlone = iota // the request is refused, with a time to retry
+	ProceedAlone                  // the request proceeds, without the guarantees of holdings
 )
 
-// Holdings is the table [holdings]: what the sidecars of the crew hold for one another. Its terms stand among the crew's.
+// Holdings is the table [holdings]: the keyed requests and outcomes that the sidecars of the cluster store for each
+// other. The part that all sidecars must share is in Params.Holdings.
 type Holdings struct {
-	Classes    map[string]WhenAlone // whose requests are held
+	Classes    map[string]WhenAlone // the classes whose requests are stored
 	MaxEntries int
-	MaxBody    int // bytes of an answer that is kept
+	MaxBody    int // bytes of an answer that is stored
 }
 
-// Defaults and bounds of holdings.
+// Defaults and limits of holdings.
 const (
 	defaultCopies    = 2
-	defaultKeep      = 10 * time.Minute // above the windows of most classes
-	defaultLostAfter = 30 * time.Second // above a restart, or a short cut
-	defaultEntries   = 200_000          // some 60 MB with short answers
+	defaultKeep      = 10 * time.Minute // longer than the windows of most classes
+	defaultLostAfter = 30 * time.Second // longer than a restart or a short network partition
+	defaultEntries   = 200_000          // about 60 MB with short answers
 	minEntries       = 1000
 	maxEntries       = 5_000_000
 	defaultBody      = 16 << 10
 	maxBody          = 64 << 10
-	maxClasses       = 64 // classes
+	maxClasses       = 64 // of classes
 )
 
-// decodeHoldings reads [holdings] into a crew's table.
+// decodeHoldings reads [holdings] into c.
 func decodeHoldings(t *tomlread.Table, c *Cluster) {
 	t.Need("class", "[[holdings.class]] with name and when_alone, one for each class whose requests are held")
 	c.Params.Holdings = clusterparams.Holdings{
@@ -73,10 +74,10 @@
 	}
 }
 
-// Defaults and bounds of the terms.
+// Defaults and limits of the cluster parameters.
 const (
-	defaultLease      = 2 * time.Second // a lost leader costs about one: elections take 0.5 to 1 s
-	defaultDrift      = 0.01            // far above any clock that NTP steers; a virtual machine's may be worse
+	defaultLease      = 2 * time.Second // the loss of a leader costs about one lease: elections take 0.5 to 1 s
+	defaultDrift      = 0.01            // far more than a clock that NTP steers; that of a virtual machine may be worse
 	defaultSlack      = 200 * time.Millisecond
 	defaultContradict = 2500 * time.Millisecond
 	maxSlack          = 10 * time.Second
@@ -99,7 +100,7 @@
 		Voters:           map[string]string{},
 	}
 	if wait := c.Params.LessorWait(); wait > c.ContradictAtMost {
-		// The line of what an operator would change first.
+		// Report the line of the key that an operator would change first.
 		key := "contradict_at_most"
 		if !t.Has(key) {
 			key = "lease"
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,7 +1,6 @@
-// Package operator reads the operator's file: what the people who run heathgap
-// set for an installation of their own. All of it is off or neutral by default,
-// so that a sidecar without the file does as it always did. Each subsystem has a
-// table there; deploy/operator.toml documents every key.
+// Package operator reads the operator's file: the settings of the people who run heathgap, for their own installation.
+// All of them are off or neutral by default, so that a sidecar without the file behaves as it did before there was one.
+// Each subsystem has its own table; deploy/operator.toml documents every key.
 package operator
 
 import (
@@ -16,43 +15,42 @@
 	"heathgap/internal/tomlread"
 )
 
-// Bounds of sampling.
+// Limits of log sampling.
 const (
 	everyLine         = 1
-	maxSampleInterval = 1_000_000 // of so many lines one is written: fewer would show nothing
+	maxSampleInterval = 1_000_000 // one of so many lines is written; still fewer would show nothing
 )
 
-// File is the operator's file.
+// File is the content of the operator's file.
 type File struct {
 	Log     Log
 	Shadow  Shadow
-	Cluster *Cluster // nil for a sidecar in no crew
+	Cluster *Cluster // nil for a sidecar outside any cluster
 }
 
 // Shadow is the table [watch].
 type Shadow struct {
-	// Settings are those that the sidecar watches beside the ones that it decides by; nil when it watches none.
+	// Settings are those of the shadow balancer, whose decisions are compared with the real ones; nil for no shadow.
 	Settings *decide.Settings
 }
 
 // Log is the table [log].
 type Log struct {
 	Level zerolog.Level
-	// ConnectionEnded samples the lines "connection ended" of level info: of so
-	// many one is written. Warnings are always written.
+	// ConnectionEnded is the sampling of the lines "connection ended" of level info: one of so many is written.
+	// Warnings are always written.
 	ConnectionEnded int
 }
 
-// Default is what holds without a file.
+// Default returns the values that apply without a file.
 func Default() File {
 	return File{Log: Log{Level: zerolog.InfoLevel, ConnectionEnded: everyLine}}
 }
 
-// EnvFile is the variable of the environment that names the operator's file to a
-// sidecar; "heathgap serve --operator" sets it.
+// EnvFile is the environment variable that names the operator's file to a sidecar; "heathgap serve --operator" sets it.
 const EnvFile = "HEATHGAP_OPERATOR"
 
-// FromEnv loads the file that the environment names, or returns the defaults.
+// FromEnv loads the file that the environment names, or returns the defaults if it names none.
 func FromEnv(env func(string) string) (File, error) {
 	if path := env(EnvFile); path != "" {
 		return Load(path)
@@ -60,7 +58,7 @@
 	return Default(), nil
 }
 
-// Load reads and checks a file. Its error tells all that is wrong, a line each.
+// Load reads and checks a file. Its error reports all that is wrong, one fault per line.
 func Load(path string) (File, error) {
 	doc, err := tomlread.Load(path)
 	if err != nil {
@@ -69,8 +67,7 @@
 	return decode(doc)
 }
 
-// levels are those that can be set: below info there are no lines, and errors are
-// always written.
+// levels are the allowed log levels: there are no lines below info, and errors are always written.
 var levels = map[string]zerolog.Level{
 	"info": zerolog.InfoLevel, "warn": zerolog.WarnLevel, "error": zerolog.ErrorLevel,
 }
@@ -88,14 +85,14 @@
 		}
 		f.Shadow.Settings = set
 	}
-	doc.Root.Skip("crew", "holdings") // tables that may stand there
+	doc.Root.Skip("crew", "holdings") // optional tables, read below
 	if doc.Root.Has("crew") {
 		f.Cluster = decodeCluster(doc.Root.Table("crew"))
 	}
 	switch {
 	case !doc.Root.Has("holdings"):
 	case f.Cluster == nil:
-		doc.Root.Fail("holdings", "a table, and none [crew]", "[holdings] beside [crew]: a crew's sidecars hold for one another")
+		doc.Root.Fail("holdings", "a table, but there is no table [crew]", "[holdings] beside [crew]: a crew's sidecars hold for one another")
 	default:
 		decodeHoldings(doc.Root.Table("holdings"), f.Cluster)
 	}
@@ -105,8 +102,8 @@
 	return f, nil
 }
 
-// loadShadowSettings reads and checks the settings to be watched: the object that stands under "settings" in a sidecar's
-// configuration.
+// loadShadowSettings reads and checks the settings of the shadow: a JSON file with the object that stands under
+// "settings" in a sidecar's configuration.
 func loadShadowSettings(path string) (*decide.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// The documented file is a good one, and sets nothing but the defaults.
+// The documented file is valid, and sets nothing but the defaults.
 func TestDocumentedFileSetsDefaults(t *testing.T) {
 	f, err := Load("../../deploy/operator.toml")
 	if err != nil || f != Default() {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against faults that are passed over, or of which only the first is told.
+// Guards against faults that are ignored, or of which only the first is reported.
 func TestReportsAllFaults(t *testing.T) {
 	_, err := loadText(t, "[log]\nlevel = \"loud\"\nconnection_ended_every = 0\nlevle = 1\n[tenants]\n")
 	if err == nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// The crew's table as deploy/operator.toml shows it, and what is wrong with one, by line.
+// The table [crew] as deploy/operator.toml shows it is valid and has the defaults. Faulty tables are reported by line.
 func TestClusterTable(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes what a balancer is told at its start. The simulator
-// and the sidecar hand over the same object, and both read it here.
+// Package settings decodes the settings that a balancer gets at its start. The simulator and the sidecar pass the same
+// JSON object, and both decode it here.
 package settings
 
 import (
@@ -12,12 +12,12 @@
 	"heathgap/internal/jsonread"
 )
 
-// Transport is the part of the settings that the module has no use for:
-// figures of connections and of what may be held.
+// Transport is the part of the settings that the decision module does not use: limits of connections and of pending
+// requests.
 type Transport struct {
-	ConnectTimeout time.Duration // a connection that is not made by then has failed
-	IdleTimeout    time.Duration // endpoints close connections that are idle for so long
-	MaxPending     int           // requests an instance may have open; 0 for no limit
+	ConnectTimeout time.Duration // opening a connection fails after this time
+	IdleTimeout    time.Duration // endpoints close connections that are idle for this long
+	MaxPending     int           // requests that an instance may have pending; 0 for no limit
 }
 
 var effects = map[string]decide.Effect{
@@ -28,7 +28,7 @@
 	"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell,
 }
 
-// reportModes are the words for how endpoints tell their load; an absent one is silence.
+// reportModes are the names for how endpoints report their load. Without a name, they do not report it.
 var reportModes = map[string]decide.ReportMode{
 	"silent": decide.ReportNever, "piggyback": decide.ReportWithAnswers, "pull": decide.ReportWithProbes,
 }
@@ -37,7 +37,7 @@
 	"outstanding": decide.Outstanding, "utilization": decide.Utilization,
 }
 
-// Decode reads the settings an instance is started with.
+// Decode decodes the settings that an instance is started with.
 func Decode(v *fastjson.Value) (decide.Settings, Transport, error) {
 	o, err := jsonread.New(v)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// What is read for the shape with a sidecar beside every client; without it the settings are those of a pool.
+// Settings for a sidecar beside every client (family "mesh") are decoded; with another family they are those of a pool.
 func TestDecodePerCaller(t *testing.T) {
 	const classes = `"profiles":[{"name":"p","effect":"once","aim":800,"deadline":2000,"worth":3}]`
 	s, _, err := Decode(parse(t, `{"family":"mesh","bounds":{"probing":true},"deductions":{"probe":0.002},
@@ -75,7 +75,7 @@
 	}
 }
 
-// Each message names the key that is at fault, with its place.
+// Each error names the key that is at fault, with its path.
 func TestDecodeNamesTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`[]`:                               "want an object",
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -1,9 +1,7 @@
-// Package tomlread reads the TOML files that people write for heathgap. It is
-// strict and tells all that is wrong with a file at once: each error names file,
-// line and key, what was found and what is allowed.
+// Package tomlread reads the TOML files that people write for heathgap. It is strict and reports all that is wrong with
+// a file at once: each error names the file, the line and the key, what was found and what is allowed.
 //
-// go-toml parses; this package knows on which line a key stands, which keys were
-// asked for, and which bounds a value has.
+// go-toml parses the text. This package adds the line of each key, the check for unknown keys, and limits for values.
 package tomlread
 
 import (
@@ -20,19 +18,19 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxFile bounds a file, in bytes: what people write by hand is far smaller.
+// maxFile limits the size of a file, in bytes: files that people write by hand are far smaller.
 const maxFile = 1 << 20
 
-// Error is one thing that is wrong with a file.
+// Error is one fault of a file.
 type Error struct {
 	File    string
-	Line    int    // from 1
-	Key     string // dotted, with places in arrays, such as tier[1].cores; empty for the file as a whole
+	Line    int    // counted from 1
+	Key     string // dotted, with indexes in arrays, such as tier[1].cores; empty for the file as a whole
 	Found   string
-	Allowed string // empty where nothing but another text would do
+	Allowed string // empty if there is nothing to list, as for a syntax error
 }
 
-// Error is one line.
+// Error returns the fault as one line.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s:%d: ", e.File, e.Line)
 	if e.Key != "" {
@@ -45,10 +43,10 @@
 	return text
 }
 
-// Errors are all that is wrong with a file, in the order of its lines.
+// Errors are all faults of a file, in the order of its lines.
 type Errors []*Error
 
-// Error is one line an error.
+// Error returns one line per fault.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, one := range e {
@@ -60,12 +58,12 @@
 // Doc is a file that is being read.
 type Doc struct {
 	file  string
-	lines map[string]int // of the keys that stand there
+	lines map[string]int // by the path of each key in the file
 	errs  Errors
 	Root  *Table
 }
 
-// Load parses the file at a path.
+// Load reads and parses the file at a path.
 func Load(path string) (*Doc, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -81,7 +79,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses a file's text; the name is for errors.
+// Parse parses a file's text. The file's name is used in errors only.
 func Parse(file string, text []byte) (*Doc, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
@@ -98,7 +96,7 @@
 	return d, nil
 }
 
-// Err returns all that was found wrong, also the keys that nobody asked for.
+// Err returns all faults that were found, including the keys that no reader has requested.
 func (d *Doc) Err() error {
 	d.Root.reportUnknown()
 	if len(d.errs) == 0 {
@@ -108,10 +106,10 @@
 	return d.errs
 }
 
-// lineIndex tells the line of each key of a text that go-toml takes.
+// lineIndex returns the line of each key in a text that go-toml accepts.
 func lineIndex(text []byte) map[string]int {
 	lines := map[string]int{}
-	counts := map[string]int{} // of the tables in an array so far
+	counts := map[string]int{} // of the elements so far, by the path of an array of tables
 	var p unstable.Parser
 	p.Reset(text)
 	prefix := ""
@@ -136,8 +134,8 @@
 	return lines
 }
 
-// indexKey books the line of a dotted key and returns its path. A table under an
-// array's stands in the newest one of that array.
+// indexKey records the line of a dotted key and returns its path. A key below an array of tables belongs to the array's
+// last element so far.
 func indexKey(p *unstable.Parser, it unstable.Iterator, prefix string, lines, counts map[string]int) string {
 	path := prefix
 	for it.Next() {
@@ -153,7 +151,7 @@
 	return path
 }
 
-// indexValue books the lines of a key and of what an inline table under it holds.
+// indexValue records the lines of a key and of the keys in an inline table under it.
 func indexValue(p *unstable.Parser, e *unstable.Node, prefix string, lines, counts map[string]int) {
 	path := indexKey(p, e.Key(), prefix, lines, counts)
 	if v := e.Value(); v.Kind == unstable.InlineTable {
@@ -171,8 +169,8 @@
 	return path + "." + key
 }
 
-// Table is one table of a file. Its readers return the default where a key is
-// absent, and also where its value is not allowed, which is then told by Err.
+// Table is a table of a file. Its readers return the default if a key is absent, and also if its value is not allowed;
+// Err then reports the fault.
 type Table struct {
 	doc      *Doc
 	path     string
@@ -181,13 +179,13 @@
 	children []*Table
 }
 
-// Has tells whether a key stands there.
+// Has reports whether a key is present.
 func (t *Table) Has(key string) bool {
 	_, there := t.values[key]
 	return there
 }
 
-// Line is the line of a key, or of the table where the key is absent.
+// Line returns the line of a key, or that of the table if the key is absent.
 func (t *Table) Line(key string) int {
 	for path := join(t.path, key); path != ""; path = parent(path) {
 		if line := t.doc.lines[path]; line > 0 {
@@ -197,32 +195,32 @@
 	return 1
 }
 
-// parent takes the last part off a path: a place in an array, or a key.
+// parent removes the last element of a path: an array index or a key.
 func parent(path string) string {
 	return path[:max(0, strings.LastIndexAny(path, ".["))]
 }
 
-// Fail tells that a key's value can't be taken.
+// Fail records that a key's value is not allowed.
 func (t *Table) Fail(key, found, allowed string) {
 	t.doc.errs = append(t.doc.errs, &Error{
 		File: t.doc.file, Line: t.Line(key), Key: join(t.path, key), Found: found, Allowed: allowed,
 	})
 }
 
-// lookup returns the value of a key and marks it as asked for.
+// lookup returns the value of a key and marks the key as known.
 func (t *Table) lookup(key string) (any, bool) {
 	t.used[key] = true
 	v, there := t.values[key]
 	return v, there
 }
 
-// reportUnknown tells the keys that nobody asked for, here and below.
+// reportUnknown records a fault for each key that no reader has requested, in this table and those below.
 func (t *Table) reportUnknown() {
-	// Guards against an unknown key that the line of the next one names as allowed.
+	// Computed before the loop: otherwise one unknown key would be listed as allowed in the fault of the next.
 	allowed := strings.Join(slices.Sorted(maps.Keys(t.used)), ", ")
 	for key := range t.values {
 		if !t.used[key] {
-			t.used[key] = true // told once
+			t.used[key] = true // reported once, also if Err is called again
 			t.Fail(key, "unknown key", allowed)
 		}
 	}
@@ -243,14 +241,14 @@
 	return fmt.Sprint(v)
 }
 
-// Skip marks keys as asked for whose values do not matter any more.
+// Skip marks keys as known without reading them.
 func (t *Table) Skip(keys ...string) {
 	for _, key := range keys {
 		t.used[key] = true
 	}
 }
 
-// Need tells that a key is missing, if it is.
+// Need records a fault if a key is missing.
 func (t *Table) Need(key, allowed string) {
 	if !t.Has(key) {
 		t.used[key] = true
@@ -274,7 +272,7 @@
 	return s
 }
 
-// Enum reads one of a few words.
+// Enum reads a string that has to be one of a few values.
 func (t *Table) Enum(key, defaultValue string, values ...string) string {
 	v, there := t.lookup(key)
 	if !there {
@@ -287,7 +285,7 @@
 	return defaultValue
 }
 
-// Texts reads an array of strings.
+// Texts reads an array of strings that are not empty.
 func (t *Table) Texts(key string) []string {
 	v, there := t.lookup(key)
 	if !there {
@@ -320,7 +318,7 @@
 	return defaultValue
 }
 
-// Int reads a whole number within bounds, both of them allowed.
+// Int reads an integer from minimum to maximum, both included.
 func (t *Table) Int(key string, defaultValue, minimum, maximum int) int {
 	v, there := t.lookup(key)
 	if !there {
@@ -333,7 +331,7 @@
 	return defaultValue
 }
 
-// Float reads a number within bounds, both of them allowed.
+// Float reads a number from minimum to maximum, both included.
 func (t *Table) Float(key string, defaultValue, minimum, maximum float64) float64 {
 	v, there := t.lookup(key)
 	if !there {
@@ -343,15 +341,14 @@
 	if n, whole := v.(int64); whole {
 		f, ok = float64(n), true
 	}
-	if ok && f >= minimum && f <= maximum { // NaN is in no bounds
+	if ok && f >= minimum && f <= maximum { // false for NaN
 		return f
 	}
 	t.Fail(key, show(v), fmt.Sprintf("a number from %v to %v", minimum, maximum))
 	return defaultValue
 }
 
-// Duration reads a time with its unit, such as "250ms", within bounds, both of
-// them allowed.
+// Duration reads a time with its unit, such as "250ms", from minimum to maximum, both included.
 func (t *Table) Duration(key string, defaultValue, minimum, maximum time.Duration) time.Duration {
 	v, there := t.lookup(key)
 	if !there {
@@ -370,7 +367,7 @@
 	return defaultValue
 }
 
-// Table reads a table; an absent one is empty, so that its defaults hold.
+// Table reads a table; an absent one is empty, so that its keys have their defaults.
 func (t *Table) Table(key string) *Table {
 	v, there := t.lookup(key)
 	values, ok := v.(map[string]any)
@@ -380,7 +377,7 @@
 	return t.child(key, values)
 }
 
-// Tables reads an array of tables, of so many at most.
+// Tables reads an array of at most maxTables tables.
 func (t *Table) Tables(key string, maxTables int) []*Table {
 	v, there := t.lookup(key)
 	if !there {
--- a/internal/tomlread/tomlread_test.go
+++ b/internal/tomlread/tomlread_test.go
@@ -47,8 +47,7 @@
 	}
 }
 
-// Guards against errors that stand at the wrong line, or of which only the first
-// is told.
+// Guards against faults that are reported with the wrong line, or of which only the first is reported.
 func TestReportsAllErrorsWithLines(t *testing.T) {
 	bad := strings.NewReplacer(
 		`every = 3`, `every = 30`, `"250ms"`, `250`, `share = 0.5`, `share = "much"`,
@@ -78,7 +77,7 @@
 	}
 }
 
-// No text may end the process, and what go-toml takes has its lines.
+// No text may make the process panic, and every error has a line.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte("[[a.b]]\n[a.b.c]\nd=[{e=1}]\n"))
