--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -49,6 +49,7 @@
 	clients map[string]*peerrpc.Client
 }
 
+// open reads the operator's file and returns clients for its voters. It opens no connection yet.
 func (a *clusterOptions) open() (*voterClients, error) {
 	file, err := operator.Load(a.Operator)
 	if err != nil {
@@ -57,20 +58,20 @@
 	if file.Cluster == nil {
 		return nil, fmt.Errorf("%s: no table [crew]", a.Operator)
 	}
-	t := &voterClients{config: file.Cluster, clients: map[string]*peerrpc.Client{}}
+	v := &voterClients{config: file.Cluster, clients: map[string]*peerrpc.Client{}}
 	for name, address := range file.Cluster.Voters {
-		t.clients[name] = peerrpc.NewClient(env.Real{}, file.Cluster.Name, "cli", address)
+		v.clients[name] = peerrpc.NewClient(env.Real{}, file.Cluster.Name, "cli", address)
 	}
-	return t, nil
+	return v, nil
 }
 
 // status queries all voters. It returns the status of the leader of the latest term, or that of the voter with the
 // latest term if no leader answers.
-func (t *voterClients) status() (best voter.Status, err error) {
+func (v *voterClients) status() (best voter.Status, err error) {
 	var faults []error
-	for _, name := range slices.Sorted(maps.Keys(t.clients)) {
+	for _, name := range slices.Sorted(maps.Keys(v.clients)) {
 		var s voter.Status
-		if err := t.clients[name].Call("status", struct{}{}, &s, callTimeout); err != nil {
+		if err := v.clients[name].Call("status", struct{}{}, &s, callTimeout); err != nil {
 			faults = append(faults, fmt.Errorf("keeper %s: %w", name, err))
 			continue
 		}
@@ -86,33 +87,34 @@
 
 // queryStatus returns the clients for the voters that the operator's file names, and the result of status.
 func (a *clusterOptions) queryStatus() (*voterClients, voter.Status, error) {
-	t, err := a.open()
+	voters, err := a.open()
 	if err != nil {
 		return nil, voter.Status{}, err
 	}
-	s, err := t.status()
-	return t, s, err
+	s, err := voters.status()
+	return voters, s, err
 }
 
 // queryLeader is queryStatus, but fails if there is no leader.
 func (a *clusterOptions) queryLeader() (*voterClients, voter.Status, error) {
-	t, err := a.open()
+	voters, err := a.open()
 	if err != nil {
 		return nil, voter.Status{}, err
 	}
-	s, err := t.leaderStatus()
-	return t, s, err
+	s, err := voters.leaderStatus()
+	return voters, s, err
 }
 
 // leaderStatus is status, but fails if there is no leader.
-func (t *voterClients) leaderStatus() (voter.Status, error) {
-	s, err := t.status()
+func (v *voterClients) leaderStatus() (voter.Status, error) {
+	s, err := v.status()
 	if err == nil && s.Leader != s.Name {
-		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(t.clients), missingVoters(&s))
+		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(v.clients), missingVoters(&s))
 	}
 	return s, err
 }
 
+// missingVoters explains a missing leader: until the cluster is formed, it names the voters that have not been heard of.
 func missingVoters(s *voter.Status) string {
 	if len(s.MissingVoters) == 0 {
 		return ""
@@ -130,7 +132,7 @@
 
 // Run prints the state of the cluster.
 func (c *clusterStatus) Run(o *Out) error {
-	t, s, err := c.queryStatus()
+	voters, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
@@ -139,7 +141,7 @@
 		next = map[string]any{"number": n.Number, "state": n.State.String(), "hash": n.Hash.String()}
 	}
 	if c.JSON {
-		return writeJSON(o, map[string]any{"crew": t.config.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
+		return writeJSON(o, map[string]any{"crew": voters.config.Name, "leader": s.Leader, "term": s.Term, "epoch": s.Ledger.Epoch,
 			"members": len(s.Ledger.Members), "version": s.Ledger.Active.Number, "hash": s.Ledger.Active.Hash.String(), "next": next,
 			"keepers": slices.Sorted(maps.Keys(s.Ledger.Voters)), "forming": s.MissingVoters})
 	}
@@ -147,7 +149,7 @@
 	if leader == "" {
 		leader = "none " + missingVoters(&s)
 	}
-	fmt.Fprintf(o, "crew %s: leader %s, term %d, epoch %d, %d members, version %d (%v)\n", t.config.Name, leader, s.Term,
+	fmt.Fprintf(o, "crew %s: leader %s, term %d, epoch %d, %d members, version %d (%v)\n", voters.config.Name, leader, s.Term,
 		s.Ledger.Epoch, len(s.Ledger.Members), s.Ledger.Active.Number, s.Ledger.Active.Hash)
 	if n := s.Ledger.Next; n != nil {
 		fmt.Fprintf(o, "version %d (%v) is %v\n", n.Number, n.Hash, n.State)
@@ -169,7 +171,7 @@
 
 // Run queries each member.
 func (c *clusterMembers) Run(o *Out) error {
-	t, s, err := c.queryStatus()
+	voters, s, err := c.queryStatus()
 	if err != nil {
 		return err
 	}
@@ -180,7 +182,7 @@
 		if ms, known := s.Leases[name]; known {
 			row.LeaseMS = &ms
 		}
-		client := peerrpc.NewClient(env.Real{}, t.config.Name, "cli", m.Address)
+		client := peerrpc.NewClient(env.Real{}, voters.config.Name, "cli", m.Address)
 		var status member.Status
 		if err := client.Call("acting", struct{}{}, &status, callTimeout); err != nil {
 			row.Error = err.Error()
@@ -313,7 +315,7 @@
 	if c.Note != "" {
 		note = c.Note
 	}
-	t, s, err := c.queryLeader()
+	voters, s, err := c.queryLeader()
 	if err != nil {
 		return err
 	}
@@ -321,7 +323,7 @@
 	if c.Parent != nil {
 		parent = *c.Parent
 	}
-	return t.propose(o, cluster.Proposal{Parent: parent, Note: note, Doc: doc}, c.Wait, c.JSON)
+	return voters.propose(o, cluster.Proposal{Parent: parent, Note: note, Doc: doc}, c.Wait, c.JSON)
 }
 
 type clusterUndo struct {
@@ -331,7 +333,7 @@
 
 // Run proposes the document of the version before the active one.
 func (c *clusterUndo) Run(o *Out) error {
-	t, s, err := c.queryLeader()
+	voters, s, err := c.queryLeader()
 	if err != nil {
 		return err
 	}
@@ -343,11 +345,11 @@
 	if err != nil {
 		return err
 	}
-	return t.propose(o, cluster.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
+	return voters.propose(o, cluster.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
 }
 
 // propose sends a proposal until the leader accepts it, and waits until the version is active or refused.
-func (t *voterClients) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
+func (v *voterClients) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
 	p.ID = voter.NewID()
 	if u, err := user.Current(); err == nil {
 		p.Author = u.Username
@@ -355,14 +357,14 @@
 	deadline := time.Now().Add(wait)
 	start, number := time.Now(), uint64(0)
 	for ; time.Now().Before(deadline); time.Sleep(pollInterval) {
-		s, err := t.leaderStatus()
+		s, err := v.leaderStatus()
 		if err != nil {
 			continue
 		}
 		if number == 0 {
 			var result voter.ProposeResult
 			// Sending the same proposal again is harmless, as after a lost answer: its ID makes it count once.
-			err := t.clients[s.Name].Call("propose", p, &result, callTimeout)
+			err := v.clients[s.Name].Call("propose", p, &result, callTimeout)
 			if errors.Is(err, peerrpc.ErrRefused) {
 				return err
 			}
--- a/internal/command/heathgap_test.go
+++ b/internal/command/heathgap_test.go
@@ -42,7 +42,7 @@
 	for _, want := range []string{"bad.toml:2: log.level", "bad.toml:3: log.every", "config.json: listen: ",
 		"none.toml", "x.yaml: unknown kind"} {
 		if !strings.Contains(stderr, want) {
-			t.Errorf("told %q, without %q", stderr, want)
+			t.Errorf("reported %q, without %q", stderr, want)
 		}
 	}
 }
@@ -71,37 +71,37 @@
 	c := serve{Operator: file}
 	path, env, err := c.sidecarProgram(func() (string, error) { return "/x/bin/heathgap-cli", nil })
 	if err != nil || path != "/x/bin/heathgap" || env[len(env)-1] != "HEATHGAP_OPERATOR="+file {
-		t.Errorf("%q, %q, %v", path, env[len(env)-1], err)
+		t.Errorf("serve starts %q with %q, %v", path, env[len(env)-1], err)
 	}
 }
 
 // When a cluster can't be reached or the file has no table [crew], a command ends with a clear error and exit code 1.
 func TestCrewCommandsFail(t *testing.T) {
 	write := fileWriter(t)
-	bare, version := write("bare.toml", ""), write("version.toml", "max_attempts = 2\n")
-	away := write("away.toml", "[crew]\nname = \"c\"\naddress = \"127.0.0.1:9\"\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n")
+	empty, version := write("bare.toml", ""), write("version.toml", "max_attempts = 2\n")
+	unreachable := write("away.toml", "[crew]\nname = \"c\"\naddress = \"127.0.0.1:9\"\n[[crew.keeper]]\nname = \"k\"\naddress = \"127.0.0.1:9\"\n")
 	for _, c := range []struct {
 		args []string
 		want string
 		code int
 	}{
-		{[]string{"crew", "status", "--operator", bare}, "no table [crew]", ExitFailed},
-		{[]string{"crew", "status", "--operator", away}, "no keeper answers: keeper k:", ExitFailed},
-		{[]string{"crew", "undo", "--operator", away}, "no keeper answers", ExitFailed},
-		{[]string{"crew", "propose", "--operator", away, version}, "no keeper answers", ExitFailed},
-		{[]string{"crew", "propose", "--operator", away, bare + "x"}, "no such file", ExitFailed},
-		{[]string{"holdings", "status", "--operator", bare}, "no table [crew]", ExitFailed},
-		{[]string{"holdings", "show", "k1", "--class", "pay", "--operator", away}, "no keeper answers", ExitFailed},
-		{[]string{"holdings", "show", "k1", "--operator", away}, "missing flags: --class", ExitUsage},
+		{[]string{"crew", "status", "--operator", empty}, "no table [crew]", ExitFailed},
+		{[]string{"crew", "status", "--operator", unreachable}, "no keeper answers: keeper k:", ExitFailed},
+		{[]string{"crew", "undo", "--operator", unreachable}, "no keeper answers", ExitFailed},
+		{[]string{"crew", "propose", "--operator", unreachable, version}, "no keeper answers", ExitFailed},
+		{[]string{"crew", "propose", "--operator", unreachable, empty + "x"}, "no such file", ExitFailed},
+		{[]string{"holdings", "status", "--operator", empty}, "no table [crew]", ExitFailed},
+		{[]string{"holdings", "show", "k1", "--class", "pay", "--operator", unreachable}, "no keeper answers", ExitFailed},
+		{[]string{"holdings", "show", "k1", "--operator", unreachable}, "missing flags: --class", ExitUsage},
 		{[]string{"crew", "members"}, "missing flags: --operator", ExitUsage},
-		{[]string{"crew", "diff", "--operator", away, "x", "1"}, "from", ExitUsage},
+		{[]string{"crew", "diff", "--operator", unreachable, "x", "1"}, "from", ExitUsage},
 	} {
 		if code, _, stderr := run(c.args...); code != c.code || !strings.Contains(stderr, c.want) {
-			t.Errorf("%v: %d, %q", c.args, code, stderr)
+			t.Errorf("%v: exit code %d, %q", c.args, code, stderr)
 		}
 	}
 	// heathgap-cli must start heathgap-crew for a file with [crew]: bin/heathgap is built without raft.
-	s := serve{Operator: away}
+	s := serve{Operator: unreachable}
 	if path, _, err := s.sidecarProgram(func() (string, error) { return "/x/bin/heathgap-cli", nil }); err != nil || path != "/x/bin/heathgap-crew" {
 		t.Errorf("serve starts %q, %v", path, err)
 	}
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -71,24 +71,24 @@
 
 // queryPlacement is queryLeader, but fails if there is no placement of replicas.
 func (a *clusterOptions) queryPlacement() (*voterClients, voter.Status, error) {
-	t, s, err := a.queryLeader()
+	voters, s, err := a.queryLeader()
 	switch {
 	case err != nil:
-	case t.config.Params.Holdings.Copies == 0:
+	case voters.config.Params.Holdings.Copies == 0:
 		err = fmt.Errorf("%s: %w", a.Operator, errNoHoldings)
 	case s.Ledger.Placement == nil:
-		err = fmt.Errorf("no replicas are placed yet: are there members in %d zones?", t.config.Params.Holdings.Copies)
+		err = fmt.Errorf("no replicas are placed yet: are there members in %d zones?", voters.config.Params.Holdings.Copies)
 	}
-	return t, s, err
+	return voters, s, err
 }
 
 // Run prints the summary of all shards.
 func (c *holdingsStatus) Run(o *Out) error {
-	t, s, err := c.queryPlacement()
+	voters, s, err := c.queryPlacement()
 	if err != nil {
 		return err
 	}
-	st := summarizePlacement(&s, t.config.Params.Holdings.Copies)
+	st := summarizePlacement(&s, voters.config.Params.Holdings.Copies)
 	if c.JSON {
 		return writeJSON(o, st)
 	}
@@ -123,7 +123,7 @@
 
 // Run queries each replica of the key's shard, the primary first.
 func (c *holdingsShow) Run(o *Out) error {
-	t, s, err := c.queryPlacement()
+	voters, s, err := c.queryPlacement()
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	for _, replica := range shard.Replicas {
 		m := s.Ledger.Members[replica.Name]
 		row := replicaRow{Name: replica.Name, Zone: m.Zone, Ready: replica.Ready}
-		client := peerrpc.NewClient(env.Real{}, t.config.Name, "cli", m.Address)
+		client := peerrpc.NewClient(env.Real{}, voters.config.Name, "cli", m.Address)
 		var keyState member.KeyState
 		switch err := client.Call("hold-show", key, &keyState, callTimeout); {
 		case err != nil:
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -100,6 +100,7 @@
 // Parse reads the text of a configuration as at a start.
 func Parse(text []byte, env func(string) string) (*Config, error) { return parse(text, env, false) }
 
+// load reads the configuration file that the environment names; running is true for a reload.
 func load(env func(string) string, running bool) (*Config, error) {
 	path := env(EnvFile)
 	if path == "" {
@@ -195,6 +196,7 @@
 // ClassNames returns the sorted names of the classes.
 func (c *Config) ClassNames() []string { return slices.Sorted(maps.Keys(c.Classes)) }
 
+// checkAddresses checks the name and that each address has a port; only the console may be absent.
 func (c *Config) checkAddresses() error {
 	if c.Name == "" {
 		return errors.New("name: missing")
@@ -256,6 +258,7 @@
 	return true
 }
 
+// decodeKnownList decodes the last known list, if there is one.
 func (c *Config) decodeKnownList(v *fastjson.Value) error {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return nil
@@ -268,6 +271,7 @@
 	return nil
 }
 
+// decodeSettings decodes the settings and has the decision module check them.
 func (c *Config) decodeSettings(v *fastjson.Value) error {
 	if v == nil {
 		return errors.New("missing")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("connections: %v %v %d", c.ConnectTimeout, c.IdleTimeout, c.Transport.MaxPending)
 	}
 	if c.HeapBytes >= 100<<20 || c.CallerConns+c.EndpointConns >= 1000 {
-		t.Errorf("nothing is in reserve: %d bytes, %d+%d connections", c.HeapBytes, c.CallerConns, c.EndpointConns)
+		t.Errorf("no memory or no sockets are left over: %d bytes, %d+%d connections", c.HeapBytes, c.CallerConns, c.EndpointConns)
 	}
 	e := c.KnownList.Endpoints[0]
 	if c.KnownList.Index != 41 || e.Name != "s-1" || e.Weight != 1.5 || e.Since != 7*time.Millisecond {
@@ -181,7 +181,7 @@
 				t.Fatal(err)
 			}
 			if reserved := sockets - c.CallerConns - c.EndpointConns; reserved < min(need, sockets/2) {
-				t.Errorf("%d sockets: %d are kept, and %d are needed", sockets, reserved, need)
+				t.Errorf("%d sockets: %d are reserved, and %d are needed", sockets, reserved, need)
 			}
 			if c.CallerConns < 2 || c.EndpointConns < 2 || c.CallerConns > sockets*6/10 || c.EndpointConns > sockets*3/10 {
 				t.Errorf("%d sockets: %d callers, %d endpoints", sockets, c.CallerConns, c.EndpointConns)
@@ -190,6 +190,6 @@
 	}
 	few := Config{Sockets: 1024}
 	if few.LimitSockets(1024) || !few.LimitSockets(64) || few.CallerConns+few.EndpointConns+reservedSockets > 64 || few.Sockets != 1024 {
-		t.Errorf("within 64: %+v", few)
+		t.Errorf("limited to 64 descriptors: %+v", few)
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -76,6 +76,7 @@
 // Close stops listening. Calls whose line has arrived are still answered.
 func (c *Console) Close() { c.listener.Close() }
 
+// accept serves each connection in a goroutine of its own until the listener is closed.
 func (c *Console) accept() {
 	for {
 		conn, err := c.listener.Accept()
@@ -110,6 +111,7 @@
 	c.calls = slices.DeleteFunc(c.calls, func(other net.Conn) bool { return other == conn })
 }
 
+// serve reads the one line of a call and answers it.
 func (c *Console) serve(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(c.env.Now().Add(callTimeout))
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -110,7 +110,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.calls) > maxCalls {
-		t.Errorf("%d calls are held, %d may be", len(c.calls), maxCalls)
+		t.Errorf("%d calls are open, %d are allowed", len(c.calls), maxCalls)
 	}
 }
 
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -50,7 +50,7 @@
 	maxEntries       = 5_000_000
 	defaultBody      = 16 << 10
 	maxBody          = 64 << 10
-	maxClasses       = 64 // of classes
+	maxClasses       = 64
 )
 
 // decodeHoldings reads [holdings] into c.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -42,7 +42,7 @@
 func TestReportsAllFaults(t *testing.T) {
 	_, err := loadText(t, "[log]\nlevel = \"loud\"\nconnection_ended_every = 0\nlevle = 1\n[tenants]\n")
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("a faulty file was accepted")
 	}
 	for _, want := range []string{
 		`operator.toml:2: log.level: "loud"; allowed: info, warn, error`,
@@ -51,7 +51,7 @@
 		`operator.toml:5: tenants: unknown key; allowed: crew, holdings, log`,
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("told\n%v\nwithout\n%s", err, want)
+			t.Errorf("reported\n%v\nwithout\n%s", err, want)
 		}
 	}
 }
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -117,14 +117,14 @@
 		}
 		alone, compared := runRandomEvents(balancer(t, settings()), seed), runRandomEvents(comparison, seed)
 		if !reflect.DeepEqual(alone, compared) {
-			t.Fatalf("seed %d: other actions with a watch than without", seed)
+			t.Fatalf("seed %d: other actions with a shadow than without", seed)
 		}
 		c := comparison.Counts()
 		if c.Followed == 0 || c.Probes == 0 || c.SentElsewhere == 0 {
-			t.Errorf("seed %d: nothing was seen: %+v", seed, c)
+			t.Errorf("seed %d: no difference was counted: %+v", seed, c)
 		}
 		if len(comparison.followed) > 300 || len(comparison.inFlight) > 6 {
-			t.Errorf("seed %d: %d views and %d counts are left", seed, len(comparison.followed), len(comparison.inFlight))
+			t.Errorf("seed %d: %d followed requests and %d in-flight counts are left", seed, len(comparison.followed), len(comparison.inFlight))
 		}
 	}
 }
@@ -138,10 +138,10 @@
 	runRandomEvents(comparison, 3)
 	c := comparison.Counts()
 	if c.Same < 1000 {
-		t.Errorf("%d steps were alike, of more than a thousand", c.Same)
+		t.Errorf("%d actions were the same, want at least 1000", c.Same)
 	}
 	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.Canceled; n > 0 {
-		t.Errorf("differences between equals: %+v", c)
+		t.Errorf("differences between equal balancers: %+v", c)
 	}
 }
 
@@ -200,12 +200,12 @@
 		comparison.Handle(time.Hour, &ev, nil)
 	}
 	if len(comparison.followed) != 0 || len(comparison.inFlight) != 0 {
-		t.Errorf("%d views and %d counts are left", len(comparison.followed), len(comparison.inFlight))
+		t.Errorf("%d followed requests and %d in-flight counts are left", len(comparison.followed), len(comparison.inFlight))
 	}
 }
 
 func TestBadSettings(t *testing.T) {
 	if _, err := New(balancer(t, settings()), decide.Settings{}, 1); err == nil {
-		t.Error("settings without classes are watched")
+		t.Error("settings without classes were accepted")
 	}
 }
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -92,7 +92,7 @@
 		return nil, Errors{parseError}
 	}
 	d := &Doc{file: file, lines: lineIndex(text)}
-	d.Root = &Table{doc: d, values: values, used: map[string]bool{}}
+	d.Root = &Table{doc: d, values: values, known: map[string]bool{}}
 	return d, nil
 }
 
@@ -143,7 +143,7 @@
 		if counts[path] > 0 {
 			path = fmt.Sprintf("%s[%d]", path, counts[path]-1)
 		}
-		path = join(path, string(n.Data))
+		path = joinPath(path, string(n.Data))
 		if _, known := lines[path]; !known {
 			lines[path] = p.Shape(n.Raw).Start.Line
 		}
@@ -162,7 +162,8 @@
 	}
 }
 
-func join(path, key string) string {
+// joinPath appends a key to the path of its table; the root's path is empty.
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
@@ -175,7 +176,7 @@
 	doc      *Doc
 	path     string
 	values   map[string]any
-	used     map[string]bool
+	known    map[string]bool
 	children []*Table
 }
 
@@ -187,7 +188,7 @@
 
 // Line returns the line of a key, or that of the table if the key is absent.
 func (t *Table) Line(key string) int {
-	for path := join(t.path, key); path != ""; path = parent(path) {
+	for path := joinPath(t.path, key); path != ""; path = parent(path) {
 		if line := t.doc.lines[path]; line > 0 {
 			return line
 		}
@@ -203,13 +204,13 @@
 // Fail records that a key's value is not allowed.
 func (t *Table) Fail(key, found, allowed string) {
 	t.doc.errs = append(t.doc.errs, &Error{
-		File: t.doc.file, Line: t.Line(key), Key: join(t.path, key), Found: found, Allowed: allowed,
+		File: t.doc.file, Line: t.Line(key), Key: joinPath(t.path, key), Found: found, Allowed: allowed,
 	})
 }
 
 // lookup returns the value of a key and marks the key as known.
 func (t *Table) lookup(key string) (any, bool) {
-	t.used[key] = true
+	t.known[key] = true
 	v, there := t.values[key]
 	return v, there
 }
@@ -217,10 +218,10 @@
 // reportUnknown records a fault for each key that no reader has requested, in this table and those below.
 func (t *Table) reportUnknown() {
 	// Computed before the loop: otherwise one unknown key would be listed as allowed in the fault of the next.
-	allowed := strings.Join(slices.Sorted(maps.Keys(t.used)), ", ")
+	allowed := strings.Join(slices.Sorted(maps.Keys(t.known)), ", ")
 	for key := range t.values {
-		if !t.used[key] {
-			t.used[key] = true // reported once, also if Err is called again
+		if !t.known[key] {
+			t.known[key] = true // reported once, also if Err is called again
 			t.Fail(key, "unknown key", allowed)
 		}
 	}
@@ -229,7 +230,8 @@
 	}
 }
 
-func show(v any) string {
+// describe returns a value as errors show it.
+func describe(v any) string {
 	switch v := v.(type) {
 	case string:
 		return strconv.Quote(v)
@@ -244,14 +246,14 @@
 // Skip marks keys as known without reading them.
 func (t *Table) Skip(keys ...string) {
 	for _, key := range keys {
-		t.used[key] = true
+		t.known[key] = true
 	}
 }
 
 // Need records a fault if a key is missing.
 func (t *Table) Need(key, allowed string) {
 	if !t.Has(key) {
-		t.used[key] = true
+		t.known[key] = true
 		t.Fail(key, "missing", allowed)
 	}
 }
@@ -266,7 +268,7 @@
 	}
 	s, ok := v.(string)
 	if !ok || s == "" || len(s) > maxBytes {
-		t.Fail(key, show(v), allowed)
+		t.Fail(key, describe(v), allowed)
 		return defaultValue
 	}
 	return s
@@ -281,7 +283,7 @@
 	if s, ok := v.(string); ok && slices.Contains(values, s) {
 		return s
 	}
-	t.Fail(key, show(v), strings.Join(values, ", "))
+	t.Fail(key, describe(v), strings.Join(values, ", "))
 	return defaultValue
 }
 
@@ -299,7 +301,7 @@
 		texts = append(texts, s)
 	}
 	if !ok {
-		t.Fail(key, show(v), "an array of texts")
+		t.Fail(key, describe(v), "an array of texts")
 		return nil
 	}
 	return texts
@@ -314,7 +316,7 @@
 	if b, ok := v.(bool); ok {
 		return b
 	}
-	t.Fail(key, show(v), "true or false")
+	t.Fail(key, describe(v), "true or false")
 	return defaultValue
 }
 
@@ -327,7 +329,7 @@
 	if n, ok := v.(int64); ok && n >= int64(minimum) && n <= int64(maximum) {
 		return int(n)
 	}
-	t.Fail(key, show(v), fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
+	t.Fail(key, describe(v), fmt.Sprintf("a whole number from %d to %d", minimum, maximum))
 	return defaultValue
 }
 
@@ -344,7 +346,7 @@
 	if ok && f >= minimum && f <= maximum { // false for NaN
 		return f
 	}
-	t.Fail(key, show(v), fmt.Sprintf("a number from %v to %v", minimum, maximum))
+	t.Fail(key, describe(v), fmt.Sprintf("a number from %v to %v", minimum, maximum))
 	return defaultValue
 }
 
@@ -363,7 +365,7 @@
 	if err != nil {
 		allowed += " with its unit (ms, s, m, h)"
 	}
-	t.Fail(key, show(v), allowed)
+	t.Fail(key, describe(v), allowed)
 	return defaultValue
 }
 
@@ -372,7 +374,7 @@
 	v, there := t.lookup(key)
 	values, ok := v.(map[string]any)
 	if there && !ok {
-		t.Fail(key, show(v), "a table")
+		t.Fail(key, describe(v), "a table")
 	}
 	return t.child(key, values)
 }
@@ -385,7 +387,7 @@
 	}
 	list, ok := v.([]any)
 	if !ok || len(list) > maxTables {
-		t.Fail(key, show(v), fmt.Sprintf("an array of up to %d tables", maxTables))
+		t.Fail(key, describe(v), fmt.Sprintf("an array of up to %d tables", maxTables))
 		return nil
 	}
 	var tables []*Table
@@ -393,7 +395,7 @@
 		name := fmt.Sprintf("%s[%d]", key, i)
 		values, ok := one.(map[string]any)
 		if !ok {
-			t.Fail(name, show(one), "a table")
+			t.Fail(name, describe(one), "a table")
 			continue
 		}
 		tables = append(tables, t.child(name, values))
@@ -401,8 +403,9 @@
 	return tables
 }
 
+// child returns the table under a key and has Err check it for unknown keys.
 func (t *Table) child(key string, values map[string]any) *Table {
-	child := &Table{doc: t.doc, path: join(t.path, key), values: values, used: map[string]bool{}}
+	child := &Table{doc: t.doc, path: joinPath(t.path, key), values: values, known: map[string]bool{}}
 	t.children = append(t.children, child)
 	return child
 }
--- a/internal/tomlread/tomlread_test.go
+++ b/internal/tomlread/tomlread_test.go
@@ -66,14 +66,14 @@
 		`f.toml:16: tier[1].cold.frmo: unknown key; allowed: from`,
 	}
 	if got := d.Err(); got == nil || got.Error() != strings.Join(want, "\n") {
-		t.Errorf("told\n%v\nwant\n%s", got, strings.Join(want, "\n"))
+		t.Errorf("reported\n%v\nwant\n%s", got, strings.Join(want, "\n"))
 	}
 }
 
 func TestInvalidTOML(t *testing.T) {
 	_, err := Parse("f.toml", []byte("a = 1\nb = = 2\n"))
 	if err == nil || !strings.HasPrefix(err.Error(), "f.toml:2: ") {
-		t.Errorf("told %v, want line 2", err)
+		t.Errorf("reported %v, want line 2", err)
 	}
 }
 
