--- a/cmd/heathgap-cli/main.go
+++ b/cmd/heathgap-cli/main.go
@@ -1,4 +1,4 @@
-// Command heathgap-cli is the command line of heathgap. bin/heathgap replaces itself by it when it is started with
+// Command heathgap-cli is the command line of heathgap. bin/heathgap replaces itself with it when it is started with
 // arguments.
 package main
 
--- a/cmd/heathgap/main.go
+++ b/cmd/heathgap/main.go
@@ -1,6 +1,6 @@
 // Command heathgap is one sidecar: the load balancer of one caller.
 //
-// Started with arguments, it replaces itself by heathgap-cli from the same folder. The command line's parser is not
+// Started with arguments, it replaces itself with heathgap-cli from the same folder. The command line's parser is not
 // part of this program because it keeps the linker from dropping 7 MB of code, of which a sidecar would have 2.5 MB
 // mapped.
 package main
@@ -22,7 +22,7 @@
 	os.Exit(lifecycle.Process())
 }
 
-// becomeCLI replaces this process by heathgap-cli. It returns only if that fails.
+// becomeCLI replaces this process with heathgap-cli. It returns only if that fails.
 func becomeCLI() error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -114,7 +114,7 @@
 	return s, err
 }
 
-// missingVoters explains a missing leader: until the cluster is formed, it names the voters that have not been heard of.
+// missingVoters explains a missing leader: until the cluster is formed, it names the voters that have not announced themselves.
 func missingVoters(s *voter.Status) string {
 	if len(s.MissingVoters) == 0 {
 		return ""
--- a/internal/command/heathgap.go
+++ b/internal/command/heathgap.go
@@ -68,7 +68,7 @@
 	Operator string `placeholder:"FILE" help:"The operator's file (TOML). Without it, all that the file configures is off or at its default."`
 }
 
-// Run checks the operator's file and replaces this process by the sidecar (exec), so that signals reach the sidecar.
+// Run checks the operator's file and replaces this process with the sidecar (exec), so that signals reach the sidecar.
 func (c *serve) Run() error {
 	path, env, err := c.sidecarProgram(os.Executable)
 	if err != nil {
--- a/internal/command/holdings.go
+++ b/internal/command/holdings.go
@@ -39,7 +39,7 @@
 		out.Replicas[name] = 0
 	}
 	for _, shard := range s.Ledger.Placement.Shards {
-		ready, filling := 0, false
+		ready, catchingUp := 0, false
 		for _, replica := range shard.Replicas {
 			if m, in := s.Ledger.Members[replica.Name]; in && m.Token == replica.Token {
 				out.Replicas[replica.Name]++
@@ -47,7 +47,7 @@
 					ready++
 				}
 			}
-			filling = filling || !replica.Ready
+			catchingUp = catchingUp || !replica.Ready
 		}
 		switch out.Lost += shard.Lost; {
 		case ready >= copies:
@@ -57,7 +57,7 @@
 		default:
 			out.Unavailable++
 		}
-		if filling {
+		if catchingUp {
 			out.CatchingUp++
 		}
 	}
--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -53,7 +53,7 @@
 	inFlight      map[decide.EndpointID]int // real attempts of followed requests that are in flight, by endpoint
 	shadowTimer   decide.Time               // when the shadow wants a TimerDue event; 0 for never
 	shadowActions []decide.Action           // actions of the shadow that are not processed yet
-	unmatched     []decide.Action           // the deciding balancer's actions at this event; those that the shadow decided as well are changed to SetTimer
+	unmatched     []decide.Action           // a copy of decided; actions that the shadow decided as well are marked by SetTimer
 	decided       []decide.Action           // all actions of the deciding balancer at this event
 }
 
@@ -63,7 +63,7 @@
 	endpoints   []decide.EndpointID // of the real attempts, by their number
 	inFlight    int                 // real attempts without an outcome
 	done        bool                // it has its final answer, or its caller has left
-	differed    bool                // the shadow decided otherwise; from then on what the shadow assumes about the request is not real, and nothing more is compared
+	differed    bool                // the shadow decided otherwise; its state of the request is not real from then on, nor compared
 	shadowSends int                 // attempts that the shadow decided to send
 }
 
@@ -144,7 +144,7 @@
 	}
 	if f := c.followed[ev.Request]; f != nil && (ev.Kind == decide.Finished || ev.Kind == decide.ClientLeft) {
 		if ev.Kind == decide.Finished && ev.Attempt < len(f.endpoints) {
-			// By the endpoint that was sent to: the event of an endpoint that has left the list does not name it.
+			// Uses the endpoint of the Send action: the event of an endpoint that has left the list does not name it.
 			f.inFlight--
 			if to := f.endpoints[ev.Attempt]; c.inFlight[to] > 1 {
 				c.inFlight[to]--
