--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -1,8 +1,9 @@
-// Package shadow shows what other settings would decide, beside what is decided: a second balancer is told the
-// same events, and what it decides is counted and never carried out. It is for operators who are about to switch.
+// Package shadow shows what other settings would decide: a second balancer, the shadow, gets the same events as the
+// deciding balancer. Its decisions are compared and counted, and never carried out. Operators use it before they switch
+// to new settings.
 //
-// The watching balancer has no say. It cannot change, delay or re-seed the deciding one: it has its own random
-// numbers, gets no timer of its own, and its actions end here.
+// The shadow has no influence on the deciding balancer: it has its own random numbers and its own time of the next
+// timer, and its actions end in this package.
 package shadow
 
 import (
@@ -11,28 +12,28 @@
 	"heathgap/decide"
 )
 
-// mostWatched bounds the requests that are followed at once: about 100 bytes each, 0.4 MB in all. What comes
-// beyond them is decided as ever and counted as unwatched.
-const mostWatched = 4096
+// maxFollowed limits the requests that are followed at the same time: about 100 bytes each, 0.4 MB in all. Further
+// requests are decided as usual and counted as not followed.
+const maxFollowed = 4096
 
-// Decider decides for real. A decide.Balancer is one.
+// Decider is what really decides. A decide.Balancer is one.
 type Decider interface {
 	Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action
 }
 
-// Counts are differences, by what the watching settings would have done where the deciding ones did something else.
+// Counts are the differences, by what the shadow would have done where the deciding balancer did something else.
 type Counts struct {
 	Followed      int // requests that were followed
-	NotFollowed   int // that came while too many were
-	Same          int // steps at which both did the same
+	NotFollowed   int // requests that arrived while maxFollowed were followed
+	Same          int // actions that both decided alike
 	SentElsewhere int // sent to another endpoint
-	Sent          int // sent, where the deciding settings held, refused or failed it
-	Retried       int // sent again, where the deciding settings did not
-	Held          int // held, where the deciding settings sent or ended it
+	Sent          int // sent, where the deciding balancer held, refused or failed the request
+	Retried       int // sent again, where the deciding balancer did not
+	Held          int // held back, where the deciding balancer sent or ended the request
 	Refused       int
 	Failed        int
-	Canceled      int // an attempt called off, where the deciding settings let it run
-	Probes        int // probes that would have been sent
+	Canceled      int // an attempt canceled, where the deciding balancer let it run
+	Probes        int // probes that the shadow would have sent
 }
 
 // MarshalZerologObject writes the counts into a log line.
@@ -42,198 +43,204 @@
 		Int("refused", c.Refused).Int("failed", c.Failed).Int("called_off", c.Canceled).Int("probes", c.Probes)
 }
 
-// Comparison is a decider that is watched. One goroutine owns it, as it would own the deciding one.
+// Comparison passes events to the deciding balancer and compares its actions with those of the shadow. Like a balancer,
+// it belongs to one goroutine.
 type Comparison struct {
-	deciding Decider
-	watching *decide.Balancer
-	counts   Counts
-	views    map[decide.RequestID]*view
-	inFlight map[decide.EndpointID]int // followed requests' attempts out, for real
-	due      decide.Time               // when the watching balancer wants to be woken; 0 when it does not
-	actions  []decide.Action           // of the watching balancer
-	real     []decide.Action           // of the deciding one at this event, those that were matched struck out
-	done     []decide.Action           // the same, whole
+	deciding      Decider
+	shadow        *decide.Balancer
+	counts        Counts
+	followed      map[decide.RequestID]*followedRequest
+	inFlight      map[decide.EndpointID]int // real attempts of followed requests that are in flight, by endpoint
+	shadowTimer   decide.Time               // when the shadow wants a TimerDue event; 0 for never
+	shadowActions []decide.Action           // actions of the shadow that are not processed yet
+	unmatched     []decide.Action           // a copy of decided; actions that the shadow decided as well are marked by SetTimer
+	decided       []decide.Action           // all actions of the deciding balancer at this event
 }
 
-// view is a request that is followed. It ends when the request is over for real and has nothing out: its outcomes,
-// its final answer and a caller that leaves are all told.
-type view struct {
-	to       []decide.EndpointID // of the attempts made for real
-	out      int                 // of them without an outcome
-	over     bool                // it has its final answer, or nobody waits for one
-	differed bool                // the watching balancer did something else: from there on its view of the request is not real
-	sent     int                 // attempts that the watching balancer takes for sent
+// followedRequest is a request whose handling is compared. It is kept until the request is done and none of its real
+// attempts is in flight: each attempt's outcome, the final answer and a caller that leaves are all events.
+type followedRequest struct {
+	endpoints   []decide.EndpointID // of the real attempts, by their number
+	inFlight    int                 // real attempts without an outcome
+	done        bool                // it has its final answer, or its caller has left
+	differed    bool                // the shadow decided otherwise; its state of the request is not real from then on, nor compared
+	shadowSends int                 // attempts that the shadow decided to send
 }
 
-// New watches what set would decide beside a decider. It fails where set cannot be acted on.
+// New returns a comparison of deciding with a shadow that has the settings set. It fails if set is not valid.
 func New(deciding Decider, set decide.Settings, seed uint64) (*Comparison, error) {
-	watching, err := decide.New(set, seed)
+	shadow, err := decide.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
 	return &Comparison{
-		deciding: deciding, watching: watching,
-		views: map[decide.RequestID]*view{}, inFlight: map[decide.EndpointID]int{},
+		deciding: deciding, shadow: shadow,
+		followed: map[decide.RequestID]*followedRequest{}, inFlight: map[decide.EndpointID]int{},
 	}, nil
 }
 
-// Avoided is the deciding one's, where it tells.
-func (w *Comparison) Avoided() int {
-	if d, ok := w.deciding.(interface{ Avoided() int }); ok {
+// Avoided returns how many endpoints the deciding balancer avoids, or 0 if it does not report that.
+func (c *Comparison) Avoided() int {
+	if d, ok := c.deciding.(interface{ Avoided() int }); ok {
 		return d.Avoided()
 	}
 	return 0
 }
 
 // Counts returns what has been counted so far.
-func (w *Comparison) Counts() Counts { return w.counts }
+func (c *Comparison) Counts() Counts { return c.counts }
 
-// Handle has the deciding one handle the event, and then looks at what the watching one would have done. What it
-// returns is the deciding one's alone.
-func (w *Comparison) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
+// Handle passes the event to the deciding balancer and returns that one's actions alone; then it compares what the
+// shadow would have done.
+func (c *Comparison) Handle(now decide.Time, ev *decide.Event, actions []decide.Action) []decide.Action {
 	before := len(actions)
-	actions = w.deciding.Handle(now, ev, actions)
-	w.real = append(w.real[:0], actions[before:]...)
-	w.done = append(w.done[:0], actions[before:]...)
-	w.follow(now, ev)
+	actions = c.deciding.Handle(now, ev, actions)
+	c.unmatched = append(c.unmatched[:0], actions[before:]...)
+	c.decided = append(c.decided[:0], actions[before:]...)
+	c.updateShadow(now, ev)
 	return actions
 }
 
-// follow tells the watching balancer of the event, as far as it concerns it, and compares.
-func (w *Comparison) follow(now decide.Time, ev *decide.Event) {
+// updateShadow passes the event on to the shadow if it concerns it, and compares the actions.
+func (c *Comparison) updateShadow(now decide.Time, ev *decide.Event) {
 	switch ev.Kind {
-	case decide.TimerDue, decide.ProbeFinished: // the deciding one's own
+	case decide.TimerDue, decide.ProbeFinished: // of the deciding balancer alone: the shadow has its own
 	case decide.Arrived:
-		if len(w.views) >= mostWatched {
-			w.counts.NotFollowed++
+		if len(c.followed) >= maxFollowed {
+			c.counts.NotFollowed++
 			break
 		}
-		w.counts.Followed++
-		w.views[ev.Request] = &view{}
-		w.tell(now, ev)
+		c.counts.Followed++
+		c.followed[ev.Request] = &followedRequest{}
+		c.notifyShadow(now, ev)
 	case decide.Finished, decide.StreamBegan, decide.BodyReceived, decide.ClientLeft:
-		if v := w.views[ev.Request]; v != nil && !v.differed {
-			w.tell(now, ev)
+		if f := c.followed[ev.Request]; f != nil && !f.differed {
+			c.notifyShadow(now, ev)
 		}
 	default:
-		w.tell(now, ev)
+		c.notifyShadow(now, ev)
 	}
-	if w.due > 0 && now >= w.due {
-		w.due = 0
-		w.tell(now, &decide.Event{Kind: decide.TimerDue})
+	if c.shadowTimer > 0 && now >= c.shadowTimer {
+		c.shadowTimer = 0
+		c.notifyShadow(now, &decide.Event{Kind: decide.TimerDue})
 	}
-	w.compareRest()
-	w.end(now, ev)
+	c.compareUnmatched()
+	c.trackRequests(now, ev)
 }
 
-// end books how far the requests of this event have come for real, and ends the views of those that are done. The
-// watching balancer has had its own attempts out until here, as it would have: after a difference they end with an
-// outcome that teaches nothing.
-func (w *Comparison) end(now decide.Time, ev *decide.Event) {
-	for _, r := range w.done {
-		if v := w.views[r.Request]; v != nil {
+// trackRequests records what really became of the requests of this event, and closes those that are done. Only then do
+// the shadow's own attempts of a request that differed end, as they would have been in flight until then; their outcome
+// NotSent teaches the shadow nothing about the endpoint.
+func (c *Comparison) trackRequests(now decide.Time, ev *decide.Event) {
+	for _, r := range c.decided {
+		if f := c.followed[r.Request]; f != nil {
 			if r.Kind == decide.Send {
-				v.to, v.out = append(v.to, r.Endpoint), v.out+1
-				w.inFlight[r.Endpoint]++
+				f.endpoints, f.inFlight = append(f.endpoints, r.Endpoint), f.inFlight+1
+				c.inFlight[r.Endpoint]++
 			}
-			v.over = v.over || r.Kind == decide.Refuse || r.Kind == decide.Fail
-			w.close(now, r.Request, v)
+			f.done = f.done || r.Kind == decide.Refuse || r.Kind == decide.Fail
+			c.closeIfDone(now, r.Request, f)
 		}
 	}
-	if v := w.views[ev.Request]; v != nil && (ev.Kind == decide.Finished || ev.Kind == decide.ClientLeft) {
-		if ev.Kind == decide.Finished && ev.Attempt < len(v.to) {
-			// By what was sent: the event of an endpoint that has left the list names none.
-			v.out--
-			if to := v.to[ev.Attempt]; w.inFlight[to] > 1 {
-				w.inFlight[to]--
+	if f := c.followed[ev.Request]; f != nil && (ev.Kind == decide.Finished || ev.Kind == decide.ClientLeft) {
+		if ev.Kind == decide.Finished && ev.Attempt < len(f.endpoints) {
+			// Uses the endpoint of the Send action: the event of an endpoint that has left the list does not name it.
+			f.inFlight--
+			if to := f.endpoints[ev.Attempt]; c.inFlight[to] > 1 {
+				c.inFlight[to]--
 			} else {
-				delete(w.inFlight, to)
+				delete(c.inFlight, to)
 			}
 		}
-		v.over = v.over || ev.RequestDone || ev.Kind == decide.ClientLeft
-		w.close(now, ev.Request, v)
+		f.done = f.done || ev.RequestDone || ev.Kind == decide.ClientLeft
+		c.closeIfDone(now, ev.Request, f)
 	}
-	w.look(now)
+	c.processShadowActions(now)
 }
 
-func (w *Comparison) close(now decide.Time, id decide.RequestID, v *view) {
-	if !v.over || v.out > 0 {
+// closeIfDone stops following a request that is done and has no real attempt in flight. If the shadow differed, its
+// attempts and the request are ended in the shadow, too.
+func (c *Comparison) closeIfDone(now decide.Time, id decide.RequestID, f *followedRequest) {
+	if !f.done || f.inFlight > 0 {
 		return
 	}
-	delete(w.views, id)
-	if !v.differed {
+	delete(c.followed, id)
+	if !f.differed {
 		return
 	}
-	for i := range v.sent {
-		w.settle(now, decide.Event{Kind: decide.Finished, Request: id, Attempt: i, Outcome: decide.NotSent, RequestDone: true})
+	for i := range f.shadowSends {
+		c.endInShadow(now, decide.Event{Kind: decide.Finished, Request: id, Attempt: i, Outcome: decide.NotSent, RequestDone: true})
 	}
-	w.settle(now, decide.Event{Kind: decide.ClientLeft, Request: id})
+	c.endInShadow(now, decide.Event{Kind: decide.ClientLeft, Request: id})
 }
 
-// tell gives the watching balancer an event and looks at what it decides on it. Its probes are answered here:
-// nobody is asked, so an endpoint's answer is what this sidecar itself has out there.
-func (w *Comparison) tell(now decide.Time, ev *decide.Event) {
-	w.actions = w.watching.Handle(now, ev, w.actions)
-	w.look(now)
+// notifyShadow passes an event to the shadow and processes what it decides.
+func (c *Comparison) notifyShadow(now decide.Time, ev *decide.Event) {
+	c.shadowActions = c.shadow.Handle(now, ev, c.shadowActions)
+	c.processShadowActions(now)
 }
 
-// look goes through what the watching balancer has decided, what it decides meanwhile included.
-func (w *Comparison) look(now decide.Time) {
-	for i := 0; i < len(w.actions); i++ {
-		a := w.actions[i]
+// processShadowActions processes the actions of the shadow, also those that it decides meanwhile. No probe is sent:
+// each is answered here at once, with this sidecar's own attempts in flight as the endpoint's load.
+func (c *Comparison) processShadowActions(now decide.Time) {
+	for i := 0; i < len(c.shadowActions); i++ {
+		a := c.shadowActions[i]
 		switch a.Kind {
 		case decide.SetTimer:
-			w.due = now + a.After
+			c.shadowTimer = now + a.After
 		case decide.WatchList:
 		case decide.Probe:
-			w.counts.Probes++
-			w.actions = w.watching.Handle(now, &decide.Event{
+			c.counts.Probes++
+			c.shadowActions = c.shadow.Handle(now, &decide.Event{
 				Kind: decide.ProbeFinished, Endpoint: a.Endpoint, Outcome: decide.Served,
-				Load: decide.Load{Outstanding: float64(w.inFlight[a.Endpoint]), Utilization: -1},
-			}, w.actions)
+				Load: decide.Load{Outstanding: float64(c.inFlight[a.Endpoint]), Utilization: -1},
+			}, c.shadowActions)
 		default:
-			w.compare(a)
+			c.compareAction(a)
 		}
 	}
-	w.actions = w.actions[:0]
+	c.shadowActions = c.shadowActions[:0]
 }
 
-// compare looks for an action on a request among the deciding one's of this event, and takes it from there.
-func (w *Comparison) compare(a decide.Action) {
-	v := w.views[a.Request]
-	if v == nil {
+// compareAction looks for the shadow's action among those of the deciding balancer at this event. It marks the match,
+// or counts a difference.
+func (c *Comparison) compareAction(a decide.Action) {
+	f := c.followed[a.Request]
+	if f == nil {
 		return
 	}
 	if a.Kind == decide.Send {
-		v.sent++
+		f.shadowSends++
 	}
-	if v.differed {
+	if f.differed {
 		return
 	}
-	for i, r := range w.real {
-		if r.Request != a.Request || !ofRequest(r) {
+	for i, r := range c.unmatched {
+		if r.Request != a.Request || !concernsRequest(r) {
 			continue
 		}
 		if r.Kind != a.Kind || r.Kind == decide.Send && r.Endpoint != a.Endpoint {
 			break
 		}
-		w.real[i].Kind = decide.SetTimer // matched
-		w.counts.Same++
+		c.unmatched[i].Kind = decide.SetTimer // matched
+		c.counts.Same++
 		return
 	}
-	w.differ(v, a)
+	c.countDifference(f, a)
 }
 
-// compareRest finds what the deciding one did and the watching one did not.
-func (w *Comparison) compareRest() {
-	for _, r := range w.real {
-		if v := w.views[r.Request]; v != nil && !v.differed && ofRequest(r) && r.Kind != decide.Cancel {
-			w.differ(v, decide.Action{Kind: decide.SetTimer, Request: r.Request})
+// compareUnmatched counts the actions that the deciding balancer decided and the shadow did not. A cancellation alone
+// is no difference.
+func (c *Comparison) compareUnmatched() {
+	for _, r := range c.unmatched {
+		if f := c.followed[r.Request]; f != nil && !f.differed && concernsRequest(r) && r.Kind != decide.Cancel {
+			c.countDifference(f, decide.Action{Kind: decide.SetTimer, Request: r.Request})
 		}
 	}
 }
 
-func ofRequest(a decide.Action) bool {
+// concernsRequest reports whether an action is about a request, not about probes, timers or the list.
+func concernsRequest(a decide.Action) bool {
 	switch a.Kind {
 	case decide.Send, decide.Cancel, decide.Refuse, decide.Fail:
 		return true
@@ -241,32 +248,34 @@
 	return false
 }
 
-// differ counts a difference by what the watching balancer did (SetTimer: nothing).
-func (w *Comparison) differ(v *view, a decide.Action) {
-	v.differed = true
-	sent := false // by the deciding one, at this event
-	for _, r := range w.done {
+// countDifference counts a difference by the shadow's action a; SetTimer stands for none. Nothing more of the request
+// is compared.
+func (c *Comparison) countDifference(f *followedRequest, a decide.Action) {
+	f.differed = true
+	sent := false // by the deciding balancer, at this event
+	for _, r := range c.decided {
 		sent = sent || r.Request == a.Request && r.Kind == decide.Send
 	}
 	switch {
 	case a.Kind == decide.Send && sent:
-		w.counts.SentElsewhere++
-	case a.Kind == decide.Send && v.sent > 1:
-		w.counts.Retried++
+		c.counts.SentElsewhere++
+	case a.Kind == decide.Send && f.shadowSends > 1:
+		c.counts.Retried++
 	case a.Kind == decide.Send:
-		w.counts.Sent++
+		c.counts.Sent++
 	case a.Kind == decide.Refuse:
-		w.counts.Refused++
+		c.counts.Refused++
 	case a.Kind == decide.Fail:
-		w.counts.Failed++
+		c.counts.Failed++
 	case a.Kind == decide.Cancel:
-		w.counts.Canceled++
+		c.counts.Canceled++
 	default:
-		w.counts.Held++
+		c.counts.Held++
 	}
 }
 
-// settle tells the watching balancer of an end; look goes through what it decides on that.
-func (w *Comparison) settle(now decide.Time, ev decide.Event) {
-	w.actions = w.watching.Handle(now, &ev, w.actions)
+// endInShadow passes the end of an attempt or of a request to the shadow. trackRequests has its actions processed
+// later.
+func (c *Comparison) endInShadow(now decide.Time, ev decide.Event) {
+	c.shadowActions = c.shadow.Handle(now, &ev, c.shadowActions)
 }
--- a/internal/tomlread/tomlread_test.go
+++ b/internal/tomlread/tomlread_test.go
@@ -36,7 +36,7 @@
 	return waits, from
 }
 
-func TestReads(t *testing.T) {
+func TestReadValues(t *testing.T) {
 	d, err := Parse("f.toml", []byte(good))
 	if err != nil {
 		t.Fatal(err)
@@ -47,9 +47,8 @@
 	}
 }
 
-// Guards against errors that stand at the wrong line, or of which only the first
-// is told.
-func TestTellsAllAtOnceWithTheirLines(t *testing.T) {
+// Guards against faults that are reported with the wrong line, or of which only the first is reported.
+func TestReportsAllErrorsWithLines(t *testing.T) {
 	bad := strings.NewReplacer(
 		`every = 3`, `every = 30`, `"250ms"`, `250`, `share = 0.5`, `share = "much"`,
 		`from = 0.9`, "fromm = 0.9\nfrmo = 0.8", `name = "a"`, `name = 7`).Replace(good)
@@ -67,18 +66,18 @@
 		`f.toml:16: tier[1].cold.frmo: unknown key; allowed: from`,
 	}
 	if got := d.Err(); got == nil || got.Error() != strings.Join(want, "\n") {
-		t.Errorf("told\n%v\nwant\n%s", got, strings.Join(want, "\n"))
+		t.Errorf("reported\n%v\nwant\n%s", got, strings.Join(want, "\n"))
 	}
 }
 
-func TestNoTOML(t *testing.T) {
+func TestInvalidTOML(t *testing.T) {
 	_, err := Parse("f.toml", []byte("a = 1\nb = = 2\n"))
 	if err == nil || !strings.HasPrefix(err.Error(), "f.toml:2: ") {
-		t.Errorf("told %v, want line 2", err)
+		t.Errorf("reported %v, want line 2", err)
 	}
 }
 
-// No text may end the process, and what go-toml takes has its lines.
+// No text may make the process panic, and every error has a line.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte("[[a.b]]\n[a.b.c]\nd=[{e=1}]\n"))
