--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -88,7 +88,6 @@
 	refused  map[uint64]string
 	steps    []string
 	began    time.Duration
-	looked   time.Time      // at the leader's state, before the play
 	clearing sync.WaitGroup // what acts have begun
 }
 
