--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -124,15 +124,15 @@
 		}
 		c.Coefficients[i] /= math.Pow(scale, float64(i))
 	}
-	c.judge(x, y)
+	c.computeResidual(x, y)
 	for i := range n {
 		c.Errors[i] = c.Residual * math.Sqrt(max(0, normal[i][n+i])) / math.Pow(scale, float64(i))
 	}
 	return c, nil
 }
 
-// judge takes the residual error and what is explained.
-func (c *Curve) judge(x, y []float64) {
+// computeResidual takes the residual error and what is explained.
+func (c *Curve) computeResidual(x, y []float64) {
 	mean, off, spread := 0.0, 0.0, 0.0
 	for _, v := range y {
 		mean += v / float64(len(y))
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -76,9 +76,9 @@
 // Figures of the bootstrap. The seed is fixed: the same records give the same
 // interval.
 const (
-	resamples = 2000
-	tail      = 0.025
-	bootSeed  = 7
+	resamples     = 2000
+	tailShare     = 0.025
+	bootstrapSeed = 7
 )
 
 // Pair compares two sets of values, pair by pair.
@@ -98,7 +98,7 @@
 		return p
 	}
 	p.Median = StatsOf(diffs).Median
-	random := rand.New(rand.NewPCG(bootSeed, bootSeed))
+	random := rand.New(rand.NewPCG(bootstrapSeed, bootstrapSeed))
 	medians := make([]float64, resamples)
 	drawn := make([]float64, len(diffs))
 	for i := range medians {
@@ -109,7 +109,7 @@
 	}
 	slices.Sort(medians)
 	last := float64(resamples - 1)
-	p.Low, p.High = medians[int(tail*last)], medians[int((1-tail)*last)]
+	p.Low, p.High = medians[int(tailShare*last)], medians[int((1-tailShare)*last)]
 	p.P = signTest(p.Above, p.Below)
 	return p
 }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -18,10 +18,10 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// picture is one plot over the seconds of a run.
-type picture struct {
+// plotSpec is one plot over the seconds of a run.
+type plotSpec struct {
 	name, title, unit string
-	least             float64 // the axis begins there
+	minY              float64 // the axis begins there
 	lines             []line
 }
 
@@ -38,8 +38,8 @@
 	green  = color.RGBA{0, 158, 115, 255}
 )
 
-// plots are those of a record.
-func plots(r *record.Record) []picture {
+// recordPlots are those of a record.
+func recordPlots(r *record.Record) []plotSpec {
 	of := func(read func(oracle.Second) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(r.Series))
 		for i, s := range r.Series {
@@ -47,7 +47,7 @@
 		}
 		return xy
 	}
-	return []picture{
+	return []plotSpec{
 		{name: "requests", title: "Requests", unit: "a second", lines: []line{
 			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Requests) })},
 			{"served", orange, of(func(s oracle.Second) float64 { return float64(s.Served) })},
@@ -64,13 +64,13 @@
 	}
 }
 
-// draw returns the plot as SVG.
-func (p picture) draw() ([]byte, error) {
+// render returns the plot as SVG.
+func (p plotSpec) render() ([]byte, error) {
 	g := plot.New()
 	g.Title.Text = p.title
 	g.X.Label.Text = "seconds"
 	g.Y.Label.Text = p.unit
-	g.Y.Min = p.least
+	g.Y.Min = p.minY
 	g.Legend.Top = true
 	for _, l := range p.lines {
 		if len(l.xy) == 0 {
@@ -84,7 +84,7 @@
 		g.Add(drawn)
 		g.Legend.Add(l.name, drawn)
 	}
-	g.Y.Min = min(g.Y.Min, p.least)
+	g.Y.Min = min(g.Y.Min, p.minY)
 	to, err := g.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return nil, err
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -27,8 +27,8 @@
 	return e.Encode(r)
 }
 
-// rulesLine are the rules and how often each was broken.
-func rulesLine(rules map[oracle.Rule]int) string {
+// violationCounts are the rules and how often each was broken.
+func violationCounts(rules map[oracle.Rule]int) string {
 	parts := make([]string, 0, len(oracle.Rules))
 	for _, rule := range oracle.Rules {
 		parts = append(parts, fmt.Sprintf("%s %d", rule, rules[rule]))
@@ -39,7 +39,7 @@
 // Line is a record in one line.
 func Line(r *record.Record) string {
 	line := fmt.Sprintf("service %.3f, p50 %.1f ms, p99 %.1f ms, attempts a request %.3f; broken: %s",
-		r.Service, r.All.P50, r.All.P99, r.AttemptsPerRequest, rulesLine(r.Rules))
+		r.Service, r.All.P50, r.All.P99, r.AttemptsPerRequest, violationCounts(r.Rules))
 	if len(r.Void) > 0 {
 		line += "; VOID: " + strings.Join(r.Void, "; ")
 	}
@@ -86,16 +86,16 @@
 	if err := r.Save(filepath.Join(dir, "record.json")); err != nil {
 		return err
 	}
-	page := page{Record: r, Rules: rulesLine(r.Rules), Line: Line(r)}
-	for _, p := range plots(r) {
-		svg, err := p.draw()
+	page := page{Record: r, Rules: violationCounts(r.Rules), Line: Line(r)}
+	for _, p := range recordPlots(r) {
+		svg, err := p.render()
 		if err != nil {
 			return fmt.Errorf("plot %s: %w", p.name, err)
 		}
 		if err := record.WriteFile(filepath.Join(dir, p.name+".svg"), svg); err != nil {
 			return err
 		}
-		page.Plots = append(page.Plots, template.HTML(stripHead(svg))) //nolint:gosec // drawn just now
+		page.Plots = append(page.Plots, template.HTML(stripProlog(svg))) //nolint:gosec // drawn just now
 	}
 	var text bytes.Buffer
 	if err := pageTemplate.Execute(&text, page); err != nil {
@@ -104,8 +104,8 @@
 	return record.WriteFile(filepath.Join(dir, "report.html"), text.Bytes())
 }
 
-// stripHead takes the XML declaration off an SVG, which a page may not have inside.
-func stripHead(svg []byte) string {
+// stripProlog takes the XML declaration off an SVG, which a page may not have inside.
+func stripProlog(svg []byte) string {
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
 		svg = svg[i:]
 	}
--- a/internal/lab/report/svg.go
+++ b/internal/lab/report/svg.go
@@ -17,7 +17,7 @@
 // SVG draws it.
 func (p *Plot) SVG() ([]byte, error) {
 	colors := []line{{color: blue}, {color: orange}, {color: green}}
-	drawn := picture{title: p.Title, unit: p.Unit}
+	drawn := plotSpec{title: p.Title, unit: p.Unit}
 	for i, c := range p.Curves {
 		l := line{name: c.Name, color: colors[i%len(colors)].color, xy: make(plotter.XYs, len(c.X))}
 		for k := range c.X {
@@ -25,5 +25,5 @@
 		}
 		drawn.lines = append(drawn.lines, l)
 	}
-	return drawn.draw()
+	return drawn.render()
 }
--- a/internal/lab/scale/acts.go
+++ b/internal/lab/scale/actions.go
@@ -23,21 +23,21 @@
 
 // Times of proposals.
 const (
-	proposeTime  = 2 * time.Second // for one try
-	proposePause = 20 * time.Millisecond
-	never        = time.Duration(math.MaxInt64)
+	proposeTimeout    = 2 * time.Second // for one try
+	proposeRetryDelay = 20 * time.Millisecond
+	never             = time.Duration(math.MaxInt64)
 )
 
-// act plays one act, which was due at a time, and what ends it.
-func (r *run) act(ctx context.Context, a Act, due time.Duration) {
-	if a.Do != Propose {
-		r.note("%s", a.text())
+// perform plays one act, which was due at a time, and what ends it.
+func (r *run) perform(ctx context.Context, a Action, due time.Duration) {
+	if a.Kind != Propose {
+		r.recordStep("%s", a.describe())
 	}
-	switch a.Do {
+	switch a.Kind {
 	case Propose, Burst:
 		for range a.Count {
 			r.mu.Lock()
-			r.obs.Left++
+			r.obs.Unproposed++
 			r.mu.Unlock()
 			r.proposals <- due // there is room for all of a run
 		}
@@ -45,60 +45,60 @@
 		var all sync.WaitGroup
 		defer all.Wait()
 		for _, group := range r.byProcess(a.Members) {
-			all.Go(func() { r.restart(ctx, group, a.Killed, a.Away, true) })
+			all.Go(func() { r.restart(ctx, group, a.Killed, a.Downtime, true) })
 		}
 	case Kill, Rack, Zone:
 		members := a.Members
-		if leader := r.leaderName(); a.Leader && leader != "" {
-			r.note("with it the leader, %s", leader)
+		if leader := r.leaderName(); a.KillLeader && leader != "" {
+			r.recordStep("with it the leader, %s", leader)
 			members = append(slices.Clone(members), leader)
 		}
 		var all sync.WaitGroup
 		defer all.Wait()
 		for _, group := range r.byProcess(members) {
-			all.Go(func() { r.restart(ctx, group, true, a.Away, a.Away > 0) })
+			all.Go(func() { r.restart(ctx, group, true, a.Downtime, a.Downtime > 0) })
 		}
 	case Leader:
 		leader := r.leaderName()
 		if leader == "" {
-			r.note("nobody leads")
+			r.recordStep("nobody leads")
 			return
 		}
-		r.note("%s leads, and is killed", leader)
-		r.restart(ctx, []string{leader}, true, a.For, a.For > 0)
-	case Cut:
-		r.cut(ctx, a)
+		r.recordStep("%s leads, and is killed", leader)
+		r.restart(ctx, []string{leader}, true, a.Duration, a.Duration > 0)
+	case Partition:
+		r.partition(ctx, a)
 	case Slow:
 		who := a.Members[0]
 		if who == Leader {
 			if who = r.leaderName(); who == "" {
-				r.note("nobody leads")
+				r.recordStep("nobody leads")
 				return
 			}
 		}
-		r.delayAnswers(who, a.By)
-		sleep(ctx, a.For) //nolint:errcheck // then it ends
-		r.delayAnswers(who, -a.By)
-		r.note("%s answers as before", who)
+		r.delayAnswers(who, a.Delay)
+		sleep(ctx, a.Duration) //nolint:errcheck // then it ends
+		r.delayAnswers(who, -a.Delay)
+		r.recordStep("%s answers as before", who)
 	}
 }
 
-// text says what an act does.
-func (a *Act) text() string {
+// describe says what an act does.
+func (a *Action) describe() string {
 	var b strings.Builder
-	b.WriteString(a.Do)
+	b.WriteString(a.Kind)
 	switch {
 	case len(a.Members) > 3:
 		fmt.Fprintf(&b, " %d members", len(a.Members))
 	case len(a.Members) > 0:
 		b.WriteString(" " + strings.Join(a.Members, " "))
-	case a.Do == Burst:
+	case a.Kind == Burst:
 		fmt.Fprintf(&b, " of %d versions", a.Count)
-	case a.Do == Cut:
-		fmt.Fprintf(&b, " between %s and %s for %v", a.Between[0], a.Between[1], a.For)
+	case a.Kind == Partition:
+		fmt.Fprintf(&b, " between %s and %s for %v", a.Between[0], a.Between[1], a.Duration)
 	}
-	if a.Do == Slow {
-		fmt.Fprintf(&b, " by %v for %v", a.By, a.For)
+	if a.Kind == Slow {
+		fmt.Fprintf(&b, " by %v for %v", a.Delay, a.Duration)
 	}
 	return b.String()
 }
@@ -108,7 +108,7 @@
 	groups := map[string][]string{}
 	for _, name := range members {
 		process := name
-		if h := r.herdOf[name]; h != nil {
+		if h := r.processOf[name]; h != nil {
 			process = h.name
 		}
 		groups[process] = append(groups[process], name)
@@ -122,49 +122,49 @@
 
 // restart ends members of one process and, if they are to come back, starts them after a time.
 func (r *run) restart(ctx context.Context, members []string, kill bool, away time.Duration, back bool) {
-	down, did := r.endMembers(members, kill)
+	down, did := r.stopMembers(members, kill)
 	if !did {
 		return
 	}
 	if !back || sleep(ctx, away) != nil {
 		return
 	}
-	at := boot()
+	at := bootTime()
 	var err error
-	if h := r.herdOf[members[0]]; h != nil {
-		_, err = h.do(emulated.Command{Do: emulated.Restart, Members: members}, commandTime)
+	if h := r.processOf[members[0]]; h != nil {
+		_, err = h.command(emulated.Command{Do: emulated.Restart, Members: members}, commandTimeout)
 	} else {
 		err = r.sidecars[members[0]].start(ctx)
 	}
 	r.mu.Lock()
 	for name, i := range down {
-		r.obs.Downs[name][i].To = at
+		r.obs.Downtimes[name][i].To = at
 	}
 	r.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
-		r.broken("%s does not come back: %v", strings.Join(members, " "), err)
+		r.recordFailure("%s does not come back: %v", strings.Join(members, " "), err)
 	}
 }
 
-// endMembers ends members of one process, by a kill or in order. It tells at which place of each one's downs that stands.
-func (r *run) endMembers(members []string, kill bool) (down map[string]int, did bool) {
-	from := boot()
-	if h := r.herdOf[members[0]]; h != nil {
+// stopMembers ends members of one process, by a kill or in order. It tells at which place of each one's downs that stands.
+func (r *run) stopMembers(members []string, kill bool) (down map[string]int, did bool) {
+	from := bootTime()
+	if h := r.processOf[members[0]]; h != nil {
 		do := emulated.Leave
 		if kill {
 			do = emulated.Kill
 		}
-		if _, err := h.do(emulated.Command{Do: do, Members: members}, commandTime); err != nil {
-			r.broken("%v", err)
+		if _, err := h.command(emulated.Command{Do: do, Members: members}, commandTimeout); err != nil {
+			r.recordFailure("%v", err)
 			return nil, false
 		}
 		if !kill {
-			from = boot()
+			from = bootTime()
 		}
 	} else {
-		signal, most := syscall.SIGTERM, leaveTime
+		signal, most := syscall.SIGTERM, leaveTimeout
 		if kill {
-			signal, most = syscall.SIGKILL, killTime
+			signal, most = syscall.SIGKILL, killTimeout
 		}
 		if from, did = r.sidecars[members[0]].end(signal, most); !did {
 			return nil, false
@@ -173,17 +173,17 @@
 	down = map[string]int{}
 	r.mu.Lock()
 	for _, name := range members {
-		down[name] = len(r.obs.Downs[name])
-		r.obs.Downs[name] = append(r.obs.Downs[name], Span{From: from, To: never})
+		down[name] = len(r.obs.Downtimes[name])
+		r.obs.Downtimes[name] = append(r.obs.Downtimes[name], Span{From: from, To: never})
 	}
 	r.mu.Unlock()
 	return down, true
 }
 
-// cut cuts two regions off each other, and mends that.
-func (r *run) cut(ctx context.Context, a Act) {
+// partition cuts two regions off each other, and mends that.
+func (r *run) partition(ctx context.Context, a Action) {
 	set := func(cut bool) {
-		for _, b := range r.between {
+		for _, b := range r.regionRelays {
 			if b.regions == a.Between || b.regions == [2]string{a.Between[1], a.Between[0]} {
 				b.relay.SetPartitioned(cut)
 			}
@@ -193,26 +193,26 @@
 			do = emulated.Partition
 		}
 		var all sync.WaitGroup
-		for _, h := range r.herds {
+		for _, h := range r.emulated {
 			all.Go(func() {
-				if _, err := h.do(emulated.Command{Do: do, Regions: a.Between}, commandTime); err != nil {
-					r.broken("%v", err)
+				if _, err := h.command(emulated.Command{Do: do, Regions: a.Between}, commandTimeout); err != nil {
+					r.recordFailure("%v", err)
 				}
 			})
 		}
 		all.Wait()
 	}
 	r.mu.Lock()
-	place := len(r.obs.Cuts)
-	r.obs.Cuts = append(r.obs.Cuts, PartitionSpan{Span{boot(), never}, a.Between})
+	place := len(r.obs.Partitions)
+	r.obs.Partitions = append(r.obs.Partitions, PartitionSpan{Span{bootTime(), never}, a.Between})
 	r.mu.Unlock()
 	set(true)
-	sleep(ctx, a.For) //nolint:errcheck // then it ends
+	sleep(ctx, a.Duration) //nolint:errcheck // then it ends
 	set(false)
 	r.mu.Lock()
-	r.obs.Cuts[place].To = boot()
+	r.obs.Partitions[place].To = bootTime()
 	r.mu.Unlock()
-	r.note("%s and %s reach each other", a.Between[0], a.Between[1])
+	r.recordStep("%s and %s reach each other", a.Between[0], a.Between[1])
 }
 
 // delayAnswers has a keeper's answers come so much later, or sooner again.
@@ -222,7 +222,7 @@
 			way.SetAnswerDelay(by)
 		}
 	}
-	if front := r.fronts[keeper]; front != nil {
+	if front := r.voterRelays[keeper]; front != nil {
 		front.SetAnswerDelay(by)
 	}
 }
@@ -237,37 +237,37 @@
 			return
 		case due = <-r.proposals:
 		}
-		next := r.document(n)
+		next := r.versionDocument(n)
 		told, ok := r.proposeOne(ctx, due, next)
 		if !ok {
 			if ctx.Err() == nil {
-				r.broken("a version that was due at %.2fs could not be proposed", (due - r.began).Seconds())
+				r.recordFailure("a version that was due at %.2fs could not be proposed", (due - r.began).Seconds())
 			}
 			return
 		}
 		for ctx.Err() == nil { // one at a time
 			r.mu.Lock()
-			over, why := r.active >= told, r.refused[told]
+			over, why := r.activeVersion >= told, r.refusedVersions[told]
 			r.mu.Unlock()
 			if over || why != "" {
 				break
 			}
-			sleep(ctx, proposePause) //nolint:errcheck // the loop looks
+			sleep(ctx, proposeRetryDelay) //nolint:errcheck // the loop looks
 		}
 
 	}
 }
 
-// document is what the n-th version says: the effect of a class, and endpoints that are banned, as operators' versions do. Each
+// versionDocument is what the n-th version says: the effect of a class, and endpoints that are banned, as operators' versions do. Each
 // differs from the one before.
-func (r *run) document(n int) versions.Document {
+func (r *run) versionDocument(n int) versions.Document {
 	effect := decide.Safe
 	if n%2 == 1 {
 		effect = decide.Unsafe
 	}
 	doc := versions.Document{Classes: map[string]versions.Class{harness.ProbedClass: {Effect: effect}}}
-	for i := range r.s.Banned {
-		name := fmt.Sprintf("endpoint-%06d.%s", n+i, r.s.zones()[i%len(r.s.zones())])
+	for i := range r.scenario.Banned {
+		name := fmt.Sprintf("endpoint-%06d.%s", n+i, r.scenario.zones()[i%len(r.scenario.zones())])
 		if i == 0 { // one of those that the real sidecars send to
 			name = r.endpoints[n%len(r.endpoints)].Name
 		}
@@ -280,29 +280,29 @@
 // proposeOne proposes a version at whichever keeper leads, until it is told.
 func (r *run) proposeOne(ctx context.Context, due time.Duration, doc versions.Document) (number uint64, ok bool) {
 	proposal := cluster.Proposal{ID: voter.NewID(), Author: "lab", Doc: doc}
-	limit := time.Now().Add(r.s.Duration + lastVersion)
-	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposePause) { //nolint:errcheck // the loop looks
+	limit := time.Now().Add(r.scenario.Duration + proposalsTimeout)
+	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposeRetryDelay) { //nolint:errcheck // the loop looks
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
-		proposal.Parent = r.active
+		proposal.Parent = r.activeVersion
 		r.mu.Unlock()
 		if leader == nil {
 			continue
 		}
 		var told voter.ProposeResult
-		err := leader.line.Call("propose", proposal, &told, proposeTime)
+		err := leader.client.Call("propose", proposal, &told, proposeTimeout)
 		switch {
 		case err == nil && told.Number > 0:
-			r.told(told.Number, due)
+			r.recordProposed(told.Number, due)
 			return told.Number, true
 		case errors.Is(err, peerrpc.ErrRefused):
 			// Turned down, or the leader was lost before it was agreed on and it may count: the ledger tells.
 			var s voter.Status
-			if leader.line.Call("status", struct{}{}, &s, proposeTime) != nil || s.Ledger == nil || s.Leader != s.Name {
+			if leader.client.Call("status", struct{}{}, &s, proposeTimeout) != nil || s.Ledger == nil || s.Leader != s.Name {
 				continue
 			}
 			if round := s.Ledger.Find(proposal.ID); round != nil {
-				r.told(round.Number, due)
+				r.recordProposed(round.Number, due)
 				return round.Number, true
 			}
 			if slices.Contains(s.Ledger.RejectedProposals, proposal.ID) {
@@ -313,9 +313,9 @@
 	return 0, false
 }
 
-func (r *run) told(number uint64, due time.Duration) {
+func (r *run) recordProposed(number uint64, due time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.obs.Left--
-	r.obs.Versions = append(r.obs.Versions, Notified{Number: number, Due: due, Told: boot()})
+	r.obs.Unproposed--
+	r.obs.Versions = append(r.obs.Versions, ProposedVersion{Number: number, Due: due, Proposed: bootTime()})
 }
--- a/internal/lab/scale/judge_test.go
+++ b/internal/lab/scale/evaluate_test.go
@@ -36,7 +36,7 @@
 
 // seen is a run of 30 s in which all went well: two versions, told at 5 and 15 s, in force a second later. Its begin is at 1,000 s.
 type seen struct {
-	*Observed
+	*Observations
 	spent map[string]emulated.MemberUsage // of each hollow member, in a second
 	cpu   map[string]time.Duration
 }
@@ -48,11 +48,11 @@
 func wellGone(t *testing.T) *seen {
 	t.Helper()
 	s := parse(t, judged)
-	o := &seen{Observed: &Observed{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{},
-		Samples: map[string][]emulated.Usage{}, Usage: map[string][]Usage{}, Late: map[string]time.Duration{"this process": 30 * time.Millisecond},
+	o := &seen{Observations: &Observations{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), States: map[string][]emulated.MemberState{}, Downtimes: map[string][]Span{},
+		Samples: map[string][]emulated.Usage{}, Usage: map[string][]Usage{}, MaxLag: map[string]time.Duration{"this process": 30 * time.Millisecond},
 		Leaders: []Leadership{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.MemberUsage{}, cpu: map[string]time.Duration{}}
-	o.Versions = []Notified{{Number: 1, Due: at(4.9), Told: at(5)}, {Number: 2, Due: at(15), Told: at(15)}}
-	for name := range o.Plan.Places {
+	o.Versions = []ProposedVersion{{Number: 1, Due: at(4.9), Proposed: at(5)}, {Number: 2, Due: at(15), Proposed: at(15)}}
+	for name := range o.Plan.Locations {
 		o.acts(name, -3, 0, 0)
 		o.acts(name, 5.6, 0, 1)
 		o.acts(name, 6, 1, 0)
@@ -72,20 +72,20 @@
 
 // acts adds a stance.
 func (o *seen) acts(name string, seconds float64, active, next uint64) {
-	o.Stances[name] = append(o.Stances[name], emulated.MemberState{At: at(seconds), Member: name, Active: active, Next: next})
+	o.States[name] = append(o.States[name], emulated.MemberState{At: at(seconds), Member: name, Active: active, Next: next})
 }
 
 // becomes has a member be something from a time on, in place of what was there.
 func (o *seen) becomes(name string, seconds float64, s emulated.MemberState) {
 	s.At, s.Member = at(seconds), name
-	o.Stances[name] = append(slices.DeleteFunc(o.Stances[name], func(old emulated.MemberState) bool { return old.At >= s.At }), s)
+	o.States[name] = append(slices.DeleteFunc(o.States[name], func(old emulated.MemberState) bool { return old.At >= s.At }), s)
 }
 
 // judge adds the costs, each second, and judges.
 func (o *seen) judge() *Record {
 	for second := 0; second <= 30; second++ {
 		for _, p := range o.Plan.Processes {
-			if p.Kind != HollowProcess {
+			if p.Kind != EmulatedProcess {
 				u := Usage{At: at(float64(second)), Start: 1, CPU: time.Duration(second) * o.cpu[p.Name], MB: 30,
 					Read: int64(second) * 9000, Write: int64(second) * 9000}
 				if p.Kind == PlainProcess {
@@ -103,11 +103,11 @@
 			o.Samples[p.Name] = append(o.Samples[p.Name], s)
 		}
 	}
-	return Judge(o.Observed)
+	return Evaluate(o.Observations)
 }
 
 func violated(r *Record) (keys []string) {
-	for _, f := range r.Figures {
+	for _, f := range r.Measurements {
 		if f.Violated {
 			keys = append(keys, f.Key)
 		}
@@ -127,7 +127,7 @@
 		"keeper_cpu_worst": 20, "leader_cpu_mean": 20,
 		"control_cpu_mean": 0.4, "control_mb": 18, "control_bytes_mean": 12000, "leader_changes": 0, "leader_out_mean": 9000,
 	} {
-		if f := r.Figure(key); f.Not || f.Value < want*0.999-0.001 || f.Value > want*1.001+0.001 {
+		if f := r.Measurement(key); f.NotMeasured || f.Value < want*0.999-0.001 || f.Value > want*1.001+0.001 {
 			t.Errorf("%s: %v, not %v", key, f, want)
 		}
 	}
@@ -196,11 +196,11 @@
 		}, []string{"cautious_most"}, "h4"},
 		"a version that is refused": {func(o *seen) {
 			o.Versions[1].Refused = "h1: looser than its own"
-			for m := range o.Stances {
+			for m := range o.States {
 				o.becomes(m, 15.6, emulated.MemberState{Active: 1})
 			}
 		}, []string{"versions_refused"}, "h1: looser than its own"},
-		"a version that nobody could propose": {func(o *seen) { o.Left = 1 }, []string{"versions_left"}, ""},
+		"a version that nobody could propose": {func(o *seen) { o.Unproposed = 1 }, []string{"versions_left"}, ""},
 		"memory": {func(o *seen) {
 			o.Samples["hollow1"] = []emulated.Usage{{At: at(0), RSSBytes: 100 << 20}}
 		}, []string{"member_mb"}, "hollow1"},
@@ -209,7 +209,7 @@
 				o.Usage[name] = []Usage{{At: at(100)}, {At: at(101)}} // after the end
 				delete(o.cpu, name)
 			}
-			o.Plan.Processes = slices.DeleteFunc(o.Plan.Processes, func(p Process) bool { return p.Kind == KeeperProcess })
+			o.Plan.Processes = slices.DeleteFunc(o.Plan.Processes, func(p Process) bool { return p.Kind == VoterProcess })
 		}, []string{"keeper_cpu_worst", "keeper_mb"}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -221,7 +221,7 @@
 			if !slices.Equal(got, c.want) || r.Passed() {
 				t.Errorf("caught by %v, not by %v", got, c.want)
 			}
-			if who := r.Figure(c.want[0]).Who; c.who != "" && who != c.who {
+			if who := r.Measurement(c.want[0]).Source; c.who != "" && who != c.who {
 				t.Errorf("%s names %q", c.want[0], who)
 			}
 			var text strings.Builder
@@ -242,23 +242,23 @@
 	}{
 		"killed before it acts on it": {func(o *seen) {
 			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
-			o.Downs["h1"] = []Span{{at(15.2), never}}
+			o.Downtimes["h1"] = []Span{{at(15.2), never}}
 		}, 1000, 0},
 		"killed, and back without having acted on the older": {func(o *seen) {
 			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
-			o.Downs["h1"] = []Span{{at(15.2), at(18)}}
-			o.Stances["h1"] = append(o.Stances["h1"], emulated.MemberState{At: at(18.01), Member: "h1", Cautious: true})
+			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
+			o.States["h1"] = append(o.States["h1"], emulated.MemberState{At: at(18.01), Member: "h1", Cautious: true})
 			o.acts("h1", 18.5, 2, 0)
 		}, 1000, 0},
 		"killed, and back on the older": {func(o *seen) {
 			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
-			o.Downs["h1"] = []Span{{at(15.2), at(15.5)}}
+			o.Downtimes["h1"] = []Span{{at(15.2), at(15.5)}}
 			o.acts("h1", 15.8, 1, 0)
 			o.acts("h1", 17, 2, 0)
 		}, 2000, 0},
 		"back on the older, and there it stays": {func(o *seen) {
 			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
-			o.Downs["h1"] = []Span{{at(15.2), at(18)}}
+			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
 			o.acts("h1", 18.5, 1, 0)
 		}, 1000, 1},
 		"it starts as the version is told": {func(o *seen) {
@@ -274,10 +274,10 @@
 			o := wellGone(t)
 			c.plant(o)
 			r := o.judge()
-			if got := r.Figure("in_force_most").Value; got < c.inForce-1 || got > c.inForce+1 {
+			if got := r.Measurement("in_force_most").Value; got < c.inForce-1 || got > c.inForce+1 {
 				t.Errorf("in force after %v ms, not %v", got, c.inForce)
 			}
-			if got := r.Figure("in_force_never").Value; got != c.never {
+			if got := r.Measurement("in_force_never").Value; got != c.never {
 				t.Errorf("%v did not act on it, not %v", got, c.never)
 			}
 		})
@@ -290,11 +290,11 @@
 	build := func() *seen {
 		o := wellGone(t)
 		o.Plan = NewPlan(s, 1)
-		o.Cuts = []PartitionSpan{{Span{at(14), at(24)}, [2]string{"north", "south"}}}
-		for name, place := range o.Plan.Places {
-			if strings.HasPrefix(name, "k") && len(o.Stances[name]) == 0 {
-				for _, st := range o.Stances["k1"] {
-					o.Stances[name] = append(o.Stances[name], emulated.MemberState{At: st.At, Member: name, Active: st.Active, Next: st.Next})
+		o.Partitions = []PartitionSpan{{Span{at(14), at(24)}, [2]string{"north", "south"}}}
+		for name, place := range o.Plan.Locations {
+			if strings.HasPrefix(name, "k") && len(o.States[name]) == 0 {
+				for _, st := range o.States["k1"] {
+					o.States[name] = append(o.States[name], emulated.MemberState{At: st.At, Member: name, Active: st.Active, Next: st.Next})
 				}
 				o.cpu[name] = time.Millisecond
 			}
@@ -312,25 +312,25 @@
 	for key, want := range map[string]float64{
 		"in_force_most": 1000, "cut_off_older": 500, "cut_off_cautious": 8500, "cautious_most": 400, "contradicted": 0,
 	} {
-		if f := r.Figure(key); f.Not || f.Value < want-1 || f.Value > want+1 {
+		if f := r.Measurement(key); f.NotMeasured || f.Value < want-1 || f.Value > want+1 {
 			t.Errorf("%s: %v, not %v", key, f, want)
 		}
 	}
 	south := 0
-	for _, p := range NewPlan(s, 1).Places {
+	for _, p := range NewPlan(s, 1).Locations {
 		if p.Region == "south" {
 			south++
 		}
 	}
-	if got := r.Series[18]; got.CutOff != south || got.Cautious != 0 {
+	if got := r.Series[18]; got.Partitioned != south || got.Cautious != 0 {
 		t.Errorf("%+v of %d in the south", got, south)
 	}
 	// The majority's side is held to its lease.
 	o := build()
 	o.becomes("h1", 15.5, emulated.MemberState{Active: 1, Cautious: true})
 	o.acts("h1", 24.4, 2, 0)
-	if o.Plan.Places["h1"].Region != "north" {
-		t.Fatal(o.Plan.Places["h1"])
+	if o.Plan.Locations["h1"].Region != "north" {
+		t.Fatal(o.Plan.Locations["h1"])
 	}
 	if got := violated(o.judge()); !slices.Contains(got, "cautious_most") || !slices.Contains(got, "in_force_most") {
 		t.Errorf("%v", got)
@@ -338,7 +338,7 @@
 	// Who is cut off and goes on with the older version contradicts the others.
 	o = build()
 	south1 := ""
-	for name, p := range o.Plan.Places {
+	for name, p := range o.Plan.Locations {
 		if p.Region == "south" && name[0] == 'h' && (south1 == "" || name < south1) {
 			south1 = name
 		}
@@ -346,14 +346,14 @@
 	o.becomes(south1, 15.5, emulated.MemberState{Active: 1})
 	o.acts(south1, 24.4, 2, 0)
 	r = o.judge()
-	if f := r.Figure("contradicted"); !f.Violated || f.Who != south1 || f.Value < 8399 || f.Value > 8401 {
+	if f := r.Measurement("contradicted"); !f.Violated || f.Source != south1 || f.Value < 8399 || f.Value > 8401 {
 		t.Errorf("%+v", f)
 	}
 }
 
 func TestJudgeOfRunsThatDoNotCount(t *testing.T) {
 	for name, plant := range map[string]func(o *seen){
-		"the load lagged": func(o *seen) { o.Late["hollow1"] = 251 * time.Millisecond },
+		"the load lagged": func(o *seen) { o.MaxLag["hollow1"] = 251 * time.Millisecond },
 		"interrupted":     func(o *seen) { o.Partial = true },
 		"a process ended": func(o *seen) { o.Broken = []string{"the process hollow1 has ended by itself"} },
 	} {
@@ -380,16 +380,16 @@
 			sum += 4
 		}
 	}
-	if most, mean := worst(p); most != 5 || mean < 2.3 || mean > 2.4 {
+	if most, mean := worstAndMeanRate(p); most != 5 || mean < 2.3 || mean > 2.4 {
 		t.Errorf("%v, %v", most, mean)
 	}
-	if most, mean := worst(p[:5]); most != 1 || mean != 1 {
+	if most, mean := worstAndMeanRate(p[:5]); most != 1 || mean != 1 {
 		t.Errorf("of 4 s: %v, %v", most, mean)
 	}
 	// A count that begins anew has not gone back.
 	values := []float64{100, 110, 5, 15}
 	second := func(i int) time.Duration { return time.Duration(i) * time.Second }
-	r := rising(4, second, func(i int) float64 { return values[i] }, func(int) bool { return false })
+	r := cumulative(4, second, func(i int) float64 { return values[i] }, func(int) bool { return false })
 	if fmt.Sprint(r[3].value) != "25" {
 		t.Errorf("%v", r)
 	}
@@ -399,7 +399,7 @@
 	p := []point{{2 * time.Second, 10}, {4 * time.Second, 30}}
 	for seconds, want := range []float64{10, 10, 10, 20, 30, 30} {
 		at := time.Duration(seconds) * time.Second
-		if got := between(p, at); got != want {
+		if got := interpolate(p, at); got != want {
 			t.Errorf("at %v: %v, not %v", at, got, want)
 		}
 	}
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -50,14 +50,14 @@
 
 func TestGrow(t *testing.T) {
 	at := func(size int, cpu float64) *Record {
-		return &Record{Size: size, Figures: []Figure{{Key: "leader_cpu_mean", What: "the leader", Value: cpu}, {Key: "in_force_p99", Not: true}}}
+		return &Record{Size: size, Measurements: []Measurement{{Key: "leader_cpu_mean", Description: "the leader", Value: cpu}, {Key: "in_force_p99", NotMeasured: true}}}
 	}
 	grown, err := FitGrowth([]*Record{at(60, 7), at(120, 13), at(240, 25)}, at(580, 118))
 	if err != nil || len(grown) != 1 {
 		t.Fatalf("%+v %v", grown, err)
 	}
 	g := grown[0]
-	if math.Abs(g.ByLine-59) > 1e-6 || math.Abs(g.OffLine+50) > 1e-6 || g.Measured != 118 || g.At != 580 {
+	if math.Abs(g.LinearPrediction-59) > 1e-6 || math.Abs(g.LinearErrorPercent+50) > 1e-6 || g.Measured != 118 || g.PredictedSize != 580 {
 		t.Errorf("%+v", g)
 	}
 	var text strings.Builder
--- a/internal/lab/scale/plan_test.go
+++ b/internal/lab/scale/plan_test.go
@@ -38,13 +38,13 @@
 	}
 	s := parse(t, "speed_up = 1000\nduration = \"1m\"\n[day]\nrestarts = 200\nlost = 2\n")
 	a, b := NewPlan(s, 1), NewPlan(s, 2)
-	if reflect.DeepEqual(a.Acts, b.Acts) {
+	if reflect.DeepEqual(a.Actions, b.Actions) {
 		t.Error("two seeds, and the same acts")
 	}
 	count := map[string]int{}
-	for i, act := range a.Acts {
-		count[act.Do] += len(act.Members)
-		if i > 0 && act.At < a.Acts[i-1].At {
+	for i, act := range a.Actions {
+		count[act.Kind] += len(act.Members)
+		if i > 0 && act.At < a.Actions[i-1].At {
 			t.Errorf("act %d is before the one before", i)
 		}
 	}
@@ -70,12 +70,12 @@
 `)
 	p := NewPlan(s, 3)
 	killed, restarted := map[string]bool{}, map[string]int{}
-	for _, a := range p.Acts {
+	for _, a := range p.Actions {
 		for _, m := range a.Members {
 			if killed[m] {
 				t.Errorf("%v strikes %s, which is gone", a, m)
 			}
-			if killed[m] = a.Do == Kill; a.Do == Restart {
+			if killed[m] = a.Kind == Kill; a.Kind == Restart {
 				restarted[m]++
 			}
 		}
@@ -108,21 +108,21 @@
 leader = true
 `+regions)
 	p := NewPlan(s, 1)
-	zone, rack := p.Acts[0], p.Acts[1]
-	if len(zone.Members) != 116 || zone.Away != 2*time.Second || zone.Members[0] != "k2" {
-		t.Errorf("%d members of the zone, %v away, first %v", len(zone.Members), zone.Away, zone.Members[0])
+	zone, rack := p.Actions[0], p.Actions[1]
+	if len(zone.Members) != 116 || zone.Downtime != 2*time.Second || zone.Members[0] != "k2" {
+		t.Errorf("%d members of the zone, %v away, first %v", len(zone.Members), zone.Downtime, zone.Members[0])
 	}
-	if len(rack.Members) != 40 || !rack.Leader {
+	if len(rack.Members) != 40 || !rack.KillLeader {
 		t.Errorf("%d members of the rack", len(rack.Members))
 	}
 	for _, m := range rack.Members {
-		if p.Places[m] != (Place{"a", "north"}) || strings.HasPrefix(m, "k") {
-			t.Errorf("%s stands in %v", m, p.Places[m])
+		if p.Locations[m] != (Location{"a", "north"}) || strings.HasPrefix(m, "k") {
+			t.Errorf("%s stands in %v", m, p.Locations[m])
 		}
 	}
 	north := 0
-	for _, k := range s.keeperNames() {
-		if p.Places[k].Region == "north" {
+	for _, k := range s.voterNames() {
+		if p.Locations[k].Region == "north" {
 			north++
 		}
 	}
--- a/internal/lab/scale/fleet.go
+++ b/internal/lab/scale/processes.go
@@ -25,15 +25,15 @@
 
 // Times of processes.
 const (
-	killTime     = 5 * time.Second  // for a killed process to be gone
-	leaveTime    = 12 * time.Second // for one that ends in order: what it holds moves before
-	readyTime    = time.Minute      // for a hollow process's members to listen
-	commandTime  = 20 * time.Second // for a command's answer, above what a member that leaves takes
-	sampleTime   = 10 * time.Second
-	mostJSONLine = 64 << 20
+	killTimeout    = 5 * time.Second  // for a killed process to be gone
+	leaveTimeout   = 12 * time.Second // for one that ends in order: what it holds moves before
+	readyTimeout   = time.Minute      // for a hollow process's members to listen
+	commandTimeout = 20 * time.Second // for a command's answer, above what a member that leaves takes
+	sampleTimeout  = 10 * time.Second
+	maxJSONLine    = 64 << 20
 )
 
-func boot() time.Duration { return env.Real{}.BootTime() }
+func bootTime() time.Duration { return env.Real{}.BootTime() }
 
 // sidecar is a real process, over all its starts: a keeper, a member under load, or one without a crew.
 type sidecar struct {
@@ -45,7 +45,7 @@
 	address string // of its part in the crew
 	dir     string
 	relays  map[string]*harness.Relay // to keepers, by name
-	line    *peerrpc.Client           // to a keeper
+	client  *peerrpc.Client           // to a keeper
 
 	mu     sync.Mutex // guards what follows
 	proc   *harness.Process
@@ -59,8 +59,8 @@
 	return c.up
 }
 
-// take marks it as being ended; false where it is so already.
-func (c *sidecar) take() (*harness.Process, bool) {
+// markEnding marks it as being ended; false where it is so already.
+func (c *sidecar) markEnding() (*harness.Process, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was := c.up
@@ -78,9 +78,9 @@
 	if err := os.MkdirAll(data, 0o700); err != nil {
 		return err
 	}
-	s, r := c.run.s, c.run
+	s, r := c.run.scenario, c.run
 	conf := harness.SidecarFile{Name: c.name, Listen: c.listen, Host: c.host, Seed: r.plan.Seed + uint64(number)*7919, Replicas: max(1, s.Size()),
-		Zone: r.plan.Places[c.name].Zone, Effect: decide.Safe, Endpoints: r.endpoints}
+		Zone: r.plan.Locations[c.name].Zone, Effect: decide.Safe, Endpoints: r.endpoints}
 	if conf.Zone == "" {
 		conf.Zone = s.zones()[0]
 	}
@@ -106,17 +106,17 @@
 	if c.kind != PlainProcess {
 		one.Env = append(one.Env, "HEATHGAP_OPERATOR="+operatorPath)
 	}
-	proc, err := harness.StartProcess(one, c.name, confPath, r.logPath(c.name), func(line string) { r.heard(c, line) })
+	proc, err := harness.StartProcess(one, c.name, confPath, r.logPath(c.name), func(line string) { r.handleLogLine(c, line) })
 	if err != nil {
 		return err
 	}
-	r.hasStarted(proc.Pid())
+	r.notifyStarted(proc.Pid())
 	c.mu.Lock()
 	c.proc = proc
 	c.mu.Unlock()
 	if err := proc.WaitReady(ctx, c.listen); err != nil {
 		proc.Signal(syscall.SIGKILL)
-		proc.Wait(killTime)
+		proc.Wait(killTimeout)
 		return fmt.Errorf("%s: %w: %s", c.name, err, proc.LastLine())
 	}
 	c.mu.Lock()
@@ -126,10 +126,10 @@
 }
 
 func (c *sidecar) operatorFile(data string) string {
-	s := c.run.s
+	s := c.run.scenario
 	f := harness.ClusterFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
 		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
-	for _, k := range c.run.keepers {
+	for _, k := range c.run.voters {
 		address := k.address
 		if way := c.relays[k.name]; way != nil {
 			address = way.Address()
@@ -142,7 +142,7 @@
 // usage is what it has cost since its start.
 func (c *sidecar) usage() (Usage, error) {
 	c.mu.Lock()
-	proc, u := c.proc, Usage{At: boot(), Start: c.starts}
+	proc, u := c.proc, Usage{At: bootTime(), Start: c.starts}
 	up := c.up
 	c.mu.Unlock()
 	if proc == nil || !up {
@@ -178,18 +178,18 @@
 	c.mu.Unlock()
 	if proc != nil {
 		proc.Signal(syscall.SIGKILL)
-		proc.Wait(killTime)
+		proc.Wait(killTimeout)
 	}
-	if c.line != nil {
-		c.line.Close()
+	if c.client != nil {
+		c.client.Close()
 	}
 	for _, way := range c.relays {
 		way.Close()
 	}
 }
 
-// herd is a process of hollow members.
-type herd struct {
+// emulatedProcess is a process of hollow members.
+type emulatedProcess struct {
 	run     *run
 	name    string
 	members []emulated.Peer
@@ -198,17 +198,17 @@
 	ready   chan struct{} // closed when all members listen
 	exited  chan struct{}
 
-	writing sync.Mutex // guards in
+	writeMu sync.Mutex // guards in
 	mu      sync.Mutex // guards what follows
-	next    int
+	lastID  int
 	waiting map[int]chan emulated.Output
 	fault   string // what it said is wrong with it
-	ended   bool   // it was told to end
+	closing bool   // it was told to end
 }
 
-// startHerd starts a process and tells it what to start.
-func (r *run) startHerd(name string, start emulated.Start) (*herd, error) {
-	h := &herd{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
+// startEmulated starts a process and tells it what to start.
+func (r *run) startEmulated(name string, start emulated.Start) (*emulatedProcess, error) {
+	h := &emulatedProcess{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
 		waiting: map[int]chan emulated.Output{}}
 	// As a sidecar of the rig: an interrupt from a terminal is the lab's, and if the lab itself is killed, it dies with it.
 	h.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -230,8 +230,8 @@
 	if err := h.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r.hasStarted(h.cmd.Process.Pid)
-	go h.follow(out, log)
+	r.notifyStarted(h.cmd.Process.Pid)
+	go h.readOutput(out, log)
 	if err := json.NewEncoder(h.in).Encode(start); err != nil {
 		h.close()
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -239,20 +239,20 @@
 	return h, nil
 }
 
-// follow reads what it says to its end.
-func (h *herd) follow(out io.Reader, log *os.File) {
+// readOutput reads what it says to its end.
+func (h *emulatedProcess) readOutput(out io.Reader, log *os.File) {
 	defer close(h.exited)
 	lines := bufio.NewScanner(out)
-	lines.Buffer(make([]byte, 0, 64<<10), mostJSONLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxJSONLine)
 	for lines.Scan() {
 		var l emulated.Output
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			h.fail(fmt.Sprintf("malformed: %v", err))
+			h.setFault(fmt.Sprintf("malformed: %v", err))
 			continue
 		}
 		switch {
 		case l.Event != nil:
-			h.run.stance(*l.Event)
+			h.run.recordState(*l.Event)
 		case l.Ready:
 			close(h.ready)
 		case l.ID > 0:
@@ -264,7 +264,7 @@
 				answer <- l
 			}
 		case l.Error != "":
-			h.fail(l.Error)
+			h.setFault(l.Error)
 		}
 	}
 	io.Copy(io.Discard, out) //nolint:errcheck // a line that is too long must not block it
@@ -273,37 +273,37 @@
 		log.Close()
 	}
 	h.mu.Lock()
-	ended := h.ended
+	ended := h.closing
 	h.mu.Unlock()
 	if !ended {
-		h.run.broken("the process %s has ended by itself: %s", h.name, h.said())
+		h.run.recordFailure("the process %s has ended by itself: %s", h.name, h.lastFault())
 	}
 }
 
-func (h *herd) fail(why string) {
+func (h *emulatedProcess) setFault(why string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.fault = why
 }
 
-// said is what it said is wrong with it.
-func (h *herd) said() string {
+// lastFault is what it said is wrong with it.
+func (h *emulatedProcess) lastFault() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.fault
 }
 
-// do has it do a command, and waits for the answer.
-func (h *herd) do(c emulated.Command, within time.Duration) (emulated.Output, error) {
+// command has it do a command, and waits for the answer.
+func (h *emulatedProcess) command(c emulated.Command, within time.Duration) (emulated.Output, error) {
 	answer := make(chan emulated.Output, 1)
 	h.mu.Lock()
-	h.next++
-	c.ID = h.next
+	h.lastID++
+	c.ID = h.lastID
 	h.waiting[c.ID] = answer
 	h.mu.Unlock()
-	h.writing.Lock()
+	h.writeMu.Lock()
 	err := json.NewEncoder(h.in).Encode(c)
-	h.writing.Unlock()
+	h.writeMu.Unlock()
 	if err != nil {
 		return emulated.Output{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
 	}
@@ -326,15 +326,15 @@
 }
 
 // close ends it: in order, or by a kill.
-func (h *herd) close() {
+func (h *emulatedProcess) close() {
 	h.mu.Lock()
-	h.ended = true
+	h.closing = true
 	h.mu.Unlock()
 	h.in.Close() // whoever it runs is gone then, and it ends
 	select {
 	case <-h.exited:
 		return
-	case <-time.After(killTime):
+	case <-time.After(killTimeout):
 	}
 	h.cmd.Process.Kill() //nolint:errcheck // it may have ended by itself
 	<-h.exited
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -16,15 +16,15 @@
 func (r *Record) WriteText(o io.Writer) {
 	fmt.Fprintf(o, "%s, seed %d: %d sidecars (%d keepers, %d real, %d hollow), %.1f s, "+
 		"on %d cores with %d MB (%s), load average %s before and %s after\n",
-		r.Scenario, r.Seed, r.Size, r.Keepers, r.Real, r.Hollow, r.Seconds, r.Machine.Cores, r.Machine.MemoryMB, r.Machine.Go,
+		r.Scenario, r.Seed, r.Size, r.Voters, r.Real, r.Emulated, r.Seconds, r.Machine.Cores, r.Machine.MemoryMB, r.Machine.Go,
 		r.Machine.LoadBefore, r.Machine.LoadAfter)
-	for _, f := range r.Figures {
-		fmt.Fprintln(o, f.line())
+	for _, f := range r.Measurements {
+		fmt.Fprintln(o, f.textLine())
 	}
 	if len(r.Leaders) > 0 {
 		fmt.Fprint(o, "leaders:")
 		for _, l := range r.Leaders {
-			fmt.Fprintf(o, " %s from %.2f s", or(l.Name, "nobody"), l.At)
+			fmt.Fprintf(o, " %s from %.2f s", orDefault(l.Name, "nobody"), l.At)
 		}
 		fmt.Fprintln(o)
 	}
@@ -36,12 +36,12 @@
 				c.Name, c.CPUMean, c.CPUWorst, c.MB, c.ReadKBs, c.WriteKBs, c.DiskKBs, c.Descriptors)
 		}
 	}
-	if len(r.Boundary) > 0 {
-		fmt.Fprintln(o, "the run's own load was late by at most:", strings.Join(r.Boundary, ", "))
+	if len(r.OwnLag) > 0 {
+		fmt.Fprintln(o, "the run's own load was late by at most:", strings.Join(r.OwnLag, ", "))
 	}
 	for _, v := range r.Versions {
 		if len(v.Never) > 0 || v.Refused != "" {
-			fmt.Fprintf(o, "version %d, told at %.2f s: refused %q, not acted on by %s\n", v.Number, v.At, v.Refused, brief(v.Never))
+			fmt.Fprintf(o, "version %d, told at %.2f s: refused %q, not acted on by %s\n", v.Number, v.At, v.Refused, firstNames(v.Never))
 		}
 	}
 	for _, b := range r.Broken {
@@ -61,15 +61,15 @@
 	}
 }
 
-func or(text, other string) string {
+func orDefault(text, other string) string {
 	if text == "" {
 		return other
 	}
 	return text
 }
 
-// brief names a few.
-func brief(names []string) string {
+// firstNames names a few.
+func firstNames(names []string) string {
 	const few = 5
 	if len(names) <= few {
 		return strings.Join(names, ", ")
@@ -77,9 +77,9 @@
 	return fmt.Sprintf("%s and %d more", strings.Join(names[:few], ", "), len(names)-few)
 }
 
-func (f *Figure) line() string {
-	mark, limit, value := " ", "", number(f.Value)
-	if f.Not {
+func (f *Measurement) textLine() string {
+	mark, limit, value := " ", "", formatNumber(f.Value)
+	if f.NotMeasured {
 		value = "not measured"
 	}
 	if f.Violated {
@@ -87,20 +87,20 @@
 	}
 	if f.Limit != nil {
 		word := "at most"
-		if f.Least {
+		if f.IsMinimum {
 			word = "at least"
 		}
-		limit = fmt.Sprintf("  (%s %s)", word, number(*f.Limit))
+		limit = fmt.Sprintf("  (%s %s)", word, formatNumber(*f.Limit))
 	}
 	who := ""
-	if f.Who != "" {
-		who = "  " + f.Who
+	if f.Source != "" {
+		who = "  " + f.Source
 	}
-	return fmt.Sprintf("%s %-80s %12s %-8s%s%s", mark, f.What, value, f.Unit, limit, who)
+	return fmt.Sprintf("%s %-80s %12s %-8s%s%s", mark, f.Description, value, f.Unit, limit, who)
 }
 
-// number is short, and as exact as matters.
-func number(v float64) string {
+// formatNumber is short, and as exact as matters.
+func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == math.Trunc(v) || a >= 1000:
 		return fmt.Sprintf("%.0f", v)
@@ -144,12 +144,12 @@
 	}
 	inForce := report.Curve{Name: "in force after"}
 	for _, v := range r.Versions {
-		inForce.X, inForce.Y = append(inForce.X, v.At), append(inForce.Y, v.InForceMS/1000)
+		inForce.X, inForce.Y = append(inForce.X, v.At), append(inForce.Y, v.InEffectMS/1000)
 	}
 	return map[string]*report.Plot{
 		"members": {Title: "Members", Unit: "members", Curves: []report.Curve{
 			of("cautious, could be reached", func(s Second) float64 { return float64(s.Cautious) }),
-			of("down or cut off", func(s Second) float64 { return float64(s.Down + s.CutOff) }),
+			of("down or cut off", func(s Second) float64 { return float64(s.Down + s.Partitioned) }),
 			of("act on an older version than others", func(s Second) float64 { return float64(s.Behind) }),
 		}},
 		"versions": {Title: "Versions, at the time they were told", Unit: "seconds", Curves: []report.Curve{inForce}},
@@ -162,15 +162,15 @@
 // WriteSpread writes the minimum, median and maximum of each figure over several runs.
 func WriteSpread(o io.Writer, runs []*Record) {
 	fmt.Fprintf(o, "%d runs: minimum, median, maximum\n", len(runs))
-	for _, first := range runs[0].Figures {
+	for _, first := range runs[0].Measurements {
 		var values []float64
 		violated, not := 0, 0
 		for _, r := range runs {
-			f := r.Figure(first.Key)
+			f := r.Measurement(first.Key)
 			if f.Violated {
 				violated++
 			}
-			if f.Not {
+			if f.NotMeasured {
 				not++
 				continue
 			}
@@ -178,11 +178,11 @@
 		}
 		line := "not measured"
 		if len(values) > 0 {
-			line = fmt.Sprintf("%12s %12s %12s %s", number(quantile(values, 0)), number(quantile(values, 0.5)), number(quantile(values, 1)), first.Unit)
+			line = fmt.Sprintf("%12s %12s %12s %s", formatNumber(quantile(values, 0)), formatNumber(quantile(values, 0.5)), formatNumber(quantile(values, 1)), first.Unit)
 		}
-		fmt.Fprintf(o, "  %-80s %s", first.What, line)
+		fmt.Fprintf(o, "  %-80s %s", first.Description, line)
 		if first.Limit != nil {
-			fmt.Fprintf(o, "  (limit %s, violated in %d)", number(*first.Limit), violated)
+			fmt.Fprintf(o, "  (limit %s, violated in %d)", formatNumber(*first.Limit), violated)
 		}
 		if not > 0 {
 			fmt.Fprintf(o, "  (not measured in %d)", not)
@@ -194,14 +194,14 @@
 // WriteGrowth writes how figures grow.
 func WriteGrowth(o io.Writer, grown []Growth) {
 	for _, g := range grown {
-		fmt.Fprintf(o, "%s (%s): %s\n", g.Key, g.Unit, strings.TrimSpace(g.What))
+		fmt.Fprintf(o, "%s (%s): %s\n", g.Key, g.Unit, strings.TrimSpace(g.Description))
 		for i, n := range g.Sizes {
-			fmt.Fprintf(o, "  at %4.0f sidecars %12s\n", n, number(g.Values[i]))
+			fmt.Fprintf(o, "  at %4.0f sidecars %12s\n", n, formatNumber(g.Values[i]))
 		}
-		fmt.Fprintf(o, "  %v; %v\n", g.Line, g.Square)
-		if g.At > 0 {
+		fmt.Fprintf(o, "  %v; %v\n", g.Linear, g.Quadratic)
+		if g.PredictedSize > 0 {
 			fmt.Fprintf(o, "  predicted at %.0f: %s by the line (%+.1f %%), %s by the square (%+.1f %%); measured %s\n",
-				g.At, number(g.ByLine), g.OffLine, number(g.BySquare), g.OffSquare, number(g.Measured))
+				g.PredictedSize, formatNumber(g.LinearPrediction), g.LinearErrorPercent, formatNumber(g.QuadraticPrediction), g.QuadraticErrorPercent, formatNumber(g.Measured))
 		}
 	}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -30,20 +30,20 @@
 
 // Figures of a run.
 const (
-	formTime     = 20 * time.Second // for the keepers to form a crew
-	enterTime    = 90 * time.Second // for the members of one process to hold a lease
-	pollPause    = 20 * time.Millisecond
-	sampleEvery  = time.Second
-	ownLagEvery  = 10 * time.Millisecond
-	endpoints    = 4
-	steadyLeases = 1 // without a change of members and seats, before anything counts
-	steadyTime   = 2 * time.Minute
-	lookEvery    = time.Second / 4  // at the leader's state, until it is steady
-	lastVersion  = 15 * time.Second // for what is to be proposed still, after the play
-	leastSettle  = 2 * time.Second  // for the last version to be acted on
-	progressEach = 5 * time.Second
-	mostAtOnce   = 64 // requests of one sidecar's load under way
-	loadDeadline = 800 * time.Millisecond
+	formTimeout      = 20 * time.Second // for the keepers to form a crew
+	joinTimeout      = 90 * time.Second // for the members of one process to hold a lease
+	pollInterval     = 20 * time.Millisecond
+	sampleInterval   = time.Second
+	ownLagInterval   = 10 * time.Millisecond
+	numEndpoints     = 4
+	stableLeases     = 1 // without a change of members and seats, before anything counts
+	stableTimeout    = 2 * time.Minute
+	statusInterval   = time.Second / 4  // at the leader's state, until it is steady
+	proposalsTimeout = 15 * time.Second // for what is to be proposed still, after the play
+	minSettleTime    = 2 * time.Second  // for the last version to be acted on
+	progressInterval = 5 * time.Second
+	maxConcurrent    = 64 // requests of one sidecar's load under way
+	loadDeadline     = 800 * time.Millisecond
 )
 
 // Options are those of a run.
@@ -59,40 +59,40 @@
 
 // run is a run.
 type run struct {
-	s     *Scenario
-	plan  *Plan
-	opts  Options
-	dir   string
-	hosts *harness.Hosts
-
-	endpoints []harness.NamedAddress
-	servers   []*http.Server
-	sidecars  map[string]*sidecar
-	keepers   []*sidecar
-	herds     []*herd
-	herdOf    map[string]*herd
-	fronts    map[string]*harness.Relay // of keepers, for hollow members, where a step may slow them
-	between   []regional                // relays between regions
-	proposals chan time.Duration        // when each was due
-
-	playing atomic.Bool // what is late counts
-	asked   atomic.Int64
-	served  atomic.Int64
-
-	mu       sync.Mutex // guards what follows
-	obs      Observed
-	last     map[string]emulated.MemberState // of each member
-	leader   string
-	term     uint64
-	active   uint64
-	refused  map[uint64]string
-	steps    []string
-	began    time.Duration
-	clearing sync.WaitGroup // what acts have begun
-}
-
-// regional is a relay between two regions.
-type regional struct {
+	scenario *Scenario
+	plan     *Plan
+	opts     Options
+	dir      string
+	hosts    *harness.Hosts
+
+	endpoints    []harness.NamedAddress
+	servers      []*http.Server
+	sidecars     map[string]*sidecar
+	voters       []*sidecar
+	emulated     []*emulatedProcess
+	processOf    map[string]*emulatedProcess
+	voterRelays  map[string]*harness.Relay // of keepers, for hollow members, where a step may slow them
+	regionRelays []regionRelay             // relays between regions
+	proposals    chan time.Duration        // when each was due
+
+	measuring atomic.Bool // what is late counts
+	requests  atomic.Int64
+	served    atomic.Int64
+
+	mu              sync.Mutex // guards what follows
+	obs             Observations
+	lastState       map[string]emulated.MemberState // of each member
+	leader          string
+	term            uint64
+	activeVersion   uint64
+	refusedVersions map[uint64]string
+	stepLog         []string
+	began           time.Duration
+	actions         sync.WaitGroup // what acts have begun
+}
+
+// regionRelay is a relay between two regions.
+type regionRelay struct {
 	regions [2]string
 	relay   *harness.Relay
 }
@@ -115,8 +115,8 @@
 	if err != nil {
 		return nil, err
 	}
-	rec := Judge(&r.obs)
-	rec.Steps = r.steps
+	rec := Evaluate(&r.obs)
+	rec.Steps = r.stepLog
 	rec.Machine = machine(before)
 	return rec, nil
 }
@@ -137,11 +137,11 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{
-		s: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, herdOf: map[string]*herd{},
-		fronts: map[string]*harness.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]emulated.MemberState{}, refused: map[uint64]string{},
+		scenario: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, processOf: map[string]*emulatedProcess{},
+		voterRelays: map[string]*harness.Relay{}, proposals: make(chan time.Duration, maxCount), lastState: map[string]emulated.MemberState{}, refusedVersions: map[uint64]string{},
 	}
-	r.obs = Observed{Plan: plan, Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{}, Samples: map[string][]emulated.Usage{},
-		Usage: map[string][]Usage{}, Late: map[string]time.Duration{}}
+	r.obs = Observations{Plan: plan, States: map[string][]emulated.MemberState{}, Downtimes: map[string][]Span{}, Samples: map[string][]emulated.Usage{},
+		Usage: map[string][]Usage{}, MaxLag: map[string]time.Duration{}}
 	defer r.close()
 	started := time.Now()
 	if err := r.start(ctx); ctx.Err() != nil {
@@ -150,17 +150,17 @@
 		return nil, err
 	}
 	r.progress("%d sidecars hold a lease after %.1f s", s.Size(), time.Since(started).Seconds())
-	r.play(ctx)
+	r.runActions(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := &r.obs
-	o.Ended, o.Partial = boot(), ctx.Err() != nil
-	o.Asked, o.Served = int(r.asked.Load()), int(r.served.Load())
+	o.Ended, o.Partial = bootTime(), ctx.Err() != nil
+	o.Requests, o.Served = int(r.requests.Load()), int(r.served.Load())
 	for i := range o.Versions {
-		o.Versions[i].Refused = r.refused[o.Versions[i].Number]
+		o.Versions[i].Refused = r.refusedVersions[o.Versions[i].Number]
 	}
 	slices.SortStableFunc(o.Leaders, func(a, b Leadership) int { return int(a.At - b.At) })
-	for _, stances := range o.Stances {
+	for _, stances := range o.States {
 		slices.SortStableFunc(stances, func(a, b emulated.MemberState) int { return int(a.At - b.At) })
 	}
 	return r, nil
@@ -190,24 +190,24 @@
 	}
 }
 
-// note books a step as it was played.
-func (r *run) note(format string, args ...any) {
+// recordStep books a step as it was played.
+func (r *run) recordStep(format string, args ...any) {
 	r.mu.Lock()
-	line := fmt.Sprintf("%6.2fs ", (boot()-r.began).Seconds()) + fmt.Sprintf(format, args...)
-	r.steps = append(r.steps, line)
+	line := fmt.Sprintf("%6.2fs ", (bootTime()-r.began).Seconds()) + fmt.Sprintf(format, args...)
+	r.stepLog = append(r.stepLog, line)
 	r.mu.Unlock()
 	r.progress("%s", line)
 }
 
-// broken books what must not be.
-func (r *run) broken(format string, args ...any) {
+// recordFailure books what must not be.
+func (r *run) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	r.obs.Broken = append(r.obs.Broken, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// hasStarted tells a test of a process.
-func (r *run) hasStarted(pid int) {
+// notifyStarted tells a test of a process.
+func (r *run) notifyStarted(pid int) {
 	if r.opts.started != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -215,13 +215,13 @@
 	}
 }
 
-// late books by how much something of the run's own was late.
-func (r *run) late(whose string, by time.Duration) {
-	if !r.playing.Load() {
+// recordLag books by how much something of the run's own was late.
+func (r *run) recordLag(whose string, by time.Duration) {
+	if !r.measuring.Load() {
 		return
 	}
 	r.mu.Lock()
-	r.obs.Late[whose] = max(r.obs.Late[whose], by)
+	r.obs.MaxLag[whose] = max(r.obs.MaxLag[whose], by)
 	r.mu.Unlock()
 }
 
@@ -232,25 +232,25 @@
 	return filepath.Join(r.opts.LogDir, name+".log")
 }
 
-// stance books what a member acts on.
-func (r *run) stance(s emulated.MemberState) {
+// recordState books what a member acts on.
+func (r *run) recordState(s emulated.MemberState) {
 	r.mu.Lock()
-	r.obs.Stances[s.Member] = append(r.obs.Stances[s.Member], s)
-	r.last[s.Member] = s
+	r.obs.States[s.Member] = append(r.obs.States[s.Member], s)
+	r.lastState[s.Member] = s
 	r.mu.Unlock()
 }
 
 // The lines of a sidecar's log that a run rests on.
 const (
-	lineStance  = "rules in force"
-	lineLeads   = "this keeper leads the crew"
-	lineLeft    = "this keeper no longer leads the crew"
-	lineActive  = "a version is active"
-	lineRefused = "a version is refused"
+	msgRulesInEffect  = "rules in force"
+	msgLeads          = "this keeper leads the crew"
+	msgLeadershipLost = "this keeper no longer leads the crew"
+	msgVersionActive  = "a version is active"
+	msgVersionRefused = "a version is refused"
 )
 
-// heard takes a line of a sidecar's log.
-func (r *run) heard(c *sidecar, text string) {
+// handleLogLine takes a line of a sidecar's log.
+func (r *run) handleLogLine(c *sidecar, text string) {
 	line := struct {
 		Time     time.Time `json:"time"`
 		Message  string    `json:"message"`
@@ -264,30 +264,30 @@
 	if json.Unmarshal([]byte(text), &line) != nil {
 		return
 	}
-	at := boot() - time.Since(line.Time)
-	if line.Message == lineStance {
-		r.stance(emulated.MemberState{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
+	at := bootTime() - time.Since(line.Time)
+	if line.Message == msgRulesInEffect {
+		r.recordState(emulated.MemberState{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch line.Message {
-	case lineLeads:
+	case msgLeads:
 		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at, Name: c.name, Term: line.Term})
 		if line.Term > r.term {
 			r.leader, r.term = c.name, line.Term
 		}
-	case lineLeft:
-		r.noLeader(c.name, at)
-	case lineActive:
-		r.active = max(r.active, line.Version)
-	case lineRefused:
-		r.refused[line.Version] = line.Why
+	case msgLeadershipLost:
+		r.recordLeaderLost(c.name, at)
+	case msgVersionActive:
+		r.activeVersion = max(r.activeVersion, line.Version)
+	case msgVersionRefused:
+		r.refusedVersions[line.Version] = line.Why
 	}
 }
 
-// noLeader books that a keeper leads no more. The lock is held.
-func (r *run) noLeader(name string, at time.Duration) {
+// recordLeaderLost books that a keeper leads no more. The lock is held.
+func (r *run) recordLeaderLost(name string, at time.Duration) {
 	if r.leader == name {
 		r.leader = ""
 		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at})
@@ -296,51 +296,51 @@
 
 // start starts all processes, a few at a time, and returns when all members hold a lease.
 func (r *run) start(ctx context.Context) error {
-	for i := range endpoints {
+	for i := range numEndpoints {
 		if err := r.startEndpoint(fmt.Sprintf("e-%d", i+1)); err != nil {
 			return err
 		}
 	}
-	if err := r.settle(); err != nil {
+	if err := r.assignAddresses(); err != nil {
 		return err
 	}
-	if err := r.startAll(ctx, r.s.keeperNames()); err != nil {
+	if err := r.startAll(ctx, r.scenario.voterNames()); err != nil {
 		return err
 	}
-	if err := r.await(ctx, formTime, "a leader", func() (bool, string) {
+	if err := r.await(ctx, formTimeout, "a leader", func() (bool, string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.leader != "", fmt.Sprintf("of %d keepers", r.s.Keepers)
+		return r.leader != "", fmt.Sprintf("of %d keepers", r.scenario.Voters)
 	}); err != nil {
 		return err
 	}
-	r.progress("%d keepers are up, %s leads", r.s.Keepers, r.leaderName())
-	for _, names := range [][]string{r.s.realNames(), r.s.plainNames()} {
+	r.progress("%d keepers are up, %s leads", r.scenario.Voters, r.leaderName())
+	for _, names := range [][]string{r.scenario.realNames(), r.scenario.plainNames()} {
 		if err := r.startAll(ctx, names); err != nil {
 			return err
 		}
 	}
-	if err := r.awaitLeases(ctx, slices.Concat(r.s.keeperNames(), r.s.realNames())); err != nil {
+	if err := r.awaitLeases(ctx, slices.Concat(r.scenario.voterNames(), r.scenario.realNames())); err != nil {
 		return err
 	}
-	if err := r.startHerds(ctx); err != nil {
+	if err := r.startAllEmulated(ctx); err != nil {
 		return err
 	}
-	return r.awaitSteady(ctx)
+	return r.awaitStable(ctx)
 }
 
-// awaitSteady waits until neither members nor seats have changed for a while: what it takes to start a fleet is no part of what
+// awaitStable waits until neither members nor seats have changed for a while: what it takes to start a fleet is no part of what
 // is measured.
-func (r *run) awaitSteady(ctx context.Context) error {
+func (r *run) awaitStable(ctx context.Context) error {
 	type state struct{ epoch, table uint64 }
 	var before state
 	since, looked, why := time.Now(), time.Time{}, "no word of the leader"
-	err := r.await(ctx, steadyTime, "steady seats", func() (bool, string) {
+	err := r.await(ctx, stableTimeout, "steady seats", func() (bool, string) {
 		var s voter.Status
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
 		r.mu.Unlock()
-		if leader == nil || time.Since(looked) < lookEvery || leader.line.Call("status", struct{}{}, &s, sampleTime) != nil || s.Ledger == nil {
+		if leader == nil || time.Since(looked) < statusInterval || leader.client.Call("status", struct{}{}, &s, sampleTimeout) != nil || s.Ledger == nil {
 			return false, why
 		}
 		looked = time.Now()
@@ -352,11 +352,11 @@
 			before, since = now, time.Now()
 		}
 		why = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
-		return time.Since(since) >= steadyLeases*r.s.Lease, why
+		return time.Since(since) >= stableLeases*r.scenario.Lease, why
 	})
 	if err != nil && ctx.Err() == nil { // a crew that is never steady is judged as it is
-		r.steps = append(r.steps, "members and seats still changed as the play began: "+err.Error())
-		r.progress("%s", r.steps[0])
+		r.stepLog = append(r.stepLog, "members and seats still changed as the play began: "+err.Error())
+		r.progress("%s", r.stepLog[0])
 		return nil
 	}
 	return err
@@ -380,20 +380,20 @@
 	return nil
 }
 
-// settle gives the sidecars their addresses, and their ways to the keepers.
-func (r *run) settle() error {
+// assignAddresses gives the sidecars their addresses, and their ways to the keepers.
+func (r *run) assignAddresses() error {
 	slowed := map[string]bool{}
-	for _, step := range r.s.Steps {
-		if step.Do == Slow && step.Who == "leader" {
-			for _, k := range r.s.keeperNames() {
+	for _, step := range r.scenario.Steps {
+		if step.Kind == Slow && step.Target == "leader" {
+			for _, k := range r.scenario.voterNames() {
 				slowed[k] = true
 			}
-		} else if step.Do == Slow {
-			slowed[step.Who] = true
+		} else if step.Kind == Slow {
+			slowed[step.Target] = true
 		}
 	}
 	for _, p := range r.plan.Processes {
-		if p.Kind == HollowProcess {
+		if p.Kind == EmulatedProcess {
 			continue
 		}
 		c := &sidecar{run: r, name: p.Name, kind: p.Kind, dir: filepath.Join(r.dir, p.Name), relays: map[string]*harness.Relay{}}
@@ -408,14 +408,14 @@
 		if c.address, err = r.hosts.Address(c.host); err != nil {
 			return err
 		}
-		if p.Kind == KeeperProcess {
-			c.line = peerrpc.NewClient(env.Real{}, r.s.Name, "lab", c.address)
-			r.keepers = append(r.keepers, c)
+		if p.Kind == VoterProcess {
+			c.client = peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", c.address)
+			r.voters = append(r.voters, c)
 		}
 	}
-	for _, k := range r.keepers {
+	for _, k := range r.voters {
 		for _, c := range r.sidecars {
-			from, to := r.plan.Places[c.name].Region, r.plan.Places[k.name].Region
+			from, to := r.plan.Locations[c.name].Region, r.plan.Locations[k.name].Region
 			if c.kind == PlainProcess || c == k || from == to && !slowed[k.name] {
 				continue
 			}
@@ -424,16 +424,16 @@
 				return err
 			}
 			if c.relays[k.name] = way; from != to {
-				way.SetDelay(r.s.RegionDelay)
-				r.between = append(r.between, regional{[2]string{from, to}, way})
+				way.SetDelay(r.scenario.RegionDelay)
+				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, way})
 			}
 		}
-		if slowed[k.name] && r.s.Hollow > 0 {
+		if slowed[k.name] && r.scenario.Emulated > 0 {
 			way, err := r.relayTo(k)
 			if err != nil {
 				return err
 			}
-			r.fronts[k.name] = way
+			r.voterRelays[k.name] = way
 		}
 	}
 	return nil
@@ -458,15 +458,15 @@
 	return errors.Join(faults...)
 }
 
-// startHerds starts the hollow processes one after another: each comes in before the next is started.
-func (r *run) startHerds(ctx context.Context) error {
+// startAllEmulated starts the hollow processes one after another: each comes in before the next is started.
+func (r *run) startAllEmulated(ctx context.Context) error {
 	start := emulated.Start{
-		Cluster: r.s.Name, Lease: r.s.Lease, Drift: r.s.Drift, Slack: r.s.Slack, ContradictAtMost: r.s.ContradictAtMost,
-		FixedClasses: []string{harness.LoadClass}, Copies: r.s.Copies, Keep: r.s.Keep, LostAfter: r.s.LostAfter,
-		Regions: map[string]string{}, RegionDelay: r.s.RegionDelay, KeyedRate: r.s.Orders, KeyedDuration: r.s.OrderTakes, Seed: r.plan.Seed,
+		Cluster: r.scenario.Name, Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack, ContradictAtMost: r.scenario.ContradictAtMost,
+		FixedClasses: []string{harness.LoadClass}, Copies: r.scenario.Copies, Keep: r.scenario.Keep, LostAfter: r.scenario.LostAfter,
+		Regions: map[string]string{}, RegionDelay: r.scenario.RegionDelay, KeyedRate: r.scenario.KeyedRate, KeyedDuration: r.scenario.KeyedDuration, Seed: r.plan.Seed,
 	}
 	place := func(name, address string) emulated.Peer {
-		at := r.plan.Places[name]
+		at := r.plan.Locations[name]
 		start.Regions[address] = at.Region
 		return emulated.Peer{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
 	}
@@ -475,9 +475,9 @@
 			place(c.name, c.address)
 		}
 	}
-	for _, k := range r.keepers {
+	for _, k := range r.voters {
 		address := k.address
-		if front := r.fronts[k.name]; front != nil {
+		if front := r.voterRelays[k.name]; front != nil {
 			address = front.Address()
 		}
 		start.Voters = append(start.Voters, place(k.name, address))
@@ -485,7 +485,7 @@
 	groups := map[string][]emulated.Peer{}
 	var names []string
 	for _, p := range r.plan.Processes {
-		if p.Kind != HollowProcess {
+		if p.Kind != EmulatedProcess {
 			continue
 		}
 		host, err := r.hosts.Acquire()
@@ -507,51 +507,51 @@
 		var members []string
 		for _, m := range one.Members {
 			members = append(members, m.Name)
-			for _, p := range r.s.Planted {
-				if p.Who == m.Name {
-					one.Faults[p.Who] = p.Fault
+			for _, p := range r.scenario.Faults {
+				if p.Member == m.Name {
+					one.Faults[p.Member] = p.Fault
 				}
 			}
 		}
-		h, err := r.startHerd(name, one)
+		h, err := r.startEmulated(name, one)
 		if err != nil {
 			return err
 		}
-		r.herds = append(r.herds, h)
+		r.emulated = append(r.emulated, h)
 		for _, m := range members {
-			r.herdOf[m] = h
+			r.processOf[m] = h
 		}
 		select {
 		case <-h.ready:
 		case <-h.exited:
-			return fmt.Errorf("%s: it ended as it started: %s", name, h.said())
+			return fmt.Errorf("%s: it ended as it started: %s", name, h.lastFault())
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyTime):
-			return fmt.Errorf("%s: its members do not listen after %v", name, readyTime)
+		case <-time.After(readyTimeout):
+			return fmt.Errorf("%s: its members do not listen after %v", name, readyTimeout)
 		}
 		if err := r.awaitLeases(ctx, members); err != nil {
 			return err
 		}
-		r.progress("%d of %d hollow processes: %d members hold a lease", i+1, len(names), (i+1)*r.s.EachProcess-max(0, (i+1)*r.s.EachProcess-r.s.Hollow))
+		r.progress("%d of %d hollow processes: %d members hold a lease", i+1, len(names), (i+1)*r.scenario.EachProcess-max(0, (i+1)*r.scenario.EachProcess-r.scenario.Emulated))
 	}
 	return nil
 }
 
 // awaitLeases waits until all of these act without caution.
 func (r *run) awaitLeases(ctx context.Context, names []string) error {
-	return r.await(ctx, enterTime, "a lease", func() (bool, string) {
-		without := r.without(names, 0)
+	return r.await(ctx, joinTimeout, "a lease", func() (bool, string) {
+		without := r.notApplying(names, 0)
 		return len(without) == 0, fmt.Sprintf("%d of %d have none: %s", len(without), len(names), strings.Join(without[:min(3, len(without))], ", "))
 	})
 }
 
-// without are those that don't act on a version or a later one.
-func (r *run) without(names []string, version uint64) (out []string) {
+// notApplying are those that don't act on a version or a later one.
+func (r *run) notApplying(names []string, version uint64) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
-		if s, heard := r.last[name]; !heard || s.Cautious || s.Gone || s.Active < version {
+		if s, heard := r.lastState[name]; !heard || s.Cautious || s.Gone || s.Active < version {
 			out = append(out, name)
 		}
 	}
@@ -560,7 +560,7 @@
 
 // await waits for something.
 func (r *run) await(ctx context.Context, most time.Duration, what string, there func() (bool, string)) error {
-	limit, tell := time.Now().Add(most), time.Now().Add(progressEach)
+	limit, tell := time.Now().Add(most), time.Now().Add(progressInterval)
 	for {
 		done, why := there()
 		if done {
@@ -569,10 +569,10 @@
 		if now := time.Now(); now.After(limit) {
 			return fmt.Errorf("no %s after %v (%s); keep the logs (--logs) and look there", strings.TrimPrefix(what, "a "), most, why)
 		} else if now.After(tell) {
-			tell = now.Add(progressEach)
+			tell = now.Add(progressInterval)
 			r.progress("waiting for %s: %s", what, why)
 		}
-		if err := sleep(ctx, pollPause); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -595,60 +595,60 @@
 	return r.leader
 }
 
-// play plays the acts, and waits for what they began. An end of the context is its end.
-func (r *run) play(ctx context.Context) {
+// runActions plays the acts, and waits for what they began. An end of the context is its end.
+func (r *run) runActions(ctx context.Context) {
 	watching, done := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer done()
 	r.mu.Lock()
-	r.began = boot()
+	r.began = bootTime()
 	r.obs.Began = r.began
 	r.mu.Unlock()
 	r.sample() // the first of what counts; lags before it do not
-	r.playing.Store(true)
-	all.Go(func() { r.watch(watching) })
-	all.Go(func() { r.ownLag(watching) })
+	r.measuring.Store(true)
+	all.Go(func() { r.sampleLoop(watching) })
+	all.Go(func() { r.measureOwnLag(watching) })
 	proposing, enough := context.WithCancel(watching)
 	defer enough()
 	all.Go(func() { r.propose(proposing) })
-	for _, name := range slices.Concat(r.s.realNames(), r.s.plainNames()) {
-		all.Go(func() { r.load(watching, r.sidecars[name]) })
+	for _, name := range slices.Concat(r.scenario.realNames(), r.scenario.plainNames()) {
+		all.Go(func() { r.generateLoad(watching, r.sidecars[name]) })
 	}
-	r.progress("playing %v", r.s.Duration)
+	r.progress("playing %v", r.scenario.Duration)
 	begin := time.Now()
-	for _, act := range r.plan.Acts {
+	for _, act := range r.plan.Actions {
 		due := begin.Add(act.At)
 		if sleep(ctx, time.Until(due)) != nil {
 			break
 		}
-		r.late("what plays the steps", time.Since(due))
-		r.clearing.Go(func() { r.act(ctx, act, r.began+act.At) })
+		r.recordLag("what plays the steps", time.Since(due))
+		r.actions.Go(func() { r.perform(ctx, act, r.began+act.At) })
 	}
-	if sleep(ctx, time.Until(begin.Add(r.s.Duration))) == nil {
-		r.clearing.Wait()
-		r.lastVersion(ctx, enough)
+	if sleep(ctx, time.Until(begin.Add(r.scenario.Duration))) == nil {
+		r.actions.Wait()
+		r.awaitLastVersion(ctx, enough)
 	}
-	r.clearing.Wait()
-	r.playing.Store(false)
+	r.actions.Wait()
+	r.measuring.Store(false)
 	if ctx.Err() == nil {
 		r.sample()
 	}
 }
 
-// lastVersion waits until what was to be proposed has been, not for ever, has no more proposed, and waits until the last version is
+// awaitLastVersion waits until what was to be proposed has been, not for ever, has no more proposed, and waits until the last version is
 // acted on, so that it can be judged.
-func (r *run) lastVersion(ctx context.Context, enough func()) {
+func (r *run) awaitLastVersion(ctx context.Context, enough func()) {
 	until := func(most time.Duration, there func() bool) {
 		limit := time.Now().Add(most)
 		for ctx.Err() == nil && time.Now().Before(limit) && !there() {
-			sleep(ctx, pollPause) //nolint:errcheck // the loop looks
+			sleep(ctx, pollInterval) //nolint:errcheck // the loop looks
 		}
 	}
-	until(lastVersion, func() bool {
+	until(proposalsTimeout, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.obs.Left == 0
+		return r.obs.Unproposed == 0
 	})
 	enough()
 	r.mu.Lock()
@@ -657,24 +657,24 @@
 		number = r.obs.Versions[n-1].Number
 	}
 	r.mu.Unlock()
-	until(max(r.s.Limits.InForce, leastSettle)+r.s.Lease, func() bool {
+	until(max(r.scenario.Limits.InEffect, minSettleTime)+r.scenario.Lease, func() bool {
 		r.mu.Lock()
-		refused := r.refused[number] != ""
+		refused := r.refusedVersions[number] != ""
 		var up []string
-		for name, s := range r.last {
+		for name, s := range r.lastState {
 			if c := r.sidecars[name]; !s.Gone && (c == nil || c.isUp()) {
 				up = append(up, name)
 			}
 		}
 		r.mu.Unlock()
-		return refused || len(r.without(up, number)) == 0
+		return refused || len(r.notApplying(up, number)) == 0
 	})
-	sleep(ctx, r.s.Lease/2) //nolint:errcheck // for events that are on their way
+	sleep(ctx, r.scenario.Lease/2) //nolint:errcheck // for events that are on their way
 }
 
-// watch samples each second.
-func (r *run) watch(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+// sampleLoop samples each second.
+func (r *run) sampleLoop(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	told := time.Now()
 	for {
@@ -684,18 +684,18 @@
 		case <-tick.C:
 		}
 		r.sample()
-		if time.Since(told) >= progressEach {
+		if time.Since(told) >= progressInterval {
 			told = time.Now()
 			r.mu.Lock()
 			cautious, newest := 0, uint64(0)
-			for _, s := range r.last {
+			for _, s := range r.lastState {
 				if s.Cautious && !s.Gone {
 					cautious++
 				}
 				newest = max(newest, s.Active)
 			}
 			line := fmt.Sprintf("%6.2fs version %d, leader %s, %d cautious, load average %s",
-				(boot() - r.began).Seconds(), newest, r.leader, cautious, loadAverage())
+				(bootTime() - r.began).Seconds(), newest, r.leader, cautious, loadAverage())
 			r.mu.Unlock()
 			r.progress("%s", line)
 		}
@@ -705,14 +705,14 @@
 // sample asks all processes what they have cost.
 func (r *run) sample() {
 	var all sync.WaitGroup
-	for _, h := range r.herds {
+	for _, h := range r.emulated {
 		all.Go(func() {
-			l, err := h.do(emulated.Command{Do: emulated.Sample}, sampleTime)
+			l, err := h.command(emulated.Command{Do: emulated.Sample}, sampleTimeout)
 			if err != nil || l.Sample == nil {
-				r.broken("a sample of %s: %v", h.name, err)
+				r.recordFailure("a sample of %s: %v", h.name, err)
 				return
 			}
-			r.late(h.name, l.Sample.Lag)
+			r.recordLag(h.name, l.Sample.Lag)
 			r.mu.Lock()
 			r.obs.Samples[h.name] = append(r.obs.Samples[h.name], *l.Sample)
 			r.mu.Unlock()
@@ -728,25 +728,25 @@
 	all.Wait()
 }
 
-// ownLag measures by how much this process's own timers come late.
-func (r *run) ownLag(ctx context.Context) {
+// measureOwnLag measures by how much this process's own timers come late.
+func (r *run) measureOwnLag(ctx context.Context) {
 	for ctx.Err() == nil {
-		due := time.Now().Add(ownLagEvery)
-		if sleep(ctx, ownLagEvery) == nil {
-			r.late("this process", time.Since(due))
+		due := time.Now().Add(ownLagInterval)
+		if sleep(ctx, ownLagInterval) == nil {
+			r.recordLag("this process", time.Since(due))
 		}
 	}
 }
 
-// load asks a sidecar at an even pace; a request that is late does not put off the next.
-func (r *run) load(ctx context.Context, c *sidecar) {
-	if r.s.Rate == 0 {
+// generateLoad asks a sidecar at an even pace; a request that is late does not put off the next.
+func (r *run) generateLoad(ctx context.Context, c *sidecar) {
+	if r.scenario.Rate == 0 {
 		return
 	}
-	client := &http.Client{Timeout: 2 * loadDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: mostAtOnce}}
+	client := &http.Client{Timeout: 2 * loadDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrent}}
 	defer client.CloseIdleConnections()
-	gap := time.Duration(float64(time.Second) / r.s.Rate)
-	room := make(chan struct{}, mostAtOnce)
+	gap := time.Duration(float64(time.Second) / r.scenario.Rate)
+	room := make(chan struct{}, maxConcurrent)
 	var under sync.WaitGroup
 	defer under.Wait()
 	for n, due := 0, time.Now(); ; n++ {
@@ -754,14 +754,14 @@
 		if sleep(ctx, time.Until(due)) != nil {
 			return
 		}
-		r.late("the load", time.Since(due))
+		r.recordLag("the load", time.Since(due))
 		if !c.isUp() {
 			continue
 		}
 		select {
 		case room <- struct{}{}:
 		default:
-			r.asked.Add(1) // and not served: all before it still wait
+			r.requests.Add(1) // and not served: all before it still wait
 			continue
 		}
 		under.Go(func() {
@@ -776,7 +776,7 @@
 			if !c.isUp() { // it was ended meanwhile: its client would have gone elsewhere
 				return
 			}
-			r.asked.Add(1)
+			r.requests.Add(1)
 			if err == nil {
 				if answer.Body.Close(); answer.StatusCode == http.StatusOK {
 					r.served.Add(1)
@@ -789,7 +789,7 @@
 // close ends all that was started, each by its own id.
 func (r *run) close() {
 	var all sync.WaitGroup
-	for _, h := range r.herds {
+	for _, h := range r.emulated {
 		all.Go(h.close)
 	}
 	all.Wait()
@@ -798,7 +798,7 @@
 		all.Go(c.close)
 	}
 	all.Wait()
-	for _, way := range r.fronts {
+	for _, way := range r.voterRelays {
 		way.Close()
 	}
 	for _, s := range r.servers {
@@ -809,21 +809,21 @@
 
 // end ends a real process by a signal, and waits for it.
 func (c *sidecar) end(s syscall.Signal, most time.Duration) (from time.Duration, did bool) {
-	proc, up := c.take()
+	proc, up := c.markEnding()
 	if !up {
 		return 0, false
 	}
-	from = boot()
+	from = bootTime()
 	c.run.mu.Lock()
-	c.run.noLeader(c.name, from)
+	c.run.recordLeaderLost(c.name, from)
 	c.run.mu.Unlock()
 	proc.Signal(s)
 	if !proc.Wait(most) {
 		proc.Signal(syscall.SIGKILL)
-		proc.Wait(killTime)
+		proc.Wait(killTimeout)
 	}
 	if s != syscall.SIGKILL {
-		from = boot()
+		from = bootTime()
 	}
 	return from, true
 }
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -99,8 +99,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	judged := func(name string, o Observed) *Record {
-		rec := Judge(&o)
+	judged := func(name string, o Observations) *Record {
+		rec := Evaluate(&o)
 		if len(rec.Broken) > 0 || len(rec.Void) > 0 || rec.Partial {
 			t.Errorf("%s: broken %v, void %v", name, rec.Broken, rec.Void)
 		}
@@ -123,54 +123,54 @@
 		"renewals_above": {"h22", whole},
 		"renewal_bytes":  {"h44", planted},
 	} {
-		if f := by.in.Figure(key); !f.Violated || f.Who != by.who {
+		if f := by.in.Measurement(key); !f.Violated || f.Source != by.who {
 			t.Errorf("%+v does not catch %s", f, by.who)
 		}
 	}
 
 	sound := without(members, "h11", "h22", "h44")
-	sound.Plan.Scene.Limits.MinRenewals = 0
+	sound.Plan.Scenario.Limits.MinRenewals = 0
 	sound.Versions = nil // judged over the whole run
 	rec := judged("the others", sound)
 	if !rec.Passed() {
 		t.Errorf("the others violate %v", violated(rec))
 	}
 	for _, key := range []string{"renewals_above", "renewal_bytes", "renewals_mean", "keeper_cpu_worst", "real_cpu_mean"} {
-		if f := rec.Figure(key); f.Not {
+		if f := rec.Measurement(key); f.NotMeasured {
 			t.Errorf("%s was not measured", key)
 		}
 	}
-	if f := rec.Figure("renewal_bytes_mean"); f.Value < 100 {
+	if f := rec.Measurement("renewal_bytes_mean"); f.Value < 100 {
 		t.Errorf("%v bytes a renewal: too few to be true", f.Value)
 	}
-	if f := rec.Figure("load_served"); f.Not || f.Value < 99 {
+	if f := rec.Measurement("load_served"); f.NotMeasured || f.Value < 99 {
 		t.Errorf("%v %% of the load was served", f.Value)
 	}
 	rec = judged("the others, the whole run", without(r.obs, "h11", "h22", "h44"))
-	if f := rec.Figure("renewals_above"); f.Not || f.Violated {
+	if f := rec.Measurement("renewals_above"); f.NotMeasured || f.Violated {
 		t.Errorf("%+v", f)
 	}
-	if f := rec.Figure("in_force_never"); f.Not || f.Violated || rec.Figure("versions").Value != 2 || rec.Figure("versions_refused").Violated {
-		t.Errorf("%+v, of %v versions", f, rec.Figure("versions").Value)
+	if f := rec.Measurement("in_force_never"); f.NotMeasured || f.Violated || rec.Measurement("versions").Value != 2 || rec.Measurement("versions_refused").Violated {
+		t.Errorf("%+v, of %v versions", f, rec.Measurement("versions").Value)
 	}
 
 	late := without(r.obs, "h11", "h22", "h44")
 	late.Began += half
 	late.Ended = late.Began + half
 	late.Versions = nil
-	if f := judged("a leader whose answers are late", late).Figure("renewals_mean"); !f.Violated {
+	if f := judged("a leader whose answers are late", late).Measurement("renewals_mean"); !f.Violated {
 		t.Errorf("%+v does not catch it", f)
 	}
 }
 
 // without is what was seen of all but some hollow members.
-func without(o Observed, names ...string) Observed {
+func without(o Observations, names ...string) Observations {
 	out := o
-	plan, scene := *o.Plan, *o.Plan.Scene
-	plan.Scene = &scene
-	out.Plan, plan.Places, out.Samples = &plan, maps.Clone(plan.Places), map[string][]emulated.Usage{}
+	plan, scene := *o.Plan, *o.Plan.Scenario
+	plan.Scenario = &scene
+	out.Plan, plan.Locations, out.Samples = &plan, maps.Clone(plan.Locations), map[string][]emulated.Usage{}
 	for _, name := range names {
-		delete(plan.Places, name)
+		delete(plan.Locations, name)
 	}
 	for process, samples := range o.Samples {
 		for _, s := range samples {
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -37,7 +37,7 @@
 		if s.Name != "small" && (s.Size() != 580 || len(s.Regions) != 2 || len(s.zones()) != 5) {
 			t.Errorf("%s: %d sidecars in %v", path, s.Size(), s.Regions)
 		}
-		if l := s.Limits; l.InForce != 4*time.Second || l.MemberCPU != 1.5 || l.MemberMB != 32 || l.MemberBytes != 22000 {
+		if l := s.Limits; l.InEffect != 4*time.Second || l.MemberCPU != 1.5 || l.MemberMB != 32 || l.MemberBytes != 22000 {
 			t.Errorf("%s: limits %+v are not the operators'", path, l)
 		}
 	}
@@ -134,8 +134,8 @@
 		t.Errorf("%+v", s)
 	}
 	sized, err := s.WithSize(120)
-	if err != nil || sized.Hollow != 117 || sized.Size() != 120 || s.Hollow != 60 {
-		t.Errorf("%d hollow ones, before %d: %v", sized.Hollow, s.Hollow, err)
+	if err != nil || sized.Emulated != 117 || sized.Size() != 120 || s.Emulated != 60 {
+		t.Errorf("%d hollow ones, before %d: %v", sized.Emulated, s.Emulated, err)
 	}
 	if _, err := s.WithSize(3); err == nil {
 		t.Error("3 sidecars, and 3 of them keepers")
