--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -53,7 +53,7 @@
 }
 
 // The standard errors of a line, against the formulas of a text book: s / sqrt(Sxx), and s sqrt(1/n + mean² / Sxx).
-func TestErrorsOfALine(t *testing.T) {
+func TestStandardErrors(t *testing.T) {
 	x, y := []float64{1, 2, 3, 4, 5}, []float64{2.2, 3.9, 6.1, 7.8, 10.3}
 	c, err := Linear(x, y)
 	if err != nil {
@@ -74,12 +74,12 @@
 	}
 }
 
-func TestFitTurnsDown(t *testing.T) {
+func TestFitRejects(t *testing.T) {
 	tests := []struct {
 		name string
 		fit  func(x, y []float64) (Curve, error)
 		x, y []float64
-		says string
+		want string
 	}{
 		{"unpaired", Linear, []float64{1, 2}, []float64{1}, "2 x and 1 y"},
 		{"nothing", Linear, nil, nil, "0 different x"},
@@ -89,14 +89,14 @@
 		{"endless", Linear, []float64{1, math.Inf(1)}, []float64{1, 2}, "finite"},
 	}
 	for _, c := range tests {
-		if _, err := c.fit(c.x, c.y); err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v; want an error with %q", c.name, err, c.says)
+		if _, err := c.fit(c.x, c.y); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: %v; want an error with %q", c.name, err, c.want)
 		}
 	}
 }
 
 // What has no error must not be printed as if it were exact.
-func TestFitSaysWhereItsErrorIsUnknown(t *testing.T) {
+func TestStringWithUnknownError(t *testing.T) {
 	for _, c := range []struct {
 		x    []float64
 		says string
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -23,11 +23,11 @@
 func NewComparison() *Comparison { return &Comparison{records: map[string][]*record.Record{}} }
 
 // Add adds a record to a side.
-func (s *Comparison) Add(side string, r *record.Record) {
-	if s.records[side] == nil {
-		s.names = append(s.names, side)
+func (c *Comparison) Add(side string, r *record.Record) {
+	if c.records[side] == nil {
+		c.names = append(c.names, side)
 	}
-	s.records[side] = append(s.records[side], r)
+	c.records[side] = append(c.records[side], r)
 }
 
 // Value reads one metric of a record.
@@ -133,17 +133,17 @@
 
 // Print writes a table: each side, and how it lies beside the first. Void and
 // partial runs count for nothing; what is left must share scenario and seeds.
-func (s *Comparison) Print(w io.Writer, metric string) error {
-	if len(s.names) == 0 {
+func (c *Comparison) Print(w io.Writer, metric string) error {
+	if len(c.names) == 0 {
 		return fmt.Errorf("no records")
 	}
 	values := map[string]map[uint64]float64{}
-	scenario, left := "", 0
-	for _, name := range s.names {
+	scenario, leftOut := "", 0
+	for _, name := range c.names {
 		values[name] = map[uint64]float64{}
-		for _, r := range s.records[name] {
+		for _, r := range c.records[name] {
 			if len(r.Void) > 0 || r.Partial {
-				left++
+				leftOut++
 				continue
 			}
 			if scenario == "" {
@@ -159,30 +159,30 @@
 			values[name][r.Seed] = v
 		}
 	}
-	fmt.Fprintf(w, "\n%s: %s, beside %s\n", scenario, metric, s.names[0])
+	fmt.Fprintf(w, "\n%s: %s, beside %s\n", scenario, metric, c.names[0])
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "side\tseeds\tmin\tmedian\tmax\tbroken\tpairs\tdifference\t95 %\tsign test")
-	for _, name := range s.names {
-		s.printSide(t, name, values)
+	for _, name := range c.names {
+		c.printSide(t, name, values)
 	}
 	t.Flush()
-	if left > 0 {
-		fmt.Fprintf(w, "%d void or partial runs were left out\n", left)
+	if leftOut > 0 {
+		fmt.Fprintf(w, "%d void or partial runs were left out\n", leftOut)
 	}
 	return nil
 }
 
-func (s *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
+func (c *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
 	var all, first, own []float64
 	for _, seed := range seedsOf(values[name]) {
 		v := values[name][seed]
 		all = append(all, v)
-		if base, both := values[s.names[0]][seed]; both {
+		if base, both := values[c.names[0]][seed]; both {
 			first, own = append(first, base), append(own, v)
 		}
 	}
 	broken := 0
-	for _, r := range s.records[name] {
+	for _, r := range c.records[name] {
 		broken += r.NumViolations()
 	}
 	if len(all) == 0 {
@@ -191,7 +191,7 @@
 	}
 	st := StatsOf(all)
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d", name, len(all), st.Min, st.Median, st.Max, broken)
-	if name != s.names[0] && len(own) > 0 {
+	if name != c.names[0] && len(own) > 0 {
 		p := Pair(first, own)
 		fmt.Fprintf(w, "\t%d\t%+.3f\t%+.3f to %+.3f\t%d up, %d down, p %.2f", p.Pairs, p.Median, p.Low, p.High, p.Above, p.Below, p.P)
 	}
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -40,7 +40,7 @@
 
 // recordPlots are those of a record.
 func recordPlots(r *record.Record) []plotSpec {
-	of := func(read func(oracle.Second) float64) plotter.XYs {
+	curve := func(read func(oracle.Second) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(r.Series))
 		for i, s := range r.Series {
 			xy[i] = plotter.XY{X: float64(i), Y: read(s)}
@@ -49,12 +49,12 @@
 	}
 	return []plotSpec{
 		{name: "requests", title: "Requests", unit: "a second", lines: []line{
-			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Requests) })},
-			{"served", orange, of(func(s oracle.Second) float64 { return float64(s.Served) })},
-			{"in time", green, of(func(s oracle.Second) float64 { return float64(s.InTime) })},
+			{"asked", blue, curve(func(s oracle.Second) float64 { return float64(s.Requests) })},
+			{"served", orange, curve(func(s oracle.Second) float64 { return float64(s.Served) })},
+			{"in time", green, curve(func(s oracle.Second) float64 { return float64(s.InTime) })},
 		}},
 		{name: "service", title: "Service", unit: "worth earned over worth asked", lines: []line{
-			{"service", blue, of(func(s oracle.Second) float64 {
+			{"service", blue, curve(func(s oracle.Second) float64 {
 				if s.Wanted == 0 {
 					return 1
 				}
@@ -85,11 +85,11 @@
 		g.Legend.Add(l.name, drawn)
 	}
 	g.Y.Min = min(g.Y.Min, p.minY)
-	to, err := g.WriterTo(plotWidth, plotHeight, "svg")
+	writer, err := g.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	_, err = to.WriteTo(&out)
+	_, err = writer.WriteTo(&out)
 	return out.Bytes(), err
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against records of another form that are read as if they were of this.
-func TestOtherVersionIsRefused(t *testing.T) {
+func TestOtherVersionIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	r := someRecord("x", 1, 1)
 	r.Version = record.Version + 1
--- a/internal/lab/scale/actions.go
+++ b/internal/lab/scale/actions.go
@@ -69,17 +69,17 @@
 	case Partition:
 		r.partition(ctx, a)
 	case Slow:
-		who := a.Members[0]
-		if who == Leader {
-			if who = r.leaderName(); who == "" {
+		target := a.Members[0]
+		if target == Leader {
+			if target = r.leaderName(); target == "" {
 				r.recordStep("nobody leads")
 				return
 			}
 		}
-		r.delayAnswers(who, a.Delay)
+		r.delayAnswers(target, a.Delay)
 		sleep(ctx, a.Duration) //nolint:errcheck // then it ends
-		r.delayAnswers(who, -a.Delay)
-		r.recordStep("%s answers as before", who)
+		r.delayAnswers(target, -a.Delay)
+		r.recordStep("%s answers as before", target)
 	}
 }
 
@@ -108,8 +108,8 @@
 	groups := map[string][]string{}
 	for _, name := range members {
 		process := name
-		if h := r.processOf[name]; h != nil {
-			process = h.name
+		if p := r.processOf[name]; p != nil {
+			process = p.name
 		}
 		groups[process] = append(groups[process], name)
 	}
@@ -121,24 +121,24 @@
 }
 
 // restart ends members of one process and, if they are to come back, starts them after a time.
-func (r *run) restart(ctx context.Context, members []string, kill bool, away time.Duration, back bool) {
-	down, did := r.stopMembers(members, kill)
-	if !did {
+func (r *run) restart(ctx context.Context, members []string, kill bool, downtime time.Duration, back bool) {
+	indexes, stopped := r.stopMembers(members, kill)
+	if !stopped {
 		return
 	}
-	if !back || sleep(ctx, away) != nil {
+	if !back || sleep(ctx, downtime) != nil {
 		return
 	}
-	at := bootTime()
+	restartedAt := bootTime()
 	var err error
-	if h := r.processOf[members[0]]; h != nil {
-		_, err = h.command(emulated.Command{Do: emulated.Restart, Members: members}, commandTimeout)
+	if p := r.processOf[members[0]]; p != nil {
+		_, err = p.command(emulated.Command{Do: emulated.Restart, Members: members}, commandTimeout)
 	} else {
 		err = r.sidecars[members[0]].start(ctx)
 	}
 	r.mu.Lock()
-	for name, i := range down {
-		r.obs.Downtimes[name][i].To = at
+	for name, i := range indexes {
+		r.obs.Downtimes[name][i].To = restartedAt
 	}
 	r.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
@@ -147,14 +147,14 @@
 }
 
 // stopMembers ends members of one process, by a kill or in order. It tells at which place of each one's downs that stands.
-func (r *run) stopMembers(members []string, kill bool) (down map[string]int, did bool) {
+func (r *run) stopMembers(members []string, kill bool) (indexes map[string]int, stopped bool) {
 	from := bootTime()
-	if h := r.processOf[members[0]]; h != nil {
+	if p := r.processOf[members[0]]; p != nil {
 		do := emulated.Leave
 		if kill {
 			do = emulated.Kill
 		}
-		if _, err := h.command(emulated.Command{Do: do, Members: members}, commandTimeout); err != nil {
+		if _, err := p.command(emulated.Command{Do: do, Members: members}, commandTimeout); err != nil {
 			r.recordFailure("%v", err)
 			return nil, false
 		}
@@ -162,22 +162,22 @@
 			from = bootTime()
 		}
 	} else {
-		signal, most := syscall.SIGTERM, leaveTimeout
+		signal, timeout := syscall.SIGTERM, leaveTimeout
 		if kill {
-			signal, most = syscall.SIGKILL, killTimeout
+			signal, timeout = syscall.SIGKILL, killTimeout
 		}
-		if from, did = r.sidecars[members[0]].end(signal, most); !did {
+		if from, stopped = r.sidecars[members[0]].end(signal, timeout); !stopped {
 			return nil, false
 		}
 	}
-	down = map[string]int{}
+	indexes = map[string]int{}
 	r.mu.Lock()
 	for _, name := range members {
-		down[name] = len(r.obs.Downtimes[name])
+		indexes[name] = len(r.obs.Downtimes[name])
 		r.obs.Downtimes[name] = append(r.obs.Downtimes[name], Span{From: from, To: never})
 	}
 	r.mu.Unlock()
-	return down, true
+	return indexes, true
 }
 
 // partition cuts two regions off each other, and mends that.
@@ -193,9 +193,9 @@
 			do = emulated.Partition
 		}
 		var all sync.WaitGroup
-		for _, h := range r.emulated {
+		for _, p := range r.emulated {
 			all.Go(func() {
-				if _, err := h.command(emulated.Command{Do: do, Regions: a.Between}, commandTimeout); err != nil {
+				if _, err := p.command(emulated.Command{Do: do, Regions: a.Between}, commandTimeout); err != nil {
 					r.recordFailure("%v", err)
 				}
 			})
@@ -218,8 +218,8 @@
 // delayAnswers has a keeper's answers come so much later, or sooner again.
 func (r *run) delayAnswers(keeper string, by time.Duration) {
 	for _, c := range r.sidecars {
-		if way := c.relays[keeper]; way != nil {
-			way.SetAnswerDelay(by)
+		if relay := c.relays[keeper]; relay != nil {
+			relay.SetAnswerDelay(by)
 		}
 	}
 	if front := r.voterRelays[keeper]; front != nil {
@@ -238,7 +238,7 @@
 		case due = <-r.proposals:
 		}
 		next := r.versionDocument(n)
-		told, ok := r.proposeOne(ctx, due, next)
+		number, ok := r.proposeOne(ctx, due, next)
 		if !ok {
 			if ctx.Err() == nil {
 				r.recordFailure("a version that was due at %.2fs could not be proposed", (due - r.began).Seconds())
@@ -247,9 +247,9 @@
 		}
 		for ctx.Err() == nil { // one at a time
 			r.mu.Lock()
-			over, why := r.activeVersion >= told, r.refusedVersions[told]
+			inEffect, refusal := r.activeVersion >= number, r.refusedVersions[number]
 			r.mu.Unlock()
-			if over || why != "" {
+			if inEffect || refusal != "" {
 				break
 			}
 			sleep(ctx, proposeRetryDelay) //nolint:errcheck // the loop looks
@@ -289,12 +289,12 @@
 		if leader == nil {
 			continue
 		}
-		var told voter.ProposeResult
-		err := leader.client.Call("propose", proposal, &told, proposeTimeout)
+		var result voter.ProposeResult
+		err := leader.client.Call("propose", proposal, &result, proposeTimeout)
 		switch {
-		case err == nil && told.Number > 0:
-			r.recordProposed(told.Number, due)
-			return told.Number, true
+		case err == nil && result.Number > 0:
+			r.recordProposed(result.Number, due)
+			return result.Number, true
 		case errors.Is(err, peerrpc.ErrRefused):
 			// Turned down, or the leader was lost before it was agreed on and it may count: the ledger tells.
 			var s voter.Status
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -224,8 +224,8 @@
 }
 
 // memberIntervals is a member's run.
-func (j *evaluation) memberIntervals(name string) []interval {
-	o := j.obs
+func (e *evaluation) memberIntervals(name string) []interval {
+	o := e.obs
 	region := o.Plan.Locations[name].Region
 	times := []time.Duration{o.Began, o.Ended}
 	for _, s := range o.States[name] {
@@ -254,7 +254,7 @@
 		if from < o.Began || from >= o.Ended || i+1 == len(times) {
 			continue
 		}
-		p := interval{Span: Span{from, times[i+1]}, cautious: last.Cautious, active: last.Active, next: last.Next, partitioned: j.isPartitioned(region, from)}
+		p := interval{Span: Span{from, times[i+1]}, cautious: last.Cautious, active: last.Active, next: last.Next, partitioned: e.isPartitioned(region, from)}
 		p.down = last.Gone || slices.ContainsFunc(o.Downtimes[name], func(d Span) bool { return d.contains(from) })
 		out = append(out, p)
 	}
@@ -262,65 +262,65 @@
 }
 
 // isPartitioned tells whether who stands in a region reaches no majority of the keepers.
-func (j *evaluation) isPartitioned(region string, at time.Duration) bool {
-	severed := map[string]bool{}
-	for _, c := range j.obs.Partitions {
+func (e *evaluation) isPartitioned(region string, at time.Duration) bool {
+	cutRegions := map[string]bool{}
+	for _, c := range e.obs.Partitions {
 		switch {
 		case !c.contains(at):
 		case c.Between[0] == region:
-			severed[c.Between[1]] = true
+			cutRegions[c.Between[1]] = true
 		case c.Between[1] == region:
-			severed[c.Between[0]] = true
+			cutRegions[c.Between[0]] = true
 		}
 	}
-	if len(severed) == 0 {
+	if len(cutRegions) == 0 {
 		return false
 	}
 	reached := 0
-	for _, k := range j.scenario.voterNames() {
-		if !severed[j.obs.Plan.Locations[k].Region] {
+	for _, k := range e.scenario.voterNames() {
+		if !cutRegions[e.obs.Plan.Locations[k].Region] {
 			reached++
 		}
 	}
-	return reached <= j.scenario.Voters/2
+	return reached <= e.scenario.Voters/2
 }
 
-func (j *evaluation) secondsSinceBegin(t time.Duration) float64 { return (t - j.obs.Began).Seconds() }
+func (e *evaluation) secondsSinceBegin(t time.Duration) float64 { return (t - e.obs.Began).Seconds() }
 
 // addWithMax books a figure; a limit of 0 is none.
-func (j *evaluation) addWithMax(key, what, unit string, value, limit float64, who string) {
-	j.addMeasurement(Measurement{Key: key, Description: what, Unit: unit, Value: value, Source: who}, limit)
+func (e *evaluation) addWithMax(key, description, unit string, value, limit float64, source string) {
+	e.addMeasurement(Measurement{Key: key, Description: description, Unit: unit, Value: value, Source: source}, limit)
 }
 
 // addWithMin books a figure that must not be below its limit.
-func (j *evaluation) addWithMin(key, what, unit string, value, limit float64, who string) {
-	j.addMeasurement(Measurement{Key: key, Description: what, Unit: unit, Value: value, IsMinimum: true, Source: who}, limit)
+func (e *evaluation) addWithMin(key, description, unit string, value, limit float64, source string) {
+	e.addMeasurement(Measurement{Key: key, Description: description, Unit: unit, Value: value, IsMinimum: true, Source: source}, limit)
 }
 
-func (j *evaluation) addMeasurement(f Measurement, limit float64) {
-	if f.NotMeasured = math.IsNaN(f.Value) || math.IsInf(f.Value, 0); f.NotMeasured {
-		f.Value = 0
+func (e *evaluation) addMeasurement(m Measurement, limit float64) {
+	if m.NotMeasured = math.IsNaN(m.Value) || math.IsInf(m.Value, 0); m.NotMeasured {
+		m.Value = 0
 	}
 	if limit > 0 {
-		f.Limit = &limit
-		f.Violated = f.NotMeasured || f.Value > limit && !f.IsMinimum || f.Value < limit && f.IsMinimum
+		m.Limit = &limit
+		m.Violated = m.NotMeasured || m.Value > limit && !m.IsMinimum || m.Value < limit && m.IsMinimum
 	}
-	j.rec.Measurements = append(j.rec.Measurements, f)
+	e.rec.Measurements = append(e.rec.Measurements, m)
 }
 
 // addMustBeZero books a count that must be 0.
-func (j *evaluation) addMustBeZero(key, what string, value int, who string) {
+func (e *evaluation) addMustBeZero(key, description string, value int, source string) {
 	zero := 0.0
-	j.rec.Measurements = append(j.rec.Measurements, Measurement{Key: key, Description: what, Value: float64(value), Limit: &zero, Violated: value > 0, Source: who})
+	e.rec.Measurements = append(e.rec.Measurements, Measurement{Key: key, Description: description, Value: float64(value), Limit: &zero, Violated: value > 0, Source: source})
 }
 
-func (j *evaluation) checkOwnLag() {
-	for _, whose := range slices.Sorted(maps.Keys(j.obs.MaxLag)) {
-		late := j.obs.MaxLag[whose]
-		j.rec.OwnLag = append(j.rec.OwnLag, fmt.Sprintf("%s: %v", whose, late.Round(time.Millisecond/10)))
-		if late > j.scenario.MaxLag {
-			j.rec.Void = append(j.rec.Void, fmt.Sprintf("%s was late by %v; allowed: %v (most_lag). The machine is too busy, or the run too large for it",
-				whose, late.Round(time.Millisecond), j.scenario.MaxLag))
+func (e *evaluation) checkOwnLag() {
+	for _, source := range slices.Sorted(maps.Keys(e.obs.MaxLag)) {
+		lag := e.obs.MaxLag[source]
+		e.rec.OwnLag = append(e.rec.OwnLag, fmt.Sprintf("%s: %v", source, lag.Round(time.Millisecond/10)))
+		if lag > e.scenario.MaxLag {
+			e.rec.Void = append(e.rec.Void, fmt.Sprintf("%s was late by %v; allowed: %v (most_lag). The machine is too busy, or the run too large for it",
+				source, lag.Round(time.Millisecond), e.scenario.MaxLag))
 		}
 	}
 }
@@ -328,139 +328,139 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // evaluateVersions judges how soon each was in force.
-func (j *evaluation) evaluateVersions() {
+func (e *evaluation) evaluateVersions() {
 	var took, waited []float64
 	never, refused, worst := 0, 0, VersionRecord{}
-	neverWho, refusedWhy := "", ""
-	older, cautious, cutOff := time.Duration(0), time.Duration(0), ""
-	for _, v := range j.obs.Versions {
-		r := VersionRecord{Number: v.Number, At: j.secondsSinceBegin(v.Proposed), WaitedMS: millis(v.Proposed - v.Due), Refused: v.Refused}
+	neverMember, refusal := "", ""
+	longestOlder, longestCautious, partitionedMember := time.Duration(0), time.Duration(0), ""
+	for _, v := range e.obs.Versions {
+		r := VersionRecord{Number: v.Number, At: e.secondsSinceBegin(v.Proposed), WaitedMS: millis(v.Proposed - v.Due), Refused: v.Refused}
 		waited = append(waited, r.WaitedMS)
 		if v.Refused != "" {
 			refused++
-			refusedWhy = v.Refused
-			j.rec.Versions = append(j.rec.Versions, r)
+			refusal = v.Refused
+			e.rec.Versions = append(e.rec.Versions, r)
 			continue
 		}
-		for _, name := range slices.Sorted(maps.Keys(j.intervals)) {
-			at, owed, does := j.versionInEffect(name, v)
+		for _, name := range slices.Sorted(maps.Keys(e.intervals)) {
+			at, counts, applied := e.versionInEffect(name, v)
 			switch {
-			case owed && !does:
+			case counts && !applied:
 				r.Never = append(r.Never, name)
-			case owed && millis(at-v.Proposed) >= r.InEffectMS:
+			case counts && millis(at-v.Proposed) >= r.InEffectMS:
 				r.InEffectMS, r.Last = millis(at-v.Proposed), name
 			}
-			for i := range j.intervals[name] {
-				p := &j.intervals[name][i]
+			for i := range e.intervals[name] {
+				p := &e.intervals[name][i]
 				if !p.partitioned || p.down || p.To <= v.Proposed {
 					continue
 				}
-				if d := p.To - max(p.From, v.Proposed); p.actsOnOlder(v.Number) && d > older {
-					older, cutOff = d, name
+				if d := p.To - max(p.From, v.Proposed); p.actsOnOlder(v.Number) && d > longestOlder {
+					longestOlder, partitionedMember = d, name
 				}
 			}
 		}
 		if never += len(r.Never); len(r.Never) > 0 {
-			neverWho = r.Never[0]
+			neverMember = r.Never[0]
 		}
 		took = append(took, r.InEffectMS)
 		if r.InEffectMS > worst.InEffectMS {
 			worst = r
 		}
-		j.rec.Versions = append(j.rec.Versions, r)
+		e.rec.Versions = append(e.rec.Versions, r)
 	}
-	j.addWithMax("versions", "versions told", "", float64(len(j.obs.Versions)), 0, "")
-	if len(j.obs.Versions) > 0 || j.obs.Unproposed > 0 {
-		j.addMustBeZero("versions_left", "versions that could not be proposed by the end", j.obs.Unproposed, "")
+	e.addWithMax("versions", "versions told", "", float64(len(e.obs.Versions)), 0, "")
+	if len(e.obs.Versions) > 0 || e.obs.Unproposed > 0 {
+		e.addMustBeZero("versions_left", "versions that could not be proposed by the end", e.obs.Unproposed, "")
 	}
-	if len(j.obs.Versions) == 0 {
+	if len(e.obs.Versions) == 0 {
 		return
 	}
-	limit := millis(j.scenario.Limits.InEffect)
-	j.addWithMax("in_force_p50", "a version is in force everywhere that can be reached, after", "ms", quantile(took, 0.5), 0, "")
-	j.addWithMax("in_force_p99", "  99th percentile", "ms", quantile(took, 0.99), limit, "")
-	j.addWithMax("in_force_most", "  at most", "ms", quantile(took, 1), limit, worst.Last)
-	j.addMustBeZero("in_force_never", "members that could be reached and did not act on a version (times versions)", never, neverWho)
-	j.addMustBeZero("versions_refused", "versions refused", refused, refusedWhy)
-	j.addWithMax("waited_most", "a version waits until the one before has ended, at most", "ms", quantile(waited, 1), 0, "")
-	if len(j.obs.Partitions) > 0 {
-		for name, pieces := range j.intervals {
-			if longest, _ := longestAndSum(pieces, func(p *interval) bool { return p.partitioned && !p.down && p.cautious }); longest > cautious {
-				cautious = longest
-				if cutOff == "" {
-					cutOff = name
+	limit := millis(e.scenario.Limits.InEffect)
+	e.addWithMax("in_force_p50", "a version is in force everywhere that can be reached, after", "ms", quantile(took, 0.5), 0, "")
+	e.addWithMax("in_force_p99", "  99th percentile", "ms", quantile(took, 0.99), limit, "")
+	e.addWithMax("in_force_most", "  at most", "ms", quantile(took, 1), limit, worst.Last)
+	e.addMustBeZero("in_force_never", "members that could be reached and did not act on a version (times versions)", never, neverMember)
+	e.addMustBeZero("versions_refused", "versions refused", refused, refusal)
+	e.addWithMax("waited_most", "a version waits until the one before has ended, at most", "ms", quantile(waited, 1), 0, "")
+	if len(e.obs.Partitions) > 0 {
+		for name, intervals := range e.intervals {
+			if longest, _ := longestAndSum(intervals, func(p *interval) bool { return p.partitioned && !p.down && p.cautious }); longest > longestCautious {
+				longestCautious = longest
+				if partitionedMember == "" {
+					partitionedMember = name
 				}
 			}
 		}
-		j.addWithMax("cut_off_older", "cut off: acts on an older version after a newer was told, at most", "ms", millis(older), 0, cutOff)
-		j.addWithMax("cut_off_cautious", "cut off: cautious without a break, at most", "ms", millis(cautious), 0, "")
+		e.addWithMax("cut_off_older", "cut off: acts on an older version after a newer was told, at most", "ms", millis(longestOlder), 0, partitionedMember)
+		e.addWithMax("cut_off_cautious", "cut off: cautious without a break, at most", "ms", millis(longestCautious), 0, "")
 	}
 }
 
 // versionInEffect tells when a member came to act on a version, whether it is one that the version's time counts to, and whether it
 // did in the end. Those count that could be reached and held a lease when the version was told, and those that came (back) later
 // and acted on an older version still. Who is lost or cut off before it acts on it does not count.
-func (j *evaluation) versionInEffect(name string, v ProposedVersion) (at time.Duration, owed, does bool) {
+func (e *evaluation) versionInEffect(name string, v ProposedVersion) (at time.Duration, counts, applied bool) {
 	at = v.Proposed
-	open, done := false, false // of the present life: it counts, and it acts on the version
-	pieces := j.intervals[name]
-	for i := range pieces {
-		p := &pieces[i]
+	waitedFor, hasApplied := false, false // of the present life: it counts, and it acts on the version
+	intervals := e.intervals[name]
+	for i := range intervals {
+		p := &intervals[i]
 		if p.To <= v.Proposed {
 			continue
 		}
 		if !p.reachable() {
-			open, done = false, false
+			waitedFor, hasApplied = false, false
 			continue
 		}
-		there := p.From <= v.Proposed && !p.cautious
-		if there || p.actsOnOlder(v.Number) {
-			open = true
+		hadLease := p.From <= v.Proposed && !p.cautious
+		if hadLease || p.actsOnOlder(v.Number) {
+			waitedFor = true
 		}
-		if p.hasInEffect(v.Number) && !done {
-			done = true
-			if open {
-				owed, at = true, max(at, p.From)
+		if p.hasInEffect(v.Number) && !hasApplied {
+			hasApplied = true
+			if waitedFor {
+				counts, at = true, max(at, p.From)
 			}
 		}
 	}
-	if open && !done {
+	if waitedFor && !hasApplied {
 		return at, true, false
 	}
-	return at, owed, true
+	return at, counts, true
 }
 
 // evaluateContradictions judges how long a member acted on a version alone after another one had come to act on the next alone.
-func (j *evaluation) evaluateContradictions() {
-	longest, who := time.Duration(0), ""
-	for _, v := range j.obs.Versions {
+func (e *evaluation) evaluateContradictions() {
+	longest, member := time.Duration(0), ""
+	for _, v := range e.obs.Versions {
 		if v.Refused != "" {
 			continue
 		}
 		first := time.Duration(math.MaxInt64)
-		for _, pieces := range j.intervals {
-			for i := range pieces {
-				if p := &pieces[i]; !p.down && !p.cautious && p.active >= v.Number {
+		for _, intervals := range e.intervals {
+			for i := range intervals {
+				if p := &intervals[i]; !p.down && !p.cautious && p.active >= v.Number {
 					first = min(first, p.From)
 					break
 				}
 			}
 		}
-		for name, pieces := range j.intervals {
-			for i := range pieces {
-				p := &pieces[i]
+		for name, intervals := range e.intervals {
+			for i := range intervals {
+				p := &intervals[i]
 				if p.To <= first || !p.actsOnOlder(v.Number) || p.next >= v.Number {
 					continue
 				}
 				if d := p.To - first; d > longest {
-					longest, who = d, name
+					longest, member = d, name
 				}
 			}
 		}
 	}
-	if len(j.obs.Versions) > 0 {
-		j.addWithMax("contradicted", "a member acts on an older version after another acts on the newer alone, at most", "ms",
-			millis(longest), millis(j.scenario.ContradictAtMost), who)
+	if len(e.obs.Versions) > 0 {
+		e.addWithMax("contradicted", "a member acts on an older version after another acts on the newer alone, at most", "ms",
+			millis(longest), millis(e.scenario.ContradictAtMost), member)
 	}
 }
 
@@ -480,25 +480,25 @@
 	return longest, sum
 }
 
-func (j *evaluation) evaluateCautious() {
-	var most, all, cutAll time.Duration
-	who, members := "", 0
-	for _, name := range slices.Sorted(maps.Keys(j.intervals)) {
-		longest, sum := longestAndSum(j.intervals[name], func(p *interval) bool { return p.reachable() && p.cautious })
-		_, cut := longestAndSum(j.intervals[name], func(p *interval) bool { return p.partitioned && !p.down && p.cautious })
-		all, cutAll = all+sum, cutAll+cut
+func (e *evaluation) evaluateCautious() {
+	var longestOfAll, total, partitionedTotal time.Duration
+	member, members := "", 0
+	for _, name := range slices.Sorted(maps.Keys(e.intervals)) {
+		longest, sum := longestAndSum(e.intervals[name], func(p *interval) bool { return p.reachable() && p.cautious })
+		_, partitioned := longestAndSum(e.intervals[name], func(p *interval) bool { return p.partitioned && !p.down && p.cautious })
+		total, partitionedTotal = total+sum, partitionedTotal+partitioned
 		if sum > 0 {
 			members++
 		}
-		if longest > most {
-			most, who = longest, name
+		if longest > longestOfAll {
+			longestOfAll, member = longest, name
 		}
 	}
-	j.addWithMax("cautious_most", "a member that can be reached is cautious without a break, at most", "ms", millis(most), millis(j.scenario.Limits.Cautious), who)
-	j.addWithMax("cautious_sum", "  in sum, of all members", "s", all.Seconds(), 0, "")
-	j.addWithMax("cautious_members", "  members that were so at any time", "", float64(members), 0, "")
-	if len(j.obs.Partitions) > 0 {
-		j.addWithMax("cut_off_cautious_sum", "cut off: cautious, in sum of all", "s", cutAll.Seconds(), 0, "")
+	e.addWithMax("cautious_most", "a member that can be reached is cautious without a break, at most", "ms", millis(longestOfAll), millis(e.scenario.Limits.Cautious), member)
+	e.addWithMax("cautious_sum", "  in sum, of all members", "s", total.Seconds(), 0, "")
+	e.addWithMax("cautious_members", "  members that were so at any time", "", float64(members), 0, "")
+	if len(e.obs.Partitions) > 0 {
+		e.addWithMax("cut_off_cautious_sum", "cut off: cautious, in sum of all", "s", partitionedTotal.Seconds(), 0, "")
 	}
 }
 
@@ -509,13 +509,13 @@
 }
 
 // worstAndMeanRate is the highest rate a second of any 10 s, and the mean of all. A run shorter than that is one window.
-func worstAndMeanRate(points []point) (most, mean float64) {
+func worstAndMeanRate(points []point) (worst, mean float64) {
 	if len(points) < 2 {
 		return math.NaN(), math.NaN()
 	}
 	rate := func(a, b point) float64 { return (b.value - a.value) / (b.at - a.at).Seconds() }
 	mean = rate(points[0], points[len(points)-1])
-	most = math.Inf(-1)
+	worst = math.Inf(-1)
 	for i, k := 0, 0; i < len(points); i++ {
 		for k < len(points) && points[k].at-points[i].at < worstWindow {
 			k++
@@ -523,12 +523,12 @@
 		if k == len(points) {
 			break
 		}
-		most = max(most, rate(points[i], points[k]))
+		worst = max(worst, rate(points[i], points[k]))
 	}
-	if math.IsInf(most, -1) {
-		most = mean
+	if math.IsInf(worst, -1) {
+		worst = mean
 	}
-	return most, mean
+	return worst, mean
 }
 
 // cumulative makes one count of one that begins anew with each start.
@@ -549,96 +549,96 @@
 }
 
 // evaluateEmulated judges what hollow members cost, and what real ones cost above plain ones.
-func (j *evaluation) evaluateEmulated() {
-	l := j.scenario.Limits
+func (e *evaluation) evaluateEmulated() {
+	l := e.scenario.Limits
 	count := map[string]int{}
-	for _, p := range j.obs.Plan.Processes {
+	for _, p := range e.obs.Plan.Processes {
 		count[p.Name] = len(p.Members)
 	}
-	cpu, cpuWorst, mb, bytes, bytesWorst, renewals, refused, asked, denied := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
+	cpu, cpuWorst, mb, bytes, bytesWorst, renewals, refused, keyed, keyedRefused := 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0
 	mostRenewals, members, descriptors, goroutines, up := 0.0, 0, 0, 0, 0.0
-	cpuWho, mbWho, bytesWho, renewalsWho := "", "", "", ""
+	cpuProcess, mbProcess, bytesMember, renewalsMember := "", "", "", ""
 	var rates []float64
-	eachBytes, eachWho, keeperBytes := 0.0, "", 0.0
-	for _, process := range slices.Sorted(maps.Keys(j.obs.Samples)) {
-		samples := j.samplesOfRun(j.obs.Samples[process])
+	maxRenewalBytes, renewalBytesMember, voterBytes := 0.0, "", 0.0
+	for _, process := range slices.Sorted(maps.Keys(e.obs.Samples)) {
+		samples := e.samplesOfRun(e.obs.Samples[process])
 		if len(samples) < 2 {
 			continue
 		}
 		at := func(i int) time.Duration { return samples[i].At }
-		same := func(int) bool { return false }
+		neverRestarted := func(int) bool { return false }
 		n := float64(count[process])
-		most, mean := worstAndMeanRate(cumulative(len(samples), at, func(i int) float64 { return samples[i].CPU.Seconds() * 100 / n }, same))
+		worst, mean := worstAndMeanRate(cumulative(len(samples), at, func(i int) float64 { return samples[i].CPU.Seconds() * 100 / n }, neverRestarted))
 		cpu += mean * n
-		if most > cpuWorst {
-			cpuWorst, cpuWho = most, process
+		if worst > cpuWorst {
+			cpuWorst, cpuProcess = worst, process
 		}
-		for _, one := range samples {
-			if here := float64(one.RSSBytes) / (1 << 20) / n; here > mb {
-				mb, mbWho = here, process
+		for _, sample := range samples {
+			if memberMB := float64(sample.RSSBytes) / (1 << 20) / n; memberMB > mb {
+				mb, mbProcess = memberMB, process
 			}
-			descriptors, goroutines = max(descriptors, one.Descriptors), max(goroutines, one.Goroutines)
+			descriptors, goroutines = max(descriptors, sample.Descriptors), max(goroutines, sample.Goroutines)
 		}
 		for name := range samples[len(samples)-1].Members {
-			of := func(read func(emulated.MemberUsage) int64) func(i int) float64 {
+			counter := func(read func(emulated.MemberUsage) int64) func(i int) float64 {
 				return func(i int) float64 { return float64(read(samples[i].Members[name])) }
 			}
-			points := cumulative(len(samples), at, of(func(s emulated.MemberUsage) int64 { return s.In + s.Out }), same)
-			most, mean := worstAndMeanRate(points)
+			points := cumulative(len(samples), at, counter(func(s emulated.MemberUsage) int64 { return s.In + s.Out }), neverRestarted)
+			worst, mean := worstAndMeanRate(points)
 			members++
 			bytes += mean
-			if most > bytesWorst {
-				bytesWorst, bytesWho = most, name
+			if worst > bytesWorst {
+				bytesWorst, bytesMember = worst, name
 			}
-			last := func(read func(emulated.MemberUsage) int64) float64 {
-				p := cumulative(len(samples), at, of(read), same)
+			total := func(read func(emulated.MemberUsage) int64) float64 {
+				p := cumulative(len(samples), at, counter(read), neverRestarted)
 				return p[len(p)-1].value
 			}
-			made := last(func(s emulated.MemberUsage) int64 { return s.Renewals })
-			refused += last(func(s emulated.MemberUsage) int64 { return s.Refused })
-			asked += last(func(s emulated.MemberUsage) int64 { return s.KeyedRequests })
-			denied += last(func(s emulated.MemberUsage) int64 { return s.KeyedRefused })
-			ran := j.uptime(name, samples[0].At, samples[len(samples)-1].At).Seconds()
-			renewals, up = renewals+made, up+ran
-			if ran > j.scenario.Lease.Seconds() { // else its start is most of it
-				one := made / ran * (j.scenario.Lease / cluster.HeartbeatsPerLease).Seconds()
-				if rates = append(rates, one); one > mostRenewals {
-					mostRenewals, renewalsWho = one, name
+			renewed := total(func(s emulated.MemberUsage) int64 { return s.Renewals })
+			refused += total(func(s emulated.MemberUsage) int64 { return s.Refused })
+			keyed += total(func(s emulated.MemberUsage) int64 { return s.KeyedRequests })
+			keyedRefused += total(func(s emulated.MemberUsage) int64 { return s.KeyedRefused })
+			uptime := e.uptime(name, samples[0].At, samples[len(samples)-1].At).Seconds()
+			renewals, up = renewals+renewed, up+uptime
+			if uptime > e.scenario.Lease.Seconds() { // else its start is most of it
+				rate := renewed / uptime * (e.scenario.Lease / cluster.HeartbeatsPerLease).Seconds()
+				if rates = append(rates, rate); rate > mostRenewals {
+					mostRenewals, renewalsMember = rate, name
 				}
 			}
-			said := last(func(s emulated.MemberUsage) int64 { return s.ToVoters + s.FromVoters })
-			if keeperBytes += said; made > 0 && said/made > eachBytes {
-				eachBytes, eachWho = said/made, name
+			exchanged := total(func(s emulated.MemberUsage) int64 { return s.ToVoters + s.FromVoters })
+			if voterBytes += exchanged; renewed > 0 && exchanged/renewed > maxRenewalBytes {
+				maxRenewalBytes, renewalBytesMember = exchanged/renewed, name
 			}
 		}
 	}
 	if members > 0 {
 		n := float64(members)
-		j.addWithMax("member_cpu_mean", "a hollow member's share of a core, mean", "%", cpu/n, l.MemberCPU, "")
-		j.addWithMax("member_cpu_worst", "  worst 10 s of a process of them", "%", cpuWorst, l.MemberCPU, cpuWho)
-		j.addWithMax("member_mb", "its memory: a process's by its members, at most", "MB", mb, l.MemberMB, mbWho)
-		j.addWithMax("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
-		j.addWithMax("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesWho)
-		j.addWithMin("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
-			renewals/up*(j.scenario.Lease/cluster.HeartbeatsPerLease).Seconds(), l.MinRenewals, "")
-		j.addWithMax("renewals_most", "  of any", "", mostRenewals, l.MaxRenewals, renewalsWho)
-		j.addWithMax("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsWho)
-		j.addWithMax("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", keeperBytes/renewals, 0, "")
-		j.addWithMax("renewal_bytes", "  of any", "bytes", eachBytes, l.RenewalBytes, eachWho)
-		j.addWithMax("renewals_refused", "renewals that were refused (each start has a few)", "", refused, 0, "")
-		j.addWithMax("hollow_descriptors", "descriptors of a hollow process, at most", "", float64(descriptors), 0, "")
-		j.addWithMax("hollow_goroutines", "goroutines of a hollow process, at most", "", float64(goroutines), 0, "")
-		if asked > 0 {
-			j.addWithMax("refusals", "keyed requests refused", "%", 100*denied/asked, l.Refusals, "")
-			j.addWithMax("orders", "keyed requests", "", asked, 0, "")
-		}
-	}
-	j.evaluateReal()
+		e.addWithMax("member_cpu_mean", "a hollow member's share of a core, mean", "%", cpu/n, l.MemberCPU, "")
+		e.addWithMax("member_cpu_worst", "  worst 10 s of a process of them", "%", cpuWorst, l.MemberCPU, cpuProcess)
+		e.addWithMax("member_mb", "its memory: a process's by its members, at most", "MB", mb, l.MemberMB, mbProcess)
+		e.addWithMax("member_bytes_mean", "its bytes in and out, mean", "bytes/s", bytes/n, l.MemberBytes, "")
+		e.addWithMax("member_bytes_worst", "  worst 10 s of any", "bytes/s", bytesWorst, l.MemberBytes, bytesMember)
+		e.addWithMin("renewals_mean", "its renewals, as parts of one a heartbeat of the lease, mean", "",
+			renewals/up*(e.scenario.Lease/cluster.HeartbeatsPerLease).Seconds(), l.MinRenewals, "")
+		e.addWithMax("renewals_most", "  of any", "", mostRenewals, l.MaxRenewals, renewalsMember)
+		e.addWithMax("renewals_above", "  of any, as parts of the median", "", mostRenewals/quantile(rates, 0.5), l.AboveMedian, renewalsMember)
+		e.addWithMax("renewal_bytes_mean", "bytes to and from keepers for each renewal, mean", "bytes", voterBytes/renewals, 0, "")
+		e.addWithMax("renewal_bytes", "  of any", "bytes", maxRenewalBytes, l.RenewalBytes, renewalBytesMember)
+		e.addWithMax("renewals_refused", "renewals that were refused (each start has a few)", "", refused, 0, "")
+		e.addWithMax("hollow_descriptors", "descriptors of a hollow process, at most", "", float64(descriptors), 0, "")
+		e.addWithMax("hollow_goroutines", "goroutines of a hollow process, at most", "", float64(goroutines), 0, "")
+		if keyed > 0 {
+			e.addWithMax("refusals", "keyed requests refused", "%", 100*keyedRefused/keyed, l.Refusals, "")
+			e.addWithMax("orders", "keyed requests", "", keyed, 0, "")
+		}
+	}
+	e.evaluateReal()
 }
 
 // uptime is how long a member ran between two times.
-func (j *evaluation) uptime(name string, from, to time.Duration) (sum time.Duration) {
-	for _, p := range j.intervals[name] {
+func (e *evaluation) uptime(name string, from, to time.Duration) (sum time.Duration) {
+	for _, p := range e.intervals[name] {
 		if !p.down {
 			sum += max(0, min(p.To, to)-max(p.From, from))
 		}
@@ -646,9 +646,9 @@
 	return sum
 }
 
-func (j *evaluation) samplesOfRun(all []emulated.Usage) (out []emulated.Usage) {
+func (e *evaluation) samplesOfRun(all []emulated.Usage) (out []emulated.Usage) {
 	for _, s := range all {
-		if s.At >= j.obs.Began && s.At <= j.obs.Ended {
+		if s.At >= e.obs.Began && s.At <= e.obs.Ended {
 			out = append(out, s)
 		}
 	}
@@ -656,10 +656,10 @@
 }
 
 // usageOfRun is what a real process had taken at times of the run.
-func (j *evaluation) usageOfRun(name string) (u []Usage) {
-	for _, one := range j.obs.Usage[name] {
-		if one.At >= j.obs.Began && one.At <= j.obs.Ended {
-			u = append(u, one)
+func (e *evaluation) usageOfRun(name string) (u []Usage) {
+	for _, sample := range e.obs.Usage[name] {
+		if sample.At >= e.obs.Began && sample.At <= e.obs.Ended {
+			u = append(u, sample)
 		}
 	}
 	return u
@@ -674,37 +674,39 @@
 func cpuPercentSeconds(u Usage) float64 { return 100 * u.CPU.Seconds() }
 
 // cpuPoints is a real process's processor time, in percent of a core times seconds.
-func (j *evaluation) cpuPoints(name string) []point {
-	return cumulativeUsage(j.usageOfRun(name), cpuPercentSeconds)
+func (e *evaluation) cpuPoints(name string) []point {
+	return cumulativeUsage(e.usageOfRun(name), cpuPercentSeconds)
 }
 
 // processCost is what a real process took.
-func (j *evaluation) processCost(name string) (c Cost, there bool) {
-	u := j.usageOfRun(name)
+func (e *evaluation) processCost(name string) (c Cost, measured bool) {
+	u := e.usageOfRun(name)
 	if len(u) < 2 {
 		return c, false
 	}
-	of := func(read func(Usage) float64) (most, mean float64) { return worstAndMeanRate(cumulativeUsage(u, read)) }
+	rateOf := func(read func(Usage) float64) (worst, mean float64) {
+		return worstAndMeanRate(cumulativeUsage(u, read))
+	}
 	c.Name = name
-	c.CPUWorst, c.CPUMean = of(cpuPercentSeconds)
-	_, c.ReadKBs = of(func(u Usage) float64 { return float64(u.Read) / 1024 })
-	_, c.WriteKBs = of(func(u Usage) float64 { return float64(u.Write) / 1024 })
-	_, c.DiskKBs = of(func(u Usage) float64 { return float64(u.DiskWrite) / 1024 })
-	for _, one := range u {
-		c.MB, c.Descriptors = max(c.MB, one.MB), max(c.Descriptors, one.Descriptors)
+	c.CPUWorst, c.CPUMean = rateOf(cpuPercentSeconds)
+	_, c.ReadKBs = rateOf(func(u Usage) float64 { return float64(u.Read) / 1024 })
+	_, c.WriteKBs = rateOf(func(u Usage) float64 { return float64(u.Write) / 1024 })
+	_, c.DiskKBs = rateOf(func(u Usage) float64 { return float64(u.DiskWrite) / 1024 })
+	for _, sample := range u {
+		c.MB, c.Descriptors = max(c.MB, sample.MB), max(c.Descriptors, sample.Descriptors)
 	}
 	return c, true
 }
 
 // evaluateReal judges what a crew costs a real sidecar: what it costs above one without a crew under the same load, at the same time.
-func (j *evaluation) evaluateReal() {
+func (e *evaluation) evaluateReal() {
 	costs := func(names []string) (all []Cost) {
 		for _, name := range names {
-			if c, there := j.processCost(name); there {
+			if c, measured := e.processCost(name); measured {
 				all = append(all, c)
 			}
 		}
-		j.rec.Costs = append(j.rec.Costs, all...)
+		e.rec.Costs = append(e.rec.Costs, all...)
 		return all
 	}
 	mean := func(all []Cost, read func(Cost) float64) (sum float64) {
@@ -716,42 +718,42 @@
 	cpu := func(c Cost) float64 { return c.CPUMean }
 	mb := func(c Cost) float64 { return c.MB }
 	bytes := func(c Cost) float64 { return 1024 * (c.ReadKBs + c.WriteKBs) }
-	with := costs(j.scenario.realNames())
+	with := costs(e.scenario.realNames())
 	if len(with) == 0 {
 		return
 	}
-	j.addWithMax("real_cpu_mean", "a real sidecar's share of a core, its load with it, mean", "%", mean(with, cpu), 0, "")
-	most := slices.MaxFunc(with, func(a, b Cost) int { return cmp.Compare(a.CPUWorst, b.CPUWorst) })
-	j.addWithMax("real_cpu_worst", "  worst 10 s of any", "%", most.CPUWorst, 0, most.Name)
-	j.addWithMax("real_mb", "its memory, mean", "MB", mean(with, mb), 0, "")
-	if j.obs.Requests > 0 {
-		j.addWithMax("load_served", "requests of the real sidecars' load that were served", "%", 100*float64(j.obs.Served)/float64(j.obs.Requests), 0, "")
+	e.addWithMax("real_cpu_mean", "a real sidecar's share of a core, its load with it, mean", "%", mean(with, cpu), 0, "")
+	worst := slices.MaxFunc(with, func(a, b Cost) int { return cmp.Compare(a.CPUWorst, b.CPUWorst) })
+	e.addWithMax("real_cpu_worst", "  worst 10 s of any", "%", worst.CPUWorst, 0, worst.Name)
+	e.addWithMax("real_mb", "its memory, mean", "MB", mean(with, mb), 0, "")
+	if e.obs.Requests > 0 {
+		e.addWithMax("load_served", "requests of the real sidecars' load that were served", "%", 100*float64(e.obs.Served)/float64(e.obs.Requests), 0, "")
 	}
-	without := costs(j.scenario.plainNames())
+	without := costs(e.scenario.plainNames())
 	if len(without) == 0 {
 		return
 	}
-	worstAbove, who := math.Inf(-1), ""
+	worstAbove, member := math.Inf(-1), ""
 	var plain [][]point
 	for _, c := range without {
-		plain = append(plain, j.cpuPoints(c.Name))
+		plain = append(plain, e.cpuPoints(c.Name))
 	}
 	for _, c := range with {
-		above := j.cpuPoints(c.Name)
+		above := e.cpuPoints(c.Name)
 		for i := range above {
 			for _, p := range plain {
 				above[i].value -= interpolate(p, above[i].at) / float64(len(plain))
 			}
 		}
-		if most, _ := worstAndMeanRate(above); most > worstAbove {
-			worstAbove, who = most, c.Name
+		if worst, _ := worstAndMeanRate(above); worst > worstAbove {
+			worstAbove, member = worst, c.Name
 		}
 	}
-	l := j.scenario.Limits
-	j.addWithMax("control_cpu_mean", "  above one without a crew: share of a core, mean", "%", mean(with, cpu)-mean(without, cpu), l.MemberCPU, "")
-	j.addWithMax("control_cpu_worst", "  worst 10 s of any, above those in the same 10 s", "%", worstAbove, l.MemberCPU, who)
-	j.addWithMax("control_mb", "  memory, mean", "MB", mean(with, mb)-mean(without, mb), l.MemberMB, "")
-	j.addWithMax("control_bytes_mean", "  bytes read and written (log too), mean", "bytes/s", mean(with, bytes)-mean(without, bytes), l.MemberBytes, "")
+	l := e.scenario.Limits
+	e.addWithMax("control_cpu_mean", "  above one without a crew: share of a core, mean", "%", mean(with, cpu)-mean(without, cpu), l.MemberCPU, "")
+	e.addWithMax("control_cpu_worst", "  worst 10 s of any, above those in the same 10 s", "%", worstAbove, l.MemberCPU, member)
+	e.addWithMax("control_mb", "  memory, mean", "MB", mean(with, mb)-mean(without, mb), l.MemberMB, "")
+	e.addWithMax("control_bytes_mean", "  bytes read and written (log too), mean", "bytes/s", mean(with, bytes)-mean(without, bytes), l.MemberBytes, "")
 }
 
 // interpolate is a count at a time between two of its points.
@@ -770,8 +772,8 @@
 }
 
 // leaderAt tells who led at a time.
-func (j *evaluation) leaderAt(at time.Duration) (name string) {
-	for _, l := range j.obs.Leaders {
+func (e *evaluation) leaderAt(at time.Duration) (name string) {
+	for _, l := range e.obs.Leaders {
 		if l.At <= at {
 			name = l.Name
 		}
@@ -779,15 +781,15 @@
 	return name
 }
 
-func (j *evaluation) evaluateVoters() {
-	l := j.scenario.Limits
+func (e *evaluation) evaluateVoters() {
+	l := e.scenario.Limits
 	most, mb := Cost{CPUWorst: math.NaN()}, Cost{MB: math.NaN()}
-	for _, name := range j.scenario.voterNames() {
-		c, there := j.processCost(name)
+	for _, name := range e.scenario.voterNames() {
+		c, there := e.processCost(name)
 		if !there {
 			continue
 		}
-		j.rec.Costs = append(j.rec.Costs, c)
+		e.rec.Costs = append(e.rec.Costs, c)
 		if !(c.CPUWorst <= most.CPUWorst) {
 			most = c
 		}
@@ -795,35 +797,35 @@
 			mb = c
 		}
 	}
-	j.addWithMax("keeper_cpu_worst", "a keeper's share of a core, worst 10 s of any", "%", most.CPUWorst, l.VoterCPU, most.Name)
-	j.addWithMax("keeper_mb", "its memory, at most", "MB", mb.MB, l.VoterMB, mb.Name)
+	e.addWithMax("keeper_cpu_worst", "a keeper's share of a core, worst 10 s of any", "%", most.CPUWorst, l.VoterCPU, most.Name)
+	e.addWithMax("keeper_mb", "its memory, at most", "MB", mb.MB, l.VoterMB, mb.Name)
 	// The leader's mean, over all times in which it led: what grows with the number of members.
 	var cpu, out time.Duration
 	written := int64(0)
-	for _, name := range j.scenario.voterNames() {
-		u := j.obs.Usage[name]
+	for _, name := range e.scenario.voterNames() {
+		u := e.obs.Usage[name]
 		for i := 1; i < len(u); i++ {
 			a, b := u[i-1], u[i]
-			if a.Start == b.Start && a.At >= j.obs.Began && b.At <= j.obs.Ended && j.leaderAt(a.At) == name && j.leaderAt(b.At) == name {
+			if a.Start == b.Start && a.At >= e.obs.Began && b.At <= e.obs.Ended && e.leaderAt(a.At) == name && e.leaderAt(b.At) == name {
 				cpu, out, written = cpu+b.CPU-a.CPU, out+b.At-a.At, written+b.Write-a.Write
 			}
 		}
 	}
 	if out > 0 {
-		j.addWithMax("leader_cpu_mean", "the leader's share of a core, mean while it leads", "%", 100*cpu.Seconds()/out.Seconds(), 0, "")
-		j.addWithMax("leader_out_mean", "its bytes written (sockets, folder and log), mean while it leads", "bytes/s",
+		e.addWithMax("leader_cpu_mean", "the leader's share of a core, mean while it leads", "%", 100*cpu.Seconds()/out.Seconds(), 0, "")
+		e.addWithMax("leader_out_mean", "its bytes written (sockets, folder and log), mean while it leads", "bytes/s",
 			float64(written)/out.Seconds(), 0, "")
 	}
 }
 
-func (j *evaluation) evaluateLeaders() {
+func (e *evaluation) evaluateLeaders() {
 	changes, before := 0, ""
-	for _, l := range j.obs.Leaders {
-		if l.At > j.obs.Ended {
+	for _, l := range e.obs.Leaders {
+		if l.At > e.obs.Ended {
 			break
 		}
-		if l.At > j.obs.Began {
-			j.rec.Leaders = append(j.rec.Leaders, LeaderRecord{j.secondsSinceBegin(l.At), l.Name, l.Term})
+		if l.At > e.obs.Began {
+			e.rec.Leaders = append(e.rec.Leaders, LeaderRecord{e.secondsSinceBegin(l.At), l.Name, l.Term})
 			if l.Name != "" && l.Name != before {
 				changes++
 			}
@@ -832,22 +834,22 @@
 			before = l.Name
 		}
 	}
-	if first := j.leaderAt(j.obs.Began); first != "" {
-		j.rec.Leaders = slices.Insert(j.rec.Leaders, 0, LeaderRecord{0, first, 0})
+	if first := e.leaderAt(e.obs.Began); first != "" {
+		e.rec.Leaders = slices.Insert(e.rec.Leaders, 0, LeaderRecord{0, first, 0})
 	}
-	j.addWithMax("leader_changes", "changes of leader", "", float64(changes), 0, "")
+	e.addWithMax("leader_changes", "changes of leader", "", float64(changes), 0, "")
 }
 
 // evaluateSeries tells each second's state.
-func (j *evaluation) evaluateSeries() {
-	n := int((j.obs.Ended - j.obs.Began) / time.Second)
+func (e *evaluation) evaluateSeries() {
+	n := int((e.obs.Ended - e.obs.Began) / time.Second)
 	out := make([]Second, max(0, n))
 	newest := make([]uint64, len(out))
 	states := func(do func(i int, p *interval)) {
-		for _, pieces := range j.intervals {
+		for _, pieces := range e.intervals {
 			k := 0
 			for i := range out {
-				at := j.obs.Began + time.Duration(i)*time.Second
+				at := e.obs.Began + time.Duration(i)*time.Second
 				for k < len(pieces) && pieces[k].To <= at {
 					k++
 				}
@@ -875,15 +877,15 @@
 		}
 	})
 	for i := range out {
-		at := j.obs.Began + time.Duration(i)*time.Second
-		u := j.obs.Usage[j.leaderAt(at)]
+		at := e.obs.Began + time.Duration(i)*time.Second
+		u := e.obs.Usage[e.leaderAt(at)]
 		for k := 1; k < len(u); k++ {
 			if a, b := u[k-1], u[k]; a.At <= at && at < b.At && a.Start == b.Start {
 				out[i].LeaderCPU = 100 * (b.CPU - a.CPU).Seconds() / (b.At - a.At).Seconds()
 			}
 		}
 	}
-	j.rec.Series = out
+	e.rec.Series = out
 }
 
 // quantile is the nearest rank's value; NaN of none.
--- a/internal/lab/scale/evaluate_test.go
+++ b/internal/lab/scale/evaluate_test.go
@@ -11,7 +11,7 @@
 	"heathgap/internal/lab/emulated"
 )
 
-const judged = `keepers = 3
+const evaluatedScenario = `keepers = 3
 hollow = 6
 each_process = 3
 real = 1
@@ -32,61 +32,61 @@
 above_median = 1.3
 renewal_bytes = 3000
 most_renewals = 1.6
-` + regions
+` + twoRegions
 
-// seen is a run of 30 s in which all went well: two versions, told at 5 and 15 s, in force a second later. Its begin is at 1,000 s.
-type seen struct {
+// observedRun is a run of 30 s in which all went well: two versions, told at 5 and 15 s, in force a second later. Its begin is at 1,000 s.
+type observedRun struct {
 	*Observations
-	spent map[string]emulated.MemberUsage // of each hollow member, in a second
-	cpu   map[string]time.Duration
+	usagePerSecond map[string]emulated.MemberUsage // of each hollow member, in a second
+	cpuPerSecond   map[string]time.Duration
 }
 
 func at(seconds float64) time.Duration {
 	return 1000*time.Second + time.Duration(seconds*float64(time.Second))
 }
 
-func wellGone(t *testing.T) *seen {
+func flawlessRun(t *testing.T) *observedRun {
 	t.Helper()
-	s := parse(t, judged)
-	o := &seen{Observations: &Observations{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), States: map[string][]emulated.MemberState{}, Downtimes: map[string][]Span{},
+	s := parse(t, evaluatedScenario)
+	o := &observedRun{Observations: &Observations{Plan: NewPlan(s, 1), Began: at(0), Ended: at(30), States: map[string][]emulated.MemberState{}, Downtimes: map[string][]Span{},
 		Samples: map[string][]emulated.Usage{}, Usage: map[string][]Usage{}, MaxLag: map[string]time.Duration{"this process": 30 * time.Millisecond},
-		Leaders: []Leadership{{At: at(-5), Name: "k1", Term: 2}}}, spent: map[string]emulated.MemberUsage{}, cpu: map[string]time.Duration{}}
+		Leaders: []Leadership{{At: at(-5), Name: "k1", Term: 2}}}, usagePerSecond: map[string]emulated.MemberUsage{}, cpuPerSecond: map[string]time.Duration{}}
 	o.Versions = []ProposedVersion{{Number: 1, Due: at(4.9), Proposed: at(5)}, {Number: 2, Due: at(15), Proposed: at(15)}}
 	for name := range o.Plan.Locations {
-		o.acts(name, -3, 0, 0)
-		o.acts(name, 5.6, 0, 1)
-		o.acts(name, 6, 1, 0)
-		o.acts(name, 15.6, 1, 2)
-		o.acts(name, 16, 2, 0)
+		o.addState(name, -3, 0, 0)
+		o.addState(name, 5.6, 0, 1)
+		o.addState(name, 6, 1, 0)
+		o.addState(name, 15.6, 1, 2)
+		o.addState(name, 16, 2, 0)
 		if strings.HasPrefix(name, "h") {
-			o.spent[name] = emulated.MemberUsage{In: 4000, Out: 3000, ToVoters: 1600, FromVoters: 1200, Renewals: 4, KeyedRequests: 1}
+			o.usagePerSecond[name] = emulated.MemberUsage{In: 4000, Out: 3000, ToVoters: 1600, FromVoters: 1200, Renewals: 4, KeyedRequests: 1}
 		}
 	}
 	for _, name := range []string{"k1", "k2", "k3", "m1", "p1"} {
-		o.cpu[name] = 8 * time.Millisecond
+		o.cpuPerSecond[name] = 8 * time.Millisecond
 	}
-	o.cpu["k1"], o.cpu["m1"] = 200*time.Millisecond, 12*time.Millisecond
-	o.cpu["hollow1"], o.cpu["hollow2"] = 9*time.Millisecond, 9*time.Millisecond
+	o.cpuPerSecond["k1"], o.cpuPerSecond["m1"] = 200*time.Millisecond, 12*time.Millisecond
+	o.cpuPerSecond["hollow1"], o.cpuPerSecond["hollow2"] = 9*time.Millisecond, 9*time.Millisecond
 	return o
 }
 
-// acts adds a stance.
-func (o *seen) acts(name string, seconds float64, active, next uint64) {
+// addState adds a stance.
+func (o *observedRun) addState(name string, seconds float64, active, next uint64) {
 	o.States[name] = append(o.States[name], emulated.MemberState{At: at(seconds), Member: name, Active: active, Next: next})
 }
 
-// becomes has a member be something from a time on, in place of what was there.
-func (o *seen) becomes(name string, seconds float64, s emulated.MemberState) {
+// replaceStates has a member be something from a time on, in place of what was there.
+func (o *observedRun) replaceStates(name string, seconds float64, s emulated.MemberState) {
 	s.At, s.Member = at(seconds), name
 	o.States[name] = append(slices.DeleteFunc(o.States[name], func(old emulated.MemberState) bool { return old.At >= s.At }), s)
 }
 
-// judge adds the costs, each second, and judges.
-func (o *seen) judge() *Record {
+// evaluate adds the costs, each second, and judges.
+func (o *observedRun) evaluate() *Record {
 	for second := 0; second <= 30; second++ {
 		for _, p := range o.Plan.Processes {
 			if p.Kind != EmulatedProcess {
-				u := Usage{At: at(float64(second)), Start: 1, CPU: time.Duration(second) * o.cpu[p.Name], MB: 30,
+				u := Usage{At: at(float64(second)), Start: 1, CPU: time.Duration(second) * o.cpuPerSecond[p.Name], MB: 30,
 					Read: int64(second) * 9000, Write: int64(second) * 9000}
 				if p.Kind == PlainProcess {
 					u.MB, u.Read, u.Write = 12, u.Read/3, u.Write/3
@@ -94,9 +94,9 @@
 				o.Usage[p.Name] = append(o.Usage[p.Name], u)
 				continue
 			}
-			s := emulated.Usage{At: at(float64(second)), CPU: time.Duration(second) * o.cpu[p.Name], RSSBytes: 30 << 20, Members: map[string]emulated.MemberUsage{}}
+			s := emulated.Usage{At: at(float64(second)), CPU: time.Duration(second) * o.cpuPerSecond[p.Name], RSSBytes: 30 << 20, Members: map[string]emulated.MemberUsage{}}
 			for _, m := range p.Members {
-				one, n := o.spent[m], int64(second)
+				one, n := o.usagePerSecond[m], int64(second)
 				s.Members[m] = emulated.MemberUsage{In: n * one.In, Out: n * one.Out, ToVoters: n * one.ToVoters, FromVoters: n * one.FromVoters,
 					Renewals: n * one.Renewals, KeyedRequests: n * one.KeyedRequests, KeyedRefused: n * one.KeyedRefused}
 			}
@@ -115,8 +115,8 @@
 	return keys
 }
 
-func TestJudgeOfWhatWentWell(t *testing.T) {
-	r := wellGone(t).judge()
+func TestEvaluateFlawlessRun(t *testing.T) {
+	r := flawlessRun(t).evaluate()
 	if !r.Passed() {
 		t.Fatalf("%v, void %v, broken %v", violated(r), r.Void, r.Broken)
 	}
@@ -149,73 +149,73 @@
 }
 
 // Each check catches its fault, and only that one.
-func TestJudgeCatchesEachFault(t *testing.T) {
+func TestEvaluateCatchesEachFault(t *testing.T) {
 	for name, c := range map[string]struct {
-		plant func(o *seen)
-		want  []string
-		who   string
+		inject func(o *observedRun)
+		want   []string
+		who    string
 	}{
-		"a member that does not heed": {func(o *seen) {
-			o.becomes("h3", 15.6, emulated.MemberState{Active: 1})
+		"a member that does not heed": {func(o *observedRun) {
+			o.replaceStates("h3", 15.6, emulated.MemberState{Active: 1})
 		}, []string{"contradicted", "in_force_never"}, "h3"},
-		"a member that heeds late": {func(o *seen) {
-			o.becomes("h3", 15.6, emulated.MemberState{Active: 1, Next: 2})
-			o.acts("h3", 19.1, 2, 0)
+		"a member that heeds late": {func(o *observedRun) {
+			o.replaceStates("h3", 15.6, emulated.MemberState{Active: 1, Next: 2})
+			o.addState("h3", 19.1, 2, 0)
 		}, []string{"in_force_most", "in_force_p99"}, "h3"},
-		"a member that asks at twice the rate": {func(o *seen) {
-			o.spent["h2"] = emulated.MemberUsage{In: 8000, Out: 6000, ToVoters: 3200, FromVoters: 2400, Renewals: 8, KeyedRequests: 1}
+		"a member that asks at twice the rate": {func(o *observedRun) {
+			o.usagePerSecond["h2"] = emulated.MemberUsage{In: 8000, Out: 6000, ToVoters: 3200, FromVoters: 2400, Renewals: 8, KeyedRequests: 1}
 		}, []string{"renewals_above", "renewals_most"}, "h2"},
-		"a member that is sent all each time": {func(o *seen) {
-			o.spent["h5"] = emulated.MemberUsage{In: 40000, Out: 3000, ToVoters: 1600, FromVoters: 37200, Renewals: 4, KeyedRequests: 1}
+		"a member that is sent all each time": {func(o *observedRun) {
+			o.usagePerSecond["h5"] = emulated.MemberUsage{In: 40000, Out: 3000, ToVoters: 1600, FromVoters: 37200, Renewals: 4, KeyedRequests: 1}
 		}, []string{"member_bytes_worst", "renewal_bytes"}, "h5"},
-		"a leader whose answers are 200 ms late": {func(o *seen) {
-			for m, one := range o.spent {
+		"a leader whose answers are 200 ms late": {func(o *observedRun) {
+			for m, one := range o.usagePerSecond {
 				one.Renewals = 2
-				o.spent[m] = one
+				o.usagePerSecond[m] = one
 			}
 		}, []string{"renewals_mean"}, ""},
-		"a process that costs too much": {func(o *seen) { o.cpu["hollow2"] = 60 * time.Millisecond }, []string{"member_cpu_worst"}, "hollow2"},
-		"all cost too much": {func(o *seen) {
-			o.cpu["hollow1"], o.cpu["hollow2"] = 60*time.Millisecond, 60*time.Millisecond
+		"a process that costs too much": {func(o *observedRun) { o.cpuPerSecond["hollow2"] = 60 * time.Millisecond }, []string{"member_cpu_worst"}, "hollow2"},
+		"all cost too much": {func(o *observedRun) {
+			o.cpuPerSecond["hollow1"], o.cpuPerSecond["hollow2"] = 60*time.Millisecond, 60*time.Millisecond
 		}, []string{"member_cpu_mean", "member_cpu_worst"}, ""},
-		"a real sidecar that costs too much": {func(o *seen) {
-			o.cpu["m1"] = 30 * time.Millisecond
+		"a real sidecar that costs too much": {func(o *observedRun) {
+			o.cpuPerSecond["m1"] = 30 * time.Millisecond
 		}, []string{"control_cpu_mean", "control_cpu_worst"}, ""},
-		"a leader that costs too much": {func(o *seen) { o.cpu["k1"] = 600 * time.Millisecond }, []string{"keeper_cpu_worst"}, "k1"},
-		"requests that are refused": {func(o *seen) {
-			one := o.spent["h1"]
+		"a leader that costs too much": {func(o *observedRun) { o.cpuPerSecond["k1"] = 600 * time.Millisecond }, []string{"keeper_cpu_worst"}, "k1"},
+		"requests that are refused": {func(o *observedRun) {
+			one := o.usagePerSecond["h1"]
 			one.KeyedRefused = 1
-			o.spent["h1"] = one
+			o.usagePerSecond["h1"] = one
 		}, []string{"refusals"}, ""},
-		"a member without a lease": {func(o *seen) {
-			o.becomes("h4", 20, emulated.MemberState{Active: 2, Cautious: true})
-			o.acts("h4", 23.5, 2, 0)
+		"a member without a lease": {func(o *observedRun) {
+			o.replaceStates("h4", 20, emulated.MemberState{Active: 2, Cautious: true})
+			o.addState("h4", 23.5, 2, 0)
 		}, []string{"cautious_most"}, "h4"},
-		"a member that is never heard of again as leased": {func(o *seen) {
-			o.becomes("h4", 14, emulated.MemberState{Active: 1, Cautious: true})
+		"a member that is never heard of again as leased": {func(o *observedRun) {
+			o.replaceStates("h4", 14, emulated.MemberState{Active: 1, Cautious: true})
 		}, []string{"cautious_most"}, "h4"},
-		"a version that is refused": {func(o *seen) {
+		"a version that is refused": {func(o *observedRun) {
 			o.Versions[1].Refused = "h1: looser than its own"
 			for m := range o.States {
-				o.becomes(m, 15.6, emulated.MemberState{Active: 1})
+				o.replaceStates(m, 15.6, emulated.MemberState{Active: 1})
 			}
 		}, []string{"versions_refused"}, "h1: looser than its own"},
-		"a version that nobody could propose": {func(o *seen) { o.Unproposed = 1 }, []string{"versions_left"}, ""},
-		"memory": {func(o *seen) {
+		"a version that nobody could propose": {func(o *observedRun) { o.Unproposed = 1 }, []string{"versions_left"}, ""},
+		"memory": {func(o *observedRun) {
 			o.Samples["hollow1"] = []emulated.Usage{{At: at(0), RSSBytes: 100 << 20}}
 		}, []string{"member_mb"}, "hollow1"},
-		"nothing measured of the keepers": {func(o *seen) {
+		"nothing measured of the keepers": {func(o *observedRun) {
 			for _, name := range []string{"k1", "k2", "k3"} {
 				o.Usage[name] = []Usage{{At: at(100)}, {At: at(101)}} // after the end
-				delete(o.cpu, name)
+				delete(o.cpuPerSecond, name)
 			}
 			o.Plan.Processes = slices.DeleteFunc(o.Plan.Processes, func(p Process) bool { return p.Kind == VoterProcess })
 		}, []string{"keeper_cpu_worst", "keeper_mb"}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := wellGone(t)
-			c.plant(o)
-			r := o.judge()
+			o := flawlessRun(t)
+			c.inject(o)
+			r := o.evaluate()
 			got := violated(r)
 			slices.Sort(got)
 			if !slices.Equal(got, c.want) || r.Passed() {
@@ -233,47 +233,47 @@
 }
 
 // Who is lost, or comes back, holds up a version only by what it acts on.
-func TestJudgeOfWhoIsLost(t *testing.T) {
+func TestEvaluateLostMembers(t *testing.T) {
 	cautious := emulated.MemberState{Active: 1, Cautious: true}
 	for name, c := range map[string]struct {
-		plant   func(o *seen)
+		inject  func(o *observedRun)
 		inForce float64
 		never   float64
 	}{
-		"killed before it acts on it": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
+		"killed before it acts on it": {func(o *observedRun) {
+			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), never}}
 		}, 1000, 0},
-		"killed, and back without having acted on the older": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
+		"killed, and back without having acted on the older": {func(o *observedRun) {
+			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
 			o.States["h1"] = append(o.States["h1"], emulated.MemberState{At: at(18.01), Member: "h1", Cautious: true})
-			o.acts("h1", 18.5, 2, 0)
+			o.addState("h1", 18.5, 2, 0)
 		}, 1000, 0},
-		"killed, and back on the older": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
+		"killed, and back on the older": {func(o *observedRun) {
+			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(15.5)}}
-			o.acts("h1", 15.8, 1, 0)
-			o.acts("h1", 17, 2, 0)
+			o.addState("h1", 15.8, 1, 0)
+			o.addState("h1", 17, 2, 0)
 		}, 2000, 0},
-		"back on the older, and there it stays": {func(o *seen) {
-			o.becomes("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
+		"back on the older, and there it stays": {func(o *observedRun) {
+			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
-			o.acts("h1", 18.5, 1, 0)
+			o.addState("h1", 18.5, 1, 0)
 		}, 1000, 1},
-		"it starts as the version is told": {func(o *seen) {
-			o.becomes("h1", 14.9, cautious)
-			o.acts("h1", 16.5, 2, 0)
+		"it starts as the version is told": {func(o *observedRun) {
+			o.replaceStates("h1", 14.9, cautious)
+			o.addState("h1", 16.5, 2, 0)
 		}, 1000, 0},
-		"cautious for a while": {func(o *seen) {
-			o.becomes("h1", 15.2, cautious)
-			o.acts("h1", 17.5, 2, 0)
+		"cautious for a while": {func(o *observedRun) {
+			o.replaceStates("h1", 15.2, cautious)
+			o.addState("h1", 17.5, 2, 0)
 		}, 2500, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := wellGone(t)
-			c.plant(o)
-			r := o.judge()
+			o := flawlessRun(t)
+			c.inject(o)
+			r := o.evaluate()
 			if got := r.Measurement("in_force_most").Value; got < c.inForce-1 || got > c.inForce+1 {
 				t.Errorf("in force after %v ms, not %v", got, c.inForce)
 			}
@@ -285,10 +285,10 @@
 }
 
 // The side without a majority of keepers is cut off: its caution is told apart, and it holds up no version. The other side is not.
-func TestJudgeOfACut(t *testing.T) {
-	s := parse(t, strings.Replace(judged, "keepers = 3", "keepers = 5", 1))
-	build := func() *seen {
-		o := wellGone(t)
+func TestEvaluatePartition(t *testing.T) {
+	s := parse(t, strings.Replace(evaluatedScenario, "keepers = 3", "keepers = 5", 1))
+	build := func() *observedRun {
+		o := flawlessRun(t)
 		o.Plan = NewPlan(s, 1)
 		o.Partitions = []PartitionSpan{{Span{at(14), at(24)}, [2]string{"north", "south"}}}
 		for name, place := range o.Plan.Locations {
@@ -296,16 +296,16 @@
 				for _, st := range o.States["k1"] {
 					o.States[name] = append(o.States[name], emulated.MemberState{At: st.At, Member: name, Active: st.Active, Next: st.Next})
 				}
-				o.cpu[name] = time.Millisecond
+				o.cpuPerSecond[name] = time.Millisecond
 			}
 			if place.Region == "south" {
-				o.becomes(name, 15.5, emulated.MemberState{Active: 1, Cautious: true}) // its lease has ended
-				o.acts(name, 24.4, 2, 0)
+				o.replaceStates(name, 15.5, emulated.MemberState{Active: 1, Cautious: true}) // its lease has ended
+				o.addState(name, 24.4, 2, 0)
 			}
 		}
 		return o
 	}
-	r := build().judge()
+	r := build().evaluate()
 	if !r.Passed() {
 		t.Errorf("%v", violated(r))
 	}
@@ -327,12 +327,12 @@
 	}
 	// The majority's side is held to its lease.
 	o := build()
-	o.becomes("h1", 15.5, emulated.MemberState{Active: 1, Cautious: true})
-	o.acts("h1", 24.4, 2, 0)
+	o.replaceStates("h1", 15.5, emulated.MemberState{Active: 1, Cautious: true})
+	o.addState("h1", 24.4, 2, 0)
 	if o.Plan.Locations["h1"].Region != "north" {
 		t.Fatal(o.Plan.Locations["h1"])
 	}
-	if got := violated(o.judge()); !slices.Contains(got, "cautious_most") || !slices.Contains(got, "in_force_most") {
+	if got := violated(o.evaluate()); !slices.Contains(got, "cautious_most") || !slices.Contains(got, "in_force_most") {
 		t.Errorf("%v", got)
 	}
 	// Who is cut off and goes on with the older version contradicts the others.
@@ -343,23 +343,23 @@
 			south1 = name
 		}
 	}
-	o.becomes(south1, 15.5, emulated.MemberState{Active: 1})
-	o.acts(south1, 24.4, 2, 0)
-	r = o.judge()
+	o.replaceStates(south1, 15.5, emulated.MemberState{Active: 1})
+	o.addState(south1, 24.4, 2, 0)
+	r = o.evaluate()
 	if f := r.Measurement("contradicted"); !f.Violated || f.Source != south1 || f.Value < 8399 || f.Value > 8401 {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestJudgeOfRunsThatDoNotCount(t *testing.T) {
-	for name, plant := range map[string]func(o *seen){
-		"the load lagged": func(o *seen) { o.MaxLag["hollow1"] = 251 * time.Millisecond },
-		"interrupted":     func(o *seen) { o.Partial = true },
-		"a process ended": func(o *seen) { o.Broken = []string{"the process hollow1 has ended by itself"} },
+func TestEvaluateInvalidRuns(t *testing.T) {
+	for name, inject := range map[string]func(o *observedRun){
+		"the load lagged": func(o *observedRun) { o.MaxLag["hollow1"] = 251 * time.Millisecond },
+		"interrupted":     func(o *observedRun) { o.Partial = true },
+		"a process ended": func(o *observedRun) { o.Broken = []string{"the process hollow1 has ended by itself"} },
 	} {
-		o := wellGone(t)
-		plant(o)
-		r := o.judge()
+		o := flawlessRun(t)
+		inject(o)
+		r := o.evaluate()
 		var text strings.Builder
 		r.WriteText(&text)
 		if r.Passed() || strings.Contains(text.String(), "all limits hold") {
@@ -371,7 +371,7 @@
 	}
 }
 
-func TestWorst(t *testing.T) {
+func TestWorstAndMeanRate(t *testing.T) {
 	var p []point
 	sum := 0.0
 	for i := range 31 {
@@ -395,7 +395,7 @@
 	}
 }
 
-func TestBetween(t *testing.T) {
+func TestInterpolate(t *testing.T) {
 	p := []point{{2 * time.Second, 10}, {4 * time.Second, 30}}
 	for seconds, want := range []float64{10, 10, 10, 20, 30, 30} {
 		at := time.Duration(seconds) * time.Second
@@ -405,11 +405,11 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
-	a, b := wellGone(t).judge(), wellGone(t)
-	b.cpu["k1"] = 600 * time.Millisecond
+func TestWriteSpread(t *testing.T) {
+	a, b := flawlessRun(t).evaluate(), flawlessRun(t)
+	b.cpuPerSecond["k1"] = 600 * time.Millisecond
 	var text strings.Builder
-	WriteSpread(&text, []*Record{a, b.judge()})
+	WriteSpread(&text, []*Record{a, b.evaluate()})
 	for _, want := range []string{"2 runs", "20.0         20.0         60.0 %  (limit 50, violated in 1)"} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%q is not in:\n%s", want, text.String())
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -11,19 +11,19 @@
 // A curve says how far off it is, and is refused where there are too few sizes.
 func TestFit(t *testing.T) {
 	n := []float64{60, 120, 240, 360}
-	of := func(f func(x float64) float64) (out []float64) {
+	valuesOf := func(f func(x float64) float64) (out []float64) {
 		for _, x := range n {
 			out = append(out, f(x))
 		}
 		return out
 	}
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
-	line := of(func(x float64) float64 { return 3 + 0.25*x })
+	line := valuesOf(func(x float64) float64 { return 3 + 0.25*x })
 	c, err := fit.Linear(n, line)
 	if err != nil || !near(c.Coefficients[0], 3) || !near(c.Coefficients[1], 0.25) || !near(c.Residual, 0) {
 		t.Errorf("a line: %+v %v", c, err)
 	}
-	square := of(func(x float64) float64 { return 2 + 0.1*x + 0.003*x*x })
+	square := valuesOf(func(x float64) float64 { return 2 + 0.1*x + 0.003*x*x })
 	if c, err = fit.Quadratic(n, square); err != nil || !near(c.Coefficients[0], 2) || !near(c.Coefficients[1], 0.1) || !near(c.Coefficients[2], 0.003) ||
 		!near(c.Predict(580), 2+58+0.003*580*580) {
 		t.Errorf("a square: %+v %v", c, err)
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestGrow(t *testing.T) {
+func TestFitGrowth(t *testing.T) {
 	at := func(size int, cpu float64) *Record {
 		return &Record{Size: size, Measurements: []Measurement{{Key: "leader_cpu_mean", Description: "the leader", Value: cpu}, {Key: "in_force_p99", NotMeasured: true}}}
 	}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -118,11 +118,11 @@
 		return fmt.Errorf("the plan needs %d processes; allowed: %d. Raise each_process, or lower hollow", n, maxProcesses)
 	}
 	memory := 0.0
-	for _, one := range p.Processes {
-		memory += one.MemoryMB
-		if uint64(one.Descriptors) > descriptors {
+	for _, process := range p.Processes {
+		memory += process.MemoryMB
+		if uint64(process.Descriptors) > descriptors {
 			return fmt.Errorf("the plan needs %d descriptors in the process %s (%s); allowed: %d, this process's RLIMIT_NOFILE. "+
-				"Lower each_process (%d)", one.Descriptors, one.Name, one.Kind, descriptors, p.Scenario.EachProcess)
+				"Lower each_process (%d)", process.Descriptors, process.Name, process.Kind, descriptors, p.Scenario.EachProcess)
 		}
 	}
 	if memory > maxPlannedMB {
@@ -133,9 +133,9 @@
 }
 
 // groupMembers are the members that a word means.
-func (p *Plan) groupMembers(who string) []string {
+func (p *Plan) groupMembers(group string) []string {
 	s := p.Scenario
-	switch who {
+	switch group {
 	case EmulatedMembers:
 		return s.emulatedNames()
 	case RealMembers:
@@ -172,17 +172,17 @@
 
 func (p *Plan) planActions() {
 	s := p.Scenario
-	dice := rand.New(rand.NewPCG(p.Seed, 0x5ca1e))
+	rng := rand.New(rand.NewPCG(p.Seed, 0x5ca1e))
 	shuffled := func(names []string) []string {
 		names = slices.Clone(names)
-		dice.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		return names
 	}
 	var drafts []pendingAction
 	for _, step := range s.Steps {
 		act := Action{At: step.At, Kind: step.Kind, Downtime: step.Downtime, Duration: step.Duration, Killed: step.Killed, KillLeader: step.KillLeader, Delay: step.Delay,
 			Between: step.Between, Count: step.Count}
-		of := func(names []string) int {
+		countOf := func(names []string) int {
 			if step.Share > 0 {
 				return int(math.Ceil(step.Share * float64(len(names))))
 			}
@@ -191,7 +191,7 @@
 		switch step.Kind {
 		case Restart:
 			from := shuffled(p.groupMembers(step.Target))
-			n, drawn := of(from), map[string]bool{}
+			n, drawn := countOf(from), map[string]bool{}
 			for i := range n {
 				one := act
 				one.At += step.Duration * time.Duration(i) / time.Duration(n)
@@ -199,10 +199,10 @@
 			}
 		case Kill:
 			from := shuffled(p.groupMembers(step.Target))
-			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: of(from)})
+			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: countOf(from)})
 		case Rack:
 			from := shuffled(p.zoneMembers(step.Target, false))
-			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: of(from)})
+			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: countOf(from)})
 		case Zone:
 			from := p.zoneMembers(step.Target, true)
 			act.Downtime = max(step.Duration, time.Millisecond) // they come back, and not never
@@ -214,7 +214,7 @@
 			drafts = append(drafts, pendingAction{Action: act})
 		}
 	}
-	drafts = append(drafts, p.dayFailures(dice, shuffled)...)
+	drafts = append(drafts, p.dayFailures(rng, shuffled)...)
 	if s.Changes > 0 {
 		every := time.Duration(float64(time.Second) / s.Changes)
 		for at := every / 2; at < s.Duration; at += every {
@@ -226,7 +226,7 @@
 }
 
 // dayFailures are an ordinary day's failures, as much faster as the scenario says.
-func (p *Plan) dayFailures(dice *rand.Rand, shuffled func([]string) []string) (drafts []pendingAction) {
+func (p *Plan) dayFailures(rng *rand.Rand, shuffled func([]string) []string) (drafts []pendingAction) {
 	s := p.Scenario
 	span := s.Duration - quietEnd
 	if span <= 0 {
@@ -238,9 +238,9 @@
 		day int
 	}{{Action{Kind: Restart, Downtime: s.Day.Downtime}, s.Day.Restarts}, {Action{Kind: Kill}, s.Day.Lost}} {
 		for range int(math.Round(float64(kind.day) * s.SpeedUp * s.Duration.Seconds() / secondsPerDay)) {
-			one := kind.a
-			one.At = time.Duration(dice.Int64N(int64(span)))
-			drafts = append(drafts, pendingAction{Action: one, candidates: shuffled(members), count: 1})
+			action := kind.a
+			action.At = time.Duration(rng.Int64N(int64(span)))
+			drafts = append(drafts, pendingAction{Action: action, candidates: shuffled(members), count: 1})
 		}
 	}
 	return drafts
@@ -249,21 +249,21 @@
 // pickMembers names the members of each act: those that are up then, in their drafts' order.
 func (p *Plan) pickMembers(drafts []pendingAction) {
 	const forever = time.Duration(math.MaxInt64)
-	away := map[string]time.Duration{}
+	downUntil := map[string]time.Duration{}
 	for _, d := range drafts {
 		for _, name := range d.candidates {
 			if len(d.Members) >= d.count {
 				break
 			}
-			if d.At < away[name] || d.picked[name] {
+			if d.At < downUntil[name] || d.picked[name] {
 				continue
 			}
 			if d.picked != nil {
 				d.picked[name] = true
 			}
 			d.Members = append(d.Members, name)
-			if away[name] = d.At + d.Downtime + leaveMargin; d.Downtime == 0 && d.Kind != Restart {
-				away[name] = forever
+			if downUntil[name] = d.At + d.Downtime + leaveMargin; d.Downtime == 0 && d.Kind != Restart {
+				downUntil[name] = forever
 			}
 		}
 		if d.count > 0 && len(d.Members) == 0 {
--- a/internal/lab/scale/plan_test.go
+++ b/internal/lab/scale/plan_test.go
@@ -16,7 +16,7 @@
 	return s
 }
 
-const regions = `
+const twoRegions = `
 [[region]]
 name = "north"
 zones = ["a", "b", "c"]
@@ -26,8 +26,8 @@
 `
 
 // One seed, one plan.
-func TestPlanFollowsFromTheSeed(t *testing.T) {
-	for _, path := range files(t) {
+func TestPlanIsDeterministic(t *testing.T) {
+	for _, path := range shippedScenarios(t) {
 		s, err := Load(path)
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 }
 
 // A release restarts each one once; who is gone for good is struck no more, and who is away not again before it is back.
-func TestPlanStrikesWhoIsUp(t *testing.T) {
+func TestPlanPicksMembersThatAreUp(t *testing.T) {
 	s := parse(t, `hollow = 40
 keepers = 3
 duration = "60s"
@@ -91,7 +91,7 @@
 }
 
 // A zone takes its keepers along, a rack is of members alone.
-func TestPlanOfZones(t *testing.T) {
+func TestPlanZoneAndRack(t *testing.T) {
 	s := parse(t, `keepers = 5
 real = 10
 hollow = 565
@@ -106,7 +106,7 @@
 who = "a"
 count = 40
 leader = true
-`+regions)
+`+twoRegions)
 	p := NewPlan(s, 1)
 	zone, rack := p.Actions[0], p.Actions[1]
 	if len(zone.Members) != 116 || zone.Downtime != 2*time.Second || zone.Members[0] != "k2" {
@@ -132,7 +132,7 @@
 }
 
 // What the machine does not bear is refused in one line that tells need and limit.
-func TestPlanRefusesWhatIsTooLarge(t *testing.T) {
+func TestPlanRejectsTooLarge(t *testing.T) {
 	for name, c := range map[string]struct {
 		text        string
 		descriptors uint64
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -63,9 +63,9 @@
 func (c *sidecar) markEnding() (*harness.Process, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.up
+	wasUp := c.up
 	c.up = false
-	return c.proc, was
+	return c.proc, wasUp
 }
 
 // start starts it and waits until it answers.
@@ -99,14 +99,14 @@
 			return err
 		}
 	}
-	one := cmd()
-	if one.Env == nil {
-		one.Env = os.Environ()
+	command := cmd()
+	if command.Env == nil {
+		command.Env = os.Environ()
 	}
 	if c.kind != PlainProcess {
-		one.Env = append(one.Env, "HEATHGAP_OPERATOR="+operatorPath)
+		command.Env = append(command.Env, "HEATHGAP_OPERATOR="+operatorPath)
 	}
-	proc, err := harness.StartProcess(one, c.name, confPath, r.logPath(c.name), func(line string) { r.handleLogLine(c, line) })
+	proc, err := harness.StartProcess(command, c.name, confPath, r.logPath(c.name), func(line string) { r.handleLogLine(c, line) })
 	if err != nil {
 		return err
 	}
@@ -131,8 +131,8 @@
 		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
 	for _, k := range c.run.voters {
 		address := k.address
-		if way := c.relays[k.name]; way != nil {
-			address = way.Address()
+		if relay := c.relays[k.name]; relay != nil {
+			address = relay.Address()
 		}
 		f.Voters = append(f.Voters, harness.NamedAddress{Name: k.name, Address: address})
 	}
@@ -183,8 +183,8 @@
 	if c.client != nil {
 		c.client.Close()
 	}
-	for _, way := range c.relays {
-		way.Close()
+	for _, relay := range c.relays {
+		relay.Close()
 	}
 }
 
@@ -208,15 +208,15 @@
 
 // startEmulated starts a process and tells it what to start.
 func (r *run) startEmulated(name string, start emulated.Start) (*emulatedProcess, error) {
-	h := &emulatedProcess{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
+	p := &emulatedProcess{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
 		waiting: map[int]chan emulated.Output{}}
 	// As a sidecar of the rig: an interrupt from a terminal is the lab's, and if the lab itself is killed, it dies with it.
-	h.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var err error
-	if h.in, err = h.cmd.StdinPipe(); err != nil {
+	if p.in, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := h.cmd.StdoutPipe()
+	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
@@ -225,117 +225,117 @@
 		if log, err = os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644); err != nil {
 			return nil, err
 		}
-		h.cmd.Stderr = log
+		p.cmd.Stderr = log
 	}
-	if err := h.cmd.Start(); err != nil {
+	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	r.notifyStarted(h.cmd.Process.Pid)
-	go h.readOutput(out, log)
-	if err := json.NewEncoder(h.in).Encode(start); err != nil {
-		h.close()
+	r.notifyStarted(p.cmd.Process.Pid)
+	go p.readOutput(out, log)
+	if err := json.NewEncoder(p.in).Encode(start); err != nil {
+		p.close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	return h, nil
+	return p, nil
 }
 
 // readOutput reads what it says to its end.
-func (h *emulatedProcess) readOutput(out io.Reader, log *os.File) {
-	defer close(h.exited)
+func (p *emulatedProcess) readOutput(out io.Reader, log *os.File) {
+	defer close(p.exited)
 	lines := bufio.NewScanner(out)
 	lines.Buffer(make([]byte, 0, 64<<10), maxJSONLine)
 	for lines.Scan() {
 		var l emulated.Output
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			h.setFault(fmt.Sprintf("malformed: %v", err))
+			p.setFault(fmt.Sprintf("malformed: %v", err))
 			continue
 		}
 		switch {
 		case l.Event != nil:
-			h.run.recordState(*l.Event)
+			p.run.recordState(*l.Event)
 		case l.Ready:
-			close(h.ready)
+			close(p.ready)
 		case l.ID > 0:
-			h.mu.Lock()
-			answer := h.waiting[l.ID]
-			delete(h.waiting, l.ID)
-			h.mu.Unlock()
+			p.mu.Lock()
+			answer := p.waiting[l.ID]
+			delete(p.waiting, l.ID)
+			p.mu.Unlock()
 			if answer != nil {
 				answer <- l
 			}
 		case l.Error != "":
-			h.setFault(l.Error)
+			p.setFault(l.Error)
 		}
 	}
 	io.Copy(io.Discard, out) //nolint:errcheck // a line that is too long must not block it
-	h.cmd.Wait()             //nolint:errcheck // that it has ended is what matters
+	p.cmd.Wait()             //nolint:errcheck // that it has ended is what matters
 	if log != nil {
 		log.Close()
 	}
-	h.mu.Lock()
-	ended := h.closing
-	h.mu.Unlock()
+	p.mu.Lock()
+	ended := p.closing
+	p.mu.Unlock()
 	if !ended {
-		h.run.recordFailure("the process %s has ended by itself: %s", h.name, h.lastFault())
+		p.run.recordFailure("the process %s has ended by itself: %s", p.name, p.lastFault())
 	}
 }
 
-func (h *emulatedProcess) setFault(why string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.fault = why
+func (p *emulatedProcess) setFault(fault string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.fault = fault
 }
 
 // lastFault is what it said is wrong with it.
-func (h *emulatedProcess) lastFault() string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.fault
+func (p *emulatedProcess) lastFault() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.fault
 }
 
 // command has it do a command, and waits for the answer.
-func (h *emulatedProcess) command(c emulated.Command, within time.Duration) (emulated.Output, error) {
+func (p *emulatedProcess) command(c emulated.Command, timeout time.Duration) (emulated.Output, error) {
 	answer := make(chan emulated.Output, 1)
-	h.mu.Lock()
-	h.lastID++
-	c.ID = h.lastID
-	h.waiting[c.ID] = answer
-	h.mu.Unlock()
-	h.writeMu.Lock()
-	err := json.NewEncoder(h.in).Encode(c)
-	h.writeMu.Unlock()
+	p.mu.Lock()
+	p.lastID++
+	c.ID = p.lastID
+	p.waiting[c.ID] = answer
+	p.mu.Unlock()
+	p.writeMu.Lock()
+	err := json.NewEncoder(p.in).Encode(c)
+	p.writeMu.Unlock()
 	if err != nil {
-		return emulated.Output{}, fmt.Errorf("%s: %s: %w", h.name, c.Do, err)
+		return emulated.Output{}, fmt.Errorf("%s: %s: %w", p.name, c.Do, err)
 	}
-	timer := time.NewTimer(within)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case l := <-answer:
 		if l.Error != "" {
-			return l, fmt.Errorf("%s: %s", h.name, l.Error)
+			return l, fmt.Errorf("%s: %s", p.name, l.Error)
 		}
 		return l, nil
-	case <-h.exited:
-		return emulated.Output{}, fmt.Errorf("%s: it has ended", h.name)
+	case <-p.exited:
+		return emulated.Output{}, fmt.Errorf("%s: it has ended", p.name)
 	case <-timer.C:
-		h.mu.Lock()
-		delete(h.waiting, c.ID)
-		h.mu.Unlock()
-		return emulated.Output{}, fmt.Errorf("%s: %s: no answer after %v", h.name, c.Do, within)
+		p.mu.Lock()
+		delete(p.waiting, c.ID)
+		p.mu.Unlock()
+		return emulated.Output{}, fmt.Errorf("%s: %s: no answer after %v", p.name, c.Do, timeout)
 	}
 }
 
 // close ends it: in order, or by a kill.
-func (h *emulatedProcess) close() {
-	h.mu.Lock()
-	h.closing = true
-	h.mu.Unlock()
-	h.in.Close() // whoever it runs is gone then, and it ends
+func (p *emulatedProcess) close() {
+	p.mu.Lock()
+	p.closing = true
+	p.mu.Unlock()
+	p.in.Close() // whoever it runs is gone then, and it ends
 	select {
-	case <-h.exited:
+	case <-p.exited:
 		return
 	case <-time.After(killTimeout):
 	}
-	h.cmd.Process.Kill() //nolint:errcheck // it may have ended by itself
-	<-h.exited
+	p.cmd.Process.Kill() //nolint:errcheck // it may have ended by itself
+	<-p.exited
 }
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -70,11 +70,11 @@
 
 // firstNames names a few.
 func firstNames(names []string) string {
-	const few = 5
-	if len(names) <= few {
+	const maxNames = 5
+	if len(names) <= maxNames {
 		return strings.Join(names, ", ")
 	}
-	return fmt.Sprintf("%s and %d more", strings.Join(names[:few], ", "), len(names)-few)
+	return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNames], ", "), len(names)-maxNames)
 }
 
 func (f *Measurement) textLine() string {
@@ -86,17 +86,17 @@
 		mark = "!"
 	}
 	if f.Limit != nil {
-		word := "at most"
+		bound := "at most"
 		if f.IsMinimum {
-			word = "at least"
+			bound = "at least"
 		}
-		limit = fmt.Sprintf("  (%s %s)", word, formatNumber(*f.Limit))
+		limit = fmt.Sprintf("  (%s %s)", bound, formatNumber(*f.Limit))
 	}
-	who := ""
+	source := ""
 	if f.Source != "" {
-		who = "  " + f.Source
+		source = "  " + f.Source
 	}
-	return fmt.Sprintf("%s %-80s %12s %-8s%s%s", mark, f.Description, value, f.Unit, limit, who)
+	return fmt.Sprintf("%s %-80s %12s %-8s%s%s", mark, f.Description, value, f.Unit, limit, source)
 }
 
 // formatNumber is short, and as exact as matters.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -216,12 +216,12 @@
 }
 
 // recordLag books by how much something of the run's own was late.
-func (r *run) recordLag(whose string, by time.Duration) {
+func (r *run) recordLag(source string, lag time.Duration) {
 	if !r.measuring.Load() {
 		return
 	}
 	r.mu.Lock()
-	r.obs.MaxLag[whose] = max(r.obs.MaxLag[whose], by)
+	r.obs.MaxLag[source] = max(r.obs.MaxLag[source], lag)
 	r.mu.Unlock()
 }
 
@@ -334,16 +334,16 @@
 func (r *run) awaitStable(ctx context.Context) error {
 	type state struct{ epoch, table uint64 }
 	var before state
-	since, looked, why := time.Now(), time.Time{}, "no word of the leader"
+	since, lastCheck, reason := time.Now(), time.Time{}, "no word of the leader"
 	err := r.await(ctx, stableTimeout, "steady seats", func() (bool, string) {
 		var s voter.Status
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
 		r.mu.Unlock()
-		if leader == nil || time.Since(looked) < statusInterval || leader.client.Call("status", struct{}{}, &s, sampleTimeout) != nil || s.Ledger == nil {
-			return false, why
+		if leader == nil || time.Since(lastCheck) < statusInterval || leader.client.Call("status", struct{}{}, &s, sampleTimeout) != nil || s.Ledger == nil {
+			return false, reason
 		}
-		looked = time.Now()
+		lastCheck = time.Now()
 		now := state{epoch: s.Ledger.Epoch}
 		if s.Ledger.Placement != nil {
 			now.table = s.Ledger.Placement.Number
@@ -351,8 +351,8 @@
 		if now != before {
 			before, since = now, time.Now()
 		}
-		why = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
-		return time.Since(since) >= stableLeases*r.scenario.Lease, why
+		reason = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
+		return time.Since(since) >= stableLeases*r.scenario.Lease, reason
 	})
 	if err != nil && ctx.Err() == nil { // a crew that is never steady is judged as it is
 		r.stepLog = append(r.stepLog, "members and seats still changed as the play began: "+err.Error())
@@ -419,21 +419,21 @@
 			if c.kind == PlainProcess || c == k || from == to && !slowed[k.name] {
 				continue
 			}
-			way, err := r.relayTo(k)
+			relay, err := r.relayTo(k)
 			if err != nil {
 				return err
 			}
-			if c.relays[k.name] = way; from != to {
-				way.SetDelay(r.scenario.RegionDelay)
-				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, way})
+			if c.relays[k.name] = relay; from != to {
+				relay.SetDelay(r.scenario.RegionDelay)
+				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, relay})
 			}
 		}
 		if slowed[k.name] && r.scenario.Emulated > 0 {
-			way, err := r.relayTo(k)
+			relay, err := r.relayTo(k)
 			if err != nil {
 				return err
 			}
-			r.voterRelays[k.name] = way
+			r.voterRelays[k.name] = relay
 		}
 	}
 	return nil
@@ -466,9 +466,9 @@
 		Regions: map[string]string{}, RegionDelay: r.scenario.RegionDelay, KeyedRate: r.scenario.KeyedRate, KeyedDuration: r.scenario.KeyedDuration, Seed: r.plan.Seed,
 	}
 	place := func(name, address string) emulated.Peer {
-		at := r.plan.Locations[name]
-		start.Regions[address] = at.Region
-		return emulated.Peer{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
+		location := r.plan.Locations[name]
+		start.Regions[address] = location.Region
+		return emulated.Peer{Name: name, Zone: location.Zone, Region: location.Region, Address: address}
 	}
 	for _, c := range r.sidecars {
 		if c.kind != PlainProcess {
@@ -502,29 +502,29 @@
 		}
 	}
 	for i, name := range names {
-		one := start
-		one.Members, one.Faults = groups[name], map[string]emulated.Fault{}
+		processStart := start
+		processStart.Members, processStart.Faults = groups[name], map[string]emulated.Fault{}
 		var members []string
-		for _, m := range one.Members {
+		for _, m := range processStart.Members {
 			members = append(members, m.Name)
 			for _, p := range r.scenario.Faults {
 				if p.Member == m.Name {
-					one.Faults[p.Member] = p.Fault
+					processStart.Faults[p.Member] = p.Fault
 				}
 			}
 		}
-		h, err := r.startEmulated(name, one)
+		p, err := r.startEmulated(name, processStart)
 		if err != nil {
 			return err
 		}
-		r.emulated = append(r.emulated, h)
+		r.emulated = append(r.emulated, p)
 		for _, m := range members {
-			r.processOf[m] = h
+			r.processOf[m] = p
 		}
 		select {
-		case <-h.ready:
-		case <-h.exited:
-			return fmt.Errorf("%s: it ended as it started: %s", name, h.lastFault())
+		case <-p.ready:
+		case <-p.exited:
+			return fmt.Errorf("%s: it ended as it started: %s", name, p.lastFault())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(readyTimeout):
@@ -559,18 +559,18 @@
 }
 
 // await waits for something.
-func (r *run) await(ctx context.Context, most time.Duration, what string, there func() (bool, string)) error {
-	limit, tell := time.Now().Add(most), time.Now().Add(progressInterval)
+func (r *run) await(ctx context.Context, timeout time.Duration, what string, condition func() (bool, string)) error {
+	deadline, nextProgress := time.Now().Add(timeout), time.Now().Add(progressInterval)
 	for {
-		done, why := there()
+		done, reason := condition()
 		if done {
 			return nil
 		}
-		if now := time.Now(); now.After(limit) {
-			return fmt.Errorf("no %s after %v (%s); keep the logs (--logs) and look there", strings.TrimPrefix(what, "a "), most, why)
-		} else if now.After(tell) {
-			tell = now.Add(progressInterval)
-			r.progress("waiting for %s: %s", what, why)
+		if now := time.Now(); now.After(deadline) {
+			return fmt.Errorf("no %s after %v (%s); keep the logs (--logs) and look there", strings.TrimPrefix(what, "a "), timeout, reason)
+		} else if now.After(nextProgress) {
+			nextProgress = now.Add(progressInterval)
+			r.progress("waiting for %s: %s", what, reason)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -639,9 +639,9 @@
 // awaitLastVersion waits until what was to be proposed has been, not for ever, has no more proposed, and waits until the last version is
 // acted on, so that it can be judged.
 func (r *run) awaitLastVersion(ctx context.Context, enough func()) {
-	until := func(most time.Duration, there func() bool) {
-		limit := time.Now().Add(most)
-		for ctx.Err() == nil && time.Now().Before(limit) && !there() {
+	until := func(timeout time.Duration, condition func() bool) {
+		deadline := time.Now().Add(timeout)
+		for ctx.Err() == nil && time.Now().Before(deadline) && !condition() {
 			sleep(ctx, pollInterval) //nolint:errcheck // the loop looks
 		}
 	}
@@ -676,7 +676,7 @@
 func (r *run) sampleLoop(ctx context.Context) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
-	told := time.Now()
+	lastProgress := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -684,8 +684,8 @@
 		case <-tick.C:
 		}
 		r.sample()
-		if time.Since(told) >= progressInterval {
-			told = time.Now()
+		if time.Since(lastProgress) >= progressInterval {
+			lastProgress = time.Now()
 			r.mu.Lock()
 			cautious, newest := 0, uint64(0)
 			for _, s := range r.lastState {
@@ -705,16 +705,16 @@
 // sample asks all processes what they have cost.
 func (r *run) sample() {
 	var all sync.WaitGroup
-	for _, h := range r.emulated {
+	for _, p := range r.emulated {
 		all.Go(func() {
-			l, err := h.command(emulated.Command{Do: emulated.Sample}, sampleTimeout)
+			l, err := p.command(emulated.Command{Do: emulated.Sample}, sampleTimeout)
 			if err != nil || l.Sample == nil {
-				r.recordFailure("a sample of %s: %v", h.name, err)
+				r.recordFailure("a sample of %s: %v", p.name, err)
 				return
 			}
-			r.recordLag(h.name, l.Sample.Lag)
+			r.recordLag(p.name, l.Sample.Lag)
 			r.mu.Lock()
-			r.obs.Samples[h.name] = append(r.obs.Samples[h.name], *l.Sample)
+			r.obs.Samples[p.name] = append(r.obs.Samples[p.name], *l.Sample)
 			r.mu.Unlock()
 		})
 	}
@@ -789,8 +789,8 @@
 // close ends all that was started, each by its own id.
 func (r *run) close() {
 	var all sync.WaitGroup
-	for _, h := range r.emulated {
-		all.Go(h.close)
+	for _, p := range r.emulated {
+		all.Go(p.close)
 	}
 	all.Wait()
 	for _, name := range slices.Sorted(maps.Keys(r.sidecars)) {
@@ -798,8 +798,8 @@
 		all.Go(c.close)
 	}
 	all.Wait()
-	for _, way := range r.voterRelays {
-		way.Close()
+	for _, relay := range r.voterRelays {
+		relay.Close()
 	}
 	for _, s := range r.servers {
 		s.Close()
@@ -808,7 +808,7 @@
 }
 
 // end ends a real process by a signal, and waits for it.
-func (c *sidecar) end(s syscall.Signal, most time.Duration) (from time.Duration, did bool) {
+func (c *sidecar) end(s syscall.Signal, timeout time.Duration) (from time.Duration, ended bool) {
 	proc, up := c.markEnding()
 	if !up {
 		return 0, false
@@ -818,7 +818,7 @@
 	c.run.recordLeaderLost(c.name, from)
 	c.run.mu.Unlock()
 	proc.Signal(s)
-	if !proc.Wait(most) {
+	if !proc.Wait(timeout) {
 		proc.Signal(syscall.SIGKILL)
 		proc.Wait(killTimeout)
 	}
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -18,11 +18,11 @@
 	"heathgap/internal/operator"
 )
 
-// asWhat has the test's program be one of the processes of a run.
-const asWhat = "HEATHGAP_SCALE_TEST_AS"
+// roleVariable has the test's program be one of the processes of a run.
+const roleVariable = "HEATHGAP_SCALE_TEST_AS"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(asWhat) {
+	switch os.Getenv(roleVariable) {
 	case "member":
 		os.Exit(member.Process())
 	case "plain":
@@ -41,7 +41,7 @@
 	as := func(what string) func() *exec.Cmd {
 		return func() *exec.Cmd {
 			cmd := exec.Command(os.Args[0])
-			cmd.Env = append(os.Environ(), asWhat+"="+what)
+			cmd.Env = append(os.Environ(), roleVariable+"="+what)
 			return cmd
 		}
 	}
@@ -49,11 +49,11 @@
 		Progress: func(line string) { t.Log(line) }}
 }
 
-// small is a crew of 65. For the first half its members are judged by counts and bytes, three of them with a planted fault; in the
+// smallScenario is a crew of 65. For the first half its members are judged by counts and bytes, three of them with a planted fault; in the
 // second the leader answers 200 ms late. No time is judged, and there is no most_lag: the verdict is the same each time on a machine
 // that is shared. That a busy machine has members ask less often is why least_renewals is judged in the second half alone, where
 // they can't ask more often than each 450 ms, 0.56 of what they should, on any machine. Where nothing is late they ask 1.1 of that.
-const small = `keepers = 3
+const smallScenario = `keepers = 3
 real = 2
 hollow = 60
 each_process = 60
@@ -87,19 +87,19 @@
 renewal_bytes = 1500
 `
 
-// half is the time in which the leader answers as it should.
-const half = 2500 * time.Millisecond
+// healthyTime is the time in which the leader answers as it should.
+const healthyTime = 2500 * time.Millisecond
 
 // A crew of real processes keeps to its limits of counts and bytes, and each planted fault breaks the limit that is there for it, and
 // names who it is.
-func TestCrewOfRealProcesses(t *testing.T) {
+func TestClusterOfRealProcesses(t *testing.T) {
 	t.Parallel()
-	s := parse(t, small)
+	s := parse(t, smallScenario)
 	r, err := observe(context.Background(), s, s.Seed, testOptions(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	judged := func(name string, o Observations) *Record {
+	evaluate := func(name string, o Observations) *Record {
 		rec := Evaluate(&o)
 		if len(rec.Broken) > 0 || len(rec.Void) > 0 || rec.Partial {
 			t.Errorf("%s: broken %v, void %v", name, rec.Broken, rec.Void)
@@ -111,9 +111,9 @@
 	}
 
 	members := r.obs
-	members.Ended = members.Began + half
-	planted := judged("planted members", members)
-	whole := judged("the whole run, planted members too", r.obs)
+	members.Ended = members.Began + healthyTime
+	withFaults := evaluate("planted members", members)
+	whole := evaluate("the whole run, planted members too", r.obs)
 	for key, by := range map[string]struct {
 		who string
 		in  *Record
@@ -121,17 +121,17 @@
 		"in_force_never": {"h11", whole},
 		// Over the whole run: in the first half each version has all members ask a few times more, which levels them.
 		"renewals_above": {"h22", whole},
-		"renewal_bytes":  {"h44", planted},
+		"renewal_bytes":  {"h44", withFaults},
 	} {
 		if f := by.in.Measurement(key); !f.Violated || f.Source != by.who {
 			t.Errorf("%+v does not catch %s", f, by.who)
 		}
 	}
 
-	sound := without(members, "h11", "h22", "h44")
-	sound.Plan.Scenario.Limits.MinRenewals = 0
-	sound.Versions = nil // judged over the whole run
-	rec := judged("the others", sound)
+	healthy := excluding(members, "h11", "h22", "h44")
+	healthy.Plan.Scenario.Limits.MinRenewals = 0
+	healthy.Versions = nil // judged over the whole run
+	rec := evaluate("the others", healthy)
 	if !rec.Passed() {
 		t.Errorf("the others violate %v", violated(rec))
 	}
@@ -146,7 +146,7 @@
 	if f := rec.Measurement("load_served"); f.NotMeasured || f.Value < 99 {
 		t.Errorf("%v %% of the load was served", f.Value)
 	}
-	rec = judged("the others, the whole run", without(r.obs, "h11", "h22", "h44"))
+	rec = evaluate("the others, the whole run", excluding(r.obs, "h11", "h22", "h44"))
 	if f := rec.Measurement("renewals_above"); f.NotMeasured || f.Violated {
 		t.Errorf("%+v", f)
 	}
@@ -154,20 +154,20 @@
 		t.Errorf("%+v, of %v versions", f, rec.Measurement("versions").Value)
 	}
 
-	late := without(r.obs, "h11", "h22", "h44")
-	late.Began += half
-	late.Ended = late.Began + half
-	late.Versions = nil
-	if f := judged("a leader whose answers are late", late).Measurement("renewals_mean"); !f.Violated {
+	slowLeader := excluding(r.obs, "h11", "h22", "h44")
+	slowLeader.Began += healthyTime
+	slowLeader.Ended = slowLeader.Began + healthyTime
+	slowLeader.Versions = nil
+	if f := evaluate("a leader whose answers are late", slowLeader).Measurement("renewals_mean"); !f.Violated {
 		t.Errorf("%+v does not catch it", f)
 	}
 }
 
-// without is what was seen of all but some hollow members.
-func without(o Observations, names ...string) Observations {
+// excluding is what was seen of all but some hollow members.
+func excluding(o Observations, names ...string) Observations {
 	out := o
-	plan, scene := *o.Plan, *o.Plan.Scenario
-	plan.Scenario = &scene
+	plan, scenario := *o.Plan, *o.Plan.Scenario
+	plan.Scenario = &scenario
 	out.Plan, plan.Locations, out.Samples = &plan, maps.Clone(plan.Locations), map[string][]emulated.Usage{}
 	for _, name := range names {
 		delete(plan.Locations, name)
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -189,14 +189,14 @@
 	for _, p := range t.Tables("planted", maxEmulated) {
 		p.Need("who", "a hollow member, such as h1")
 		p.Need("fault", "unheeding, hasty, forgetful")
-		one := InjectedFault{
+		fault := InjectedFault{
 			Member: p.Text("who", "h1"),
 			Fault:  emulated.Fault(p.Enum("fault", string(emulated.IgnoresVersions), string(emulated.IgnoresVersions), string(emulated.RenewsTooOften), string(emulated.LosesState))),
 		}
-		if p.Has("who") && !slices.Contains(s.emulatedNames(), one.Member) {
-			p.Fail("who", fmt.Sprintf("%q", one.Member), fmt.Sprintf("a hollow member, h1 to h%d", s.Emulated))
+		if p.Has("who") && !slices.Contains(s.emulatedNames(), fault.Member) {
+			p.Fail("who", fmt.Sprintf("%q", fault.Member), fmt.Sprintf("a hollow member, h1 to h%d", s.Emulated))
 		}
-		s.Faults = append(s.Faults, one)
+		s.Faults = append(s.Faults, fault)
 	}
 	l := t.Table("limits")
 	s.Limits = Limits{
@@ -237,20 +237,20 @@
 	for _, r := range t.Tables("region", maxZones) {
 		r.Need("name", "a text")
 		r.Need("zones", "an array of texts")
-		one := Region{Name: r.Text("name", ""), Zones: r.Texts("zones")}
-		if slices.ContainsFunc(s.Regions, func(other Region) bool { return other.Name == one.Name }) {
-			r.Fail("name", fmt.Sprintf("%q a second time", one.Name), "each name once")
+		region := Region{Name: r.Text("name", ""), Zones: r.Texts("zones")}
+		if slices.ContainsFunc(s.Regions, func(other Region) bool { return other.Name == region.Name }) {
+			r.Fail("name", fmt.Sprintf("%q a second time", region.Name), "each name once")
 		}
-		if r.Has("zones") && (len(one.Zones) == 0 || len(one.Zones) > maxZones) {
-			r.Fail("zones", fmt.Sprintf("%d zones", len(one.Zones)), fmt.Sprintf("1 to %d", maxZones))
+		if r.Has("zones") && (len(region.Zones) == 0 || len(region.Zones) > maxZones) {
+			r.Fail("zones", fmt.Sprintf("%d zones", len(region.Zones)), fmt.Sprintf("1 to %d", maxZones))
 		}
-		for _, z := range one.Zones {
+		for _, z := range region.Zones {
 			if _, taken := owner[z]; taken {
 				r.Fail("zones", fmt.Sprintf("%q a second time", z), "each zone in one region")
 			}
-			owner[z] = one.Name
+			owner[z] = region.Name
 		}
-		s.Regions = append(s.Regions, one)
+		s.Regions = append(s.Regions, region)
 	}
 	if len(s.Regions) == 0 {
 		s.Regions = []Region{{Name: "one", Zones: []string{"a", "b", "c"}}}
@@ -291,31 +291,31 @@
 		names[i] = r.Name
 	}
 	between := d.Texts("between")
-	who := func(byDefault string, allowed ...string) {
+	checkTarget := func(fallback string, allowed ...string) {
 		if step.Target == "" {
-			step.Target = byDefault
+			step.Target = fallback
 		}
 		if !slices.Contains(allowed, step.Target) {
 			d.Fail("who", fmt.Sprintf("%q", step.Target), strings.Join(allowed, ", "))
 		}
 	}
-	some := func() {
+	checkCount := func() {
 		if (step.Share > 0) == (step.Count > 0) {
 			d.Fail("count", fmt.Sprintf("count %d and share %v", step.Count, step.Share), "one of the two, above 0")
 		}
 	}
 	switch step.Kind {
 	case Restart:
-		some()
-		who(Members, Members, EmulatedMembers, RealMembers, VoterGroup, All)
+		checkCount()
+		checkTarget(Members, Members, EmulatedMembers, RealMembers, VoterGroup, All)
 	case Kill:
-		some()
-		who(Members, Members, EmulatedMembers, RealMembers)
+		checkCount()
+		checkTarget(Members, Members, EmulatedMembers, RealMembers)
 	case Rack:
-		some()
-		who("", s.zones()...)
+		checkCount()
+		checkTarget("", s.zones()...)
 	case Zone:
-		who("", s.zones()...)
+		checkTarget("", s.zones()...)
 	case Partition:
 		if len(between) == 0 && len(names) == 2 {
 			between = names
@@ -329,7 +329,7 @@
 			d.Fail("for", "0s", "a time above 0")
 		}
 	case Slow:
-		who("leader", append([]string{"leader"}, s.voterNames()...)...)
+		checkTarget("leader", append([]string{"leader"}, s.voterNames()...)...)
 		if step.Duration == 0 {
 			d.Fail("for", "0s", "a time above 0")
 		}
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -10,8 +10,8 @@
 	"heathgap/internal/tomlread"
 )
 
-// files are the scenarios that come with heathgap.
-func files(t *testing.T) []string {
+// shippedScenarios are the scenarios that come with heathgap.
+func shippedScenarios(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob("../../../lab/scale/*.toml")
 	if err != nil || len(paths) < 5 {
@@ -21,8 +21,8 @@
 }
 
 // Those that come with heathgap can be read and planned under the descriptors that Linux gives by default at most (hard limit).
-func TestScenariosThatCome(t *testing.T) {
-	for _, path := range files(t) {
+func TestShippedScenarios(t *testing.T) {
+	for _, path := range shippedScenarios(t) {
 		s, err := Load(path)
 		if err != nil {
 			t.Error(err)
@@ -44,7 +44,7 @@
 }
 
 // Each fault has a line of its own, with file, line, key and what is allowed.
-func TestScenarioFaults(t *testing.T) {
+func TestScenarioErrors(t *testing.T) {
 	text := `name = "bad"
 keepers = 9
 copies = 4
