--- a/internal/lab/scale/actions.go
+++ b/internal/lab/scale/actions.go
@@ -23,12 +23,13 @@
 
 // Times of proposals.
 const (
-	proposeTimeout    = 2 * time.Second // for one try
+	proposeTimeout    = 2 * time.Second // for one call of the leader
 	proposeRetryDelay = 20 * time.Millisecond
-	never             = time.Duration(math.MaxInt64)
+	// never is the end of a downtime or a partition that has not ended.
+	never = time.Duration(math.MaxInt64)
 )
 
-// perform plays one act, which was due at a time, and what ends it.
+// perform carries out one action of the plan, which was due at the given time, and returns when its effects have ended.
 func (r *run) perform(ctx context.Context, a Action, due time.Duration) {
 	if a.Kind != Propose {
 		r.recordStep("%s", a.describe())
@@ -39,7 +40,7 @@
 			r.mu.Lock()
 			r.obs.Unproposed++
 			r.mu.Unlock()
-			r.proposals <- due // there is room for all of a run
+			r.proposals <- due // the channel has room for all proposals of a run
 		}
 	case Restart:
 		var all sync.WaitGroup
@@ -77,13 +78,13 @@
 			}
 		}
 		r.delayAnswers(target, a.Delay)
-		sleep(ctx, a.Duration) //nolint:errcheck // then it ends
+		sleep(ctx, a.Duration) //nolint:errcheck // if the run is interrupted, the delay ends at once
 		r.delayAnswers(target, -a.Delay)
 		r.recordStep("%s answers as before", target)
 	}
 }
 
-// describe says what an act does.
+// describe returns the action as text, for the record's steps.
 func (a *Action) describe() string {
 	var b strings.Builder
 	b.WriteString(a.Kind)
@@ -103,7 +104,7 @@
 	return b.String()
 }
 
-// byProcess are the members by the process that runs them.
+// byProcess groups members by the process that runs them.
 func (r *run) byProcess(members []string) [][]string {
 	groups := map[string][]string{}
 	for _, name := range members {
@@ -120,7 +121,8 @@
 	return out
 }
 
-// restart ends members of one process and, if they are to come back, starts them after a time.
+// restart stops members that run in the same process. If back is set, it starts them again after the downtime. Both are recorded as a
+// downtime of each member.
 func (r *run) restart(ctx context.Context, members []string, kill bool, downtime time.Duration, back bool) {
 	indexes, stopped := r.stopMembers(members, kill)
 	if !stopped {
@@ -146,7 +148,8 @@
 	}
 }
 
-// stopMembers ends members of one process, by a kill or in order. It tells at which place of each one's downs that stands.
+// stopMembers stops members of one process, killed or with a graceful leave, and records the begin of their downtimes. It returns, by
+// member, the index of that downtime in r.obs.Downtimes. stopped is false if they were not running or could not be stopped.
 func (r *run) stopMembers(members []string, kill bool) (indexes map[string]int, stopped bool) {
 	from := bootTime()
 	if p := r.processOf[members[0]]; p != nil {
@@ -180,7 +183,7 @@
 	return indexes, true
 }
 
-// partition cuts two regions off each other, and mends that.
+// partition cuts two regions off from each other for the action's duration, and then heals the partition.
 func (r *run) partition(ctx context.Context, a Action) {
 	set := func(cut bool) {
 		for _, b := range r.regionRelays {
@@ -207,7 +210,7 @@
 	r.obs.Partitions = append(r.obs.Partitions, PartitionSpan{Span{bootTime(), never}, a.Between})
 	r.mu.Unlock()
 	set(true)
-	sleep(ctx, a.Duration) //nolint:errcheck // then it ends
+	sleep(ctx, a.Duration) //nolint:errcheck // if the run is interrupted, the partition ends at once
 	set(false)
 	r.mu.Lock()
 	r.obs.Partitions[place].To = bootTime()
@@ -215,7 +218,7 @@
 	r.recordStep("%s and %s reach each other", a.Between[0], a.Between[1])
 }
 
-// delayAnswers has a keeper's answers come so much later, or sooner again.
+// delayAnswers delays the answers of a voter by a further amount of time; a negative amount takes a delay back.
 func (r *run) delayAnswers(keeper string, by time.Duration) {
 	for _, c := range r.sidecars {
 		if relay := c.relays[keeper]; relay != nil {
@@ -227,7 +230,7 @@
 	}
 }
 
-// propose proposes what is due, one version after another.
+// propose proposes the versions that are due, one after another.
 func (r *run) propose(ctx context.Context) {
 
 	for n := 1; ; n++ {
@@ -245,21 +248,21 @@
 			}
 			return
 		}
-		for ctx.Err() == nil { // one at a time
+		for ctx.Err() == nil { // wait until this version has ended: one is proposed at a time
 			r.mu.Lock()
 			inEffect, refusal := r.activeVersion >= number, r.refusedVersions[number]
 			r.mu.Unlock()
 			if inEffect || refusal != "" {
 				break
 			}
-			sleep(ctx, proposeRetryDelay) //nolint:errcheck // the loop looks
+			sleep(ctx, proposeRetryDelay) //nolint:errcheck // the loop's condition checks the context
 		}
 
 	}
 }
 
-// versionDocument is what the n-th version says: the effect of a class, and endpoints that are banned, as operators' versions do. Each
-// differs from the one before.
+// versionDocument returns the content of the n-th version: it sets the effect of a class and bans some endpoints, as versions of operators
+// do. Each document differs from the one before.
 func (r *run) versionDocument(n int) versions.Document {
 	effect := decide.Safe
 	if n%2 == 1 {
@@ -268,7 +271,7 @@
 	doc := versions.Document{Classes: map[string]versions.Class{harness.ProbedClass: {Effect: effect}}}
 	for i := range r.scenario.Banned {
 		name := fmt.Sprintf("endpoint-%06d.%s", n+i, r.scenario.zones()[i%len(r.scenario.zones())])
-		if i == 0 { // one of those that the real sidecars send to
+		if i == 0 { // ban one of the endpoints that the real sidecars send to
 			name = r.endpoints[n%len(r.endpoints)].Name
 		}
 		doc.Banned = append(doc.Banned, name)
@@ -277,11 +280,12 @@
 	return doc
 }
 
-// proposeOne proposes a version at whichever keeper leads, until it is told.
+// proposeOne proposes a version to the current leader, and tries again until a leader accepts it. It returns the version's number; ok is
+// false if that did not succeed before the run's end.
 func (r *run) proposeOne(ctx context.Context, due time.Duration, doc versions.Document) (number uint64, ok bool) {
 	proposal := cluster.Proposal{ID: voter.NewID(), Author: "lab", Doc: doc}
 	limit := time.Now().Add(r.scenario.Duration + proposalsTimeout)
-	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposeRetryDelay) { //nolint:errcheck // the loop looks
+	for ; ctx.Err() == nil && time.Now().Before(limit); sleep(ctx, proposeRetryDelay) { //nolint:errcheck // the loop's condition checks the context
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
 		proposal.Parent = r.activeVersion
@@ -296,7 +300,8 @@
 			r.recordProposed(result.Number, due)
 			return result.Number, true
 		case errors.Is(err, peerrpc.ErrRefused):
-			// Turned down, or the leader was lost before it was agreed on and it may count: the ledger tells.
+			// Either the proposal was rejected, or the voter lost its leadership before the proposal was committed, so that it may or may
+			// not count. The ledger shows which.
 			var s voter.Status
 			if leader.client.Call("status", struct{}{}, &s, proposeTimeout) != nil || s.Ledger == nil || s.Leader != s.Name {
 				continue
@@ -313,6 +318,7 @@
 	return 0, false
 }
 
+// recordProposed records that a leader accepted a version, which was due at the given time.
 func (r *run) recordProposed(number uint64, due time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -12,159 +12,162 @@
 	"heathgap/internal/lab/emulated"
 )
 
-// Observations is what was seen of a run: all that Judge rests on. Times are of CLOCK_BOOTTIME.
+// Observations holds everything that was recorded during a run. Evaluate uses nothing else. All times are readings of CLOCK_BOOTTIME, which
+// is the same in all processes of a machine.
 type Observations struct {
 	Plan         *Plan
-	Began, Ended time.Duration                     // of what counts: all held a lease before
-	States       map[string][]emulated.MemberState // by member, in the order of their times
-	Downtimes    map[string][]Span                 // by member: it did not run
+	Began, Ended time.Duration                     // the measured time: it begins once all members hold a lease
+	States       map[string][]emulated.MemberState // by member, in order of time
+	Downtimes    map[string][]Span                 // by member: when it did not run
 	Partitions   []PartitionSpan
 	Versions     []ProposedVersion
-	Unproposed   int // versions that were to be proposed, and were not by the end
+	Unproposed   int // versions that were due and had not been proposed by the end
 	Leaders      []Leadership
-	Samples      map[string][]emulated.Usage // by hollow process, in the order of their times
-	Usage        map[string][]Usage          // by keeper, real sidecar and plain one, likewise
-	MaxLag       map[string]time.Duration    // by how much the run's own load was late, at most
-	Requests     int                         // requests of the real sidecars' load
-	Served       int
-	Broken       []string // what must not be, such as a process that ended by itself
-	Partial      bool     // it was interrupted
+	Samples      map[string][]emulated.Usage // by process of emulated members, in order of time
+	Usage        map[string][]Usage          // by voter, real sidecar and plain sidecar, in order of time
+	MaxLag       map[string]time.Duration    // by part of the lab: the most by which its own timers were late
+	Requests     int                         // requests that the real sidecars' load sent
+	Served       int                         // of Requests, those answered with 200
+	Broken       []string                    // failures of the run itself, such as a process that ended by itself
+	Partial      bool                        // the run was interrupted
 }
 
-// Span is from a time up to another one.
+// Span is the time from From up to, but not including, To.
 type Span struct{ From, To time.Duration }
 
+// contains reports whether t is within the span.
 func (s Span) contains(t time.Duration) bool { return t >= s.From && t < s.To }
 
-// PartitionSpan is a cut between two regions.
+// PartitionSpan is the time in which two regions could not reach each other.
 type PartitionSpan struct {
 	Span
-	Between [2]string
+	Between [2]string // the two regions
 }
 
-// ProposedVersion is a version.
+// ProposedVersion is a version that the leader accepted as a proposal.
 type ProposedVersion struct {
 	Number   uint64
-	Due      time.Duration // somebody wanted it
-	Proposed time.Duration // the leader said that it is proposed
-	Refused  string        // why it was; empty if not
+	Due      time.Duration // when the plan had it proposed
+	Proposed time.Duration // when the leader answered that it is proposed
+	Refused  string        // the reason why members refused it; empty if they did not
 }
 
-// Leadership is a keeper that has come to lead, or none ("").
+// Leadership records that a voter became the leader, or that the leader was lost (Name is empty).
 type Leadership struct {
 	At   time.Duration
 	Name string
 	Term uint64
 }
 
-// Usage is what a process has cost since its start.
+// Usage is the resources that a process has used since its start.
 type Usage struct {
-	At          time.Duration
-	Start       int // number of the start
+	At          time.Duration // when this was read
+	Start       int           // number of the start, from 1; the counts begin anew with each
 	CPU         time.Duration
-	MB          float64 // most resident so far
-	Read, Write int64   // bytes by read and write calls: sockets, files and log
-	DiskRead    int64   // bytes that came from the disk, and went to it
-	DiskWrite   int64
+	MB          float64 // the largest resident memory so far
+	Read, Write int64   // bytes of read and write calls: sockets, files and log
+	DiskRead    int64   // bytes read from the disk
+	DiskWrite   int64   // bytes written to the disk
 	Descriptors int
 }
 
-// worstWindow is the "worst 10 s" of all figures.
+// worstWindow is the length of the window behind every measurement that is called "worst 10 s".
 const worstWindow = 10 * time.Second
 
-// Record is what a run came to.
+// Record is the result of a run.
 type Record struct {
-	Version      int           `json:"version"` // of this format
+	Version      int           `json:"version"` // version of this format
 	Scenario     string        `json:"scenario"`
 	About        string        `json:"about,omitempty"`
 	Seed         uint64        `json:"seed"`
-	Size         int           `json:"sidecars"`
-	Voters       int           `json:"keepers"`
-	Real         int           `json:"real"`
-	Emulated     int           `json:"hollow"`
-	Seconds      float64       `json:"seconds"`
+	Size         int           `json:"sidecars"` // all members of the cluster, voters included
+	Voters       int           `json:"keepers"`  // real voters
+	Real         int           `json:"real"`     // real members that are not voters
+	Emulated     int           `json:"hollow"`   // emulated members
+	Seconds      float64       `json:"seconds"`  // length of the measured time
 	Machine      Machine       `json:"machine"`
-	Void         []string      `json:"void,omitempty"` // why it counts for nothing
-	Partial      bool          `json:"partial,omitempty"`
-	Broken       []string      `json:"broken,omitempty"`
+	Void         []string      `json:"void,omitempty"`    // the reasons why the run does not count
+	Partial      bool          `json:"partial,omitempty"` // the run was interrupted
+	Broken       []string      `json:"broken,omitempty"`  // failures of the run itself
 	Measurements []Measurement `json:"figures"`
 
 	Versions []VersionRecord `json:"versions,omitempty"`
 	Leaders  []LeaderRecord  `json:"leaders,omitempty"`
 	Costs    []Cost          `json:"costs,omitempty"` // of each real process
-	Steps    []string        `json:"steps,omitempty"` // as they were played
+	Steps    []string        `json:"steps,omitempty"` // the steps as they were carried out
 	Series   []Second        `json:"series,omitempty"`
-	OwnLag   []string        `json:"late,omitempty"` // how late the run's own load was
+	OwnLag   []string        `json:"late,omitempty"` // the most by which each part of the lab was late
 }
 
-// Machine is where it ran.
+// Machine describes the machine of the run.
 type Machine struct {
 	Cores      int    `json:"cores"`
 	MemoryMB   int    `json:"memory_mb"`
 	Go         string `json:"go"`
-	LoadBefore string `json:"load_average_before"` // 1, 5 and 15 minutes
-	LoadAfter  string `json:"load_average_after"`
+	LoadBefore string `json:"load_average_before"` // over 1, 5 and 15 minutes, before the run
+	LoadAfter  string `json:"load_average_after"`  // the same after the run
 }
 
-// Measurement is one measured value beside its limit.
+// Measurement is a measured value with its limit.
 type Measurement struct {
 	Key         string  `json:"key"`
 	Description string  `json:"what"`
 	Unit        string  `json:"unit,omitempty"`
 	Value       float64 `json:"value"`
-	// Limit is nil where none is set; Least says that the value must not be below it.
+	// Limit is nil where none is set. IsMinimum says that the value must not be below Limit; otherwise it must not be above.
 	Limit       *float64 `json:"limit,omitempty"`
 	IsMinimum   bool     `json:"least,omitempty"`
-	Violated    bool     `json:"limit_violated,omitempty"` // it is beyond its limit, or was not measured
+	Violated    bool     `json:"limit_violated,omitempty"` // the value is beyond its limit, or has a limit and was not measured
 	NotMeasured bool     `json:"not_measured,omitempty"`
-	Source      string   `json:"who,omitempty"` // the one that it was worst at
+	Source      string   `json:"who,omitempty"` // the member or process with the worst value; for refused versions the reason
 }
 
-// VersionRecord is how one version went.
+// VersionRecord describes how one version came into effect. Only members that could be reached count.
 type VersionRecord struct {
 	Number     uint64   `json:"number"`
-	At         float64  `json:"at_s"`            // told, from the run's begin
-	WaitedMS   float64  `json:"waited_ms"`       // from when it was wanted until it was told
-	InEffectMS float64  `json:"in_force_ms"`     // from when it was told until the last that can be reached acted on it
-	Last       string   `json:"last,omitempty"`  // which that was
-	Never      []string `json:"never,omitempty"` // could be reached, and did not act on it
-	Refused    string   `json:"refused,omitempty"`
+	At         float64  `json:"at_s"`              // when it was proposed, in seconds from the beginning of the measured time
+	WaitedMS   float64  `json:"waited_ms"`         // from when it was due until it was proposed
+	InEffectMS float64  `json:"in_force_ms"`       // from when it was proposed until it was in effect at the last member
+	Last       string   `json:"last,omitempty"`    // that last member
+	Never      []string `json:"never,omitempty"`   // members where it did not come into effect
+	Refused    string   `json:"refused,omitempty"` // the reason why it was refused
 }
 
-// LeaderRecord is who led from a time on.
+// LeaderRecord says who led from a time on.
 type LeaderRecord struct {
-	At   float64 `json:"at_s"`
-	Name string  `json:"name"` // empty for nobody
+	At   float64 `json:"at_s"` // in seconds from the beginning of the measured time
+	Name string  `json:"name"` // empty if no voter led
 	Term uint64  `json:"term,omitempty"`
 }
 
-// Cost is what one real process took.
+// Cost is the resources that one real process used during the run.
 type Cost struct {
-	Name        string  `json:"name"`
+	Name string `json:"name"`
+	// percent of a core
 	CPUMean     float64 `json:"cpu_percent_mean"`
 	CPUWorst    float64 `json:"cpu_percent_worst_10s"`
-	MB          float64 `json:"mb"`
+	MB          float64 `json:"mb"` // the largest resident memory
 	ReadKBs     float64 `json:"read_kb_s"`
 	WriteKBs    float64 `json:"write_kb_s"`
 	DiskKBs     float64 `json:"disk_write_kb_s"`
 	Descriptors int     `json:"descriptors"`
 }
 
-// Second is one of the run's.
+// Second is the state of the cluster at one second of the run. Each member is counted once at most.
 type Second struct {
-	Cautious    int     `json:"cautious"` // members that can be reached
-	Partitioned int     `json:"cut_off"`
-	Down        int     `json:"down"`
-	Behind      int     `json:"behind"` // members that can be reached and act on an older version than another one does
+	Cautious    int     `json:"cautious"` // members that are reachable and cautious
+	Partitioned int     `json:"cut_off"`  // members that run and cannot reach a majority of the voters
+	Down        int     `json:"down"`     // members that do not run
+	Behind      int     `json:"behind"`   // members that are reachable and apply an older version than some other member
 	LeaderCPU   float64 `json:"leader_cpu_percent"`
 }
 
-// Passed tells whether the run counts and held to its limits.
+// Passed reports whether the run counts and no limit was violated.
 func (r *Record) Passed() bool {
 	return len(r.Void) == 0 && !r.Partial && len(r.Broken) == 0 && !slices.ContainsFunc(r.Measurements, func(f Measurement) bool { return f.Violated })
 }
 
-// Measurement returns one by its key; one that was not measured where there is none.
+// Measurement returns the measurement with the given key. If there is none, the result has NotMeasured set.
 func (r *Record) Measurement(key string) Measurement {
 	for _, f := range r.Measurements {
 		if f.Key == key {
@@ -174,7 +177,7 @@
 	return Measurement{Key: key, NotMeasured: true}
 }
 
-// Evaluate makes the record of what was seen. It is pure.
+// Evaluate turns the observations of a run into its record. It is a pure function.
 func Evaluate(o *Observations) *Record {
 	s := o.Plan.Scenario
 	j := &evaluation{obs: o, scenario: s, intervals: map[string][]interval{}, rec: &Record{
@@ -195,35 +198,40 @@
 	return j.rec
 }
 
+// evaluation is the state of one call of Evaluate.
 type evaluation struct {
 	obs       *Observations
 	scenario  *Scenario
 	rec       *Record
-	intervals map[string][]interval // of all members of the crew
+	intervals map[string][]interval // by name, for all members of the cluster
 }
 
 // interval is a time in which nothing changes for a member.
 type interval struct {
 	Span
+	// partitioned: the member cannot reach a majority of the voters
 	down, partitioned bool
 	cautious          bool
-	active            uint64
-	next              uint64
+	// active is the version in effect; next is the version being prepared, 0 for none. Without a lease (cautious) the member allows only
+	// what every possible version allows.
+	active uint64
+	next   uint64
 }
 
+// reachable reports whether the member runs and can reach a majority of the voters.
 func (p *interval) reachable() bool { return !p.down && !p.partitioned }
 
-// hasInEffect tells whether it acts on a version or a later one.
+// hasInEffect reports whether the member is reachable and applies version number or a later one.
 func (p *interval) hasInEffect(number uint64) bool {
 	return p.reachable() && !p.cautious && p.active >= number
 }
 
-// actsOnOlder tells whether it acts on what was before a version.
+// actsOnOlder reports whether the member runs and applies a version older than number, whether or not it is reachable.
 func (p *interval) actsOnOlder(number uint64) bool {
 	return !p.down && !p.cautious && p.active < number
 }
 
-// memberIntervals is a member's run.
+// memberIntervals splits the measured time into the intervals of one member.
 func (e *evaluation) memberIntervals(name string) []interval {
 	o := e.obs
 	region := o.Plan.Locations[name].Region
@@ -261,7 +269,7 @@
 	return out
 }
 
-// isPartitioned tells whether who stands in a region reaches no majority of the keepers.
+// isPartitioned reports whether a process in region cannot reach a majority of the voters at that time.
 func (e *evaluation) isPartitioned(region string, at time.Duration) bool {
 	cutRegions := map[string]bool{}
 	for _, c := range e.obs.Partitions {
@@ -285,18 +293,20 @@
 	return reached <= e.scenario.Voters/2
 }
 
+// secondsSinceBegin returns t as seconds from the beginning of the measured time.
 func (e *evaluation) secondsSinceBegin(t time.Duration) float64 { return (t - e.obs.Began).Seconds() }
 
-// addWithMax books a figure; a limit of 0 is none.
+// addWithMax records a measurement that must not be above limit. A limit of 0 means none.
 func (e *evaluation) addWithMax(key, description, unit string, value, limit float64, source string) {
 	e.addMeasurement(Measurement{Key: key, Description: description, Unit: unit, Value: value, Source: source}, limit)
 }
 
-// addWithMin books a figure that must not be below its limit.
+// addWithMin records a measurement that must not be below limit. A limit of 0 means none.
 func (e *evaluation) addWithMin(key, description, unit string, value, limit float64, source string) {
 	e.addMeasurement(Measurement{Key: key, Description: description, Unit: unit, Value: value, IsMinimum: true, Source: source}, limit)
 }
 
+// addMeasurement records m and compares it with limit. A value that is not finite counts as not measured.
 func (e *evaluation) addMeasurement(m Measurement, limit float64) {
 	if m.NotMeasured = math.IsNaN(m.Value) || math.IsInf(m.Value, 0); m.NotMeasured {
 		m.Value = 0
@@ -308,12 +318,13 @@
 	e.rec.Measurements = append(e.rec.Measurements, m)
 }
 
-// addMustBeZero books a count that must be 0.
+// addMustBeZero records a count that must be 0.
 func (e *evaluation) addMustBeZero(key, description string, value int, source string) {
 	zero := 0.0
 	e.rec.Measurements = append(e.rec.Measurements, Measurement{Key: key, Description: description, Value: float64(value), Limit: &zero, Violated: value > 0, Source: source})
 }
 
+// checkOwnLag records by how much the lab itself was late, and makes the run void if that is more than the scenario allows.
 func (e *evaluation) checkOwnLag() {
 	for _, source := range slices.Sorted(maps.Keys(e.obs.MaxLag)) {
 		lag := e.obs.MaxLag[source]
@@ -325,9 +336,10 @@
 	}
 }
 
+// millis returns d in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// evaluateVersions judges how soon each was in force.
+// evaluateVersions measures how soon each version was in effect, and what members did that were cut off meanwhile.
 func (e *evaluation) evaluateVersions() {
 	var took, waited []float64
 	never, refused, worst := 0, 0, VersionRecord{}
@@ -397,12 +409,13 @@
 	}
 }
 
-// versionInEffect tells when a member came to act on a version, whether it is one that the version's time counts to, and whether it
-// did in the end. Those count that could be reached and held a lease when the version was told, and those that came (back) later
-// and acted on an older version still. Who is lost or cut off before it acts on it does not count.
+// versionInEffect returns when the member began to apply version v (or a later one), whether the member counts for the time that v took,
+// and whether it applied v in the end.
+// A member counts if it was reachable and held a lease when v was proposed, or if it came (back) later and still applied an older version.
+// A member that is lost or partitioned before it applies v does not count.
 func (e *evaluation) versionInEffect(name string, v ProposedVersion) (at time.Duration, counts, applied bool) {
 	at = v.Proposed
-	waitedFor, hasApplied := false, false // of the present life: it counts, and it acts on the version
+	waitedFor, hasApplied := false, false // since the member was last unreachable: v waits for the member; the member has applied v
 	intervals := e.intervals[name]
 	for i := range intervals {
 		p := &intervals[i]
@@ -430,7 +443,8 @@
 	return at, counts, true
 }
 
-// evaluateContradictions judges how long a member acted on a version alone after another one had come to act on the next alone.
+// evaluateContradictions measures the longest time for which a member applied only an older version (it was not preparing the newer one)
+// after some other member had begun to apply the newer one.
 func (e *evaluation) evaluateContradictions() {
 	longest, member := time.Duration(0), ""
 	for _, v := range e.obs.Versions {
@@ -464,7 +478,7 @@
 	}
 }
 
-// longestAndSum is the longest time without a break of which something holds, and the sum of all.
+// longestAndSum returns the longest uninterrupted time for which holds is true, and the sum of all such times.
 func longestAndSum(pieces []interval, holds func(p *interval) bool) (longest, sum time.Duration) {
 	run := time.Duration(0)
 	for i := range pieces {
@@ -480,6 +494,7 @@
 	return longest, sum
 }
 
+// evaluateCautious measures how long members were cautious (without a lease), separately for reachable and for partitioned ones.
 func (e *evaluation) evaluateCautious() {
 	var longestOfAll, total, partitionedTotal time.Duration
 	member, members := "", 0
@@ -502,13 +517,14 @@
 	}
 }
 
-// point is a count that rises, at a time.
+// point is the value of a rising count at a time.
 type point struct {
 	at    time.Duration
 	value float64
 }
 
-// worstAndMeanRate is the highest rate a second of any 10 s, and the mean of all. A run shorter than that is one window.
+// worstAndMeanRate returns the highest rate per second of any window of 10 s (worstWindow), and the mean rate. If the points cover less
+// than that, both are the mean; with fewer than two points both are NaN.
 func worstAndMeanRate(points []point) (worst, mean float64) {
 	if len(points) < 2 {
 		return math.NaN(), math.NaN()
@@ -531,13 +547,13 @@
 	return worst, mean
 }
 
-// cumulative makes one count of one that begins anew with each start.
+// cumulative joins the readings of a counter that begins anew with each start of its process into one rising count, from 0.
 func cumulative(n int, at func(i int) time.Duration, value func(i int) float64, anew func(i int) bool) []point {
 	out := make([]point, n)
 	sum := 0.0
 	for i := range n {
 		switch {
-		case i == 0: // what was before the first is not part of the run
+		case i == 0: // what was counted before the first reading is not part of the run
 		case anew(i) || value(i) < value(i-1):
 			sum += value(i)
 		default:
@@ -548,7 +564,7 @@
 	return out
 }
 
-// evaluateEmulated judges what hollow members cost, and what real ones cost above plain ones.
+// evaluateEmulated measures what emulated members use, and, through evaluateReal, what the cluster costs a real sidecar.
 func (e *evaluation) evaluateEmulated() {
 	l := e.scenario.Limits
 	count := map[string]int{}
@@ -600,7 +616,7 @@
 			keyedRefused += total(func(s emulated.MemberUsage) int64 { return s.KeyedRefused })
 			uptime := e.uptime(name, samples[0].At, samples[len(samples)-1].At).Seconds()
 			renewals, up = renewals+renewed, up+uptime
-			if uptime > e.scenario.Lease.Seconds() { // else its start is most of it
+			if uptime > e.scenario.Lease.Seconds() { // otherwise most of that time is the member's start
 				rate := renewed / uptime * (e.scenario.Lease / cluster.HeartbeatsPerLease).Seconds()
 				if rates = append(rates, rate); rate > mostRenewals {
 					mostRenewals, renewalsMember = rate, name
@@ -636,7 +652,7 @@
 	e.evaluateReal()
 }
 
-// uptime is how long a member ran between two times.
+// uptime returns for how long the member ran between from and to.
 func (e *evaluation) uptime(name string, from, to time.Duration) (sum time.Duration) {
 	for _, p := range e.intervals[name] {
 		if !p.down {
@@ -646,6 +662,7 @@
 	return sum
 }
 
+// samplesOfRun returns the samples taken in the measured time.
 func (e *evaluation) samplesOfRun(all []emulated.Usage) (out []emulated.Usage) {
 	for _, s := range all {
 		if s.At >= e.obs.Began && s.At <= e.obs.Ended {
@@ -655,7 +672,7 @@
 	return out
 }
 
-// usageOfRun is what a real process had taken at times of the run.
+// usageOfRun returns the readings of a real process that were taken in the measured time.
 func (e *evaluation) usageOfRun(name string) (u []Usage) {
 	for _, sample := range e.obs.Usage[name] {
 		if sample.At >= e.obs.Began && sample.At <= e.obs.Ended {
@@ -665,20 +682,21 @@
 	return u
 }
 
-// cumulativeUsage is one count of a real process, over all its starts.
+// cumulativeUsage returns one counter of a real process as a rising count over all its starts.
 func cumulativeUsage(u []Usage, read func(Usage) float64) []point {
 	return cumulative(len(u), func(i int) time.Duration { return u[i].At }, func(i int) float64 { return read(u[i]) },
 		func(i int) bool { return u[i].Start != u[i-1].Start })
 }
 
+// cpuPercentSeconds returns the processor time as percent of a core times seconds: its rate per second is percent of a core.
 func cpuPercentSeconds(u Usage) float64 { return 100 * u.CPU.Seconds() }
 
-// cpuPoints is a real process's processor time, in percent of a core times seconds.
+// cpuPoints returns the processor time of a real process as a rising count (see cpuPercentSeconds).
 func (e *evaluation) cpuPoints(name string) []point {
 	return cumulativeUsage(e.usageOfRun(name), cpuPercentSeconds)
 }
 
-// processCost is what a real process took.
+// processCost returns what a real process used. It is not measured if there are fewer than two readings.
 func (e *evaluation) processCost(name string) (c Cost, measured bool) {
 	u := e.usageOfRun(name)
 	if len(u) < 2 {
@@ -698,7 +716,8 @@
 	return c, true
 }
 
-// evaluateReal judges what a crew costs a real sidecar: what it costs above one without a crew under the same load, at the same time.
+// evaluateReal measures what membership of the cluster costs a real sidecar: its usage minus that of the plain sidecars (without a
+// cluster), which have the same load at the same time.
 func (e *evaluation) evaluateReal() {
 	costs := func(names []string) (all []Cost) {
 		for _, name := range names {
@@ -756,7 +775,7 @@
 	e.addWithMax("control_bytes_mean", "  bytes read and written (log too), mean", "bytes/s", mean(with, bytes)-mean(without, bytes), l.MemberBytes, "")
 }
 
-// interpolate is a count at a time between two of its points.
+// interpolate returns the count at a time, linearly between the two nearest points; outside the points it is the nearest value.
 func interpolate(points []point, at time.Duration) float64 {
 	i, found := slices.BinarySearchFunc(points, at, func(p point, at time.Duration) int { return cmp.Compare(p.at, at) })
 	switch {
@@ -771,7 +790,7 @@
 	return a.value + (b.value-a.value)*float64(at-a.at)/float64(b.at-a.at)
 }
 
-// leaderAt tells who led at a time.
+// leaderAt returns who led at a time, or an empty name.
 func (e *evaluation) leaderAt(at time.Duration) (name string) {
 	for _, l := range e.obs.Leaders {
 		if l.At <= at {
@@ -781,6 +800,7 @@
 	return name
 }
 
+// evaluateVoters measures what voters use, and what the leader uses while it leads.
 func (e *evaluation) evaluateVoters() {
 	l := e.scenario.Limits
 	most, mb := Cost{CPUWorst: math.NaN()}, Cost{MB: math.NaN()}
@@ -799,7 +819,7 @@
 	}
 	e.addWithMax("keeper_cpu_worst", "a keeper's share of a core, worst 10 s of any", "%", most.CPUWorst, l.VoterCPU, most.Name)
 	e.addWithMax("keeper_mb", "its memory, at most", "MB", mb.MB, l.VoterMB, mb.Name)
-	// The leader's mean, over all times in which it led: what grows with the number of members.
+	// The leader's mean over all the time in which a voter led. This is what grows with the number of members.
 	var cpu, out time.Duration
 	written := int64(0)
 	for _, name := range e.scenario.voterNames() {
@@ -818,6 +838,7 @@
 	}
 }
 
+// evaluateLeaders records who led when, and counts the changes of leader.
 func (e *evaluation) evaluateLeaders() {
 	changes, before := 0, ""
 	for _, l := range e.obs.Leaders {
@@ -840,7 +861,7 @@
 	e.addWithMax("leader_changes", "changes of leader", "", float64(changes), 0, "")
 }
 
-// evaluateSeries tells each second's state.
+// evaluateSeries records the state of the cluster at each second of the run.
 func (e *evaluation) evaluateSeries() {
 	n := int((e.obs.Ended - e.obs.Began) / time.Second)
 	out := make([]Second, max(0, n))
@@ -888,7 +909,7 @@
 	e.rec.Series = out
 }
 
-// quantile is the nearest rank's value; NaN of none.
+// quantile returns the value at the nearest rank, or NaN if there are no values.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return math.NaN()
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// Plan is what a scenario and a seed come to: which processes stand where, and what happens when. It is pure, and the same for
-// the same scenario and seed.
+// Plan says which processes run where, and what happens when. It follows from a scenario and a seed alone: the same two always give the
+// same plan.
 type Plan struct {
 	Scenario  *Scenario
 	Seed      uint64
 	Processes []Process
-	Locations map[string]Location // by the name of a member of the crew
-	Actions   []Action            // by their times
+	Locations map[string]Location // by the name of a member of the cluster
+	Actions   []Action            // in order of time
 }
 
-// Location is where a member of the crew stands.
+// Location is where a member of the cluster runs.
 type Location struct{ Zone, Region string }
 
-// Process is one that is to be started.
+// Process describes a process that is to be started.
 type Process struct {
-	Kind        string // KeeperProcess, ...
+	Kind        string // one of the kinds below
 	Name        string
-	Members     []string // of a hollow process
-	MemoryMB    float64  // that it may come to need
-	Descriptors int      // likewise
+	Members     []string // of a process of emulated members
+	MemoryMB    float64  // upper estimate
+	Descriptors int      // upper estimate
 }
 
-// The kinds of processes.
+// The kinds of processes. PlainProcess runs without a cluster.
 const (
 	VoterProcess    = "keeper"
 	RealProcess     = "real sidecar"
@@ -38,40 +38,41 @@
 	EmulatedProcess = "hollow members"
 )
 
-// Action is one thing that happens at a time, to members that are named: only who leads is seen as late as then.
+// Action is something that happens at a time of the run. The members that it affects are chosen in advance; only who leads is determined
+// when the action is due.
 type Action struct {
 	At         time.Duration
-	Kind       string // a doing of a step, or Propose
+	Kind       string // the kind of a step, or Propose
 	Members    []string
-	Downtime   time.Duration // until they come back; 0 for never (restart: at once)
-	Duration   time.Duration // of a cut, a slow keeper
-	Killed     bool
-	KillLeader bool // the leader too
-	Delay      time.Duration
-	Between    [2]string
-	Count      int
+	Downtime   time.Duration // until the members come back; 0 means never (for Restart: at once)
+	Duration   time.Duration // of a partition or of a voter's delayed answers; for Leader: until it comes back, 0 for never
+	Killed     bool          // for Restart: by SIGKILL instead of a graceful leave
+	KillLeader bool          // the leader is killed too
+	Delay      time.Duration // of a voter's answers
+	Between    [2]string     // the two regions of a partition
+	Count      int           // of versions to propose
 }
 
-// Propose is the act of proposing a version at its time.
+// Propose is the kind of an action that proposes a version.
 const Propose = "propose"
 
-// What a process may come to need. The parts by member were measured with 580 members, copies and orders (docs/lab.md), and
-// rounded up; a plan beyond a limit is refused before anything starts.
+// Upper estimates of what a process needs, and what a plan may need at most; a plan beyond that is rejected before any process is started.
+// The amounts per member were measured with 580 members, replicated holdings and keyed requests (docs/lab.md), and rounded up.
 const (
-	processMB          = 40.0 // a real sidecar, a keeper, or a hollow process before its members
+	processMB          = 40.0 // of a real sidecar, a voter, or a process of emulated members without its members
 	emulatedMemberMB   = 6.0
-	voterMemberMB      = 0.2 // of a keeper, for each member of the crew
+	voterMemberMB      = 0.2 // of a voter, for each member of the cluster
 	processDescriptors = 64
 	maxProcesses       = 300
 	maxPlannedMB       = 12 << 10
-	leaveMargin        = 5 * time.Second // above what a member that leaves in order waits for others to take its seats
+	leaveMargin        = 5 * time.Second // a member that leaves gracefully first waits until others have taken over its replicas
 	secondsPerDay      = 24 * 60 * 60
-	quietEnd           = 2 * time.Second // at the end, in which the day's failures strike nobody
-	maxReplicaPeers    = 64              // connections a member with copies may have to others, and others to it
-	connectionsPerPeer = 2               // at a time, to one of those
+	quietEnd           = 2 * time.Second // at the end of the run, without failures of the day
+	maxReplicaPeers    = 64              // other members that a member with replicas may be connected to; as many are connected to it
+	connectionsPerPeer = 2               // at the same time, to one of those members
 )
 
-// NewPlan works it out.
+// NewPlan works out the plan of a scenario and a seed.
 func NewPlan(s *Scenario, seed uint64) *Plan {
 	p := &Plan{Scenario: s, Seed: seed, Locations: map[string]Location{}}
 	place := func(names, zones []string) {
@@ -87,10 +88,11 @@
 	return p
 }
 
+// planProcesses lists the processes, with upper estimates of their memory and file descriptors.
 func (p *Plan) planProcesses() {
 	s := p.Scenario
 	others := s.Size() - 1
-	conns := s.Voters // of one member, to keepers
+	conns := s.Voters // connections of one member to voters
 	if s.Copies > 0 {
 		conns += 2 * connectionsPerPeer * min(others, maxReplicaPeers)
 	}
@@ -112,7 +114,7 @@
 	}
 }
 
-// Check refuses a plan that the machine's limits don't bear. descriptors is how many a process may have.
+// Check returns an error if the plan exceeds what the machine can bear. descriptors is how many file descriptors a process may have.
 func (p *Plan) Check(descriptors uint64) error {
 	if n := len(p.Processes); n > maxProcesses {
 		return fmt.Errorf("the plan needs %d processes; allowed: %d. Raise each_process, or lower hollow", n, maxProcesses)
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// groupMembers are the members that a word means.
+// groupMembers returns the members of one of the groups that a step may name, such as EmulatedMembers.
 func (p *Plan) groupMembers(group string) []string {
 	s := p.Scenario
 	switch group {
@@ -148,7 +150,7 @@
 	return append(s.realNames(), s.emulatedNames()...)
 }
 
-// zoneMembers are those of a zone; keepers only if asked for.
+// zoneMembers returns the members in a zone, and the voters too if asked for.
 func (p *Plan) zoneMembers(zone string, keepers bool) (names []string) {
 	group := Members
 	if keepers {
@@ -162,14 +164,15 @@
 	return names
 }
 
-// pendingAction is an act whose members have not been drawn.
+// pendingAction is an action whose members have not been picked.
 type pendingAction struct {
 	Action
-	candidates []string // in the order in which they are drawn
-	count      int
-	picked     map[string]bool // by its step so far: a release restarts each once
+	candidates []string        // in the order in which they are tried
+	count      int             // how many to pick
+	picked     map[string]bool // the members that the same step has picked so far: a rolling restart takes each once; nil if that does not matter
 }
 
+// planActions works out the actions from the steps, from the failures of an ordinary day, and from the rate of new versions.
 func (p *Plan) planActions() {
 	s := p.Scenario
 	rng := rand.New(rand.NewPCG(p.Seed, 0x5ca1e))
@@ -205,7 +208,7 @@
 			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: countOf(from)})
 		case Zone:
 			from := p.zoneMembers(step.Target, true)
-			act.Downtime = max(step.Duration, time.Millisecond) // they come back, and not never
+			act.Downtime = max(step.Duration, time.Millisecond) // above 0, so that they come back
 			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: len(from)})
 		case Slow:
 			act.Members = []string{step.Target}
@@ -225,7 +228,7 @@
 	p.pickMembers(drafts)
 }
 
-// dayFailures are an ordinary day's failures, as much faster as the scenario says.
+// dayFailures returns the failures of an ordinary day, at SpeedUp times their usual rate, at random times.
 func (p *Plan) dayFailures(rng *rand.Rand, shuffled func([]string) []string) (drafts []pendingAction) {
 	s := p.Scenario
 	span := s.Duration - quietEnd
@@ -246,7 +249,8 @@
 	return drafts
 }
 
-// pickMembers names the members of each act: those that are up then, in their drafts' order.
+// pickMembers picks the members of each action among its candidates: the first ones that are up at that time. Actions for which none is
+// left are dropped.
 func (p *Plan) pickMembers(drafts []pendingAction) {
 	const forever = time.Duration(math.MaxInt64)
 	downUntil := map[string]time.Duration{}
@@ -267,7 +271,7 @@
 			}
 		}
 		if d.count > 0 && len(d.Members) == 0 {
-			continue // all of them are away
+			continue // all candidates are down
 		}
 		p.Actions = append(p.Actions, d.Action)
 	}
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -23,43 +23,46 @@
 	"heathgap/internal/peerrpc"
 )
 
-// Times of processes.
+// Time limits for processes, and a size limit for their output.
 const (
-	killTimeout    = 5 * time.Second  // for a killed process to be gone
-	leaveTimeout   = 12 * time.Second // for one that ends in order: what it holds moves before
-	readyTimeout   = time.Minute      // for a hollow process's members to listen
-	commandTimeout = 20 * time.Second // for a command's answer, above what a member that leaves takes
+	killTimeout    = 5 * time.Second  // until a killed process has ended
+	leaveTimeout   = 12 * time.Second // until a process has left gracefully; its replicas are moved to other members first
+	readyTimeout   = time.Minute      // until all members of a process listen
+	commandTimeout = 20 * time.Second // until a command is answered; longer than a member takes to leave
 	sampleTimeout  = 10 * time.Second
-	maxJSONLine    = 64 << 20
+	// of a line of JSON from a process of emulated members
+	maxJSONLine = 64 << 20
 )
 
+// bootTime returns the present reading of CLOCK_BOOTTIME, which is the same in all processes of the machine.
 func bootTime() time.Duration { return env.Real{}.BootTime() }
 
-// sidecar is a real process, over all its starts: a keeper, a member under load, or one without a crew.
+// sidecar is a real process, over all its starts: a voter, a member under load, or a plain sidecar without a cluster.
 type sidecar struct {
 	run     *run
 	name    string
-	kind    string
+	kind    string // one of the kinds of processes, such as VoterProcess
 	host    string
 	listen  string
-	address string // of its part in the crew
+	address string // where it listens for its part in the cluster
 	dir     string
-	relays  map[string]*harness.Relay // to keepers, by name
-	client  *peerrpc.Client           // to a keeper
+	relays  map[string]*harness.Relay // to voters, by their name; only where the connection can be delayed or cut
+	client  *peerrpc.Client           // RPC client of the lab; for voters only
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	proc   *harness.Process
 	starts int
-	up     bool // it runs, and nobody has begun to end it
+	up     bool // the process runs, and nothing has begun to end it
 }
 
+// isUp reports whether the process runs and nothing has begun to end it.
 func (c *sidecar) isUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.up
 }
 
-// markEnding marks it as being ended; false where it is so already.
+// markEnding marks the process as being ended. It returns false if it was not up: somebody else ends it, or it has ended.
 func (c *sidecar) markEnding() (*harness.Process, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +71,7 @@
 	return c.proc, wasUp
 }
 
-// start starts it and waits until it answers.
+// start starts the process and waits until it is ready.
 func (c *sidecar) start(ctx context.Context) error {
 	c.mu.Lock()
 	c.starts++
@@ -125,6 +128,7 @@
 	return nil
 }
 
+// operatorFile returns the process's operator.toml, with its data directory.
 func (c *sidecar) operatorFile(data string) string {
 	s := c.run.scenario
 	f := harness.ClusterFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
@@ -139,7 +143,7 @@
 	return f.Text()
 }
 
-// usage is what it has cost since its start.
+// usage returns the resources that the process has used since its start, from /proc.
 func (c *sidecar) usage() (Usage, error) {
 	c.mu.Lock()
 	proc, u := c.proc, Usage{At: bootTime(), Start: c.starts}
@@ -170,7 +174,7 @@
 	return u, nil
 }
 
-// close ends it, whatever it does.
+// close kills the process, and closes its RPC client and relays.
 func (c *sidecar) close() {
 	c.mu.Lock()
 	proc := c.proc
@@ -188,29 +192,33 @@
 	}
 }
 
-// emulatedProcess is a process of hollow members.
+// emulatedProcess is a child process that runs emulated members. The lab sends it commands, and it reports events, as lines of JSON.
 type emulatedProcess struct {
-	run     *run
-	name    string
+	run  *run
+	name string
+	// members are those that this process runs.
 	members []emulated.Peer
 	cmd     *exec.Cmd
 	in      io.WriteCloser
 	ready   chan struct{} // closed when all members listen
-	exited  chan struct{}
+	// exited is closed when the process has ended.
+	exited chan struct{}
 
 	writeMu sync.Mutex // guards in
-	mu      sync.Mutex // guards what follows
-	lastID  int
+	mu      sync.Mutex // guards the fields below
+	lastID  int        // of the last command
+	// waiting holds, by command ID, the channels that receive the answers.
 	waiting map[int]chan emulated.Output
-	fault   string // what it said is wrong with it
-	closing bool   // it was told to end
+	fault   string // the last error that the process reported
+	closing bool   // the lab has begun to end the process
 }
 
-// startEmulated starts a process and tells it what to start.
+// startEmulated starts a process of emulated members and sends it start, which names the members to run.
 func (r *run) startEmulated(name string, start emulated.Start) (*emulatedProcess, error) {
 	p := &emulatedProcess{run: r, name: name, members: start.Members, cmd: r.opts.Emulated(), ready: make(chan struct{}), exited: make(chan struct{}),
 		waiting: map[int]chan emulated.Output{}}
-	// As a sidecar of the rig: an interrupt from a terminal is the lab's, and if the lab itself is killed, it dies with it.
+	// The process has its own process group, so that an interrupt from the terminal reaches only the lab, and it is killed if the lab is
+	// killed. Sidecars of the test harness are started in the same way.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	var err error
 	if p.in, err = p.cmd.StdinPipe(); err != nil {
@@ -239,7 +247,8 @@
 	return p, nil
 }
 
-// readOutput reads what it says to its end.
+// readOutput handles each line of the process's output until the process has ended. If the lab had not begun to end it, that is a failure
+// of the run.
 func (p *emulatedProcess) readOutput(out io.Reader, log *os.File) {
 	defer close(p.exited)
 	lines := bufio.NewScanner(out)
@@ -267,8 +276,8 @@
 			p.setFault(l.Error)
 		}
 	}
-	io.Copy(io.Discard, out) //nolint:errcheck // a line that is too long must not block it
-	p.cmd.Wait()             //nolint:errcheck // that it has ended is what matters
+	io.Copy(io.Discard, out) //nolint:errcheck // if a line was too long, read the rest, so that the process does not block
+	p.cmd.Wait()             //nolint:errcheck // only that it has ended matters
 	if log != nil {
 		log.Close()
 	}
@@ -280,20 +289,21 @@
 	}
 }
 
+// setFault records an error that the process reported.
 func (p *emulatedProcess) setFault(fault string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = fault
 }
 
-// lastFault is what it said is wrong with it.
+// lastFault returns the last error that the process reported.
 func (p *emulatedProcess) lastFault() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-// command has it do a command, and waits for the answer.
+// command sends a command to the process and waits for its answer.
 func (p *emulatedProcess) command(c emulated.Command, timeout time.Duration) (emulated.Output, error) {
 	answer := make(chan emulated.Output, 1)
 	p.mu.Lock()
@@ -325,12 +335,12 @@
 	}
 }
 
-// close ends it: in order, or by a kill.
+// close ends the process: it closes the process's input, and kills the process if it has not ended within killTimeout.
 func (p *emulatedProcess) close() {
 	p.mu.Lock()
 	p.closing = true
 	p.mu.Unlock()
-	p.in.Close() // whoever it runs is gone then, and it ends
+	p.in.Close() // at the end of its input the process stops all its members and ends
 	select {
 	case <-p.exited:
 		return
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -12,7 +12,7 @@
 	"heathgap/internal/lab/report"
 )
 
-// WriteText writes a record for people: each figure beside its limit.
+// WriteText writes the record for people, each measurement with its limit.
 func (r *Record) WriteText(o io.Writer) {
 	fmt.Fprintf(o, "%s, seed %d: %d sidecars (%d keepers, %d real, %d hollow), %.1f s, "+
 		"on %d cores with %d MB (%s), load average %s before and %s after\n",
@@ -61,6 +61,7 @@
 	}
 }
 
+// orDefault returns text, or other if text is empty.
 func orDefault(text, other string) string {
 	if text == "" {
 		return other
@@ -68,7 +69,7 @@
 	return text
 }
 
-// firstNames names a few.
+// firstNames lists the first few names and the number of the rest.
 func firstNames(names []string) string {
 	const maxNames = 5
 	if len(names) <= maxNames {
@@ -77,6 +78,7 @@
 	return fmt.Sprintf("%s and %d more", strings.Join(names[:maxNames], ", "), len(names)-maxNames)
 }
 
+// textLine returns the measurement as a line of text, marked with ! if its limit is violated.
 func (f *Measurement) textLine() string {
 	mark, limit, value := " ", "", formatNumber(f.Value)
 	if f.NotMeasured {
@@ -99,7 +101,7 @@
 	return fmt.Sprintf("%s %-80s %12s %-8s%s%s", mark, f.Description, value, f.Unit, limit, source)
 }
 
-// formatNumber is short, and as exact as matters.
+// formatNumber formats a number with as many digits as matter.
 func formatNumber(v float64) string {
 	switch a := math.Abs(v); {
 	case v == math.Trunc(v) || a >= 1000:
@@ -110,7 +112,7 @@
 	return fmt.Sprintf("%.3f", v)
 }
 
-// Write puts record.json and the plots into a folder.
+// Write writes record.json and the plots into a directory, which it creates if needed.
 func (r *Record) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -134,6 +136,7 @@
 	return nil
 }
 
+// plots returns the plots of the run by file name.
 func (r *Record) plots() map[string]*report.Plot {
 	of := func(name string, read func(s Second) float64) report.Curve {
 		c := report.Curve{Name: name}
@@ -159,7 +162,7 @@
 	}
 }
 
-// WriteSpread writes the minimum, median and maximum of each figure over several runs.
+// WriteSpread writes the minimum, median and maximum of each measurement over several runs of a scenario.
 func WriteSpread(o io.Writer, runs []*Record) {
 	fmt.Fprintf(o, "%d runs: minimum, median, maximum\n", len(runs))
 	for _, first := range runs[0].Measurements {
@@ -191,7 +194,7 @@
 	}
 }
 
-// WriteGrowth writes how figures grow.
+// WriteGrowth writes how measurements grow with the number of sidecars.
 func WriteGrowth(o io.Writer, grown []Growth) {
 	for _, g := range grown {
 		fmt.Fprintf(o, "%s (%s): %s\n", g.Key, g.Unit, strings.TrimSpace(g.Description))
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -28,87 +28,91 @@
 	"heathgap/internal/peerrpc"
 )
 
-// Figures of a run.
+// Times and numbers of a run.
 const (
-	formTimeout      = 20 * time.Second // for the keepers to form a crew
-	joinTimeout      = 90 * time.Second // for the members of one process to hold a lease
-	pollInterval     = 20 * time.Millisecond
-	sampleInterval   = time.Second
-	ownLagInterval   = 10 * time.Millisecond
-	numEndpoints     = 4
-	stableLeases     = 1 // without a change of members and seats, before anything counts
+	formTimeout      = 20 * time.Second      // until the voters have formed a cluster
+	joinTimeout      = 90 * time.Second      // until the members of one process hold a lease
+	pollInterval     = 20 * time.Millisecond // between checks of something that is awaited
+	sampleInterval   = time.Second           // between samples of what processes use
+	ownLagInterval   = 10 * time.Millisecond // of the timer that measures this process's own lag
+	numEndpoints     = 4                     // endpoints that the real sidecars send to
+	stableLeases     = 1                     // for so many lease times, members and placement must not change before the measured time begins
 	stableTimeout    = 2 * time.Minute
-	statusInterval   = time.Second / 4  // at the leader's state, until it is steady
-	proposalsTimeout = 15 * time.Second // for what is to be proposed still, after the play
-	minSettleTime    = 2 * time.Second  // for the last version to be acted on
+	statusInterval   = time.Second / 4  // between checks of the leader's status, until it is stable
+	proposalsTimeout = 15 * time.Second // after the last action, for versions that are still to be proposed
+	minSettleTime    = 2 * time.Second  // at least, for the last version to come into effect
 	progressInterval = 5 * time.Second
-	maxConcurrent    = 64 // requests of one sidecar's load under way
-	loadDeadline     = 800 * time.Millisecond
+	maxConcurrent    = 64 // requests of one sidecar's load in flight
+	// loadDeadline is half the timeout of a request of the load.
+	loadDeadline = 800 * time.Millisecond
 )
 
-// Options are those of a run.
+// Options are the settings of a run. The three functions return a command that has not been started.
 type Options struct {
-	Member   func() *exec.Cmd // a command that runs a sidecar as a member of a crew
-	Plain    func() *exec.Cmd // likewise without a crew
-	Emulated func() *exec.Cmd // a command that runs a process of hollow members
-	LogDir   string           // for the processes' logs; empty for none
-	Progress func(line string)
+	Member   func() *exec.Cmd  // runs a sidecar that is a member of a cluster
+	Plain    func() *exec.Cmd  // runs a sidecar without a cluster
+	Emulated func() *exec.Cmd  // runs a process of emulated members
+	LogDir   string            // for the processes' logs; empty for none
+	Progress func(line string) // receives lines for the console; nil for none
 
-	started func(pid int) // for tests; nil for nobody
+	started func(pid int) // for tests: called with each process that was started; may be nil
 }
 
-// run is a run.
+// run holds the processes and the observations of one run.
 type run struct {
 	scenario *Scenario
 	plan     *Plan
 	opts     Options
-	dir      string
-	hosts    *harness.Hosts
+	// dir is a temporary directory for the sidecars' files; it is deleted after the run.
+	dir   string
+	hosts *harness.Hosts
 
 	endpoints    []harness.NamedAddress
 	servers      []*http.Server
 	sidecars     map[string]*sidecar
 	voters       []*sidecar
 	emulated     []*emulatedProcess
-	processOf    map[string]*emulatedProcess
-	voterRelays  map[string]*harness.Relay // of keepers, for hollow members, where a step may slow them
-	regionRelays []regionRelay             // relays between regions
-	proposals    chan time.Duration        // when each was due
-
-	measuring atomic.Bool // what is late counts
-	requests  atomic.Int64
-	served    atomic.Int64
-
-	mu              sync.Mutex // guards what follows
-	obs             Observations
-	lastState       map[string]emulated.MemberState // of each member
+	processOf    map[string]*emulatedProcess // by member
+	voterRelays  map[string]*harness.Relay   // relays to voters, for emulated members, where a step may delay the voter's answers
+	regionRelays []regionRelay               // relays of real processes to voters in another region
+	proposals    chan time.Duration          // when each version to be proposed was due
+
+	measuring atomic.Bool  // the measured time is running: lag counts
+	requests  atomic.Int64 // requests of the load
+	served    atomic.Int64 // of requests, those answered with 200
+
+	mu        sync.Mutex // guards the fields below, except actions
+	obs       Observations
+	lastState map[string]emulated.MemberState // of each member
+	// leader is the voter that leads, empty for none; term is the highest raft term in which a voter has begun to lead.
 	leader          string
 	term            uint64
 	activeVersion   uint64
-	refusedVersions map[uint64]string
-	stepLog         []string
-	began           time.Duration
-	actions         sync.WaitGroup // what acts have begun
+	refusedVersions map[uint64]string // reasons, by version number
+	stepLog         []string          // the steps as they were carried out
+	began           time.Duration     // when the measured time began
+	actions         sync.WaitGroup    // actions that have begun and not ended
 }
 
-// regionRelay is a relay between two regions.
+// regionRelay is a relay from a process to a voter in another region.
 type regionRelay struct {
-	regions [2]string
+	regions [2]string // the process's and the voter's
 	relay   *harness.Relay
 }
 
-// Descriptors is how many a process that is started from this one may have.
+// Descriptors returns how many file descriptors a process that is started from this one may have.
 func Descriptors() (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, fmt.Errorf("RLIMIT_NOFILE: %w", err)
 	}
-	// Go raises the soft limit to the hard one as a program starts, and gives the soft one back to what it starts; that
-	// raises its own.
+	// The hard limit counts: a Go program raises its soft limit to the hard one as it starts, and restores the soft limit for the processes
+	// that it starts, which are Go programs too.
 	return limit.Max, nil
 }
 
-// Run plays a scenario. What it started has ended when it returns, also when the context ends: the record is then partial.
+// Run runs a scenario and returns its record. All processes that it started have ended when it returns. If the context ends during the
+// measured time, the record is partial.
 func Run(ctx context.Context, s *Scenario, seed uint64, opts Options) (*Record, error) {
 	before := loadAverage()
 	r, err := observe(ctx, s, seed, opts)
@@ -121,7 +125,7 @@
 	return rec, nil
 }
 
-// observe plays it, and leaves in the run what was seen.
+// observe runs the scenario and returns the run with its observations.
 func observe(ctx context.Context, s *Scenario, seed uint64, opts Options) (*run, error) {
 	plan := NewPlan(s, seed)
 	descriptors, err := Descriptors()
@@ -166,6 +170,7 @@
 	return r, nil
 }
 
+// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
@@ -175,6 +180,7 @@
 	return strings.Join(fields[:3], " ")
 }
 
+// machine describes this machine; before is the load average before the run.
 func machine(before string) Machine {
 	m := Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), LoadBefore: before, LoadAfter: loadAverage()}
 	var info unix.Sysinfo_t
@@ -184,13 +190,14 @@
 	return m
 }
 
+// progress sends a line to the console, if the options ask for it.
 func (r *run) progress(format string, args ...any) {
 	if r.opts.Progress != nil {
 		r.opts.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// recordStep books a step as it was played.
+// recordStep records a step as it was carried out, with its time.
 func (r *run) recordStep(format string, args ...any) {
 	r.mu.Lock()
 	line := fmt.Sprintf("%6.2fs ", (bootTime()-r.began).Seconds()) + fmt.Sprintf(format, args...)
@@ -199,14 +206,14 @@
 	r.progress("%s", line)
 }
 
-// recordFailure books what must not be.
+// recordFailure records a failure of the run itself. The run does not pass then.
 func (r *run) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	r.obs.Broken = append(r.obs.Broken, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// notifyStarted tells a test of a process.
+// notifyStarted reports a started process to the test, if there is one.
 func (r *run) notifyStarted(pid int) {
 	if r.opts.started != nil {
 		r.mu.Lock()
@@ -215,7 +222,7 @@
 	}
 }
 
-// recordLag books by how much something of the run's own was late.
+// recordLag records that a part of the lab was late. Outside the measured time it does nothing.
 func (r *run) recordLag(source string, lag time.Duration) {
 	if !r.measuring.Load() {
 		return
@@ -225,6 +232,7 @@
 	r.mu.Unlock()
 }
 
+// logPath returns the file for a process's log, or an empty path for none.
 func (r *run) logPath(name string) string {
 	if r.opts.LogDir == "" {
 		return ""
@@ -232,7 +240,7 @@
 	return filepath.Join(r.opts.LogDir, name+".log")
 }
 
-// recordState books what a member acts on.
+// recordState records which version a member applies.
 func (r *run) recordState(s emulated.MemberState) {
 	r.mu.Lock()
 	r.obs.States[s.Member] = append(r.obs.States[s.Member], s)
@@ -240,7 +248,7 @@
 	r.mu.Unlock()
 }
 
-// The lines of a sidecar's log that a run rests on.
+// The messages of a sidecar's log that a run evaluates. They are texts of the voter and the member.
 const (
 	msgRulesInEffect  = "rules in force"
 	msgLeads          = "this keeper leads the crew"
@@ -249,7 +257,7 @@
 	msgVersionRefused = "a version is refused"
 )
 
-// handleLogLine takes a line of a sidecar's log.
+// handleLogLine evaluates a line of a sidecar's log. Lines that are not JSON are skipped.
 func (r *run) handleLogLine(c *sidecar, text string) {
 	line := struct {
 		Time     time.Time `json:"time"`
@@ -286,7 +294,7 @@
 	}
 }
 
-// recordLeaderLost books that a keeper leads no more. The lock is held.
+// recordLeaderLost records that a voter no longer leads, if it was the leader. The caller holds r.mu.
 func (r *run) recordLeaderLost(name string, at time.Duration) {
 	if r.leader == name {
 		r.leader = ""
@@ -294,7 +302,7 @@
 	}
 }
 
-// start starts all processes, a few at a time, and returns when all members hold a lease.
+// start starts all processes, a few at a time, and returns when all members hold a lease and the placement is stable.
 func (r *run) start(ctx context.Context) error {
 	for i := range numEndpoints {
 		if err := r.startEndpoint(fmt.Sprintf("e-%d", i+1)); err != nil {
@@ -329,8 +337,8 @@
 	return r.awaitStable(ctx)
 }
 
-// awaitStable waits until neither members nor seats have changed for a while: what it takes to start a fleet is no part of what
-// is measured.
+// awaitStable waits until neither the members nor the placement of replicas have changed for stableLeases lease times. What it costs to
+// start the processes is not to be part of the measurements.
 func (r *run) awaitStable(ctx context.Context) error {
 	type state struct{ epoch, table uint64 }
 	var before state
@@ -354,7 +362,7 @@
 		reason = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
 		return time.Since(since) >= stableLeases*r.scenario.Lease, reason
 	})
-	if err != nil && ctx.Err() == nil { // a crew that is never steady is judged as it is
+	if err != nil && ctx.Err() == nil { // a cluster that never becomes stable is measured all the same
 		r.stepLog = append(r.stepLog, "members and seats still changed as the play began: "+err.Error())
 		r.progress("%s", r.stepLog[0])
 		return nil
@@ -362,6 +370,7 @@
 	return err
 }
 
+// startEndpoint starts an HTTP server in this process, as an endpoint that the real sidecars send to.
 func (r *run) startEndpoint(name string) error {
 	host, err := r.hosts.Acquire()
 	if err != nil {
@@ -372,15 +381,16 @@
 		return err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Write([]byte("good\n")) //nolint:errcheck // its client shows
+		w.Write([]byte("good\n")) //nolint:errcheck // the client sees the error
 	})}
-	go server.Serve(listener) //nolint:errcheck // until Close
+	go server.Serve(listener) //nolint:errcheck // serves until Close
 	r.servers = append(r.servers, server)
 	r.endpoints = append(r.endpoints, harness.NamedAddress{Name: name, Address: listener.Addr().String()})
 	return nil
 }
 
-// assignAddresses gives the sidecars their addresses, and their ways to the keepers.
+// assignAddresses creates the real sidecars with their addresses, and the relays on their connections to voters. A relay is needed where
+// the two are in different regions, or where a step delays the voter's answers.
 func (r *run) assignAddresses() error {
 	slowed := map[string]bool{}
 	for _, step := range r.scenario.Steps {
@@ -439,6 +449,7 @@
 	return nil
 }
 
+// relayTo starts a relay that passes connections on to a voter.
 func (r *run) relayTo(k *sidecar) (*harness.Relay, error) {
 	host, err := r.hosts.Acquire()
 	if err != nil {
@@ -447,7 +458,7 @@
 	return harness.NewRelay(host, k.address)
 }
 
-// startAll starts sidecars at once.
+// startAll starts the named sidecars at the same time, and waits until all are ready.
 func (r *run) startAll(ctx context.Context, names []string) error {
 	faults := make([]error, len(names))
 	var all sync.WaitGroup
@@ -458,7 +469,8 @@
 	return errors.Join(faults...)
 }
 
-// startAllEmulated starts the hollow processes one after another: each comes in before the next is started.
+// startAllEmulated starts the processes of emulated members one after another: the members of each hold a lease before the next process is
+// started.
 func (r *run) startAllEmulated(ctx context.Context) error {
 	start := emulated.Start{
 		Cluster: r.scenario.Name, Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack, ContradictAtMost: r.scenario.ContradictAtMost,
@@ -538,7 +550,7 @@
 	return nil
 }
 
-// awaitLeases waits until all of these act without caution.
+// awaitLeases waits until all named members hold a lease.
 func (r *run) awaitLeases(ctx context.Context, names []string) error {
 	return r.await(ctx, joinTimeout, "a lease", func() (bool, string) {
 		without := r.notApplying(names, 0)
@@ -546,7 +558,8 @@
 	})
 }
 
-// notApplying are those that don't act on a version or a later one.
+// notApplying returns those of the named members that do not apply the version or a later one: they have not reported, are cautious, have
+// ended, or apply an older one.
 func (r *run) notApplying(names []string, version uint64) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -558,7 +571,8 @@
 	return out
 }
 
-// await waits for something.
+// await waits until condition returns true, at most for the timeout. The text that condition returns describes the present state, for
+// progress lines and the error. what is the thing awaited, with its article.
 func (r *run) await(ctx context.Context, timeout time.Duration, what string, condition func() (bool, string)) error {
 	deadline, nextProgress := time.Now().Add(timeout), time.Now().Add(progressInterval)
 	for {
@@ -578,6 +592,7 @@
 	}
 }
 
+// sleep waits for d. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -589,13 +604,15 @@
 	}
 }
 
+// leaderName returns the voter that leads, or an empty name.
 func (r *run) leaderName() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader
 }
 
-// runActions plays the acts, and waits for what they began. An end of the context is its end.
+// runActions runs the measured time: it carries out the plan's actions, and waits until their effects have ended and the last version can
+// be judged. If the context ends, it stops early.
 func (r *run) runActions(ctx context.Context) {
 	watching, done := context.WithCancel(ctx)
 	var all sync.WaitGroup
@@ -605,7 +622,7 @@
 	r.began = bootTime()
 	r.obs.Began = r.began
 	r.mu.Unlock()
-	r.sample() // the first of what counts; lags before it do not
+	r.sample() // the first sample of the measured time, before lag is recorded
 	r.measuring.Store(true)
 	all.Go(func() { r.sampleLoop(watching) })
 	all.Go(func() { r.measureOwnLag(watching) })
@@ -636,13 +653,13 @@
 	}
 }
 
-// awaitLastVersion waits until what was to be proposed has been, not for ever, has no more proposed, and waits until the last version is
-// acted on, so that it can be judged.
+// awaitLastVersion waits until all versions that are due have been proposed (for at most proposalsTimeout), stops proposing, and then waits
+// until the last version is in effect or refused, so that it can be evaluated.
 func (r *run) awaitLastVersion(ctx context.Context, enough func()) {
 	until := func(timeout time.Duration, condition func() bool) {
 		deadline := time.Now().Add(timeout)
 		for ctx.Err() == nil && time.Now().Before(deadline) && !condition() {
-			sleep(ctx, pollInterval) //nolint:errcheck // the loop looks
+			sleep(ctx, pollInterval) //nolint:errcheck // the loop's condition checks the context
 		}
 	}
 	until(proposalsTimeout, func() bool {
@@ -669,10 +686,10 @@
 		r.mu.Unlock()
 		return refused || len(r.notApplying(up, number)) == 0
 	})
-	sleep(ctx, r.scenario.Lease/2) //nolint:errcheck // for events that are on their way
+	sleep(ctx, r.scenario.Lease/2) //nolint:errcheck // time for reports that are still on their way
 }
 
-// sampleLoop samples each second.
+// sampleLoop takes a sample each second, and writes a progress line from time to time.
 func (r *run) sampleLoop(ctx context.Context) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -702,7 +719,7 @@
 	}
 }
 
-// sample asks all processes what they have cost.
+// sample records the resources that each process has used so far.
 func (r *run) sample() {
 	var all sync.WaitGroup
 	for _, p := range r.emulated {
@@ -728,7 +745,7 @@
 	all.Wait()
 }
 
-// measureOwnLag measures by how much this process's own timers come late.
+// measureOwnLag records by how much this process's own timers are late.
 func (r *run) measureOwnLag(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(ownLagInterval)
@@ -738,7 +755,8 @@
 	}
 }
 
-// generateLoad asks a sidecar at an even pace; a request that is late does not put off the next.
+// generateLoad sends requests to a sidecar at an even rate. It does not wait for answers, so that a slow one does not delay the next
+// request.
 func (r *run) generateLoad(ctx context.Context, c *sidecar) {
 	if r.scenario.Rate == 0 {
 		return
@@ -761,7 +779,7 @@
 		select {
 		case room <- struct{}{}:
 		default:
-			r.requests.Add(1) // and not served: all before it still wait
+			r.requests.Add(1) // it counts as not served: maxConcurrent requests before it are still in flight
 			continue
 		}
 		under.Go(func() {
@@ -773,7 +791,7 @@
 			q.Header.Set("X-Txn", c.name+"."+strconv.Itoa(n))
 			q.Header.Set("X-Remaining", "0.7")
 			answer, err := client.Do(q)
-			if !c.isUp() { // it was ended meanwhile: its client would have gone elsewhere
+			if !c.isUp() { // the sidecar was stopped meanwhile: a real client would have used another one
 				return
 			}
 			r.requests.Add(1)
@@ -786,7 +804,7 @@
 	}
 }
 
-// close ends all that was started, each by its own id.
+// close ends all processes and servers that the run has started, each process by its own id.
 func (r *run) close() {
 	var all sync.WaitGroup
 	for _, p := range r.emulated {
@@ -807,7 +825,8 @@
 	r.hosts.Close()
 }
 
-// end ends a real process by a signal, and waits for it.
+// end sends a signal to a real process and waits until it has ended; after the timeout it kills the process. from is the begin of the
+// downtime: for SIGKILL the moment of the signal, otherwise that of the end. ended is false if the process was not up.
 func (c *sidecar) end(s syscall.Signal, timeout time.Duration) (from time.Duration, ended bool) {
 	proc, up := c.markEnding()
 	if !up {
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -1,9 +1,9 @@
-// Package scale plays a crew at the size that operators expect, and tells which of their limits hold: real keepers, a few real
-// sidecars under load, and hollow members (internal/lab/emulated) in place of all others, while versions are proposed and machines,
-// racks, zones and the ways between regions fail.
+// Package scale runs a cluster at the size that operators expect, on one machine, and prints each measurement with its limit. The voters
+// and a few sidecars under load are real processes; emulated members (internal/lab/emulated) take the place of all other sidecars. During
+// the run versions are proposed, and machines, racks, zones and the network between regions fail.
 //
-// Scenario, plan and judge are pure. Run starts the processes, plays the plan and writes down what was seen; Judge makes the
-// record of that.
+// NewPlan and Evaluate are pure functions. Run starts the processes, carries out the plan and records observations; Evaluate turns these
+// into the record of the run.
 package scale
 
 import (
@@ -17,119 +17,121 @@
 	"heathgap/internal/tomlread"
 )
 
-// Scenario is a crew, what happens to it, and what it may cost.
+// Scenario describes a cluster, what happens to it, and what it may cost.
 type Scenario struct {
 	Name  string
 	About string
 	Seed  uint64
 
-	Voters      int     // real keepers
-	Real        int     // real sidecars that are members alone, under load
-	Rate        float64 // requests a second to each of those
-	Plain       int     // real sidecars under the same load without a crew: what they cost is taken off what the others cost
-	Emulated    int     // hollow members
-	EachProcess int     // hollow members a process
+	Voters      int     // real voters
+	Real        int     // real sidecars that are members and not voters, under load
+	Rate        float64 // requests per second to each of those
+	Plain       int     // real sidecars under the same load without a cluster; what they use is subtracted from what the members use
+	Emulated    int     // emulated members
+	EachProcess int     // emulated members per process
 
 	Regions     []Region
-	RegionDelay time.Duration // one way, between two regions
-	VoterZones  []string      // where keepers stand, in turn; empty for all zones
-	MemberZones []string      // likewise
+	RegionDelay time.Duration // in one direction, between two regions
+	VoterZones  []string      // the voters are spread over these zones in turn; empty for all zones
+	MemberZones []string      // the same for the other members
 
 	Lease            time.Duration
 	Drift            float64
 	Slack            time.Duration
 	ContradictAtMost time.Duration
-	Copies           int // of what is held; 0 for no holdings
+	Copies           int // replication factor of the holdings; 0 for no holdings
 	Keep             time.Duration
 	LostAfter        time.Duration
-	KeyedRate        float64       // keyed requests a second and member
-	KeyedDuration    time.Duration // from its claim to its outcome
+	KeyedRate        float64       // keyed requests per second of each member
+	KeyedDuration    time.Duration // from the claim of a keyed request to its outcome
 
 	Duration time.Duration
-	Changes  float64       // versions proposed a second
-	Banned   int           // endpoints that a version bans
-	SpeedUp  float64       // of the day's failures
+	Changes  float64       // versions proposed per second
+	Banned   int           // endpoints that each version bans
+	SpeedUp  float64       // factor on the rate of the day's failures
 	Day      Day           // failures in 24 hours
-	MaxLag   time.Duration // of the run's own load; a run beyond it is void
+	MaxLag   time.Duration // if the lab itself is later than this, the run is void
 
 	Steps  []Step
 	Faults []InjectedFault
 	Limits Limits
 }
 
-// Region is a name and its zones.
+// Region is a region with its zones.
 type Region struct {
 	Name  string
 	Zones []string
 }
 
-// Day is what an ordinary day brings: SpeedUp times as fast it is spread over the run.
+// Day is the number of failures on an ordinary day. They are spread over the run, SpeedUp times as frequent.
 type Day struct {
-	Restarts int           // members that leave in order and come back
+	Restarts int           // members that leave gracefully and come back
 	Lost     int           // members that are killed and do not come back
-	Downtime time.Duration // of a restart
+	Downtime time.Duration // after a restart
 }
 
-// Step is one thing that happens.
+// Step is an event of the scenario. Most fields have a meaning for some kinds only.
 type Step struct {
-	At         time.Duration
-	Kind       string
-	Target     string        // of whom: see Doings
-	Share      float64       // of them; 0 where Count says
-	Count      int           // of them, or of proposals
-	Duration   time.Duration // spread over it; of a cut or a slow keeper: its end
-	Downtime   time.Duration // until each comes back; 0 for never (restart: at once)
-	Killed     bool          // restart: by a kill, not in order
-	KillLeader bool          // rack: the leader is killed in the same moment
-	Delay      time.Duration // slow
-	Between    [2]string     // cut
+	At     time.Duration
+	Kind   string
+	Target string  // Restart, Kill: a group of members; Rack, Zone: a zone; Slow: a voter, or "leader"
+	Share  float64 // of the group or zone; 0 if Count is set
+	Count  int     // of members; Burst: of versions
+	// Duration is the time over which restarts are spread (Restart), until the members of a zone come back (Zone), until the leader comes
+	// back, 0 for never (Leader), or for which the fault lasts (Partition, Slow).
+	Duration   time.Duration
+	Downtime   time.Duration // until each member comes back; 0 means never (Restart: at once)
+	Killed     bool          // Restart: by SIGKILL instead of a graceful leave
+	KillLeader bool          // Rack: the leader is killed at the same moment
+	Delay      time.Duration // Slow: of the voter's answers
+	Between    [2]string     // Partition: the two regions
 }
 
-// The doings of a step.
+// The kinds of steps.
 const (
-	Restart   = "restart" // members leave and come back, spread over For
-	Kill      = "kill"    // members are gone in one moment
-	Rack      = "rack"    // so many members of the zone Who are gone in one moment
-	Zone      = "zone"    // all of the zone Who are gone in one moment, keepers too, and back at once
-	Partition = "cut"     // nothing goes between two regions
-	Slow      = "slow"    // a keeper's answers are late
-	Leader    = "leader"  // the leader is killed
-	Burst     = "burst"   // so many versions are proposed, each as soon as the one before has ended
+	Restart   = "restart" // members leave and come back, spread over Duration
+	Kill      = "kill"    // members are killed at the same moment
+	Rack      = "rack"    // a number of members in one zone are killed at the same moment
+	Zone      = "zone"    // all members and voters of a zone are killed at the same moment, and come back together
+	Partition = "cut"     // nothing passes between two regions
+	Slow      = "slow"    // a voter's answers are delayed
+	Leader    = "leader"  // the leader is killed; also the target of Slow that means the leader
+	Burst     = "burst"   // versions are proposed, each as soon as the one before has ended
 )
 
 var stepKinds = []string{Restart, Kill, Rack, Zone, Partition, Slow, Leader, Burst}
 
-// The groups that a restart or a kill may be of.
+// The groups that a restart or a kill may be aimed at.
 const (
-	Members         = "members" // all that are members alone
+	Members         = "members" // all members that are not voters
 	EmulatedMembers = "hollow"
 	RealMembers     = "real"
-	VoterGroup      = "keepers" // one at a time
-	All             = "all"     // members and keepers
+	VoterGroup      = "keepers" // voters, one after another; restarts only
+	All             = "all"     // members and voters; restarts only
 )
 
-// InjectedFault is a hollow member with a fault, so that a check can be seen to catch it.
+// InjectedFault makes an emulated member faulty, to show that a check catches the fault.
 type InjectedFault struct {
 	Member string
 	Fault  emulated.Fault
 }
 
-// Limits are what the run is held to. A limit of 0 is none.
+// Limits are the limits of the measurements. A limit of 0 means none.
 type Limits struct {
-	InEffect    time.Duration // from a proposal that is told until the last member that can be reached acts on it
-	MemberCPU   float64       // percent of a core for control, mean of all and worst 10 s
+	InEffect    time.Duration // from a proposal until the version is in effect at the last reachable member
+	MemberCPU   float64       // percent of a core that the cluster costs a member; both the mean of all and the worst 10 s
 	MemberMB    float64
-	MemberBytes float64 // a second, in and out, mean of all and the worst 10 s of any
-	VoterCPU    float64 // percent of a core, worst 10 s of any keeper
+	MemberBytes float64 // bytes per second, in and out; both the mean of all and the worst 10 s of any member
+	VoterCPU    float64 // percent of a core, worst 10 s of any voter
 	VoterMB     float64
-	Cautious    time.Duration // that a member which can be reached is cautious without a break
+	Cautious    time.Duration // uninterrupted time for which a reachable member is cautious (without a lease)
 	Refusals    float64       // percent of keyed requests that are refused
-	// Renewals are judged by their rate, as parts of one for each beat of the lease: what a keeper bears rests on it.
+	// Rates of renewals, as a fraction of one per heartbeat of the lease. The load of a voter follows from these.
 	MinRenewals float64 // of the mean
 	MaxRenewals float64 // of any member
-	// What follows does not depend on how busy the machine is.
-	AboveMedian  float64 // renewals of any member, as parts of the median of all
-	RenewalBytes float64 // to and from keepers for each renewal, of any member
+	// The limits below do not depend on how busy the machine is.
+	AboveMedian  float64 // renewals of any member, as a multiple of the median of all members
+	RenewalBytes float64 // bytes to and from voters per renewal, of any member
 }
 
 // Bounds of a scenario.
@@ -142,7 +144,7 @@
 	maxCount    = 100_000
 )
 
-// Load reads a scenario. The error tells all that is wrong, a line each.
+// Load reads a scenario from a file. The error lists everything that is wrong, one fault per line.
 func Load(path string) (*Scenario, error) {
 	doc, err := tomlread.Load(path)
 	if err != nil {
@@ -151,7 +153,7 @@
 	return decode(doc)
 }
 
-// Parse reads one from a text; the name is for errors.
+// Parse reads a scenario from a text; file is the name for errors.
 func Parse(file string, text []byte) (*Scenario, error) {
 	doc, err := tomlread.Parse(file, text)
 	if err != nil {
@@ -160,6 +162,7 @@
 	return decode(doc)
 }
 
+// decode turns a parsed file into a scenario, and collects all errors.
 func decode(doc *tomlread.Doc) (*Scenario, error) {
 	t := doc.Root
 	t.Need("name", "a text")
@@ -210,7 +213,7 @@
 	return s, doc.Err()
 }
 
-// checkParams tells of terms that no crew could be started with.
+// checkParams reports cluster parameters with which no cluster could be started.
 func (s *Scenario) checkParams(t *tomlread.Table) {
 	if s.Copies > len(s.zones()) {
 		t.Fail("copies", fmt.Sprint(s.Copies), fmt.Sprintf("as many as there are zones, %d", len(s.zones())))
@@ -227,11 +230,12 @@
 	}
 }
 
-// params are those that the processes are started with.
+// params returns the cluster parameters that decide how long a lease is valid.
 func (s *Scenario) params() clusterparams.Params {
 	return clusterparams.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack}
 }
 
+// decodeRegions reads the regions and their zones. Without any there is one region with three zones.
 func (s *Scenario) decodeRegions(t *tomlread.Table) {
 	owner := map[string]string{}
 	for _, r := range t.Tables("region", maxZones) {
@@ -267,6 +271,7 @@
 	}
 }
 
+// decodeSteps reads the steps.
 func (s *Scenario) decodeSteps(t *tomlread.Table) {
 	for _, d := range t.Tables("step", maxSteps) {
 		d.Need("do", strings.Join(stepKinds, ", "))
@@ -284,7 +289,7 @@
 	}
 }
 
-// checkStep completes a step, and tells what is wrong with it.
+// checkStep fills in defaults of a step, and reports what is wrong with it.
 func (s *Scenario) checkStep(d *tomlread.Table, step *Step) {
 	names := make([]string, len(s.Regions))
 	for i, r := range s.Regions {
@@ -340,7 +345,7 @@
 	}
 }
 
-// zones are those of all regions.
+// zones returns the zones of all regions.
 func (s *Scenario) zones() (zones []string) {
 	for _, r := range s.Regions {
 		zones = append(zones, r.Zones...)
@@ -348,7 +353,7 @@
 	return zones
 }
 
-// regionOf is that of a zone.
+// regionOf returns the region of a zone.
 func (s *Scenario) regionOf(zone string) string {
 	for _, r := range s.Regions {
 		if slices.Contains(r.Zones, zone) {
@@ -358,6 +363,7 @@
 	return ""
 }
 
+// numberedNames returns n names: the letter with numbers from 1.
 func numberedNames(letter string, n int) []string {
 	names := make([]string, n)
 	for i := range names {
@@ -371,11 +377,11 @@
 func (s *Scenario) emulatedNames() []string { return numberedNames("h", s.Emulated) }
 func (s *Scenario) plainNames() []string    { return numberedNames("p", s.Plain) }
 
-// Size is how many sidecars the crew has, keepers too.
+// Size returns the number of members of the cluster, voters included. Plain sidecars are not members.
 func (s *Scenario) Size() int { return s.Voters + s.Real + s.Emulated }
 
-// WithSize returns the scenario with so many sidecars, by more or fewer hollow ones, and without limits. Counts of steps stay, and
-// are of fewer where there are no more.
+// WithSize returns a copy of the scenario with that many members, by more or fewer emulated ones, and without limits. The counts of its
+// steps stay; where there are fewer members than a count, the step affects all of them.
 func (s *Scenario) WithSize(size int) (*Scenario, error) {
 	out := *s
 	if out.Emulated = size - s.Voters - s.Real; out.Emulated < 1 || out.Emulated > maxEmulated {
