--- a/internal/lab/fit/fit.go
+++ b/internal/lab/fit/fit.go
@@ -1,13 +1,13 @@
-// Package fit draws a curve through measured points by least squares, and tells how far off it is. It is pure.
+// Package fit fits a curve to measured points by least squares, and estimates its error. It is pure.
 //
 //	c, err := fit.Linear(x, y)           // y = a + b x
 //	c, err := fit.Quadratic(x, y)        // y = a + b x + c x²
 //	c.Predict(580)                       // y at an x that was not in the fit
 //	c.Residual                           // the residual standard error, in y's unit
-//	c.Miss(580, measured)                // how far a run there is off the prediction, as a part of the prediction
+//	c.RelativeError(580, measured)       // how far a measurement there is from the prediction, as a fraction of it
 //	fmt.Print(c)                         // "1.2 + 0.034 x, residual 0.05 over 4 points"
 //
-// A slope counts once it has predicted a size that was not in the fit: leave the largest size out, and compare.
+// Trust a slope only if it has predicted a size that was not in the fit: leave out the largest size, and compare.
 package fit
 
 import (
@@ -16,27 +16,27 @@
 	"strings"
 )
 
-// Curve is a polynomial drawn through points.
+// Curve is a polynomial fitted to points.
 type Curve struct {
 	Coefficients []float64 `json:"coefficients"` // of x⁰, x¹, ...
-	// Errors are the standard errors of the coefficients, one each. With as many points as coefficients nothing is
-	// left to tell an error by, and these and Residual are 0: see Freedom.
+	// Errors are the standard errors of the coefficients, one each. If there are only as many points as coefficients,
+	// the error cannot be estimated, and Errors and Residual are 0: see DegreesOfFreedom.
 	Errors   []float64 `json:"errors"`
 	Residual float64   `json:"residual"` // residual standard error, in y's unit
-	R2       float64   `json:"r2"`       // the part of y's variance that the curve explains; 1 where y does not vary
-	Points   int       `json:"points"`
+	R2       float64   `json:"r2"`       // the part of y's variance that the curve explains; 1 if y does not vary
+	Points   int       `json:"points"`   // number of points that the curve was fitted to
 }
 
-// Linear fits y = a + b x. It needs two different x.
+// Linear fits y = a + b x. It needs two different values of x.
 func Linear(x, y []float64) (Curve, error) { return polynomial(x, y, 1) }
 
-// Quadratic fits y = a + b x + c x². It needs three different x.
+// Quadratic fits y = a + b x + c x². It needs three different values of x.
 func Quadratic(x, y []float64) (Curve, error) { return polynomial(x, y, 2) }
 
-// DegreesOfFreedom is how many points there are beyond those that the curve must go through: below 1 its error is unknown.
+// DegreesOfFreedom returns the number of points minus the number of coefficients. Below 1 the curve's error is unknown.
 func (c Curve) DegreesOfFreedom() int { return c.Points - len(c.Coefficients) }
 
-// Predict is the curve's y at an x.
+// Predict returns the curve's y at x.
 func (c Curve) Predict(x float64) float64 {
 	y := 0.0
 	for i := len(c.Coefficients) - 1; i >= 0; i-- {
@@ -45,7 +45,8 @@
 	return y
 }
 
-// RelativeError is how far a measured y is off the prediction, as a part of the prediction: 0.1 is a tenth more than predicted.
+// RelativeError returns how far a measured y is from the prediction, as a fraction of the prediction: 0.1 means a tenth
+// more than predicted.
 func (c Curve) RelativeError(x, measured float64) float64 {
 	predicted := c.Predict(x)
 	if predicted == measured {
@@ -54,7 +55,7 @@
 	return (measured - predicted) / math.Abs(predicted)
 }
 
-// String is the curve, its residual error and how many points it was drawn through.
+// String returns the curve's formula with its errors and the number of points.
 func (c Curve) String() string {
 	var b strings.Builder
 	for power, k := range c.Coefficients {
@@ -79,7 +80,8 @@
 	return b.String()
 }
 
-// polynomial fits one of a degree. x is brought to -1 to 1 first, so that powers of large x lose no digits.
+// polynomial fits a polynomial of the given degree. It scales x to the range from -1 to 1 first, so that powers of
+// large x do not lose precision.
 func polynomial(x, y []float64, degree int) (Curve, error) {
 	if len(x) != len(y) {
 		return Curve{}, fmt.Errorf("%d x and %d y; allowed: as many of each", len(x), len(y))
@@ -101,7 +103,7 @@
 		scale = max(scale, math.Abs(v))
 	}
 	n := degree + 1
-	normal := make([][]float64, n) // the normal equations, with their inverse beside them
+	normal := make([][]float64, n) // the matrix of the normal equations, with the identity beside it
 	right := make([]float64, n)
 	for i := range normal {
 		normal[i] = make([]float64, 2*n)
@@ -131,28 +133,30 @@
 	return c, nil
 }
 
-// computeResidual takes the residual error and what is explained.
+// computeResidual sets Residual and R2.
 func (c *Curve) computeResidual(x, y []float64) {
-	mean, off, spread := 0.0, 0.0, 0.0
+	mean, squaredErrors, variation := 0.0, 0.0, 0.0
 	for _, v := range y {
 		mean += v / float64(len(y))
 	}
 	for i := range x {
 		d := y[i] - c.Predict(x[i])
-		off += d * d
-		spread += (y[i] - mean) * (y[i] - mean)
+		squaredErrors += d * d
+		variation += (y[i] - mean) * (y[i] - mean)
 	}
 	if free := c.DegreesOfFreedom(); free > 0 {
-		c.Residual = math.Sqrt(off / float64(free))
+		c.Residual = math.Sqrt(squaredErrors / float64(free))
 	}
 	c.R2 = 1
-	if spread > 0 {
-		c.R2 = 1 - off/spread
+	if variation > 0 {
+		c.R2 = 1 - squaredErrors/variation
 	}
 }
 
-// invert turns (A | 1) into (1 | inverse of A), by rows with the largest pivot first. A is symmetric and positive:
-// there are enough different x.
+// invert turns (A
+// 1) into (1
+// inverse of A) by Gauss-Jordan elimination with row pivoting. A is symmetric and positive definite, because there are
+// enough different values of x.
 func invert(rows [][]float64) {
 	for i := range rows {
 		best := i
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -13,13 +13,15 @@
 	"heathgap/internal/lab/record"
 )
 
-// Comparison are records by what they were made with, to be compared seed by seed.
+// Comparison holds records of several sides, such as policies, to be compared seed by seed. The
+// first side added is the one that the others are compared with.
 type Comparison struct {
+	// names holds the sides in the order in which they were added.
 	names   []string
 	records map[string][]*record.Record
 }
 
-// NewComparison returns none.
+// NewComparison returns an empty comparison.
 func NewComparison() *Comparison { return &Comparison{records: map[string][]*record.Record{}} }
 
 // Add adds a record to a side.
@@ -30,7 +32,7 @@
 	c.records[side] = append(c.records[side], r)
 }
 
-// Value reads one metric of a record.
+// Value returns one metric of a record.
 func Value(r *record.Record, metric string) (float64, error) {
 	groups := map[string]map[string]oracle.Stats{"class": r.Classes, "tenant": r.Tenants}
 	if kind, name, ok := strings.Cut(metric, ":"); ok {
@@ -52,10 +54,10 @@
 	return 0, fmt.Errorf("metric %q: unknown; allowed: service, p50_ms, p99_ms, attempts_per_request, class:NAME, tenant:NAME", metric)
 }
 
-// Stats are those of some values.
+// Stats are statistics of some values.
 type Stats struct{ Min, Median, Max float64 }
 
-// StatsOf returns them; there must be a value.
+// StatsOf returns the statistics of values, of which there must be one at least.
 func StatsOf(values []float64) Stats {
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
@@ -63,25 +65,24 @@
 	return Stats{Min: sorted[0], Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Max: sorted[n-1]}
 }
 
-// Pairing is how the values of a side lie beside those of the first, pair by pair.
+// Pairing compares a side with the first one, by pairs of runs with the same seed.
 type Pairing struct {
 	Pairs     int
 	Median    float64 // of the differences
-	Low, High float64 // a 95 % interval of that median, by the bootstrap
-	Above     int     // pairs in which the side is above
-	Below     int
-	P         float64 // two-sided, of the sign test: ties are left out
+	Low, High float64 // a 95 % confidence interval of that median, by bootstrap
+	Above     int     // pairs in which this side's value is larger
+	Below     int     // pairs in which it is smaller
+	P         float64 // two-sided p-value of the sign test, without ties
 }
 
-// Figures of the bootstrap. The seed is fixed: the same records give the same
-// interval.
+// Parameters of the bootstrap. The seed is fixed, so that the same records give the same interval.
 const (
 	resamples     = 2000
 	tailShare     = 0.025
 	bootstrapSeed = 7
 )
 
-// Pair compares two sets of values, pair by pair.
+// Pair compares the values of the first side with those of another side, pair by pair.
 func Pair(first, other []float64) Pairing {
 	diffs := make([]float64, len(first))
 	p := Pairing{Pairs: len(first)}
@@ -100,12 +101,12 @@
 	p.Median = StatsOf(diffs).Median
 	random := rand.New(rand.NewPCG(bootstrapSeed, bootstrapSeed))
 	medians := make([]float64, resamples)
-	drawn := make([]float64, len(diffs))
+	resample := make([]float64, len(diffs))
 	for i := range medians {
-		for j := range drawn {
-			drawn[j] = diffs[random.IntN(len(diffs))]
+		for j := range resample {
+			resample[j] = diffs[random.IntN(len(diffs))]
 		}
-		medians[i] = StatsOf(drawn).Median
+		medians[i] = StatsOf(resample).Median
 	}
 	slices.Sort(medians)
 	last := float64(resamples - 1)
@@ -114,7 +115,7 @@
 	return p
 }
 
-// signTest is how likely a split at least as uneven is if neither side is better.
+// signTest returns how likely a split at least as uneven would be if neither side were better.
 func signTest(above, below int) float64 {
 	n, k := above+below, min(above, below)
 	sum := 0.0
@@ -124,6 +125,7 @@
 	return min(1, 2*sum)
 }
 
+// logChoose returns the logarithm of the binomial coefficient of n over k.
 func logChoose(n, k int) float64 {
 	a, _ := math.Lgamma(float64(n + 1))
 	b, _ := math.Lgamma(float64(k + 1))
@@ -131,8 +133,9 @@
 	return a - b - c
 }
 
-// Print writes a table: each side, and how it lies beside the first. Void and
-// partial runs count for nothing; what is left must share scenario and seeds.
+// Print writes a table with one line for each side, which compares it with the first one. Void and
+// partial runs are left out. All others must be of one scenario; only seeds that both sides have
+// are compared.
 func (c *Comparison) Print(w io.Writer, metric string) error {
 	if len(c.names) == 0 {
 		return fmt.Errorf("no records")
@@ -172,6 +175,7 @@
 	return nil
 }
 
+// printSide writes the line of one side. values are by side and seed.
 func (c *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
 	var all, first, own []float64
 	for _, seed := range seedsOf(values[name]) {
@@ -198,6 +202,7 @@
 	fmt.Fprintln(w)
 }
 
+// seedsOf returns the seeds in rising order.
 func seedsOf(values map[uint64]float64) []uint64 {
 	seeds := make([]uint64, 0, len(values))
 	for seed := range values {
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -18,27 +18,28 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// plotSpec is one plot over the seconds of a run.
+// plotSpec describes one plot over the seconds of a run.
 type plotSpec struct {
 	name, title, unit string
-	minY              float64 // the axis begins there
+	minY              float64 // the y axis begins here, or lower if values are lower
 	lines             []line
 }
 
+// line is one curve of a plot.
 type line struct {
 	name  string
 	color color.RGBA
 	xy    plotter.XYs
 }
 
-// Colors that people with any sight tell apart.
+// Colors that people with a color vision deficiency can tell apart.
 var (
 	blue   = color.RGBA{0, 114, 178, 255}
 	orange = color.RGBA{213, 94, 0, 255}
 	green  = color.RGBA{0, 158, 115, 255}
 )
 
-// recordPlots are those of a record.
+// recordPlots returns the plots of a record.
 func recordPlots(r *record.Record) []plotSpec {
 	curve := func(read func(oracle.Second) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(r.Series))
@@ -66,26 +67,26 @@
 
 // render returns the plot as SVG.
 func (p plotSpec) render() ([]byte, error) {
-	g := plot.New()
-	g.Title.Text = p.title
-	g.X.Label.Text = "seconds"
-	g.Y.Label.Text = p.unit
-	g.Y.Min = p.minY
-	g.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text = p.title
+	chart.X.Label.Text = "seconds"
+	chart.Y.Label.Text = p.unit
+	chart.Y.Min = p.minY
+	chart.Legend.Top = true
 	for _, l := range p.lines {
 		if len(l.xy) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(l.xy)
+		curve, err := plotter.NewLine(l.xy)
 		if err != nil {
 			return nil, err
 		}
-		drawn.Color = l.color
-		g.Add(drawn)
-		g.Legend.Add(l.name, drawn)
+		curve.Color = l.color
+		chart.Add(curve)
+		chart.Legend.Add(l.name, curve)
 	}
-	g.Y.Min = min(g.Y.Min, p.minY)
-	writer, err := g.WriterTo(plotWidth, plotHeight, "svg")
+	chart.Y.Min = min(chart.Y.Min, p.minY)
+	writer, err := chart.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report turns records into what people read: lines, an HTML page with
-// plots, and comparisons.
+// Package report writes records for people: as text, as an HTML page with plots, and as comparisons
+// of several records.
 package report
 
 import (
@@ -20,14 +20,14 @@
 	"heathgap/internal/lab/record"
 )
 
-// JSON prints a record.
+// JSON writes a record as JSON.
 func JSON(w io.Writer, r *record.Record) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return e.Encode(r)
 }
 
-// violationCounts are the rules and how often each was broken.
+// violationCounts returns the rules and how often each was violated, as text.
 func violationCounts(rules map[oracle.Rule]int) string {
 	parts := make([]string, 0, len(oracle.Rules))
 	for _, rule := range oracle.Rules {
@@ -36,7 +36,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Line is a record in one line.
+// Line returns a summary of a record in one line.
 func Line(r *record.Record) string {
 	line := fmt.Sprintf("service %.3f, p50 %.1f ms, p99 %.1f ms, attempts a request %.3f; broken: %s",
 		r.Service, r.All.P50, r.All.P99, r.AttemptsPerRequest, violationCounts(r.Rules))
@@ -46,7 +46,7 @@
 	return line
 }
 
-// Text prints a record for people.
+// Text writes a record for people.
 func Text(w io.Writer, r *record.Record) {
 	fmt.Fprintf(w, "\n%s, decided by %s, seed %d, timeline %s\n%s\n\n", r.Scenario, r.Policy, r.Seed, r.Timeline, Line(r))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -78,7 +78,7 @@
 	}
 }
 
-// Write writes a record, its plots and its page into a folder.
+// Write writes a record, its plots and its page into a directory, which it creates if needed.
 func Write(dir string, r *record.Record) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -95,7 +95,7 @@
 		if err := record.WriteFile(filepath.Join(dir, p.name+".svg"), svg); err != nil {
 			return err
 		}
-		page.Plots = append(page.Plots, template.HTML(stripProlog(svg))) //nolint:gosec // drawn just now
+		page.Plots = append(page.Plots, template.HTML(stripProlog(svg))) //nolint:gosec // the SVG was rendered by this program
 	}
 	var text bytes.Buffer
 	if err := pageTemplate.Execute(&text, page); err != nil {
@@ -104,7 +104,7 @@
 	return record.WriteFile(filepath.Join(dir, "report.html"), text.Bytes())
 }
 
-// stripProlog takes the XML declaration off an SVG, which a page may not have inside.
+// stripProlog removes the XML declaration from an SVG. It is not allowed inside an HTML page.
 func stripProlog(svg []byte) string {
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
 		svg = svg[i:]
@@ -112,6 +112,7 @@
 	return string(svg)
 }
 
+// page is the data of the template page.html, which names these fields and those of Record.
 type page struct {
 	*record.Record
 	Rules, Line string
--- a/internal/lab/scale/actions.go
+++ b/internal/lab/scale/actions.go
@@ -219,14 +219,14 @@
 }
 
 // delayAnswers delays the answers of a voter by a further amount of time; a negative amount takes a delay back.
-func (r *run) delayAnswers(keeper string, by time.Duration) {
+func (r *run) delayAnswers(name string, by time.Duration) {
 	for _, c := range r.sidecars {
-		if relay := c.relays[keeper]; relay != nil {
+		if relay := c.relays[name]; relay != nil {
 			relay.SetAnswerDelay(by)
 		}
 	}
-	if front := r.voterRelays[keeper]; front != nil {
-		front.SetAnswerDelay(by)
+	if relay := r.voterRelays[name]; relay != nil {
+		relay.SetAnswerDelay(by)
 	}
 }
 
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -479,11 +479,11 @@
 }
 
 // longestAndSum returns the longest uninterrupted time for which holds is true, and the sum of all such times.
-func longestAndSum(pieces []interval, holds func(p *interval) bool) (longest, sum time.Duration) {
+func longestAndSum(intervals []interval, holds func(p *interval) bool) (longest, sum time.Duration) {
 	run := time.Duration(0)
-	for i := range pieces {
-		if holds(&pieces[i]) {
-			d := pieces[i].To - pieces[i].From
+	for i := range intervals {
+		if holds(&intervals[i]) {
+			d := intervals[i].To - intervals[i].From
 			run += d
 			sum += d
 			longest = max(longest, run)
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -181,9 +181,9 @@
 		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		return names
 	}
-	var drafts []pendingAction
+	var pending []pendingAction
 	for _, step := range s.Steps {
-		act := Action{At: step.At, Kind: step.Kind, Downtime: step.Downtime, Duration: step.Duration, Killed: step.Killed, KillLeader: step.KillLeader, Delay: step.Delay,
+		action := Action{At: step.At, Kind: step.Kind, Downtime: step.Downtime, Duration: step.Duration, Killed: step.Killed, KillLeader: step.KillLeader, Delay: step.Delay,
 			Between: step.Between, Count: step.Count}
 		countOf := func(names []string) int {
 			if step.Share > 0 {
@@ -194,42 +194,42 @@
 		switch step.Kind {
 		case Restart:
 			from := shuffled(p.groupMembers(step.Target))
-			n, drawn := countOf(from), map[string]bool{}
-			for i := range n {
-				one := act
-				one.At += step.Duration * time.Duration(i) / time.Duration(n)
-				drafts = append(drafts, pendingAction{one, from, 1, drawn})
+			count, picked := countOf(from), map[string]bool{}
+			for i := range count {
+				restart := action
+				restart.At += step.Duration * time.Duration(i) / time.Duration(count)
+				pending = append(pending, pendingAction{restart, from, 1, picked})
 			}
 		case Kill:
 			from := shuffled(p.groupMembers(step.Target))
-			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: countOf(from)})
+			pending = append(pending, pendingAction{Action: action, candidates: from, count: countOf(from)})
 		case Rack:
 			from := shuffled(p.zoneMembers(step.Target, false))
-			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: countOf(from)})
+			pending = append(pending, pendingAction{Action: action, candidates: from, count: countOf(from)})
 		case Zone:
 			from := p.zoneMembers(step.Target, true)
-			act.Downtime = max(step.Duration, time.Millisecond) // above 0, so that they come back
-			drafts = append(drafts, pendingAction{Action: act, candidates: from, count: len(from)})
+			action.Downtime = max(step.Duration, time.Millisecond) // above 0, so that they come back
+			pending = append(pending, pendingAction{Action: action, candidates: from, count: len(from)})
 		case Slow:
-			act.Members = []string{step.Target}
-			drafts = append(drafts, pendingAction{Action: act})
+			action.Members = []string{step.Target}
+			pending = append(pending, pendingAction{Action: action})
 		default:
-			drafts = append(drafts, pendingAction{Action: act})
+			pending = append(pending, pendingAction{Action: action})
 		}
 	}
-	drafts = append(drafts, p.dayFailures(rng, shuffled)...)
+	pending = append(pending, p.dayFailures(rng, shuffled)...)
 	if s.Changes > 0 {
 		every := time.Duration(float64(time.Second) / s.Changes)
 		for at := every / 2; at < s.Duration; at += every {
-			drafts = append(drafts, pendingAction{Action: Action{At: at, Kind: Propose, Count: 1}})
+			pending = append(pending, pendingAction{Action: Action{At: at, Kind: Propose, Count: 1}})
 		}
 	}
-	slices.SortStableFunc(drafts, func(a, b pendingAction) int { return int(a.At - b.At) })
-	p.pickMembers(drafts)
+	slices.SortStableFunc(pending, func(a, b pendingAction) int { return int(a.At - b.At) })
+	p.pickMembers(pending)
 }
 
 // dayFailures returns the failures of an ordinary day, at SpeedUp times their usual rate, at random times.
-func (p *Plan) dayFailures(rng *rand.Rand, shuffled func([]string) []string) (drafts []pendingAction) {
+func (p *Plan) dayFailures(rng *rand.Rand, shuffled func([]string) []string) (pending []pendingAction) {
 	s := p.Scenario
 	span := s.Duration - quietEnd
 	if span <= 0 {
@@ -243,18 +243,18 @@
 		for range int(math.Round(float64(kind.day) * s.SpeedUp * s.Duration.Seconds() / secondsPerDay)) {
 			action := kind.a
 			action.At = time.Duration(rng.Int64N(int64(span)))
-			drafts = append(drafts, pendingAction{Action: action, candidates: shuffled(members), count: 1})
+			pending = append(pending, pendingAction{Action: action, candidates: shuffled(members), count: 1})
 		}
 	}
-	return drafts
+	return pending
 }
 
 // pickMembers picks the members of each action among its candidates: the first ones that are up at that time. Actions for which none is
 // left are dropped.
-func (p *Plan) pickMembers(drafts []pendingAction) {
+func (p *Plan) pickMembers(pending []pendingAction) {
 	const forever = time.Duration(math.MaxInt64)
 	downUntil := map[string]time.Duration{}
-	for _, d := range drafts {
+	for _, d := range pending {
 		for _, name := range d.candidates {
 			if len(d.Members) >= d.count {
 				break
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -489,8 +489,8 @@
 	}
 	for _, k := range r.voters {
 		address := k.address
-		if front := r.voterRelays[k.name]; front != nil {
-			address = front.Address()
+		if relay := r.voterRelays[k.name]; relay != nil {
+			address = relay.Address()
 		}
 		start.Voters = append(start.Voters, place(k.name, address))
 	}
@@ -634,13 +634,13 @@
 	}
 	r.progress("playing %v", r.scenario.Duration)
 	begin := time.Now()
-	for _, act := range r.plan.Actions {
-		due := begin.Add(act.At)
+	for _, action := range r.plan.Actions {
+		due := begin.Add(action.At)
 		if sleep(ctx, time.Until(due)) != nil {
 			break
 		}
 		r.recordLag("what plays the steps", time.Since(due))
-		r.actions.Go(func() { r.perform(ctx, act, r.began+act.At) })
+		r.actions.Go(func() { r.perform(ctx, action, r.began+action.At) })
 	}
 	if sleep(ctx, time.Until(begin.Add(r.scenario.Duration))) == nil {
 		r.actions.Wait()
