--- a/internal/lab/fit/fit_test.go
+++ b/internal/lab/fit/fit_test.go
@@ -8,7 +8,8 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
-// Curves that are known to go through the points, and one whose error is worked out by hand.
+// Guards against wrong coefficients and residuals: the expected curves are known, and one residual is worked out by
+// hand.
 func TestFit(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -20,11 +21,12 @@
 	}{
 		{"a line", Linear, []float64{10, 60, 145, 290}, []float64{25, 125, 295, 585}, []float64{5, 2}, 0, 580, 1165},
 		{"no slope", Linear, []float64{1, 2, 3}, []float64{7, 7, 7}, []float64{7, 0}, 0, 100, 7},
-		// Mean of y 2, slope 0.5: off by 0.5, -1, 0.5 (1.5 squared in all), one degree of freedom.
+		// The mean of y is 2 and the slope 0.5. The points are off by 0.5, -1 and 0.5: 1.5 in squares, one degree of
+		// freedom.
 		{"off the line", Linear, []float64{0, 1, 2}, []float64{2, 1, 3}, []float64{1.5, 0.5}, math.Sqrt(1.5), 4, 3.5},
 		{"two points", Linear, []float64{1, 2}, []float64{1, 3}, []float64{-1, 2}, 0, 3, 5},
-		{"a square", Quadratic, []float64{10, 60, 145, 290}, []float64{103, 3603, 21028, 84103}, []float64{3, 0, 1}, 0, 580, 336403},
-		{"a line as a square", Quadratic, []float64{1, 2, 3, 4}, []float64{3, 5, 7, 9}, []float64{1, 2, 0}, 0, 10, 21},
+		{"quadratic points", Quadratic, []float64{10, 60, 145, 290}, []float64{103, 3603, 21028, 84103}, []float64{3, 0, 1}, 0, 580, 336403},
+		{"linear points, quadratic fit", Quadratic, []float64{1, 2, 3, 4}, []float64{3, 5, 7, 9}, []float64{1, 2, 0}, 0, 10, 21},
 		{"large x", Quadratic, []float64{1e6, 2e6, 3e6, 4e6}, []float64{1e12, 4e12, 9e12, 16e12}, []float64{0, 0, 1}, 0, 5e6, 25e12},
 	}
 	for _, c := range tests {
@@ -33,7 +35,7 @@
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		size := 0.0 // of the numbers that the coefficients are worked out from
+		size := 0.0 // magnitude of the values, for the tolerance of the comparison
 		for _, y := range c.y {
 			size = max(size, math.Abs(y))
 		}
@@ -52,7 +54,8 @@
 	}
 }
 
-// The standard errors of a line, against the formulas of a text book: s / sqrt(Sxx), and s sqrt(1/n + mean² / Sxx).
+// Guards against wrong standard errors of a linear fit. The formulas are those of textbooks: s / sqrt(Sxx) for the
+// slope, and s sqrt(1/n + mean² / Sxx) for the intercept.
 func TestStandardErrors(t *testing.T) {
 	x, y := []float64{1, 2, 3, 4, 5}, []float64{2.2, 3.9, 6.1, 7.8, 10.3}
 	c, err := Linear(x, y)
@@ -67,13 +70,14 @@
 		t.Errorf("the intercept's error is %v; want %v", c.Errors[0], want)
 	}
 	if c.R2 < 0.99 || c.R2 >= 1 {
-		t.Errorf("explained: %v; want nearly all", c.R2)
+		t.Errorf("R2 %v; want 0.99 or more, and below 1", c.R2)
 	}
 	if got := c.RelativeError(10, 1.1*c.Predict(10)); !near(got, 0.1) {
-		t.Errorf("a tenth more than predicted is a miss of %v", got)
+		t.Errorf("a tenth more than predicted: relative error %v; want 0.1", got)
 	}
 }
 
+// Guards against a fit through points that do not determine the curve.
 func TestFitRejects(t *testing.T) {
 	tests := []struct {
 		name string
@@ -84,9 +88,9 @@
 		{"unpaired", Linear, []float64{1, 2}, []float64{1}, "2 x and 1 y"},
 		{"nothing", Linear, nil, nil, "0 different x"},
 		{"one x", Linear, []float64{5, 5, 5}, []float64{1, 2, 3}, "1 different x"},
-		{"two x for a square", Quadratic, []float64{1, 2, 2}, []float64{1, 2, 3}, "2 different x"},
-		{"no number", Linear, []float64{1, 2}, []float64{1, math.NaN()}, "finite"},
-		{"endless", Linear, []float64{1, math.Inf(1)}, []float64{1, 2}, "finite"},
+		{"two x for a quadratic fit", Quadratic, []float64{1, 2, 2}, []float64{1, 2, 3}, "2 different x"},
+		{"not a number", Linear, []float64{1, 2}, []float64{1, math.NaN()}, "finite"},
+		{"infinite", Linear, []float64{1, math.Inf(1)}, []float64{1, 2}, "finite"},
 	}
 	for _, c := range tests {
 		if _, err := c.fit(c.x, c.y); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -95,7 +99,7 @@
 	}
 }
 
-// What has no error must not be printed as if it were exact.
+// Guards against a curve that is printed as if it were exact although its error is unknown.
 func TestStringWithUnknownError(t *testing.T) {
 	for _, c := range []struct {
 		x    []float64
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A record comes back as it was written, and its page tells what it holds, with
-// nothing in it taken for markup.
+// Guards against a record that is not read back as it was written, and against a page that lacks
+// parts of it or contains its texts as markup.
 func TestWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "a", "b")
 	r := someRecord("heathgap", 7, 0.25)
@@ -47,7 +47,7 @@
 	}
 }
 
-// Guards against records of another form that are read as if they were of this.
+// Guards against reading a record of another version as if it were of this one.
 func TestOtherVersionIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	r := someRecord("x", 1, 1)
@@ -60,6 +60,8 @@
 	}
 }
 
+// Guards against wrong statistics: the median, the interval and the sign test's p-value of known
+// pairs.
 func TestStats(t *testing.T) {
 	if s := StatsOf([]float64{3, 1, 2, 10}); s != (Stats{1, 2.5, 10}) {
 		t.Errorf("%+v", s)
@@ -73,11 +75,12 @@
 		t.Errorf("no difference: %+v", p)
 	}
 	if p.Low > p.Median || p.High < p.Median {
-		t.Errorf("the interval lacks the median: %+v", p)
+		t.Errorf("the interval does not contain the median: %+v", p)
 	}
 }
 
-// Sides are paired by seed; what is void counts for nothing.
+// Guards against a comparison that does not pair runs by seed, that counts void runs, or that
+// accepts an unknown metric or records of two scenarios.
 func TestCompare(t *testing.T) {
 	s := NewComparison()
 	for seed, service := range []float64{0.5, 0.6, 0.7} {
@@ -93,11 +96,11 @@
 	}
 	for _, want := range []string{"heathgap  3      0.500  0.600   0.700  6", "random    3      0.400  0.500   0.600  8", "-0.100", "0 up, 3 down", "1 void"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("told\n%s\nwithout %q", &out, want)
+			t.Errorf("printed\n%s\nwithout %q", &out, want)
 		}
 	}
 	if err := s.Print(&out, "beauty"); err == nil {
-		t.Error("an unknown metric is compared")
+		t.Error("an unknown metric is not rejected")
 	}
 	if err := s.Print(&out, "class:look"); err != nil {
 		t.Error(err)
@@ -106,6 +109,6 @@
 	other.Scenario = "storm"
 	s.Add("other", other)
 	if err := s.Print(&out, "service"); err == nil {
-		t.Error("two scenarios are compared")
+		t.Error("records of two scenarios are not rejected")
 	}
 }
--- a/internal/lab/scale/evaluate_test.go
+++ b/internal/lab/scale/evaluate_test.go
@@ -34,17 +34,20 @@
 most_renewals = 1.6
 ` + twoRegions
 
-// observedRun is a run of 30 s in which all went well: two versions, told at 5 and 15 s, in force a second later. Its begin is at 1,000 s.
+// observedRun is a run of 30 s without any fault, which begins at 1,000 s: two versions are proposed at 5 and 15 s, and each is in effect a
+// second later. Tests add faults before they evaluate it.
 type observedRun struct {
 	*Observations
-	usagePerSecond map[string]emulated.MemberUsage // of each hollow member, in a second
-	cpuPerSecond   map[string]time.Duration
+	usagePerSecond map[string]emulated.MemberUsage // by emulated member, per second
+	// processor time by process, per second
+	cpuPerSecond map[string]time.Duration
 }
 
 func at(seconds float64) time.Duration {
 	return 1000*time.Second + time.Duration(seconds*float64(time.Second))
 }
 
+// flawlessRun returns the run before evaluate has added what its processes use.
 func flawlessRun(t *testing.T) *observedRun {
 	t.Helper()
 	s := parse(t, evaluatedScenario)
@@ -70,18 +73,18 @@
 	return o
 }
 
-// addState adds a stance.
+// addState adds a member's state from a time on: the version in effect and the one being prepared.
 func (o *observedRun) addState(name string, seconds float64, active, next uint64) {
 	o.States[name] = append(o.States[name], emulated.MemberState{At: at(seconds), Member: name, Active: active, Next: next})
 }
 
-// replaceStates has a member be something from a time on, in place of what was there.
+// replaceStates replaces a member's states from a time on by one state.
 func (o *observedRun) replaceStates(name string, seconds float64, s emulated.MemberState) {
 	s.At, s.Member = at(seconds), name
 	o.States[name] = append(slices.DeleteFunc(o.States[name], func(old emulated.MemberState) bool { return old.At >= s.At }), s)
 }
 
-// evaluate adds the costs, each second, and judges.
+// evaluate adds what the processes use, for each second, and evaluates the run.
 func (o *observedRun) evaluate() *Record {
 	for second := 0; second <= 30; second++ {
 		for _, p := range o.Plan.Processes {
@@ -106,6 +109,7 @@
 	return Evaluate(o.Observations)
 }
 
+// violated returns the keys of the measurements that violate their limits.
 func violated(r *Record) (keys []string) {
 	for _, f := range r.Measurements {
 		if f.Violated {
@@ -115,6 +119,7 @@
 	return keys
 }
 
+// Guards against measurements with wrong values, and against a run without faults that does not pass.
 func TestEvaluateFlawlessRun(t *testing.T) {
 	r := flawlessRun(t).evaluate()
 	if !r.Passed() {
@@ -135,7 +140,7 @@
 		t.Error(err)
 	}
 	if len(r.Series) != 30 || r.Series[10] != (Second{LeaderCPU: 20}) {
-		t.Errorf("%d seconds, the tenth %+v", len(r.Series), r.Series[10])
+		t.Errorf("%d seconds, the one at index 10: %+v", len(r.Series), r.Series[10])
 	}
 	var text strings.Builder
 	if r.WriteText(&text); !strings.Contains(text.String(), "all limits hold") {
@@ -148,24 +153,25 @@
 	}
 }
 
-// Each check catches its fault, and only that one.
+// Guards against checks that miss their fault or report another one: each fault must violate exactly the expected limits and name its
+// source.
 func TestEvaluateCatchesEachFault(t *testing.T) {
 	for name, c := range map[string]struct {
 		inject func(o *observedRun)
 		want   []string
 		who    string
 	}{
-		"a member that does not heed": {func(o *observedRun) {
+		"a member that ignores a version": {func(o *observedRun) {
 			o.replaceStates("h3", 15.6, emulated.MemberState{Active: 1})
 		}, []string{"contradicted", "in_force_never"}, "h3"},
-		"a member that heeds late": {func(o *observedRun) {
+		"a member that applies a version late": {func(o *observedRun) {
 			o.replaceStates("h3", 15.6, emulated.MemberState{Active: 1, Next: 2})
 			o.addState("h3", 19.1, 2, 0)
 		}, []string{"in_force_most", "in_force_p99"}, "h3"},
-		"a member that asks at twice the rate": {func(o *observedRun) {
+		"a member that renews at twice the rate": {func(o *observedRun) {
 			o.usagePerSecond["h2"] = emulated.MemberUsage{In: 8000, Out: 6000, ToVoters: 3200, FromVoters: 2400, Renewals: 8, KeyedRequests: 1}
 		}, []string{"renewals_above", "renewals_most"}, "h2"},
-		"a member that is sent all each time": {func(o *observedRun) {
+		"a member that is sent the full state each time": {func(o *observedRun) {
 			o.usagePerSecond["h5"] = emulated.MemberUsage{In: 40000, Out: 3000, ToVoters: 1600, FromVoters: 37200, Renewals: 4, KeyedRequests: 1}
 		}, []string{"member_bytes_worst", "renewal_bytes"}, "h5"},
 		"a leader whose answers are 200 ms late": {func(o *observedRun) {
@@ -175,7 +181,7 @@
 			}
 		}, []string{"renewals_mean"}, ""},
 		"a process that costs too much": {func(o *observedRun) { o.cpuPerSecond["hollow2"] = 60 * time.Millisecond }, []string{"member_cpu_worst"}, "hollow2"},
-		"all cost too much": {func(o *observedRun) {
+		"all processes cost too much": {func(o *observedRun) {
 			o.cpuPerSecond["hollow1"], o.cpuPerSecond["hollow2"] = 60*time.Millisecond, 60*time.Millisecond
 		}, []string{"member_cpu_mean", "member_cpu_worst"}, ""},
 		"a real sidecar that costs too much": {func(o *observedRun) {
@@ -191,7 +197,7 @@
 			o.replaceStates("h4", 20, emulated.MemberState{Active: 2, Cautious: true})
 			o.addState("h4", 23.5, 2, 0)
 		}, []string{"cautious_most"}, "h4"},
-		"a member that is never heard of again as leased": {func(o *observedRun) {
+		"a member that never gets a lease again": {func(o *observedRun) {
 			o.replaceStates("h4", 14, emulated.MemberState{Active: 1, Cautious: true})
 		}, []string{"cautious_most"}, "h4"},
 		"a version that is refused": {func(o *observedRun) {
@@ -201,12 +207,12 @@
 			}
 		}, []string{"versions_refused"}, "h1: looser than its own"},
 		"a version that nobody could propose": {func(o *observedRun) { o.Unproposed = 1 }, []string{"versions_left"}, ""},
-		"memory": {func(o *observedRun) {
+		"a process that needs too much memory": {func(o *observedRun) {
 			o.Samples["hollow1"] = []emulated.Usage{{At: at(0), RSSBytes: 100 << 20}}
 		}, []string{"member_mb"}, "hollow1"},
-		"nothing measured of the keepers": {func(o *observedRun) {
+		"voters that were not measured": {func(o *observedRun) {
 			for _, name := range []string{"k1", "k2", "k3"} {
-				o.Usage[name] = []Usage{{At: at(100)}, {At: at(101)}} // after the end
+				o.Usage[name] = []Usage{{At: at(100)}, {At: at(101)}} // after the end of the run
 				delete(o.cpuPerSecond, name)
 			}
 			o.Plan.Processes = slices.DeleteFunc(o.Plan.Processes, func(p Process) bool { return p.Kind == VoterProcess })
@@ -219,10 +225,10 @@
 			got := violated(r)
 			slices.Sort(got)
 			if !slices.Equal(got, c.want) || r.Passed() {
-				t.Errorf("caught by %v, not by %v", got, c.want)
+				t.Errorf("violated limits: %v; want %v", got, c.want)
 			}
 			if who := r.Measurement(c.want[0]).Source; c.who != "" && who != c.who {
-				t.Errorf("%s names %q", c.want[0], who)
+				t.Errorf("%s names %q; want %q", c.want[0], who, c.who)
 			}
 			var text strings.Builder
 			if r.WriteText(&text); !strings.Contains(text.String(), "\n! ") || strings.Contains(text.String(), "all limits hold") {
@@ -232,7 +238,8 @@
 	}
 }
 
-// Who is lost, or comes back, holds up a version only by what it acts on.
+// Guards against wrong members counting for the time that a version took: a member that is lost does not count, and one that comes back
+// counts only if it still applies the older version.
 func TestEvaluateLostMembers(t *testing.T) {
 	cautious := emulated.MemberState{Active: 1, Cautious: true}
 	for name, c := range map[string]struct {
@@ -240,28 +247,28 @@
 		inForce float64
 		never   float64
 	}{
-		"killed before it acts on it": {func(o *observedRun) {
+		"killed before it applies the version": {func(o *observedRun) {
 			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), never}}
 		}, 1000, 0},
-		"killed, and back without having acted on the older": {func(o *observedRun) {
+		"killed, and back without applying the older version": {func(o *observedRun) {
 			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
 			o.States["h1"] = append(o.States["h1"], emulated.MemberState{At: at(18.01), Member: "h1", Cautious: true})
 			o.addState("h1", 18.5, 2, 0)
 		}, 1000, 0},
-		"killed, and back on the older": {func(o *observedRun) {
+		"killed, and back applying the older version": {func(o *observedRun) {
 			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(15.5)}}
 			o.addState("h1", 15.8, 1, 0)
 			o.addState("h1", 17, 2, 0)
 		}, 2000, 0},
-		"back on the older, and there it stays": {func(o *observedRun) {
+		"back applying the older version, and never the newer": {func(o *observedRun) {
 			o.replaceStates("h1", 15.2, emulated.MemberState{Active: 1, Gone: true})
 			o.Downtimes["h1"] = []Span{{at(15.2), at(18)}}
 			o.addState("h1", 18.5, 1, 0)
 		}, 1000, 1},
-		"it starts as the version is told": {func(o *observedRun) {
+		"without a lease as the version is proposed": {func(o *observedRun) {
 			o.replaceStates("h1", 14.9, cautious)
 			o.addState("h1", 16.5, 2, 0)
 		}, 1000, 0},
@@ -275,16 +282,17 @@
 			c.inject(o)
 			r := o.evaluate()
 			if got := r.Measurement("in_force_most").Value; got < c.inForce-1 || got > c.inForce+1 {
-				t.Errorf("in force after %v ms, not %v", got, c.inForce)
+				t.Errorf("in effect after %v ms; want %v", got, c.inForce)
 			}
 			if got := r.Measurement("in_force_never").Value; got != c.never {
-				t.Errorf("%v did not act on it, not %v", got, c.never)
+				t.Errorf("%v members never applied it; want %v", got, c.never)
 			}
 		})
 	}
 }
 
-// The side without a majority of keepers is cut off: its caution is told apart, and it holds up no version. The other side is not.
+// Guards against a wrong attribution during a partition: a member on the side without a majority of voters counts as partitioned, its
+// cautious time is reported separately, and no version waits for it. A member on the other side counts as reachable.
 func TestEvaluatePartition(t *testing.T) {
 	s := parse(t, strings.Replace(evaluatedScenario, "keepers = 3", "keepers = 5", 1))
 	build := func() *observedRun {
@@ -299,7 +307,7 @@
 				o.cpuPerSecond[name] = time.Millisecond
 			}
 			if place.Region == "south" {
-				o.replaceStates(name, 15.5, emulated.MemberState{Active: 1, Cautious: true}) // its lease has ended
+				o.replaceStates(name, 15.5, emulated.MemberState{Active: 1, Cautious: true}) // its lease has expired
 				o.addState(name, 24.4, 2, 0)
 			}
 		}
@@ -323,9 +331,9 @@
 		}
 	}
 	if got := r.Series[18]; got.Partitioned != south || got.Cautious != 0 {
-		t.Errorf("%+v of %d in the south", got, south)
+		t.Errorf("second 18: %+v; want all %d members of the south partitioned", got, south)
 	}
-	// The majority's side is held to its lease.
+	// Members on the majority's side must keep their leases.
 	o := build()
 	o.replaceStates("h1", 15.5, emulated.MemberState{Active: 1, Cautious: true})
 	o.addState("h1", 24.4, 2, 0)
@@ -335,7 +343,7 @@
 	if got := violated(o.evaluate()); !slices.Contains(got, "cautious_most") || !slices.Contains(got, "in_force_most") {
 		t.Errorf("%v", got)
 	}
-	// Who is cut off and goes on with the older version contradicts the others.
+	// A partitioned member that still applies the older version without a lease contradicts the others.
 	o = build()
 	south1 := ""
 	for name, p := range o.Plan.Locations {
@@ -351,6 +359,7 @@
 	}
 }
 
+// Guards against a run that passes although it does not count.
 func TestEvaluateInvalidRuns(t *testing.T) {
 	for name, inject := range map[string]func(o *observedRun){
 		"the load lagged": func(o *observedRun) { o.MaxLag["hollow1"] = 251 * time.Millisecond },
@@ -363,7 +372,7 @@
 		var text strings.Builder
 		r.WriteText(&text)
 		if r.Passed() || strings.Contains(text.String(), "all limits hold") {
-			t.Errorf("%s: it counts\n%s", name, text.String())
+			t.Errorf("%s: the run passes\n%s", name, text.String())
 		}
 		if len(violated(r)) > 0 {
 			t.Errorf("%s: limits are violated too: %v", name, violated(r))
@@ -384,9 +393,9 @@
 		t.Errorf("%v, %v", most, mean)
 	}
 	if most, mean := worstAndMeanRate(p[:5]); most != 1 || mean != 1 {
-		t.Errorf("of 4 s: %v, %v", most, mean)
+		t.Errorf("points over 4 s: worst rate %v, mean %v; want 1 for both", most, mean)
 	}
-	// A count that begins anew has not gone back.
+	// A counter that begins anew does not lower the count.
 	values := []float64{100, 110, 5, 15}
 	second := func(i int) time.Duration { return time.Duration(i) * time.Second }
 	r := cumulative(4, second, func(i int) float64 { return values[i] }, func(int) bool { return false })
--- a/internal/lab/scale/growth_test.go
+++ b/internal/lab/scale/growth_test.go
@@ -8,7 +8,7 @@
 	"heathgap/internal/lab/fit"
 )
 
-// A curve says how far off it is, and is refused where there are too few sizes.
+// Guards against curves with a wrong residual or degrees of freedom, and against a fit through too few sizes.
 func TestFit(t *testing.T) {
 	n := []float64{60, 120, 240, 360}
 	valuesOf := func(f func(x float64) float64) (out []float64) {
@@ -21,33 +21,34 @@
 	line := valuesOf(func(x float64) float64 { return 3 + 0.25*x })
 	c, err := fit.Linear(n, line)
 	if err != nil || !near(c.Coefficients[0], 3) || !near(c.Coefficients[1], 0.25) || !near(c.Residual, 0) {
-		t.Errorf("a line: %+v %v", c, err)
+		t.Errorf("a linear fit of linear points: %+v %v", c, err)
 	}
 	square := valuesOf(func(x float64) float64 { return 2 + 0.1*x + 0.003*x*x })
 	if c, err = fit.Quadratic(n, square); err != nil || !near(c.Coefficients[0], 2) || !near(c.Coefficients[1], 0.1) || !near(c.Coefficients[2], 0.003) ||
 		!near(c.Predict(580), 2+58+0.003*580*580) {
-		t.Errorf("a square: %+v %v", c, err)
+		t.Errorf("a quadratic fit of quadratic points: %+v %v", c, err)
 	}
 	if c.DegreesOfFreedom() != 1 {
-		t.Error("four points, and three parts: that is no curve through all of any points")
+		t.Error("four points and three coefficients: want one degree of freedom")
 	}
 	if c, err = fit.Quadratic(n[:3], square[:3]); err != nil || c.DegreesOfFreedom() != 0 {
-		t.Errorf("three points and three parts: %+v %v", c, err)
+		t.Errorf("three points and three coefficients: want no degree of freedom: %+v %v", c, err)
 	}
-	// A line through a square is off, and says so.
+	// A line through quadratic points has a large residual.
 	if c, err = fit.Linear(n, square); err != nil || c.Residual < 5 || c.Predict(580) > 0.8*(2+58+0.003*580*580) {
-		t.Errorf("a line through a square: %+v, at 580 %v %v", c, c.Predict(580), err)
+		t.Errorf("a linear fit of quadratic points: %+v, at 580 %v %v", c, c.Predict(580), err)
 	}
-	// Points that lie off by 1, up and down in turn: 1 at most in the mean of squares, with two degrees of freedom.
+	// The points are off by 1, alternately up and down. Their sum of squares is 4 at most, with two degrees of freedom.
 	off := []float64{line[0] + 1, line[1] - 1, line[2] - 1, line[3] + 1}
 	if c, err = fit.Linear(n, off); err != nil || c.Residual < 0.5*math.Sqrt2 || c.Residual > math.Sqrt2 {
 		t.Errorf("points off the line: %+v %v", c, err)
 	}
 	if _, err = fit.Quadratic([]float64{60, 60, 120}, []float64{1, 2, 3}); err == nil {
-		t.Error("a square through two sizes")
+		t.Error("a quadratic fit through two sizes is not rejected")
 	}
 }
 
+// Guards against wrong predictions, and against a fit of a measurement that was not made.
 func TestFitGrowth(t *testing.T) {
 	at := func(size int, cpu float64) *Record {
 		return &Record{Size: size, Measurements: []Measurement{{Key: "leader_cpu_mean", Description: "the leader", Value: cpu}, {Key: "in_force_p99", NotMeasured: true}}}
@@ -66,6 +67,6 @@
 		t.Error(text.String())
 	}
 	if _, err := FitGrowth([]*Record{at(60, 7), at(120, 13)}, nil); err == nil {
-		t.Error("a square through two sizes")
+		t.Error("a quadratic fit through two sizes is not rejected")
 	}
 }
--- a/internal/lab/scale/plan_test.go
+++ b/internal/lab/scale/plan_test.go
@@ -25,7 +25,7 @@
 zones = ["d", "e"]
 `
 
-// One seed, one plan.
+// Guards against a plan that depends on anything but the scenario and the seed.
 func TestPlanIsDeterministic(t *testing.T) {
 	for _, path := range shippedScenarios(t) {
 		s, err := Load(path)
@@ -39,21 +39,22 @@
 	s := parse(t, "speed_up = 1000\nduration = \"1m\"\n[day]\nrestarts = 200\nlost = 2\n")
 	a, b := NewPlan(s, 1), NewPlan(s, 2)
 	if reflect.DeepEqual(a.Actions, b.Actions) {
-		t.Error("two seeds, and the same acts")
+		t.Error("two seeds give the same actions")
 	}
 	count := map[string]int{}
 	for i, act := range a.Actions {
 		count[act.Kind] += len(act.Members)
 		if i > 0 && act.At < a.Actions[i-1].At {
-			t.Errorf("act %d is before the one before", i)
+			t.Errorf("action %d is earlier than the one before it", i)
 		}
 	}
-	if count[Restart] < 130 || count[Restart] > 139 || count[Kill] != 1 { // 200 and 2 a day, 1,000 times as fast: in 60 s 139 and 1
+	if count[Restart] < 130 || count[Restart] > 139 || count[Kill] != 1 { // 200 restarts and 2 lost a day, 1,000 times as frequent, are 139 and 1 in 60 s
 		t.Errorf("%v", count)
 	}
 }
 
-// A release restarts each one once; who is gone for good is struck no more, and who is away not again before it is back.
+// Guards against actions on members that are not up: a rolling restart takes each member once, a killed member is never picked again, and
+// one that is down is not picked before it is back.
 func TestPlanPicksMembersThatAreUp(t *testing.T) {
 	s := parse(t, `hollow = 40
 keepers = 3
@@ -73,7 +74,7 @@
 	for _, a := range p.Actions {
 		for _, m := range a.Members {
 			if killed[m] {
-				t.Errorf("%v strikes %s, which is gone", a, m)
+				t.Errorf("%v affects %s, which was killed before", a, m)
 			}
 			if killed[m] = a.Kind == Kill; a.Kind == Restart {
 				restarted[m]++
@@ -81,7 +82,7 @@
 		}
 	}
 	if len(restarted) != 30 {
-		t.Errorf("%d were restarted, of 30", len(restarted))
+		t.Errorf("%d members were restarted; want 30", len(restarted))
 	}
 	for m, n := range restarted {
 		if n != 1 {
@@ -90,7 +91,7 @@
 	}
 }
 
-// A zone takes its keepers along, a rack is of members alone.
+// Guards against wrong members of a failure: a zone includes its voters, a rack does not.
 func TestPlanZoneAndRack(t *testing.T) {
 	s := parse(t, `keepers = 5
 real = 10
@@ -110,14 +111,14 @@
 	p := NewPlan(s, 1)
 	zone, rack := p.Actions[0], p.Actions[1]
 	if len(zone.Members) != 116 || zone.Downtime != 2*time.Second || zone.Members[0] != "k2" {
-		t.Errorf("%d members of the zone, %v away, first %v", len(zone.Members), zone.Downtime, zone.Members[0])
+		t.Errorf("the zone: %d members, down for %v, the first is %v", len(zone.Members), zone.Downtime, zone.Members[0])
 	}
 	if len(rack.Members) != 40 || !rack.KillLeader {
-		t.Errorf("%d members of the rack", len(rack.Members))
+		t.Errorf("the rack: %d members; want 40 and the leader", len(rack.Members))
 	}
 	for _, m := range rack.Members {
 		if p.Locations[m] != (Location{"a", "north"}) || strings.HasPrefix(m, "k") {
-			t.Errorf("%s stands in %v", m, p.Locations[m])
+			t.Errorf("a member of the rack: %s in %v", m, p.Locations[m])
 		}
 	}
 	north := 0
@@ -127,11 +128,11 @@
 		}
 	}
 	if north != 3 {
-		t.Errorf("%d keepers in the north", north)
+		t.Errorf("%d voters in the north; want 3", north)
 	}
 }
 
-// What the machine does not bear is refused in one line that tells need and limit.
+// Guards against a plan that is too large for the machine: the error is one line with the need and the limit.
 func TestPlanRejectsTooLarge(t *testing.T) {
 	for name, c := range map[string]struct {
 		text        string
--- a/internal/lab/scale/run_test.go
+++ b/internal/lab/scale/run_test.go
@@ -18,7 +18,7 @@
 	"heathgap/internal/operator"
 )
 
-// roleVariable has the test's program be one of the processes of a run.
+// roleVariable is an environment variable that makes the test's program run as one of the processes of a run.
 const roleVariable = "HEATHGAP_SCALE_TEST_AS"
 
 func TestMain(m *testing.M) {
@@ -49,10 +49,11 @@
 		Progress: func(line string) { t.Log(line) }}
 }
 
-// smallScenario is a crew of 65. For the first half its members are judged by counts and bytes, three of them with a planted fault; in the
-// second the leader answers 200 ms late. No time is judged, and there is no most_lag: the verdict is the same each time on a machine
-// that is shared. That a busy machine has members ask less often is why least_renewals is judged in the second half alone, where
-// they can't ask more often than each 450 ms, 0.56 of what they should, on any machine. Where nothing is late they ask 1.1 of that.
+// smallScenario is a cluster of 65. In the first half counts and bytes of its members are checked, and three of the members have an
+// injected fault; in the second half the leader's answers are 200 ms late. No times are checked, and most_lag is so high that the run is
+// not void, so that the result is the same on a busy machine. On a busy machine members renew less often; therefore least_renewals is
+// checked in the second half only: there members cannot renew more often than every 450 ms, which is 0.56 of the intended rate, on any
+// machine. With a leader that is not late they reach 1.1 of it.
 const smallScenario = `keepers = 3
 real = 2
 hollow = 60
@@ -87,11 +88,11 @@
 renewal_bytes = 1500
 `
 
-// healthyTime is the time in which the leader answers as it should.
+// healthyTime is the first part of the run, in which the leader's answers are not delayed.
 const healthyTime = 2500 * time.Millisecond
 
-// A crew of real processes keeps to its limits of counts and bytes, and each planted fault breaks the limit that is there for it, and
-// names who it is.
+// Guards against checks that miss an injected fault in a cluster of real processes, and against limits that members without a fault
+// violate. Each injected fault must violate its limit, and the measurement must name the faulty member.
 func TestClusterOfRealProcesses(t *testing.T) {
 	t.Parallel()
 	s := parse(t, smallScenario)
@@ -112,28 +113,29 @@
 
 	members := r.obs
 	members.Ended = members.Began + healthyTime
-	withFaults := evaluate("planted members", members)
-	whole := evaluate("the whole run, planted members too", r.obs)
+	withFaults := evaluate("all members, those with a fault too", members)
+	whole := evaluate("the whole run, members with a fault too", r.obs)
 	for key, by := range map[string]struct {
 		who string
 		in  *Record
 	}{
 		"in_force_never": {"h11", whole},
-		// Over the whole run: in the first half each version has all members ask a few times more, which levels them.
+		// This is checked over the whole run: in the first half each new version makes all members renew a few more times, which levels the
+		// rates.
 		"renewals_above": {"h22", whole},
 		"renewal_bytes":  {"h44", withFaults},
 	} {
 		if f := by.in.Measurement(key); !f.Violated || f.Source != by.who {
-			t.Errorf("%+v does not catch %s", f, by.who)
+			t.Errorf("%+v: want a violation by %s", f, by.who)
 		}
 	}
 
 	healthy := excluding(members, "h11", "h22", "h44")
 	healthy.Plan.Scenario.Limits.MinRenewals = 0
-	healthy.Versions = nil // judged over the whole run
+	healthy.Versions = nil // versions are checked over the whole run, below
 	rec := evaluate("the others", healthy)
 	if !rec.Passed() {
-		t.Errorf("the others violate %v", violated(rec))
+		t.Errorf("members without a fault violate %v", violated(rec))
 	}
 	for _, key := range []string{"renewals_above", "renewal_bytes", "renewals_mean", "keeper_cpu_worst", "real_cpu_mean"} {
 		if f := rec.Measurement(key); f.NotMeasured {
@@ -141,10 +143,10 @@
 		}
 	}
 	if f := rec.Measurement("renewal_bytes_mean"); f.Value < 100 {
-		t.Errorf("%v bytes a renewal: too few to be true", f.Value)
+		t.Errorf("%v bytes per renewal; want 100 or more", f.Value)
 	}
 	if f := rec.Measurement("load_served"); f.NotMeasured || f.Value < 99 {
-		t.Errorf("%v %% of the load was served", f.Value)
+		t.Errorf("%v %% of the load was served; want 99 or more", f.Value)
 	}
 	rec = evaluate("the others, the whole run", excluding(r.obs, "h11", "h22", "h44"))
 	if f := rec.Measurement("renewals_above"); f.NotMeasured || f.Violated {
@@ -159,11 +161,11 @@
 	slowLeader.Ended = slowLeader.Began + healthyTime
 	slowLeader.Versions = nil
 	if f := evaluate("a leader whose answers are late", slowLeader).Measurement("renewals_mean"); !f.Violated {
-		t.Errorf("%+v does not catch it", f)
+		t.Errorf("%+v: want a violation", f)
 	}
 }
 
-// excluding is what was seen of all but some hollow members.
+// excluding returns the observations without the named emulated members.
 func excluding(o Observations, names ...string) Observations {
 	out := o
 	plan, scenario := *o.Plan, *o.Plan.Scenario
@@ -184,7 +186,7 @@
 	return out
 }
 
-// An interrupt ends the run and all that it started; its record says that it is partial.
+// Guards against processes that are left running after an interrupt. The record says that the run is partial.
 func TestInterrupt(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -203,10 +205,10 @@
 		t.Fatal(err)
 	}
 	if !r.Partial || r.Passed() {
-		t.Errorf("partial %v, good %v", r.Partial, r.Passed())
+		t.Errorf("partial %v, passed %v; want a partial run that does not pass", r.Partial, r.Passed())
 	}
 	if len(pids) != 4 {
-		t.Errorf("started %v", pids)
+		t.Errorf("started processes %v; want 4", pids)
 	}
 	for _, pid := range pids {
 		if _, err := os.Stat(fmt.Sprintf("/proc/%d", pid)); err == nil {
@@ -215,7 +217,7 @@
 	}
 }
 
-// What is too large starts nothing.
+// Guards against processes that are started before the plan is rejected as too large.
 func TestTooLargeStartsNothing(t *testing.T) {
 	opts := testOptions(t)
 	opts.started = func(pid int) { t.Errorf("process %d was started", pid) }
--- a/internal/lab/scale/scenario_test.go
+++ b/internal/lab/scale/scenario_test.go
@@ -10,7 +10,7 @@
 	"heathgap/internal/tomlread"
 )
 
-// shippedScenarios are the scenarios that come with heathgap.
+// shippedScenarios returns the files of the scenarios in lab/scale.
 func shippedScenarios(t *testing.T) []string {
 	t.Helper()
 	paths, err := filepath.Glob("../../../lab/scale/*.toml")
@@ -20,7 +20,8 @@
 	return paths
 }
 
-// Those that come with heathgap can be read and planned under the descriptors that Linux gives by default at most (hard limit).
+// Guards against a shipped scenario that cannot be read or planned. 20,000 descriptors is the hard limit that Linux gives by default at
+// most.
 func TestShippedScenarios(t *testing.T) {
 	for _, path := range shippedScenarios(t) {
 		s, err := Load(path)
@@ -38,12 +39,12 @@
 			t.Errorf("%s: %d sidecars in %v", path, s.Size(), s.Regions)
 		}
 		if l := s.Limits; l.InEffect != 4*time.Second || l.MemberCPU != 1.5 || l.MemberMB != 32 || l.MemberBytes != 22000 {
-			t.Errorf("%s: limits %+v are not the operators'", path, l)
+			t.Errorf("%s: limits %+v differ from those that the operators set", path, l)
 		}
 	}
 }
 
-// Each fault has a line of its own, with file, line, key and what is allowed.
+// Guards against errors that are lost or hard to find: each has a line of its own, with the file, line, key and what is allowed.
 func TestScenarioErrors(t *testing.T) {
 	text := `name = "bad"
 keepers = 9
@@ -135,9 +136,9 @@
 	}
 	sized, err := s.WithSize(120)
 	if err != nil || sized.Emulated != 117 || sized.Size() != 120 || s.Emulated != 60 {
-		t.Errorf("%d hollow ones, before %d: %v", sized.Emulated, s.Emulated, err)
+		t.Errorf("%d emulated members of 120; the original has %d: %v", sized.Emulated, s.Emulated, err)
 	}
 	if _, err := s.WithSize(3); err == nil {
-		t.Error("3 sidecars, and 3 of them keepers")
+		t.Error("3 sidecars, all of them voters, are not rejected")
 	}
 }
