--- a/internal/lab/scale/actions.go
+++ b/internal/lab/scale/actions.go
@@ -144,7 +144,7 @@
 	}
 	r.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
-		r.recordFailure("%s does not come back: %v", strings.Join(members, " "), err)
+		r.recordFailure("%s could not be started again: %v", strings.Join(members, " "), err)
 	}
 }
 
@@ -206,14 +206,14 @@
 		all.Wait()
 	}
 	r.mu.Lock()
-	place := len(r.obs.Partitions)
+	index := len(r.obs.Partitions)
 	r.obs.Partitions = append(r.obs.Partitions, PartitionSpan{Span{bootTime(), never}, a.Between})
 	r.mu.Unlock()
 	set(true)
 	sleep(ctx, a.Duration) //nolint:errcheck // if the run is interrupted, the partition ends at once
 	set(false)
 	r.mu.Lock()
-	r.obs.Partitions[place].To = bootTime()
+	r.obs.Partitions[index].To = bootTime()
 	r.mu.Unlock()
 	r.recordStep("%s and %s reach each other", a.Between[0], a.Between[1])
 }
@@ -281,7 +281,7 @@
 }
 
 // proposeOne proposes a version to the current leader, and tries again until a leader accepts it. It returns the version's number; ok is
-// false if that did not succeed before the run's end.
+// false if no leader accepted the version in time, or if the context has ended.
 func (r *run) proposeOne(ctx context.Context, due time.Duration, doc versions.Document) (number uint64, ok bool) {
 	proposal := cluster.Proposal{ID: voter.NewID(), Author: "lab", Doc: doc}
 	limit := time.Now().Add(r.scenario.Duration + proposalsTimeout)
@@ -306,9 +306,9 @@
 			if leader.client.Call("status", struct{}{}, &s, proposeTimeout) != nil || s.Ledger == nil || s.Leader != s.Name {
 				continue
 			}
-			if round := s.Ledger.Find(proposal.ID); round != nil {
-				r.recordProposed(round.Number, due)
-				return round.Number, true
+			if versionRecord := s.Ledger.Find(proposal.ID); versionRecord != nil {
+				r.recordProposed(versionRecord.Number, due)
+				return versionRecord.Number, true
 			}
 			if slices.Contains(s.Ledger.RejectedProposals, proposal.ID) {
 				proposal.ID = voter.NewID()
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -26,8 +26,8 @@
 	Samples      map[string][]emulated.Usage // by process of emulated members, in order of time
 	Usage        map[string][]Usage          // by voter, real sidecar and plain sidecar, in order of time
 	MaxLag       map[string]time.Duration    // by part of the lab: the most by which its own timers were late
-	Requests     int                         // requests that the real sidecars' load sent
-	Served       int                         // of Requests, those answered with 200
+	Requests     int                         // requests of the load on real and plain sidecars
+	Served       int                         // of Requests, those answered with status 200
 	Broken       []string                    // failures of the run itself, such as a process that ended by itself
 	Partial      bool                        // the run was interrupted
 }
@@ -219,16 +219,16 @@
 }
 
 // reachable reports whether the member runs and can reach a majority of the voters.
-func (p *interval) reachable() bool { return !p.down && !p.partitioned }
+func (iv *interval) reachable() bool { return !iv.down && !iv.partitioned }
 
 // hasInEffect reports whether the member is reachable and applies version number or a later one.
-func (p *interval) hasInEffect(number uint64) bool {
-	return p.reachable() && !p.cautious && p.active >= number
+func (iv *interval) hasInEffect(number uint64) bool {
+	return iv.reachable() && !iv.cautious && iv.active >= number
 }
 
 // actsOnOlder reports whether the member runs and applies a version older than number, whether or not it is reachable.
-func (p *interval) actsOnOlder(number uint64) bool {
-	return !p.down && !p.cautious && p.active < number
+func (iv *interval) actsOnOlder(number uint64) bool {
+	return !iv.down && !iv.cautious && iv.active < number
 }
 
 // memberIntervals splits the measured time into the intervals of one member.
@@ -262,9 +262,9 @@
 		if from < o.Began || from >= o.Ended || i+1 == len(times) {
 			continue
 		}
-		p := interval{Span: Span{from, times[i+1]}, cautious: last.Cautious, active: last.Active, next: last.Next, partitioned: e.isPartitioned(region, from)}
-		p.down = last.Gone || slices.ContainsFunc(o.Downtimes[name], func(d Span) bool { return d.contains(from) })
-		out = append(out, p)
+		iv := interval{Span: Span{from, times[i+1]}, cautious: last.Cautious, active: last.Active, next: last.Next, partitioned: e.isPartitioned(region, from)}
+		iv.down = last.Gone || slices.ContainsFunc(o.Downtimes[name], func(d Span) bool { return d.contains(from) })
+		out = append(out, iv)
 	}
 	return out
 }
@@ -339,7 +339,7 @@
 // millis returns d in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// evaluateVersions measures how soon each version was in effect, and what members did that were cut off meanwhile.
+// evaluateVersions measures how soon each version was in effect, and how partitioned members behaved meanwhile.
 func (e *evaluation) evaluateVersions() {
 	var took, waited []float64
 	never, refused, worst := 0, 0, VersionRecord{}
@@ -363,11 +363,11 @@
 				r.InEffectMS, r.Last = millis(at-v.Proposed), name
 			}
 			for i := range e.intervals[name] {
-				p := &e.intervals[name][i]
-				if !p.partitioned || p.down || p.To <= v.Proposed {
+				iv := &e.intervals[name][i]
+				if !iv.partitioned || iv.down || iv.To <= v.Proposed {
 					continue
 				}
-				if d := p.To - max(p.From, v.Proposed); p.actsOnOlder(v.Number) && d > longestOlder {
+				if d := iv.To - max(iv.From, v.Proposed); iv.actsOnOlder(v.Number) && d > longestOlder {
 					longestOlder, partitionedMember = d, name
 				}
 			}
@@ -397,7 +397,7 @@
 	e.addWithMax("waited_most", "a version waits until the one before has ended, at most", "ms", quantile(waited, 1), 0, "")
 	if len(e.obs.Partitions) > 0 {
 		for name, intervals := range e.intervals {
-			if longest, _ := longestAndSum(intervals, func(p *interval) bool { return p.partitioned && !p.down && p.cautious }); longest > longestCautious {
+			if longest, _ := longestAndSum(intervals, func(iv *interval) bool { return iv.partitioned && !iv.down && iv.cautious }); longest > longestCautious {
 				longestCautious = longest
 				if partitionedMember == "" {
 					partitionedMember = name
@@ -418,22 +418,22 @@
 	waitedFor, hasApplied := false, false // since the member was last unreachable: v waits for the member; the member has applied v
 	intervals := e.intervals[name]
 	for i := range intervals {
-		p := &intervals[i]
-		if p.To <= v.Proposed {
+		iv := &intervals[i]
+		if iv.To <= v.Proposed {
 			continue
 		}
-		if !p.reachable() {
+		if !iv.reachable() {
 			waitedFor, hasApplied = false, false
 			continue
 		}
-		hadLease := p.From <= v.Proposed && !p.cautious
-		if hadLease || p.actsOnOlder(v.Number) {
+		hadLease := iv.From <= v.Proposed && !iv.cautious
+		if hadLease || iv.actsOnOlder(v.Number) {
 			waitedFor = true
 		}
-		if p.hasInEffect(v.Number) && !hasApplied {
+		if iv.hasInEffect(v.Number) && !hasApplied {
 			hasApplied = true
 			if waitedFor {
-				counts, at = true, max(at, p.From)
+				counts, at = true, max(at, iv.From)
 			}
 		}
 	}
@@ -454,19 +454,19 @@
 		first := time.Duration(math.MaxInt64)
 		for _, intervals := range e.intervals {
 			for i := range intervals {
-				if p := &intervals[i]; !p.down && !p.cautious && p.active >= v.Number {
-					first = min(first, p.From)
+				if iv := &intervals[i]; !iv.down && !iv.cautious && iv.active >= v.Number {
+					first = min(first, iv.From)
 					break
 				}
 			}
 		}
 		for name, intervals := range e.intervals {
 			for i := range intervals {
-				p := &intervals[i]
-				if p.To <= first || !p.actsOnOlder(v.Number) || p.next >= v.Number {
+				iv := &intervals[i]
+				if iv.To <= first || !iv.actsOnOlder(v.Number) || iv.next >= v.Number {
 					continue
 				}
-				if d := p.To - first; d > longest {
+				if d := iv.To - first; d > longest {
 					longest, member = d, name
 				}
 			}
@@ -479,7 +479,7 @@
 }
 
 // longestAndSum returns the longest uninterrupted time for which holds is true, and the sum of all such times.
-func longestAndSum(intervals []interval, holds func(p *interval) bool) (longest, sum time.Duration) {
+func longestAndSum(intervals []interval, holds func(iv *interval) bool) (longest, sum time.Duration) {
 	run := time.Duration(0)
 	for i := range intervals {
 		if holds(&intervals[i]) {
@@ -499,8 +499,8 @@
 	var longestOfAll, total, partitionedTotal time.Duration
 	member, members := "", 0
 	for _, name := range slices.Sorted(maps.Keys(e.intervals)) {
-		longest, sum := longestAndSum(e.intervals[name], func(p *interval) bool { return p.reachable() && p.cautious })
-		_, partitioned := longestAndSum(e.intervals[name], func(p *interval) bool { return p.partitioned && !p.down && p.cautious })
+		longest, sum := longestAndSum(e.intervals[name], func(iv *interval) bool { return iv.reachable() && iv.cautious })
+		_, partitioned := longestAndSum(e.intervals[name], func(iv *interval) bool { return iv.partitioned && !iv.down && iv.cautious })
 		total, partitionedTotal = total+sum, partitionedTotal+partitioned
 		if sum > 0 {
 			members++
@@ -654,9 +654,9 @@
 
 // uptime returns for how long the member ran between from and to.
 func (e *evaluation) uptime(name string, from, to time.Duration) (sum time.Duration) {
-	for _, p := range e.intervals[name] {
-		if !p.down {
-			sum += max(0, min(p.To, to)-max(p.From, from))
+	for _, iv := range e.intervals[name] {
+		if !iv.down {
+			sum += max(0, min(iv.To, to)-max(iv.From, from))
 		}
 	}
 	return sum
@@ -866,7 +866,7 @@
 	n := int((e.obs.Ended - e.obs.Began) / time.Second)
 	out := make([]Second, max(0, n))
 	newest := make([]uint64, len(out))
-	states := func(do func(i int, p *interval)) {
+	states := func(do func(i int, iv *interval)) {
 		for _, pieces := range e.intervals {
 			k := 0
 			for i := range out {
@@ -880,20 +880,20 @@
 			}
 		}
 	}
-	states(func(i int, p *interval) {
-		if !p.down && !p.cautious {
-			newest[i] = max(newest[i], p.active)
+	states(func(i int, iv *interval) {
+		if !iv.down && !iv.cautious {
+			newest[i] = max(newest[i], iv.active)
 		}
 	})
-	states(func(i int, p *interval) {
+	states(func(i int, iv *interval) {
 		switch {
-		case p.down:
+		case iv.down:
 			out[i].Down++
-		case p.partitioned:
+		case iv.partitioned:
 			out[i].Partitioned++
-		case p.cautious:
+		case iv.cautious:
 			out[i].Cautious++
-		case p.active < newest[i]:
+		case iv.active < newest[i]:
 			out[i].Behind++
 		}
 	})
--- a/internal/lab/scale/evaluate_test.go
+++ b/internal/lab/scale/evaluate_test.go
@@ -228,7 +228,7 @@
 				t.Errorf("violated limits: %v; want %v", got, c.want)
 			}
 			if who := r.Measurement(c.want[0]).Source; c.who != "" && who != c.who {
-				t.Errorf("%s names %q; want %q", c.want[0], who, c.who)
+				t.Errorf("the source of %s is %q", c.want[0], who)
 			}
 			var text strings.Builder
 			if r.WriteText(&text); !strings.Contains(text.String(), "\n! ") || strings.Contains(text.String(), "all limits hold") {
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -30,7 +30,7 @@
 	readyTimeout   = time.Minute      // until all members of a process listen
 	commandTimeout = 20 * time.Second // until a command is answered; longer than a member takes to leave
 	sampleTimeout  = 10 * time.Second
-	// of a line of JSON from a process of emulated members
+	// maxJSONLine is the size of the longest line of JSON that is read from a process of emulated members.
 	maxJSONLine = 64 << 20
 )
 
@@ -150,7 +150,7 @@
 	up := c.up
 	c.mu.Unlock()
 	if proc == nil || !up {
-		return u, errors.New("it does not run")
+		return u, errors.New("the process does not run")
 	}
 	mb, cpu, descriptors, err := proc.Usage()
 	if err != nil {
@@ -256,7 +256,7 @@
 	for lines.Scan() {
 		var l emulated.Output
 		if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
-			p.setFault(fmt.Sprintf("malformed: %v", err))
+			p.setFault(fmt.Sprintf("malformed line of output: %v", err))
 			continue
 		}
 		switch {
@@ -326,7 +326,7 @@
 		}
 		return l, nil
 	case <-p.exited:
-		return emulated.Output{}, fmt.Errorf("%s: it has ended", p.name)
+		return emulated.Output{}, fmt.Errorf("%s: the process has ended", p.name)
 	case <-timer.C:
 		p.mu.Lock()
 		delete(p.waiting, c.ID)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -138,26 +138,26 @@
 
 // plots returns the plots of the run by file name.
 func (r *Record) plots() map[string]*report.Plot {
-	of := func(name string, read func(s Second) float64) report.Curve {
+	curve := func(name string, read func(s Second) float64) report.Curve {
 		c := report.Curve{Name: name}
 		for i, s := range r.Series {
 			c.X, c.Y = append(c.X, float64(i)), append(c.Y, read(s))
 		}
 		return c
 	}
-	inForce := report.Curve{Name: "in force after"}
+	inEffect := report.Curve{Name: "in force after"}
 	for _, v := range r.Versions {
-		inForce.X, inForce.Y = append(inForce.X, v.At), append(inForce.Y, v.InEffectMS/1000)
+		inEffect.X, inEffect.Y = append(inEffect.X, v.At), append(inEffect.Y, v.InEffectMS/1000)
 	}
 	return map[string]*report.Plot{
 		"members": {Title: "Members", Unit: "members", Curves: []report.Curve{
-			of("cautious, could be reached", func(s Second) float64 { return float64(s.Cautious) }),
-			of("down or cut off", func(s Second) float64 { return float64(s.Down + s.Partitioned) }),
-			of("act on an older version than others", func(s Second) float64 { return float64(s.Behind) }),
+			curve("cautious, could be reached", func(s Second) float64 { return float64(s.Cautious) }),
+			curve("down or cut off", func(s Second) float64 { return float64(s.Down + s.Partitioned) }),
+			curve("act on an older version than others", func(s Second) float64 { return float64(s.Behind) }),
 		}},
-		"versions": {Title: "Versions, at the time they were told", Unit: "seconds", Curves: []report.Curve{inForce}},
+		"versions": {Title: "Versions, at the time they were told", Unit: "seconds", Curves: []report.Curve{inEffect}},
 		"leader": {Title: "The leader's share of a core", Unit: "%", Curves: []report.Curve{
-			of("leader", func(s Second) float64 { return s.LeaderCPU }),
+			curve("leader", func(s Second) float64 { return s.LeaderCPU }),
 		}},
 	}
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -43,7 +43,7 @@
 	minSettleTime    = 2 * time.Second  // at least, for the last version to come into effect
 	progressInterval = 5 * time.Second
 	maxConcurrent    = 64 // requests of one sidecar's load in flight
-	// loadDeadline is half the timeout of a request of the load.
+	// loadDeadline is half the time after which the load gives up a request.
 	loadDeadline = 800 * time.Millisecond
 )
 
@@ -342,8 +342,8 @@
 func (r *run) awaitStable(ctx context.Context) error {
 	type state struct{ epoch, table uint64 }
 	var before state
-	since, lastCheck, reason := time.Now(), time.Time{}, "no word of the leader"
-	err := r.await(ctx, stableTimeout, "steady seats", func() (bool, string) {
+	since, lastCheck, reason := time.Now(), time.Time{}, "no status from the leader yet"
+	err := r.await(ctx, stableTimeout, "a stable placement of replicas", func() (bool, string) {
 		var s voter.Status
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
@@ -363,7 +363,7 @@
 		return time.Since(since) >= stableLeases*r.scenario.Lease, reason
 	})
 	if err != nil && ctx.Err() == nil { // a cluster that never becomes stable is measured all the same
-		r.stepLog = append(r.stepLog, "members and seats still changed as the play began: "+err.Error())
+		r.stepLog = append(r.stepLog, "members and the placement of replicas still changed when the measured time began: "+err.Error())
 		r.progress("%s", r.stepLog[0])
 		return nil
 	}
@@ -460,13 +460,13 @@
 
 // startAll starts the named sidecars at the same time, and waits until all are ready.
 func (r *run) startAll(ctx context.Context, names []string) error {
-	faults := make([]error, len(names))
+	errs := make([]error, len(names))
 	var all sync.WaitGroup
 	for i, name := range names {
-		all.Go(func() { faults[i] = r.sidecars[name].start(ctx) })
+		all.Go(func() { errs[i] = r.sidecars[name].start(ctx) })
 	}
 	all.Wait()
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // startAllEmulated starts the processes of emulated members one after another: the members of each hold a lease before the next process is
@@ -536,7 +536,7 @@
 		select {
 		case <-p.ready:
 		case <-p.exited:
-			return fmt.Errorf("%s: it ended as it started: %s", name, p.lastFault())
+			return fmt.Errorf("%s: the process ended while it started: %s", name, p.lastFault())
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(readyTimeout):
@@ -564,7 +564,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
-		if s, heard := r.lastState[name]; !heard || s.Cautious || s.Gone || s.Active < version {
+		if s, reported := r.lastState[name]; !reported || s.Cautious || s.Gone || s.Active < version {
 			out = append(out, name)
 		}
 	}
@@ -581,7 +581,7 @@
 			return nil
 		}
 		if now := time.Now(); now.After(deadline) {
-			return fmt.Errorf("no %s after %v (%s); keep the logs (--logs) and look there", strings.TrimPrefix(what, "a "), timeout, reason)
+			return fmt.Errorf("no %s after %v (%s); keep the processes' logs (--logs) to find the cause", strings.TrimPrefix(what, "a "), timeout, reason)
 		} else if now.After(nextProgress) {
 			nextProgress = now.Add(progressInterval)
 			r.progress("waiting for %s: %s", what, reason)
