--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -180,22 +180,22 @@
 // Evaluate turns the observations of a run into its record. It is a pure function.
 func Evaluate(o *Observations) *Record {
 	s := o.Plan.Scenario
-	j := &evaluation{obs: o, scenario: s, intervals: map[string][]interval{}, rec: &Record{
+	e := &evaluation{obs: o, scenario: s, intervals: map[string][]interval{}, rec: &Record{
 		Version: 1, Scenario: s.Name, About: s.About, Seed: o.Plan.Seed, Size: s.Size(), Voters: s.Voters, Real: s.Real, Emulated: s.Emulated,
 		Seconds: (o.Ended - o.Began).Seconds(), Broken: slices.Clone(o.Broken), Partial: o.Partial,
 	}}
 	for name := range o.Plan.Locations {
-		j.intervals[name] = j.memberIntervals(name)
+		e.intervals[name] = e.memberIntervals(name)
 	}
-	j.checkOwnLag()
-	j.evaluateVersions()
-	j.evaluateContradictions()
-	j.evaluateCautious()
-	j.evaluateEmulated()
-	j.evaluateVoters()
-	j.evaluateLeaders()
-	j.evaluateSeries()
-	return j.rec
+	e.checkOwnLag()
+	e.evaluateVersions()
+	e.evaluateContradictions()
+	e.evaluateCautious()
+	e.evaluateEmulated()
+	e.evaluateVoters()
+	e.evaluateLeaders()
+	e.evaluateSeries()
+	return e.rec
 }
 
 // evaluation is the state of one call of Evaluate.
@@ -285,8 +285,8 @@
 		return false
 	}
 	reached := 0
-	for _, k := range e.scenario.voterNames() {
-		if !cutRegions[e.obs.Plan.Locations[k].Region] {
+	for _, name := range e.scenario.voterNames() {
+		if !cutRegions[e.obs.Plan.Locations[name].Region] {
 			reached++
 		}
 	}
--- a/internal/lab/scale/evaluate_test.go
+++ b/internal/lab/scale/evaluate_test.go
@@ -343,7 +343,7 @@
 	if got := violated(o.evaluate()); !slices.Contains(got, "cautious_most") || !slices.Contains(got, "in_force_most") {
 		t.Errorf("%v", got)
 	}
-	// A partitioned member that still applies the older version without a lease contradicts the others.
+	// A partitioned member that goes on applying the older version contradicts the others.
 	o = build()
 	south1 := ""
 	for name, p := range o.Plan.Locations {
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -133,12 +133,12 @@
 	s := c.run.scenario
 	f := harness.ClusterFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
 		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
-	for _, k := range c.run.voters {
-		address := k.address
-		if relay := c.relays[k.name]; relay != nil {
+	for _, v := range c.run.voters {
+		address := v.address
+		if relay := c.relays[v.name]; relay != nil {
 			address = relay.Address()
 		}
-		f.Voters = append(f.Voters, harness.NamedAddress{Name: k.name, Address: address})
+		f.Voters = append(f.Voters, harness.NamedAddress{Name: v.name, Address: address})
 	}
 	return f.Text()
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -392,14 +392,14 @@
 // assignAddresses creates the real sidecars with their addresses, and the relays on their connections to voters. A relay is needed where
 // the two are in different regions, or where a step delays the voter's answers.
 func (r *run) assignAddresses() error {
-	slowed := map[string]bool{}
+	delayed := map[string]bool{}
 	for _, step := range r.scenario.Steps {
 		if step.Kind == Slow && step.Target == "leader" {
-			for _, k := range r.scenario.voterNames() {
-				slowed[k] = true
+			for _, name := range r.scenario.voterNames() {
+				delayed[name] = true
 			}
 		} else if step.Kind == Slow {
-			slowed[step.Target] = true
+			delayed[step.Target] = true
 		}
 	}
 	for _, p := range r.plan.Processes {
@@ -423,39 +423,39 @@
 			r.voters = append(r.voters, c)
 		}
 	}
-	for _, k := range r.voters {
+	for _, v := range r.voters {
 		for _, c := range r.sidecars {
-			from, to := r.plan.Locations[c.name].Region, r.plan.Locations[k.name].Region
-			if c.kind == PlainProcess || c == k || from == to && !slowed[k.name] {
+			from, to := r.plan.Locations[c.name].Region, r.plan.Locations[v.name].Region
+			if c.kind == PlainProcess || c == v || from == to && !delayed[v.name] {
 				continue
 			}
-			relay, err := r.relayTo(k)
+			relay, err := r.relayTo(v)
 			if err != nil {
 				return err
 			}
-			if c.relays[k.name] = relay; from != to {
+			if c.relays[v.name] = relay; from != to {
 				relay.SetDelay(r.scenario.RegionDelay)
 				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, relay})
 			}
 		}
-		if slowed[k.name] && r.scenario.Emulated > 0 {
-			relay, err := r.relayTo(k)
+		if delayed[v.name] && r.scenario.Emulated > 0 {
+			relay, err := r.relayTo(v)
 			if err != nil {
 				return err
 			}
-			r.voterRelays[k.name] = relay
+			r.voterRelays[v.name] = relay
 		}
 	}
 	return nil
 }
 
-// relayTo starts a relay that passes connections on to a voter.
-func (r *run) relayTo(k *sidecar) (*harness.Relay, error) {
+// relayTo starts a relay that passes connections on to the voter v.
+func (r *run) relayTo(v *sidecar) (*harness.Relay, error) {
 	host, err := r.hosts.Acquire()
 	if err != nil {
 		return nil, err
 	}
-	return harness.NewRelay(host, k.address)
+	return harness.NewRelay(host, v.address)
 }
 
 // startAll starts the named sidecars at the same time, and waits until all are ready.
@@ -487,12 +487,12 @@
 			place(c.name, c.address)
 		}
 	}
-	for _, k := range r.voters {
-		address := k.address
-		if relay := r.voterRelays[k.name]; relay != nil {
+	for _, v := range r.voters {
+		address := v.address
+		if relay := r.voterRelays[v.name]; relay != nil {
 			address = relay.Address()
 		}
-		start.Voters = append(start.Voters, place(k.name, address))
+		start.Voters = append(start.Voters, place(v.name, address))
 	}
 	groups := map[string][]emulated.Peer{}
 	var names []string
@@ -763,12 +763,12 @@
 	}
 	client := &http.Client{Timeout: 2 * loadDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrent}}
 	defer client.CloseIdleConnections()
-	gap := time.Duration(float64(time.Second) / r.scenario.Rate)
-	room := make(chan struct{}, maxConcurrent)
-	var under sync.WaitGroup
-	defer under.Wait()
+	period := time.Duration(float64(time.Second) / r.scenario.Rate)
+	slots := make(chan struct{}, maxConcurrent)
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for n, due := 0, time.Now(); ; n++ {
-		due = due.Add(gap)
+		due = due.Add(period)
 		if sleep(ctx, time.Until(due)) != nil {
 			return
 		}
@@ -777,20 +777,20 @@
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			r.requests.Add(1) // it counts as not served: maxConcurrent requests before it are still in flight
 			continue
 		}
-		under.Go(func() {
-			defer func() { <-room }()
-			q, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+harness.LoadClass+"/x", nil)
+		inFlight.Go(func() {
+			defer func() { <-slots }()
+			request, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+harness.LoadClass+"/x", nil)
 			if err != nil {
 				return
 			}
-			q.Header.Set("X-Txn", c.name+"."+strconv.Itoa(n))
-			q.Header.Set("X-Remaining", "0.7")
-			answer, err := client.Do(q)
+			request.Header.Set("X-Txn", c.name+"."+strconv.Itoa(n))
+			request.Header.Set("X-Remaining", "0.7")
+			answer, err := client.Do(request)
 			if !c.isUp() { // the sidecar was stopped meanwhile: a real client would have used another one
 				return
 			}
