--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -13,24 +13,26 @@
 	"heathgap/internal/lab/record"
 )
 
-// Comparison are records by what they were made with, to be compared seed by seed.
+// Comparison holds records of several sides, such as policies, to be compared seed by seed. The
+// first side added is the one that the others are compared with.
 type Comparison struct {
+	// names holds the sides in the order in which they were added.
 	names   []string
 	records map[string][]*record.Record
 }
 
-// NewComparison returns none.
+// NewComparison returns an empty comparison.
 func NewComparison() *Comparison { return &Comparison{records: map[string][]*record.Record{}} }
 
 // Add adds a record to a side.
-func (s *Comparison) Add(side string, r *record.Record) {
-	if s.records[side] == nil {
-		s.names = append(s.names, side)
+func (c *Comparison) Add(side string, r *record.Record) {
+	if c.records[side] == nil {
+		c.names = append(c.names, side)
 	}
-	s.records[side] = append(s.records[side], r)
+	c.records[side] = append(c.records[side], r)
 }
 
-// Value reads one metric of a record.
+// Value returns one metric of a record.
 func Value(r *record.Record, metric string) (float64, error) {
 	groups := map[string]map[string]oracle.Stats{"class": r.Classes, "tenant": r.Tenants}
 	if kind, name, ok := strings.Cut(metric, ":"); ok {
@@ -52,10 +54,10 @@
 	return 0, fmt.Errorf("metric %q: unknown; allowed: service, p50_ms, p99_ms, attempts_per_request, class:NAME, tenant:NAME", metric)
 }
 
-// Stats are those of some values.
+// Stats are statistics of some values.
 type Stats struct{ Min, Median, Max float64 }
 
-// StatsOf returns them; there must be a value.
+// StatsOf returns the statistics of values, of which there must be one at least.
 func StatsOf(values []float64) Stats {
 	sorted := slices.Clone(values)
 	slices.Sort(sorted)
@@ -63,25 +65,24 @@
 	return Stats{Min: sorted[0], Median: (sorted[(n-1)/2] + sorted[n/2]) / 2, Max: sorted[n-1]}
 }
 
-// Pairing is how the values of a side lie beside those of the first, pair by pair.
+// Pairing compares a side with the first one, by pairs of runs with the same seed.
 type Pairing struct {
 	Pairs     int
 	Median    float64 // of the differences
-	Low, High float64 // a 95 % interval of that median, by the bootstrap
-	Above     int     // pairs in which the side is above
-	Below     int
-	P         float64 // two-sided, of the sign test: ties are left out
+	Low, High float64 // a 95 % confidence interval of that median, by bootstrap
+	Above     int     // pairs in which this side's value is larger
+	Below     int     // pairs in which it is smaller
+	P         float64 // two-sided p-value of the sign test, without ties
 }
 
-// Figures of the bootstrap. The seed is fixed: the same records give the same
-// interval.
+// Parameters of the bootstrap. The seed is fixed, so that the same records give the same interval.
 const (
-	resamples = 2000
-	tail      = 0.025
-	bootSeed  = 7
+	resamples     = 2000
+	tailShare     = 0.025
+	bootstrapSeed = 7
 )
 
-// Pair compares two sets of values, pair by pair.
+// Pair compares the values of the first side with those of another side, pair by pair.
 func Pair(first, other []float64) Pairing {
 	diffs := make([]float64, len(first))
 	p := Pairing{Pairs: len(first)}
@@ -98,23 +99,23 @@
 		return p
 	}
 	p.Median = StatsOf(diffs).Median
-	random := rand.New(rand.NewPCG(bootSeed, bootSeed))
+	random := rand.New(rand.NewPCG(bootstrapSeed, bootstrapSeed))
 	medians := make([]float64, resamples)
-	drawn := make([]float64, len(diffs))
+	resample := make([]float64, len(diffs))
 	for i := range medians {
-		for j := range drawn {
-			drawn[j] = diffs[random.IntN(len(diffs))]
+		for j := range resample {
+			resample[j] = diffs[random.IntN(len(diffs))]
 		}
-		medians[i] = StatsOf(drawn).Median
+		medians[i] = StatsOf(resample).Median
 	}
 	slices.Sort(medians)
 	last := float64(resamples - 1)
-	p.Low, p.High = medians[int(tail*last)], medians[int((1-tail)*last)]
+	p.Low, p.High = medians[int(tailShare*last)], medians[int((1-tailShare)*last)]
 	p.P = signTest(p.Above, p.Below)
 	return p
 }
 
-// signTest is how likely a split at least as uneven is if neither side is better.
+// signTest returns how likely a split at least as uneven would be if neither side were better.
 func signTest(above, below int) float64 {
 	n, k := above+below, min(above, below)
 	sum := 0.0
@@ -124,6 +125,7 @@
 	return min(1, 2*sum)
 }
 
+// logChoose returns the logarithm of the binomial coefficient of n over k.
 func logChoose(n, k int) float64 {
 	a, _ := math.Lgamma(float64(n + 1))
 	b, _ := math.Lgamma(float64(k + 1))
@@ -131,19 +133,20 @@
 	return a - b - c
 }
 
-// Print writes a table: each side, and how it lies beside the first. Void and
-// partial runs count for nothing; what is left must share scenario and seeds.
-func (s *Comparison) Print(w io.Writer, metric string) error {
-	if len(s.names) == 0 {
+// Print writes a table with one line for each side, which compares it with the first one. Void and
+// partial runs are left out. All others must be of one scenario; only seeds that both sides have
+// are compared.
+func (c *Comparison) Print(w io.Writer, metric string) error {
+	if len(c.names) == 0 {
 		return fmt.Errorf("no records")
 	}
 	values := map[string]map[uint64]float64{}
-	scenario, left := "", 0
-	for _, name := range s.names {
+	scenario, leftOut := "", 0
+	for _, name := range c.names {
 		values[name] = map[uint64]float64{}
-		for _, r := range s.records[name] {
+		for _, r := range c.records[name] {
 			if len(r.Void) > 0 || r.Partial {
-				left++
+				leftOut++
 				continue
 			}
 			if scenario == "" {
@@ -159,30 +162,31 @@
 			values[name][r.Seed] = v
 		}
 	}
-	fmt.Fprintf(w, "\n%s: %s, beside %s\n", scenario, metric, s.names[0])
+	fmt.Fprintf(w, "\n%s: %s, beside %s\n", scenario, metric, c.names[0])
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "side\tseeds\tmin\tmedian\tmax\tbroken\tpairs\tdifference\t95 %\tsign test")
-	for _, name := range s.names {
-		s.printSide(t, name, values)
+	for _, name := range c.names {
+		c.printSide(t, name, values)
 	}
 	t.Flush()
-	if left > 0 {
-		fmt.Fprintf(w, "%d void or partial runs were left out\n", left)
+	if leftOut > 0 {
+		fmt.Fprintf(w, "%d void or partial runs were left out\n", leftOut)
 	}
 	return nil
 }
 
-func (s *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
+// printSide writes the line of one side. values are by side and seed.
+func (c *Comparison) printSide(w io.Writer, name string, values map[string]map[uint64]float64) {
 	var all, first, own []float64
 	for _, seed := range seedsOf(values[name]) {
 		v := values[name][seed]
 		all = append(all, v)
-		if base, both := values[s.names[0]][seed]; both {
+		if base, both := values[c.names[0]][seed]; both {
 			first, own = append(first, base), append(own, v)
 		}
 	}
 	broken := 0
-	for _, r := range s.records[name] {
+	for _, r := range c.records[name] {
 		broken += r.NumViolations()
 	}
 	if len(all) == 0 {
@@ -191,13 +195,14 @@
 	}
 	st := StatsOf(all)
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%d", name, len(all), st.Min, st.Median, st.Max, broken)
-	if name != s.names[0] && len(own) > 0 {
+	if name != c.names[0] && len(own) > 0 {
 		p := Pair(first, own)
 		fmt.Fprintf(w, "\t%d\t%+.3f\t%+.3f to %+.3f\t%d up, %d down, p %.2f", p.Pairs, p.Median, p.Low, p.High, p.Above, p.Below, p.P)
 	}
 	fmt.Fprintln(w)
 }
 
+// seedsOf returns the seeds in rising order.
 func seedsOf(values map[uint64]float64) []uint64 {
 	seeds := make([]uint64, 0, len(values))
 	for seed := range values {
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -18,43 +18,44 @@
 	plotHeight = 7 * vg.Centimeter
 )
 
-// picture is one plot over the seconds of a run.
-type picture struct {
+// plotSpec describes one plot over the seconds of a run.
+type plotSpec struct {
 	name, title, unit string
-	least             float64 // the axis begins there
+	minY              float64 // the y axis begins here, or lower if values are lower
 	lines             []line
 }
 
+// line is one curve of a plot.
 type line struct {
 	name  string
 	color color.RGBA
 	xy    plotter.XYs
 }
 
-// Colors that people with any sight tell apart.
+// Colors that people with a color vision deficiency can tell apart.
 var (
 	blue   = color.RGBA{0, 114, 178, 255}
 	orange = color.RGBA{213, 94, 0, 255}
 	green  = color.RGBA{0, 158, 115, 255}
 )
 
-// plots are those of a record.
-func plots(r *record.Record) []picture {
-	of := func(read func(oracle.Second) float64) plotter.XYs {
+// recordPlots returns the plots of a record.
+func recordPlots(r *record.Record) []plotSpec {
+	curve := func(read func(oracle.Second) float64) plotter.XYs {
 		xy := make(plotter.XYs, len(r.Series))
 		for i, s := range r.Series {
 			xy[i] = plotter.XY{X: float64(i), Y: read(s)}
 		}
 		return xy
 	}
-	return []picture{
+	return []plotSpec{
 		{name: "requests", title: "Requests", unit: "a second", lines: []line{
-			{"asked", blue, of(func(s oracle.Second) float64 { return float64(s.Requests) })},
-			{"served", orange, of(func(s oracle.Second) float64 { return float64(s.Served) })},
-			{"in time", green, of(func(s oracle.Second) float64 { return float64(s.InTime) })},
+			{"asked", blue, curve(func(s oracle.Second) float64 { return float64(s.Requests) })},
+			{"served", orange, curve(func(s oracle.Second) float64 { return float64(s.Served) })},
+			{"in time", green, curve(func(s oracle.Second) float64 { return float64(s.InTime) })},
 		}},
 		{name: "service", title: "Service", unit: "worth earned over worth asked", lines: []line{
-			{"service", blue, of(func(s oracle.Second) float64 {
+			{"service", blue, curve(func(s oracle.Second) float64 {
 				if s.Wanted == 0 {
 					return 1
 				}
@@ -64,32 +65,32 @@
 	}
 }
 
-// draw returns the plot as SVG.
-func (p picture) draw() ([]byte, error) {
-	g := plot.New()
-	g.Title.Text = p.title
-	g.X.Label.Text = "seconds"
-	g.Y.Label.Text = p.unit
-	g.Y.Min = p.least
-	g.Legend.Top = true
+// render returns the plot as SVG.
+func (p plotSpec) render() ([]byte, error) {
+	chart := plot.New()
+	chart.Title.Text = p.title
+	chart.X.Label.Text = "seconds"
+	chart.Y.Label.Text = p.unit
+	chart.Y.Min = p.minY
+	chart.Legend.Top = true
 	for _, l := range p.lines {
 		if len(l.xy) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(l.xy)
+		curve, err := plotter.NewLine(l.xy)
 		if err != nil {
 			return nil, err
 		}
-		drawn.Color = l.color
-		g.Add(drawn)
-		g.Legend.Add(l.name, drawn)
+		curve.Color = l.color
+		chart.Add(curve)
+		chart.Legend.Add(l.name, curve)
 	}
-	g.Y.Min = min(g.Y.Min, p.least)
-	to, err := g.WriterTo(plotWidth, plotHeight, "svg")
+	chart.Y.Min = min(chart.Y.Min, p.minY)
+	writer, err := chart.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return nil, err
 	}
 	var out bytes.Buffer
-	_, err = to.WriteTo(&out)
+	_, err = writer.WriteTo(&out)
 	return out.Bytes(), err
 }
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -28,101 +28,104 @@
 	"heathgap/internal/peerrpc"
 )
 
-// Figures of a run.
+// Times and numbers of a run.
 const (
-	formTime     = 20 * time.Second // for the keepers to form a crew
-	enterTime    = 90 * time.Second // for the members of one process to hold a lease
-	pollPause    = 20 * time.Millisecond
-	sampleEvery  = time.Second
-	ownLagEvery  = 10 * time.Millisecond
-	endpoints    = 4
-	steadyLeases = 1 // without a change of members and seats, before anything counts
-	steadyTime   = 2 * time.Minute
-	lookEvery    = time.Second / 4  // at the leader's state, until it is steady
-	lastVersion  = 15 * time.Second // for what is to be proposed still, after the play
-	leastSettle  = 2 * time.Second  // for the last version to be acted on
-	progressEach = 5 * time.Second
-	mostAtOnce   = 64 // requests of one sidecar's load under way
+	formTimeout      = 20 * time.Second      // until the voters have formed a cluster
+	joinTimeout      = 90 * time.Second      // until the members of one process hold a lease
+	pollInterval     = 20 * time.Millisecond // between checks of something that is awaited
+	sampleInterval   = time.Second           // between samples of what processes use
+	ownLagInterval   = 10 * time.Millisecond // of the timer that measures this process's own lag
+	numEndpoints     = 4                     // endpoints that the real sidecars send to
+	stableLeases     = 1                     // for so many lease times, members and placement must not change before the measured time begins
+	stableTimeout    = 2 * time.Minute
+	statusInterval   = time.Second / 4  // between checks of the leader's status, until it is stable
+	proposalsTimeout = 15 * time.Second // after the last action, for versions that are still to be proposed
+	minSettleTime    = 2 * time.Second  // at least, for the last version to come into effect
+	progressInterval = 5 * time.Second
+	maxConcurrent    = 64 // requests of one sidecar's load in flight
+	// loadDeadline is half the time after which the load gives up a request.
 	loadDeadline = 800 * time.Millisecond
 )
 
-// Options are those of a run.
+// Options are the settings of a run. The three functions return a command that has not been started.
 type Options struct {
-	Member   func() *exec.Cmd // a command that runs a sidecar as a member of a crew
-	Plain    func() *exec.Cmd // likewise without a crew
-	Emulated func() *exec.Cmd // a command that runs a process of hollow members
-	LogDir   string           // for the processes' logs; empty for none
-	Progress func(line string)
+	Member   func() *exec.Cmd  // runs a sidecar that is a member of a cluster
+	Plain    func() *exec.Cmd  // runs a sidecar without a cluster
+	Emulated func() *exec.Cmd  // runs a process of emulated members
+	LogDir   string            // for the processes' logs; empty for none
+	Progress func(line string) // receives lines for the console; nil for none
 
-	started func(pid int) // for tests; nil for nobody
+	started func(pid int) // for tests: called with each process that was started; may be nil
 }
 
-// run is a run.
+// run holds the processes and the observations of one run.
 type run struct {
-	s     *Scenario
-	plan  *Plan
-	opts  Options
+	scenario *Scenario
+	plan     *Plan
+	opts     Options
+	// dir is a temporary directory for the sidecars' files; it is deleted after the run.
 	dir   string
 	hosts *harness.Hosts
 
-	endpoints []harness.NamedAddress
-	servers   []*http.Server
-	sidecars  map[string]*sidecar
-	keepers   []*sidecar
-	herds     []*herd
-	herdOf    map[string]*herd
-	fronts    map[string]*harness.Relay // of keepers, for hollow members, where a step may slow them
-	between   []regional                // relays between regions
-	proposals chan time.Duration        // when each was due
-
-	playing atomic.Bool // what is late counts
-	asked   atomic.Int64
-	served  atomic.Int64
-
-	mu       sync.Mutex // guards what follows
-	obs      Observed
-	last     map[string]emulated.MemberState // of each member
-	leader   string
-	term     uint64
-	active   uint64
-	refused  map[uint64]string
-	steps    []string
-	began    time.Duration
-	looked   time.Time      // at the leader's state, before the play
-	clearing sync.WaitGroup // what acts have begun
-}
-
-// regional is a relay between two regions.
-type regional struct {
-	regions [2]string
+	endpoints    []harness.NamedAddress
+	servers      []*http.Server
+	sidecars     map[string]*sidecar
+	voters       []*sidecar
+	emulated     []*emulatedProcess
+	processOf    map[string]*emulatedProcess // by member
+	voterRelays  map[string]*harness.Relay   // relays to voters, for emulated members, where a step may delay the voter's answers
+	regionRelays []regionRelay               // relays of real processes to voters in another region
+	proposals    chan time.Duration          // when each version to be proposed was due
+
+	measuring atomic.Bool  // the measured time is running: lag counts
+	requests  atomic.Int64 // requests of the load
+	served    atomic.Int64 // of requests, those answered with 200
+
+	mu        sync.Mutex // guards the fields below, except actions
+	obs       Observations
+	lastState map[string]emulated.MemberState // of each member
+	// leader is the voter that leads, empty for none; term is the highest raft term in which a voter has begun to lead.
+	leader          string
+	term            uint64
+	activeVersion   uint64
+	refusedVersions map[uint64]string // reasons, by version number
+	stepLog         []string          // the steps as they were carried out
+	began           time.Duration     // when the measured time began
+	actions         sync.WaitGroup    // actions that have begun and not ended
+}
+
+// regionRelay is a relay from a process to a voter in another region.
+type regionRelay struct {
+	regions [2]string // the process's and the voter's
 	relay   *harness.Relay
 }
 
-// Descriptors is how many a process that is started from this one may have.
+// Descriptors returns how many file descriptors a process that is started from this one may have.
 func Descriptors() (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, fmt.Errorf("RLIMIT_NOFILE: %w", err)
 	}
-	// Go raises the soft limit to the hard one as a program starts, and gives the soft one back to what it starts; that
-	// raises its own.
+	// The hard limit counts: a Go program raises its soft limit to the hard one as it starts, and restores the soft limit for the processes
+	// that it starts, which are Go programs too.
 	return limit.Max, nil
 }
 
-// Run plays a scenario. What it started has ended when it returns, also when the context ends: the record is then partial.
+// Run runs a scenario and returns its record. All processes that it started have ended when it returns. If the context ends during the
+// measured time, the record is partial.
 func Run(ctx context.Context, s *Scenario, seed uint64, opts Options) (*Record, error) {
 	before := loadAverage()
 	r, err := observe(ctx, s, seed, opts)
 	if err != nil {
 		return nil, err
 	}
-	rec := Judge(&r.obs)
-	rec.Steps = r.steps
+	rec := Evaluate(&r.obs)
+	rec.Steps = r.stepLog
 	rec.Machine = machine(before)
 	return rec, nil
 }
 
-// observe plays it, and leaves in the run what was seen.
+// observe runs the scenario and returns the run with its observations.
 func observe(ctx context.Context, s *Scenario, seed uint64, opts Options) (*run, error) {
 	plan := NewPlan(s, seed)
 	descriptors, err := Descriptors()
@@ -138,11 +141,11 @@
 	}
 	defer os.RemoveAll(dir)
 	r := &run{
-		s: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, herdOf: map[string]*herd{},
-		fronts: map[string]*harness.Relay{}, proposals: make(chan time.Duration, mostCounted), last: map[string]emulated.MemberState{}, refused: map[uint64]string{},
+		scenario: s, plan: plan, opts: opts, dir: dir, hosts: harness.NewHosts(), sidecars: map[string]*sidecar{}, processOf: map[string]*emulatedProcess{},
+		voterRelays: map[string]*harness.Relay{}, proposals: make(chan time.Duration, maxCount), lastState: map[string]emulated.MemberState{}, refusedVersions: map[uint64]string{},
 	}
-	r.obs = Observed{Plan: plan, Stances: map[string][]emulated.MemberState{}, Downs: map[string][]Span{}, Samples: map[string][]emulated.Usage{},
-		Usage: map[string][]Usage{}, Late: map[string]time.Duration{}}
+	r.obs = Observations{Plan: plan, States: map[string][]emulated.MemberState{}, Downtimes: map[string][]Span{}, Samples: map[string][]emulated.Usage{},
+		Usage: map[string][]Usage{}, MaxLag: map[string]time.Duration{}}
 	defer r.close()
 	started := time.Now()
 	if err := r.start(ctx); ctx.Err() != nil {
@@ -151,22 +154,23 @@
 		return nil, err
 	}
 	r.progress("%d sidecars hold a lease after %.1f s", s.Size(), time.Since(started).Seconds())
-	r.play(ctx)
+	r.runActions(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := &r.obs
-	o.Ended, o.Partial = boot(), ctx.Err() != nil
-	o.Asked, o.Served = int(r.asked.Load()), int(r.served.Load())
+	o.Ended, o.Partial = bootTime(), ctx.Err() != nil
+	o.Requests, o.Served = int(r.requests.Load()), int(r.served.Load())
 	for i := range o.Versions {
-		o.Versions[i].Refused = r.refused[o.Versions[i].Number]
+		o.Versions[i].Refused = r.refusedVersions[o.Versions[i].Number]
 	}
 	slices.SortStableFunc(o.Leaders, func(a, b Leadership) int { return int(a.At - b.At) })
-	for _, stances := range o.Stances {
+	for _, stances := range o.States {
 		slices.SortStableFunc(stances, func(a, b emulated.MemberState) int { return int(a.At - b.At) })
 	}
 	return r, nil
 }
 
+// loadAverage returns the machine's load average over 1, 5 and 15 minutes.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	fields := strings.Fields(string(text))
@@ -176,6 +180,7 @@
 	return strings.Join(fields[:3], " ")
 }
 
+// machine describes this machine; before is the load average before the run.
 func machine(before string) Machine {
 	m := Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), LoadBefore: before, LoadAfter: loadAverage()}
 	var info unix.Sysinfo_t
@@ -185,30 +190,31 @@
 	return m
 }
 
+// progress sends a line to the console, if the options ask for it.
 func (r *run) progress(format string, args ...any) {
 	if r.opts.Progress != nil {
 		r.opts.Progress(fmt.Sprintf(format, args...))
 	}
 }
 
-// note books a step as it was played.
-func (r *run) note(format string, args ...any) {
+// recordStep records a step as it was carried out, with its time.
+func (r *run) recordStep(format string, args ...any) {
 	r.mu.Lock()
-	line := fmt.Sprintf("%6.2fs ", (boot()-r.began).Seconds()) + fmt.Sprintf(format, args...)
-	r.steps = append(r.steps, line)
+	line := fmt.Sprintf("%6.2fs ", (bootTime()-r.began).Seconds()) + fmt.Sprintf(format, args...)
+	r.stepLog = append(r.stepLog, line)
 	r.mu.Unlock()
 	r.progress("%s", line)
 }
 
-// broken books what must not be.
-func (r *run) broken(format string, args ...any) {
+// recordFailure records a failure of the run itself. The run does not pass then.
+func (r *run) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	r.obs.Broken = append(r.obs.Broken, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// hasStarted tells a test of a process.
-func (r *run) hasStarted(pid int) {
+// notifyStarted reports a started process to the test, if there is one.
+func (r *run) notifyStarted(pid int) {
 	if r.opts.started != nil {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -216,16 +222,17 @@
 	}
 }
 
-// late books by how much something of the run's own was late.
-func (r *run) late(whose string, by time.Duration) {
-	if !r.playing.Load() {
+// recordLag records that a part of the lab was late. Outside the measured time it does nothing.
+func (r *run) recordLag(source string, lag time.Duration) {
+	if !r.measuring.Load() {
 		return
 	}
 	r.mu.Lock()
-	r.obs.Late[whose] = max(r.obs.Late[whose], by)
+	r.obs.MaxLag[source] = max(r.obs.MaxLag[source], lag)
 	r.mu.Unlock()
 }
 
+// logPath returns the file for a process's log, or an empty path for none.
 func (r *run) logPath(name string) string {
 	if r.opts.LogDir == "" {
 		return ""
@@ -233,25 +240,25 @@
 	return filepath.Join(r.opts.LogDir, name+".log")
 }
 
-// stance books what a member acts on.
-func (r *run) stance(s emulated.MemberState) {
+// recordState records which version a member applies.
+func (r *run) recordState(s emulated.MemberState) {
 	r.mu.Lock()
-	r.obs.Stances[s.Member] = append(r.obs.Stances[s.Member], s)
-	r.last[s.Member] = s
+	r.obs.States[s.Member] = append(r.obs.States[s.Member], s)
+	r.lastState[s.Member] = s
 	r.mu.Unlock()
 }
 
-// The lines of a sidecar's log that a run rests on.
+// The messages of a sidecar's log that a run evaluates. They are texts of the voter and the member.
 const (
-	lineStance  = "rules in force"
-	lineLeads   = "this keeper leads the crew"
-	lineLeft    = "this keeper no longer leads the crew"
-	lineActive  = "a version is active"
-	lineRefused = "a version is refused"
+	msgRulesInEffect  = "rules in force"
+	msgLeads          = "this keeper leads the crew"
+	msgLeadershipLost = "this keeper no longer leads the crew"
+	msgVersionActive  = "a version is active"
+	msgVersionRefused = "a version is refused"
 )
 
-// heard takes a line of a sidecar's log.
-func (r *run) heard(c *sidecar, text string) {
+// handleLogLine evaluates a line of a sidecar's log. Lines that are not JSON are skipped.
+func (r *run) handleLogLine(c *sidecar, text string) {
 	line := struct {
 		Time     time.Time `json:"time"`
 		Message  string    `json:"message"`
@@ -265,86 +272,86 @@
 	if json.Unmarshal([]byte(text), &line) != nil {
 		return
 	}
-	at := boot() - time.Since(line.Time)
-	if line.Message == lineStance {
-		r.stance(emulated.MemberState{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
+	at := bootTime() - time.Since(line.Time)
+	if line.Message == msgRulesInEffect {
+		r.recordState(emulated.MemberState{At: at, Member: c.name, Active: line.Version, Next: line.Next, Epoch: line.Epoch, Cautious: line.Cautious})
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch line.Message {
-	case lineLeads:
+	case msgLeads:
 		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at, Name: c.name, Term: line.Term})
 		if line.Term > r.term {
 			r.leader, r.term = c.name, line.Term
 		}
-	case lineLeft:
-		r.noLeader(c.name, at)
-	case lineActive:
-		r.active = max(r.active, line.Version)
-	case lineRefused:
-		r.refused[line.Version] = line.Why
+	case msgLeadershipLost:
+		r.recordLeaderLost(c.name, at)
+	case msgVersionActive:
+		r.activeVersion = max(r.activeVersion, line.Version)
+	case msgVersionRefused:
+		r.refusedVersions[line.Version] = line.Why
 	}
 }
 
-// noLeader books that a keeper leads no more. The lock is held.
-func (r *run) noLeader(name string, at time.Duration) {
+// recordLeaderLost records that a voter no longer leads, if it was the leader. The caller holds r.mu.
+func (r *run) recordLeaderLost(name string, at time.Duration) {
 	if r.leader == name {
 		r.leader = ""
 		r.obs.Leaders = append(r.obs.Leaders, Leadership{At: at})
 	}
 }
 
-// start starts all processes, a few at a time, and returns when all members hold a lease.
+// start starts all processes, a few at a time, and returns when all members hold a lease and the placement is stable.
 func (r *run) start(ctx context.Context) error {
-	for i := range endpoints {
+	for i := range numEndpoints {
 		if err := r.startEndpoint(fmt.Sprintf("e-%d", i+1)); err != nil {
 			return err
 		}
 	}
-	if err := r.settle(); err != nil {
+	if err := r.assignAddresses(); err != nil {
 		return err
 	}
-	if err := r.startAll(ctx, r.s.keeperNames()); err != nil {
+	if err := r.startAll(ctx, r.scenario.voterNames()); err != nil {
 		return err
 	}
-	if err := r.await(ctx, formTime, "a leader", func() (bool, string) {
+	if err := r.await(ctx, formTimeout, "a leader", func() (bool, string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.leader != "", fmt.Sprintf("of %d keepers", r.s.Keepers)
+		return r.leader != "", fmt.Sprintf("of %d keepers", r.scenario.Voters)
 	}); err != nil {
 		return err
 	}
-	r.progress("%d keepers are up, %s leads", r.s.Keepers, r.leaderName())
-	for _, names := range [][]string{r.s.realNames(), r.s.plainNames()} {
+	r.progress("%d keepers are up, %s leads", r.scenario.Voters, r.leaderName())
+	for _, names := range [][]string{r.scenario.realNames(), r.scenario.plainNames()} {
 		if err := r.startAll(ctx, names); err != nil {
 			return err
 		}
 	}
-	if err := r.awaitLeases(ctx, slices.Concat(r.s.keeperNames(), r.s.realNames())); err != nil {
+	if err := r.awaitLeases(ctx, slices.Concat(r.scenario.voterNames(), r.scenario.realNames())); err != nil {
 		return err
 	}
-	if err := r.startHerds(ctx); err != nil {
+	if err := r.startAllEmulated(ctx); err != nil {
 		return err
 	}
-	return r.awaitSteady(ctx)
+	return r.awaitStable(ctx)
 }
 
-// awaitSteady waits until neither members nor seats have changed for a while: what it takes to start a fleet is no part of what
-// is measured.
-func (r *run) awaitSteady(ctx context.Context) error {
+// awaitStable waits until neither the members nor the placement of replicas have changed for stableLeases lease times. What it costs to
+// start the processes is not to be part of the measurements.
+func (r *run) awaitStable(ctx context.Context) error {
 	type state struct{ epoch, table uint64 }
 	var before state
-	since, looked, why := time.Now(), time.Time{}, "no word of the leader"
-	err := r.await(ctx, steadyTime, "steady seats", func() (bool, string) {
+	since, lastCheck, reason := time.Now(), time.Time{}, "no status from the leader yet"
+	err := r.await(ctx, stableTimeout, "a stable placement of replicas", func() (bool, string) {
 		var s voter.Status
 		r.mu.Lock()
 		leader := r.sidecars[r.leader]
 		r.mu.Unlock()
-		if leader == nil || time.Since(looked) < lookEvery || leader.line.Call("status", struct{}{}, &s, sampleTime) != nil || s.Ledger == nil {
-			return false, why
+		if leader == nil || time.Since(lastCheck) < statusInterval || leader.client.Call("status", struct{}{}, &s, sampleTimeout) != nil || s.Ledger == nil {
+			return false, reason
 		}
-		looked = time.Now()
+		lastCheck = time.Now()
 		now := state{epoch: s.Ledger.Epoch}
 		if s.Ledger.Placement != nil {
 			now.table = s.Ledger.Placement.Number
@@ -352,17 +359,18 @@
 		if now != before {
 			before, since = now, time.Now()
 		}
-		why = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
-		return time.Since(since) >= steadyLeases*r.s.Lease, why
+		reason = fmt.Sprintf("epoch %d, table %d", now.epoch, now.table)
+		return time.Since(since) >= stableLeases*r.scenario.Lease, reason
 	})
-	if err != nil && ctx.Err() == nil { // a crew that is never steady is judged as it is
-		r.steps = append(r.steps, "members and seats still changed as the play began: "+err.Error())
-		r.progress("%s", r.steps[0])
+	if err != nil && ctx.Err() == nil { // a cluster that never becomes stable is measured all the same
+		r.stepLog = append(r.stepLog, "members and the placement of replicas still changed when the measured time began: "+err.Error())
+		r.progress("%s", r.stepLog[0])
 		return nil
 	}
 	return err
 }
 
+// startEndpoint starts an HTTP server in this process, as an endpoint that the real sidecars send to.
 func (r *run) startEndpoint(name string) error {
 	host, err := r.hosts.Acquire()
 	if err != nil {
@@ -373,28 +381,29 @@
 		return err
 	}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Write([]byte("good\n")) //nolint:errcheck // its client shows
+		w.Write([]byte("good\n")) //nolint:errcheck // the client sees the error
 	})}
-	go server.Serve(listener) //nolint:errcheck // until Close
+	go server.Serve(listener) //nolint:errcheck // serves until Close
 	r.servers = append(r.servers, server)
 	r.endpoints = append(r.endpoints, harness.NamedAddress{Name: name, Address: listener.Addr().String()})
 	return nil
 }
 
-// settle gives the sidecars their addresses, and their ways to the keepers.
-func (r *run) settle() error {
-	slowed := map[string]bool{}
-	for _, step := range r.s.Steps {
-		if step.Do == Slow && step.Who == "leader" {
-			for _, k := range r.s.keeperNames() {
-				slowed[k] = true
+// assignAddresses creates the real sidecars with their addresses, and the relays on their connections to voters. A relay is needed where
+// the two are in different regions, or where a step delays the voter's answers.
+func (r *run) assignAddresses() error {
+	delayed := map[string]bool{}
+	for _, step := range r.scenario.Steps {
+		if step.Kind == Slow && step.Target == "leader" {
+			for _, name := range r.scenario.voterNames() {
+				delayed[name] = true
 			}
-		} else if step.Do == Slow {
-			slowed[step.Who] = true
+		} else if step.Kind == Slow {
+			delayed[step.Target] = true
 		}
 	}
 	for _, p := range r.plan.Processes {
-		if p.Kind == HollowProcess {
+		if p.Kind == EmulatedProcess {
 			continue
 		}
 		c := &sidecar{run: r, name: p.Name, kind: p.Kind, dir: filepath.Join(r.dir, p.Name), relays: map[string]*harness.Relay{}}
@@ -409,84 +418,86 @@
 		if c.address, err = r.hosts.Address(c.host); err != nil {
 			return err
 		}
-		if p.Kind == KeeperProcess {
-			c.line = peerrpc.NewClient(env.Real{}, r.s.Name, "lab", c.address)
-			r.keepers = append(r.keepers, c)
+		if p.Kind == VoterProcess {
+			c.client = peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", c.address)
+			r.voters = append(r.voters, c)
 		}
 	}
-	for _, k := range r.keepers {
+	for _, v := range r.voters {
 		for _, c := range r.sidecars {
-			from, to := r.plan.Places[c.name].Region, r.plan.Places[k.name].Region
-			if c.kind == PlainProcess || c == k || from == to && !slowed[k.name] {
+			from, to := r.plan.Locations[c.name].Region, r.plan.Locations[v.name].Region
+			if c.kind == PlainProcess || c == v || from == to && !delayed[v.name] {
 				continue
 			}
-			way, err := r.relayTo(k)
+			relay, err := r.relayTo(v)
 			if err != nil {
 				return err
 			}
-			if c.relays[k.name] = way; from != to {
-				way.SetDelay(r.s.RegionDelay)
-				r.between = append(r.between, regional{[2]string{from, to}, way})
+			if c.relays[v.name] = relay; from != to {
+				relay.SetDelay(r.scenario.RegionDelay)
+				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, relay})
 			}
 		}
-		if slowed[k.name] && r.s.Hollow > 0 {
-			way, err := r.relayTo(k)
+		if delayed[v.name] && r.scenario.Emulated > 0 {
+			relay, err := r.relayTo(v)
 			if err != nil {
 				return err
 			}
-			r.fronts[k.name] = way
+			r.voterRelays[v.name] = relay
 		}
 	}
 	return nil
 }
 
-func (r *run) relayTo(k *sidecar) (*harness.Relay, error) {
+// relayTo starts a relay that passes connections on to the voter v.
+func (r *run) relayTo(v *sidecar) (*harness.Relay, error) {
 	host, err := r.hosts.Acquire()
 	if err != nil {
 		return nil, err
 	}
-	return harness.NewRelay(host, k.address)
+	return harness.NewRelay(host, v.address)
 }
 
-// startAll starts sidecars at once.
+// startAll starts the named sidecars at the same time, and waits until all are ready.
 func (r *run) startAll(ctx context.Context, names []string) error {
-	faults := make([]error, len(names))
+	errs := make([]error, len(names))
 	var all sync.WaitGroup
 	for i, name := range names {
-		all.Go(func() { faults[i] = r.sidecars[name].start(ctx) })
+		all.Go(func() { errs[i] = r.sidecars[name].start(ctx) })
 	}
 	all.Wait()
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// startHerds starts the hollow processes one after another: each comes in before the next is started.
-func (r *run) startHerds(ctx context.Context) error {
+// startAllEmulated starts the processes of emulated members one after another: the members of each hold a lease before the next process is
+// started.
+func (r *run) startAllEmulated(ctx context.Context) error {
 	start := emulated.Start{
-		Cluster: r.s.Name, Lease: r.s.Lease, Drift: r.s.Drift, Slack: r.s.Slack, ContradictAtMost: r.s.ContradictAtMost,
-		FixedClasses: []string{harness.LoadClass}, Copies: r.s.Copies, Keep: r.s.Keep, LostAfter: r.s.LostAfter,
-		Regions: map[string]string{}, RegionDelay: r.s.RegionDelay, KeyedRate: r.s.Orders, KeyedDuration: r.s.OrderTakes, Seed: r.plan.Seed,
+		Cluster: r.scenario.Name, Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack, ContradictAtMost: r.scenario.ContradictAtMost,
+		FixedClasses: []string{harness.LoadClass}, Copies: r.scenario.Copies, Keep: r.scenario.Keep, LostAfter: r.scenario.LostAfter,
+		Regions: map[string]string{}, RegionDelay: r.scenario.RegionDelay, KeyedRate: r.scenario.KeyedRate, KeyedDuration: r.scenario.KeyedDuration, Seed: r.plan.Seed,
 	}
 	place := func(name, address string) emulated.Peer {
-		at := r.plan.Places[name]
-		start.Regions[address] = at.Region
-		return emulated.Peer{Name: name, Zone: at.Zone, Region: at.Region, Address: address}
+		location := r.plan.Locations[name]
+		start.Regions[address] = location.Region
+		return emulated.Peer{Name: name, Zone: location.Zone, Region: location.Region, Address: address}
 	}
 	for _, c := range r.sidecars {
 		if c.kind != PlainProcess {
 			place(c.name, c.address)
 		}
 	}
-	for _, k := range r.keepers {
-		address := k.address
-		if front := r.fronts[k.name]; front != nil {
-			address = front.Address()
+	for _, v := range r.voters {
+		address := v.address
+		if relay := r.voterRelays[v.name]; relay != nil {
+			address = relay.Address()
 		}
-		start.Voters = append(start.Voters, place(k.name, address))
+		start.Voters = append(start.Voters, place(v.name, address))
 	}
 	groups := map[string][]emulated.Peer{}
 	var names []string
 	for _, p := range r.plan.Processes {
-		if p.Kind != HollowProcess {
+		if p.Kind != EmulatedProcess {
 			continue
 		}
 		host, err := r.hosts.Acquire()
@@ -503,82 +514,85 @@
 		}
 	}
 	for i, name := range names {
-		one := start
-		one.Members, one.Faults = groups[name], map[string]emulated.Fault{}
+		processStart := start
+		processStart.Members, processStart.Faults = groups[name], map[string]emulated.Fault{}
 		var members []string
-		for _, m := range one.Members {
+		for _, m := range processStart.Members {
 			members = append(members, m.Name)
-			for _, p := range r.s.Planted {
-				if p.Who == m.Name {
-					one.Faults[p.Who] = p.Fault
+			for _, p := range r.scenario.Faults {
+				if p.Member == m.Name {
+					processStart.Faults[p.Member] = p.Fault
 				}
 			}
 		}
-		h, err := r.startHerd(name, one)
+		p, err := r.startEmulated(name, processStart)
 		if err != nil {
 			return err
 		}
-		r.herds = append(r.herds, h)
+		r.emulated = append(r.emulated, p)
 		for _, m := range members {
-			r.herdOf[m] = h
+			r.processOf[m] = p
 		}
 		select {
-		case <-h.ready:
-		case <-h.exited:
-			return fmt.Errorf("%s: it ended as it started: %s", name, h.said())
+		case <-p.ready:
+		case <-p.exited:
+			return fmt.Errorf("%s: the process ended while it started: %s", name, p.lastFault())
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyTime):
-			return fmt.Errorf("%s: its members do not listen after %v", name, readyTime)
+		case <-time.After(readyTimeout):
+			return fmt.Errorf("%s: its members do not listen after %v", name, readyTimeout)
 		}
 		if err := r.awaitLeases(ctx, members); err != nil {
 			return err
 		}
-		r.progress("%d of %d hollow processes: %d members hold a lease", i+1, len(names), (i+1)*r.s.EachProcess-max(0, (i+1)*r.s.EachProcess-r.s.Hollow))
+		r.progress("%d of %d hollow processes: %d members hold a lease", i+1, len(names), (i+1)*r.scenario.EachProcess-max(0, (i+1)*r.scenario.EachProcess-r.scenario.Emulated))
 	}
 	return nil
 }
 
-// awaitLeases waits until all of these act without caution.
+// awaitLeases waits until all named members hold a lease.
 func (r *run) awaitLeases(ctx context.Context, names []string) error {
-	return r.await(ctx, enterTime, "a lease", func() (bool, string) {
-		without := r.without(names, 0)
+	return r.await(ctx, joinTimeout, "a lease", func() (bool, string) {
+		without := r.notApplying(names, 0)
 		return len(without) == 0, fmt.Sprintf("%d of %d have none: %s", len(without), len(names), strings.Join(without[:min(3, len(without))], ", "))
 	})
 }
 
-// without are those that don't act on a version or a later one.
-func (r *run) without(names []string, version uint64) (out []string) {
+// notApplying returns those of the named members that do not apply the version or a later one: they have not reported, are cautious, have
+// ended, or apply an older one.
+func (r *run) notApplying(names []string, version uint64) (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, name := range names {
-		if s, heard := r.last[name]; !heard || s.Cautious || s.Gone || s.Active < version {
+		if s, reported := r.lastState[name]; !reported || s.Cautious || s.Gone || s.Active < version {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// await waits for something.
-func (r *run) await(ctx context.Context, most time.Duration, what string, there func() (bool, string)) error {
-	limit, tell := time.Now().Add(most), time.Now().Add(progressEach)
+// await waits until condition returns true, at most for the timeout. The text that condition returns describes the present state, for
+// progress lines and the error. what is the thing awaited, with its article.
+func (r *run) await(ctx context.Context, timeout time.Duration, what string, condition func() (bool, string)) error {
+	deadline, nextProgress := time.Now().Add(timeout), time.Now().Add(progressInterval)
 	for {
-		done, why := there()
+		done, reason := condition()
 		if done {
 			return nil
 		}
-		if now := time.Now(); now.After(limit) {
-			return fmt.Errorf("no %s after %v (%s); keep the logs (--logs) and look there", strings.TrimPrefix(what, "a "), most, why)
-		} else if now.After(tell) {
-			tell = now.Add(progressEach)
-			r.progress("waiting for %s: %s", what, why)
+		if now := time.Now(); now.After(deadline) {
+			return fmt.Errorf("no %s after %v (%s); keep the processes' logs (--logs) to find the cause", strings.TrimPrefix(what, "a "), timeout, reason)
+		} else if now.After(nextProgress) {
+			nextProgress = now.Add(progressInterval)
+			r.progress("waiting for %s: %s", what, reason)
 		}
-		if err := sleep(ctx, pollPause); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
+// sleep waits for d. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -590,66 +604,68 @@
 	}
 }
 
+// leaderName returns the voter that leads, or an empty name.
 func (r *run) leaderName() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader
 }
 
-// play plays the acts, and waits for what they began. An end of the context is its end.
-func (r *run) play(ctx context.Context) {
+// runActions runs the measured time: it carries out the plan's actions, and waits until their effects have ended and the last version can
+// be judged. If the context ends, it stops early.
+func (r *run) runActions(ctx context.Context) {
 	watching, done := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer done()
 	r.mu.Lock()
-	r.began = boot()
+	r.began = bootTime()
 	r.obs.Began = r.began
 	r.mu.Unlock()
-	r.sample() // the first of what counts; lags before it do not
-	r.playing.Store(true)
-	all.Go(func() { r.watch(watching) })
-	all.Go(func() { r.ownLag(watching) })
+	r.sample() // the first sample of the measured time, before lag is recorded
+	r.measuring.Store(true)
+	all.Go(func() { r.sampleLoop(watching) })
+	all.Go(func() { r.measureOwnLag(watching) })
 	proposing, enough := context.WithCancel(watching)
 	defer enough()
 	all.Go(func() { r.propose(proposing) })
-	for _, name := range slices.Concat(r.s.realNames(), r.s.plainNames()) {
-		all.Go(func() { r.load(watching, r.sidecars[name]) })
+	for _, name := range slices.Concat(r.scenario.realNames(), r.scenario.plainNames()) {
+		all.Go(func() { r.generateLoad(watching, r.sidecars[name]) })
 	}
-	r.progress("playing %v", r.s.Duration)
+	r.progress("playing %v", r.scenario.Duration)
 	begin := time.Now()
-	for _, act := range r.plan.Acts {
-		due := begin.Add(act.At)
+	for _, action := range r.plan.Actions {
+		due := begin.Add(action.At)
 		if sleep(ctx, time.Until(due)) != nil {
 			break
 		}
-		r.late("what plays the steps", time.Since(due))
-		r.clearing.Go(func() { r.act(ctx, act, r.began+act.At) })
+		r.recordLag("what plays the steps", time.Since(due))
+		r.actions.Go(func() { r.perform(ctx, action, r.began+action.At) })
 	}
-	if sleep(ctx, time.Until(begin.Add(r.s.Duration))) == nil {
-		r.clearing.Wait()
-		r.lastVersion(ctx, enough)
+	if sleep(ctx, time.Until(begin.Add(r.scenario.Duration))) == nil {
+		r.actions.Wait()
+		r.awaitLastVersion(ctx, enough)
 	}
-	r.clearing.Wait()
-	r.playing.Store(false)
+	r.actions.Wait()
+	r.measuring.Store(false)
 	if ctx.Err() == nil {
 		r.sample()
 	}
 }
 
-// lastVersion waits until what was to be proposed has been, not for ever, has no more proposed, and waits until the last version is
-// acted on, so that it can be judged.
-func (r *run) lastVersion(ctx context.Context, enough func()) {
-	until := func(most time.Duration, there func() bool) {
-		limit := time.Now().Add(most)
-		for ctx.Err() == nil && time.Now().Before(limit) && !there() {
-			sleep(ctx, pollPause) //nolint:errcheck // the loop looks
+// awaitLastVersion waits until all versions that are due have been proposed (for at most proposalsTimeout), stops proposing, and then waits
+// until the last version is in effect or refused, so that it can be evaluated.
+func (r *run) awaitLastVersion(ctx context.Context, enough func()) {
+	until := func(timeout time.Duration, condition func() bool) {
+		deadline := time.Now().Add(timeout)
+		for ctx.Err() == nil && time.Now().Before(deadline) && !condition() {
+			sleep(ctx, pollInterval) //nolint:errcheck // the loop's condition checks the context
 		}
 	}
-	until(lastVersion, func() bool {
+	until(proposalsTimeout, func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		return r.obs.Left == 0
+		return r.obs.Unproposed == 0
 	})
 	enough()
 	r.mu.Lock()
@@ -658,26 +674,26 @@
 		number = r.obs.Versions[n-1].Number
 	}
 	r.mu.Unlock()
-	until(max(r.s.Limits.InForce, leastSettle)+r.s.Lease, func() bool {
+	until(max(r.scenario.Limits.InEffect, minSettleTime)+r.scenario.Lease, func() bool {
 		r.mu.Lock()
-		refused := r.refused[number] != ""
+		refused := r.refusedVersions[number] != ""
 		var up []string
-		for name, s := range r.last {
+		for name, s := range r.lastState {
 			if c := r.sidecars[name]; !s.Gone && (c == nil || c.isUp()) {
 				up = append(up, name)
 			}
 		}
 		r.mu.Unlock()
-		return refused || len(r.without(up, number)) == 0
+		return refused || len(r.notApplying(up, number)) == 0
 	})
-	sleep(ctx, r.s.Lease/2) //nolint:errcheck // for events that are on their way
+	sleep(ctx, r.scenario.Lease/2) //nolint:errcheck // time for reports that are still on their way
 }
 
-// watch samples each second.
-func (r *run) watch(ctx context.Context) {
-	tick := time.NewTicker(sampleEvery)
+// sampleLoop takes a sample each second, and writes a progress line from time to time.
+func (r *run) sampleLoop(ctx context.Context) {
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
-	told := time.Now()
+	lastProgress := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -685,37 +701,37 @@
 		case <-tick.C:
 		}
 		r.sample()
-		if time.Since(told) >= progressEach {
-			told = time.Now()
+		if time.Since(lastProgress) >= progressInterval {
+			lastProgress = time.Now()
 			r.mu.Lock()
 			cautious, newest := 0, uint64(0)
-			for _, s := range r.last {
+			for _, s := range r.lastState {
 				if s.Cautious && !s.Gone {
 					cautious++
 				}
 				newest = max(newest, s.Active)
 			}
 			line := fmt.Sprintf("%6.2fs version %d, leader %s, %d cautious, load average %s",
-				(boot() - r.began).Seconds(), newest, r.leader, cautious, loadAverage())
+				(bootTime() - r.began).Seconds(), newest, r.leader, cautious, loadAverage())
 			r.mu.Unlock()
 			r.progress("%s", line)
 		}
 	}
 }
 
-// sample asks all processes what they have cost.
+// sample records the resources that each process has used so far.
 func (r *run) sample() {
 	var all sync.WaitGroup
-	for _, h := range r.herds {
+	for _, p := range r.emulated {
 		all.Go(func() {
-			l, err := h.do(emulated.Command{Do: emulated.Sample}, sampleTime)
+			l, err := p.command(emulated.Command{Do: emulated.Sample}, sampleTimeout)
 			if err != nil || l.Sample == nil {
-				r.broken("a sample of %s: %v", h.name, err)
+				r.recordFailure("a sample of %s: %v", p.name, err)
 				return
 			}
-			r.late(h.name, l.Sample.Lag)
+			r.recordLag(p.name, l.Sample.Lag)
 			r.mu.Lock()
-			r.obs.Samples[h.name] = append(r.obs.Samples[h.name], *l.Sample)
+			r.obs.Samples[p.name] = append(r.obs.Samples[p.name], *l.Sample)
 			r.mu.Unlock()
 		})
 	}
@@ -729,55 +745,56 @@
 	all.Wait()
 }
 
-// ownLag measures by how much this process's own timers come late.
-func (r *run) ownLag(ctx context.Context) {
+// measureOwnLag records by how much this process's own timers are late.
+func (r *run) measureOwnLag(ctx context.Context) {
 	for ctx.Err() == nil {
-		due := time.Now().Add(ownLagEvery)
-		if sleep(ctx, ownLagEvery) == nil {
-			r.late("this process", time.Since(due))
+		due := time.Now().Add(ownLagInterval)
+		if sleep(ctx, ownLagInterval) == nil {
+			r.recordLag("this process", time.Since(due))
 		}
 	}
 }
 
-// load asks a sidecar at an even pace; a request that is late does not put off the next.
-func (r *run) load(ctx context.Context, c *sidecar) {
-	if r.s.Rate == 0 {
+// generateLoad sends requests to a sidecar at an even rate. It does not wait for answers, so that a slow one does not delay the next
+// request.
+func (r *run) generateLoad(ctx context.Context, c *sidecar) {
+	if r.scenario.Rate == 0 {
 		return
 	}
-	client := &http.Client{Timeout: 2 * loadDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: mostAtOnce}}
+	client := &http.Client{Timeout: 2 * loadDeadline, Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrent}}
 	defer client.CloseIdleConnections()
-	gap := time.Duration(float64(time.Second) / r.s.Rate)
-	room := make(chan struct{}, mostAtOnce)
-	var under sync.WaitGroup
-	defer under.Wait()
+	period := time.Duration(float64(time.Second) / r.scenario.Rate)
+	slots := make(chan struct{}, maxConcurrent)
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for n, due := 0, time.Now(); ; n++ {
-		due = due.Add(gap)
+		due = due.Add(period)
 		if sleep(ctx, time.Until(due)) != nil {
 			return
 		}
-		r.late("the load", time.Since(due))
+		r.recordLag("the load", time.Since(due))
 		if !c.isUp() {
 			continue
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
-			r.asked.Add(1) // and not served: all before it still wait
+			r.requests.Add(1) // it counts as not served: maxConcurrent requests before it are still in flight
 			continue
 		}
-		under.Go(func() {
-			defer func() { <-room }()
-			q, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+harness.LoadClass+"/x", nil)
+		inFlight.Go(func() {
+			defer func() { <-slots }()
+			request, err := http.NewRequest(http.MethodGet, "http://"+c.listen+"/"+harness.LoadClass+"/x", nil)
 			if err != nil {
 				return
 			}
-			q.Header.Set("X-Txn", c.name+"."+strconv.Itoa(n))
-			q.Header.Set("X-Remaining", "0.7")
-			answer, err := client.Do(q)
-			if !c.isUp() { // it was ended meanwhile: its client would have gone elsewhere
+			request.Header.Set("X-Txn", c.name+"."+strconv.Itoa(n))
+			request.Header.Set("X-Remaining", "0.7")
+			answer, err := client.Do(request)
+			if !c.isUp() { // the sidecar was stopped meanwhile: a real client would have used another one
 				return
 			}
-			r.asked.Add(1)
+			r.requests.Add(1)
 			if err == nil {
 				if answer.Body.Close(); answer.StatusCode == http.StatusOK {
 					r.served.Add(1)
@@ -787,11 +804,11 @@
 	}
 }
 
-// close ends all that was started, each by its own id.
+// close ends all processes and servers that the run has started, each process by its own id.
 func (r *run) close() {
 	var all sync.WaitGroup
-	for _, h := range r.herds {
-		all.Go(h.close)
+	for _, p := range r.emulated {
+		all.Go(p.close)
 	}
 	all.Wait()
 	for _, name := range slices.Sorted(maps.Keys(r.sidecars)) {
@@ -799,8 +816,8 @@
 		all.Go(c.close)
 	}
 	all.Wait()
-	for _, way := range r.fronts {
-		way.Close()
+	for _, relay := range r.voterRelays {
+		relay.Close()
 	}
 	for _, s := range r.servers {
 		s.Close()
@@ -808,23 +825,24 @@
 	r.hosts.Close()
 }
 
-// end ends a real process by a signal, and waits for it.
-func (c *sidecar) end(s syscall.Signal, most time.Duration) (from time.Duration, did bool) {
-	proc, up := c.take()
+// end sends a signal to a real process and waits until it has ended; after the timeout it kills the process. from is the begin of the
+// downtime: for SIGKILL the moment of the signal, otherwise that of the end. ended is false if the process was not up.
+func (c *sidecar) end(s syscall.Signal, timeout time.Duration) (from time.Duration, ended bool) {
+	proc, up := c.markEnding()
 	if !up {
 		return 0, false
 	}
-	from = boot()
+	from = bootTime()
 	c.run.mu.Lock()
-	c.run.noLeader(c.name, from)
+	c.run.recordLeaderLost(c.name, from)
 	c.run.mu.Unlock()
 	proc.Signal(s)
-	if !proc.Wait(most) {
+	if !proc.Wait(timeout) {
 		proc.Signal(syscall.SIGKILL)
-		proc.Wait(killTime)
+		proc.Wait(killTimeout)
 	}
 	if s != syscall.SIGKILL {
-		from = boot()
+		from = bootTime()
 	}
 	return from, true
 }
