--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -73,8 +73,8 @@
 // Retries are attempts beyond the first of each request that was sent. What was refused unsent hides some of them.
 func (t ChainTier) Retries() int { return max(0, t.Attempts-t.Requests) }
 
-// chainScene is one tier; a chain has so many alike.
-const chainScene = `
+// chainScenario is one tier; a chain has so many alike.
+const chainScenario = `
 name = "chain"
 duration = "1h"
 margin = "300ms"
@@ -95,8 +95,8 @@
 rate = 1
 `
 
-func (c *ChainConf) scene() (*scenario.Scenario, error) {
-	s, err := scenario.Parse("chain", []byte(chainScene))
+func (c *ChainConf) scenario() (*scenario.Scenario, error) {
+	s, err := scenario.Parse("chain", []byte(chainScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -114,28 +114,28 @@
 
 // chain is a chain at work.
 type chain struct {
-	*rig
-	conf  ChainConf
-	links []*link // one a tier
-	calls atomic.Int64
+	*run
+	conf   ChainConf
+	stages []*chainStage // one a tier
+	calls  atomic.Int64
 }
 
-// link is a tier, and the ways to it.
-type link struct {
-	list      *fake.Discovery
-	sidecar   *sidecar
-	through   *load.Client
-	straight  *load.Client // nil without a straight way
-	direct    *front
-	endpoints []*fake.Endpoint // those of the way through sidecars first
+// chainStage is a tier, and the ways to it.
+type chainStage struct {
+	discovery   *fake.Discovery
+	sidecar     *sidecar
+	through     *load.Client
+	direct      *load.Client // nil without a straight way
+	directFront *front
+	endpoints   []*fake.Endpoint // those of the way through sidecars first
 
-	mu         sync.Mutex
-	took, used *hdrhistogram.Histogram // of calls, and of the deadline when they were made
+	mu                sync.Mutex
+	latency, timeUsed *hdrhistogram.Histogram // of calls, and of the deadline when they were made
 }
 
 // MeasureChain plays one chain.
 func MeasureChain(ctx context.Context, conf ChainConf, opts Options) (*Chain, error) {
-	scene, err := conf.scene()
+	scene, err := conf.scenario()
 	if err != nil {
 		return nil, err
 	}
@@ -144,31 +144,31 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &chain{rig: newRig(scene, conf.Seed, opts, dir), conf: conf}
-	c.share(oracle.NewService(nil, 0))
-	defer c.end()
+	c := &chain{run: newRun(scene, conf.Seed, opts, dir), conf: conf}
+	c.openChecker(oracle.NewService(nil, 0))
+	defer c.stop()
 	if err := c.start(ctx); err != nil {
 		return nil, err
 	}
-	return c.play(ctx)
+	return c.sendLoad(ctx)
 }
 
 // start starts the last tier first: those before it call it.
 func (c *chain) start(ctx context.Context) error {
-	for range c.scene.Tiers {
-		c.lists = append(c.lists, fake.NewDiscovery(c.book))
+	for range c.scenario.Tiers {
+		c.discoveries = append(c.discoveries, fake.NewDiscovery(c.checker))
 	}
-	c.links = make([]*link, c.conf.Depth)
+	c.stages = make([]*chainStage, c.conf.Depth)
 	for n := c.conf.Depth - 1; n >= 0; n-- {
-		l := &link{list: c.lists[n], direct: &front{}, took: newLatencies(), used: newLatencies()}
-		c.links[n] = l
-		if err := c.startServices(n, l); err != nil {
+		l := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newLatencies(), timeUsed: newLatencies()}
+		c.stages[n] = l
+		if err := c.startEndpoints(n, l); err != nil {
 			return err
 		}
 		l.sidecar = &sidecar{
-			rig: c.rig, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, own: c.conf.PerCaller, zone: "a",
+			run: c.run, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, perCaller: c.conf.PerCaller, zone: "a",
 		}
-		if err := l.sidecar.settle(); err != nil {
+		if err := l.sidecar.assignAddresses(); err != nil {
 			return err
 		}
 		c.addSidecar(l.sidecar)
@@ -178,53 +178,53 @@
 		}
 		only := &load.SingleTarget{}
 		only.Set(target)
-		l.through = load.NewClient(c.book, only, c.grace())
+		l.through = load.NewClient(c.checker, only, c.clientGrace())
 		if c.conf.CompareDirect {
-			l.straight = load.NewClient(c.book, l.direct, c.grace())
+			l.direct = load.NewClient(c.checker, l.directFront, c.clientGrace())
 		}
 	}
 	return nil
 }
 
-// startServices starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
-func (c *chain) startServices(n int, l *link) error {
+// startEndpoints starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
+func (c *chain) startEndpoints(n int, l *chainStage) error {
 	ways := 1
 	if c.conf.CompareDirect {
 		ways = 2
 	}
 	for i := range ways * c.conf.Endpoints {
 		straight := i >= c.conf.Endpoints
-		host, err := c.hosts.take()
+		host, err := c.hosts.acquire()
 		if err != nil {
 			return err
 		}
-		t := c.scene.Tiers[n]
+		t := c.scenario.Tiers[n]
 		conf := fake.EndpointConf{
 			Name: fmt.Sprintf("%s-%d", t.Name, i), Address: host + ":0", ServerModel: t.ServerModel,
-			IdleFor: c.scene.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
-			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scene.Classes[0].Work}},
+			IdleFor: c.scenario.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
+			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scenario.Classes[0].Work}},
 		}
 		if n+1 < c.conf.Depth {
-			next := c.links[n+1]
+			next := c.stages[n+1]
 			client := next.through
 			if straight {
-				client = next.straight
+				client = next.direct
 			}
 			conf.Calls = 1
 			conf.Call = func(ctx context.Context, until time.Duration, _ string) bool {
 				return c.call(ctx, next, client, until)
 			}
 		}
-		e, err := fake.StartEndpoint(conf, c.book)
+		e, err := fake.StartEndpoint(conf, c.checker)
 		if err != nil {
 			return err
 		}
 		l.endpoints = append(l.endpoints, e)
 		if straight {
-			l.direct.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
+			l.directFront.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
-		l.list.SetLines(fake.Line{
+		l.discovery.SetLines(fake.Line{
 			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: fake.Serving, Weight: 1,
 		})
 	}
@@ -232,8 +232,8 @@
 }
 
 // call makes a service's call of the next tier, with what is left of its own request's time, and fails when it fails.
-func (c *chain) call(ctx context.Context, to *link, client *load.Client, until time.Duration) bool {
-	began := c.book.Now()
+func (c *chain) call(ctx context.Context, to *chainStage, client *load.Client, until time.Duration) bool {
+	began := c.checker.Now()
 	result := client.Send(ctx, load.Request{
 		ID: fmt.Sprintf("c%x", c.calls.Add(1)), Class: "look", Tier: 1, Effect: decide.Safe, Deadline: until,
 	})
@@ -241,21 +241,21 @@
 	if client == to.through {
 		to.mu.Lock()
 		defer to.mu.Unlock()
-		observe(to.used, c.conf.Deadline-(until-began))
+		observe(to.timeUsed, c.conf.Deadline-(until-began))
 		if served {
-			observe(to.took, c.book.Now()-began)
+			observe(to.latency, c.checker.Now()-began)
 		}
 	}
 	return served
 }
 
-// end ends whatever stands.
-func (c *chain) end() {
-	for _, l := range c.links {
+// stop ends whatever stands.
+func (c *chain) stop() {
+	for _, l := range c.stages {
 		if l == nil {
 			continue
 		}
-		for _, client := range [2]*load.Client{l.through, l.straight} {
+		for _, client := range [2]*load.Client{l.through, l.direct} {
 			if client != nil {
 				client.Close()
 			}
@@ -264,51 +264,51 @@
 			e.Kill()
 		}
 	}
-	c.endAll()
+	c.stopAll()
 }
 
-// play sends the load, with the trouble in place from the start, and takes the figures.
-func (c *chain) play(ctx context.Context) (*Chain, error) {
-	last := c.links[c.conf.Depth-1]
+// sendLoad sends the load, with the trouble in place from the start, and takes the figures.
+func (c *chain) sendLoad(ctx context.Context) (*Chain, error) {
+	last := c.stages[c.conf.Depth-1]
 	for _, e := range last.endpoints {
 		e.SetTrouble(c.conf.Trouble, c.conf.Share)
 	}
 	before := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.links {
+	for n, l := range c.stages {
 		var err error
-		if before[n], err = l.sidecar.proc.ran(); err != nil {
+		if before[n], err = l.sidecar.proc.cpuTime(); err != nil {
 			return nil, err
 		}
 	}
-	ways := []*load.Client{c.links[0].through}
+	ways := []*load.Client{c.stages[0].through}
 	if c.conf.CompareDirect {
-		ways = append(ways, c.links[0].straight)
+		ways = append(ways, c.stages[0].direct)
 	}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	out := &Chain{}
 	took, lag := [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, newLatencies()
 	side, stopSide := context.WithCancel(ctx)
-	wait.Go(func() { c.look(side) })
+	wait.Go(func() { c.monitor(side) })
 	var sending sync.WaitGroup
-	base := c.book.Now()
-	for src := c.scene.Plan().Arrivals(c.conf.Seed); ctx.Err() == nil; {
+	base := c.checker.Now()
+	for src := c.scenario.Plan().Arrivals(c.conf.Seed); ctx.Err() == nil; {
 		a, ok := src.Next()
 		if !ok {
 			break
 		}
 		c.waitUntil(ctx, base+a.At)
 		sending.Go(func() {
-			late := c.book.Now() - base - a.At
+			late := c.checker.Now() - base - a.At
 			client := ways[a.Number%len(ways)]
 			way := 1
-			if client != c.links[0].through {
+			if client != c.stages[0].through {
 				way = 0
 			}
 			result := client.Send(ctx, load.Request{
 				ID: fmt.Sprintf("f%d", a.Number), Class: "look", Effect: decide.Safe, Deadline: base + a.At + c.conf.Deadline,
 			})
-			end := c.book.Now() - base - a.At
+			end := c.checker.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(lag, late)
@@ -320,41 +320,41 @@
 		})
 	}
 	sending.Wait()
-	out.Seconds = (c.book.Now() - base).Seconds()
+	out.Seconds = (c.checker.Now() - base).Seconds()
 	stopSide()
 	wait.Wait()
-	time.Sleep(settleTime)
+	time.Sleep(settleDelay)
 	out.Lag = quantile(lag, 99)
 	for way := range took {
 		out.Front[way].P50, out.Front[way].P99 = quantile(took[way], 50), quantile(took[way], 99)
 	}
-	return out, c.take(ctx, out, before, took[1])
+	return out, c.collect(ctx, out, before, took[1])
 }
 
-// take takes each tier's figures.
-func (c *chain) take(ctx context.Context, out *Chain, before []time.Duration, front *hdrhistogram.Histogram) error {
+// collect takes each tier's figures.
+func (c *chain) collect(ctx context.Context, out *Chain, before []time.Duration, front *hdrhistogram.Histogram) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("interrupted: %w", ctx.Err())
 	}
 	ran := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.links {
-		after, err := l.sidecar.proc.ran()
+	for n, l := range c.stages {
+		after, err := l.sidecar.proc.cpuTime()
 		if err != nil {
 			return err
 		}
 		ran[n] = after - before[n]
 	}
 	var account oracle.Report
-	for n, l := range c.links {
-		said := l.sidecar.close(true)
+	for n, l := range c.stages {
+		said := l.sidecar.finish(true)
 		if n == 0 {
-			observe(l.used, 0)
-			l.took = front
+			observe(l.timeUsed, 0)
+			l.latency = front
 		}
 		l.mu.Lock()
 		t := ChainTier{
-			P50: quantile(l.took, 50), P99: quantile(l.took, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.used, 50),
-			RemainingMin: millis(c.conf.Deadline) - quantile(l.used, 100), RSSMB: said.RSSMB, FDs: said.FDs,
+			P50: quantile(l.latency, 50), P99: quantile(l.latency, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.timeUsed, 50),
+			RemainingMin: millis(c.conf.Deadline) - quantile(l.timeUsed, 100), RSSMB: said.RSSMB, FDs: said.FDs,
 		}
 		l.mu.Unlock()
 		if said.Counters != nil {
@@ -362,10 +362,10 @@
 		}
 		out.Tiers = append(out.Tiers, t)
 	}
-	c.book.Do(func(b *oracle.Checker) { account = b.Close() })
+	c.checker.Do(func(b *oracle.Checker) { account = b.Close() })
 	out.NumViolations, out.Violations, out.BalanceErr = account.NumViolations(), account.Violations, account.Balance()
 	for n := range out.Tiers {
-		t, tally := &out.Tiers[n], account.Sidecars[c.links[n].sidecar.name]
+		t, tally := &out.Tiers[n], account.Sidecars[c.stages[n].sidecar.name]
 		if tally == nil { // nothing was asked of it
 			tally = &oracle.Tally{}
 		}
--- a/internal/lab/harness/files.go
+++ b/internal/lab/harness/cluster_files.go
@@ -15,7 +15,7 @@
 const (
 	LoadClass   = loadClass
 	ProbedClass = probedClass
-	OrderClass  = orderClass
+	KeyedClass  = keyedClass
 )
 
 // NamedAddress is an address of somebody.
@@ -29,7 +29,7 @@
 	Slack               time.Duration
 	ContradictAtMost    time.Duration
 	Voters              []NamedAddress
-	Ways                []NamedAddress // to members by another address than their own
+	Routes              []NamedAddress // to members by another address than their own
 	Copies              int            // 0 for no holdings
 	Keep                time.Duration
 	LostAfter           time.Duration
@@ -44,11 +44,11 @@
 	for _, k := range f.Voters {
 		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", k.Name, k.Address)
 	}
-	for _, w := range f.Ways {
+	for _, w := range f.Routes {
 		fmt.Fprintf(&b, "[[crew.way]]\nname = %q\naddress = %q\n", w.Name, w.Address)
 	}
 	if f.Copies > 0 {
-		fmt.Fprintf(&b, "[holdings]\ncopies = %d\nkeep = %q\nlost_after = %q\n[[holdings.class]]\nname = %q\n", f.Copies, f.Keep, f.LostAfter, orderClass)
+		fmt.Fprintf(&b, "[holdings]\ncopies = %d\nkeep = %q\nlost_after = %q\n[[holdings.class]]\nname = %q\n", f.Copies, f.Keep, f.LostAfter, keyedClass)
 	}
 	return b.String()
 }
@@ -71,7 +71,7 @@
 		lines = append(lines, map[string]any{"name": e.Name, "address": e.Address, "zone": "a", "group": i, "status": "SERVING"})
 	}
 	class := func(name, effect string) any {
-		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 300.0, "deadline": crewDeadlineMS, "worth": 1.0}
+		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 300.0, "deadline": clusterDeadlineMS, "worth": 1.0}
 	}
 	return json.Marshal(map[string]any{
 		"name": f.Name, "listen": f.Listen, "discovery": f.Host + ":9", "seed": fmt.Sprintf("%x", f.Seed),
@@ -79,11 +79,11 @@
 		"settings": map[string]any{
 			"me": f.Me, "replicas_of_me": f.Replicas, "az": f.Zone, "tier": 0, "stages": []string{"one"}, "tick": 2.0,
 			"membership_mode": "subscribe", "over_share_worth": 0.1,
-			"bounds": map[string]any{"cancel": true, "max_attempts": leastAttempts, "connect_timeout": 300.0, "conn_idle": 5000.0, "most_held": 500},
+			"bounds": map[string]any{"cancel": true, "max_attempts": maxAttempts, "connect_timeout": 300.0, "conn_idle": 5000.0, "most_held": 500},
 			"rules": map[string]any{"answer_slack": 50.0, "ask_every": 5000.0, "cold": 1000.0, "cold_from": 0.5, "drain_grace": 300.0,
 				"fall_multiple": 50.0, "overload_for": 5000.0},
 			"profiles": []any{class(loadClass, "repeatable"), class(probedClass, versions.EffectNames[f.Effect]), map[string]any{
-				"name": orderClass, "effect": "by_key", "group": "all", "window": millis(orderWindow), "aim": 300.0, "deadline": crewDeadlineMS, "worth": 1.0,
+				"name": keyedClass, "effect": "by_key", "group": "all", "window": millis(keyWindow), "aim": 300.0, "deadline": clusterDeadlineMS, "worth": 1.0,
 			}},
 		},
 	})
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -138,7 +138,7 @@
 func (h *buggyHold) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	n := h.of.ends.Add(1)
 	if h.of.bug == bugTellsEarly {
-		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
+		time.AfterFunc(keyWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
 		if n == 2*deadlyEnd {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 		}
--- a/internal/lab/harness/parts.go
+++ b/internal/lab/harness/exported.go
@@ -10,19 +10,19 @@
 // What other labs take of this one: hosts, processes and relays.
 
 // Hosts deals out hosts and addresses of the loopback net.
-type Hosts struct{ hosts *hosts }
+type Hosts struct{ allocator *hostAllocator }
 
 // NewHosts returns a run's.
-func NewHosts() *Hosts { return &Hosts{newHosts()} }
+func NewHosts() *Hosts { return &Hosts{newHostAllocator()} }
 
 // Acquire returns a host that no other run has.
-func (h *Hosts) Acquire() (string, error) { return h.hosts.take() }
+func (h *Hosts) Acquire() (string, error) { return h.allocator.acquire() }
 
 // Address returns an address of a host that was taken, which was not dealt out before.
-func (h *Hosts) Address(host string) (string, error) { return h.hosts.address(host) }
+func (h *Hosts) Address(host string) (string, error) { return h.allocator.address(host) }
 
 // Close gives all hosts back.
-func (h *Hosts) Close() { h.hosts.close() }
+func (h *Hosts) Close() { h.allocator.close() }
 
 // Process is one start of a sidecar's program.
 type Process struct{ process *process }
@@ -30,7 +30,7 @@
 // StartProcess starts a sidecar's program with its configuration. Its log goes on to a file where there is one, and each of its
 // lines to watch.
 func StartProcess(cmd *exec.Cmd, name, config, logPath string, watch func(line string)) (*Process, error) {
-	p, err := startWatched(cmd, name, config, logPath, watch)
+	p, err := startProcessWatched(cmd, name, config, logPath, watch)
 	if err != nil {
 		return nil, err
 	}
@@ -39,14 +39,14 @@
 
 // WaitReady waits until it answers at an address.
 func (p *Process) WaitReady(ctx context.Context, address string) error {
-	return waitUp(ctx, address, p.process)
+	return waitReady(ctx, address, p.process)
 }
 
 // Pid is its number.
 func (p *Process) Pid() int { return p.process.cmd.Process.Pid }
 
 // Signal tells it to end with a signal.
-func (p *Process) Signal(s os.Signal) { p.process.end(s) }
+func (p *Process) Signal(s os.Signal) { p.process.stop(s) }
 
 // Wait waits until it is gone; false after the time.
 func (p *Process) Wait(most time.Duration) bool { return p.process.wait(most) }
@@ -84,18 +84,18 @@
 
 // SetPartitioned has nothing pass either way, or pass again.
 func (r *Relay) SetPartitioned(cut bool) {
-	r.relay.set(there, cut)
-	r.relay.set(back, cut)
+	r.relay.setPartitioned(toTarget, cut)
+	r.relay.setPartitioned(fromTarget, cut)
 }
 
 // SetDelay has what goes each way come so much later than before, or sooner where that is below 0.
 func (r *Relay) SetDelay(by time.Duration) {
-	r.relay.slow(there, by)
-	r.relay.slow(back, by)
+	r.relay.addDelay(toTarget, by)
+	r.relay.addDelay(fromTarget, by)
 }
 
 // SetAnswerDelay is Delay of what comes back.
-func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.slow(back, by) }
+func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.addDelay(fromTarget, by) }
 
 // Close ends it with its connections.
 func (r *Relay) Close() { r.relay.close() }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -23,31 +23,31 @@
 
 // Times of a run.
 const (
-	lookEvery     = time.Second            // sidecars are looked at, and the book folded
-	frontNotices  = 300 * time.Millisecond // a sidecar that got SIGTERM is dealt no connections any more
-	settleTime    = 100 * time.Millisecond // after the last request, for what is still on its way
-	graceMore     = 30 * time.Millisecond  // a client waits so much longer than the book allows
-	stepsMostLate = time.Second            // a step of the timeline that is later voids the run
+	monitorInterval   = time.Second            // sidecars are looked at, and the book folded
+	frontRemovalDelay = 300 * time.Millisecond // a sidecar that got SIGTERM is dealt no connections any more
+	settleDelay       = 100 * time.Millisecond // after the last request, for what is still on its way
+	extraGrace        = 30 * time.Millisecond  // a client waits so much longer than the book allows
+	maxStepLateness   = time.Second            // a step of the timeline that is later voids the run
 )
 
-// rig is one run.
-type rig struct {
-	scene *scenario.Scenario
-	seed  uint64
-	opts  Options
-	dir   string // for configurations
-	hosts *hosts
-	book  *oracle.Shared
-	base  time.Duration // on the book's clock: when the load begins
-	lists []*fake.Discovery
-	tiers []*tier
-	front *front
+// run is one run.
+type run struct {
+	scenario    *scenario.Scenario
+	seed        uint64
+	opts        Options
+	dir         string // for configurations
+	hosts       *hostAllocator
+	checker     *oracle.Shared
+	loadStart   time.Duration // on the book's clock: when the load begins
+	discoveries []*fake.Discovery
+	tiers       []*tier
+	front       *front
 
-	mu       sync.Mutex
-	sidecars []*sidecar
-	first    []*sidecar // those of the first tier
-	played   []string
-	void     []string
+	mu           sync.Mutex
+	sidecars     []*sidecar
+	firstTier    []*sidecar // those of the first tier
+	appliedSteps []string
+	void         []string
 }
 
 // Run plays a scenario with a seed. An interrupted run returns a record that says
@@ -58,85 +58,87 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := newRig(scene, seed, opts, dir)
+	r := newRun(scene, seed, opts, dir)
 	worth := map[string]oracle.Worth{}
 	for _, c := range scene.Classes {
 		worth[c.Name] = oracle.Worth{Full: c.Worth, Late: c.LateShare, Aim: c.Aim, Deadline: c.Deadline}
 	}
 	service := oracle.NewService(worth, scene.Warmup)
-	r.share(service)
-	defer r.endAll()
+	r.openChecker(service)
+	defer r.stopAll()
 	if err := r.startAll(ctx); err != nil {
 		return nil, err
 	}
-	r.base = r.book.Now()
-	return r.play(ctx, service)
+	r.loadStart = r.checker.Now()
+	return r.execute(ctx, service)
 }
 
-// newRig returns a run of which nothing has started; dir is for its files.
-func newRig(scene *scenario.Scenario, seed uint64, opts Options, dir string) *rig {
-	return &rig{scene: scene, seed: seed, opts: opts, dir: dir, hosts: newHosts(), front: &front{}}
+// newRun returns a run of which nothing has started; dir is for its files.
+func newRun(scene *scenario.Scenario, seed uint64, opts Options, dir string) *run {
+	return &run{scenario: scene, seed: seed, opts: opts, dir: dir, hosts: newHostAllocator(), front: &front{}}
 }
 
-// share opens the book.
-func (r *rig) share(service *oracle.Service) {
-	r.book = oracle.NewShared(oracle.New(oracle.Conf{
-		AnswerSlack: r.scene.Rules.AnswerSlack, DrainGrace: r.scene.Rules.DrainGrace,
-		AskEvery: r.scene.Rules.AskEvery, DeliveredAfter: r.scene.Rules.DeliveredAfter, Margin: r.scene.Margin,
+// openChecker opens the book.
+func (r *run) openChecker(service *oracle.Service) {
+	r.checker = oracle.NewShared(oracle.New(oracle.Conf{
+		AnswerSlack: r.scenario.Rules.AnswerSlack, DrainGrace: r.scenario.Rules.DrainGrace,
+		AskEvery: r.scenario.Rules.AskEvery, DeliveredAfter: r.scenario.Rules.DeliveredAfter, Margin: r.scenario.Margin,
 	}), service)
 }
 
-// grace is how long clients wait past a request's time.
-func (r *rig) grace() time.Duration { return r.scene.Rules.AnswerSlack + r.scene.Margin + graceMore }
+// clientGrace is how long clients wait past a request's time.
+func (r *run) clientGrace() time.Duration {
+	return r.scenario.Rules.AnswerSlack + r.scenario.Margin + extraGrace
+}
 
-func (r *rig) callClass(tier int) int {
-	return slices.IndexFunc(r.scene.Classes, func(c scenario.Class) bool { return c.Name == r.scene.Tiers[tier].CallClass })
+func (r *run) callClass(tier int) int {
+	return slices.IndexFunc(r.scenario.Classes, func(c scenario.Class) bool { return c.Name == r.scenario.Tiers[tier].CallClass })
 }
 
-func (r *rig) addSidecar(s *sidecar) {
+func (r *run) addSidecar(s *sidecar) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sidecars = append(r.sidecars, s)
 }
 
-func (r *rig) all() []*sidecar {
+func (r *run) allSidecars() []*sidecar {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.sidecars)
 }
 
 // startAll starts the last tier first: those before it call it.
-func (r *rig) startAll(ctx context.Context) error {
-	for range r.scene.Tiers {
-		r.lists = append(r.lists, fake.NewDiscovery(r.book))
+func (r *run) startAll(ctx context.Context) error {
+	for range r.scenario.Tiers {
+		r.discoveries = append(r.discoveries, fake.NewDiscovery(r.checker))
 	}
-	r.tiers = make([]*tier, len(r.scene.Tiers))
+	r.tiers = make([]*tier, len(r.scenario.Tiers))
 	for i := len(r.tiers) - 1; i >= 0; i-- {
 		r.tiers[i] = newTier(r, i)
 		if err := r.tiers[i].start(ctx); err != nil {
 			return err
 		}
 	}
-	conf := r.scene.Tiers[0]
+	conf := r.scenario.Tiers[0]
 	for n := range conf.Sidecars {
 		s := &sidecar{
-			rig: r, name: fmt.Sprintf("s%d", n), number: n, peers: conf.Sidecars,
+			run: r, name: fmt.Sprintf("s%d", n), number: n, peers: conf.Sidecars,
 			zone: conf.Zones[n%len(conf.Zones)],
 		}
-		if err := s.settle(); err != nil {
+		if err := s.assignAddresses(); err != nil {
 			return err
 		}
-		r.first = append(r.first, s)
+		r.firstTier = append(r.firstTier, s)
 		r.addSidecar(s)
-		if err := r.join(ctx, s); err != nil {
+		if err := r.startBehindFront(ctx, s); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// join starts a sidecar of the first tier and has the front deal it connections.
-func (r *rig) join(ctx context.Context, s *sidecar) error {
+// startBehindFront starts a sidecar of the first tier and has the front deal it connections.
+func (r *run) startBehindFront(ctx context.Context, s *sidecar) error {
 	target, err := s.start(ctx)
 	if err != nil {
 		return err
@@ -150,9 +152,9 @@
 	return nil
 }
 
-// endAll ends whatever still stands.
-func (r *rig) endAll() {
-	for _, s := range r.all() {
+// stopAll ends whatever still stands.
+func (r *run) stopAll() {
+	for _, s := range r.allSidecars() {
 		s.kill()
 	}
 	for _, t := range r.tiers {
@@ -163,36 +165,36 @@
 			s.kill()
 		}
 	}
-	for _, l := range r.lists {
+	for _, l := range r.discoveries {
 		l.Close()
 	}
 	r.hosts.close()
 }
 
-// play makes load and faults, and closes the book.
-func (r *rig) play(ctx context.Context, service *oracle.Service) (*record.Record, error) {
+// execute makes load and faults, and closes the book.
+func (r *run) execute(ctx context.Context, service *oracle.Service) (*record.Record, error) {
 	began := time.Now()
 	driver := &load.Driver{
-		Plan: r.scene.Plan(), Seed: r.seed, Behavior: r.scene.Load.Behavior, Checker: r.book, Base: r.base,
-		Client: load.NewClient(r.book, r.front, r.grace()),
+		Plan: r.scenario.Plan(), Seed: r.seed, Behavior: r.scenario.Load.Behavior, Checker: r.checker, Base: r.loadStart,
+		Client: load.NewClient(r.checker, r.front, r.clientGrace()),
 	}
-	for _, c := range r.scene.Classes {
+	for _, c := range r.scenario.Classes {
 		driver.Classes = append(driver.Classes, load.Class{Name: c.Name, Effect: c.Effect, Deadline: c.Deadline})
 	}
 	side, stopSide := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	wait.Go(func() { r.runTimeline(side) })
-	wait.Go(func() { r.look(side) })
+	wait.Go(func() { r.monitor(side) })
 	var rude load.MalformedCounts
-	if r.scene.Load.MalformedRate > 0 {
-		wait.Go(func() { rude = load.SendMalformed(side, r.front, r.scene.Load.MalformedRate, r.seed) })
+	if r.scenario.Load.MalformedRate > 0 {
+		wait.Go(func() { rude = load.SendMalformed(side, r.front, r.scenario.Load.MalformedRate, r.seed) })
 	}
 	driver.Run(ctx)
 	stopSide()
 	wait.Wait()
-	time.Sleep(settleTime)
+	time.Sleep(settleDelay)
 	driver.Client.Close()
-	rec := r.close(service, driver)
+	rec := r.finish(service, driver)
 	rec.Began, rec.Seconds = began, time.Since(began).Seconds()
 	rec.Partial = ctx.Err() != nil
 	rec.BadClients = rude
@@ -200,95 +202,95 @@
 }
 
 // runTimeline plays the faults. Those that take time have a goroutine of their own.
-func (r *rig) runTimeline(ctx context.Context) {
+func (r *run) runTimeline(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for _, step := range r.scene.Timeline(r.seed) {
+	for _, step := range r.scenario.Timeline(r.seed) {
 		select {
-		case <-time.After(r.base + step.At - r.book.Now()):
+		case <-time.After(r.loadStart + step.At - r.checker.Now()):
 		case <-ctx.Done():
 			return
 		}
-		if late := r.book.Now() - r.base - step.At; late > stepsMostLate {
-			r.spoil("%v: played %v late", step, late)
+		if late := r.checker.Now() - r.loadStart - step.At; late > maxStepLateness {
+			r.markVoid("%v: played %v late", step, late)
 		}
 		r.mu.Lock()
-		r.played = append(r.played, step.String())
+		r.appliedSteps = append(r.appliedSteps, step.String())
 		r.mu.Unlock()
 		wait.Go(func() {
-			if err := r.strike(ctx, step); err != nil && ctx.Err() == nil {
-				r.spoil("%v: %v", step, err)
+			if err := r.applyStep(ctx, step); err != nil && ctx.Err() == nil {
+				r.markVoid("%v: %v", step, err)
 			}
 		})
 	}
 }
 
-// spoil makes the run void.
-func (r *rig) spoil(format string, args ...any) {
+// markVoid makes the run void.
+func (r *run) markVoid(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.void = append(r.void, fmt.Sprintf(format, args...))
 }
 
-// strike plays one step.
-func (r *rig) strike(ctx context.Context, step scenario.Step) error {
+// applyStep plays one step.
+func (r *run) applyStep(ctx context.Context, step scenario.Step) error {
 	switch step.Kind {
 	case scenario.DiscoveryDown:
-		r.lists[step.Tier].SetDown(!step.Revert)
+		r.discoveries[step.Tier].SetDown(!step.Revert)
 		return nil
 	case scenario.DiscoveryLag:
 		lag := step.Fault.Lag
 		if step.Revert {
 			lag = 0
 		}
-		r.lists[step.Tier].SetLag(lag)
+		r.discoveries[step.Tier].SetLag(lag)
 		return nil
 	case scenario.DiscoveryOverload:
 		patience := step.Fault.Lag
 		if step.Revert {
 			patience = 0
 		}
-		r.lists[step.Tier].SetOverloaded(patience)
+		r.discoveries[step.Tier].SetOverloaded(patience)
 		return nil
 	case scenario.SidecarKill, scenario.SidecarRestart:
-		return r.strikeSidecars(ctx, step)
+		return r.applyToSidecars(ctx, step)
 	case scenario.Crash:
 		return r.tiers[step.Tier].crash(ctx, step)
 	}
 	t := r.tiers[step.Tier]
 	var errs []error
 	for _, n := range step.Slots {
-		s := t.at(n)
+		s := t.slotAt(n)
 		if s == nil {
 			var err error
 			if s, err = t.addSlot(); err != nil {
 				return err
 			}
 		}
-		errs = append(errs, s.strike(ctx, step))
+		errs = append(errs, s.applyStep(ctx, step))
 	}
 	return errors.Join(errs...)
 }
 
-// strikeSidecars ends or starts sidecars of the first tier, all at once.
-func (r *rig) strikeSidecars(ctx context.Context, step scenario.Step) error {
+// applyToSidecars ends or starts sidecars of the first tier, all at once.
+func (r *run) applyToSidecars(ctx context.Context, step scenario.Step) error {
 	errs := make([]error, len(step.Slots))
 	var wait sync.WaitGroup
 	for i, n := range step.Slots {
 		wait.Go(func() {
-			s := r.first[n]
+			s := r.firstTier[n]
 			if step.Revert {
 				// It waits for the one before it to have ended: both need the address.
-				errs[i] = r.join(ctx, s)
+				errs[i] = r.startBehindFront(ctx, s)
 				return
 			}
-			old := s.current()
+			old := s.currentTarget()
 			if step.Kind == scenario.SidecarKill {
-				time.AfterFunc(r.scene.Notice, func() { r.front.remove(old) })
+				time.AfterFunc(r.scenario.Notice, func() { r.front.remove(old) })
 				s.kill()
 				return
 			}
-			time.AfterFunc(frontNotices, func() { r.front.remove(old) })
+			time.AfterFunc(frontRemovalDelay, func() { r.front.remove(old) })
 			s.terminate()
 		})
 	}
@@ -296,9 +298,9 @@
 	return errors.Join(errs...)
 }
 
-// look watches what sidecars take, keeps the book small and tells how it goes.
-func (r *rig) look(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+// monitor watches what sidecars take, keeps the book small and tells how it goes.
+func (r *run) monitor(ctx context.Context) {
+	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -306,41 +308,41 @@
 			return
 		case <-tick.C:
 		}
-		for _, s := range r.all() {
-			s.watch()
+		for _, s := range r.allSidecars() {
+			s.sampleUsage()
 		}
-		now := r.book.Now()
+		now := r.checker.Now()
 		broken := 0
-		r.book.Do(func(b *oracle.Checker) {
+		r.checker.Do(func(b *oracle.Checker) {
 			b.Prune(now)
 			a := b.Close()
 			broken = a.NumViolations()
 		})
 		if r.opts.Progress != nil {
-			r.book.Service(func(s *oracle.Service) {
+			r.checker.Service(func(s *oracle.Service) {
 				f := s.All()
 				r.opts.Progress(fmt.Sprintf("%4.0f of %.0f s  asked %d  served %d  service %.3f  rules broken %d",
-					(now - r.base).Seconds(), r.scene.Duration.Seconds(), f.Requests, f.Served, f.Service, broken))
+					(now - r.loadStart).Seconds(), r.scenario.Duration.Seconds(), f.Requests, f.Served, f.Service, broken))
 			})
 		}
 	}
 }
 
-// close takes the counters, ends the sidecars and writes the record.
-func (r *rig) close(service *oracle.Service, driver *load.Driver) *record.Record {
+// finish takes the counters, ends the sidecars and writes the record.
+func (r *run) finish(service *oracle.Service, driver *load.Driver) *record.Record {
 	rec := &record.Record{
-		Version: record.Version, Scenario: r.scene.Name, About: r.scene.About, Policy: r.opts.Policy,
-		Seed: r.seed, Timeline: r.scene.Hash(r.seed), Void: []string{}, Mismatches: []string{}, Machine: thisMachine(),
+		Version: record.Version, Scenario: r.scenario.Name, About: r.scenario.About, Policy: r.opts.Policy,
+		Seed: r.seed, Timeline: r.scenario.Hash(r.seed), Void: []string{}, Mismatches: []string{}, Machine: thisMachine(),
 		Service: service.All().Service, All: service.All(), Classes: service.Classes(), Tenants: service.Tenants(),
-		Series: service.Series(), Faults: r.played,
+		Series: service.Series(), Faults: r.appliedSteps,
 	}
 	var account oracle.Report
-	for _, s := range r.all() {
-		rec.Sidecars = append(rec.Sidecars, s.close(true))
+	for _, s := range r.allSidecars() {
+		rec.Sidecars = append(rec.Sidecars, s.finish(true))
 	}
-	r.book.Do(func(b *oracle.Checker) { account = b.Close() })
+	r.checker.Do(func(b *oracle.Checker) { account = b.Close() })
 	for i := range account.Violations {
-		account.Violations[i].At -= r.base
+		account.Violations[i].At -= r.loadStart
 	}
 	rec.Rules, rec.Violations, rec.ClientRepeats = account.Rules, account.Violations, account.Repeats
 	if err := account.Balance(); err != nil {
@@ -368,19 +370,19 @@
 		wanted += second.Requests
 	}
 	rec.AttemptsPerRequest, rec.AttemptsPerLogicalRequest = ratio(arrivals, asked), ratio(arrivals, wanted)
-	r.judgeLoad(rec, driver)
+	r.checkLoad(rec, driver)
 	return rec
 }
 
-// judgeLoad makes a run void whose own load came late.
-func (r *rig) judgeLoad(rec *record.Record, driver *load.Driver) {
+// checkLoad makes a run void whose own load came late.
+func (r *run) checkLoad(rec *record.Record, driver *load.Driver) {
 	lag := driver.Lag(99)
 	rec.LateSendsP99, rec.LateSendsMax = millis(lag), millis(driver.Lag(100))
-	if lag > r.scene.MaxLag {
-		r.spoil("the load lagged by %v at the 99th percentile, and may by %v", lag, r.scene.MaxLag)
+	if lag > r.scenario.MaxLag {
+		r.markVoid("the load lagged by %v at the 99th percentile, and may by %v", lag, r.scenario.MaxLag)
 	}
 	if driver.Overrun() {
-		r.spoil("more requests were open than the lab can hold")
+		r.markVoid("more requests were open than the lab can hold")
 	}
 	rec.Void = append(rec.Void, r.void...)
 }
--- a/internal/lab/harness/hosts.go
+++ b/internal/lab/harness/hosts.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// hosts deals out addresses of 127.0.0.0/8, one for each stand-in and sidecar. They
+// hostAllocator deals out addresses of 127.0.0.0/8, one for each stand-in and sidecar. They
 // lie off 127.0.0.1, from which the kernel makes connections, so that no such
 // connection takes a port that something is to return to.
 //
@@ -19,7 +19,7 @@
 // kernel draws from. Ports that the kernel drew and that were given back before a
 // process listened there were met twice: one in 6,250 times the kernel draws the same
 // port for a host again, and a process was told to listen at one port for two purposes.
-type hosts struct {
+type hostAllocator struct {
 	mu     sync.Mutex
 	net    int // second byte
 	next   int // third and fourth
@@ -30,29 +30,29 @@
 // The parts of the loopback net that runs use, each by the lab's process id, so
 // that two runs at once rarely look for the same ones.
 const (
-	firstNet   = 16
-	nets       = 200
-	hostsOfNet = 250
-	mostHosts  = hostsOfNet * hostsOfNet
+	firstNet     = 16
+	numNets      = 200
+	hostsPerByte = 250
+	maxHosts     = hostsPerByte * hostsPerByte
 
 	guardPort = 19999
 	firstPort = 20000
 	lastPort  = 32767 // the kernel draws from 32768 on, unless set otherwise
 )
 
-func newHosts() *hosts {
+func newHostAllocator() *hostAllocator {
 	pid := os.Getpid()
-	return &hosts{net: firstNet + pid%nets, next: (pid / nets % 200) * hostsOfNet, port: firstPort}
+	return &hostAllocator{net: firstNet + pid%numNets, next: (pid / numNets % 200) * hostsPerByte, port: firstPort}
 }
 
-// take returns a host that no other run has.
-func (h *hosts) take() (string, error) {
+// acquire returns a host that no other run has.
+func (h *hostAllocator) acquire() (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for range mostHosts {
+	for range maxHosts {
 		h.next++
-		n := h.next % mostHosts
-		host := fmt.Sprintf("127.%d.%d.%d", h.net, n/hostsOfNet, 1+n%hostsOfNet)
+		n := h.next % maxHosts
+		host := fmt.Sprintf("127.%d.%d.%d", h.net, n/hostsPerByte, 1+n%hostsPerByte)
 		guard, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(guardPort)))
 		if errors.Is(err, syscall.EADDRINUSE) {
 			continue
@@ -67,7 +67,7 @@
 }
 
 // address returns an address of a host that was taken: one that nobody listens at, and that was not dealt out before.
-func (h *hosts) address(host string) (string, error) {
+func (h *hostAllocator) address(host string) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for ; h.port <= lastPort; h.port++ {
@@ -86,7 +86,7 @@
 }
 
 // close gives all hosts back, once what ran there has ended.
-func (h *hosts) close() {
+func (h *hostAllocator) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, g := range h.guards {
--- a/internal/lab/harness/history.go
+++ b/internal/lab/harness/key_history.go
@@ -59,5 +59,5 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: len(h.ops), Input: op, Call: int64(from), Return: int64(to)})
 }
 
-// fits tells whether there is such an order.
-func (h *keyHistory) fits() bool { return porcupine.CheckOperations(keyModel, h.ops) }
+// linearizable tells whether there is such an order.
+func (h *keyHistory) linearizable() bool { return porcupine.CheckOperations(keyModel, h.ops) }
--- a/internal/lab/harness/orders_test.go
+++ b/internal/lab/harness/keyed_test.go
@@ -20,12 +20,12 @@
 	for _, b := range r.Violations {
 		t.Error(b)
 	}
-	o := r.Orders
+	o := r.Keyed
 	if o.Keys < 400 || float64(o.Served) < 0.98*float64(o.Keys) || o.Again < o.Served-1 {
 		t.Errorf("%+v", o)
 	}
-	if len(r.Steps) < 5 || len(r.WholeMS) != 2 {
-		t.Errorf("two machines were to be lost, and their copies to be made anew: %q, after %v ms", r.Steps, r.WholeMS)
+	if len(r.Steps) < 5 || len(r.ReplicatedMS) != 2 {
+		t.Errorf("two machines were to be lost, and their copies to be made anew: %q, after %v ms", r.Steps, r.ReplicatedMS)
 	}
 }
 
@@ -33,8 +33,8 @@
 func TestOrdersOwnerDiesAtTheEnd(t *testing.T) {
 	t.Parallel()
 	r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), diesThen, ClusterOptions{})
-	if r.NumViolations > 0 || r.Orders.Failed == 0 || float64(r.Orders.Served) < 0.98*float64(r.Orders.Keys) {
-		t.Errorf("%+v, breaks %q; some tries were to fail", r.Orders, r.Violations)
+	if r.NumViolations > 0 || r.Keyed.Failed == 0 || float64(r.Keyed.Served) < 0.98*float64(r.Keyed.Keys) {
+		t.Errorf("%+v, breaks %q; some tries were to fail", r.Keyed, r.Violations)
 	}
 }
 
@@ -42,7 +42,7 @@
 func TestOrdersThroughACleanEnd(t *testing.T) {
 	t.Parallel()
 	r := playCrew(t, crewScene(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, ClusterOptions{})
-	if o := r.Orders; r.NumViolations > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
+	if o := r.Keyed; r.NumViolations > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
 		t.Errorf("%+v, breaks %q", o, r.Violations)
 	}
 }
@@ -51,8 +51,8 @@
 func TestOrdersWithoutCopies(t *testing.T) {
 	t.Parallel()
 	r := playCrew(t, crewScene(t, ordersQuiet), bugNone, ClusterOptions{})
-	if r.Orders.Doubled < 10 || r.Orders.TwoWays < 10 {
-		t.Errorf("%+v", r.Orders)
+	if r.Keyed.Doubled < 10 || r.Keyed.TwoAnswers < 10 {
+		t.Errorf("%+v", r.Keyed)
 	}
 }
 
@@ -63,7 +63,7 @@
 			t.Parallel()
 			r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), rule+" at") {
-				t.Errorf("not found as %q: %+v, %q", rule, r.Orders, r.Violations)
+				t.Errorf("not found as %q: %+v, %q", rule, r.Keyed, r.Violations)
 			}
 		})
 	}
@@ -90,8 +90,8 @@
 		for _, e := range c.events {
 			h.add(e.op, e.from, e.to)
 		}
-		if h.fits() != c.fits {
-			t.Errorf("%s: fits %v", name, h.fits())
+		if h.linearizable() != c.fits {
+			t.Errorf("%s: fits %v", name, h.linearizable())
 		}
 	}
 }
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -50,20 +50,20 @@
 	FullLists                 float64 // of the answers, those that were whole lists
 }
 
-// counts are a watcher's, since it began.
-type counts struct {
-	calls, answers, asked, told, lines, wholes, index atomic.Int64
+// watcherCounts are a watcher's, since it began.
+type watcherCounts struct {
+	calls, answers, requestBytes, answerBytes, lines, fullLists, version atomic.Int64
 }
 
 // snapshot is what counts were at a moment.
 type snapshot [6]int64
 
-func (c *counts) now() snapshot {
-	return snapshot{c.calls.Load(), c.answers.Load(), c.asked.Load(), c.told.Load(), c.lines.Load(), c.wholes.Load()}
+func (c *watcherCounts) snapshot() snapshot {
+	return snapshot{c.calls.Load(), c.answers.Load(), c.requestBytes.Load(), c.answerBytes.Load(), c.lines.Load(), c.fullLists.Load()}
 }
 
-// since is the wire between two moments of some watchers, for one of them and one of so many things.
-func since(before, after []snapshot, things int) Wire {
+// wireBetween is the wire between two moments of some watchers, for one of them and one of so many things.
+func wireBetween(before, after []snapshot, things int) Wire {
 	var d [6]float64
 	for i := range before {
 		for k := range d {
@@ -77,16 +77,16 @@
 	return w
 }
 
-func snapshots(all []*counts) []snapshot {
+func snapshots(all []*watcherCounts) []snapshot {
 	out := make([]snapshot, len(all))
 	for i, c := range all {
-		out[i] = c.now()
+		out[i] = c.snapshot()
 	}
 	return out
 }
 
-// listsScene has nothing that is called.
-const listsScene = `
+// listsScenario has nothing that is called.
+const listsScenario = `
 name = "lists"
 duration = "1h"
 [[class]]
@@ -101,28 +101,28 @@
 
 // Times of the measurement.
 const (
-	watchWait  = 10 * time.Second // of hollow watchers, at the agent
-	tellTime   = 10 * time.Second // until all watchers have a change
-	listPause  = time.Millisecond // between looks whether they have
-	afterStart = 9 * time.Second  // the first watch is asked for within a second; after a failed call 1 to 8 s later
-	settledFor = 300 * time.Millisecond
+	watchWait            = 10 * time.Second // of hollow watchers, at the agent
+	deliveryTimeout      = 10 * time.Second // until all watchers have a change
+	deliveryPollInterval = time.Millisecond // between looks whether they have
+	firstWatchTimeout    = 9 * time.Second  // the first watch is asked for within a second; after a failed call 1 to 8 s later
+	afterChangesDelay    = 300 * time.Millisecond
 )
 
-// lists is the measurement at work.
-type lists struct {
-	*rig
-	conf    ListTrafficConf
-	list    *fake.Discovery
-	version int64
-	real    []*counts
-	hollow  []*counts
-	taps    []*tap
-	flip    bool // lines of the next change are gone, or back
+// listTraffic is the measurement at work.
+type listTraffic struct {
+	*run
+	conf      ListTrafficConf
+	discovery *fake.Discovery
+	version   int64
+	real      []*watcherCounts
+	emulated  []*watcherCounts
+	proxies   []*countingProxy
+	gone      bool // lines of the next change are gone, or back
 }
 
 // MeasureListTraffic changes a list and looks what its watchers get.
 func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
-	scene, err := scenario.Parse("lists", []byte(listsScene))
+	scene, err := scenario.Parse("lists", []byte(listsScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -131,12 +131,12 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	l := &lists{rig: newRig(scene, 1, opts, dir), conf: conf}
-	l.share(oracle.NewService(nil, 0))
+	l := &listTraffic{run: newRun(scene, 1, opts, dir), conf: conf}
+	l.openChecker(oracle.NewService(nil, 0))
 	var watchers sync.WaitGroup
 	watching, stop := context.WithCancel(ctx)
 	defer watchers.Wait()
-	defer l.end()
+	defer l.stop()
 	defer stop()
 	if err := l.start(watching, &watchers); err != nil {
 		return nil, err
@@ -144,75 +144,75 @@
 	return l.measure(ctx)
 }
 
-// line is one of the list; the same endpoint is gone and back.
-func line(n int, status string) fake.Line {
+// listLine is one of the list; the same endpoint is gone and back.
+func listLine(n int, status string) fake.Line {
 	return fake.Line{
 		Name: fmt.Sprintf("svc-%d.example.internal", n), Address: fmt.Sprintf("127.15.%d.%d:8080", n/250, 1+n%250), Zone: "zone-a", Type: "lab",
 		Group: 1, Status: status, Weight: 1, Since: 1_764_633_600_000 + int64(n),
 	}
 }
 
-func (l *lists) start(ctx context.Context, watchers *sync.WaitGroup) error {
-	l.list = fake.NewDiscovery(l.book)
-	l.lists = []*fake.Discovery{l.list}
+func (l *listTraffic) start(ctx context.Context, watchers *sync.WaitGroup) error {
+	l.discovery = fake.NewDiscovery(l.checker)
+	l.discoveries = []*fake.Discovery{l.discovery}
 	all := make([]fake.Line, l.conf.Endpoints)
 	for n := range all {
-		all[n] = line(n, fake.Serving)
+		all[n] = listLine(n, fake.Serving)
 	}
-	l.set(all...)
+	l.publish(all...)
 	for n := range l.conf.Sidecars {
-		s := &sidecar{rig: l.rig, name: fmt.Sprintf("s%d", n), number: n % l.conf.Peers, peers: l.conf.Peers, zone: "zone-a"}
-		if err := s.settle(); err != nil {
+		s := &sidecar{run: l.run, name: fmt.Sprintf("s%d", n), number: n % l.conf.Peers, peers: l.conf.Peers, zone: "zone-a"}
+		if err := s.assignAddresses(); err != nil {
 			return err
 		}
-		c := &counts{}
-		t, err := newTap(s.host, s.list, c)
+		c := &watcherCounts{}
+		t, err := newCountingProxy(s.host, s.discoveryAddress, c)
 		if err != nil {
 			return err
 		}
-		l.taps, l.real = append(l.taps, t), append(l.real, c)
-		s.list = t.listener.Addr().String()
+		l.proxies, l.real = append(l.proxies, t), append(l.real, c)
+		s.discoveryAddress = t.listener.Addr().String()
 		l.addSidecar(s)
 		if _, err := s.start(ctx); err != nil {
 			return err
 		}
 	}
 	for n := range l.conf.Emulated {
-		host, err := l.hosts.take()
+		host, err := l.hosts.acquire()
 		if err != nil {
 			return err
 		}
-		address, err := l.list.OpenFor(fmt.Sprintf("h%d", n), host)
+		address, err := l.discovery.OpenFor(fmt.Sprintf("h%d", n), host)
 		if err != nil {
 			return err
 		}
-		c := &counts{}
-		l.hollow = append(l.hollow, c)
-		watchers.Go(func() { hollowWatch(ctx, address, c) })
+		c := &watcherCounts{}
+		l.emulated = append(l.emulated, c)
+		watchers.Go(func() { emulatedWatch(ctx, address, c) })
 	}
-	return l.await(ctx, afterStart)
+	return l.awaitDelivery(ctx, firstWatchTimeout)
 }
 
-func (l *lists) end() {
-	for _, t := range l.taps {
+func (l *listTraffic) stop() {
+	for _, t := range l.proxies {
 		t.close()
 	}
-	l.endAll()
+	l.stopAll()
 }
 
-// set makes one version.
-func (l *lists) set(lines ...fake.Line) {
-	l.list.SetLines(lines...)
+// publish makes one version.
+func (l *listTraffic) publish(lines ...fake.Line) {
+	l.discovery.SetLines(lines...)
 	l.version++
 }
 
-// await waits until all watchers have asked for what follows the newest version: then they have had it.
-func (l *lists) await(ctx context.Context, most time.Duration) error {
-	all := append(append([]*counts{}, l.real...), l.hollow...)
+// awaitDelivery waits until all watchers have asked for what follows the newest version: then they have had it.
+func (l *listTraffic) awaitDelivery(ctx context.Context, most time.Duration) error {
+	all := append(append([]*watcherCounts{}, l.real...), l.emulated...)
 	for end := time.Now().Add(most); ; {
 		behind := 0
 		for _, c := range all {
-			if c.index.Load() < l.version {
+			if c.version.Load() < l.version {
 				behind++
 			}
 		}
@@ -223,66 +223,66 @@
 			return fmt.Errorf("%d of %d watchers have not asked for what follows version %d within %v", behind, len(all), l.version, most)
 		}
 		select {
-		case <-time.After(listPause):
+		case <-time.After(deliveryPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// change has lines go, or those that went come back.
-func (l *lists) change() {
-	l.flip = !l.flip
+// changeLines has lines go, or those that went come back.
+func (l *listTraffic) changeLines() {
+	l.gone = !l.gone
 	status := fake.Serving
-	if l.flip {
+	if l.gone {
 		status = fake.Deleted
 	}
 	lines := make([]fake.Line, l.conf.AtOnce)
 	for n := range lines {
-		lines[n] = line(n, status)
+		lines[n] = listLine(n, status)
 	}
 	if !l.conf.Apart {
-		l.set(lines...)
+		l.publish(lines...)
 		return
 	}
 	for _, one := range lines {
-		l.set(one)
+		l.publish(one)
 	}
 }
 
-func (l *lists) measure(ctx context.Context) (*ListTraffic, error) {
+func (l *listTraffic) measure(ctx context.Context) (*ListTraffic, error) {
 	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
-	if out.Whole, err = l.fetchWhole(ctx); err != nil {
+	if out.Whole, err = l.fetchFullList(ctx); err != nil {
 		return nil, err
 	}
-	before, hollow := snapshots(l.real), snapshots(l.hollow)
-	cpu, err := l.ran()
+	before, hollow := snapshots(l.real), snapshots(l.emulated)
+	cpu, err := l.sidecarCPUTime()
 	if err != nil {
 		return nil, err
 	}
-	lab := labRan()
+	lab := labCPUTime()
 	told := newLatencies()
 	for range l.conf.Changes {
 		began := time.Now()
-		l.change()
-		if err := l.await(ctx, tellTime); err != nil {
+		l.changeLines()
+		if err := l.awaitDelivery(ctx, deliveryTimeout); err != nil {
 			return nil, err
 		}
 		observe(told, time.Since(began))
 	}
-	labAfter := labRan()
+	labAfter := labCPUTime()
 	select { // what the last change still costs
-	case <-time.After(settledFor):
+	case <-time.After(afterChangesDelay):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	after, err := l.ran()
+	after, err := l.sidecarCPUTime()
 	if err != nil {
 		return nil, err
 	}
 	changes := float64(l.conf.Changes)
-	out.Real, out.Emulated = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
+	out.Real, out.Emulated = wireBetween(before, snapshots(l.real), l.conf.Changes), wireBetween(hollow, snapshots(l.emulated), l.conf.Changes)
 	out.CPU = float64((after - cpu).Microseconds()) / changes / float64(max(1, l.conf.Sidecars))
 	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
 	out.DeliveryP50, out.DeliveryMax = quantile(told, 50), quantile(told, 100)
@@ -295,19 +295,19 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if after, err = l.ran(); err != nil {
+	if after, err = l.sidecarCPUTime(); err != nil {
 		return nil, err
 	}
-	out.Idle = since(before, snapshots(l.real), 1)
+	out.Idle = wireBetween(before, snapshots(l.real), 1)
 	out.IdleCPU = float64((after - cpu).Microseconds()) / l.conf.Idle.Seconds() / float64(max(1, l.conf.Sidecars))
 	return out, nil
 }
 
-// ran is the processor time of all sidecars.
-func (l *lists) ran() (time.Duration, error) {
+// sidecarCPUTime is the processor time of all sidecars.
+func (l *listTraffic) sidecarCPUTime() (time.Duration, error) {
 	sum := time.Duration(0)
-	for _, s := range l.all() {
-		ran, err := s.proc.ran()
+	for _, s := range l.allSidecars() {
+		ran, err := s.proc.cpuTime()
 		if err != nil {
 			return 0, err
 		}
@@ -316,8 +316,8 @@
 	return sum, nil
 }
 
-// labRan is the processor time of this process.
-func labRan() time.Duration {
+// labCPUTime is the processor time of this process.
+func labCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -325,17 +325,17 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// fetchWhole asks for the whole list once, as a sidecar does that has none.
-func (l *lists) fetchWhole(ctx context.Context) (Wire, error) {
-	host, err := l.hosts.take()
+// fetchFullList asks for the whole list once, as a sidecar does that has none.
+func (l *listTraffic) fetchFullList(ctx context.Context) (Wire, error) {
+	host, err := l.hosts.acquire()
 	if err != nil {
 		return Wire{}, err
 	}
-	address, err := l.list.OpenFor("whole", host)
+	address, err := l.discovery.OpenFor("whole", host)
 	if err != nil {
 		return Wire{}, err
 	}
-	c := &counts{}
+	c := &watcherCounts{}
 	w, err := dialWatch(ctx, address, c)
 	if err != nil {
 		return Wire{}, err
@@ -344,30 +344,30 @@
 	if _, err := w.call(httpwire.EncodeFetch()); err != nil {
 		return Wire{}, err
 	}
-	return since([]snapshot{{}}, []snapshot{c.now()}, 1), nil
+	return wireBetween([]snapshot{{}}, []snapshot{c.snapshot()}, 1), nil
 }
 
 // watchConn is a hollow watcher's connection: what it writes and reads is counted.
 type watchConn struct {
 	net.Conn
-	in *bufio.Reader
-	c  *counts
+	in     *bufio.Reader
+	counts *watcherCounts
 }
 
 // Read counts what comes.
 func (w *watchConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
-	w.c.told.Add(int64(n))
+	w.counts.answerBytes.Add(int64(n))
 	return n, err
 }
 
-func dialWatch(ctx context.Context, address string, c *counts) (*watchConn, error) {
+func dialWatch(ctx context.Context, address string, c *watcherCounts) (*watchConn, error) {
 	dialer := net.Dialer{Timeout: watchWait}
 	plain, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	w := &watchConn{Conn: plain, c: c}
+	w := &watchConn{Conn: plain, counts: c}
 	w.in = bufio.NewReader(w)
 	return w, nil
 }
@@ -375,8 +375,8 @@
 // call makes one call.
 func (w *watchConn) call(message []byte) (httpwire.List, error) {
 	w.SetDeadline(time.Now().Add(2 * watchWait)) //nolint:errcheck // the write tells
-	w.c.calls.Add(1)
-	w.c.asked.Add(int64(len(message)))
+	w.counts.calls.Add(1)
+	w.counts.requestBytes.Add(int64(len(message)))
 	if _, err := w.Write(message); err != nil {
 		return httpwire.List{}, err
 	}
@@ -384,16 +384,16 @@
 	if err != nil {
 		return list, err
 	}
-	w.c.answers.Add(1)
-	w.c.lines.Add(int64(len(list.Endpoints)))
+	w.counts.answers.Add(1)
+	w.counts.lines.Add(int64(len(list.Endpoints)))
 	if list.Whole {
-		w.c.wholes.Add(1)
+		w.counts.fullLists.Add(1)
 	}
 	return list, nil
 }
 
-// hollowWatch watches as a sidecar does, until its context ends or a call fails: the measurement then says who is behind.
-func hollowWatch(ctx context.Context, address string, c *counts) {
+// emulatedWatch watches as a sidecar does, until its context ends or a call fails: the measurement then says who is behind.
+func emulatedWatch(ctx context.Context, address string, c *watcherCounts) {
 	w, err := dialWatch(ctx, address, c)
 	if err != nil {
 		return
@@ -407,44 +407,44 @@
 		if err != nil {
 			return
 		}
-		c.index.Store(list.Index)
+		c.version.Store(list.Index)
 		message = httpwire.EncodeWatch(list.Index, watchWait)
 	}
 }
 
-// tap stands between a sidecar and its discovery, and counts what it passes on.
-type tap struct {
+// countingProxy stands between a sidecar and its discovery, and counts what it passes on.
+type countingProxy struct {
 	listener net.Listener
 	to       string
-	c        *counts
+	counts   *watcherCounts
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-func newTap(host, to string, c *counts) (*tap, error) {
+func newCountingProxy(host, to string, c *watcherCounts) (*countingProxy, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	t := &tap{listener: listener, to: to, c: c, conns: map[net.Conn]struct{}{}}
+	t := &countingProxy{listener: listener, to: to, counts: c, conns: map[net.Conn]struct{}{}}
 	go t.accept()
 	return t, nil
 }
 
-func (t *tap) accept() {
+func (t *countingProxy) accept() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
 			return
 		}
-		go t.carry(conn)
+		go t.handle(conn)
 	}
 }
 
-// keep has the connection end with the tap.
-func (t *tap) keep(conn net.Conn) bool {
+// track has the connection end with the tap.
+func (t *countingProxy) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed {
@@ -453,7 +453,7 @@
 	return !t.closed
 }
 
-func (t *tap) close() {
+func (t *countingProxy) close() {
 	t.listener.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -463,15 +463,15 @@
 	}
 }
 
-// carry passes one connection on, a message at a time: a watch has one call out.
-func (t *tap) carry(from net.Conn) {
+// handle passes one connection on, a message at a time: a watch has one call out.
+func (t *countingProxy) handle(from net.Conn) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", t.to, watchWait)
 	if err != nil {
 		return
 	}
 	defer to.Close()
-	if !t.keep(from) || !t.keep(to) {
+	if !t.track(from) || !t.track(to) {
 		return
 	}
 	defer func() {
@@ -481,15 +481,15 @@
 		delete(t.conns, to)
 	}()
 	var both sync.WaitGroup
-	both.Go(func() { t.pass(to, from, t.asked) })
-	told, done := t.told()
-	t.pass(from, to, told)
+	both.Go(func() { t.copy(to, from, t.countRequest) })
+	told, done := t.countAnswers()
+	t.copy(from, to, told)
 	done()
 	both.Wait()
 }
 
-// pass copies one way until either end is gone.
-func (t *tap) pass(to, from net.Conn, saw func([]byte)) {
+// copy copies one way until either end is gone.
+func (t *countingProxy) copy(to, from net.Conn, saw func([]byte)) {
 	defer to.Close()
 	b := make([]byte, 64<<10)
 	for {
@@ -508,17 +508,17 @@
 	}
 }
 
-// asked counts a call: the sidecar writes each at once, and it fits a read. Its version is what the sidecar has.
-func (t *tap) asked(b []byte) {
-	t.c.asked.Add(int64(len(b)))
-	t.c.calls.Add(1)
-	if after, ok := afterOf(b); ok {
-		t.c.index.Store(after)
+// countRequest counts a call: the sidecar writes each at once, and it fits a read. Its version is what the sidecar has.
+func (t *countingProxy) countRequest(b []byte) {
+	t.counts.requestBytes.Add(int64(len(b)))
+	t.counts.calls.Add(1)
+	if after, ok := afterParameter(b); ok {
+		t.counts.version.Store(after)
 	}
 }
 
-// told counts what the agent sends; a copy of it is decoded beside, for the lines of each answer, until it is done.
-func (t *tap) told() (saw func([]byte), done func()) {
+// countAnswers counts what the agent sends; a copy of it is decoded beside, for the lines of each answer, until it is done.
+func (t *countingProxy) countAnswers() (saw func([]byte), done func()) {
 	read, write := net.Pipe()
 	go func() {
 		defer read.Close()
@@ -528,21 +528,21 @@
 			if err != nil {
 				return
 			}
-			t.c.answers.Add(1)
-			t.c.lines.Add(int64(len(list.Endpoints)))
+			t.counts.answers.Add(1)
+			t.counts.lines.Add(int64(len(list.Endpoints)))
 			if list.Whole {
-				t.c.wholes.Add(1)
+				t.counts.fullLists.Add(1)
 			}
 		}
 	}()
 	return func(b []byte) {
-		t.c.told.Add(int64(len(b)))
+		t.counts.answerBytes.Add(int64(len(b)))
 		write.Write(b) //nolint:errcheck // an answer that is none ends the counting of lines
 	}, func() { write.Close() }
 }
 
-// afterOf is the version that a call names.
-func afterOf(b []byte) (int64, bool) {
+// afterParameter is the version that a call names.
+func afterParameter(b []byte) (int64, bool) {
 	var after, wait int64
 	n, _ := fmt.Sscanf(string(b), "GET /discovery/hosts?after=%d&wait_ms=%d", &after, &wait)
 	return after, n == 2
--- a/internal/lab/harness/slopes_test.go
+++ b/internal/lab/harness/measure_test.go
@@ -53,7 +53,7 @@
 		{"", 0, false},
 	}
 	for _, c := range tests {
-		if after, ok := afterOf([]byte(c.text)); ok != c.ok || ok && after != c.after {
+		if after, ok := afterParameter([]byte(c.text)); ok != c.ok || ok && after != c.after {
 			t.Errorf("%q: %d, %v; want %d, %v", c.text, after, ok, c.after, c.ok)
 		}
 	}
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -53,8 +53,8 @@
 // AddedP99 is that of the 99th.
 func (c Overhead) AddedP99() float64 { return c.SidecarP99 - c.DirectP99 }
 
-// callScene is a fleet in which nothing waits: what is measured is the way.
-const callScene = `
+// overheadScenario is a fleet in which nothing waits: what is measured is the way.
+const overheadScenario = `
 name = "call"
 duration = "1h"
 [limits]
@@ -73,9 +73,9 @@
 rate = 1
 `
 
-// scene is the scenario of a conf, beyond the bounds of files: there is one tier of plain stand-ins.
-func (c *OverheadConf) scene() (*scenario.Scenario, error) {
-	s, err := scenario.Parse("call", []byte(callScene))
+// scenario is the scenario of a conf, beyond the bounds of files: there is one tier of plain stand-ins.
+func (c *OverheadConf) scenario() (*scenario.Scenario, error) {
+	s, err := scenario.Parse("call", []byte(overheadScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 
 // MeasureOverhead sends every other request straight to an endpoint and the rest through one sidecar.
 func MeasureOverhead(ctx context.Context, conf OverheadConf, opts Options) (Overhead, error) {
-	scene, err := conf.scene()
+	scene, err := conf.scenario()
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -106,23 +106,23 @@
 		return Overhead{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := newRig(scene, 1, opts, dir)
-	r.share(oracle.NewService(nil, 0))
-	defer r.endAll()
-	if err := r.startCall(ctx, &conf); err != nil {
+	r := newRun(scene, 1, opts, dir)
+	r.openChecker(oracle.NewService(nil, 0))
+	defer r.stopAll()
+	if err := r.startOverhead(ctx, &conf); err != nil {
 		return Overhead{}, err
 	}
 	direct := &front{}
 	for _, s := range r.tiers[0].slots {
-		direct.add(&load.Target{Name: "direct", Address: s.present().Address()})
+		direct.add(&load.Target{Name: "direct", Address: s.currentEndpoint().Address()})
 	}
 	clients := [2]*load.Client{
-		load.NewClient(r.book, direct, r.grace()), load.NewClient(r.book, r.front, r.grace()),
+		load.NewClient(r.checker, direct, r.clientGrace()), load.NewClient(r.checker, r.front, r.clientGrace()),
 	}
 	defer clients[0].Close()
 	defer clients[1].Close()
-	proc := r.first[0].proc
-	before, err := proc.ran()
+	proc := r.firstTier[0].proc
+	before, err := proc.cpuTime()
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -133,12 +133,12 @@
 		defer mu.Unlock()
 		used[endpoint] = true
 	}
-	m := r.send(ctx, &conf, clients)
-	after, err := proc.ran()
+	m := r.sendAlternating(ctx, &conf, clients)
+	after, err := proc.cpuTime()
 	if err != nil {
 		return Overhead{}, err
 	}
-	n := int(m.took[1].TotalCount())
+	n := int(m.total[1].TotalCount())
 	if m.failed > 0 || n == 0 {
 		return Overhead{}, fmt.Errorf("%d requests failed and %d were served: nothing to measure", m.failed, n)
 	}
@@ -146,61 +146,61 @@
 	if err != nil {
 		return Overhead{}, err
 	}
-	if counters := proc.count(); counters != nil && counters.Sent < n {
+	if counters := proc.requestCounters(); counters != nil && counters.Sent < n {
 		return Overhead{}, fmt.Errorf("the sidecar sent %d attempts for %d requests: some did not go through it", counters.Sent, n)
 	}
 	return Overhead{
-		Requests: n, DirectP50: quantile(m.took[0], 50), DirectP99: quantile(m.took[0], 99),
-		SidecarP50: quantile(m.took[1], 50), SidecarP99: quantile(m.took[1], 99),
+		Requests: n, DirectP50: quantile(m.total[0], 50), DirectP99: quantile(m.total[0], 99),
+		SidecarP50: quantile(m.total[1], 50), SidecarP99: quantile(m.total[1], 99),
 		CPU: float64((after - before).Microseconds()) / float64(n), RSSMB: u.rssMB, FDs: u.fds, EndpointsUsed: len(used),
 		Lag: quantile(m.lag, 99),
 	}, nil
 }
 
-// startCall starts the endpoints and the sidecar; tiers that settings only name have none.
-func (r *rig) startCall(ctx context.Context, conf *OverheadConf) error {
-	r.lists = []*fake.Discovery{fake.NewDiscovery(r.book)}
+// startOverhead starts the endpoints and the sidecar; tiers that settings only name have none.
+func (r *run) startOverhead(ctx context.Context, conf *OverheadConf) error {
+	r.discoveries = []*fake.Discovery{fake.NewDiscovery(r.checker)}
 	r.tiers = []*tier{newTier(r, 0)}
 	r.tiers[0].conf.Calls = 0
 	if err := r.tiers[0].start(ctx); err != nil {
 		return err
 	}
-	s := &sidecar{rig: r, name: "s0", peers: conf.Peers, own: conf.PerCaller, zone: "a"}
-	if err := s.settle(); err != nil {
+	s := &sidecar{run: r, name: "s0", peers: conf.Peers, perCaller: conf.PerCaller, zone: "a"}
+	if err := s.assignAddresses(); err != nil {
 		return err
 	}
-	r.first = append(r.first, s)
+	r.firstTier = append(r.firstTier, s)
 	r.addSidecar(s)
-	return r.join(ctx, s)
+	return r.startBehindFront(ctx, s)
 }
 
-// sent is what came of a measurement's requests.
-type sent struct {
-	took   [2]*hdrhistogram.Histogram // straight, and through the sidecar; ns from when a request was due
+// latencies is what came of a measurement's requests.
+type latencies struct {
+	total  [2]*hdrhistogram.Histogram // straight, and through the sidecar; ns from when a request was due
 	lag    *hdrhistogram.Histogram
 	failed int
 }
 
-// send sends them as they are due.
-func (r *rig) send(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *sent {
-	m := &sent{took: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
+// sendAlternating sends them as they are due.
+func (r *run) sendAlternating(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *latencies {
+	m := &latencies{total: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	base := r.book.Now()
-	for src := r.scene.Plan().Arrivals(conf.Seed); ctx.Err() == nil; {
+	base := r.checker.Now()
+	for src := r.scenario.Plan().Arrivals(conf.Seed); ctx.Err() == nil; {
 		a, ok := src.Next()
 		if !ok {
 			break
 		}
 		r.waitUntil(ctx, base+a.At)
-		class := r.scene.Classes[a.Number/len(clients)%len(r.scene.Classes)].Name
+		class := r.scenario.Classes[a.Number/len(clients)%len(r.scenario.Classes)].Name
 		wait.Go(func() {
-			late := r.book.Now() - base - a.At
+			late := r.checker.Now() - base - a.At
 			way := a.Number % len(clients)
 			result := clients[way].Send(ctx, load.Request{
-				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scene.Classes[0].Deadline,
+				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scenario.Classes[0].Deadline,
 			})
-			end := r.book.Now() - base - a.At
+			end := r.checker.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(m.lag, late)
@@ -208,7 +208,7 @@
 				m.failed++
 				return
 			}
-			observe(m.took[way], end)
+			observe(m.total[way], end)
 		})
 	}
 	wait.Wait()
@@ -223,15 +223,15 @@
 const timerSlack = 2 * time.Millisecond
 
 // waitUntil waits for a time on the book's clock, the rest of it in the kernel.
-func (r *rig) waitUntil(ctx context.Context, at time.Duration) {
-	if pause := at - r.book.Now() - timerSlack; pause > 0 {
+func (r *run) waitUntil(ctx context.Context, at time.Duration) {
+	if pause := at - r.checker.Now() - timerSlack; pause > 0 {
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
 	}
-	if rest := at - r.book.Now(); rest > 0 {
+	if rest := at - r.checker.Now(); rest > 0 {
 		nap := unix.NsecToTimespec(int64(rest))
 		unix.Nanosleep(&nap, nil) //nolint:errcheck // woken early, the request is some microseconds early
 	}
@@ -249,9 +249,9 @@
 	return millis(time.Duration(h.ValueAtQuantile(q)))
 }
 
-// ran is the processor time that a process has had, to the nanosecond: the ticks of usage are 10 ms, a hundred requests.
+// cpuTime is the processor time that a process has had, to the nanosecond: the ticks of usage are 10 ms, a hundred requests.
 // What a thread ran that has ended is missing; the runtime keeps its threads.
-func (p *process) ran() (time.Duration, error) {
+func (p *process) cpuTime() (time.Duration, error) {
 	paths, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "task", "*", "schedstat"))
 	if err != nil || len(paths) == 0 {
 		return 0, fmt.Errorf("process %s: no schedstat under /proc: %w", p.name, os.ErrNotExist)
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -20,11 +20,11 @@
 
 // Times of processes.
 const (
-	upTime     = 15 * time.Second // for a start, until GET /up answers
-	killTime   = 5 * time.Second  // for a killed process to be gone
-	countTime  = 5 * time.Second  // for the line with the counters
-	pollPause  = 5 * time.Millisecond
-	mostLogged = 1 << 20 // bytes of one log line
+	readyTimeout    = 15 * time.Second // for a start, until GET /up answers
+	exitTimeout     = 5 * time.Second  // for a killed process to be gone
+	countersTimeout = 5 * time.Second  // for the line with the counters
+	pollInterval    = 5 * time.Millisecond
+	maxLogLine      = 1 << 20 // bytes of one log line
 )
 
 // process is one start of a sidecar's program.
@@ -32,22 +32,22 @@
 	cmd      *exec.Cmd
 	name     string
 	counters chan *record.Counters
-	watch    func(line string) // is told each line of its log; nil for nobody
+	onLine   func(line string) // is told each line of its log; nil for nobody
 	exited   chan struct{}     // closed when it has ended
 
-	mu       sync.Mutex
-	asked    bool // the lab has ended it
-	lastLine string
+	mu           sync.Mutex
+	stoppedByLab bool // the lab has ended it
+	lastLine     string
 }
 
 // startProcess starts a sidecar's program with its configuration; its log goes on
 // to a file where there is one.
 func startProcess(cmd *exec.Cmd, name, config, logPath string) (*process, error) {
-	return startWatched(cmd, name, config, logPath, nil)
+	return startProcessWatched(cmd, name, config, logPath, nil)
 }
 
-func startWatched(cmd *exec.Cmd, name, config, logPath string, watch func(line string)) (*process, error) {
-	p := &process{cmd: cmd, name: name, counters: make(chan *record.Counters, 8), watch: watch, exited: make(chan struct{})}
+func startProcessWatched(cmd *exec.Cmd, name, config, logPath string, watch func(line string)) (*process, error) {
+	p := &process{cmd: cmd, name: name, counters: make(chan *record.Counters, 8), onLine: watch, exited: make(chan struct{})}
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
@@ -68,15 +68,15 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("sidecar %s: %w", name, err)
 	}
-	go p.follow(out, logFile)
+	go p.readLog(out, logFile)
 	return p, nil
 }
 
-// follow reads the log to its end, and then the process's.
-func (p *process) follow(out io.Reader, logFile io.WriteCloser) {
+// readLog reads the log to its end, and then the process's.
+func (p *process) readLog(out io.Reader, logFile io.WriteCloser) {
 	defer close(p.exited)
 	lines := bufio.NewScanner(out)
-	lines.Buffer(make([]byte, 0, 4096), mostLogged)
+	lines.Buffer(make([]byte, 0, 4096), maxLogLine)
 	for lines.Scan() {
 		line := lines.Text()
 		if logFile != nil {
@@ -85,11 +85,11 @@
 		p.mu.Lock()
 		p.lastLine = line
 		p.mu.Unlock()
-		if p.watch != nil {
-			p.watch(line)
+		if p.onLine != nil {
+			p.onLine(line)
 		}
 		if strings.Contains(line, `"message":"counters"`) {
-			p.takeCounters(line)
+			p.parseCounters(line)
 		}
 	}
 	io.Copy(io.Discard, out) //nolint:errcheck // a line that is too long must not block it
@@ -99,7 +99,7 @@
 	p.cmd.Wait() //nolint:errcheck // how it ended is asked of the process state
 }
 
-func (p *process) takeCounters(line string) {
+func (p *process) parseCounters(line string) {
 	var said struct {
 		Counters record.Counters `json:"counters"`
 	}
@@ -121,11 +121,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.asked
+	return !p.stoppedByLab
 }
 
-// count asks for its counters.
-func (p *process) count() *record.Counters {
+// requestCounters asks for its counters.
+func (p *process) requestCounters() *record.Counters {
 	for len(p.counters) > 0 {
 		<-p.counters
 	}
@@ -136,17 +136,17 @@
 	case c := <-p.counters:
 		return c
 	case <-p.exited:
-	case <-time.After(countTime):
+	case <-time.After(countersTimeout):
 	}
 	return nil
 }
 
 func (p *process) signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// end tells it to end with a signal; it is the lab's doing.
-func (p *process) end(s os.Signal) {
+// stop tells it to end with a signal; it is the lab's doing.
+func (p *process) stop(s os.Signal) {
 	p.mu.Lock()
-	p.asked = true
+	p.stoppedByLab = true
 	p.mu.Unlock()
 	p.signal(s) //nolint:errcheck // it may have ended by itself
 }
--- a/internal/lab/harness/relay.go
+++ b/internal/lab/harness/relay.go
@@ -13,18 +13,18 @@
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	open   *sync.Cond
-	cut    [2]int           // cuts of the ways there and back that have not ended
-	delay  [2]time.Duration // of what goes there, and back
-	closed bool
-	conns  map[net.Conn]struct{}
+	mu         sync.Mutex
+	changed    *sync.Cond
+	partitions [2]int           // cuts of the ways there and back that have not ended
+	delay      [2]time.Duration // of what goes there, and back
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
 // The ways of a relay.
 const (
-	there = iota
-	back
+	toTarget = iota
+	fromTarget
 )
 
 // newRelay listens at a free port of a host.
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	r := &relay{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
-	r.open = sync.NewCond(&r.mu)
+	r.changed = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
@@ -47,11 +47,11 @@
 		if err != nil {
 			return
 		}
-		go r.carry(from)
+		go r.handle(from)
 	}
 }
 
-func (r *relay) carry(from net.Conn) {
+func (r *relay) handle(from net.Conn) {
 	to, err := net.Dial("tcp", r.target)
 	if err != nil {
 		reset(from)
@@ -66,8 +66,8 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.copy(to, from, there) })
-	both.Go(func() { r.copy(from, to, back) })
+	both.Go(func() { r.copy(to, from, toTarget) })
+	both.Go(func() { r.copy(from, to, fromTarget) })
 	both.Wait()
 	r.drop(from, to)
 }
@@ -87,8 +87,8 @@
 	for {
 		n, err := from.Read(buffer)
 		r.mu.Lock()
-		for r.cut[way] > 0 && !r.closed {
-			r.open.Wait()
+		for r.partitions[way] > 0 && !r.closed {
+			r.changed.Wait()
 		}
 		delay := r.delay[way]
 		r.mu.Unlock()
@@ -112,25 +112,25 @@
 	}
 }
 
-// set cuts a way or opens it.
-func (r *relay) set(way int, cut bool) {
+// setPartitioned cuts a way or opens it.
+func (r *relay) setPartitioned(way int, cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut[way]--; cut {
-		r.cut[way] += 2
+	if r.partitions[way]--; cut {
+		r.partitions[way] += 2
 	}
-	r.open.Broadcast()
+	r.changed.Broadcast()
 }
 
-// slow has what goes a way come so much later than before, or sooner where that is below 0.
-func (r *relay) slow(way int, by time.Duration) {
+// addDelay has what goes a way come so much later than before, or sooner where that is below 0.
+func (r *relay) addDelay(way int, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay[way] += by
 }
 
-// reset breaks all connections, in the middle of whatever they carry.
-func (r *relay) reset() {
+// resetAll breaks all connections, in the middle of whatever they carry.
+func (r *relay) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -142,9 +142,9 @@
 	r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	r.open.Broadcast()
+	r.changed.Broadcast()
 	r.mu.Unlock()
-	r.reset()
+	r.resetAll()
 }
 
 // reset ends a connection by a reset.
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -21,43 +21,43 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// startTries is how often a sidecar is started at other ports where one was taken
+// maxStartAttempts is how often a sidecar is started at other ports where one was taken
 // between its choice and its use.
-const startTries = 5
+const maxStartAttempts = 5
 
 // sidecar is one sidecar over all its starts.
 type sidecar struct {
-	rig    *rig
-	name   string
-	tier   int // it sends to
-	number int // among its peers
-	peers  int
-	own    bool // the settings say that each caller has one of its own
-	zone   string
-	host   string
-	list   string // address of its discovery
+	run              *run
+	name             string
+	tier             int // it sends to
+	number           int // among its peers
+	peers            int
+	perCaller        bool // the settings say that each caller has one of its own
+	zone             string
+	host             string
+	discoveryAddress string // address of its discovery
 
-	mu      sync.Mutex
-	address string
-	proc    *process
-	target  *load.Target
-	starts  int
-	crashed bool
-	top     usage
-	random  uint64
+	mu        sync.Mutex
+	address   string
+	proc      *process
+	target    *load.Target
+	starts    int
+	crashed   bool
+	peakUsage usage
+	seedStep  uint64
 }
 
-// settle gives it a host, and a discovery that listens at another.
-func (s *sidecar) settle() error {
+// assignAddresses gives it a host, and a discovery that listens at another.
+func (s *sidecar) assignAddresses() error {
 	var err error
-	if s.host, err = s.rig.hosts.take(); err != nil {
+	if s.host, err = s.run.hosts.acquire(); err != nil {
 		return err
 	}
-	at, err := s.rig.hosts.take()
+	at, err := s.run.hosts.acquire()
 	if err != nil {
 		return err
 	}
-	s.list, err = s.rig.lists[s.tier].OpenFor(s.name, at)
+	s.discoveryAddress, err = s.run.discoveries[s.tier].OpenFor(s.name, at)
 	return err
 }
 
@@ -65,7 +65,7 @@
 func (s *sidecar) start(ctx context.Context) (*load.Target, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	tries := startTries
+	tries := maxStartAttempts
 	if s.address != "" {
 		tries = 1
 	}
@@ -84,15 +84,15 @@
 func (s *sidecar) startOnce(ctx context.Context) error {
 	if s.address == "" {
 		var err error
-		if s.address, err = s.rig.hosts.address(s.host); err != nil {
+		if s.address, err = s.run.hosts.address(s.host); err != nil {
 			return err
 		}
 	}
 	s.starts++
-	s.random++
-	known := s.rig.lists[s.tier].LastDelivered(s.name)
-	path := filepath.Join(s.rig.dir, s.name+".json")
-	text, err := json.Marshal(s.config(known))
+	s.seedStep++
+	known := s.run.discoveries[s.tier].LastDelivered(s.name)
+	path := filepath.Join(s.run.dir, s.name+".json")
+	text, err := json.Marshal(s.configuration(known))
 	if err != nil {
 		return err
 	}
@@ -100,25 +100,25 @@
 		return err
 	}
 	logPath := ""
-	if s.rig.opts.LogDir != "" {
-		logPath = filepath.Join(s.rig.opts.LogDir, s.name+".log")
+	if s.run.opts.LogDir != "" {
+		logPath = filepath.Join(s.run.opts.LogDir, s.name+".log")
 	}
-	s.rig.book.Do(func(b *oracle.Checker) { b.SidecarStarted(s.rig.book.Now(), s.name, known.Index) })
-	if s.proc, err = startProcess(s.rig.opts.Sidecar(), s.name, path, logPath); err != nil {
+	s.run.checker.Do(func(b *oracle.Checker) { b.SidecarStarted(s.run.checker.Now(), s.name, known.Index) })
+	if s.proc, err = startProcess(s.run.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
-	if err := waitUp(ctx, s.address, s.proc); err != nil {
-		s.proc.end(syscall.SIGKILL)
-		s.proc.wait(killTime)
+	if err := waitReady(ctx, s.address, s.proc); err != nil {
+		s.proc.stop(syscall.SIGKILL)
+		s.proc.wait(exitTimeout)
 		return fmt.Errorf("sidecar %s at %s: %w: %s", s.name, s.address, err, s.proc.lastLine)
 	}
 	s.target = &load.Target{Name: s.name, Address: s.address}
 	return nil
 }
 
-// waitUp waits until GET /up answers 200.
-func waitUp(ctx context.Context, address string, p *process) error {
-	ctx, cancel := context.WithTimeout(ctx, upTime)
+// waitReady waits until GET /up answers 200.
+func waitReady(ctx context.Context, address string, p *process) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -137,13 +137,13 @@
 			return fmt.Errorf("not ready: %w", ctx.Err())
 		case <-p.exited:
 			return fmt.Errorf("it ended as it started")
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// current is its newest start.
-func (s *sidecar) current() *load.Target {
+// currentTarget is its newest start.
+func (s *sidecar) currentTarget() *load.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.target
@@ -156,20 +156,20 @@
 	if s.proc == nil {
 		return
 	}
-	s.sample()
+	s.sampleLocked()
 	if s.target != nil { // it had become ready
 		s.target.Stopped.Store(true)
 	}
-	s.proc.end(syscall.SIGKILL)
-	s.proc.wait(killTime)
+	s.proc.stop(syscall.SIGKILL)
+	s.proc.wait(exitTimeout)
 }
 
-// restartKill is when a sidecar that got SIGTERM is killed: the longest deadline,
+// terminateTimeout is when a sidecar that got SIGTERM is killed: the longest deadline,
 // up to 3 s, and 0.7 s more, as the published protocol has it.
-func (s *sidecar) restartKill() time.Duration {
+func (s *sidecar) terminateTimeout() time.Duration {
 	const patientFor, more = 3 * time.Second, 700 * time.Millisecond
 	longest := time.Duration(0)
-	for _, c := range s.rig.scene.Classes {
+	for _, c := range s.run.scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	return min(longest, patientFor) + more
@@ -183,59 +183,59 @@
 	if s.proc == nil {
 		return
 	}
-	s.sample()
-	s.proc.end(syscall.SIGTERM)
-	if !s.proc.wait(s.restartKill()) {
-		s.proc.end(syscall.SIGKILL)
-		s.proc.wait(killTime)
+	s.sampleLocked()
+	s.proc.stop(syscall.SIGTERM)
+	if !s.proc.wait(s.terminateTimeout()) {
+		s.proc.stop(syscall.SIGKILL)
+		s.proc.wait(exitTimeout)
 	}
 }
 
-// sample looks what the process takes, and whether it has ended by itself.
-func (s *sidecar) sample() {
+// sampleLocked looks what the process takes, and whether it has ended by itself.
+func (s *sidecar) sampleLocked() {
 	if s.proc == nil {
 		return
 	}
 	s.crashed = s.crashed || s.proc.crashed()
 	if u, err := s.proc.usage(); err == nil {
-		s.top.rssMB, s.top.cpu, s.top.fds = max(s.top.rssMB, u.rssMB), u.cpu, max(s.top.fds, u.fds)
+		s.peakUsage.rssMB, s.peakUsage.cpu, s.peakUsage.fds = max(s.peakUsage.rssMB, u.rssMB), u.cpu, max(s.peakUsage.fds, u.fds)
 	}
 }
 
-func (s *sidecar) watch() {
+func (s *sidecar) sampleUsage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sample()
+	s.sampleLocked()
 }
 
-// close takes its counters and ends it.
-func (s *sidecar) close(counts bool) record.Sidecar {
+// finish takes its counters and ends it.
+func (s *sidecar) finish(counts bool) record.Sidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sample()
+	s.sampleLocked()
 	r := record.Sidecar{
-		Name: s.name, Tier: s.tier, Starts: s.starts, Crashed: s.crashed, RSSMB: s.top.rssMB, CPU: s.top.cpu, FDs: s.top.fds,
+		Name: s.name, Tier: s.tier, Starts: s.starts, Crashed: s.crashed, RSSMB: s.peakUsage.rssMB, CPU: s.peakUsage.cpu, FDs: s.peakUsage.fds,
 	}
 	if s.proc == nil {
 		return r
 	}
 	if counts {
-		r.Counters = s.proc.count()
+		r.Counters = s.proc.requestCounters()
 	}
 	if s.target != nil {
 		s.target.Stopped.Store(true)
 	}
-	s.proc.end(syscall.SIGKILL)
-	s.proc.wait(killTime)
+	s.proc.stop(syscall.SIGKILL)
+	s.proc.wait(exitTimeout)
 	return r
 }
 
-// config is the sidecar's configuration, as the platform writes it.
-func (s *sidecar) config(known fake.List) map[string]any {
-	scene := s.rig.scene
+// configuration is the sidecar's configuration, as the platform writes it.
+func (s *sidecar) configuration(known fake.List) map[string]any {
+	scene := s.run.scenario
 	return map[string]any{
-		"name": s.name, "listen": s.address, "discovery": s.list,
-		"seed":     strconv.FormatUint(s.rig.seed*1_000_003+s.random*101+uint64(s.tier*1000+s.number), 16),
+		"name": s.name, "listen": s.address, "discovery": s.discoveryAddress,
+		"seed":     strconv.FormatUint(s.run.seed*1_000_003+s.seedStep*101+uint64(s.tier*1000+s.number), 16),
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": scene.Limits.MemoryMB, "sockets": scene.Limits.Sockets},
 		"known":    known,
 		"settings": s.settings(),
@@ -245,7 +245,7 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func (s *sidecar) settings() map[string]any {
-	scene := s.rig.scene
+	scene := s.run.scenario
 	stages := make([]string, len(scene.Tiers))
 	for i, t := range scene.Tiers {
 		stages[i] = t.Name
@@ -261,7 +261,7 @@
 		}
 	}
 	family := ""
-	if s.own {
+	if s.perCaller {
 		family = "mesh"
 	}
 	l, r := scene.Limits, scene.Rules
@@ -283,14 +283,14 @@
 	}
 }
 
-// effectWords are the settings' words for effects.
-var effectWords = map[decide.Effect]string{
+// effectNames are the settings' words for effects.
+var effectNames = map[decide.Effect]string{
 	decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once",
 }
 
 func profile(c scenario.Class) map[string]any {
 	return map[string]any{
-		"name": c.Name, "effect": effectWords[c.Effect], "group": c.Group, "window": millis(c.Window), "aim": millis(c.Aim),
+		"name": c.Name, "effect": effectNames[c.Effect], "group": c.Group, "window": millis(c.Window), "aim": millis(c.Aim),
 		"deadline": millis(c.Deadline), "worth": c.Worth, "late_share": c.LateShare, "stream": false,
 	}
 }
--- a/internal/lab/harness/fleet.go
+++ b/internal/lab/harness/tiers.go
@@ -17,11 +17,11 @@
 
 // tier is one tier of endpoints at work.
 type tier struct {
-	rig   *rig
-	place int
-	conf  scenario.Tier
-	list  *fake.Discovery
-	keys  map[keyScope]*fake.KeyMemory
+	run         *run
+	index       int
+	conf        scenario.Tier
+	discovery   *fake.Discovery
+	keyMemories map[keyScope]*fake.KeyMemory
 
 	mu    sync.Mutex
 	slots []*slot
@@ -36,18 +36,18 @@
 	number  int
 	host    string
 	sidecar *sidecar // by which it calls the next tier; nil for the last
-	only    *load.SingleTarget
+	target  *load.SingleTarget
 	client  *load.Client
 
 	mu       sync.Mutex
-	born     int            // how many have stood here
+	started  int            // how many have stood here
 	endpoint *fake.Endpoint // nil while there is none
 	line     fake.Line
 }
 
-func newTier(r *rig, place int) *tier {
+func newTier(r *run, place int) *tier {
 	return &tier{
-		rig: r, place: place, conf: r.scene.Tiers[place], list: r.lists[place], keys: map[keyScope]*fake.KeyMemory{},
+		run: r, index: place, conf: r.scenario.Tiers[place], discovery: r.discoveries[place], keyMemories: map[keyScope]*fake.KeyMemory{},
 	}
 }
 
@@ -71,27 +71,27 @@
 	defer t.mu.Unlock()
 	s := &slot{tier: t, number: len(t.slots)}
 	var err error
-	if s.host, err = t.rig.hosts.take(); err != nil {
+	if s.host, err = t.run.hosts.acquire(); err != nil {
 		return nil, err
 	}
 	if t.conf.Calls > 0 {
-		next := t.place + 1
+		next := t.index + 1
 		name := fmt.Sprintf("%s-%d-calls", t.conf.Name, s.number)
 		s.sidecar = &sidecar{
-			rig: t.rig, name: name, tier: next, number: s.number, peers: t.conf.Endpoints, zone: s.zone(),
+			run: t.run, name: name, tier: next, number: s.number, peers: t.conf.Endpoints, zone: s.zone(),
 		}
-		if err := s.sidecar.settle(); err != nil {
+		if err := s.sidecar.assignAddresses(); err != nil {
 			return nil, err
 		}
-		s.only = &load.SingleTarget{}
-		s.client = load.NewClient(t.rig.book, s.only, t.rig.grace())
-		t.rig.addSidecar(s.sidecar)
+		s.target = &load.SingleTarget{}
+		s.client = load.NewClient(t.run.checker, s.target, t.run.clientGrace())
+		t.run.addSidecar(s.sidecar)
 	}
 	t.slots = append(t.slots, s)
 	return s, nil
 }
 
-func (t *tier) at(number int) *slot {
+func (t *tier) slotAt(number int) *slot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if number >= len(t.slots) {
@@ -104,8 +104,8 @@
 
 func (s *slot) group() int { return 1 + s.number%s.tier.conf.Groups }
 
-// keysOf is the memory of keys that an endpoint shares with others of its scope.
-func (s *slot) keysOf(c scenario.Class) *fake.KeyMemory {
+// keyMemory is the memory of keys that an endpoint shares with others of its scope.
+func (s *slot) keyMemory(c scenario.Class) *fake.KeyMemory {
 	if c.Effect != decide.Keyed {
 		return nil
 	}
@@ -119,42 +119,42 @@
 	t := s.tier
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.keys[scope] == nil {
-		t.keys[scope] = fake.NewKeyMemory(c.Window)
+	if t.keyMemories[scope] == nil {
+		t.keyMemories[scope] = fake.NewKeyMemory(c.Window)
 	}
-	return t.keys[scope]
+	return t.keyMemories[scope]
 }
 
 // start starts an endpoint in its place, the same one again or another, and has discovery list it.
 func (s *slot) start(ctx context.Context, again, cold bool) error {
-	line, err := s.startUnlisted(ctx, again, cold)
+	line, err := s.startUnpublished(ctx, again, cold)
 	if err == nil {
-		s.tier.list.SetLines(line)
+		s.tier.discovery.SetLines(line)
 	}
 	return err
 }
 
-// startUnlisted starts an endpoint in its place and returns the line that is to be listed.
-func (s *slot) startUnlisted(ctx context.Context, again, cold bool) (fake.Line, error) {
+// startUnpublished starts an endpoint in its place and returns the line that is to be listed.
+func (s *slot) startUnpublished(ctx context.Context, again, cold bool) (fake.Line, error) {
 	if s.sidecar != nil {
 		target, err := s.sidecar.start(ctx)
 		if err != nil {
 			return fake.Line{}, err
 		}
-		s.only.Set(target)
+		s.target.Set(target)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name, address := s.line.Name, s.line.Address
 	if !again || name == "" {
 		name, address = fmt.Sprintf("%s-%d", s.tier.conf.Name, s.number), s.host+":0"
-		if s.born > 0 {
-			name += fmt.Sprintf(".%d", s.born)
+		if s.started > 0 {
+			name += fmt.Sprintf(".%d", s.started)
 		}
-		s.born++
+		s.started++
 	}
 	conf := s.endpointConf(name, address, cold)
-	endpoint, err := startAt(ctx, conf, s.tier.rig.book)
+	endpoint, err := startEndpoint(ctx, conf, s.tier.run.checker)
 	if err != nil {
 		return fake.Line{}, err
 	}
@@ -174,12 +174,12 @@
 	var errs []error
 	var lines []fake.Line
 	for _, n := range step.Slots {
-		s := t.at(n)
+		s := t.slotAt(n)
 		switch {
 		case !step.Revert:
 			s.kill()
-		case s.present() == nil: // else another fault has brought one back
-			line, err := s.startUnlisted(ctx, true, true)
+		case s.currentEndpoint() == nil: // else another fault has brought one back
+			line, err := s.startUnpublished(ctx, true, true)
 			if err != nil {
 				errs = append(errs, err)
 				continue
@@ -188,19 +188,19 @@
 		}
 	}
 	if len(lines) > 0 {
-		t.list.SetLines(lines...)
+		t.discovery.SetLines(lines...)
 	}
 	if !step.Revert && step.Fault.Listed > 0 {
-		time.AfterFunc(step.Fault.Listed, func() { t.listGone(step.Slots) })
+		time.AfterFunc(step.Fault.Listed, func() { t.publishGone(step.Slots) })
 	}
 	return errors.Join(errs...)
 }
 
-// listGone has discovery list those places as gone in which nothing stands.
-func (t *tier) listGone(places []int) {
+// publishGone has discovery list those places as gone in which nothing stands.
+func (t *tier) publishGone(places []int) {
 	var lines []fake.Line
 	for _, n := range places {
-		s := t.at(n)
+		s := t.slotAt(n)
 		s.mu.Lock()
 		if s.endpoint == nil {
 			s.line.Status = fake.Deleted
@@ -209,31 +209,31 @@
 		s.mu.Unlock()
 	}
 	if len(lines) > 0 {
-		t.list.SetLines(lines...)
+		t.discovery.SetLines(lines...)
 	}
 }
 
-// startAt starts an endpoint; its address may take a moment to be free.
-func startAt(ctx context.Context, conf fake.EndpointConf, book *oracle.Shared) (*fake.Endpoint, error) {
-	for end := time.Now().Add(killTime); ; {
+// startEndpoint starts an endpoint; its address may take a moment to be free.
+func startEndpoint(ctx context.Context, conf fake.EndpointConf, book *oracle.Shared) (*fake.Endpoint, error) {
+	for end := time.Now().Add(exitTimeout); ; {
 		e, err := fake.StartEndpoint(conf, book)
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
 			return e, err
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
 func (s *slot) endpointConf(name, address string, cold bool) fake.EndpointConf {
-	t, scene := s.tier, s.tier.rig.scene
+	t, scene := s.tier, s.tier.run.scenario
 	conf := fake.EndpointConf{
 		Name: name, Address: address, ServerModel: t.conf.ServerModel, Cold: cold, Connections: t.conf.Connections,
 		Handshake: t.conf.Handshake, IdleFor: scene.Limits.ConnIdle, BodyBytes: t.conf.Body,
-		Seed: t.rig.seed<<16 + uint64(t.place<<12+s.number), Classes: map[string]fake.ClassConf{},
+		Seed: t.run.seed<<16 + uint64(t.index<<12+s.number), Classes: map[string]fake.ClassConf{},
 	}
 	for _, c := range scene.Classes {
 		conf.Classes[c.Name] = fake.ClassConf{
-			Effect: c.Effect, Keys: s.keysOf(c), Work: time.Duration(float64(c.Work) * t.conf.WorkScale),
+			Effect: c.Effect, Keys: s.keyMemory(c), Work: time.Duration(float64(c.Work) * t.conf.WorkScale),
 		}
 	}
 	if s.sidecar != nil {
@@ -242,17 +242,17 @@
 	return conf
 }
 
-var lastCall atomic.Int64
+var callCount atomic.Int64
 
 // call makes one call of the next tier.
 func (s *slot) call(ctx context.Context, until time.Duration, key string) bool {
-	class := s.tier.rig.scene.Classes[s.tier.rig.callClass(s.tier.place)]
-	n := lastCall.Add(1)
+	class := s.tier.run.scenario.Classes[s.tier.run.callClass(s.tier.index)]
+	n := callCount.Add(1)
 	if class.Effect == decide.Keyed && key == "" {
 		key = fmt.Sprintf("call%x", n)
 	}
 	result := s.client.Send(ctx, load.Request{
-		ID: fmt.Sprintf("call%x", n), Class: class.Name, Key: key, Tier: s.tier.place + 1,
+		ID: fmt.Sprintf("call%x", n), Class: class.Name, Key: key, Tier: s.tier.index + 1,
 		Effect: class.Effect, Deadline: until,
 	})
 	return result.Ending == load.Answered && result.Verdict == oracle.Served
@@ -273,30 +273,30 @@
 	}
 }
 
-// list tells discovery the state of the one that stands, or stood, there.
-func (s *slot) list(status string) {
+// publishStatus tells discovery the state of the one that stands, or stood, there.
+func (s *slot) publishStatus(status string) {
 	s.mu.Lock()
 	s.line.Status = status
 	line := s.line
 	s.mu.Unlock()
-	s.tier.list.SetLines(line)
+	s.tier.discovery.SetLines(line)
 }
 
-// present is the endpoint that stands there, if there is one.
-func (s *slot) present() *fake.Endpoint {
+// currentEndpoint is the endpoint that stands there, if there is one.
+func (s *slot) currentEndpoint() *fake.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoint
 }
 
-// strike begins or ends a fault of this place. Where a crash has taken the
+// applyStep begins or ends a fault of this place. Where a crash has taken the
 // endpoint away, there is nothing to strike.
-func (s *slot) strike(ctx context.Context, step scenario.Step) error {
+func (s *slot) applyStep(ctx context.Context, step scenario.Step) error {
 	switch step.Kind {
 	case scenario.Replace, scenario.Drain, scenario.Release, scenario.Add:
-		return s.comeAndGo(ctx, step)
+		return s.applyMembershipStep(ctx, step)
 	}
-	e := s.present()
+	e := s.currentEndpoint()
 	if e == nil {
 		return nil
 	}
@@ -326,12 +326,12 @@
 	scenario.ExtraBytes: fake.ExtraBytes,
 }
 
-func (s *slot) comeAndGo(ctx context.Context, step scenario.Step) error {
+func (s *slot) applyMembershipStep(ctx context.Context, step scenario.Step) error {
 	switch {
 	case step.Kind == scenario.Add:
 		return s.start(ctx, false, true)
 	case !step.Revert && (step.Kind == scenario.Drain || step.Kind == scenario.Release):
-		s.list(fake.Draining)
+		s.publishStatus(fake.Draining)
 		return nil
 	case !step.Revert:
 		s.kill()
@@ -339,7 +339,7 @@
 	}
 	// A drain, a release or a replacement ends: the old one goes.
 	s.kill()
-	s.list(fake.Deleted)
+	s.publishStatus(fake.Deleted)
 	if step.Kind == scenario.Drain {
 		return nil
 	}
