--- a/internal/lab/harness/budget.go
+++ b/internal/lab/harness/budget.go
@@ -22,9 +22,9 @@
 func (b Budget) Total() float64 { return b.Start + b.Floor + b.Served }
 
 // NewBudget is that of a sidecar with so many peers, itself included, that served so many attempts in so many seconds.
-func NewBudget(own bool, peers, served int, seconds float64) Budget {
+func NewBudget(perCaller bool, peers, served int, seconds float64) Budget {
 	floor, start := budgetPerSecond, budgetPerSecond*budgetStartSeconds
-	if own {
+	if perCaller {
 		floor = budgetPerSecond * budgetPoolSize / float64(max(1, peers))
 		start = max(minBudgetStart, floor*budgetStartSeconds)
 	}
--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -102,12 +102,12 @@
 	}
 	s.Load.Rate, s.Duration = c.Rate, c.For
 	s.Classes[0].Deadline, s.Classes[0].Aim = c.Deadline, min(s.Classes[0].Aim, c.Deadline)
-	one := s.Tiers[0]
-	one.Endpoints, one.Calls = c.Endpoints, 0
+	tierConf := s.Tiers[0]
+	tierConf.Endpoints, tierConf.Calls = c.Endpoints, 0
 	s.Tiers = nil
 	for n := range c.Depth {
-		one.Name = fmt.Sprintf("t%d", n+1)
-		s.Tiers = append(s.Tiers, one)
+		tierConf.Name = fmt.Sprintf("t%d", n+1)
+		s.Tiers = append(s.Tiers, tierConf)
 	}
 	return s, nil
 }
@@ -135,7 +135,7 @@
 
 // MeasureChain plays one chain.
 func MeasureChain(ctx context.Context, conf ChainConf, opts Options) (*Chain, error) {
-	scene, err := conf.scenario()
+	sc, err := conf.scenario()
 	if err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &chain{run: newRun(scene, conf.Seed, opts, dir), conf: conf}
+	c := &chain{run: newRun(sc, conf.Seed, opts, dir), conf: conf}
 	c.openChecker(oracle.NewService(nil, 0))
 	defer c.stop()
 	if err := c.start(ctx); err != nil {
@@ -176,9 +176,9 @@
 		if err != nil {
 			return err
 		}
-		only := &load.SingleTarget{}
-		only.Set(target)
-		l.through = load.NewClient(c.checker, only, c.clientGrace())
+		front := &load.SingleTarget{}
+		front.Set(target)
+		l.through = load.NewClient(c.checker, front, c.clientGrace())
 		if c.conf.CompareDirect {
 			l.direct = load.NewClient(c.checker, l.directFront, c.clientGrace())
 		}
@@ -188,12 +188,12 @@
 
 // startEndpoints starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
 func (c *chain) startEndpoints(n int, l *chainStage) error {
-	ways := 1
+	paths := 1
 	if c.conf.CompareDirect {
-		ways = 2
+		paths = 2
 	}
-	for i := range ways * c.conf.Endpoints {
-		straight := i >= c.conf.Endpoints
+	for i := range paths * c.conf.Endpoints {
+		isDirect := i >= c.conf.Endpoints
 		host, err := c.hosts.acquire()
 		if err != nil {
 			return err
@@ -207,7 +207,7 @@
 		if n+1 < c.conf.Depth {
 			next := c.stages[n+1]
 			client := next.through
-			if straight {
+			if isDirect {
 				client = next.direct
 			}
 			conf.Calls = 1
@@ -220,7 +220,7 @@
 			return err
 		}
 		l.endpoints = append(l.endpoints, e)
-		if straight {
+		if isDirect {
 			l.directFront.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
@@ -280,16 +280,16 @@
 			return nil, err
 		}
 	}
-	ways := []*load.Client{c.stages[0].through}
+	paths := []*load.Client{c.stages[0].through}
 	if c.conf.CompareDirect {
-		ways = append(ways, c.stages[0].direct)
+		paths = append(paths, c.stages[0].direct)
 	}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	out := &Chain{}
-	took, lag := [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, newLatencies()
-	side, stopSide := context.WithCancel(ctx)
-	wait.Go(func() { c.monitor(side) })
+	latency, lag := [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, newLatencies()
+	background, stopBackground := context.WithCancel(ctx)
+	wait.Go(func() { c.monitor(background) })
 	var sending sync.WaitGroup
 	base := c.checker.Now()
 	for src := c.scenario.Plan().Arrivals(c.conf.Seed); ctx.Err() == nil; {
@@ -300,10 +300,10 @@
 		c.waitUntil(ctx, base+a.At)
 		sending.Go(func() {
 			late := c.checker.Now() - base - a.At
-			client := ways[a.Number%len(ways)]
-			way := 1
+			client := paths[a.Number%len(paths)]
+			path := 1
 			if client != c.stages[0].through {
-				way = 0
+				path = 0
 			}
 			result := client.Send(ctx, load.Request{
 				ID: fmt.Sprintf("f%d", a.Number), Class: "look", Effect: decide.Safe, Deadline: base + a.At + c.conf.Deadline,
@@ -312,23 +312,23 @@
 			mu.Lock()
 			defer mu.Unlock()
 			observe(lag, late)
-			out.Front[way].Requests++
+			out.Front[path].Requests++
 			if result.Ending == load.Answered && result.Verdict == oracle.Served {
-				out.Front[way].Served++
-				observe(took[way], end)
+				out.Front[path].Served++
+				observe(latency[path], end)
 			}
 		})
 	}
 	sending.Wait()
 	out.Seconds = (c.checker.Now() - base).Seconds()
-	stopSide()
+	stopBackground()
 	wait.Wait()
 	time.Sleep(settleDelay)
 	out.Lag = quantile(lag, 99)
-	for way := range took {
-		out.Front[way].P50, out.Front[way].P99 = quantile(took[way], 50), quantile(took[way], 99)
+	for path := range latency {
+		out.Front[path].P50, out.Front[path].P99 = quantile(latency[path], 50), quantile(latency[path], 99)
 	}
-	return out, c.collect(ctx, out, before, took[1])
+	return out, c.collect(ctx, out, before, latency[1])
 }
 
 // collect takes each tier's figures.
@@ -336,17 +336,17 @@
 	if ctx.Err() != nil {
 		return fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	ran := make([]time.Duration, c.conf.Depth)
+	cpu := make([]time.Duration, c.conf.Depth)
 	for n, l := range c.stages {
 		after, err := l.sidecar.proc.cpuTime()
 		if err != nil {
 			return err
 		}
-		ran[n] = after - before[n]
+		cpu[n] = after - before[n]
 	}
-	var account oracle.Report
+	var report oracle.Report
 	for n, l := range c.stages {
-		said := l.sidecar.finish(true)
+		rec := l.sidecar.finish(true)
 		if n == 0 {
 			observe(l.timeUsed, 0)
 			l.latency = front
@@ -354,24 +354,24 @@
 		l.mu.Lock()
 		t := ChainTier{
 			P50: quantile(l.latency, 50), P99: quantile(l.latency, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.timeUsed, 50),
-			RemainingMin: millis(c.conf.Deadline) - quantile(l.timeUsed, 100), RSSMB: said.RSSMB, FDs: said.FDs,
+			RemainingMin: millis(c.conf.Deadline) - quantile(l.timeUsed, 100), RSSMB: rec.RSSMB, FDs: rec.FDs,
 		}
 		l.mu.Unlock()
-		if said.Counters != nil {
-			t.Outcomes = said.Counters.Attempts
+		if rec.Counters != nil {
+			t.Outcomes = rec.Counters.Attempts
 		}
 		out.Tiers = append(out.Tiers, t)
 	}
-	c.checker.Do(func(b *oracle.Checker) { account = b.Close() })
-	out.NumViolations, out.Violations, out.BalanceErr = account.NumViolations(), account.Violations, account.Balance()
+	c.checker.Do(func(b *oracle.Checker) { report = b.Close() })
+	out.NumViolations, out.Violations, out.BalanceErr = report.NumViolations(), report.Violations, report.Balance()
 	for n := range out.Tiers {
-		t, tally := &out.Tiers[n], account.Sidecars[c.stages[n].sidecar.name]
+		t, tally := &out.Tiers[n], report.Sidecars[c.stages[n].sidecar.name]
 		if tally == nil { // nothing was asked of it
 			tally = &oracle.Tally{}
 		}
 		t.Requests, t.Attempts, t.CallerLeft = tally.Requests, tally.Arrivals, tally.ClientLeft+tally.Interrupted
 		t.Served, t.Refused, t.Failed = tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed]
-		t.CPU = ratio(int(ran[n].Microseconds()), t.Requests)
+		t.CPU = ratio(int(cpu[n].Microseconds()), t.Requests)
 		t.Budget = NewBudget(c.conf.PerCaller, c.conf.Peers, t.Outcomes["served"], out.Seconds)
 	}
 	return nil
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -170,7 +170,7 @@
 }
 
 // RunCluster plays a crew's scenario.
-func RunCluster(ctx context.Context, scene *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
+func RunCluster(ctx context.Context, sc *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
 	dir, err := opts.Dir, error(nil)
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "heathgap-crew-"); err != nil {
@@ -179,12 +179,12 @@
 		defer os.RemoveAll(dir)
 	}
 	r := &clusterRun{
-		scenario: scene, opts: opts, seed: seed, dir: dir, hosts: newHostAllocator(), began: time.Now(), relays: map[[2]string]*relay{},
-		checker: consistency.New(consistency.Conf{MaxContradiction: scene.ContradictAtMost, Margin: checkerMargin}), pending: map[uint64]time.Duration{},
+		scenario: sc, opts: opts, seed: seed, dir: dir, hosts: newHostAllocator(), began: time.Now(), relays: map[[2]string]*relay{},
+		checker: consistency.New(consistency.Conf{MaxContradiction: sc.ContradictAtMost, Margin: checkerMargin}), pending: map[uint64]time.Duration{},
 		lastStatus: map[string]member.Status{}, cautious: map[string]time.Duration{},
-		rec: ClusterRecord{Name: scene.Name, Seed: seed, Processes: scene.Voters + scene.Members, Leaders: map[uint64]string{},
+		rec: ClusterRecord{Name: sc.Name, Seed: seed, Processes: sc.Voters + sc.Members, Leaders: map[uint64]string{},
 			RSSMB: map[string]float64{}, CPU: map[string]float64{},
-			MaxContradiction: millis(scene.ContradictAtMost)},
+			MaxContradiction: millis(sc.ContradictAtMost)},
 	}
 	r.checker.RecordVersion(0, consistency.Forbidden{})
 	r.keyed = newKeyedLoad(r)
@@ -192,30 +192,30 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	playing, done := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	running, stopRunning := context.WithCancel(ctx)
+	var tasks sync.WaitGroup
 	for _, p := range r.procs {
-		all.Go(func() { r.pollStatus(playing, p) })
-		all.Go(func() { r.sendProbes(playing, p) })
-		all.Go(func() { r.sendLoad(playing, p) })
+		tasks.Go(func() { r.pollStatus(running, p) })
+		tasks.Go(func() { r.sendProbes(running, p) })
+		tasks.Go(func() { r.sendLoad(running, p) })
 	}
-	ordering, enough := context.WithCancel(playing)
-	defer enough()
-	ordered := make(chan struct{})
+	sendingKeyed, stopKeyed := context.WithCancel(running)
+	defer stopKeyed()
+	keyedDone := make(chan struct{})
 	go func() {
-		defer close(ordered)
+		defer close(keyedDone)
 		if r.scenario.KeyedRate > 0 {
-			r.keyed.run(ordering)
+			r.keyed.run(sendingKeyed)
 		}
 	}()
 	err = r.runSteps(ctx)
-	enough()
-	<-ordered
+	stopKeyed()
+	<-keyedDone
 	if err == nil {
 		err = r.awaitPending(ctx)
 	}
-	done()
-	all.Wait()
+	stopRunning()
+	tasks.Wait()
 	if err != nil {
 		return nil, err
 	}
@@ -242,11 +242,11 @@
 	for i := range r.scenario.Members {
 		names = append(names, fmt.Sprintf("m%d", i+1))
 	}
-	twins := 0
+	duplicates := 0
 	for _, s := range r.scenario.Steps {
-		if twin := s.Who + duplicateSuffix; s.Do == "twin" && !slices.Contains(names, twin) {
-			names = append(names, twin)
-			twins++
+		if duplicate := s.Who + duplicateSuffix; s.Do == "twin" && !slices.Contains(names, duplicate) {
+			names = append(names, duplicate)
+			duplicates++
 		}
 	}
 	for _, name := range names {
@@ -265,13 +265,13 @@
 		p.rpc = peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
 		r.procs = append(r.procs, p)
 	}
-	first := r.procs[:len(r.procs)-twins]
-	reached := first // by each of the others: the keepers, and all where they hold something for one another
+	originals := r.procs[:len(r.procs)-duplicates]
+	targets := originals // by each of the others: the keepers, and all where they hold something for one another
 	if r.scenario.Copies == 0 {
-		reached = first[:r.scenario.Voters]
+		targets = originals[:r.scenario.Voters]
 	}
 	for _, p := range r.procs {
-		for _, k := range reached {
+		for _, k := range targets {
 			if p == k {
 				continue
 			}
@@ -279,35 +279,35 @@
 			if err != nil {
 				return err
 			}
-			way, err := newRelay(host, k.peerAddress)
+			link, err := newRelay(host, k.peerAddress)
 			if err != nil {
 				return err
 			}
-			r.relays[[2]string{p.name, k.name}] = way
+			r.relays[[2]string{p.name, k.name}] = link
 		}
 	}
 	var starting sync.WaitGroup
-	faults := make([]error, len(first))
-	for i, p := range first {
-		starting.Go(func() { faults[i] = r.startMember(ctx, p) })
+	errs := make([]error, len(originals))
+	for i, p := range originals {
+		starting.Go(func() { errs[i] = r.startMember(ctx, p) })
 	}
 	starting.Wait()
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	if r.opts.Separate {
 		return nil
 	}
-	limit := time.Now().Add(leaderTimeout)
+	deadline := time.Now().Add(leaderTimeout)
 	for {
 		ready := 0
-		for _, p := range first {
+		for _, p := range originals {
 			var a member.Status
 			if p.rpc.Call("acting", struct{}{}, &a, rpcTimeout) == nil && !a.Cautious {
 				ready++
 			}
 		}
-		if ready == len(first) {
+		if ready == len(originals) {
 			for _, p := range r.procs[:r.scenario.Voters] { // for who is set back later
 				if err := os.CopyFS(filepath.Join(p.dir, "copy"), os.DirFS(filepath.Join(p.dir, "data"))); err != nil {
 					return err
@@ -319,15 +319,15 @@
 			}
 			r.voterIDs = st.Ledger.Voters
 			if r.opts.Dir != "" && r.opts.Progress != nil { // for who tries commands on them
-				for _, p := range first {
+				for _, p := range originals {
 					r.opts.Progress(fmt.Sprintf("%s: zone %s, callers at %s, process %d, files in %s", p.name, r.zone(p), p.listen, p.proc.cmd.Process.Pid, p.dir))
 				}
 			}
 			r.logStep("%d processes hold a lease", ready)
 			return nil
 		}
-		if time.Now().After(limit) || ctx.Err() != nil {
-			return fmt.Errorf("only %d of %d processes hold a lease after %v; keep the logs (LogDir) and look there", ready, len(first), leaderTimeout)
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return fmt.Errorf("only %d of %d processes hold a lease after %v; keep the logs (LogDir) and look there", ready, len(originals), leaderTimeout)
 		}
 		time.Sleep(statusInterval)
 	}
@@ -341,14 +341,14 @@
 	}
 	for _, k := range r.procs[:r.scenario.Voters] {
 		address := k.peerAddress
-		if way := r.relays[[2]string{p.name, k.name}]; way != nil {
-			address = way.address()
+		if link := r.relays[[2]string{p.name, k.name}]; link != nil {
+			address = link.address()
 		}
 		f.Voters = append(f.Voters, NamedAddress{k.name, address})
 	}
 	for _, q := range r.procs[r.scenario.Voters:] {
-		if way := r.relays[[2]string{p.name, q.name}]; way != nil {
-			f.Routes = append(f.Routes, NamedAddress{q.name, way.address()})
+		if link := r.relays[[2]string{p.name, q.name}]; link != nil {
+			f.Routes = append(f.Routes, NamedAddress{q.name, link.address()})
 		}
 	}
 	return f.Text()
@@ -456,17 +456,17 @@
 			continue
 		}
 		var a member.Status
-		asked := r.now()
+		polledAt := r.now()
 		if !p.isRunning() || p.rpc.Call("acting", struct{}{}, &a, rpcTimeout) != nil {
 			continue
 		}
 		r.mu.Lock()
-		r.checker.RecordStatus(p.name, consistency.StatusReport{At: asked, AnsweredAt: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
+		r.checker.RecordStatus(p.name, consistency.StatusReport{At: polledAt, AnsweredAt: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
 		if a.Cautious {
 			r.cautious[p.name] += statusInterval
 		}
 		r.lastStatus[p.name] = a
-		r.recordActiveEverywhere(asked)
+		r.recordActiveEverywhere(polledAt)
 		r.mu.Unlock()
 		if strings.HasPrefix(p.name, "k") {
 			r.pollLeader(p)
@@ -477,14 +477,14 @@
 // recordActiveEverywhere books versions that every live process acts on alone.
 func (r *clusterRun) recordActiveEverywhere(now time.Duration) {
 	for number, since := range r.pending {
-		all, one := true, false
+		allActive, anyActive := true, false
 		for _, p := range r.procs {
-			a, heard := r.lastStatus[p.name]
-			acts := heard && !a.Cautious && a.Active >= number
-			one = one || acts && p.isRunning()
-			all = all && (acts || !p.isRunning() || heard && a.Cautious)
+			a, known := r.lastStatus[p.name]
+			active := known && !a.Cautious && a.Active >= number
+			anyActive = anyActive || active && p.isRunning()
+			allActive = allActive && (active || !p.isRunning() || known && a.Cautious)
 		}
-		if all && one {
+		if allActive && anyActive {
 			r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: number, State: "active", ActiveMS: millis(now - since)})
 			delete(r.pending, number)
 		}
@@ -519,13 +519,13 @@
 func (r *clusterRun) sendLoad(ctx context.Context, p *clusterProcess) {
 	client := &http.Client{Timeout: time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
-	pace := time.NewTicker(time.Duration(float64(time.Second) / r.scenario.Rate))
-	defer pace.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.scenario.Rate))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pace.C:
+		case <-ticker.C:
 		}
 		if !p.isRunning() {
 			continue
@@ -545,13 +545,13 @@
 func (r *clusterRun) sendProbes(ctx context.Context, p *clusterProcess) {
 	client := &http.Client{Timeout: 2 * time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
-	pace := time.NewTicker(probeInterval)
-	defer pace.Stop()
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pace.C:
+		case <-ticker.C:
 			if p.isRunning() {
 				r.sendRequest(client, p, probedClass, n)
 			}
@@ -604,13 +604,13 @@
 	steps = append(steps, r.randomSteps()...)
 	slices.SortStableFunc(steps, func(a, b scenario.ClusterStep) int { return int(a.At - b.At) })
 	begin := r.now()
-	var ends sync.WaitGroup
-	defer ends.Wait()
+	var reverts sync.WaitGroup
+	defer reverts.Wait()
 	for _, s := range steps {
 		if err := r.sleepUntil(ctx, begin+s.At); err != nil {
 			return err
 		}
-		if err := r.applyStep(ctx, s, &ends); err != nil {
+		if err := r.applyStep(ctx, s, &reverts); err != nil {
 			return err
 		}
 	}
@@ -628,23 +628,23 @@
 
 // randomSteps draws the steps that follow from the seed.
 func (r *clusterRun) randomSteps() []scenario.ClusterStep {
-	dice := rand.New(rand.NewPCG(r.seed, 0xc4e3))
+	rng := rand.New(rand.NewPCG(r.seed, 0xc4e3))
 	var steps []scenario.ClusterStep
 	span := r.scenario.Duration - 2*r.scenario.Lease
 	for range r.scenario.Random {
-		at := time.Duration(dice.Int64N(int64(span)))
-		who := []string{"leader", "follower", r.procs[dice.IntN(len(r.procs))].name}[dice.IntN(3)]
-		do := scenario.ClusterFaults[dice.IntN(len(scenario.ClusterFaults))]
+		at := time.Duration(rng.Int64N(int64(span)))
+		who := []string{"leader", "follower", r.procs[rng.IntN(len(r.procs))].name}[rng.IntN(3)]
+		do := scenario.ClusterFaults[rng.IntN(len(scenario.ClusterFaults))]
 		steps = append(steps, scenario.ClusterStep{
-			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[dice.IntN(len(scenario.CutDirections))],
-			For: r.scenario.Lease/2 + time.Duration(dice.Int64N(int64(2*r.scenario.Lease))),
+			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[rng.IntN(len(scenario.CutDirections))],
+			For: r.scenario.Lease/2 + time.Duration(rng.Int64N(int64(2*r.scenario.Lease))),
 		})
 	}
 	for i := range r.scenario.Proposals {
 		at := time.Duration(i+1) * span / time.Duration(r.scenario.Proposals+1)
 		s := scenario.ClusterStep{At: at, Do: "propose", Effect: "once"}
 		if i%2 == 1 {
-			s.Effect, s.Ban = "repeatable", r.endpoints[dice.IntN(len(r.endpoints))].name
+			s.Effect, s.Ban = "repeatable", r.endpoints[rng.IntN(len(r.endpoints))].name
 		}
 		steps = append(steps, s)
 	}
@@ -652,12 +652,12 @@
 }
 
 // applyStep plays one step; what it began ends after its time.
-func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, ends *sync.WaitGroup) error {
+func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, reverts *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
 		return nil // there is nobody to propose it to
 	}
 	if s.Do == "propose" {
-		ends.Go(func() { r.propose(ctx, s) })
+		reverts.Go(func() { r.propose(ctx, s) })
 		return nil
 	}
 	if s.Do == "older" && r.opts.OlderProgram == nil {
@@ -668,9 +668,9 @@
 	}
 	if s.Who == "keepers" || s.Who == "all" {
 		for i, p := range r.procs {
-			if one := s; s.Who == "all" || i < r.scenario.Voters {
-				one.Who = p.name
-				if err := r.applyStep(ctx, one, ends); err != nil {
+			if single := s; s.Who == "all" || i < r.scenario.Voters {
+				single.Who = p.name
+				if err := r.applyStep(ctx, single, reverts); err != nil {
 					return err
 				}
 			}
@@ -678,11 +678,11 @@
 		return nil
 	}
 	p := r.processByName(s.Who)
-	own := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // of the process itself
-	if r.scenario.Copies > 0 && (own || s.Do == "cut" && s.Drawn) && !r.canLoseProcess() {
+	ofProcess := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // of the process itself
+	if r.scenario.Copies > 0 && (ofProcess || s.Do == "cut" && s.Drawn) && !r.canLoseProcess() {
 		return nil // more at once than what is promised survives
 	}
-	if own && !p.beginFault() {
+	if ofProcess && !p.beginFault() {
 		return nil
 	}
 	if (s.Do == "wipe" || s.Do == "setback") && strings.HasPrefix(p.name, "k") && !r.reserveVoterLoss(p) {
@@ -694,19 +694,19 @@
 		r.leaderFaultAt = r.now()
 	}
 	r.mu.Unlock()
-	later := func(do func()) {
-		ends.Go(func() {
+	revertLater := func(revert func()) {
+		reverts.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(s.For):
 			}
-			do()
-			if own {
+			revert()
+			if ofProcess {
 				p.endFault()
 			}
 		})
 	}
-	back := func() {
+	restart := func() {
 		if err := r.startMember(ctx, p); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
 			r.rec.Violations = append(r.rec.Violations, "does not come back: "+err.Error())
@@ -719,7 +719,7 @@
 	case "kill", "wipe", "term", "setback":
 		if r.scenario.Copies > 0 && s.Do != "term" {
 			if l := r.leaderLedger(); l != nil {
-				ends.Go(func() { r.awaitReplicated(ctx, l.Members[p.memberName].Token) })
+				reverts.Go(func() { r.awaitReplicated(ctx, l.Members[p.memberName].Token) })
 			}
 		}
 		p.setRunning(false)
@@ -728,7 +728,7 @@
 			signal = syscall.SIGTERM
 		}
 		p.proc.stop(signal)
-		later(func() {
+		revertLater(func() {
 			if !p.proc.wait(exitTimeout) {
 				p.proc.stop(syscall.SIGKILL)
 				p.proc.wait(exitTimeout)
@@ -739,7 +739,7 @@
 			}
 			if s.Do == "setback" {
 				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy it is a wipe
-				back()
+				restart()
 				// The operator finds the keeper's line and does as it says.
 				time.Sleep(r.scenario.Lease)
 				p.setRunning(false)
@@ -747,24 +747,24 @@
 				p.proc.wait(exitTimeout)
 				os.RemoveAll(data)
 			}
-			back()
+			restart()
 		})
 	case "older": // replaced by one, and put back
 		p.older = true
 		p.setRunning(false)
 		p.proc.stop(syscall.SIGKILL)
 		p.proc.wait(exitTimeout)
-		back()
-		later(func() {
+		restart()
+		revertLater(func() {
 			p.older = false
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
-			back()
+			restart()
 		})
 	case "twin":
-		back()
-		later(func() {
+		restart()
+		revertLater(func() {
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
@@ -773,22 +773,22 @@
 	case "stop":
 		p.setRunning(false)
 		p.proc.signal(syscall.SIGSTOP)
-		later(func() {
+		revertLater(func() {
 			p.proc.signal(syscall.SIGCONT)
 			p.setRunning(true)
 			r.logStep("%s goes on", p.name)
 		})
 	case "delay":
-		r.forRelays(p, s.With, s.Direction, func(w *relay, way int) { w.addDelay(way, s.By) })
-		later(func() {
-			r.forRelays(p, s.With, s.Direction, func(w *relay, way int) { w.addDelay(way, -s.By) })
+		r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, s.By) })
+		revertLater(func() {
+			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, -s.By) })
 			r.logStep("%s is as fast as before", p.name)
 		})
 	case "cut":
 		r.partitions.Add(1)
-		r.forRelays(p, s.With, s.Direction, func(w *relay, way int) { w.setPartitioned(way, true) })
-		later(func() {
-			r.forRelays(p, s.With, s.Direction, func(w *relay, way int) { w.setPartitioned(way, false) })
+		r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.setPartitioned(dir, true) })
+		revertLater(func() {
+			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.setPartitioned(dir, false) })
 			r.partitions.Add(-1)
 			r.logStep("%s is whole again", p.name)
 		})
@@ -797,16 +797,16 @@
 		if err := unix.Prlimit(p.proc.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
 			return err
 		}
-		later(func() { // room again: the keeper takes part when its process is started anew
+		revertLater(func() { // room again: the keeper takes part when its process is started anew
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
-			back()
+			restart()
 		})
 	case "reset":
-		for ways, way := range r.relays {
-			if ways[0] == p.name || ways[1] == p.name {
-				way.resetAll()
+		for ends, link := range r.relays {
+			if ends[0] == p.name || ends[1] == p.name {
+				link.resetAll()
 			}
 		}
 	case "restart": // without a crew: with other rules
@@ -838,23 +838,23 @@
 }
 
 // forRelays does something with the ways of a process to another one, or to all: what comes to it ("in"), what it says ("out"), or both.
-func (r *clusterRun) forRelays(p *clusterProcess, with, way string, do func(w *relay, way int)) {
-	for ways, relay := range r.relays {
-		out, in, other := toTarget, fromTarget, ways[1] // of a way that begins at the process
+func (r *clusterRun) forRelays(p *clusterProcess, with, direction string, do func(w *relay, direction int)) {
+	for ends, relay := range r.relays {
+		out, in, other := toTarget, fromTarget, ends[1] // of a way that begins at the process
 		switch p.name {
-		case ways[0]:
-		case ways[1]:
-			out, in, other = fromTarget, toTarget, ways[0]
+		case ends[0]:
+		case ends[1]:
+			out, in, other = fromTarget, toTarget, ends[0]
 		default:
 			continue
 		}
 		if with != "" && with != other {
 			continue
 		}
-		if way != "in" {
+		if direction != "in" {
 			do(relay, out)
 		}
-		if way != "out" {
+		if direction != "out" {
 			do(relay, in)
 		}
 	}
@@ -863,8 +863,8 @@
 // propose proposes a version at whichever keeper leads, until it is told or refused.
 func (r *clusterRun) propose(ctx context.Context, s scenario.ClusterStep) {
 	id := voter.NewID()
-	limit := time.Now().Add(r.scenario.Duration)
-	for i := 0; ctx.Err() == nil && time.Now().Before(limit); i++ {
+	deadline := time.Now().Add(r.scenario.Duration)
+	for i := 0; ctx.Err() == nil && time.Now().Before(deadline); i++ {
 		p := r.procs[i%r.scenario.Voters]
 		var st voter.Status
 		if !p.isRunning() || p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil || st.Leader != p.name {
@@ -873,8 +873,8 @@
 		}
 		doc := st.Ledger.Active.Doc
 		effect := decide.Safe
-		for e, word := range versions.EffectNames {
-			if word == s.Effect {
+		for e, name := range versions.EffectNames {
+			if name == s.Effect {
 				effect = e
 			}
 		}
@@ -901,22 +901,22 @@
 		r.checker.RecordVersion(next, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 		r.mu.Unlock()
 		began := r.now()
-		var told voter.ProposeResult
+		var result voter.ProposeResult
 		proposal := cluster.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
 		var err error
 		if s.ProposerDies && i == 0 {
-			err = r.proposeAndHangUp(p, proposal, &told)
+			err = r.proposeAndHangUp(p, proposal, &result)
 		} else {
-			err = p.rpc.Call("propose", proposal, &told, proposeTimeout)
+			err = p.rpc.Call("propose", proposal, &result, proposeTimeout)
 		}
-		if err == nil && told.Number > 0 {
+		if err == nil && result.Number > 0 {
 			r.mu.Lock()
-			r.checker.RecordVersion(told.Number, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
-			r.checker.RecordAgreed(told.Number)
-			r.lastAgreed = max(r.lastAgreed, told.Number)
-			r.pending[told.Number] = began
+			r.checker.RecordVersion(result.Number, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+			r.checker.RecordAgreed(result.Number)
+			r.lastAgreed = max(r.lastAgreed, result.Number)
+			r.pending[result.Number] = began
 			r.mu.Unlock()
-			r.logStep("version %d told: %s %s", told.Number, s.Effect, s.Ban)
+			r.logStep("version %d told: %s %s", result.Number, s.Effect, s.Ban)
 			return
 		}
 		time.Sleep(2 * statusInterval)
@@ -924,18 +924,18 @@
 }
 
 // proposeAndHangUp proposes as somebody who is gone before any answer; whether the proposal counts then shows at the keepers alone.
-func (r *clusterRun) proposeAndHangUp(p *clusterProcess, proposal cluster.Proposal, told *voter.ProposeResult) error {
+func (r *clusterRun) proposeAndHangUp(p *clusterProcess, proposal cluster.Proposal, result *voter.ProposeResult) error {
 	proposer := peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
 	err := proposer.Call("propose", proposal, nil, hangUpTimeout)
 	proposer.Close()
 	r.logStep("a proposer has died: %v", err)
-	for limit := time.Now().Add(proposeTimeout); time.Now().Before(limit); time.Sleep(statusInterval) {
+	for deadline := time.Now().Add(proposeTimeout); time.Now().Before(deadline); time.Sleep(statusInterval) {
 		var st voter.Status
 		if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil {
 			continue
 		}
-		if round := st.Ledger.Find(proposal.ID); round != nil {
-			told.Number = round.Number
+		if version := st.Ledger.Find(proposal.ID); version != nil {
+			result.Number = version.Number
 			return nil
 		}
 	}
@@ -947,8 +947,8 @@
 	if r.opts.Separate {
 		return nil
 	}
-	limit := time.Now().Add(leaderTimeout)
-	for time.Now().Before(limit) && ctx.Err() == nil {
+	deadline := time.Now().Add(leaderTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		r.mu.Lock()
 		left := len(r.pending)
 		r.mu.Unlock()
@@ -962,26 +962,26 @@
 
 // checkResult closes the book.
 func (r *clusterRun) checkResult() {
-	present, led := map[uint64]bool{}, false
-	for try := 0; !led && !r.opts.Separate && try < int(leaderTimeout/rpcTimeout); try++ {
+	inLedger, hasLeader := map[uint64]bool{}, false
+	for try := 0; !hasLeader && !r.opts.Separate && try < int(leaderTimeout/rpcTimeout); try++ {
 		if try > 0 {
 			time.Sleep(rpcTimeout)
 		}
 		for _, k := range r.procs[:r.scenario.Voters] {
 			var st voter.Status
-			if led || k.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Leader != k.name || st.Ledger == nil {
+			if hasLeader || k.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Leader != k.name || st.Ledger == nil {
 				continue
 			}
-			led = true
+			hasLeader = true
 			for name, id := range st.Ledger.Voters {
 				if id != r.voterIDs[name] {
 					r.rec.Replaced = append(r.rec.Replaced, name)
 				}
 			}
-			for _, round := range st.Ledger.VersionRecords() {
-				present[round.Number] = true
-				if round.State == cluster.Refused {
-					r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: round.Number, State: "refused", Reason: round.Reason})
+			for _, version := range st.Ledger.VersionRecords() {
+				inLedger[version.Number] = true
+				if version.State == cluster.Refused {
+					r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: version.Number, State: "refused", Reason: version.Reason})
 				}
 			}
 		}
@@ -991,7 +991,7 @@
 	defer r.mu.Unlock()
 	r.rec.Violations = append(r.rec.Violations, behind...)
 	r.rec.NumViolations += len(behind)
-	if !led && !r.opts.Separate {
+	if !hasLeader && !r.opts.Separate {
 		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no keeper leads %v after the last fault", leaderTimeout))
 		r.rec.NumViolations++
 	}
@@ -999,12 +999,12 @@
 		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, told at %v, is not acted on by all", number, since))
 		r.rec.NumViolations++
 	}
-	if !led {
-		present = nil // what the crew holds is not known
+	if !hasLeader {
+		inLedger = nil // what the crew holds is not known
 	}
-	report := r.checker.Close(present)
-	for _, b := range report.Violations {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What))
+	report := r.checker.Close(inLedger)
+	for _, v := range report.Violations {
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", v.Rule, v.At.Seconds(), v.What))
 	}
 	r.rec.NumViolations += report.NumViolations
 	r.rec.Contradicted, r.rec.Actions, r.rec.ActionsAgainstOthers = millis(report.Longest), report.Actions, report.AgainstOthers
@@ -1064,8 +1064,8 @@
 			p.rpc.Close()
 		}
 	}
-	for _, way := range r.relays {
-		way.close()
+	for _, link := range r.relays {
+		link.close()
 	}
 	for _, e := range r.endpoints {
 		e.server.Close()
@@ -1097,9 +1097,9 @@
 		}
 		process, _, _ := strings.Cut(id, ".")
 		probed := strings.HasPrefix(q.URL.Path, "/"+probedClass)
-		again := probed && r.probeSeen(id)
+		resent := probed && r.probeSeen(id)
 		r.mu.Lock()
-		if again {
+		if resent {
 			r.checker.RecordAction(consistency.Action{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
 		}
 		r.checker.RecordAction(consistency.Action{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -32,69 +32,69 @@
 
 // Bugs that are planted into a member.
 const (
-	bugNone       = "none"
-	bugGoesOn     = "goes on when its lease has ended"
-	bugForgets    = "forgets bans when it is cut off"
-	bugStays      = "acts on the first rules that it was told"
-	bugSlow       = "its clock is slower than the terms allow"
-	bugSleeps     = "its clock stops with its process"
-	bugTellsEarly = "tells outcomes long before they are copied, and dies"
-	bugNoClaim    = "sends without a claim"
+	bugNone            = "none"
+	bugKeepsRules      = "goes on when its lease has ended"
+	bugForgetsBans     = "forgets bans when it is cut off"
+	bugKeepsFirstRules = "acts on the first rules that it was told"
+	bugSlowClock       = "its clock is slower than the terms allow"
+	bugClockStops      = "its clock stops with its process"
+	bugAnswersEarly    = "tells outcomes long before they are copied, and dies"
+	bugNoClaim         = "sends without a claim"
 	// No bug: it dies when an outcome is copied and its client may not have heard it.
-	diesThen = "dies when an outcome is copied"
+	diesAfterCopy = "dies when an outcome is copied"
 	// No bug: a build whose words are another version's.
 	olderBuild = "older build"
 	// No bug: clocks whose rates are off by as much as the terms allow, one fast, the next slow.
-	clocksOff = "clocks off"
+	clockDrift = "clocks off"
 )
 
-// otherClock is the machine's, but for the rate of the clock that leases are counted by.
-type otherClock struct {
+// skewedClock is the machine's, but for the rate of the clock that leases are counted by.
+type skewedClock struct {
 	env.Env
-	rate  float64
-	began time.Duration
+	rate      float64
+	startedAt time.Duration
 }
 
 // BootTime is env.Env's.
-func (c otherClock) BootTime() time.Duration {
-	return c.began + time.Duration(float64(c.Env.BootTime()-c.began)*c.rate)
+func (c skewedClock) BootTime() time.Duration {
+	return c.startedAt + time.Duration(float64(c.Env.BootTime()-c.startedAt)*c.rate)
 }
 
-// sleeper's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
-type sleeper struct {
+// stoppingClock's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
+type stoppingClock struct {
 	env.Env
-	mu         sync.Mutex
-	last, lost time.Duration
+	mu            sync.Mutex
+	last, stopped time.Duration
 }
 
-// sleepGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
-const sleepGap = 300 * time.Millisecond
+// stopGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
+const stopGap = 300 * time.Millisecond
 
 // BootTime is env.Env's.
-func (s *sleeper) BootTime() time.Duration {
+func (s *stoppingClock) BootTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Env.BootTime()
-	if now-s.last > sleepGap {
-		s.lost += now - s.last
+	if now-s.last > stopGap {
+		s.stopped += now - s.last
 	}
 	s.last = now
-	return now - s.lost
+	return now - s.stopped
 }
 
-func (s *sleeper) stayAwake() {
-	for range time.Tick(sleepGap / 10) {
+func (s *stoppingClock) tick() {
+	for range time.Tick(stopGap / 10) {
 		s.BootTime()
 	}
 }
 
-// olderWorld's connections say the words of another version.
-type olderWorld struct{ env.Env }
+// olderEnv's connections say the words of another version.
+type olderEnv struct{ env.Env }
 
 type olderConn struct{ net.Conn }
 
 // Dial is env.Env's.
-func (w olderWorld) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func (w olderEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := w.Env.Dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
@@ -107,100 +107,100 @@
 	return c.Conn.Write(bytes.Replace(b, []byte("POST /crew/1/"), []byte("POST /crew/0/"), 1))
 }
 
-// buggyHoldings have a bug round them, at one member.
-type buggyHoldings struct {
+// faultyHoldings have a bug round them, at one member.
+type faultyHoldings struct {
 	pipeline.Holdings
-	bug  string
-	ends atomic.Int64
+	bug      string
+	finished atomic.Int64
 }
 
-// deadlyEnd is the outcome with which a process dies, the first ones having shown that it serves.
-const deadlyEnd = 20
+// fatalFinish is the outcome with which a process dies, the first ones having shown that it serves.
+const fatalFinish = 20
 
 // Claim is pipeline.Holdings'.
-func (b *buggyHoldings) Claim(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
+func (b *faultyHoldings) Claim(m *httpwire.Request, fingerprint [16]byte, within time.Duration) pipeline.ClaimResult {
 	if b.bug == bugNoClaim {
 		return pipeline.ClaimResult{}
 	}
-	opened := b.Holdings.Claim(m, print, within)
-	if opened.Claim != nil {
-		opened.Claim = &buggyHold{opened.Claim, b}
+	result := b.Holdings.Claim(m, fingerprint, within)
+	if result.Claim != nil {
+		result.Claim = &faultyClaim{result.Claim, b}
 	}
-	return opened
+	return result
 }
 
-type buggyHold struct {
+type faultyClaim struct {
 	pipeline.Claim
-	of *buggyHoldings
+	holdings *faultyHoldings
 }
 
 // Finish is pipeline.Hold's.
-func (h *buggyHold) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
-	n := h.of.ends.Add(1)
-	if h.of.bug == bugTellsEarly {
+func (h *faultyClaim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+	n := h.holdings.finished.Add(1)
+	if h.holdings.bug == bugAnswersEarly {
 		time.AfterFunc(keyWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
-		if n == 2*deadlyEnd {
+		if n == 2*fatalFinish {
 			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 		}
 		return answer
 	}
 	answer = h.Claim.Finish(answer, ran, within)
-	if n == deadlyEnd && h.of.bug == diesThen {
+	if n == fatalFinish && h.holdings.bug == diesAfterCopy {
 		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
 	}
 	return answer
 }
 
 // Holdings is lifecycle.Crew's.
-func (b *buggyMember) Holdings() pipeline.Holdings {
+func (b *faultyMember) Holdings() pipeline.Holdings {
 	h := b.Cluster.Holdings()
 	if h == nil || b.name != "m1" {
 		return h
 	}
-	return &buggyHoldings{Holdings: h, bug: b.bug}
+	return &faultyHoldings{Holdings: h, bug: b.bug}
 }
 
-// clockOf is a member's clock.
-func clockOf(world env.Env, bug, name string, drift float64) env.Env {
+// envWithClock is a member's clock.
+func envWithClock(e env.Env, bug, name string, drift float64) env.Env {
 	rate := 1.0
 	switch {
 	case bug == olderBuild:
-		return olderWorld{world}
-	case bug == bugSleeps && name == "m2":
-		s := &sleeper{Env: world, last: world.BootTime()}
-		go s.stayAwake()
+		return olderEnv{e}
+	case bug == bugClockStops && name == "m2":
+		s := &stoppingClock{Env: e, last: e.BootTime()}
+		go s.tick()
 		return s
-	case bug == bugSlow && name == "m2":
+	case bug == bugSlowClock && name == "m2":
 		rate = 0.15 // its lease lasts longer than it is cut off
-	case bug == clocksOff && name[len(name)-1]%2 == 0:
+	case bug == clockDrift && name[len(name)-1]%2 == 0:
 		rate = 1 + drift
-	case bug == clocksOff:
+	case bug == clockDrift:
 		rate = 1 - drift
 	}
-	return otherClock{world, rate, world.BootTime()}
+	return skewedClock{e, rate, e.BootTime()}
 }
 
-// buggyMember is a member with a bug round it.
-type buggyMember struct {
+// faultyMember is a member with a bug round it.
+type faultyMember struct {
 	lifecycle.Cluster
-	bug  string
-	name string
-	last atomic.Pointer[pipeline.EffectiveRules]
+	bug       string
+	name      string
+	lastRules atomic.Pointer[pipeline.EffectiveRules]
 }
 
 // Effective is pipeline.Rules'.
-func (b *buggyMember) Effective() *pipeline.EffectiveRules {
+func (b *faultyMember) Effective() *pipeline.EffectiveRules {
 	a := b.Cluster.Effective()
-	last := b.last.Load()
+	last := b.lastRules.Load()
 	switch {
-	case b.bug == bugForgets && a.Cautious:
+	case b.bug == bugForgetsBans && a.Cautious:
 		bare := *a
 		bare.Banned = nil
 		return &bare
-	case a.Cautious && last != nil && b.bug == bugGoesOn, last != nil && b.bug == bugStays:
+	case a.Cautious && last != nil && b.bug == bugKeepsRules, last != nil && b.bug == bugKeepsFirstRules:
 		return last
 	case !a.Cautious:
-		b.last.Store(a)
+		b.lastRules.Store(a)
 	}
 	return a
 }
@@ -213,13 +213,13 @@
 	}
 	join := member.JoinFunc(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
-		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
-			m, err := join(conf, clockOf(world, bug, conf.Name, file.Cluster.Params.Drift), log)
-			return &buggyMember{Cluster: m, bug: bug, name: conf.Name}, err
+		Cluster: func(conf *config.Config, e env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
+			m, err := join(conf, envWithClock(e, bug, conf.Name, file.Cluster.Params.Drift), log)
+			return &faultyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
 
-func crewScene(t *testing.T, text string) *scenario.Cluster {
+func parseCluster(t *testing.T, text string) *scenario.Cluster {
 	t.Helper()
 	s, err := scenario.ParseCluster(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
 	if err != nil {
@@ -228,7 +228,7 @@
 	return s
 }
 
-func playCrew(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
+func runCluster(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
 	t.Helper()
 	opts.LogDir = t.TempDir()
 	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // kept for who looks into a failure
@@ -258,7 +258,7 @@
 	return r
 }
 
-const cutAndPropose = `
+const partitionAndPropose = `
 duration = "5s"
 [[step]]
 at = "500ms"
@@ -274,9 +274,9 @@
 
 // Five processes: a member is cut off, the leader killed with a version on its way, and both come back. Nobody acts on
 // rules that contradict another's for longer than is promised, and the version is not lost; with clocks as far off as they may be.
-func TestCrew(t *testing.T) {
+func TestCluster(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, partitionAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clockDrift, ClusterOptions{})
 	for _, b := range r.Violations {
 		t.Error(b)
 	}
@@ -296,9 +296,9 @@
 
 // The leader is stopped for twice its lease and goes on, then hears and is not heard; all keepers die at once; a folder is
 // lost. Every version that was told comes through, in its order, and none contradicts another for too long.
-func TestCrewThroughWorse(t *testing.T) {
+func TestClusterSevereFaults(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, `
+	r := runCluster(t, parseCluster(t, `
 duration = "10s"
 [[step]]
 at = "300ms"
@@ -353,9 +353,9 @@
 
 // A process of another build and a second process of a name serve cautiously and hold up nobody; a proposal counts though its
 // proposer died before it heard so; who was named twice holds the lease when the first one has ended.
-func TestCrewStrangers(t *testing.T) {
+func TestClusterOlderBuildAndDuplicate(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, `
+	r := runCluster(t, parseCluster(t, `
 duration = "7s"
 [[step]]
 at = "200ms"
@@ -394,30 +394,30 @@
 
 // Each planted bug is caught by its own rule, and a sound program breaks none in the same scene.
 func TestCrewCatchesPlantedBugs(t *testing.T) {
-	const bannedThenCut = "duration = \"6s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\nban = \"e-2\"\n" +
+	const banThenPartition = "duration = \"6s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\nban = \"e-2\"\n" +
 		"[[step]]\nat = \"2500ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"3s\"\n"
-	const stopAndPropose = "duration = \"6s\"\n[[step]]\nat = \"800ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"5s\"\n" +
+	const partitionStopPropose = "duration = \"6s\"\n[[step]]\nat = \"800ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"5s\"\n" +
 		"[[step]]\nat = \"810ms\"\ndo = \"stop\"\nwho = \"m2\"\nfor = \"3s\"\n" +
 		"[[step]]\nat = \"1s\"\ndo = \"propose\"\neffect = \"once\"\n"
 	for bug, c := range map[string]struct{ scene, rule string }{
-		bugGoesOn:  {cutAndPropose, consistency.Contradicts},
-		bugSlow:    {cutAndPropose, consistency.Contradicts},
-		bugSleeps:  {stopAndPropose, consistency.Contradicts},
-		bugForgets: {bannedThenCut, consistency.Contradicts},
-		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
+		bugKeepsRules:      {partitionAndPropose, consistency.Contradicts},
+		bugSlowClock:       {partitionAndPropose, consistency.Contradicts},
+		bugClockStops:      {partitionStopPropose, consistency.Contradicts},
+		bugForgetsBans:     {banThenPartition, consistency.Contradicts},
+		bugKeepsFirstRules: {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, c.scene), bug, ClusterOptions{})
+			r := runCluster(t, parseCluster(t, c.scene), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), c.rule+" at") {
 				t.Errorf("not found as %q: %q", c.rule, r.Violations)
 			}
 		})
 	}
-	for name, scene := range map[string]string{"sound, cut off": bannedThenCut, "sound, stopped": stopAndPropose} {
+	for name, scene := range map[string]string{"sound, cut off": banThenPartition, "sound, stopped": partitionStopPropose} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := playCrew(t, crewScene(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
+			if r := runCluster(t, parseCluster(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
 				t.Errorf("versions %+v, breaks %q", r.Versions, r.Violations)
 			}
 		})
@@ -425,10 +425,10 @@
 }
 
 // Without a crew the same contradiction goes on for as long as nobody looks: what the crew is for.
-func TestCrewWithout(t *testing.T) {
+func TestSeparateProcessesContradict(t *testing.T) {
 	t.Parallel()
-	s := crewScene(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
-	r := playCrew(t, s, bugNone, ClusterOptions{Separate: true})
+	s := parseCluster(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
+	r := runCluster(t, s, bugNone, ClusterOptions{Separate: true})
 	if r.Contradicted < 2*r.MaxContradiction {
 		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.MaxContradiction)
 	}
--- a/internal/lab/harness/discovery_test.go
+++ b/internal/lab/harness/discovery_test.go
@@ -11,7 +11,7 @@
 
 // Guards against requests to endpoints that count as gone, sent by sidecars whose calls for the list are all refused
 // (report 4547c5): 3,200 endpoints, real processes.
-func TestEndpointsThatComeBackWhileDiscoveryIsCrowded(t *testing.T) {
+func TestEndpointsReturnWhileDiscoveryOverloaded(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ rate, churn float64 }{
 		"83 requests a second and sidecar": {1000, 0.02},
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			playCrowdedDiscovery(t, c.rate, c.churn)
+			runOverloadedDiscovery(t, c.rate, c.churn)
 		})
 	}
 }
@@ -28,18 +28,18 @@
 // the list is stale: it has no answer of any endpoint to go by.
 func TestFirstRequestAfterTheListWentStale(t *testing.T) {
 	t.Parallel()
-	playCrowdedDiscovery(t, 60, 0.02)
+	runOverloadedDiscovery(t, 60, 0.02)
 }
 
-// playCrowdedDiscovery plays the scenario with so many requests a second, of which a part ends its connection.
-func playCrowdedDiscovery(t *testing.T, rate, churn float64) {
+// runOverloadedDiscovery plays the scenario with so many requests a second, of which a part ends its connection.
+func runOverloadedDiscovery(t *testing.T, rate, churn float64) {
 	const served = 0.9 // what comes in meanwhile is still served
 	s, err := scenario.LoadFile("../../../lab/scenarios/crowded_discovery.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Load.Rate, s.Load.Behavior.Churn, s.MaxLag = rate, churn, 5*time.Second
-	r := play(t, s, policy.Module)
+	r := runScenario(t, s, policy.Module)
 	for rule, n := range r.Rules {
 		if n > 0 {
 			t.Errorf("%s: %d", rule, n)
--- a/internal/lab/harness/exported.go
+++ b/internal/lab/harness/exported.go
@@ -49,7 +49,7 @@
 func (p *Process) Signal(s os.Signal) { p.process.stop(s) }
 
 // Wait waits until it is gone; false after the time.
-func (p *Process) Wait(most time.Duration) bool { return p.process.wait(most) }
+func (p *Process) Wait(timeout time.Duration) bool { return p.process.wait(timeout) }
 
 // Crashed tells whether it has ended without having been told to.
 func (p *Process) Crashed() bool { return p.process.crashed() }
@@ -83,9 +83,9 @@
 func (r *Relay) Address() string { return r.relay.address() }
 
 // SetPartitioned has nothing pass either way, or pass again.
-func (r *Relay) SetPartitioned(cut bool) {
-	r.relay.setPartitioned(toTarget, cut)
-	r.relay.setPartitioned(fromTarget, cut)
+func (r *Relay) SetPartitioned(partitioned bool) {
+	r.relay.setPartitioned(toTarget, partitioned)
+	r.relay.setPartitioned(fromTarget, partitioned)
 }
 
 // SetDelay has what goes each way come so much later than before, or sooner where that is below 0.
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -52,18 +52,18 @@
 
 // Run plays a scenario with a seed. An interrupted run returns a record that says
 // so. An error means that there is no record: something could not be started.
-func Run(ctx context.Context, scene *scenario.Scenario, seed uint64, opts Options) (*record.Record, error) {
+func Run(ctx context.Context, sc *scenario.Scenario, seed uint64, opts Options) (*record.Record, error) {
 	dir, err := os.MkdirTemp("", "heathlab-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := newRun(scene, seed, opts, dir)
+	r := newRun(sc, seed, opts, dir)
 	worth := map[string]oracle.Worth{}
-	for _, c := range scene.Classes {
+	for _, c := range sc.Classes {
 		worth[c.Name] = oracle.Worth{Full: c.Worth, Late: c.LateShare, Aim: c.Aim, Deadline: c.Deadline}
 	}
-	service := oracle.NewService(worth, scene.Warmup)
+	service := oracle.NewService(worth, sc.Warmup)
 	r.openChecker(service)
 	defer r.stopAll()
 	if err := r.startAll(ctx); err != nil {
@@ -74,8 +74,8 @@
 }
 
 // newRun returns a run of which nothing has started; dir is for its files.
-func newRun(scene *scenario.Scenario, seed uint64, opts Options, dir string) *run {
-	return &run{scenario: scene, seed: seed, opts: opts, dir: dir, hosts: newHostAllocator(), front: &front{}}
+func newRun(sc *scenario.Scenario, seed uint64, opts Options, dir string) *run {
+	return &run{scenario: sc, seed: seed, opts: opts, dir: dir, hosts: newHostAllocator(), front: &front{}}
 }
 
 // openChecker opens the book.
@@ -181,23 +181,23 @@
 	for _, c := range r.scenario.Classes {
 		driver.Classes = append(driver.Classes, load.Class{Name: c.Name, Effect: c.Effect, Deadline: c.Deadline})
 	}
-	side, stopSide := context.WithCancel(ctx)
+	background, stopBackground := context.WithCancel(ctx)
 	var wait sync.WaitGroup
-	wait.Go(func() { r.runTimeline(side) })
-	wait.Go(func() { r.monitor(side) })
-	var rude load.MalformedCounts
+	wait.Go(func() { r.runTimeline(background) })
+	wait.Go(func() { r.monitor(background) })
+	var malformed load.MalformedCounts
 	if r.scenario.Load.MalformedRate > 0 {
-		wait.Go(func() { rude = load.SendMalformed(side, r.front, r.scenario.Load.MalformedRate, r.seed) })
+		wait.Go(func() { malformed = load.SendMalformed(background, r.front, r.scenario.Load.MalformedRate, r.seed) })
 	}
 	driver.Run(ctx)
-	stopSide()
+	stopBackground()
 	wait.Wait()
 	time.Sleep(settleDelay)
 	driver.Client.Close()
 	rec := r.finish(service, driver)
 	rec.Began, rec.Seconds = began, time.Since(began).Seconds()
 	rec.Partial = ctx.Err() != nil
-	rec.BadClients = rude
+	rec.BadClients = malformed
 	return rec, nil
 }
 
@@ -246,11 +246,11 @@
 		r.discoveries[step.Tier].SetLag(lag)
 		return nil
 	case scenario.DiscoveryOverload:
-		patience := step.Fault.Lag
+		refuseAfter := step.Fault.Lag
 		if step.Revert {
-			patience = 0
+			refuseAfter = 0
 		}
-		r.discoveries[step.Tier].SetOverloaded(patience)
+		r.discoveries[step.Tier].SetOverloaded(refuseAfter)
 		return nil
 	case scenario.SidecarKill, scenario.SidecarRestart:
 		return r.applyToSidecars(ctx, step)
@@ -312,17 +312,17 @@
 			s.sampleUsage()
 		}
 		now := r.checker.Now()
-		broken := 0
+		violations := 0
 		r.checker.Do(func(b *oracle.Checker) {
 			b.Prune(now)
 			a := b.Close()
-			broken = a.NumViolations()
+			violations = a.NumViolations()
 		})
 		if r.opts.Progress != nil {
 			r.checker.Service(func(s *oracle.Service) {
 				f := s.All()
 				r.opts.Progress(fmt.Sprintf("%4.0f of %.0f s  asked %d  served %d  service %.3f  rules broken %d",
-					(now - r.loadStart).Seconds(), r.scenario.Duration.Seconds(), f.Requests, f.Served, f.Service, broken))
+					(now - r.loadStart).Seconds(), r.scenario.Duration.Seconds(), f.Requests, f.Served, f.Service, violations))
 			})
 		}
 	}
@@ -336,27 +336,27 @@
 		Service: service.All().Service, All: service.All(), Classes: service.Classes(), Tenants: service.Tenants(),
 		Series: service.Series(), Faults: r.appliedSteps,
 	}
-	var account oracle.Report
+	var report oracle.Report
 	for _, s := range r.allSidecars() {
 		rec.Sidecars = append(rec.Sidecars, s.finish(true))
 	}
-	r.checker.Do(func(b *oracle.Checker) { account = b.Close() })
-	for i := range account.Violations {
-		account.Violations[i].At -= r.loadStart
+	r.checker.Do(func(b *oracle.Checker) { report = b.Close() })
+	for i := range report.Violations {
+		report.Violations[i].At -= r.loadStart
 	}
-	rec.Rules, rec.Violations, rec.ClientRepeats = account.Rules, account.Violations, account.Repeats
-	if err := account.Balance(); err != nil {
+	rec.Rules, rec.Violations, rec.ClientRepeats = report.Rules, report.Violations, report.Repeats
+	if err := report.Balance(); err != nil {
 		rec.Mismatches = append(rec.Mismatches, err.Error())
 	}
-	asked, arrivals, wanted := 0, 0, 0
+	requests, arrivals, logicalRequests := 0, 0, 0
 	for i := range rec.Sidecars {
 		s := &rec.Sidecars[i]
-		s.Tally = account.Sidecars[s.Name]
+		s.Tally = report.Sidecars[s.Name]
 		if s.Tally == nil {
 			s.Tally = &oracle.Tally{}
 		}
 		if s.Tier == 0 {
-			asked += s.Tally.Requests
+			requests += s.Tally.Requests
 			arrivals += s.Tally.Arrivals
 		}
 		// Counters of a sidecar that has started more than once are its last start's.
@@ -367,9 +367,9 @@
 		}
 	}
 	for _, second := range service.Series() {
-		wanted += second.Requests
+		logicalRequests += second.Requests
 	}
-	rec.AttemptsPerRequest, rec.AttemptsPerLogicalRequest = ratio(arrivals, asked), ratio(arrivals, wanted)
+	rec.AttemptsPerRequest, rec.AttemptsPerLogicalRequest = ratio(arrivals, requests), ratio(arrivals, logicalRequests)
 	r.checkLoad(rec, driver)
 	return rec
 }
--- a/internal/lab/harness/harness_test.go
+++ b/internal/lab/harness/harness_test.go
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-func sidecarOf(name string) func() *exec.Cmd {
+func sidecarCommand(name string) func() *exec.Cmd {
 	return func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), asSidecar+"="+name)
@@ -47,9 +47,9 @@
 	}
 }
 
-// base is a small fleet. The margin and the lag allow for a slow and busy machine;
+// baseScenario is a small fleet. The margin and the lag allow for a slow and busy machine;
 // what the liars do lies beyond them.
-const base = `
+const baseScenario = `
 name = "test"
 duration = "4s"
 margin = "300ms"
@@ -91,18 +91,18 @@
 churn = 0.05
 `
 
-func scene(t *testing.T, more string) *scenario.Scenario {
+func parseScenario(t *testing.T, more string) *scenario.Scenario {
 	t.Helper()
-	s, err := scenario.Parse(t.Name(), []byte(base+more))
+	s, err := scenario.Parse(t.Name(), []byte(baseScenario+more))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-func play(t *testing.T, s *scenario.Scenario, name string) *record.Record {
+func runScenario(t *testing.T, s *scenario.Scenario, name string) *record.Record {
 	t.Helper()
-	r, err := Run(t.Context(), s, s.Seed, Options{Policy: name, Sidecar: sidecarOf(name)})
+	r, err := Run(t.Context(), s, s.Seed, Options{Policy: name, Sidecar: sidecarCommand(name)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 
 // Short forms of scenarios: no rule is broken, each request has one end, and the
 // sidecars' counters say the same as the book.
-func TestHonest(t *testing.T) {
+func TestScenariosPass(t *testing.T) {
 	for name, c := range map[string]struct {
 		more    string
 		service float64 // at least: cold endpoints and dead ones cost some
@@ -127,8 +127,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := scene(t, c.more)
-			r := play(t, s, policy.Module)
+			s := parseScenario(t, c.more)
+			r := runScenario(t, s, policy.Module)
 			if !r.Passed() || r.Service < c.service || r.All.Requests < 800 {
 				t.Errorf("service %.3f of %d; broken %v; books %q; void %q", r.Service, r.All.Requests, r.Violations, r.Mismatches, r.Void)
 			}
@@ -141,7 +141,7 @@
 
 // Guards against a book that notices nothing, or calls one thing by another's name:
 // each liar is caught by its own rule and by no other.
-func TestLiars(t *testing.T) {
+func TestFaultyPoliciesDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		more string
 		rule oracle.Rule
@@ -153,30 +153,30 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, scene(t, c.more), name)
+			r := runScenario(t, parseScenario(t, c.more), name)
 			wantOnly(t, r, c.rule)
 		})
 	}
 	t.Run("answers twice", func(t *testing.T) {
 		t.Parallel()
-		var liars []*faultproxy.Proxy
+		var proxies []*faultproxy.Proxy
 		var mu sync.Mutex
-		s := scene(t, "")
-		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarOf(policy.Module), Before: func(to string) (string, error) {
+		s := parseScenario(t, "")
+		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarCommand(policy.Module), Before: func(to string) (string, error) {
 			l, err := faultproxy.Start("127.0.0.1:0", to, 100)
 			if err != nil {
 				return "", err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			liars = append(liars, l)
+			proxies = append(proxies, l)
 			return l.Address(), nil
 		}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		doubled := 0
-		for _, l := range liars {
+		for _, l := range proxies {
 			doubled += l.Close()
 		}
 		wantOnly(t, r, oracle.AnsweredTwice)
@@ -201,13 +201,13 @@
 // Two tiers: calls are requests of their own, and count as such.
 func TestTwoTiers(t *testing.T) {
 	t.Parallel()
-	text := strings.Replace(base, "queue = 16\n", "queue = 16\ncalls = 2\ncall_class = \"look\"\n"+
+	text := strings.Replace(baseScenario, "queue = 16\n", "queue = 16\ncalls = 2\ncall_class = \"look\"\n"+
 		"[[tier]]\nname = \"store\"\nendpoints = 2\ncores = 4\n", 1)
 	s, err := scenario.Parse("two", []byte(strings.Replace(text, "rate = 250", "rate = 80", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, s, policy.Module)
+	r := runScenario(t, s, policy.Module)
 	if !r.Passed() || r.Service < 0.9 {
 		t.Fatalf("service %.3f, broken %v, books %q, void %q", r.Service, r.Violations, r.Mismatches, r.Void)
 	}
@@ -224,12 +224,12 @@
 
 // A sidecar that the lab kills takes its requests with it: the clients' loss, and
 // no broken rule. One that gets SIGTERM loses nothing.
-func TestSidecarsThatEnd(t *testing.T) {
-	for kind, cut := range map[string]bool{"sidecar_kill": true, "sidecar_restart": false} {
+func TestSidecarKillAndRestart(t *testing.T) {
+	for kind, interrupts := range map[string]bool{"sidecar_kill": true, "sidecar_restart": false} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			// Fifteen requests are out at a sidecar in the mean: one that is killed takes some with it.
-			text := strings.ReplaceAll(base, `work = "4ms"`, `work = "120ms"`)
+			text := strings.ReplaceAll(baseScenario, `work = "4ms"`, `work = "120ms"`)
 			text = strings.ReplaceAll(text, "cores = 2", "cores = 8")
 			text = strings.Replace(text, `duration = "4s"`, `duration = "6s"`, 1)
 			s, err := scenario.Parse(kind, []byte(text+"retries = 1\n"+
@@ -237,30 +237,30 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := play(t, s, policy.Module)
-			cuts, starts := 0, 0
+			r := runScenario(t, s, policy.Module)
+			interrupted, starts := 0, 0
 			for _, sc := range r.Sidecars {
-				cuts += sc.Tally.Interrupted
+				interrupted += sc.Tally.Interrupted
 				starts += sc.Starts
 			}
-			if !r.Passed() || starts != 3 || (cuts > 0) != cut {
-				t.Errorf("broken %v, books %q, void %q, %d starts, %d cut", r.Violations, r.Mismatches, r.Void, starts, cuts)
+			if !r.Passed() || starts != 3 || (interrupted > 0) != interrupts {
+				t.Errorf("broken %v, books %q, void %q, %d starts, %d cut", r.Violations, r.Mismatches, r.Void, starts, interrupted)
 			}
 		})
 	}
 }
 
 // An interrupted run leaves no process, and a record that says so.
-func TestInterrupt(t *testing.T) {
+func TestInterruptedRun(t *testing.T) {
 	t.Parallel()
 	var cmds []*exec.Cmd
-	s := scene(t, "")
+	s := parseScenario(t, "")
 	s.Duration = time.Minute
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	r, err := Run(ctx, s, 1, Options{
 		Sidecar: func() *exec.Cmd {
-			cmds = append(cmds, sidecarOf(policy.Module)())
+			cmds = append(cmds, sidecarCommand(policy.Module)())
 			return cmds[len(cmds)-1]
 		},
 		Progress: func(string) { cancel() },
@@ -280,9 +280,9 @@
 
 // A sidecar whose port was taken in the meantime is started again at another; one
 // that never starts ends the run with its reason.
-func TestStarts(t *testing.T) {
+func TestSidecarStartRetry(t *testing.T) {
 	t.Parallel()
-	s := scene(t, "")
+	s := parseScenario(t, "")
 	s.Duration = time.Second
 	s.Tiers[0].Sidecars = 1
 	tries := 0
@@ -291,7 +291,7 @@
 		if tries++; tries == 1 {
 			return broken()
 		}
-		return sidecarOf(policy.Module)()
+		return sidecarCommand(policy.Module)()
 	}})
 	if err != nil || r.Service < 0.9 {
 		t.Errorf("started at the second try: %v", err)
@@ -304,9 +304,9 @@
 // A run whose own load came late counts for nothing, and says so.
 func TestLateLoadIsVoid(t *testing.T) {
 	t.Parallel()
-	s := scene(t, "")
+	s := parseScenario(t, "")
 	s.Duration, s.MaxLag = time.Second, 1
-	r := play(t, s, policy.Module)
+	r := runScenario(t, s, policy.Module)
 	if r.Passed() || len(r.Void) != 1 || !strings.Contains(r.Void[0], "lagged") {
 		t.Errorf("void: %q", r.Void)
 	}
--- a/internal/lab/harness/keyed.go
+++ b/internal/lab/harness/keyed.go
@@ -83,22 +83,22 @@
 	key := q.Header.Get("Idempotency-Key")
 	io.Copy(io.Discard, q.Body) //nolint:errcheck // its client shows
 	o.mu.Lock()
-	at := o.keys[key]
-	if at == nil {
-		at = &keyEffects{}
-		o.keys[key] = at
+	effects := o.keys[key]
+	if effects == nil {
+		effects = &keyEffects{}
+		o.keys[key] = effects
 	}
-	if now := time.Now(); at.effects > 0 && now.Before(at.lastAt.Add(keyWindow)) {
+	if now := time.Now(); effects.effects > 0 && now.Before(effects.lastAt.Add(keyWindow)) {
 		o.rec.Dropped++
 	} else {
-		at.lastAt, at.effects = now, at.effects+1
-		at.reply = fmt.Sprintf("effect %d of %s", at.effects, key)
-		o.history.add(keyOp{Key: key, Effect: true, Reply: at.reply}, o.cluster.now(), o.cluster.now())
-		if at.effects > 1 {
-			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, by %s", key, at.effects, q.Header.Get("X-Txn"))
+		effects.lastAt, effects.effects = now, effects.effects+1
+		effects.reply = fmt.Sprintf("effect %d of %s", effects.effects, key)
+		o.history.add(keyOp{Key: key, Effect: true, Reply: effects.reply}, o.cluster.now(), o.cluster.now())
+		if effects.effects > 1 {
+			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, by %s", key, effects.effects, q.Header.Get("X-Txn"))
 		}
 	}
-	reply := at.reply
+	reply := effects.reply
 	o.mu.Unlock()
 	time.Sleep(keyedWork)
 	w.Write([]byte(reply)) //nolint:errcheck // its client shows
@@ -113,24 +113,24 @@
 
 // run places orders at an even pace until the context ends, and waits for those under way.
 func (o *keyedLoad) run(ctx context.Context) {
-	dice := rand.New(rand.NewPCG(o.cluster.seed, 0x0d5))
-	pace := time.NewTicker(time.Duration(float64(time.Second) / o.cluster.scenario.KeyedRate))
-	defer pace.Stop()
-	var under sync.WaitGroup
-	defer under.Wait()
-	room := make(chan struct{}, maxPendingKeys)
+	rng := rand.New(rand.NewPCG(o.cluster.seed, 0x0d5))
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / o.cluster.scenario.KeyedRate))
+	defer ticker.Stop()
+	var pending sync.WaitGroup
+	defer pending.Wait()
+	slots := make(chan struct{}, maxPendingKeys)
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pace.C:
+		case <-ticker.C:
 		}
-		seed := dice.Uint64()
+		seed := rng.Uint64()
 		select {
-		case room <- struct{}{}:
-			under.Go(func() {
+		case slots <- struct{}{}:
+			pending.Go(func() {
 				o.sendKey(n, rand.New(rand.NewPCG(seed, 0)))
-				<-room
+				<-slots
 			})
 		default: // all clients wait
 		}
@@ -138,15 +138,15 @@
 }
 
 // sendKey is one client's order, from its first try until it has heard its answer twice.
-func (o *keyedLoad) sendKey(n int, dice *rand.Rand) {
+func (o *keyedLoad) sendKey(n int, rng *rand.Rand) {
 	client := &http.Client{Timeout: tryTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	key, told := fmt.Sprintf("o%d", n), ""
+	key, reply := fmt.Sprintf("o%d", n), ""
 	o.mu.Lock()
 	o.rec.Keys++
 	o.mu.Unlock()
-	heard := 0
-	for try := 0; try < maxTries && heard < 2; try++ {
-		p := o.cluster.procs[dice.IntN(len(o.cluster.procs))]
+	received := 0
+	for try := 0; try < maxTries && received < 2; try++ {
+		p := o.cluster.procs[rng.IntN(len(o.cluster.procs))]
 		if !p.isRunning() {
 			time.Sleep(50 * time.Millisecond)
 			continue
@@ -160,19 +160,19 @@
 		}
 		o.history.add(keyOp{Key: key, Reply: body}, from, o.cluster.now())
 		switch {
-		case code == http.StatusOK && told == "":
-			told = body
+		case code == http.StatusOK && reply == "":
+			reply = body
 			o.rec.Served++
-			heard++
+			received++
 			if try == 0 {
 				o.latency = append(o.latency, time.Since(began))
 			}
-		case code == http.StatusOK && body != told:
-			o.recordViolation(&o.rec.TwoAnswers, TwoAnswers, "key %s: %q, and then %q by %s", key, told, body, p.name)
-			heard++
+		case code == http.StatusOK && body != reply:
+			o.recordViolation(&o.rec.TwoAnswers, TwoAnswers, "key %s: %q, and then %q by %s", key, reply, body, p.name)
+			received++
 		case code == http.StatusOK:
 			o.rec.Again++
-			heard++
+			received++
 		case code == http.StatusServiceUnavailable:
 			o.rec.Refused++
 		default:
@@ -180,15 +180,15 @@
 		}
 		o.mu.Unlock()
 		// Some come back at once, some when endpoints have forgotten the key.
-		pause := time.Duration(dice.Int64N(int64(300 * time.Millisecond)))
-		if dice.IntN(6) == 0 {
+		pause := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
+		if rng.IntN(6) == 0 {
 			pause += keyWindow
 		}
 		time.Sleep(pause)
 	}
-	if told != "" && heard < 2 {
+	if reply != "" && received < 2 {
 		o.mu.Lock()
-		o.recordViolation(&o.rec.Forgotten, Forgotten, "key %s: %q was told, and not again in %d tries", key, told, maxTries)
+		o.recordViolation(&o.rec.Forgotten, Forgotten, "key %s: %q was told, and not again in %d tries", key, reply, maxTries)
 		o.mu.Unlock()
 	}
 }
@@ -263,15 +263,15 @@
 }
 
 // replicated tells whether each shard has all of its copies, by the leader's word, none of them at a process that is away: a token.
-func (r *clusterRun) replicated(away uint64) bool {
+func (r *clusterRun) replicated(token uint64) bool {
 	st := r.leaderLedger()
-	if st == nil || st.Placement == nil || away == 0 && len(st.Members) < r.scenario.Voters+r.scenario.Members {
+	if st == nil || st.Placement == nil || token == 0 && len(st.Members) < r.scenario.Voters+r.scenario.Members {
 		return false
 	}
 	for _, s := range st.Placement.Shards {
 		ready := 0
 		for _, replica := range s.Replicas {
-			if replica.Ready && st.JoinEpochs[replica.Name] == replica.JoinEpoch && replica.Token != away {
+			if replica.Ready && st.JoinEpochs[replica.Name] == replica.JoinEpoch && replica.Token != token {
 				ready++
 			}
 		}
--- a/internal/lab/harness/keyed_test.go
+++ b/internal/lab/harness/keyed_test.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	ordersLost = "copies = 2\norders = 60\nduration = \"8s\"\n[[step]]\nat = \"1s\"\ndo = \"wipe\"\nwho = \"m1\"\nfor = \"300ms\"\n" +
+	keyedDataLoss = "copies = 2\norders = 60\nduration = \"8s\"\n[[step]]\nat = \"1s\"\ndo = \"wipe\"\nwho = \"m1\"\nfor = \"300ms\"\n" +
 		"[[step]]\nat = \"5s\"\ndo = \"wipe\"\nwho = \"k1\"\nfor = \"300ms\"\n"
-	ordersQuiet = "orders = 60\nduration = \"5s\"\n"
+	keyedNoFaults = "orders = 60\nduration = \"5s\"\n"
 )
 
 // Machines are lost with their disks, one at a time, while orders are under way and their clients come back through others: no
 // effect happens twice, no key has two answers, and each answer that was told is told again.
-func TestOrders(t *testing.T) {
+func TestKeyedRequests(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, ordersLost), bugNone, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, keyedDataLoss), bugNone, ClusterOptions{})
 	for _, b := range r.Violations {
 		t.Error(b)
 	}
@@ -30,38 +30,38 @@
 }
 
 // The process that has an outcome copied dies before its client can have heard it.
-func TestOrdersOwnerDiesAtTheEnd(t *testing.T) {
+func TestKeyedRequestsOwnerDies(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), diesThen, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, "copies = 2\n"+keyedNoFaults), diesAfterCopy, ClusterOptions{})
 	if r.NumViolations > 0 || r.Keyed.Failed == 0 || float64(r.Keyed.Served) < 0.98*float64(r.Keyed.Keys) {
 		t.Errorf("%+v, breaks %q; some tries were to fail", r.Keyed, r.Violations)
 	}
 }
 
 // A process that is told to end gives its seats to others before it goes: hardly any request is refused for it.
-func TestOrdersThroughACleanEnd(t *testing.T) {
+func TestKeyedRequestsCleanShutdown(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, ClusterOptions{})
 	if o := r.Keyed; r.NumViolations > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
 		t.Errorf("%+v, breaks %q", o, r.Violations)
 	}
 }
 
 // Without copies the same clients have effects twice, and two answers to one key: what copies are for.
-func TestOrdersWithoutCopies(t *testing.T) {
+func TestKeyedRequestsWithoutCopies(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, ordersQuiet), bugNone, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, keyedNoFaults), bugNone, ClusterOptions{})
 	if r.Keyed.Doubled < 10 || r.Keyed.TwoAnswers < 10 {
 		t.Errorf("%+v", r.Keyed)
 	}
 }
 
 // Each planted bug is caught by its rule.
-func TestOrdersCatchPlantedBugs(t *testing.T) {
-	for bug, rule := range map[string]string{bugTellsEarly: Forgotten, bugNoClaim: Doubled} {
+func TestKeyedRequestsInjectedBugs(t *testing.T) {
+	for bug, rule := range map[string]string{bugAnswersEarly: Forgotten, bugNoClaim: Doubled} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, "copies = 2\n"+ordersQuiet), bug, ClusterOptions{})
+			r := runCluster(t, parseCluster(t, "copies = 2\n"+keyedNoFaults), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), rule+" at") {
 				t.Errorf("not found as %q: %+v, %q", rule, r.Keyed, r.Violations)
 			}
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -63,11 +63,11 @@
 }
 
 // wireBetween is the wire between two moments of some watchers, for one of them and one of so many things.
-func wireBetween(before, after []snapshot, things int) Wire {
+func wireBetween(before, after []snapshot, changes int) Wire {
 	var d [6]float64
 	for i := range before {
 		for k := range d {
-			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, things))
+			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, changes))
 		}
 	}
 	w := Wire{Calls: d[0], Answers: d[1], RequestBytes: d[2], AnswerBytes: d[3], FullLists: d[5]}
@@ -122,7 +122,7 @@
 
 // MeasureListTraffic changes a list and looks what its watchers get.
 func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
-	scene, err := scenario.Parse("lists", []byte(listsScenario))
+	sc, err := scenario.Parse("lists", []byte(listsScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	l := &listTraffic{run: newRun(scene, 1, opts, dir), conf: conf}
+	l := &listTraffic{run: newRun(sc, 1, opts, dir), conf: conf}
 	l.openChecker(oracle.NewService(nil, 0))
 	var watchers sync.WaitGroup
 	watching, stop := context.WithCancel(ctx)
@@ -207,9 +207,9 @@
 }
 
 // awaitDelivery waits until all watchers have asked for what follows the newest version: then they have had it.
-func (l *listTraffic) awaitDelivery(ctx context.Context, most time.Duration) error {
+func (l *listTraffic) awaitDelivery(ctx context.Context, timeout time.Duration) error {
 	all := append(append([]*watcherCounts{}, l.real...), l.emulated...)
-	for end := time.Now().Add(most); ; {
+	for end := time.Now().Add(timeout); ; {
 		behind := 0
 		for _, c := range all {
 			if c.version.Load() < l.version {
@@ -220,7 +220,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d watchers have not asked for what follows version %d within %v", behind, len(all), l.version, most)
+			return fmt.Errorf("%d of %d watchers have not asked for what follows version %d within %v", behind, len(all), l.version, timeout)
 		}
 		select {
 		case <-time.After(deliveryPollInterval):
@@ -256,20 +256,20 @@
 	if out.Whole, err = l.fetchFullList(ctx); err != nil {
 		return nil, err
 	}
-	before, hollow := snapshots(l.real), snapshots(l.emulated)
+	before, emulated := snapshots(l.real), snapshots(l.emulated)
 	cpu, err := l.sidecarCPUTime()
 	if err != nil {
 		return nil, err
 	}
-	lab := labCPUTime()
-	told := newLatencies()
+	labBefore := labCPUTime()
+	delivery := newLatencies()
 	for range l.conf.Changes {
 		began := time.Now()
 		l.changeLines()
 		if err := l.awaitDelivery(ctx, deliveryTimeout); err != nil {
 			return nil, err
 		}
-		observe(told, time.Since(began))
+		observe(delivery, time.Since(began))
 	}
 	labAfter := labCPUTime()
 	select { // what the last change still costs
@@ -282,10 +282,10 @@
 		return nil, err
 	}
 	changes := float64(l.conf.Changes)
-	out.Real, out.Emulated = wireBetween(before, snapshots(l.real), l.conf.Changes), wireBetween(hollow, snapshots(l.emulated), l.conf.Changes)
+	out.Real, out.Emulated = wireBetween(before, snapshots(l.real), l.conf.Changes), wireBetween(emulated, snapshots(l.emulated), l.conf.Changes)
 	out.CPU = float64((after - cpu).Microseconds()) / changes / float64(max(1, l.conf.Sidecars))
-	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
-	out.DeliveryP50, out.DeliveryMax = quantile(told, 50), quantile(told, 100)
+	out.LabCPU = float64((labAfter - labBefore).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
+	out.DeliveryP50, out.DeliveryMax = quantile(delivery, 50), quantile(delivery, 100)
 	if l.conf.Idle <= 0 {
 		return out, nil
 	}
@@ -318,11 +318,11 @@
 
 // labCPUTime is the processor time of this process.
 func labCPUTime() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // fetchFullList asks for the whole list once, as a sidecar does that has none.
@@ -482,21 +482,21 @@
 	}()
 	var both sync.WaitGroup
 	both.Go(func() { t.copy(to, from, t.countRequest) })
-	told, done := t.countAnswers()
-	t.copy(from, to, told)
+	count, done := t.countAnswers()
+	t.copy(from, to, count)
 	done()
 	both.Wait()
 }
 
 // copy copies one way until either end is gone.
-func (t *countingProxy) copy(to, from net.Conn, saw func([]byte)) {
+func (t *countingProxy) copy(to, from net.Conn, count func([]byte)) {
 	defer to.Close()
 	b := make([]byte, 64<<10)
 	for {
 		from.SetReadDeadline(time.Now().Add(time.Hour)) //nolint:errcheck // it ends with the tap at the latest
 		n, err := from.Read(b)
 		if n > 0 {
-			saw(b[:n])
+			count(b[:n])
 			to.SetWriteDeadline(time.Now().Add(watchWait)) //nolint:errcheck // the write tells
 			if _, err := to.Write(b[:n]); err != nil {
 				return
@@ -518,7 +518,7 @@
 }
 
 // countAnswers counts what the agent sends; a copy of it is decoded beside, for the lines of each answer, until it is done.
-func (t *countingProxy) countAnswers() (saw func([]byte), done func()) {
+func (t *countingProxy) countAnswers() (count func([]byte), done func()) {
 	read, write := net.Pipe()
 	go func() {
 		defer read.Close()
--- a/internal/lab/harness/measure_test.go
+++ b/internal/lab/harness/measure_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAfterOf(t *testing.T) {
+func TestAfterParameter(t *testing.T) {
 	tests := []struct {
 		text  string
 		after int64
@@ -63,7 +63,7 @@
 // each tier's attempts fail as the next tier's answers do, and no more are sent than the budgets fund.
 func TestChain(t *testing.T) {
 	conf := ChainConf{Depth: 3, Endpoints: 2, Rate: 20, For: time.Second, Deadline: 10 * time.Second, Peers: 10, PerCaller: true, Seed: 1}
-	opts := Options{Sidecar: sidecarOf(policy.Module)}
+	opts := Options{Sidecar: sidecarCommand(policy.Module)}
 	t.Run("well", func(t *testing.T) {
 		t.Parallel()
 		conf := conf
@@ -114,8 +114,8 @@
 }
 
 // Two tiny sizes of what is measured of a call, one of them with several classes.
-func TestCall(t *testing.T) {
-	opts := Options{Sidecar: sidecarOf(policy.Module)}
+func TestOverhead(t *testing.T) {
+	opts := Options{Sidecar: sidecarCommand(policy.Module)}
 	for _, conf := range []OverheadConf{
 		{Endpoints: 2, Peers: 1, Classes: 1, Stages: 1},
 		{Endpoints: 6, Peers: 6, Classes: 3, Stages: 3, PerCaller: true},
@@ -132,14 +132,14 @@
 }
 
 // What a change costs is counted at the wire: each watcher is told the lines that changed, once, and no whole list.
-func TestLists(t *testing.T) {
+func TestListTraffic(t *testing.T) {
 	for _, conf := range []ListTrafficConf{
 		{Endpoints: 20, AtOnce: 1, Changes: 6},
 		{Endpoints: 20, AtOnce: 7, Changes: 4},
 		{Endpoints: 20, AtOnce: 7, Changes: 4, Apart: true},
 	} {
 		conf.Sidecars, conf.Emulated, conf.Peers = 2, 3, 13
-		m, err := MeasureListTraffic(context.Background(), conf, Options{Sidecar: sidecarOf(policy.Module)})
+		m, err := MeasureListTraffic(context.Background(), conf, Options{Sidecar: sidecarCommand(policy.Module)})
 		if err != nil {
 			t.Fatalf("%+v: %v", conf, err)
 		}
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -97,7 +97,7 @@
 
 // MeasureOverhead sends every other request straight to an endpoint and the rest through one sidecar.
 func MeasureOverhead(ctx context.Context, conf OverheadConf, opts Options) (Overhead, error) {
-	scene, err := conf.scenario()
+	sc, err := conf.scenario()
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -106,7 +106,7 @@
 		return Overhead{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := newRun(scene, 1, opts, dir)
+	r := newRun(sc, 1, opts, dir)
 	r.openChecker(oracle.NewService(nil, 0))
 	defer r.stopAll()
 	if err := r.startOverhead(ctx, &conf); err != nil {
@@ -196,8 +196,8 @@
 		class := r.scenario.Classes[a.Number/len(clients)%len(r.scenario.Classes)].Name
 		wait.Go(func() {
 			late := r.checker.Now() - base - a.At
-			way := a.Number % len(clients)
-			result := clients[way].Send(ctx, load.Request{
+			path := a.Number % len(clients)
+			result := clients[path].Send(ctx, load.Request{
 				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scenario.Classes[0].Deadline,
 			})
 			end := r.checker.Now() - base - a.At
@@ -208,7 +208,7 @@
 				m.failed++
 				return
 			}
-			observe(m.total[way], end)
+			observe(m.total[path], end)
 		})
 	}
 	wait.Wait()
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -100,14 +100,14 @@
 }
 
 func (p *process) parseCounters(line string) {
-	var said struct {
+	var entry struct {
 		Counters record.Counters `json:"counters"`
 	}
-	if err := json.Unmarshal([]byte(line), &said); err != nil {
+	if err := json.Unmarshal([]byte(line), &entry); err != nil {
 		return
 	}
 	select {
-	case p.counters <- &said.Counters:
+	case p.counters <- &entry.Counters:
 	default: // nobody has asked
 	}
 }
@@ -152,11 +152,11 @@
 }
 
 // wait waits until it is gone; false after the time.
-func (p *process) wait(most time.Duration) bool {
+func (p *process) wait(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/lab/harness/relay.go
+++ b/internal/lab/harness/relay.go
@@ -82,15 +82,15 @@
 }
 
 // copy passes on one way until its end.
-func (r *relay) copy(to, from net.Conn, way int) {
+func (r *relay) copy(to, from net.Conn, dir int) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		r.mu.Lock()
-		for r.partitions[way] > 0 && !r.closed {
+		for r.partitions[dir] > 0 && !r.closed {
 			r.changed.Wait()
 		}
-		delay := r.delay[way]
+		delay := r.delay[dir]
 		r.mu.Unlock()
 		time.Sleep(delay)
 		if n > 0 {
@@ -113,20 +113,20 @@
 }
 
 // setPartitioned cuts a way or opens it.
-func (r *relay) setPartitioned(way int, cut bool) {
+func (r *relay) setPartitioned(dir int, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.partitions[way]--; cut {
-		r.partitions[way] += 2
+	if r.partitions[dir]--; partitioned {
+		r.partitions[dir] += 2
 	}
 	r.changed.Broadcast()
 }
 
 // addDelay has what goes a way come so much later than before, or sooner where that is below 0.
-func (r *relay) addDelay(way int, by time.Duration) {
+func (r *relay) addDelay(dir int, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay[way] += by
+	r.delay[dir] += by
 }
 
 // resetAll breaks all connections, in the middle of whatever they carry.
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -167,12 +167,12 @@
 // terminateTimeout is when a sidecar that got SIGTERM is killed: the longest deadline,
 // up to 3 s, and 0.7 s more, as the published protocol has it.
 func (s *sidecar) terminateTimeout() time.Duration {
-	const patientFor, more = 3 * time.Second, 700 * time.Millisecond
+	const maxDeadline, extra = 3 * time.Second, 700 * time.Millisecond
 	longest := time.Duration(0)
 	for _, c := range s.run.scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, patientFor) + more
+	return min(longest, maxDeadline) + extra
 }
 
 // terminate asks it to end, and kills it if it has not in time: what it has not
@@ -232,11 +232,11 @@
 
 // configuration is the sidecar's configuration, as the platform writes it.
 func (s *sidecar) configuration(known fake.List) map[string]any {
-	scene := s.run.scenario
+	sc := s.run.scenario
 	return map[string]any{
 		"name": s.name, "listen": s.address, "discovery": s.discoveryAddress,
 		"seed":     strconv.FormatUint(s.run.seed*1_000_003+s.seedStep*101+uint64(s.tier*1000+s.number), 16),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": scene.Limits.MemoryMB, "sockets": scene.Limits.Sockets},
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": sc.Limits.MemoryMB, "sockets": sc.Limits.Sockets},
 		"known":    known,
 		"settings": s.settings(),
 	}
@@ -245,17 +245,17 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 func (s *sidecar) settings() map[string]any {
-	scene := s.run.scenario
-	stages := make([]string, len(scene.Tiers))
-	for i, t := range scene.Tiers {
+	sc := s.run.scenario
+	stages := make([]string, len(sc.Tiers))
+	for i, t := range sc.Tiers {
 		stages[i] = t.Name
 	}
-	profiles := make([]any, len(scene.Classes))
-	for i, c := range scene.Classes {
+	profiles := make([]any, len(sc.Classes))
+	for i, c := range sc.Classes {
 		profiles[i] = profile(c)
 	}
 	parties := []any{}
-	for _, t := range scene.Tenants {
+	for _, t := range sc.Tenants {
 		if t.Allowed > 0 {
 			parties = append(parties, map[string]any{"name": t.Name, "allowance_per_s": t.Allowed, "portion": t.Portion})
 		}
@@ -264,10 +264,10 @@
 	if s.perCaller {
 		family = "mesh"
 	}
-	l, r := scene.Limits, scene.Rules
+	l, r := sc.Limits, sc.Rules
 	return map[string]any{
 		"family": family, "me": s.number, "replicas_of_me": s.peers, "az": s.zone, "tier": s.tier, "stages": stages, "tick": 2.0,
-		"membership_mode": scene.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
+		"membership_mode": sc.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
 		"over_share_worth": 0.1,
 		"bounds": map[string]any{
 			"cancel": l.Cancel, "second_copies": l.Hedging, "retry_after": l.RetryAfter, "probing": false,
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -197,9 +197,9 @@
 }
 
 // publishGone has discovery list those places as gone in which nothing stands.
-func (t *tier) publishGone(places []int) {
+func (t *tier) publishGone(slots []int) {
 	var lines []fake.Line
-	for _, n := range places {
+	for _, n := range slots {
 		s := t.slotAt(n)
 		s.mu.Lock()
 		if s.endpoint == nil {
@@ -214,9 +214,9 @@
 }
 
 // startEndpoint starts an endpoint; its address may take a moment to be free.
-func startEndpoint(ctx context.Context, conf fake.EndpointConf, book *oracle.Shared) (*fake.Endpoint, error) {
+func startEndpoint(ctx context.Context, conf fake.EndpointConf, checker *oracle.Shared) (*fake.Endpoint, error) {
 	for end := time.Now().Add(exitTimeout); ; {
-		e, err := fake.StartEndpoint(conf, book)
+		e, err := fake.StartEndpoint(conf, checker)
 		if err == nil || time.Now().After(end) || ctx.Err() != nil {
 			return e, err
 		}
@@ -225,13 +225,13 @@
 }
 
 func (s *slot) endpointConf(name, address string, cold bool) fake.EndpointConf {
-	t, scene := s.tier, s.tier.run.scenario
+	t, sc := s.tier, s.tier.run.scenario
 	conf := fake.EndpointConf{
 		Name: name, Address: address, ServerModel: t.conf.ServerModel, Cold: cold, Connections: t.conf.Connections,
-		Handshake: t.conf.Handshake, IdleFor: scene.Limits.ConnIdle, BodyBytes: t.conf.Body,
+		Handshake: t.conf.Handshake, IdleFor: sc.Limits.ConnIdle, BodyBytes: t.conf.Body,
 		Seed: t.run.seed<<16 + uint64(t.index<<12+s.number), Classes: map[string]fake.ClassConf{},
 	}
-	for _, c := range scene.Classes {
+	for _, c := range sc.Classes {
 		conf.Classes[c.Name] = fake.ClassConf{
 			Effect: c.Effect, Keys: s.keyMemory(c), Work: time.Duration(float64(c.Work) * t.conf.WorkScale),
 		}
@@ -304,11 +304,11 @@
 	case scenario.Pause:
 		e.Pause(!step.Revert)
 	case scenario.Slow:
-		part := step.Fault.Factor
+		factor := step.Fault.Factor
 		if step.Revert {
-			part = 1
+			factor = 1
 		}
-		e.SetSpeed(part)
+		e.SetSpeed(factor)
 	default:
 		trouble := troubles[step.Kind]
 		if step.Revert {
