--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -30,95 +30,98 @@
 	"heathgap/internal/versions"
 )
 
-// A crew of real processes with relays between them: faults on the ways and of the processes, a load that endpoints
-// count, and a book (internal/lab/consistency) that judges from outside.
+// A cluster run starts a cluster of real processes with relays between them. It applies faults to the network paths and to the
+// processes, sends load that the endpoints count, and records what it sees in a checker (package consistency) that knows nothing
+// of the cluster's inner state.
 
-// Figures of a crew's rig.
+// Parameters of a cluster run.
 const (
 	numEndpoints      = 4
-	statusInterval    = 40 * time.Millisecond  // each process is asked so often what it acts on
-	rpcTimeout        = 500 * time.Millisecond // for one answer: a process may be stopped
-	probeInterval     = 200 * time.Millisecond // a request that all endpoints break off: is it sent again?
+	statusInterval    = 40 * time.Millisecond  // between two status requests to a process
+	rpcTimeout        = 500 * time.Millisecond // for one answer to the harness: the process may be stopped
+	probeInterval     = 200 * time.Millisecond // between two probes to a process: requests that all endpoints break off, to see whether they are sent again
 	probedClass       = "pay"
 	loadClass         = "look"
-	checkerMargin     = 250 * time.Millisecond // for a poll, its answer and a busy machine
-	leaderTimeout     = 15 * time.Second       // for a crew to form and to have a leader
-	proposeTimeout    = 2 * time.Second        // for one try of a proposal
-	maxAttempts       = 2                      // with two a probe shows whether it may be sent again, at one retry's price
-	afterAgreedDelay  = 1500 * time.Millisecond
-	duplicateSuffix   = "'"
-	hangUpTimeout     = time.Millisecond // a proposer that dies: its word is out, and no answer can have come
-	clusterDeadlineMS = 800.0
-	outcomeLifetime   = 2 * time.Minute
-	holdingsLostAfter = 10 * time.Second
+	checkerMargin     = 250 * time.Millisecond  // that the checker allows for a status request, its answer and a busy machine
+	leaderTimeout     = 15 * time.Second        // for a cluster to form and to have a leader
+	proposeTimeout    = 2 * time.Second         // for one attempt of a proposal
+	maxAttempts       = 2                       // with two attempts a probe shows whether it may be sent again, at the price of one retry
+	afterAgreedDelay  = 1500 * time.Millisecond // after the last agreed version is in effect, before the checks
+	duplicateSuffix   = "'"                     // in the name of a duplicate: a second process that is started under the same member name
+	hangUpTimeout     = time.Millisecond        // a proposer that dies: its request has been sent, and no answer can have arrived
+	clusterDeadlineMS = 800.0                   // the deadline of all classes, in ms
+	outcomeLifetime   = 2 * time.Minute         // the holdings' setting keep: how long outcomes are kept
+	holdingsLostAfter = 10 * time.Second        // the holdings' setting lost_after
 )
 
-// ClusterOptions are those of a run.
+// ClusterOptions are the options of a cluster run.
 type ClusterOptions struct {
-	Program  func() *exec.Cmd // a command that runs one member
-	LogDir   string           // for the processes' logs; empty for none
-	Dir      string           // for their files; empty for one of the run's own, which ends with it
-	Progress func(line string)
-	// OlderProgram is a command that runs one member of an older build, for the step of that name; nil for none.
+	Program  func() *exec.Cmd  // returns a command that runs one member
+	LogDir   string            // for the processes' logs; empty for none
+	Dir      string            // for the processes' files; empty for a temporary folder, which is removed at the end
+	Progress func(line string) // receives each step as it is applied; nil for none
+	// OlderProgram returns a command that runs one member of an older build, for the step "older"; nil if there is none.
 	OlderProgram func() *exec.Cmd
-	// Separate starts the processes without a crew, each with its own rules: what the crew prevents shows so.
+	// Separate starts the processes without a cluster, each with its own rules. This shows the contradictions that a cluster
+	// prevents.
 	Separate bool
 }
 
-// ClusterRecord is what a run came to.
+// ClusterRecord is the result of a cluster run.
 type ClusterRecord struct {
 	Name          string   `json:"name"`
 	Seed          uint64   `json:"seed"`
 	Processes     int      `json:"processes"`
-	Steps         []string `json:"steps"` // as they were played
+	Steps         []string `json:"steps"` // as they were applied, with their times
 	NumViolations int      `json:"broken"`
 	Violations    []string `json:"breaks,omitempty"`
-	// Contradicted is the longest that an act went on which another member held forbidden.
+	// Contradicted is the longest time for which a process went on with an action that the rules of another member forbade, in
+	// ms.
 	Contradicted         float64            `json:"contradicted_ms"`
-	MaxContradiction     float64            `json:"contradict_at_most_ms"`
-	Actions              int                `json:"acts"`
-	ActionsAgainstOthers int                `json:"acts_against"`
+	MaxContradiction     float64            `json:"contradict_at_most_ms"` // the longest that the scenario allows
+	Actions              int                `json:"acts"`                  // at the endpoints
+	ActionsAgainstOthers int                `json:"acts_against"`          // actions that the rules of another member forbade
 	Requests             int                `json:"asked"`
 	Served               int                `json:"served"`
 	Versions             []ClusterVersion   `json:"versions,omitempty"`
-	Leaders              map[uint64]string  `json:"leaders,omitempty"`   // by term
-	Replaced             []string           `json:"replaced,omitempty"`  // keepers whose folder was lost
-	LeaderMS             []float64          `json:"leader_ms,omitempty"` // from each strike on a leader until another one was heard of
-	CautiousMS           map[string]float64 `json:"cautious_ms,omitempty"`
-	ReplicatedMS         []float64          `json:"whole_ms,omitempty"` // from each lost process until all it held had its copies elsewhere
+	Leaders              map[uint64]string  `json:"leaders,omitempty"`     // by term
+	Replaced             []string           `json:"replaced,omitempty"`    // voters that were replaced after the loss of their data directory
+	LeaderMS             []float64          `json:"leader_ms,omitempty"`   // for each fault of a leader, until a status report named another one
+	CautiousMS           map[string]float64 `json:"cautious_ms,omitempty"` // how long each process was cautious
+	ReplicatedMS         []float64          `json:"whole_ms,omitempty"`    // for each lost process, until all that it held had its copies elsewhere
 	Keyed                *KeyedRecord       `json:"orders,omitempty"`
-	RSSMB                map[string]float64 `json:"rss_mb"` // of the last start
+	RSSMB                map[string]float64 `json:"rss_mb"` // peak of the last start
 	CPU                  map[string]float64 `json:"cpu_s"`  // of the last start
 }
 
-// ClusterVersion is how one proposal went.
+// ClusterVersion is the result of one proposal.
 type ClusterVersion struct {
 	Number   uint64  `json:"number"`
-	State    string  `json:"state"`
-	Reason   string  `json:"why,omitempty"`
-	ActiveMS float64 `json:"active_ms,omitempty"` // until the last live member acted on it alone
+	State    string  `json:"state"`               // "active" or "refused"
+	Reason   string  `json:"why,omitempty"`       // why it was refused
+	ActiveMS float64 `json:"active_ms,omitempty"` // from the proposal until no older version was in effect at any live member
 }
 
-// clusterProcess is one process over all its starts.
+// clusterProcess is one process of the cluster over all its starts.
 type clusterProcess struct {
-	name            string        // in the run; that of a second process of a name has twinMark behind it
+	name            string        // unique in the run: a duplicate has duplicateSuffix behind the member name
 	memberName      string        // the name that it is started with
-	older           bool          // it is to be started as an older build
-	separateVersion atomic.Uint64 // 1 once it was started with other rules, without a crew
+	older           bool          // it is started as an older build
+	separateVersion atomic.Uint64 // in a run with ClusterOptions.Separate: 1 once the process was started with other rules
 	host            string
-	listen          string
-	peerAddress     string // of its part in the crew
+	listen          string // address for callers
+	peerAddress     string // address for other members
 	dir             string
 	starts          int
 	proc            *process
 	rpc             *peerrpc.Client
 
 	mu      sync.Mutex
-	running bool // it runs, and is not stopped
-	faulted bool // a fault of the process itself has not ended
+	running bool // it has started, and is neither ended nor stopped
+	faulted bool // a fault of the process itself has not been reverted yet
 }
 
-// clusterRun is a run.
+// clusterRun is the state of a cluster run.
 type clusterRun struct {
 	scenario *scenario.Cluster
 	opts     ClusterOptions
@@ -128,37 +131,39 @@
 	began    time.Time
 
 	procs     []*clusterProcess
-	relays    map[[2]string]*relay // from one process to a keeper
-	voterIDs  map[string]uint64    // keepers' ids when the crew was formed
+	relays    map[[2]string]*relay // by the names of the process that connects and of the one that it connects to
+	voterIDs  map[string]uint64    // the voters' ids when the cluster was formed
 	endpoints []*clusterEndpoint
 
-	mu            sync.Mutex // guards book and what follows
+	mu            sync.Mutex // guards checker and the fields up to cautious
 	checker       *consistency.Checker
 	rec           ClusterRecord
-	leader        string // as last said
-	lastTerm      uint64
-	lastAgreed    uint64
-	lostVoter     string                   // a keeper whose folder is lost and not replaced yet; empty for none
-	lostVoterID   uint64                   // the lost folder's
+	leader        string                   // by the last report
+	lastTerm      uint64                   // of that report
+	lastAgreed    uint64                   // number of the newest version that a leader has confirmed
+	lostVoter     string                   // a voter that has lost its data directory and is not replaced yet; empty for none
+	lostVoterID   uint64                   // its id before the loss
 	leaderFaultAt time.Duration            // when the leader was killed or stopped; 0 once another one leads
-	pending       map[uint64]time.Duration // versions on their way, and when they were proposed
-	lastStatus    map[string]member.Status
-	cautious      map[string]time.Duration
-	requests      atomic.Int64
-	served        atomic.Int64
-	probeIDs      sync.Map     // of probes that have come to an endpoint
-	partitions    atomic.Int64 // that have not ended
+	pending       map[uint64]time.Duration // when each agreed version that is not in effect everywhere was proposed
+	lastStatus    map[string]member.Status // by process
+	cautious      map[string]time.Duration // how long each process was cautious
+	requests      atomic.Int64             // of the load
+	served        atomic.Int64             // of the load
+	probeIDs      sync.Map                 // ids of the probes that have arrived at an endpoint
+	partitions    atomic.Int64             // that have not been healed
 	keyed         *keyedLoad
 }
 
-// probeSeen tells whether a probe has come before.
+// probeSeen records the arrival of a probe and reports whether it has arrived before.
 func (r *clusterRun) probeSeen(id string) bool {
 	_, before := r.probeIDs.LoadOrStore(id, struct{}{})
 	return before
 }
 
+// now returns the time since the run began, which is the clock of the checker and of the record.
 func (r *clusterRun) now() time.Duration { return time.Since(r.began) }
 
+// logStep records a line with the current time and reports it as progress.
 func (r *clusterRun) logStep(format string, args ...any) {
 	line := fmt.Sprintf("%6.2fs ", r.now().Seconds()) + fmt.Sprintf(format, args...)
 	r.mu.Lock()
@@ -169,7 +174,7 @@
 	}
 }
 
-// RunCluster plays a crew's scenario.
+// RunCluster runs a cluster scenario with a seed and returns its record. An error means that there is no record.
 func RunCluster(ctx context.Context, sc *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
 	dir, err := opts.Dir, error(nil)
 	if dir == "" {
@@ -226,7 +231,7 @@
 	return &r.rec, nil
 }
 
-// start starts endpoints, relays and processes, and waits until there is a leader.
+// start starts the endpoints, the relays and the processes. It waits until all processes hold a lease.
 func (r *clusterRun) start(ctx context.Context) error {
 	for i := range numEndpoints {
 		e, err := startClusterEndpoint(r, fmt.Sprintf("e-%d", i+1))
@@ -266,7 +271,7 @@
 		r.procs = append(r.procs, p)
 	}
 	originals := r.procs[:len(r.procs)-duplicates]
-	targets := originals // by each of the others: the keepers, and all where they hold something for one another
+	targets := originals // which the other processes connect to: the voters, or all processes where they hold replicas for one another
 	if r.scenario.Copies == 0 {
 		targets = originals[:r.scenario.Voters]
 	}
@@ -308,7 +313,7 @@
 			}
 		}
 		if ready == len(originals) {
-			for _, p := range r.procs[:r.scenario.Voters] { // for who is set back later
+			for _, p := range r.procs[:r.scenario.Voters] { // the step "setback" restores this copy of the data directory
 				if err := os.CopyFS(filepath.Join(p.dir, "copy"), os.DirFS(filepath.Join(p.dir, "data"))); err != nil {
 					return err
 				}
@@ -318,7 +323,7 @@
 				return err
 			}
 			r.voterIDs = st.Ledger.Voters
-			if r.opts.Dir != "" && r.opts.Progress != nil { // for who tries commands on them
+			if r.opts.Dir != "" && r.opts.Progress != nil { // for a person who tries commands on the processes
 				for _, p := range originals {
 					r.opts.Progress(fmt.Sprintf("%s: zone %s, callers at %s, process %d, files in %s", p.name, r.zone(p), p.listen, p.proc.cmd.Process.Pid, p.dir))
 				}
@@ -333,7 +338,7 @@
 	}
 }
 
-// operatorConfig is what a process is told of the crew.
+// operatorConfig returns the operator's file of a process, which describes the cluster.
 func (r *clusterRun) operatorConfig(p *clusterProcess) string {
 	f := ClusterFile{
 		Name: r.scenario.Name, Address: p.peerAddress, Data: filepath.Join(p.dir, "data"), Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack,
@@ -354,7 +359,7 @@
 	return f.Text()
 }
 
-// sidecarConfig is a process's configuration. effect is that of the probed class.
+// sidecarConfig returns the sidecar's configuration of a process. effect is the effect of the probed class.
 func (r *clusterRun) sidecarConfig(p *clusterProcess, effect decide.Effect) ([]byte, error) {
 	f := SidecarFile{
 		Name: p.memberName, Listen: p.listen, Host: p.host, Seed: r.seed + uint64(p.starts)*7919, Me: slices.Index(r.procs, p), Replicas: len(r.procs),
@@ -366,15 +371,17 @@
 	return f.JSON()
 }
 
-// zone is where a process stands.
+// zone returns the zone of a process.
 func (r *clusterRun) zone(p *clusterProcess) string {
 	return string(rune('a' + slices.Index(r.procs, p)%r.scenario.Zones))
 }
 
+// startMember starts a process with the usual effect of the probed class, which allows retries.
 func (r *clusterRun) startMember(ctx context.Context, p *clusterProcess) error {
 	return r.startWithEffect(ctx, p, decide.Safe)
 }
 
+// startWithEffect writes the files of a process, starts it and waits until it is ready.
 func (r *clusterRun) startWithEffect(ctx context.Context, p *clusterProcess, effect decide.Effect) error {
 	p.starts++
 	if err := os.MkdirAll(filepath.Join(p.dir, "data"), 0o700); err != nil {
@@ -423,7 +430,8 @@
 	p.running = up
 }
 
-// beginFault books a fault of the process itself; false while another one goes on: two would start it twice.
+// beginFault marks the process as faulted. It returns false if the process is not running or if another fault has not been
+// reverted: two reverts would start the process twice.
 func (p *clusterProcess) beginFault() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -434,6 +442,7 @@
 	return true
 }
 
+// endFault marks the fault as reverted.
 func (p *clusterProcess) endFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -446,7 +455,7 @@
 	return p.running
 }
 
-// pollStatus asks a process what it acts on, and a keeper who leads.
+// pollStatus asks a process at intervals which rules are in effect there, and a voter also who leads.
 func (r *clusterRun) pollStatus(ctx context.Context, p *clusterProcess) {
 	for ; ctx.Err() == nil; time.Sleep(statusInterval) {
 		if r.opts.Separate {
@@ -474,7 +483,8 @@
 	}
 }
 
-// recordActiveEverywhere books versions that every live process acts on alone.
+// recordActiveEverywhere records the versions that are active at all live members, with no older version in effect. Members
+// without a lease (cautious) don't count. r.mu is held.
 func (r *clusterRun) recordActiveEverywhere(now time.Duration) {
 	for number, since := range r.pending {
 		allActive, anyActive := true, false
@@ -491,6 +501,7 @@
 	}
 }
 
+// pollLeader asks a voter who leads, and records changes of the leader.
 func (r *clusterRun) pollLeader(p *clusterProcess) {
 	var s voter.Status
 	if p.rpc.Call("status", struct{}{}, &s, rpcTimeout) != nil {
@@ -498,13 +509,13 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A keeper names the leader of its term; who leads says so itself.
+	// A voter names the leader of its term, and a leader names itself. The name is empty if the voter knows none.
 	if s.Leader == "" {
 		return
 	}
 	r.checker.RecordLeader(r.now(), s.Term, s.Leader)
 	if s.Leader == s.Name && r.lostVoter != "" && s.Ledger.Voters[r.lostVoter] != r.lostVoterID {
-		r.lostVoter = "" // its new folder has the lost one's place
+		r.lostVoter = "" // the ledger has the id of the voter's new data directory
 	}
 	if r.rec.Leaders[s.Term] = s.Leader; s.Term >= r.lastTerm {
 		if s.Term > r.lastTerm && r.leaderFaultAt > 0 {
@@ -515,7 +526,7 @@
 	}
 }
 
-// sendLoad asks for what is served, at an even pace.
+// sendLoad sends requests that endpoints serve to a process, at an even rate.
 func (r *clusterRun) sendLoad(ctx context.Context, p *clusterProcess) {
 	client := &http.Client{Timeout: time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
@@ -531,7 +542,7 @@
 			continue
 		}
 		code := r.sendRequest(client, p, loadClass, n)
-		if !p.isRunning() { // it was ended meanwhile: its client would have gone elsewhere
+		if !p.isRunning() { // it was ended meanwhile: a real client would have chosen another sidecar
 			continue
 		}
 		r.requests.Add(1)
@@ -541,7 +552,7 @@
 	}
 }
 
-// sendProbes asks for what all endpoints break off.
+// sendProbes sends requests that all endpoints break off to a process, at an even rate.
 func (r *clusterRun) sendProbes(ctx context.Context, p *clusterProcess) {
 	client := &http.Client{Timeout: 2 * time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
@@ -559,6 +570,7 @@
 	}
 }
 
+// sendRequest sends request n of a class to a process and returns the status code, or 0 if there was no answer.
 func (r *clusterRun) sendRequest(client *http.Client, p *clusterProcess, class string, n int) int {
 	q, err := http.NewRequest(http.MethodGet, "http://"+p.listen+"/"+class+"/x", nil)
 	if err != nil {
@@ -574,7 +586,8 @@
 	return answer.StatusCode
 }
 
-// processByName finds a process: by its name, or by its part.
+// processByName finds a process by its name, or by its part: "leader" or "follower" (the first running voter that does not lead).
+// It returns the first process if there is none.
 func (r *clusterRun) processByName(who string) *clusterProcess {
 	r.mu.Lock()
 	leader := r.leader
@@ -598,7 +611,7 @@
 	return r.procs[0]
 }
 
-// runSteps plays the steps at their times.
+// runSteps applies the steps of the scenario and those that follow from the seed, each at its time.
 func (r *clusterRun) runSteps(ctx context.Context) error {
 	steps := slices.Clone(r.scenario.Steps)
 	steps = append(steps, r.randomSteps()...)
@@ -617,6 +630,7 @@
 	return r.sleepUntil(ctx, begin+r.scenario.Duration)
 }
 
+// sleepUntil waits until a time of the run.
 func (r *clusterRun) sleepUntil(ctx context.Context, at time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -626,7 +640,7 @@
 	}
 }
 
-// randomSteps draws the steps that follow from the seed.
+// randomSteps generates the faults and the proposals that follow from the seed.
 func (r *clusterRun) randomSteps() []scenario.ClusterStep {
 	rng := rand.New(rand.NewPCG(r.seed, 0xc4e3))
 	var steps []scenario.ClusterStep
@@ -651,10 +665,10 @@
 	return steps
 }
 
-// applyStep plays one step; what it began ends after its time.
+// applyStep applies one step. A goroutine in reverts reverts it after its time.
 func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, reverts *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
-		return nil // there is nobody to propose it to
+		return nil // without a cluster there is no voter that could receive it
 	}
 	if s.Do == "propose" {
 		reverts.Go(func() { r.propose(ctx, s) })
@@ -678,15 +692,15 @@
 		return nil
 	}
 	p := r.processByName(s.Who)
-	ofProcess := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // of the process itself
+	ofProcess := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // a fault of the process itself
 	if r.scenario.Copies > 0 && (ofProcess || s.Do == "cut" && s.Drawn) && !r.canLoseProcess() {
-		return nil // more at once than what is promised survives
+		return nil // the holdings promise to survive only one fault at a time
 	}
 	if ofProcess && !p.beginFault() {
 		return nil
 	}
 	if (s.Do == "wipe" || s.Do == "setback") && strings.HasPrefix(p.name, "k") && !r.reserveVoterLoss(p) {
-		s.Do = "kill" // what is promised survives the loss of one folder at a time
+		s.Do = "kill" // the cluster promises to survive the loss of one data directory at a time
 	}
 	r.logStep("%s %s %s %s %v", s.Do, p.name, s.With, s.Direction, s.For)
 	r.mu.Lock()
@@ -738,9 +752,9 @@
 				os.RemoveAll(data)
 			}
 			if s.Do == "setback" {
-				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy it is a wipe
+				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy the step is a wipe
 				restart()
-				// The operator finds the keeper's line and does as it says.
+				// The operator reads the line that the voter logs and follows it: the older data directory is removed.
 				time.Sleep(r.scenario.Lease)
 				p.setRunning(false)
 				p.proc.stop(syscall.SIGKILL)
@@ -749,7 +763,7 @@
 			}
 			restart()
 		})
-	case "older": // replaced by one, and put back
+	case "older": // replaced by an older build, and put back afterwards
 		p.older = true
 		p.setRunning(false)
 		p.proc.stop(syscall.SIGKILL)
@@ -792,12 +806,12 @@
 			r.partitions.Add(-1)
 			r.logStep("%s is whole again", p.name)
 		})
-	case "full": // no file of it may grow, nor be written past its first page: as on a full disk
+	case "full": // as on a full disk: no file of the process may grow, nor be written past its first page
 		limit := &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}
 		if err := unix.Prlimit(p.proc.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
 			return err
 		}
-		revertLater(func() { // room again: the keeper takes part when its process is started anew
+		revertLater(func() { // the disk has space again: the voter takes part once its process has been started again
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
@@ -809,7 +823,7 @@
 				link.resetAll()
 			}
 		}
-	case "restart": // without a crew: with other rules
+	case "restart": // in a run without a cluster: starts the process with other rules
 		p.setRunning(false)
 		p.proc.stop(syscall.SIGKILL)
 		p.proc.wait(exitTimeout)
@@ -822,7 +836,8 @@
 	return nil
 }
 
-// reserveVoterLoss books that a keeper loses its folder, if no other one is lost.
+// reserveVoterLoss records that a voter is about to lose its data directory. It returns false if the loss of another one has not
+// been made up yet.
 func (r *clusterRun) reserveVoterLoss(p *clusterProcess) bool {
 	var st voter.Status
 	if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil || !p.isRunning() {
@@ -837,10 +852,11 @@
 	return true
 }
 
-// forRelays does something with the ways of a process to another one, or to all: what comes to it ("in"), what it says ("out"), or both.
+// forRelays calls do for each relay between a process and another one (with), or all others if with is empty, for the direction
+// of what the process receives ("in"), of what it sends ("out"), or both.
 func (r *clusterRun) forRelays(p *clusterProcess, with, direction string, do func(w *relay, direction int)) {
 	for ends, relay := range r.relays {
-		out, in, other := toTarget, fromTarget, ends[1] // of a way that begins at the process
+		out, in, other := toTarget, fromTarget, ends[1] // of a relay for connections from the process
 		switch p.name {
 		case ends[0]:
 		case ends[1]:
@@ -860,7 +876,7 @@
 	}
 }
 
-// propose proposes a version at whichever keeper leads, until it is told or refused.
+// propose proposes a version at the voter that leads, and repeats this until the version is agreed.
 func (r *clusterRun) propose(ctx context.Context, s scenario.ClusterStep) {
 	id := voter.NewID()
 	deadline := time.Now().Add(r.scenario.Duration)
@@ -891,8 +907,8 @@
 		}
 		r.mu.Lock()
 		next := st.Ledger.LastNumber + 1
-		// Before anybody can act on it. A keeper that was cut off may still think that it leads, and name a number that has
-		// been told: that one stands.
+		// The checker must know the version before any member can apply it. A voter that is cut off may still believe that it
+		// leads and offer a number that is agreed already; what was recorded under that number must stay.
 		if next <= r.lastAgreed {
 			r.mu.Unlock()
 			time.Sleep(statusInterval)
@@ -923,7 +939,8 @@
 	}
 }
 
-// proposeAndHangUp proposes as somebody who is gone before any answer; whether the proposal counts then shows at the keepers alone.
+// proposeAndHangUp proposes as a proposer that closes its connection before any answer. Whether the proposal was accepted then
+// shows only in the voters' ledger.
 func (r *clusterRun) proposeAndHangUp(p *clusterProcess, proposal cluster.Proposal, result *voter.ProposeResult) error {
 	proposer := peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
 	err := proposer.Call("propose", proposal, nil, hangUpTimeout)
@@ -942,7 +959,8 @@
 	return errors.New("it did not count")
 }
 
-// awaitPending waits until nothing is on its way, so that what was told can be looked for.
+// awaitPending waits until all agreed versions are in effect and their last requests have been seen, so that the checks miss
+// nothing.
 func (r *clusterRun) awaitPending(ctx context.Context) error {
 	if r.opts.Separate {
 		return nil
@@ -960,7 +978,7 @@
 	return ctx.Err()
 }
 
-// checkResult closes the book.
+// checkResult checks the final state of the cluster and completes the record.
 func (r *clusterRun) checkResult() {
 	inLedger, hasLeader := map[uint64]bool{}, false
 	for try := 0; !hasLeader && !r.opts.Separate && try < int(leaderTimeout/rpcTimeout); try++ {
@@ -1000,7 +1018,7 @@
 		r.rec.NumViolations++
 	}
 	if !hasLeader {
-		inLedger = nil // what the crew holds is not known
+		inLedger = nil // without a leader it is not known what the ledger has
 	}
 	report := r.checker.Close(inLedger)
 	for _, v := range report.Violations {
@@ -1023,7 +1041,8 @@
 	}
 }
 
-// laggingVoters tells which keepers do not have in the end what the others have: one that came back empty must be filled.
+// laggingVoters returns a text for each voter that has applied fewer entries than another one at the end. A voter that came back
+// with an empty data directory must have caught up.
 func (r *clusterRun) laggingVoters() (names []string) {
 	if r.opts.Separate {
 		return nil
@@ -1052,7 +1071,7 @@
 	return names
 }
 
-// stopAll ends all that was started, each by its own id.
+// stopAll stops everything that was started. It ends each process by its own id.
 func (r *clusterRun) stopAll() {
 	for _, p := range r.procs {
 		if p.proc != nil {
@@ -1073,12 +1092,13 @@
 	r.hosts.close()
 }
 
-// clusterEndpoint answers the load, breaks off the probes, and tells the book what comes.
+// clusterEndpoint is a fake endpoint that answers the load, breaks off the probes and records in the checker what arrives.
 type clusterEndpoint struct {
 	name, address string
 	server        *http.Server
 }
 
+// startClusterEndpoint starts an endpoint on a host of its own.
 func startClusterEndpoint(r *clusterRun, name string) (*clusterEndpoint, error) {
 	host, err := r.hosts.acquire()
 	if err != nil {
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -1,5 +1,7 @@
-// Package harness plays scenarios: it starts real sidecar processes between stand-ins,
-// makes the load and the faults, keeps the book, and ends all that it has started.
+// Package harness is the test harness of the lab. It runs scenarios: it starts real sidecar processes on the loopback network
+// between fake endpoints and fake discovery services, sends the load, applies the faults, records what clients and endpoints see
+// in a checker (package oracle), and stops everything that it started. It also measures the overhead of a sidecar, chains of
+// services and the traffic of endpoint lists, and it runs whole clusters of sidecars.
 package harness
 
 import (
@@ -23,35 +25,36 @@
 
 // Times of a run.
 const (
-	monitorInterval   = time.Second            // sidecars are looked at, and the book folded
-	frontRemovalDelay = 300 * time.Millisecond // a sidecar that got SIGTERM is dealt no connections any more
-	settleDelay       = 100 * time.Millisecond // after the last request, for what is still on its way
-	extraGrace        = 30 * time.Millisecond  // a client waits so much longer than the book allows
-	maxStepLateness   = time.Second            // a step of the timeline that is later voids the run
+	monitorInterval   = time.Second            // between two samples of the sidecars' resource usage, each with a pruning of the checker
+	frontRemovalDelay = 300 * time.Millisecond // after SIGTERM to a sidecar, until the front gives it no more new connections
+	settleDelay       = 100 * time.Millisecond // after the last request, for messages that are still in flight
+	extraGrace        = 30 * time.Millisecond  // a client waits this much longer than the checker allows for an answer
+	maxStepLateness   = time.Second            // a step of the timeline that is applied later than this makes the run void
 )
 
-// run is one run.
+// run is the state of one run of a scenario or of a measurement.
 type run struct {
-	scenario    *scenario.Scenario
-	seed        uint64
-	opts        Options
-	dir         string // for configurations
-	hosts       *hostAllocator
+	scenario *scenario.Scenario
+	seed     uint64
+	opts     Options
+	dir      string // for the sidecars' configuration files
+	hosts    *hostAllocator
+	// checker records what clients and endpoints see. All times of a run are read from its clock.
 	checker     *oracle.Shared
-	loadStart   time.Duration // on the book's clock: when the load begins
-	discoveries []*fake.Discovery
+	loadStart   time.Duration     // on the checker's clock: when the load begins
+	discoveries []*fake.Discovery // one for each tier
 	tiers       []*tier
 	front       *front
 
 	mu           sync.Mutex
 	sidecars     []*sidecar
-	firstTier    []*sidecar // those of the first tier
-	appliedSteps []string
-	void         []string
+	firstTier    []*sidecar // the sidecars of the first tier, which clients connect to
+	appliedSteps []string   // as texts, for the record
+	void         []string   // reasons why the run does not count
 }
 
-// Run plays a scenario with a seed. An interrupted run returns a record that says
-// so. An error means that there is no record: something could not be started.
+// Run runs a scenario with a seed and returns its record. If ctx ends the run early, the record is marked as partial. An error
+// means that something could not be started, and that there is no record.
 func Run(ctx context.Context, sc *scenario.Scenario, seed uint64, opts Options) (*record.Record, error) {
 	dir, err := os.MkdirTemp("", "heathlab-")
 	if err != nil {
@@ -73,12 +76,12 @@
 	return r.execute(ctx, service)
 }
 
-// newRun returns a run of which nothing has started; dir is for its files.
+// newRun returns a run in which nothing has been started. dir is the folder for its files.
 func newRun(sc *scenario.Scenario, seed uint64, opts Options, dir string) *run {
 	return &run{scenario: sc, seed: seed, opts: opts, dir: dir, hosts: newHostAllocator(), front: &front{}}
 }
 
-// openChecker opens the book.
+// openChecker creates the checker, which also counts service (what served requests are worth).
 func (r *run) openChecker(service *oracle.Service) {
 	r.checker = oracle.NewShared(oracle.New(oracle.Conf{
 		AnswerSlack: r.scenario.Rules.AnswerSlack, DrainGrace: r.scenario.Rules.DrainGrace,
@@ -86,11 +89,12 @@
 	}), service)
 }
 
-// clientGrace is how long clients wait past a request's time.
+// clientGrace returns how long clients wait for an answer after the deadline of their request.
 func (r *run) clientGrace() time.Duration {
 	return r.scenario.Rules.AnswerSlack + r.scenario.Margin + extraGrace
 }
 
+// callClass returns the index of the class in which endpoints of a tier call the next tier, or -1.
 func (r *run) callClass(tier int) int {
 	return slices.IndexFunc(r.scenario.Classes, func(c scenario.Class) bool { return c.Name == r.scenario.Tiers[tier].CallClass })
 }
@@ -107,7 +111,8 @@
 	return slices.Clone(r.sidecars)
 }
 
-// startAll starts the last tier first: those before it call it.
+// startAll starts the tiers from the last to the first, since each tier calls the next one, and then the sidecars of the first
+// tier.
 func (r *run) startAll(ctx context.Context) error {
 	for range r.scenario.Tiers {
 		r.discoveries = append(r.discoveries, fake.NewDiscovery(r.checker))
@@ -137,7 +142,7 @@
 	return nil
 }
 
-// startBehindFront starts a sidecar of the first tier and has the front deal it connections.
+// startBehindFront starts a sidecar of the first tier and adds it to the front, which gives it connections from then on.
 func (r *run) startBehindFront(ctx context.Context, s *sidecar) error {
 	target, err := s.start(ctx)
 	if err != nil {
@@ -152,7 +157,7 @@
 	return nil
 }
 
-// stopAll ends whatever still stands.
+// stopAll kills all sidecars and closes the fake discovery services. It may be called when only part of the run has started.
 func (r *run) stopAll() {
 	for _, s := range r.allSidecars() {
 		s.kill()
@@ -171,7 +176,7 @@
 	r.hosts.close()
 }
 
-// execute makes load and faults, and closes the book.
+// execute sends the load while faults are applied, and returns the record.
 func (r *run) execute(ctx context.Context, service *oracle.Service) (*record.Record, error) {
 	began := time.Now()
 	driver := &load.Driver{
@@ -201,7 +206,7 @@
 	return rec, nil
 }
 
-// runTimeline plays the faults. Those that take time have a goroutine of their own.
+// runTimeline applies the steps of the timeline at their times. Each step has its own goroutine, since some take long.
 func (r *run) runTimeline(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -225,14 +230,14 @@
 	}
 }
 
-// markVoid makes the run void.
+// markVoid records a reason why the run does not count.
 func (r *run) markVoid(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.void = append(r.void, fmt.Sprintf(format, args...))
 }
 
-// applyStep plays one step.
+// applyStep begins or reverts one fault.
 func (r *run) applyStep(ctx context.Context, step scenario.Step) error {
 	switch step.Kind {
 	case scenario.DiscoveryDown:
@@ -272,7 +277,7 @@
 	return errors.Join(errs...)
 }
 
-// applyToSidecars ends or starts sidecars of the first tier, all at once.
+// applyToSidecars kills, terminates or starts sidecars of the first tier, all at the same time.
 func (r *run) applyToSidecars(ctx context.Context, step scenario.Step) error {
 	errs := make([]error, len(step.Slots))
 	var wait sync.WaitGroup
@@ -280,7 +285,7 @@
 		wait.Go(func() {
 			s := r.firstTier[n]
 			if step.Revert {
-				// It waits for the one before it to have ended: both need the address.
+				// The start waits until the previous process has ended, since both listen at the same address.
 				errs[i] = r.startBehindFront(ctx, s)
 				return
 			}
@@ -298,7 +303,7 @@
 	return errors.Join(errs...)
 }
 
-// monitor watches what sidecars take, keeps the book small and tells how it goes.
+// monitor samples the resource usage of the sidecars, prunes the checker and reports the progress, until ctx ends.
 func (r *run) monitor(ctx context.Context) {
 	tick := time.NewTicker(monitorInterval)
 	defer tick.Stop()
@@ -328,7 +333,7 @@
 	}
 }
 
-// finish takes the counters, ends the sidecars and writes the record.
+// finish reads the sidecars' counters, stops the sidecars and builds the record.
 func (r *run) finish(service *oracle.Service, driver *load.Driver) *record.Record {
 	rec := &record.Record{
 		Version: record.Version, Scenario: r.scenario.Name, About: r.scenario.About, Policy: r.opts.Policy,
@@ -359,7 +364,7 @@
 			requests += s.Tally.Requests
 			arrivals += s.Tally.Arrivals
 		}
-		// Counters of a sidecar that has started more than once are its last start's.
+		// A sidecar that was started more than once reports only the counters of its last start, so they can't be compared.
 		if s.Counters != nil && s.Starts == 1 {
 			rec.Mismatches = append(rec.Mismatches, record.Compare(s.Name, s.Counters, s.Tally)...)
 		} else if s.Counters == nil && s.Starts == 1 && !s.Crashed {
@@ -374,7 +379,7 @@
 	return rec
 }
 
-// checkLoad makes a run void whose own load came late.
+// checkLoad makes the run void if the lab's own load was sent too late.
 func (r *run) checkLoad(rec *record.Record, driver *load.Driver) {
 	lag := driver.Lag(99)
 	rec.LateSendsP99, rec.LateSendsMax = millis(lag), millis(driver.Lag(100))
@@ -387,6 +392,7 @@
 	rec.Void = append(rec.Void, r.void...)
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b int) float64 {
 	if b == 0 {
 		return 0
@@ -394,6 +400,7 @@
 	return float64(a) / float64(b)
 }
 
+// thisMachine returns the cores, the memory and the Go version of this machine.
 func thisMachine() record.Machine {
 	m := record.Machine{Cores: runtime.NumCPU(), Go: runtime.Version()}
 	text, err := os.ReadFile("/proc/meminfo")
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -18,42 +18,43 @@
 	"heathgap/internal/lab/record"
 )
 
-// Times of processes.
+// Times and sizes of processes.
 const (
-	readyTimeout    = 15 * time.Second // for a start, until GET /up answers
-	exitTimeout     = 5 * time.Second  // for a killed process to be gone
-	countersTimeout = 5 * time.Second  // for the line with the counters
-	pollInterval    = 5 * time.Millisecond
-	maxLogLine      = 1 << 20 // bytes of one log line
+	readyTimeout    = 15 * time.Second     // from the start until GET /up answers
+	exitTimeout     = 5 * time.Second      // for a killed process to end
+	countersTimeout = 5 * time.Second      // for the log line with the counters
+	pollInterval    = 5 * time.Millisecond // between two checks whether something is ready
+	maxLogLine      = 1 << 20              // bytes of one log line
 )
 
 // process is one start of a sidecar's program.
 type process struct {
 	cmd      *exec.Cmd
 	name     string
-	counters chan *record.Counters
-	onLine   func(line string) // is told each line of its log; nil for nobody
-	exited   chan struct{}     // closed when it has ended
+	counters chan *record.Counters // receives the counters from the log
+	onLine   func(line string)     // receives each line of the log; nil for none
+	exited   chan struct{}         // closed when the process has ended
 
 	mu           sync.Mutex
-	stoppedByLab bool // the lab has ended it
-	lastLine     string
+	stoppedByLab bool   // the lab sent it a signal to end
+	lastLine     string // of the log
 }
 
-// startProcess starts a sidecar's program with its configuration; its log goes on
-// to a file where there is one.
+// startProcess starts a sidecar's program with the configuration file config. The log of the process is appended to the file
+// logPath, unless that is empty.
 func startProcess(cmd *exec.Cmd, name, config, logPath string) (*process, error) {
 	return startProcessWatched(cmd, name, config, logPath, nil)
 }
 
+// startProcessWatched is startProcess with a function that receives each line of the log.
 func startProcessWatched(cmd *exec.Cmd, name, config, logPath string, watch func(line string)) (*process, error) {
 	p := &process{cmd: cmd, name: name, counters: make(chan *record.Counters, 8), onLine: watch, exited: make(chan struct{})}
 	if cmd.Env == nil {
 		cmd.Env = os.Environ()
 	}
 	cmd.Env = append(cmd.Env, "BALANCER_CONFIG="+config)
-	// A group of its own: an interrupt from a terminal is the lab's, which then ends
-	// all it has started. If the lab itself is killed, they die with it.
+	// The process has its own process group: an interrupt from a terminal reaches only the lab, which then stops all processes
+	// that it started. If the lab itself is killed, the kernel kills the process too.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StderrPipe()
 	if err != nil {
@@ -72,7 +73,7 @@
 	return p, nil
 }
 
-// readLog reads the log to its end, and then the process's.
+// readLog reads the log until its end, and then waits for the end of the process.
 func (p *process) readLog(out io.Reader, logFile io.WriteCloser) {
 	defer close(p.exited)
 	lines := bufio.NewScanner(out)
@@ -92,13 +93,14 @@
 			p.parseCounters(line)
 		}
 	}
-	io.Copy(io.Discard, out) //nolint:errcheck // a line that is too long must not block it
+	io.Copy(io.Discard, out) //nolint:errcheck // the process must not block on a line that is too long
 	if logFile != nil {
 		logFile.Close()
 	}
-	p.cmd.Wait() //nolint:errcheck // how it ended is asked of the process state
+	p.cmd.Wait() //nolint:errcheck // how it ended is read from the process state
 }
 
+// parseCounters passes on the counters of a log line.
 func (p *process) parseCounters(line string) {
 	var entry struct {
 		Counters record.Counters `json:"counters"`
@@ -108,11 +110,11 @@
 	}
 	select {
 	case p.counters <- &entry.Counters:
-	default: // nobody has asked
+	default: // the buffer is full, since nobody has requested counters
 	}
 }
 
-// ended tells whether it has, without having been asked to.
+// crashed reports whether the process has ended although the lab did not stop it.
 func (p *process) crashed() bool {
 	select {
 	case <-p.exited:
@@ -124,7 +126,8 @@
 	return !p.stoppedByLab
 }
 
-// requestCounters asks for its counters.
+// requestCounters asks the process for its counters with SIGUSR1 and returns them. It returns nil if none come within
+// countersTimeout.
 func (p *process) requestCounters() *record.Counters {
 	for len(p.counters) > 0 {
 		<-p.counters
@@ -143,15 +146,15 @@
 
 func (p *process) signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
-// stop tells it to end with a signal; it is the lab's doing.
+// stop sends a signal that ends the process, and records that the lab ended it.
 func (p *process) stop(s os.Signal) {
 	p.mu.Lock()
 	p.stoppedByLab = true
 	p.mu.Unlock()
-	p.signal(s) //nolint:errcheck // it may have ended by itself
+	p.signal(s) //nolint:errcheck // the process may have ended by itself
 }
 
-// wait waits until it is gone; false after the time.
+// wait waits until the process has ended. It returns false if timeout passes before.
 func (p *process) wait(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
@@ -161,17 +164,17 @@
 	}
 }
 
-// usage is what a process takes of the machine.
+// usage is the resource usage of a process.
 type usage struct {
-	rssMB float64
-	cpu   float64
+	rssMB float64 // peak
+	cpu   float64 // seconds of CPU time, in user and kernel mode
 	fds   int
 }
 
-// clockTicks are the kernel's, a second: all Linux platforms of Go have 100.
+// clockTicks is the number of the kernel's clock ticks in a second: 100 on all Linux platforms of Go.
 const clockTicks = 100
 
-// usage reads it from /proc.
+// usage reads the resource usage of the process from /proc.
 func (p *process) usage() (u usage, err error) {
 	dir := filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid))
 	status, err := os.ReadFile(filepath.Join(dir, "status"))
@@ -191,7 +194,7 @@
 	if err != nil {
 		return u, err
 	}
-	// What follows the name, which is in brackets: field 3 on; 14 and 15 are times.
+	// The name is in parentheses. What follows it begins with field 3; fields 14 and 15 are the CPU times.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 13 {
 		return u, errors.New("/proc: a stat that is too short")
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -21,33 +21,32 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// maxStartAttempts is how often a sidecar is started at other ports where one was taken
-// between its choice and its use.
+// maxStartAttempts bounds the starts of a sidecar at other ports: another process may take a port between its choice and its use.
 const maxStartAttempts = 5
 
 // sidecar is one sidecar over all its starts.
 type sidecar struct {
 	run              *run
 	name             string
-	tier             int // it sends to
-	number           int // among its peers
-	peers            int
-	perCaller        bool // the settings say that each caller has one of its own
+	tier             int  // index of the tier that it sends to
+	number           int  // its number among its peers
+	peers            int  // number of peers, itself included, as the settings state it
+	perCaller        bool // the settings state that each caller has its own sidecar (family mesh)
 	zone             string
 	host             string
-	discoveryAddress string // address of its discovery
+	discoveryAddress string // where its fake discovery listens
 
-	mu        sync.Mutex
-	address   string
-	proc      *process
-	target    *load.Target
+	mu        sync.Mutex   // guards what follows
+	address   string       // empty until an address is chosen; a later start uses the same address
+	proc      *process     // the last start; nil before the first
+	target    *load.Target // the last start that became ready; nil before that
 	starts    int
-	crashed   bool
-	peakUsage usage
-	seedStep  uint64
+	crashed   bool   // it ended although the lab did not stop it
+	peakUsage usage  // highest memory and descriptors over all samples, and the last value of the CPU time
+	seedStep  uint64 // changes the seed of its random numbers with each start
 }
 
-// assignAddresses gives it a host, and a discovery that listens at another.
+// assignAddresses acquires a host for the sidecar, and another host where its fake discovery listens.
 func (s *sidecar) assignAddresses() error {
 	var err error
 	if s.host, err = s.run.hosts.acquire(); err != nil {
@@ -61,7 +60,7 @@
 	return err
 }
 
-// start starts it, at its address if it has one, and returns when it is ready.
+// start starts the sidecar, at its address if it has one, and returns when it is ready.
 func (s *sidecar) start(ctx context.Context) (*load.Target, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,6 +80,7 @@
 	}
 }
 
+// startOnce tries one start. It writes the configuration, starts the process and waits until the process is ready. s.mu is held.
 func (s *sidecar) startOnce(ctx context.Context) error {
 	if s.address == "" {
 		var err error
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// waitReady waits until GET /up answers 200.
+// waitReady waits until GET /up answers 200. It fails if the process ends or if readyTimeout passes.
 func waitReady(ctx context.Context, address string, p *process) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
@@ -142,14 +142,14 @@
 	}
 }
 
-// currentTarget is its newest start.
+// currentTarget returns the target of the last start.
 func (s *sidecar) currentTarget() *load.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.target
 }
 
-// kill ends it outright; what it held is cut, not lost.
+// kill ends the process with SIGKILL. The requests that it held count as interrupted by the lab, not as lost by the sidecar.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,15 +157,15 @@
 		return
 	}
 	s.sampleLocked()
-	if s.target != nil { // it had become ready
+	if s.target != nil { // the process had become ready
 		s.target.Stopped.Store(true)
 	}
 	s.proc.stop(syscall.SIGKILL)
 	s.proc.wait(exitTimeout)
 }
 
-// terminateTimeout is when a sidecar that got SIGTERM is killed: the longest deadline,
-// up to 3 s, and 0.7 s more, as the published protocol has it.
+// terminateTimeout returns how long a sidecar has after SIGTERM until it is killed: the longest deadline of a class, at most 3 s,
+// plus 0.7 s, as the published protocol states it.
 func (s *sidecar) terminateTimeout() time.Duration {
 	const maxDeadline, extra = 3 * time.Second, 700 * time.Millisecond
 	longest := time.Duration(0)
@@ -175,8 +175,8 @@
 	return min(longest, maxDeadline) + extra
 }
 
-// terminate asks it to end, and kills it if it has not in time: what it has not
-// answered by then is its own loss.
+// terminate sends SIGTERM, and kills the process if it has not ended within terminateTimeout. Requests that the sidecar has not
+// answered by then count as lost by it.
 func (s *sidecar) terminate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +191,7 @@
 	}
 }
 
-// sampleLocked looks what the process takes, and whether it has ended by itself.
+// sampleLocked records the resource usage of the process and whether it has crashed. s.mu is held.
 func (s *sidecar) sampleLocked() {
 	if s.proc == nil {
 		return
@@ -202,13 +202,14 @@
 	}
 }
 
+// sampleUsage is sampleLocked with the lock taken.
 func (s *sidecar) sampleUsage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sampleLocked()
 }
 
-// finish takes its counters and ends it.
+// finish stops the process and returns its part of the record, with its counters if counts is set.
 func (s *sidecar) finish(counts bool) record.Sidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +231,7 @@
 	return r
 }
 
-// configuration is the sidecar's configuration, as the platform writes it.
+// configuration returns the sidecar's configuration in the form that the platform writes.
 func (s *sidecar) configuration(known fake.List) map[string]any {
 	sc := s.run.scenario
 	return map[string]any{
@@ -242,8 +243,10 @@
 	}
 }
 
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// settings returns the settings part of the sidecar's configuration.
 func (s *sidecar) settings() map[string]any {
 	sc := s.run.scenario
 	stages := make([]string, len(sc.Tiers))
@@ -283,11 +286,12 @@
 	}
 }
 
-// effectNames are the settings' words for effects.
+// effectNames are the names of effects in the settings.
 var effectNames = map[decide.Effect]string{
 	decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once",
 }
 
+// profile returns the settings of a class.
 func profile(c scenario.Class) map[string]any {
 	return map[string]any{
 		"name": c.Name, "effect": effectNames[c.Effect], "group": c.Group, "window": millis(c.Window), "aim": millis(c.Aim),
@@ -295,15 +299,15 @@
 	}
 }
 
-// front deals out connections among the sidecars of the first tier, in turn. It
-// learns late that one has died.
+// front gives connections to the sidecars of the first tier in turn. It learns with a delay that a sidecar has died, as a real
+// front would, so that it may choose a dead one.
 type front struct {
 	mu      sync.Mutex
 	targets []*load.Target
 	next    int
 }
 
-// Pick returns the next one.
+// Pick returns the sidecar for the next connection, or nil if there is none.
 func (f *front) Pick() *load.Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -331,11 +335,12 @@
 	}
 }
 
-// Options are those of a run.
+// Options are the options of a run.
 type Options struct {
-	Sidecar  func() *exec.Cmd // a command that runs one sidecar, told by BALANCER_CONFIG
-	Policy   string           // its name, for the record
-	LogDir   string           // for sidecars' logs; empty for none
+	Sidecar func() *exec.Cmd // returns a command that runs one sidecar, which reads BALANCER_CONFIG
+	Policy  string           // name of the policy, for the record
+	LogDir  string           // for the sidecars' logs; empty for none
+	// Progress receives a line every second; nil for none.
 	Progress func(line string)
-	Before   func(address string) (string, error) // puts something before each sidecar of the first tier; nil for nothing
+	Before   func(address string) (string, error) // if set, puts a proxy before each sidecar of the first tier and returns its address
 }
