--- a/internal/lab/harness/budget.go
+++ b/internal/lab/harness/budget.go
@@ -2,26 +2,28 @@
 
 import "math"
 
-// The retry budget as docs/design.md has it ("Retry token bucket"); decide keeps it, and here a run is held against it.
+// The retry budget as docs/design.md states it ("Retry token bucket"). Package decide implements it; the harness compares the
+// retries of a run with it.
 const (
 	budgetPerServed    = 0.1  // tokens for each served attempt
-	budgetPerSecond    = 3.0  // tokens a second whatever the traffic, of a sidecar alone or of a pool
-	budgetStartSeconds = 10.0 // seconds of the floor that the bucket holds at the start
-	budgetPoolSize     = 10.0 // where each caller has its own, the floor of so many is shared by all peers
-	minBudgetStart     = 3.0  // tokens that it holds then at least
+	budgetPerSecond    = 3.0  // the floor: tokens a second that come whatever the traffic, for a sidecar alone or for a pool
+	budgetStartSeconds = 10.0 // the bucket begins with the floor of this many seconds
+	budgetPoolSize     = 10.0 // where each caller has its own sidecar, all peers share the floor of this many sidecars
+	minBudgetStart     = 3.0  // tokens that the bucket of such a sidecar begins with at least
 )
 
-// Budget is what one sidecar's retries may be paid from over a run, at most.
+// Budget is the number of retries that one sidecar can pay for over a run, at most.
 type Budget struct {
-	Start  float64 // tokens in the bucket as it begins
-	Floor  float64 // that the floor brings
-	Served float64 // that served attempts bring
+	Start  float64 // tokens in the bucket at the start
+	Floor  float64 // tokens from the floor
+	Served float64 // tokens from served attempts
 }
 
-// Total is how many retries it funds.
+// Total returns the number of retries that the budget pays for.
 func (b Budget) Total() float64 { return b.Start + b.Floor + b.Served }
 
-// NewBudget is that of a sidecar with so many peers, itself included, that served so many attempts in so many seconds.
+// NewBudget returns the budget of a sidecar that has the given number of peers, itself included, and has served the given number
+// of attempts in a run of that many seconds. perCaller states that each caller has its own sidecar.
 func NewBudget(perCaller bool, peers, served int, seconds float64) Budget {
 	floor, start := budgetPerSecond, budgetPerSecond*budgetStartSeconds
 	if perCaller {
@@ -31,9 +33,10 @@
 	return Budget{Start: start, Floor: floor * seconds, Served: budgetPerServed * float64(served)}
 }
 
-// FromFloors is how many of a sidecar's retries served attempts can't have paid for: the floor or the full bucket did.
+// FromFloors returns how many of a sidecar's retries were not paid for by served attempts, but by the floor or by the tokens at
+// the start.
 func (b Budget) FromFloors(retries int) float64 { return max(0, float64(retries)-b.Served) }
 
-// Amplified is how many attempts come to tier n (from 1) for a request at the front if each tier sends a tenth more than
-// it is asked, as the served alone would pay for.
+// Amplified returns the number of attempts that arrive at a tier (the first is 1) for one request at the front, if each tier
+// sends a tenth more than it receives, which is what served attempts alone pay for.
 func Amplified(tier int) float64 { return math.Pow(1+budgetPerServed, float64(tier)) }
--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -17,63 +17,64 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// MaxDepth bounds a chain: a tier is a sidecar's process and its stand-ins.
+// MaxDepth bounds a chain: each tier costs a sidecar process and its fake endpoints.
 const MaxDepth = 32
 
-// ChainConf is a chain of services, each of which calls the next through a sidecar.
+// ChainConf describes a chain of services, each of which calls the next one through a sidecar.
 type ChainConf struct {
-	Depth         int // tiers of services, and sidecars before them
-	Endpoints     int // of each tier
-	Rate          float64
+	Depth         int     // number of tiers, each with a sidecar before its services
+	Endpoints     int     // in each tier
+	Rate          float64 // requests a second
 	For           time.Duration
-	Deadline      time.Duration // that requests have at the front
-	Peers         int           // that each sidecar is told of
-	PerCaller     bool          // the settings say that each caller has a sidecar of its own (family mesh)
-	CompareDirect bool          // every other request goes along a chain without sidecars
-	Trouble       fake.Trouble
-	Share         float64 // of the last tier's requests that Errors strikes
+	Deadline      time.Duration // of requests at the front
+	Peers         int           // number of peers in each sidecar's settings
+	PerCaller     bool          // the settings state that each caller has its own sidecar (family mesh)
+	CompareDirect bool          // every second request goes along a second chain without sidecars
+	Trouble       fake.Trouble  // of the last tier, for the whole run
+	Share         float64       // share of the last tier's requests that fail, if Trouble is Errors
 	Seed          uint64
 }
 
-// Chain is what was seen of one.
+// Chain is the result of a chain's measurement.
 type Chain struct {
-	Front         [2]PathStats // straight, and through the sidecars
+	Front         [2]PathStats // direct, and through the sidecars
 	Tiers         []ChainTier
-	Lag           float64            // ms, the load's own at the 99th percentile
-	Seconds       float64            // how long the sidecars stood under load
-	NumViolations int                // of the four rules
-	Violations    []oracle.Violation // the first of them
-	BalanceErr    error              // what of the book does not add up
+	Lag           float64            // ms by which the load's own requests were late, 99th percentile
+	Seconds       float64            // how long the load lasted
+	NumViolations int                // of the checker's rules
+	Violations    []oracle.Violation // the first ones
+	BalanceErr    error              // an inconsistency in the checker's records; nil for none
 }
 
-// PathStats is one way along the chain.
+// PathStats describes the requests along one of the two paths.
 type PathStats struct {
 	Requests, Served int
-	P50, P99         float64 // ms of what was served, from when a request was due
+	P50, P99         float64 // ms, of served requests, from the time when a request was due
 }
 
-// ChainTier is one tier: its sidecar and the services behind it.
+// ChainTier is one tier: a sidecar and the services behind it.
 type ChainTier struct {
-	Requests     int // requests asked of its sidecar
-	Attempts     int // that came to its services
-	Served       int // answers that its sidecar gave
+	Requests     int // that its sidecar received
+	Attempts     int // that its services received
+	Served       int // answers of its sidecar
 	Refused      int
 	Failed       int
-	CallerLeft   int            // its caller went, or had no answer in its time
-	Outcomes     map[string]int // of attempts, as the sidecar counts them
-	Budget       Budget         // of its sidecar's retries
-	P50, P99     float64        // ms of calls that were served, as the caller before it saw them; of tier 1 as Front
-	RemainingP50 float64        // ms of the deadline left as it was asked
+	CallerLeft   int            // the caller left, or had no answer by its deadline
+	Outcomes     map[string]int // of attempts, by the sidecar's counters
+	Budget       Budget         // of the sidecar's retries
+	P50, P99     float64        // ms, of served calls as the tier before it saw them; of the first tier as in Front
+	RemainingP50 float64        // ms left until the deadline when the calls were made
 	RemainingMin float64
-	CPU          float64 // microseconds of its sidecar's processor for a request that it was asked
+	CPU          float64 // microseconds of the sidecar's CPU time for each request
 	RSSMB        float64
 	FDs          int
 }
 
-// Retries are attempts beyond the first of each request that was sent. What was refused unsent hides some of them.
+// Retries returns the number of attempts beyond the first one of each request. Requests that the sidecar refused without an
+// attempt hide some retries.
 func (t ChainTier) Retries() int { return max(0, t.Attempts-t.Requests) }
 
-// chainScenario is one tier; a chain has so many alike.
+// chainScenario has one tier; a chain repeats it.
 const chainScenario = `
 name = "chain"
 duration = "1h"
@@ -95,6 +96,7 @@
 rate = 1
 `
 
+// scenario returns the scenario of the chain, with one tier for each step of its depth.
 func (c *ChainConf) scenario() (*scenario.Scenario, error) {
 	s, err := scenario.Parse("chain", []byte(chainScenario))
 	if err != nil {
@@ -112,28 +114,28 @@
 	return s, nil
 }
 
-// chain is a chain at work.
+// chain is the state of a chain's measurement.
 type chain struct {
 	*run
 	conf   ChainConf
-	stages []*chainStage // one a tier
-	calls  atomic.Int64
+	stages []*chainStage // one for each tier
+	calls  atomic.Int64  // numbers the calls
 }
 
-// chainStage is a tier, and the ways to it.
+// chainStage is a tier and the two paths to it.
 type chainStage struct {
 	discovery   *fake.Discovery
 	sidecar     *sidecar
-	through     *load.Client
-	direct      *load.Client // nil without a straight way
-	directFront *front
-	endpoints   []*fake.Endpoint // those of the way through sidecars first
+	through     *load.Client     // through the sidecar
+	direct      *load.Client     // without a sidecar; nil unless CompareDirect is set
+	directFront *front           // picks endpoints for direct
+	endpoints   []*fake.Endpoint // those behind the sidecar first
 
 	mu                sync.Mutex
-	latency, timeUsed *hdrhistogram.Histogram // of calls, and of the deadline when they were made
+	latency, timeUsed *hdrhistogram.Histogram // of the calls, and of the deadline's time that was used up when they were made
 }
 
-// MeasureChain plays one chain.
+// MeasureChain runs one chain and returns its statistics.
 func MeasureChain(ctx context.Context, conf ChainConf, opts Options) (*Chain, error) {
 	sc, err := conf.scenario()
 	if err != nil {
@@ -153,7 +155,7 @@
 	return c.sendLoad(ctx)
 }
 
-// start starts the last tier first: those before it call it.
+// start starts the tiers from the last to the first, since each tier calls the next one.
 func (c *chain) start(ctx context.Context) error {
 	for range c.scenario.Tiers {
 		c.discoveries = append(c.discoveries, fake.NewDiscovery(c.checker))
@@ -186,7 +188,8 @@
 	return nil
 }
 
-// startEndpoints starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
+// startEndpoints starts a tier's fake endpoints: those that its sidecar sends to, and if CompareDirect is set as many of the
+// direct path.
 func (c *chain) startEndpoints(n int, l *chainStage) error {
 	paths := 1
 	if c.conf.CompareDirect {
@@ -231,7 +234,8 @@
 	return nil
 }
 
-// call makes a service's call of the next tier, with what is left of its own request's time, and fails when it fails.
+// call makes a service's call of the next tier, with the time that is left of the service's own request. It reports whether the
+// call was served.
 func (c *chain) call(ctx context.Context, to *chainStage, client *load.Client, until time.Duration) bool {
 	began := c.checker.Now()
 	result := client.Send(ctx, load.Request{
@@ -249,7 +253,7 @@
 	return served
 }
 
-// stop ends whatever stands.
+// stop stops everything that was started.
 func (c *chain) stop() {
 	for _, l := range c.stages {
 		if l == nil {
@@ -267,7 +271,7 @@
 	c.stopAll()
 }
 
-// sendLoad sends the load, with the trouble in place from the start, and takes the figures.
+// sendLoad sends the load, with the trouble in effect from the start, and returns the measurements.
 func (c *chain) sendLoad(ctx context.Context) (*Chain, error) {
 	last := c.stages[c.conf.Depth-1]
 	for _, e := range last.endpoints {
@@ -331,7 +335,7 @@
 	return out, c.collect(ctx, out, before, latency[1])
 }
 
-// collect takes each tier's figures.
+// collect fills in the statistics of each tier.
 func (c *chain) collect(ctx context.Context, out *Chain, before []time.Duration, front *hdrhistogram.Histogram) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("interrupted: %w", ctx.Err())
@@ -366,7 +370,7 @@
 	out.NumViolations, out.Violations, out.BalanceErr = report.NumViolations(), report.Violations, report.Balance()
 	for n := range out.Tiers {
 		t, tally := &out.Tiers[n], report.Sidecars[c.stages[n].sidecar.name]
-		if tally == nil { // nothing was asked of it
+		if tally == nil { // its sidecar received no request
 			tally = &oracle.Tally{}
 		}
 		t.Requests, t.Attempts, t.CallerLeft = tally.Requests, tally.Arrivals, tally.ClientLeft+tally.Interrupted
--- a/internal/lab/harness/cluster_files.go
+++ b/internal/lab/harness/cluster_files.go
@@ -10,18 +10,18 @@
 	"heathgap/internal/versions"
 )
 
-// The classes that sidecars of a crew's lab know: no version may change that of the load, versions change the probed one, and
-// orders are held.
+// The classes in the settings of a cluster's sidecars. No version may change the load's class, versions change the probed class,
+// and the keyed class has holdings if Copies isn't 0.
 const (
 	LoadClass   = loadClass
 	ProbedClass = probedClass
 	KeyedClass  = keyedClass
 )
 
-// NamedAddress is an address of somebody.
+// NamedAddress is the address of a named member or endpoint.
 type NamedAddress struct{ Name, Address string }
 
-// ClusterFile is what a process is told of its crew, as an operator's file.
+// ClusterFile describes the cluster to one process. It is written as an operator's file.
 type ClusterFile struct {
 	Name, Address, Data string
 	Lease               time.Duration
@@ -29,13 +29,13 @@
 	Slack               time.Duration
 	ContradictAtMost    time.Duration
 	Voters              []NamedAddress
-	Routes              []NamedAddress // to members by another address than their own
-	Copies              int            // 0 for no holdings
+	Routes              []NamedAddress // addresses of members as this process reaches them, if it reaches them through relays
+	Copies              int            // replication factor; 0 for no holdings
 	Keep                time.Duration
 	LostAfter           time.Duration
 }
 
-// Text is the file.
+// Text returns the file in TOML.
 func (f *ClusterFile) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[crew]\nname = %q\naddress = %q\ndata = %q\nlease = %q\ndrift = %v\nslack = %q\ncontradict_at_most = %q\n",
@@ -53,10 +53,10 @@
 	return b.String()
 }
 
-// SidecarFile is the configuration of a sidecar in a crew's lab.
+// SidecarFile is the configuration of a sidecar in a cluster.
 type SidecarFile struct {
 	Name, Listen string
-	Host         string // its own
+	Host         string // the sidecar's own
 	Seed         uint64
 	Me, Replicas int
 	Zone         string
@@ -64,7 +64,7 @@
 	Endpoints    []NamedAddress
 }
 
-// JSON is the file.
+// JSON returns the configuration as the platform writes it.
 func (f *SidecarFile) JSON() ([]byte, error) {
 	lines := []any{}
 	for i, e := range f.Endpoints {
--- a/internal/lab/harness/exported.go
+++ b/internal/lab/harness/exported.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// What other labs take of this one: hosts, processes and relays.
+// What other packages of the lab use of this one: hosts, processes and relays.
 
-// Hosts deals out hosts and addresses of the loopback net.
+// Hosts allocates hosts and addresses of the loopback network.
 type Hosts struct{ allocator *hostAllocator }
 
-// NewHosts returns a run's.
+// NewHosts returns the hosts of a new run.
 func NewHosts() *Hosts { return &Hosts{newHostAllocator()} }
 
-// Acquire returns a host that no other run has.
+// Acquire returns a host that no other run uses.
 func (h *Hosts) Acquire() (string, error) { return h.allocator.acquire() }
 
-// Address returns an address of a host that was taken, which was not dealt out before.
+// Address returns an address at an acquired host, with a port that has not been used before.
 func (h *Hosts) Address(host string) (string, error) { return h.allocator.address(host) }
 
-// Close gives all hosts back.
+// Close releases all hosts.
 func (h *Hosts) Close() { h.allocator.close() }
 
 // Process is one start of a sidecar's program.
 type Process struct{ process *process }
 
-// StartProcess starts a sidecar's program with its configuration. Its log goes on to a file where there is one, and each of its
-// lines to watch.
+// StartProcess starts a sidecar's program with the configuration file config. The log of the process is appended to the file
+// logPath, unless that is empty, and watch receives each line of it, unless watch is nil.
 func StartProcess(cmd *exec.Cmd, name, config, logPath string, watch func(line string)) (*Process, error) {
 	p, err := startProcessWatched(cmd, name, config, logPath, watch)
 	if err != nil {
@@ -37,40 +37,40 @@
 	return &Process{p}, nil
 }
 
-// WaitReady waits until it answers at an address.
+// WaitReady waits until the process answers at an address.
 func (p *Process) WaitReady(ctx context.Context, address string) error {
 	return waitReady(ctx, address, p.process)
 }
 
-// Pid is its number.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.process.cmd.Process.Pid }
 
-// Signal tells it to end with a signal.
+// Signal sends a signal that ends the process, and records that the lab ended it.
 func (p *Process) Signal(s os.Signal) { p.process.stop(s) }
 
-// Wait waits until it is gone; false after the time.
+// Wait waits until the process has ended. It returns false if timeout passes before.
 func (p *Process) Wait(timeout time.Duration) bool { return p.process.wait(timeout) }
 
-// Crashed tells whether it has ended without having been told to.
+// Crashed reports whether the process has ended although the lab did not stop it.
 func (p *Process) Crashed() bool { return p.process.crashed() }
 
-// LastLine is the last one of its log.
+// LastLine returns the last line of the process's log.
 func (p *Process) LastLine() string {
 	p.process.mu.Lock()
 	defer p.process.mu.Unlock()
 	return p.process.lastLine
 }
 
-// Usage is what it takes of the machine so far: most memory in MB, seconds of processor time, descriptors.
+// Usage returns the peak of the process's memory in MB, its CPU time in seconds and the number of its open descriptors.
 func (p *Process) Usage() (rssMB, cpu float64, descriptors int, err error) {
 	u, err := p.process.usage()
 	return u.rssMB, u.cpu, u.fds, err
 }
 
-// Relay carries connections to an address.
+// Relay forwards connections to an address.
 type Relay struct{ relay *relay }
 
-// NewRelay listens at a free port of a host.
+// NewRelay starts a relay that listens at a free port of a host.
 func NewRelay(host, target string) (*Relay, error) {
 	r, err := newRelay(host, target)
 	if err != nil {
@@ -79,23 +79,23 @@
 	return &Relay{r}, nil
 }
 
-// Address is where it listens.
+// Address returns the address where the relay listens.
 func (r *Relay) Address() string { return r.relay.address() }
 
-// SetPartitioned has nothing pass either way, or pass again.
+// SetPartitioned partitions both directions, or heals them. Each call with true needs one with false.
 func (r *Relay) SetPartitioned(partitioned bool) {
 	r.relay.setPartitioned(toTarget, partitioned)
 	r.relay.setPartitioned(fromTarget, partitioned)
 }
 
-// SetDelay has what goes each way come so much later than before, or sooner where that is below 0.
+// SetDelay adds a delay to both directions; a negative one takes it away.
 func (r *Relay) SetDelay(by time.Duration) {
 	r.relay.addDelay(toTarget, by)
 	r.relay.addDelay(fromTarget, by)
 }
 
-// SetAnswerDelay is Delay of what comes back.
+// SetAnswerDelay is SetDelay for the direction from the target only.
 func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.addDelay(fromTarget, by) }
 
-// Close ends it with its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() { r.relay.close() }
--- a/internal/lab/harness/hosts.go
+++ b/internal/lab/harness/hosts.go
@@ -10,25 +10,24 @@
 	"syscall"
 )
 
-// hostAllocator deals out addresses of 127.0.0.0/8, one for each stand-in and sidecar. They
-// lie off 127.0.0.1, from which the kernel makes connections, so that no such
-// connection takes a port that something is to return to.
+// hostAllocator allocates hosts of 127.0.0.0/8, one for each fake service and sidecar, and addresses at them. It does not use
+// 127.0.0.1, since the kernel makes outgoing connections from there, and such a connection could take a port that a restarted
+// process needs again.
 //
-// A host belongs to one run at a time, of all runs of all labs on the machine: the run
-// that listens at its guard port. A port is dealt out once, from below those that the
-// kernel draws from. Ports that the kernel drew and that were given back before a
-// process listened there were met twice: one in 6,250 times the kernel draws the same
-// port for a host again, and a process was told to listen at one port for two purposes.
+// A host belongs to one run at a time, over all labs on the machine: to the run that listens at the host's guard port. Each port
+// is allocated only once, from a range below the one from which the kernel picks ports. When the kernel picked the ports and they
+// were closed before a process listened there, two failures occurred: in one of 6,250 cases the kernel picks the same port for a
+// host again, and a process was told to listen at one port for two purposes.
 type hostAllocator struct {
 	mu     sync.Mutex
-	net    int // second byte
-	next   int // third and fourth
-	port   int
-	guards []net.Listener // until close
+	net    int            // second byte of the hosts' addresses
+	next   int            // number of the host that was tried last: third and fourth byte
+	port   int            // the next port to allocate
+	guards []net.Listener // listeners at the guard ports, until close
 }
 
-// The parts of the loopback net that runs use, each by the lab's process id, so
-// that two runs at once rarely look for the same ones.
+// The part of 127.0.0.0/8 that a run uses depends on the lab's process id, so that two runs at the same time rarely try the same
+// hosts.
 const (
 	firstNet     = 16
 	numNets      = 200
@@ -37,7 +36,7 @@
 
 	guardPort = 19999
 	firstPort = 20000
-	lastPort  = 32767 // the kernel draws from 32768 on, unless set otherwise
+	lastPort  = 32767 // the kernel picks from 32768 on, unless it is configured otherwise
 )
 
 func newHostAllocator() *hostAllocator {
@@ -45,7 +44,7 @@
 	return &hostAllocator{net: firstNet + pid%numNets, next: (pid / numNets % 200) * hostsPerByte, port: firstPort}
 }
 
-// acquire returns a host that no other run has.
+// acquire returns a host that no other run uses.
 func (h *hostAllocator) acquire() (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -66,14 +65,14 @@
 	return "", fmt.Errorf("no host of 127.%d.0.0/16 is free: other runs hold port %d of all of them", h.net, guardPort)
 }
 
-// address returns an address of a host that was taken: one that nobody listens at, and that was not dealt out before.
+// address returns an address at an acquired host, with a port that has not been allocated before and at which nothing listens.
 func (h *hostAllocator) address(host string) (string, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for ; h.port <= lastPort; h.port++ {
 		address := net.JoinHostPort(host, strconv.Itoa(h.port))
 		listener, err := net.Listen("tcp", address)
-		if errors.Is(err, syscall.EADDRINUSE) { // something listens there at all hosts
+		if errors.Is(err, syscall.EADDRINUSE) { // a process listens at this port on all hosts
 			continue
 		}
 		if err != nil {
@@ -85,7 +84,7 @@
 	return "", fmt.Errorf("no port of %s from %d to %d is left", host, firstPort, lastPort)
 }
 
-// close gives all hosts back, once what ran there has ended.
+// close releases all hosts. What ran there must have ended.
 func (h *hostAllocator) close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lab/harness/keyed.go
+++ b/internal/lab/harness/keyed.go
@@ -16,37 +16,37 @@
 	"heathgap/internal/cluster/voter"
 )
 
-// Orders: keyed requests whose clients repeat them through other processes until they are served, and once more after that.
-// Endpoints count each effect. An effect that happens twice, an answer that was told and is not told again, and two answers to
-// one key break what copied holdings promise.
+// A keyed load sends keyed requests whose clients repeat them through other processes until they are served, and once more after
+// that. The endpoints count the effects of each key. Copied holdings promise that no effect happens twice, that a delivered
+// answer is delivered again to a repeat, and that a key never has two different answers; the load checks this.
 
-// Figures of orders.
+// Parameters of a keyed load.
 const (
-	keyedClass     = "order"
-	keyWindow      = 3 * time.Second // in which endpoints drop repeats
-	keyedWork      = 20 * time.Millisecond
-	maxTries       = 12
-	tryTimeout     = 2 * time.Second // for one try, its client's patience
-	maxPendingKeys = 256             // under way at a time
+	keyedClass     = "order"               // name of the class
+	keyWindow      = 3 * time.Second       // endpoints drop repeats of a key for this long
+	keyedWork      = 20 * time.Millisecond // an endpoint's work for each request
+	maxTries       = 12                    // of one client for its key
+	tryTimeout     = 2 * time.Second       // a client's timeout for one try
+	maxPendingKeys = 256                   // further requests are skipped while so many clients are busy
 )
 
-// The rules of orders.
+// The rules of a keyed load, as they are named in violations.
 const (
 	Doubled         = "doubled"   // an effect happened twice
-	TwoAnswers      = "two_ways"  // one key had two answers
-	Forgotten       = "forgotten" // an answer was told, and was not told again
-	NotLinearizable = "no_order"  // what happened to a key fits no order of events
+	TwoAnswers      = "two_ways"  // one key had two different answers
+	Forgotten       = "forgotten" // an answer was delivered once, and was not delivered again
+	NotLinearizable = "no_order"  // no order of events explains what clients and endpoints saw of a key
 )
 
-// KeyedRecord is what came of a run's orders.
+// KeyedRecord is the result of a keyed load.
 type KeyedRecord struct {
 	Keys       int     `json:"keys"`
-	Served     int     `json:"served"` // keys that had an answer in the end
-	Tries      int     `json:"tries"`
-	Refused    int     `json:"refused"`
-	Failed     int     `json:"failed"`
-	Again      int     `json:"again"` // answers that were told again, by another process
-	Dropped    int     `json:"dropped"`
+	Served     int     `json:"served"`  // keys for which a client received an answer
+	Tries      int     `json:"tries"`   // over all keys
+	Refused    int     `json:"refused"` // tries that were answered with status 503
+	Failed     int     `json:"failed"`  // tries with another status or without an answer
+	Again      int     `json:"again"`   // repeats that received the same answer as before
+	Dropped    int     `json:"dropped"` // requests that endpoints dropped as repeats
 	Doubled    int     `json:"doubled"`
 	TwoAnswers int     `json:"two_ways"`
 	Forgotten  int     `json:"forgotten"`
@@ -55,33 +55,33 @@
 	P999       float64 `json:"p99_9_ms"`
 }
 
-// keyedLoad is a run's.
+// keyedLoad is the state of a keyed load.
 type keyedLoad struct {
 	cluster *clusterRun
 
-	mu         sync.Mutex
-	keys       map[string]*keyEffects
+	mu         sync.Mutex // guards what follows
+	keys       map[string]*keyEffects // by key
 	rec        KeyedRecord
-	violations []string
-	latency    []time.Duration
+	violations []string        // texts for the record; the first 20 only
+	latency    []time.Duration // of first tries that were served
 	history    keyHistory
 }
 
-// keyEffects is what the endpoints know of a key: they share that.
+// keyEffects holds the effects of a key. All endpoints share it.
 type keyEffects struct {
-	lastAt  time.Time
-	reply   string
-	effects int
+	lastAt  time.Time // time of the last effect
+	reply   string    // of the last effect
+	effects int       // number of effects
 }
 
 func newKeyedLoad(r *clusterRun) *keyedLoad {
 	return &keyedLoad{cluster: r, keys: map[string]*keyEffects{}}
 }
 
-// serve is an endpoint's part.
+// serve answers a keyed request at an endpoint. It makes the effect unless the key had one within keyWindow.
 func (o *keyedLoad) serve(w http.ResponseWriter, q *http.Request) {
 	key := q.Header.Get("Idempotency-Key")
-	io.Copy(io.Discard, q.Body) //nolint:errcheck // its client shows
+	io.Copy(io.Discard, q.Body) //nolint:errcheck // the client notices an error
 	o.mu.Lock()
 	effects := o.keys[key]
 	if effects == nil {
@@ -101,17 +101,17 @@
 	reply := effects.reply
 	o.mu.Unlock()
 	time.Sleep(keyedWork)
-	w.Write([]byte(reply)) //nolint:errcheck // its client shows
+	w.Write([]byte(reply)) //nolint:errcheck // the client notices an error
 }
 
-// recordViolation books a break. The lock is held.
+// recordViolation counts a violation and keeps the first ones as texts. o.mu is held.
 func (o *keyedLoad) recordViolation(count *int, rule, format string, args ...any) {
 	if *count++; len(o.violations) < 20 {
 		o.violations = append(o.violations, fmt.Sprintf("%s at %.2fs: ", rule, o.cluster.now().Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// run places orders at an even pace until the context ends, and waits for those under way.
+// run starts a client with a new key at an even rate until ctx ends, and waits for the clients that are still busy.
 func (o *keyedLoad) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(o.cluster.seed, 0x0d5))
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / o.cluster.scenario.KeyedRate))
@@ -132,12 +132,12 @@
 				o.sendKey(n, rand.New(rand.NewPCG(seed, 0)))
 				<-slots
 			})
-		default: // all clients wait
+		default: // the maximum number of clients is busy: this key is skipped
 		}
 	}
 }
 
-// sendKey is one client's order, from its first try until it has heard its answer twice.
+// sendKey sends one key's request from its first try until an answer has been received twice, or until maxTries is reached.
 func (o *keyedLoad) sendKey(n int, rng *rand.Rand) {
 	client := &http.Client{Timeout: tryTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	key, reply := fmt.Sprintf("o%d", n), ""
@@ -152,7 +152,7 @@
 			continue
 		}
 		began, from := time.Now(), o.cluster.now()
-		code, body := o.send(client, p, key, try)
+		code, body := o.sendTry(client, p, key, try)
 		o.mu.Lock()
 		o.rec.Tries++
 		if code != http.StatusOK {
@@ -179,7 +179,7 @@
 			o.rec.Failed++
 		}
 		o.mu.Unlock()
-		// Some come back at once, some when endpoints have forgotten the key.
+		// Most clients repeat soon, and some only when the endpoints have forgotten the key.
 		pause := time.Duration(rng.Int64N(int64(300 * time.Millisecond)))
 		if rng.IntN(6) == 0 {
 			pause += keyWindow
@@ -193,12 +193,13 @@
 	}
 }
 
-func (o *keyedLoad) send(client *http.Client, p *clusterProcess, key string, send int) (code int, body string) {
+// sendTry makes one try through a process. The code is 0 if there was no answer.
+func (o *keyedLoad) sendTry(client *http.Client, p *clusterProcess, key string, try int) (code int, body string) {
 	q, err := http.NewRequest(http.MethodPost, "http://"+p.listen+"/"+keyedClass+"/x", strings.NewReader("one of "+key))
 	if err != nil {
 		return 0, ""
 	}
-	q.Header.Set("X-Txn", fmt.Sprintf("%s.%d.%s.%d", p.name, p.starts, key, send))
+	q.Header.Set("X-Txn", fmt.Sprintf("%s.%d.%s.%d", p.name, p.starts, key, try))
 	q.Header.Set("X-Remaining", "0.7")
 	q.Header.Set("Idempotency-Key", key)
 	answer, err := client.Do(q)
@@ -213,7 +214,7 @@
 	return answer.StatusCode, string(text)
 }
 
-// finish books what came of the orders.
+// finish adds the results of the keyed load to the record.
 func (o *keyedLoad) finish(rec *ClusterRecord) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -230,7 +231,8 @@
 	rec.NumViolations += o.rec.Doubled + o.rec.TwoAnswers + o.rec.Forgotten
 }
 
-// awaitReplicated books how long it takes from now on until all that a process held has its copies elsewhere.
+// awaitReplicated records how long it takes from now until all that a process held has its copies at other processes. token
+// identifies the process's start.
 func (r *clusterRun) awaitReplicated(ctx context.Context, token uint64) {
 	began := r.now()
 	for ; ctx.Err() == nil && r.now() < began+leaderTimeout; time.Sleep(statusInterval) {
@@ -243,8 +245,8 @@
 	}
 }
 
-// canLoseProcess tells whether a machine more may be lost within what is promised: nothing else is struck, and each shard has all
-// of its copies.
+// canLoseProcess reports whether one more process may be lost within what the holdings promise: no other fault is in effect, and
+// each shard has all of its copies.
 func (r *clusterRun) canLoseProcess() bool {
 	for _, p := range r.procs {
 		p.mu.Lock()
@@ -253,7 +255,8 @@
 		if p.starts == 0 {
 			continue
 		}
-		// Who holds no lease was started a moment ago: the replicas that the ledger still has for the process before are empty.
+		// A process without a lease has only just started, and the replicas that the ledger lists for its previous start are
+		// empty.
 		var a member.Status
 		if !well || p.rpc.Call("acting", struct{}{}, &a, rpcTimeout) != nil || a.Cautious {
 			return false
@@ -262,7 +265,8 @@
 	return r.partitions.Load() == 0 && r.replicated(0)
 }
 
-// replicated tells whether each shard has all of its copies, by the leader's word, none of them at a process that is away: a token.
+// replicated reports whether each shard has all of its copies, by the leader's report, not counting replicas at the process with
+// the given token. With token 0, all processes must also be members.
 func (r *clusterRun) replicated(token uint64) bool {
 	st := r.leaderLedger()
 	if st == nil || st.Placement == nil || token == 0 && len(st.Members) < r.scenario.Voters+r.scenario.Members {
@@ -282,7 +286,7 @@
 	return true
 }
 
-// leaderLedger is the leader's; nil where none says that it leads.
+// leaderLedger returns the leader's ledger, or nil if no voter reports that it leads.
 func (r *clusterRun) leaderLedger() *cluster.Ledger {
 	for _, k := range r.procs[:r.scenario.Voters] {
 		var st voter.Status
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -17,52 +17,52 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// ListTrafficConf is what is measured of a list's changes.
+// ListTrafficConf describes a measurement of what changes of an endpoint list cost.
 type ListTrafficConf struct {
-	Endpoints int           // listed; nobody stands at them, since nothing is sent
-	AtOnce    int           // lines that change in one version
-	Apart     bool          // in a version each, one after the other at once
-	Changes   int           // how often that happens
-	Sidecars  int           // real ones that watch
-	Emulated  int           // watchers beside them that speak the protocol and keep nothing but the version
-	Peers     int           // that sidecars are told of: their waits are longer the more there are
-	Idle      time.Duration // looked at without changes; 0 for not
+	Endpoints int           // in the list; none of them exists, since no requests are sent
+	AtOnce    int           // lines that change together
+	Apart     bool          // each of these lines changes in a version of its own, published one right after the other
+	Changes   int           // number of changes
+	Sidecars  int           // real sidecars that watch the list
+	Emulated  int           // emulated watchers: they speak the protocol but keep only the version
+	Peers     int           // number of peers in the sidecars' settings: with more peers they wait longer
+	Idle      time.Duration // time of a second measurement without changes; 0 for none
 }
 
-// ListTraffic is what was seen.
+// ListTraffic is the result of a measurement of list changes.
 type ListTraffic struct {
-	Real, Emulated Wire          // while changes came, of one watcher
-	Idle           Wire          // of one sidecar, while none came
-	IdleFor        time.Duration // that it was looked at
-	Whole          Wire          // of one call for the whole list
-	CPU            float64       // microseconds of a sidecar's processor for a change
-	IdleCPU        float64       // of a second without any
-	LabCPU         float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
-	DeliveryP50    float64       // ms from a change until the last watcher has it
+	Real, Emulated Wire          // of one watcher, for each change
+	Idle           Wire          // of one sidecar, over the time without changes
+	IdleFor        time.Duration // length of that time
+	Whole          Wire          // of one request for the full list
+	CPU            float64       // microseconds of a sidecar's CPU time for each change
+	IdleCPU        float64       // microseconds of a sidecar's CPU time for each second without changes
+	LabCPU         float64       // microseconds of the harness's CPU time for each change and watcher: fake discovery, emulated watchers and counting
+	DeliveryP50    float64       // ms from a change until the last watcher has received it
 	DeliveryMax    float64
 }
 
-// Wire is what went over the wire, in what TCP carries.
+// Wire is the traffic between a watcher and discovery, as payload of TCP.
 type Wire struct {
-	Calls, Answers            float64 // messages of the sidecar, and of the agent
-	RequestBytes, AnswerBytes float64 // their bytes
+	Calls, Answers            float64 // messages of the watcher, and of discovery
+	RequestBytes, AnswerBytes float64 // their sizes
 	LinesPerAnswer            float64
-	FullLists                 float64 // of the answers, those that were whole lists
+	FullLists                 float64 // how many of the answers were full lists
 }
 
-// watcherCounts are a watcher's, since it began.
+// watcherCounts counts the traffic of a watcher since its start. version is the newest version that the watcher is known to have.
 type watcherCounts struct {
 	calls, answers, requestBytes, answerBytes, lines, fullLists, version atomic.Int64
 }
 
-// snapshot is what counts were at a moment.
+// snapshot holds the values of watcherCounts at one time, without version.
 type snapshot [6]int64
 
 func (c *watcherCounts) snapshot() snapshot {
 	return snapshot{c.calls.Load(), c.answers.Load(), c.requestBytes.Load(), c.answerBytes.Load(), c.lines.Load(), c.fullLists.Load()}
 }
 
-// wireBetween is the wire between two moments of some watchers, for one of them and one of so many things.
+// wireBetween returns the traffic between two snapshots of some watchers, for one watcher and one change.
 func wireBetween(before, after []snapshot, changes int) Wire {
 	var d [6]float64
 	for i := range before {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// listsScenario has nothing that is called.
+// listsScenario has an endpoint only because a scenario must; the list is published by the measurement.
 const listsScenario = `
 name = "lists"
 duration = "1h"
@@ -101,26 +101,26 @@
 
 // Times of the measurement.
 const (
-	watchWait            = 10 * time.Second // of hollow watchers, at the agent
-	deliveryTimeout      = 10 * time.Second // until all watchers have a change
-	deliveryPollInterval = time.Millisecond // between looks whether they have
-	firstWatchTimeout    = 9 * time.Second  // the first watch is asked for within a second; after a failed call 1 to 8 s later
-	afterChangesDelay    = 300 * time.Millisecond
+	watchWait            = 10 * time.Second       // how long a watch of an emulated watcher may stay open
+	deliveryTimeout      = 10 * time.Second       // until all watchers have received a change
+	deliveryPollInterval = time.Millisecond       // between two checks whether they have
+	firstWatchTimeout    = 9 * time.Second        // a sidecar opens its first watch within a second, or 1 to 8 s after a failed call
+	afterChangesDelay    = 300 * time.Millisecond // for the work that the last change still causes
 )
 
-// listTraffic is the measurement at work.
+// listTraffic is the state of the measurement.
 type listTraffic struct {
 	*run
 	conf      ListTrafficConf
 	discovery *fake.Discovery
-	version   int64
+	version   int64 // the version that was published last
 	real      []*watcherCounts
 	emulated  []*watcherCounts
 	proxies   []*countingProxy
-	gone      bool // lines of the next change are gone, or back
+	gone      bool // the changing lines are deleted at present; the next change restores them
 }
 
-// MeasureListTraffic changes a list and looks what its watchers get.
+// MeasureListTraffic changes a list and measures what its watchers receive.
 func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
 	sc, err := scenario.Parse("lists", []byte(listsScenario))
 	if err != nil {
@@ -144,7 +144,7 @@
 	return l.measure(ctx)
 }
 
-// listLine is one of the list; the same endpoint is gone and back.
+// listLine returns line n of the list. An endpoint that is deleted and restored has the same line.
 func listLine(n int, status string) fake.Line {
 	return fake.Line{
 		Name: fmt.Sprintf("svc-%d.example.internal", n), Address: fmt.Sprintf("127.15.%d.%d:8080", n/250, 1+n%250), Zone: "zone-a", Type: "lab",
@@ -152,6 +152,8 @@
 	}
 }
 
+// start publishes the list, starts the sidecars with their counting proxies and the emulated watchers, and waits until all have
+// the list.
 func (l *listTraffic) start(ctx context.Context, watchers *sync.WaitGroup) error {
 	l.discovery = fake.NewDiscovery(l.checker)
 	l.discoveries = []*fake.Discovery{l.discovery}
@@ -200,13 +202,13 @@
 	l.stopAll()
 }
 
-// publish makes one version.
+// publish changes lines of the list in one version.
 func (l *listTraffic) publish(lines ...fake.Line) {
 	l.discovery.SetLines(lines...)
 	l.version++
 }
 
-// awaitDelivery waits until all watchers have asked for what follows the newest version: then they have had it.
+// awaitDelivery waits until all watchers have requested what follows the newest version, which shows that they have received it.
 func (l *listTraffic) awaitDelivery(ctx context.Context, timeout time.Duration) error {
 	all := append(append([]*watcherCounts{}, l.real...), l.emulated...)
 	for end := time.Now().Add(timeout); ; {
@@ -230,7 +232,7 @@
 	}
 }
 
-// changeLines has lines go, or those that went come back.
+// changeLines deletes the changing lines, or restores them if they are deleted.
 func (l *listTraffic) changeLines() {
 	l.gone = !l.gone
 	status := fake.Serving
@@ -250,6 +252,7 @@
 	}
 }
 
+// measure makes the changes and returns what they cost.
 func (l *listTraffic) measure(ctx context.Context) (*ListTraffic, error) {
 	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
@@ -272,7 +275,7 @@
 		observe(delivery, time.Since(began))
 	}
 	labAfter := labCPUTime()
-	select { // what the last change still costs
+	select { // for what the last change still costs
 	case <-time.After(afterChangesDelay):
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -303,7 +306,7 @@
 	return out, nil
 }
 
-// sidecarCPUTime is the processor time of all sidecars.
+// sidecarCPUTime returns the CPU time of all sidecars together.
 func (l *listTraffic) sidecarCPUTime() (time.Duration, error) {
 	sum := time.Duration(0)
 	for _, s := range l.allSidecars() {
@@ -316,7 +319,7 @@
 	return sum, nil
 }
 
-// labCPUTime is the processor time of this process.
+// labCPUTime returns the CPU time of this process.
 func labCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
@@ -325,7 +328,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// fetchFullList asks for the whole list once, as a sidecar does that has none.
+// fetchFullList requests the full list once, as a sidecar without a list does.
 func (l *listTraffic) fetchFullList(ctx context.Context) (Wire, error) {
 	host, err := l.hosts.acquire()
 	if err != nil {
@@ -347,14 +350,14 @@
 	return wireBetween([]snapshot{{}}, []snapshot{c.snapshot()}, 1), nil
 }
 
-// watchConn is a hollow watcher's connection: what it writes and reads is counted.
+// watchConn is the connection of an emulated watcher. It counts what it writes and reads.
 type watchConn struct {
 	net.Conn
 	in     *bufio.Reader
 	counts *watcherCounts
 }
 
-// Read counts what comes.
+// Read reads from the connection and counts the bytes.
 func (w *watchConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	w.counts.answerBytes.Add(int64(n))
@@ -372,9 +375,9 @@
 	return w, nil
 }
 
-// call makes one call.
+// call sends one request and returns the list of the answer.
 func (w *watchConn) call(message []byte) (httpwire.List, error) {
-	w.SetDeadline(time.Now().Add(2 * watchWait)) //nolint:errcheck // the write tells
+	w.SetDeadline(time.Now().Add(2 * watchWait)) //nolint:errcheck // the write reports an error
 	w.counts.calls.Add(1)
 	w.counts.requestBytes.Add(int64(len(message)))
 	if _, err := w.Write(message); err != nil {
@@ -392,7 +395,8 @@
 	return list, nil
 }
 
-// emulatedWatch watches as a sidecar does, until its context ends or a call fails: the measurement then says who is behind.
+// emulatedWatch watches the list as a sidecar does, until ctx ends or a call fails. After a failure the watcher stays behind,
+// which the measurement reports.
 func emulatedWatch(ctx context.Context, address string, c *watcherCounts) {
 	w, err := dialWatch(ctx, address, c)
 	if err != nil {
@@ -412,7 +416,7 @@
 	}
 }
 
-// countingProxy stands between a sidecar and its discovery, and counts what it passes on.
+// countingProxy is a proxy between a sidecar and its discovery that counts what it forwards.
 type countingProxy struct {
 	listener net.Listener
 	to       string
@@ -443,7 +447,7 @@
 	}
 }
 
-// track has the connection end with the tap.
+// track has the connection closed together with the proxy. It returns false if the proxy is closed already.
 func (t *countingProxy) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -463,7 +467,7 @@
 	}
 }
 
-// handle passes one connection on, a message at a time: a watch has one call out.
+// handle forwards one connection. A watch has one request open at a time.
 func (t *countingProxy) handle(from net.Conn) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", t.to, watchWait)
@@ -488,16 +492,16 @@
 	both.Wait()
 }
 
-// copy copies one way until either end is gone.
+// copy forwards one direction until either end is closed.
 func (t *countingProxy) copy(to, from net.Conn, count func([]byte)) {
 	defer to.Close()
 	b := make([]byte, 64<<10)
 	for {
-		from.SetReadDeadline(time.Now().Add(time.Hour)) //nolint:errcheck // it ends with the tap at the latest
+		from.SetReadDeadline(time.Now().Add(time.Hour)) //nolint:errcheck // the connection is closed with the proxy at the latest
 		n, err := from.Read(b)
 		if n > 0 {
 			count(b[:n])
-			to.SetWriteDeadline(time.Now().Add(watchWait)) //nolint:errcheck // the write tells
+			to.SetWriteDeadline(time.Now().Add(watchWait)) //nolint:errcheck // the write reports an error
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
@@ -508,7 +512,8 @@
 	}
 }
 
-// countRequest counts a call: the sidecar writes each at once, and it fits a read. Its version is what the sidecar has.
+// countRequest counts a request. The sidecar writes each request at once and it fits one read. The version in it is the version
+// that the sidecar has.
 func (t *countingProxy) countRequest(b []byte) {
 	t.counts.requestBytes.Add(int64(len(b)))
 	t.counts.calls.Add(1)
@@ -517,7 +522,8 @@
 	}
 }
 
-// countAnswers counts what the agent sends; a copy of it is decoded beside, for the lines of each answer, until it is done.
+// countAnswers returns a function that counts the bytes from discovery. A goroutine decodes a copy of them to count the answers
+// and their lines, until done is called.
 func (t *countingProxy) countAnswers() (count func([]byte), done func()) {
 	read, write := net.Pipe()
 	go func() {
@@ -537,11 +543,11 @@
 	}()
 	return func(b []byte) {
 		t.counts.answerBytes.Add(int64(len(b)))
-		write.Write(b) //nolint:errcheck // an answer that is none ends the counting of lines
+		write.Write(b) //nolint:errcheck // after an answer that can't be decoded no more lines are counted
 	}, func() { write.Close() }
 }
 
-// afterParameter is the version that a call names.
+// afterParameter returns the version that a watch request states, and whether it states one.
 func afterParameter(b []byte) (int64, bool) {
 	var after, wait int64
 	n, _ := fmt.Sscanf(string(b), "GET /discovery/hosts?after=%d&wait_ms=%d", &after, &wait)
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -21,39 +21,39 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// OverheadConf is what a call is measured with.
+// OverheadConf describes a measurement of a sidecar's overhead.
 type OverheadConf struct {
-	Rate      float64 // requests a second by each of the two ways
+	Rate      float64 // requests a second along each of the two paths, direct and through the sidecar
 	For       time.Duration
-	Endpoints int    // listed, each a stand-in that takes calls
-	Peers     int    // instances that the sidecar is told of: the more there are, the fewer of the endpoints it uses
-	Classes   int    // in the settings; requests are of all in turn
-	Stages    int    // tiers that the settings name; the sidecar sends to the first
-	PerCaller bool   // the settings say that each caller has a sidecar of its own (family mesh)
-	Seed      uint64 // of the arrivals
+	Endpoints int    // in the list; all exist
+	Peers     int    // number of peers in the sidecar's settings: with more peers it uses fewer of the endpoints
+	Classes   int    // in the settings; requests use them in turn
+	Stages    int    // tiers in the settings; the sidecar sends to the first one
+	PerCaller bool   // the settings state that each caller has its own sidecar (family mesh)
+	Seed      uint64 // of the arrival times
 }
 
-// Overhead is what a sidecar adds to a request, and takes for it.
+// Overhead is what a sidecar adds to a request's latency, and what it costs.
 type Overhead struct {
-	Requests      int     // by each way
-	DirectP50     float64 // ms, from when a request was due
+	Requests      int     // along each path
+	DirectP50     float64 // ms, from the time when a request was due
 	DirectP99     float64
 	SidecarP50    float64
 	SidecarP99    float64
-	CPU           float64 // microseconds of the sidecar's processor for a request, with what it takes while idle
-	RSSMB         float64 // most that the sidecar's process held
-	FDs           int     // descriptors of the sidecar's process at the end
-	EndpointsUsed int     // endpoints that the sidecar's requests came to
-	Lag           float64 // ms, the load's own at the 99th percentile
+	CPU           float64 // microseconds of the sidecar's CPU time for each request, including what it uses while idle
+	RSSMB         float64 // peak of the sidecar's process
+	FDs           int     // open descriptors of the sidecar's process at the end
+	EndpointsUsed int     // endpoints that received requests of the sidecar
+	Lag           float64 // ms by which the load's own requests were late, 99th percentile
 }
 
-// AddedP50 and AddedP99 are differences of quantiles, in ms.
+// AddedP50 returns the difference of the two paths' medians in ms. This is not the median of the differences.
 func (c Overhead) AddedP50() float64 { return c.SidecarP50 - c.DirectP50 }
 
-// AddedP99 is that of the 99th.
+// AddedP99 returns the difference of the two paths' 99th percentiles in ms.
 func (c Overhead) AddedP99() float64 { return c.SidecarP99 - c.DirectP99 }
 
-// overheadScenario is a fleet in which nothing waits: what is measured is the way.
+// overheadScenario has enough capacity that no request waits at an endpoint, so that the latency is that of the path.
 const overheadScenario = `
 name = "call"
 duration = "1h"
@@ -73,7 +73,8 @@
 rate = 1
 `
 
-// scenario is the scenario of a conf, beyond the bounds of files: there is one tier of plain stand-ins.
+// scenario returns the scenario of the measurement: one tier of fake endpoints. It may be larger than the limits of scenario
+// files allow.
 func (c *OverheadConf) scenario() (*scenario.Scenario, error) {
 	s, err := scenario.Parse("call", []byte(overheadScenario))
 	if err != nil {
@@ -95,7 +96,7 @@
 	return s, nil
 }
 
-// MeasureOverhead sends every other request straight to an endpoint and the rest through one sidecar.
+// MeasureOverhead sends every second request directly to an endpoint and the others through one sidecar, and compares the two.
 func MeasureOverhead(ctx context.Context, conf OverheadConf, opts Options) (Overhead, error) {
 	sc, err := conf.scenario()
 	if err != nil {
@@ -157,7 +158,7 @@
 	}, nil
 }
 
-// startOverhead starts the endpoints and the sidecar; tiers that settings only name have none.
+// startOverhead starts the endpoints and the sidecar. Further tiers exist only in the settings.
 func (r *run) startOverhead(ctx context.Context, conf *OverheadConf) error {
 	r.discoveries = []*fake.Discovery{fake.NewDiscovery(r.checker)}
 	r.tiers = []*tier{newTier(r, 0)}
@@ -174,14 +175,14 @@
 	return r.startBehindFront(ctx, s)
 }
 
-// latencies is what came of a measurement's requests.
+// latencies holds the measurements of the requests.
 type latencies struct {
-	total  [2]*hdrhistogram.Histogram // straight, and through the sidecar; ns from when a request was due
-	lag    *hdrhistogram.Histogram
+	total  [2]*hdrhistogram.Histogram // direct, and through the sidecar; ns from the time when a request was due
+	lag    *hdrhistogram.Histogram    // of sending, behind the time when a request was due
 	failed int
 }
 
-// sendAlternating sends them as they are due.
+// sendAlternating sends the requests at their times, along the two paths in turn.
 func (r *run) sendAlternating(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *latencies {
 	m := &latencies{total: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
 	var mu sync.Mutex
@@ -215,14 +216,15 @@
 	return m
 }
 
-// ThisMachine is the machine that figures are taken on.
+// ThisMachine describes the machine that measurements are taken on.
 func ThisMachine() record.Machine { return thisMachine() }
 
-// timerSlack is by how much the runtime's timers may be late: where the process waits in epoll meanwhile, that counts
-// whole milliseconds. The load of scenarios waits in the same way.
+// timerSlack is how late the runtime's timers may fire: while the process waits in epoll, they have a resolution of whole
+// milliseconds. The load of scenarios waits in the same way.
 const timerSlack = 2 * time.Millisecond
 
-// waitUntil waits for a time on the book's clock, the rest of it in the kernel.
+// waitUntil waits for a time on the checker's clock. It sleeps in the kernel for the last part, which is more precise than a
+// timer.
 func (r *run) waitUntil(ctx context.Context, at time.Duration) {
 	if pause := at - r.checker.Now() - timerSlack; pause > 0 {
 		select {
@@ -233,24 +235,25 @@
 	}
 	if rest := at - r.checker.Now(); rest > 0 {
 		nap := unix.NsecToTimespec(int64(rest))
-		unix.Nanosleep(&nap, nil) //nolint:errcheck // woken early, the request is some microseconds early
+		unix.Nanosleep(&nap, nil) //nolint:errcheck // if woken early, the request is sent some microseconds early
 	}
 }
 
+// newLatencies returns a histogram of latencies in ns, up to a minute.
 func newLatencies() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
 
-// observe books a time within the histogram's bounds.
+// observe records a duration, limited to the histogram's bounds.
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(1, int64(d)), int64(time.Minute))) //nolint:errcheck // it is within bounds
+	h.RecordValue(min(max(1, int64(d)), int64(time.Minute))) //nolint:errcheck // the value is within the bounds
 }
 
-// quantile (0 to 100) of a histogram, in ms.
+// quantile returns a quantile (0 to 100) of a histogram in ms.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return millis(time.Duration(h.ValueAtQuantile(q)))
 }
 
-// cpuTime is the processor time that a process has had, to the nanosecond: the ticks of usage are 10 ms, a hundred requests.
-// What a thread ran that has ended is missing; the runtime keeps its threads.
+// cpuTime returns the CPU time of the process in ns. The ticks in usage are 10 ms, the cost of a hundred requests. The time of
+// threads that have ended is missing, but the Go runtime keeps its threads.
 func (p *process) cpuTime() (time.Duration, error) {
 	paths, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "task", "*", "schedstat"))
 	if err != nil || len(paths) == 0 {
--- a/internal/lab/harness/relay.go
+++ b/internal/lab/harness/relay.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// relay carries connections from one process to another. A way that is cut holds its bytes, as a network does whose
-// packets are lost: they come late, or never if the connection ends before.
+// relay forwards connections from one process to another. A direction that is partitioned holds back its bytes, as a network does
+// that loses packets: they arrive late, or never if the connection ends before.
 type relay struct {
 	listener net.Listener
 	target   string
 
 	mu         sync.Mutex
-	changed    *sync.Cond
-	partitions [2]int           // cuts of the ways there and back that have not ended
-	delay      [2]time.Duration // of what goes there, and back
+	changed    *sync.Cond       // signals a change of partitions or closed
+	partitions [2]int           // partitions of each direction that have not been healed
+	delay      [2]time.Duration // of each direction
 	closed     bool
 	conns      map[net.Conn]struct{}
 }
 
-// The ways of a relay.
+// The directions of a relay.
 const (
 	toTarget = iota
 	fromTarget
 )
 
-// newRelay listens at a free port of a host.
+// newRelay starts a relay that listens at a free port of a host.
 func newRelay(host, target string) (*relay, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -51,6 +51,7 @@
 	}
 }
 
+// handle forwards one connection until both directions have ended.
 func (r *relay) handle(from net.Conn) {
 	to, err := net.Dial("tcp", r.target)
 	if err != nil {
@@ -72,6 +73,7 @@
 	r.drop(from, to)
 }
 
+// drop closes connections and forgets them.
 func (r *relay) drop(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,7 +83,7 @@
 	}
 }
 
-// copy passes on one way until its end.
+// copy forwards one direction of a connection until its end.
 func (r *relay) copy(to, from net.Conn, dir int) {
 	buffer := make([]byte, 32<<10)
 	for {
@@ -112,7 +114,7 @@
 	}
 }
 
-// setPartitioned cuts a way or opens it.
+// setPartitioned partitions a direction or heals it. Partitions add up: each needs a healing of its own.
 func (r *relay) setPartitioned(dir int, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,14 +124,14 @@
 	r.changed.Broadcast()
 }
 
-// addDelay has what goes a way come so much later than before, or sooner where that is below 0.
+// addDelay adds a delay to a direction; a negative one takes it away.
 func (r *relay) addDelay(dir int, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay[dir] += by
 }
 
-// resetAll breaks all connections, in the middle of whatever they carry.
+// resetAll resets all connections, whatever they are forwarding.
 func (r *relay) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,6 +140,7 @@
 	}
 }
 
+// close stops listening and resets all connections.
 func (r *relay) close() {
 	r.listener.Close()
 	r.mu.Lock()
@@ -147,7 +150,7 @@
 	r.resetAll()
 }
 
-// reset ends a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -15,10 +15,10 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// tier is one tier of endpoints at work.
+// tier is one tier of endpoints in a run.
 type tier struct {
 	run         *run
-	index       int
+	index       int // index in the scenario's tiers
 	conf        scenario.Tier
 	discovery   *fake.Discovery
 	keyMemories map[keyScope]*fake.KeyMemory
@@ -27,31 +27,31 @@
 	slots []*slot
 }
 
-// keyScope is whose memory of keys a class's endpoints share.
+// keyScope names the endpoints that share a memory of keys: those of a class within a zone, a cell, or the tier.
 type keyScope struct{ class, scope string }
 
-// slot is a place in a tier, and the endpoint that stands there now.
+// slot is a place in a tier for one endpoint, which may be replaced by another one.
 type slot struct {
 	tier    *tier
 	number  int
 	host    string
-	sidecar *sidecar // by which it calls the next tier; nil for the last
-	target  *load.SingleTarget
-	client  *load.Client
+	sidecar *sidecar           // through which the endpoint calls the next tier; nil in the last tier
+	target  *load.SingleTarget // the sidecar's current start
+	client  *load.Client       // sends the endpoint's calls
 
 	mu       sync.Mutex
-	started  int            // how many have stood here
-	endpoint *fake.Endpoint // nil while there is none
-	line     fake.Line
+	started  int            // number of endpoints that have been started in this slot under a new name
+	endpoint *fake.Endpoint // nil while none is running
+	line     fake.Line      // the last endpoint's line in the list
 }
 
-func newTier(r *run, place int) *tier {
+func newTier(r *run, index int) *tier {
 	return &tier{
-		run: r, index: place, conf: r.scenario.Tiers[place], discovery: r.discoveries[place], keyMemories: map[keyScope]*fake.KeyMemory{},
+		run: r, index: index, conf: r.scenario.Tiers[index], discovery: r.discoveries[index], keyMemories: map[keyScope]*fake.KeyMemory{},
 	}
 }
 
-// start starts the endpoints that stand there from the beginning, all warm.
+// start starts the endpoints that exist from the beginning. None of them is cold.
 func (t *tier) start(ctx context.Context) error {
 	for range t.conf.Endpoints {
 		s, err := t.addSlot()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// addSlot makes a place for an endpoint more.
+// addSlot adds a slot to the tier, with a sidecar if its endpoints call the next tier. It starts nothing.
 func (t *tier) addSlot() (*slot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,6 +91,7 @@
 	return s, nil
 }
 
+// slotAt returns a slot, or nil if there is none of that number.
 func (t *tier) slotAt(number int) *slot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +105,7 @@
 
 func (s *slot) group() int { return 1 + s.number%s.tier.conf.Groups }
 
-// keyMemory is the memory of keys that an endpoint shares with others of its scope.
+// keyMemory returns the memory of keys that the endpoint shares with others of its scope, or nil if the class isn't keyed.
 func (s *slot) keyMemory(c scenario.Class) *fake.KeyMemory {
 	if c.Effect != decide.Keyed {
 		return nil
@@ -125,7 +126,7 @@
 	return t.keyMemories[scope]
 }
 
-// start starts an endpoint in its place, the same one again or another, and has discovery list it.
+// start starts an endpoint in the slot and has discovery list it. With again it has the name and the address of the previous one.
 func (s *slot) start(ctx context.Context, again, cold bool) error {
 	line, err := s.startUnpublished(ctx, again, cold)
 	if err == nil {
@@ -134,7 +135,7 @@
 	return err
 }
 
-// startUnpublished starts an endpoint in its place and returns the line that is to be listed.
+// startUnpublished starts an endpoint in the slot and returns its line for the list, without a change of the list.
 func (s *slot) startUnpublished(ctx context.Context, again, cold bool) (fake.Line, error) {
 	if s.sidecar != nil {
 		target, err := s.sidecar.start(ctx)
@@ -169,7 +170,7 @@
 	return s.line, nil
 }
 
-// crash begins or ends a crash of some places: what comes of it is listed in one version.
+// crash begins or reverts a crash of some slots. All endpoints that come back are listed in one version.
 func (t *tier) crash(ctx context.Context, step scenario.Step) error {
 	var errs []error
 	var lines []fake.Line
@@ -178,7 +179,7 @@
 		switch {
 		case !step.Revert:
 			s.kill()
-		case s.currentEndpoint() == nil: // else another fault has brought one back
+		case s.currentEndpoint() == nil: // otherwise another fault has brought it back already
 			line, err := s.startUnpublished(ctx, true, true)
 			if err != nil {
 				errs = append(errs, err)
@@ -196,7 +197,7 @@
 	return errors.Join(errs...)
 }
 
-// publishGone has discovery list those places as gone in which nothing stands.
+// publishGone has discovery list those slots as deleted that have no running endpoint.
 func (t *tier) publishGone(slots []int) {
 	var lines []fake.Line
 	for _, n := range slots {
@@ -213,7 +214,7 @@
 	}
 }
 
-// startEndpoint starts an endpoint; its address may take a moment to be free.
+// startEndpoint starts an endpoint. It tries again for a while, since the address of a killed endpoint may not be free at once.
 func startEndpoint(ctx context.Context, conf fake.EndpointConf, checker *oracle.Shared) (*fake.Endpoint, error) {
 	for end := time.Now().Add(exitTimeout); ; {
 		e, err := fake.StartEndpoint(conf, checker)
@@ -242,9 +243,10 @@
 	return conf
 }
 
+// callCount numbers the calls of all tiers.
 var callCount atomic.Int64
 
-// call makes one call of the next tier.
+// call sends one call to the next tier and reports whether it was served.
 func (s *slot) call(ctx context.Context, until time.Duration, key string) bool {
 	class := s.tier.run.scenario.Classes[s.tier.run.callClass(s.tier.index)]
 	n := callCount.Add(1)
@@ -258,7 +260,7 @@
 	return result.Ending == load.Answered && result.Verdict == oracle.Served
 }
 
-// kill ends the endpoint, and its sidecar with it.
+// kill kills the endpoint and its sidecar.
 func (s *slot) kill() {
 	s.mu.Lock()
 	endpoint := s.endpoint
@@ -273,7 +275,7 @@
 	}
 }
 
-// publishStatus tells discovery the state of the one that stands, or stood, there.
+// publishStatus has discovery list the slot's last endpoint with a status.
 func (s *slot) publishStatus(status string) {
 	s.mu.Lock()
 	s.line.Status = status
@@ -282,15 +284,14 @@
 	s.tier.discovery.SetLines(line)
 }
 
-// currentEndpoint is the endpoint that stands there, if there is one.
+// currentEndpoint returns the running endpoint, or nil if there is none.
 func (s *slot) currentEndpoint() *fake.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoint
 }
 
-// applyStep begins or ends a fault of this place. Where a crash has taken the
-// endpoint away, there is nothing to strike.
+// applyStep begins or reverts a fault of the slot. If a crash has removed the endpoint, faults of its behavior have no effect.
 func (s *slot) applyStep(ctx context.Context, step scenario.Step) error {
 	switch step.Kind {
 	case scenario.Replace, scenario.Drain, scenario.Release, scenario.Add:
@@ -319,13 +320,14 @@
 	return nil
 }
 
-// troubles are the faults that are an endpoint's own behaviour.
+// troubles are the faults that change an endpoint's answers.
 var troubles = map[scenario.Kind]fake.Trouble{
 	scenario.Errors: fake.Errors, scenario.Hang: fake.Hang, scenario.Silent: fake.Silent,
 	scenario.Refuse: fake.Refuses, scenario.TruncatedAnswer: fake.TruncatedAnswer, scenario.Garbage: fake.Garbage,
 	scenario.ExtraBytes: fake.ExtraBytes,
 }
 
+// applyMembershipStep begins or reverts a fault that adds, drains, releases or replaces an endpoint.
 func (s *slot) applyMembershipStep(ctx context.Context, step scenario.Step) error {
 	switch {
 	case step.Kind == scenario.Add:
@@ -337,7 +339,7 @@
 		s.kill()
 		return nil
 	}
-	// A drain, a release or a replacement ends: the old one goes.
+	// At the end of a drain, a release or a replacement the old endpoint ends. A drain has no successor.
 	s.kill()
 	s.publishStatus(fake.Deleted)
 	if step.Kind == scenario.Drain {
