--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -332,7 +332,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return fmt.Errorf("only %d of %d processes hold a lease after %v; keep the logs (LogDir) and look there", ready, len(originals), leaderTimeout)
+			return fmt.Errorf("only %d of %d processes hold a lease after %v; set LogDir to keep their logs, which say why", ready, len(originals), leaderTimeout)
 		}
 		time.Sleep(statusInterval)
 	}
@@ -675,7 +675,7 @@
 		return nil
 	}
 	if s.Do == "older" && r.opts.OlderProgram == nil {
-		return errors.New(`step "older": no program of an older build is named`)
+		return errors.New(`step "older": no program of an older build is given`)
 	}
 	if s.Do == "twin" {
 		s.Who += duplicateSuffix
@@ -723,11 +723,11 @@
 	restart := func() {
 		if err := r.startMember(ctx, p); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
-			r.rec.Violations = append(r.rec.Violations, "does not come back: "+err.Error())
+			r.rec.Violations = append(r.rec.Violations, "did not start again: "+err.Error())
 			r.rec.NumViolations++
 			r.mu.Unlock()
 		}
-		r.logStep("%s is back", p.name)
+		r.logStep("%s was started", p.name)
 	}
 	switch s.Do {
 	case "kill", "wipe", "term", "setback":
@@ -782,7 +782,7 @@
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
-			r.logStep("%s is gone", p.name)
+			r.logStep("%s was ended", p.name)
 		})
 	case "stop":
 		p.setRunning(false)
@@ -790,13 +790,13 @@
 		revertLater(func() {
 			p.proc.signal(syscall.SIGCONT)
 			p.setRunning(true)
-			r.logStep("%s goes on", p.name)
+			r.logStep("%s was resumed", p.name)
 		})
 	case "delay":
 		r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, s.By) })
 		revertLater(func() {
 			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, -s.By) })
-			r.logStep("%s is as fast as before", p.name)
+			r.logStep("the delay of %s was removed", p.name)
 		})
 	case "cut":
 		r.partitions.Add(1)
@@ -804,7 +804,7 @@
 		revertLater(func() {
 			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.setPartitioned(dir, false) })
 			r.partitions.Add(-1)
-			r.logStep("%s is whole again", p.name)
+			r.logStep("the partition of %s was healed", p.name)
 		})
 	case "full": // as on a full disk: no file of the process may grow, nor be written past its first page
 		limit := &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}
@@ -932,7 +932,7 @@
 			r.lastAgreed = max(r.lastAgreed, result.Number)
 			r.pending[result.Number] = began
 			r.mu.Unlock()
-			r.logStep("version %d told: %s %s", result.Number, s.Effect, s.Ban)
+			r.logStep("version %d was agreed: %s %s", result.Number, s.Effect, s.Ban)
 			return
 		}
 		time.Sleep(2 * statusInterval)
@@ -945,7 +945,7 @@
 	proposer := peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
 	err := proposer.Call("propose", proposal, nil, hangUpTimeout)
 	proposer.Close()
-	r.logStep("a proposer has died: %v", err)
+	r.logStep("a proposer closed its connection before an answer: %v", err)
 	for deadline := time.Now().Add(proposeTimeout); time.Now().Before(deadline); time.Sleep(statusInterval) {
 		var st voter.Status
 		if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil {
@@ -956,7 +956,7 @@
 			return nil
 		}
 	}
-	return errors.New("it did not count")
+	return errors.New("the ledger has no version of this proposal")
 }
 
 // awaitPending waits until all agreed versions are in effect and their last requests have been seen, so that the checks miss
@@ -1010,11 +1010,11 @@
 	r.rec.Violations = append(r.rec.Violations, behind...)
 	r.rec.NumViolations += len(behind)
 	if !hasLeader && !r.opts.Separate {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no keeper leads %v after the last fault", leaderTimeout))
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no voter leads %v after the last fault", leaderTimeout))
 		r.rec.NumViolations++
 	}
 	for number, since := range r.pending {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, told at %v, is not acted on by all", number, since))
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, proposed at %v and agreed, is not in effect at all live members", number, since))
 		r.rec.NumViolations++
 	}
 	if !hasLeader {
@@ -1060,7 +1060,7 @@
 		}
 		for _, k := range r.procs[:r.scenario.Voters] {
 			if applied[k.name] < most {
-				names = append(names, fmt.Sprintf("%s has applied %d entries of %d", k.name, applied[k.name], most))
+				names = append(names, fmt.Sprintf("%s has applied %d of %d entries", k.name, applied[k.name], most))
 			}
 		}
 		if len(names) == 0 {
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -27,10 +27,10 @@
 	"heathgap/internal/pipeline"
 )
 
-// asMember in the environment makes the test's own program a member of a crew, with the bug of that name.
+// asMember, set in the environment, makes the test binary run as a member of a cluster with the bug of that name.
 const asMember = "HEATHGAP_TEST_MEMBER"
 
-// Bugs that are planted into a member.
+// Bugs that are injected into a member, by the names that asMember takes.
 const (
 	bugNone            = "none"
 	bugKeepsRules      = "goes on when its lease has ended"
@@ -40,37 +40,39 @@
 	bugClockStops      = "its clock stops with its process"
 	bugAnswersEarly    = "tells outcomes long before they are copied, and dies"
 	bugNoClaim         = "sends without a claim"
-	// No bug: it dies when an outcome is copied and its client may not have heard it.
+	// Not a bug: the process dies when an outcome has been copied and its client may not have received it yet.
 	diesAfterCopy = "dies when an outcome is copied"
-	// No bug: a build whose words are another version's.
+	// Not a bug: a build that speaks another version of the RPC protocol.
 	olderBuild = "older build"
-	// No bug: clocks whose rates are off by as much as the terms allow, one fast, the next slow.
+	// Not a bug: clocks that differ in rate by as much as the cluster's parameters allow; members alternate between fast and
+	// slow.
 	clockDrift = "clocks off"
 )
 
-// skewedClock is the machine's, but for the rate of the clock that leases are counted by.
+// skewedClock is the machine's environment, but the clock that leases are measured by runs at another rate.
 type skewedClock struct {
 	env.Env
 	rate      float64
 	startedAt time.Duration
 }
 
-// BootTime is env.Env's.
+// BootTime implements env.Env.
 func (c skewedClock) BootTime() time.Duration {
 	return c.startedAt + time.Duration(float64(c.Env.BootTime()-c.startedAt)*c.rate)
 }
 
-// stoppingClock's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
+// stoppingClock stands still while the process is stopped, like a clock that does not advance while a machine is suspended.
 type stoppingClock struct {
 	env.Env
 	mu            sync.Mutex
 	last, stopped time.Duration
 }
 
-// stopGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
+// If the clock was not read for stopGap, the process is taken to have been stopped. A running member reads it with each
+// heartbeat, and tick reads it too.
 const stopGap = 300 * time.Millisecond
 
-// BootTime is env.Env's.
+// BootTime implements env.Env.
 func (s *stoppingClock) BootTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,18 +84,19 @@
 	return now - s.stopped
 }
 
+// tick reads the clock often enough that a running process is not taken for a stopped one.
 func (s *stoppingClock) tick() {
 	for range time.Tick(stopGap / 10) {
 		s.BootTime()
 	}
 }
 
-// olderEnv's connections say the words of another version.
+// olderEnv makes RPC connections that speak another version of the protocol.
 type olderEnv struct{ env.Env }
 
 type olderConn struct{ net.Conn }
 
-// Dial is env.Env's.
+// Dial implements env.Env.
 func (w olderEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := w.Env.Dial(ctx, address, timeout)
 	if err != nil {
@@ -102,22 +105,22 @@
 	return olderConn{conn}, nil
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c olderConn) Write(b []byte) (int, error) {
 	return c.Conn.Write(bytes.Replace(b, []byte("POST /crew/1/"), []byte("POST /crew/0/"), 1))
 }
 
-// faultyHoldings have a bug round them, at one member.
+// faultyHoldings adds a bug to the holdings of one member.
 type faultyHoldings struct {
 	pipeline.Holdings
 	bug      string
 	finished atomic.Int64
 }
 
-// fatalFinish is the outcome with which a process dies, the first ones having shown that it serves.
+// fatalFinish is the number of the outcome at which the process dies; the ones before show that it serves.
 const fatalFinish = 20
 
-// Claim is pipeline.Holdings'.
+// Claim implements pipeline.Holdings.
 func (b *faultyHoldings) Claim(m *httpwire.Request, fingerprint [16]byte, within time.Duration) pipeline.ClaimResult {
 	if b.bug == bugNoClaim {
 		return pipeline.ClaimResult{}
@@ -134,24 +137,24 @@
 	holdings *faultyHoldings
 }
 
-// Finish is pipeline.Hold's.
+// Finish implements pipeline.Claim.
 func (h *faultyClaim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
 	n := h.holdings.finished.Add(1)
 	if h.holdings.bug == bugAnswersEarly {
 		time.AfterFunc(keyWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
 		if n == 2*fatalFinish {
-			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
+			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // this ends the process
 		}
 		return answer
 	}
 	answer = h.Claim.Finish(answer, ran, within)
 	if n == fatalFinish && h.holdings.bug == diesAfterCopy {
-		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
+		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // this ends the process
 	}
 	return answer
 }
 
-// Holdings is lifecycle.Crew's.
+// Holdings implements lifecycle.Cluster.
 func (b *faultyMember) Holdings() pipeline.Holdings {
 	h := b.Cluster.Holdings()
 	if h == nil || b.name != "m1" {
@@ -160,7 +163,7 @@
 	return &faultyHoldings{Holdings: h, bug: b.bug}
 }
 
-// envWithClock is a member's clock.
+// envWithClock returns the environment of a member, with the clock or the protocol version that the bug calls for.
 func envWithClock(e env.Env, bug, name string, drift float64) env.Env {
 	rate := 1.0
 	switch {
@@ -171,7 +174,7 @@
 		go s.tick()
 		return s
 	case bug == bugSlowClock && name == "m2":
-		rate = 0.15 // its lease lasts longer than it is cut off
+		rate = 0.15 // its lease lasts longer than it is partitioned
 	case bug == clockDrift && name[len(name)-1]%2 == 0:
 		rate = 1 + drift
 	case bug == clockDrift:
@@ -180,7 +183,7 @@
 	return skewedClock{e, rate, e.BootTime()}
 }
 
-// faultyMember is a member with a bug round it.
+// faultyMember adds a bug to a member.
 type faultyMember struct {
 	lifecycle.Cluster
 	bug       string
@@ -188,7 +191,7 @@
 	lastRules atomic.Pointer[pipeline.EffectiveRules]
 }
 
-// Effective is pipeline.Rules'.
+// Effective returns the member's effective rules, altered by the bug.
 func (b *faultyMember) Effective() *pipeline.EffectiveRules {
 	a := b.Cluster.Effective()
 	last := b.lastRules.Load()
@@ -205,7 +208,7 @@
 	return a
 }
 
-// memberMain runs a member with a bug.
+// memberMain runs a member with a bug and returns the exit status.
 func memberMain(bug string) int {
 	file, err := operator.FromEnv(os.Getenv)
 	if err != nil || file.Cluster == nil || bug == bugNone {
@@ -219,6 +222,7 @@
 		}})
 }
 
+// parseCluster returns a cluster scenario with short leases.
 func parseCluster(t *testing.T, text string) *scenario.Cluster {
 	t.Helper()
 	s, err := scenario.ParseCluster(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
@@ -228,10 +232,11 @@
 	return s
 }
 
+// runCluster runs the scenario. The test binary runs as the members, with the given bug.
 func runCluster(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
 	t.Helper()
 	opts.LogDir = t.TempDir()
-	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // kept for who looks into a failure
+	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // the logs stay, to look into a failure
 		opts.LogDir = filepath.Join(dir, strings.NewReplacer("/", "-", " ", "-").Replace(t.Name()))
 		if err := os.MkdirAll(opts.LogDir, 0o755); err != nil {
 			t.Fatal(err)
@@ -272,8 +277,9 @@
 ban = "e-2"
 `
 
-// Five processes: a member is cut off, the leader killed with a version on its way, and both come back. Nobody acts on
-// rules that contradict another's for longer than is promised, and the version is not lost; with clocks as far off as they may be.
+// A member is partitioned and the leader is killed while a version is being agreed; both come back. Clocks differ as much as the
+// parameters allow. Guards against members that apply contradicting rules for longer than allowed, and against the loss of the
+// version.
 func TestCluster(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, partitionAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clockDrift, ClusterOptions{})
@@ -284,18 +290,19 @@
 		t.Errorf("versions: %+v", r.Versions)
 	}
 	if len(r.Leaders) < 2 {
-		t.Errorf("leaders %v: the killed one was not followed by another", r.Leaders)
+		t.Errorf("leaders %v: no other leader followed the killed one", r.Leaders)
 	}
 	if r.CautiousMS["m2"] < 1000 {
-		t.Errorf("cut off for 4 s, cautious for %v ms", r.CautiousMS["m2"])
+		t.Errorf("partitioned for 4 s, but cautious for only %v ms", r.CautiousMS["m2"])
 	}
 	if float64(r.Served) < 0.95*float64(r.Requests) {
 		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
-// The leader is stopped for twice its lease and goes on, then hears and is not heard; all keepers die at once; a folder is
-// lost. Every version that was told comes through, in its order, and none contradicts another for too long.
+// The leader is stopped for twice its lease and resumes; a later one receives messages but can send none; all voters die at the
+// same time; a data directory is lost. Guards against the loss of an agreed version, against versions out of order and against
+// contradictions that last too long.
 func TestClusterSevereFaults(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, `
@@ -347,12 +354,13 @@
 		t.Error(b)
 	}
 	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Requests) {
-		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
+		t.Errorf("versions %+v, replaced voters %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
 	}
 }
 
-// A process of another build and a second process of a name serve cautiously and hold up nobody; a proposal counts though its
-// proposer died before it heard so; who was named twice holds the lease when the first one has ended.
+// Guards against processes that disturb the cluster: a member of an older build and a second process under the same name must
+// serve cautiously and delay nobody. A proposal is accepted though its proposer died before the answer, and the second process
+// gets the lease once the first one has ended.
 func TestClusterOlderBuildAndDuplicate(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, `
@@ -385,14 +393,15 @@
 		t.Errorf("versions: %+v", r.Versions)
 	}
 	if r.CautiousMS["m1"] < 1500 || r.CautiousMS["m2'"] < 2000 || r.CautiousMS["m2'"] > 5500 {
-		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has gone", r.CautiousMS)
+		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has ended", r.CautiousMS)
 	}
 	if float64(r.Served) < 0.95*float64(r.Requests) {
 		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
-// Each planted bug is caught by its own rule, and a sound program breaks none in the same scene.
+// Guards against a checker that misses faults: each injected bug is found by its own rule, and correct members violate no rule in
+// the same scenarios.
 func TestCrewCatchesPlantedBugs(t *testing.T) {
 	const banThenPartition = "duration = \"6s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\nban = \"e-2\"\n" +
 		"[[step]]\nat = \"2500ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"3s\"\n"
@@ -410,7 +419,7 @@
 			t.Parallel()
 			r := runCluster(t, parseCluster(t, c.scene), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), c.rule+" at") {
-				t.Errorf("not found as %q: %q", c.rule, r.Violations)
+				t.Errorf("no violation of rule %q: %q", c.rule, r.Violations)
 			}
 		})
 	}
@@ -418,18 +427,18 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			if r := runCluster(t, parseCluster(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
-				t.Errorf("versions %+v, breaks %q", r.Versions, r.Violations)
+				t.Errorf("versions %+v, violations %q", r.Versions, r.Violations)
 			}
 		})
 	}
 }
 
-// Without a crew the same contradiction goes on for as long as nobody looks: what the crew is for.
+// Shows what a cluster prevents: without one, processes with contradicting rules go on for as long as nobody intervenes.
 func TestSeparateProcessesContradict(t *testing.T) {
 	t.Parallel()
 	s := parseCluster(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
 	r := runCluster(t, s, bugNone, ClusterOptions{Separate: true})
 	if r.Contradicted < 2*r.MaxContradiction {
-		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.MaxContradiction)
+		t.Errorf("contradicted for %v ms, want well over the %v ms that a cluster allows", r.Contradicted, r.MaxContradiction)
 	}
 }
--- a/internal/lab/harness/discovery_test.go
+++ b/internal/lab/harness/discovery_test.go
@@ -9,13 +9,13 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// Guards against requests to endpoints that count as gone, sent by sidecars whose calls for the list are all refused
-// (report 4547c5): 3,200 endpoints, real processes.
+// Guards against requests to deleted endpoints (report 4547c5). They were sent by sidecars while an overloaded discovery refused
+// all of their calls for the list, which has 3,200 endpoints.
 func TestEndpointsReturnWhileDiscoveryOverloaded(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct{ rate, churn float64 }{
 		"83 requests a second and sidecar": {1000, 0.02},
-		"2 requests a second and sidecar":  {24, 0.3}, // on new connections, which restarted sidecars get too
+		"2 requests a second and sidecar":  {24, 0.3}, // many on new connections, which restarted sidecars get too
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -24,16 +24,17 @@
 	}
 }
 
-// Guards against requests to endpoints that count as gone, sent by a sidecar that gets its first requests since its start when
-// the list is stale: it has no answer of any endpoint to go by.
+// Guards against requests to deleted endpoints by a sidecar that receives its first requests since its start when its list is
+// stale already, so that it has no endpoint's answer to go by.
 func TestFirstRequestAfterTheListWentStale(t *testing.T) {
 	t.Parallel()
 	runOverloadedDiscovery(t, 60, 0.02)
 }
 
-// runOverloadedDiscovery plays the scenario with so many requests a second, of which a part ends its connection.
+// runOverloadedDiscovery runs the scenario at a rate in requests a second. churn is the share of requests that end their
+// connection.
 func runOverloadedDiscovery(t *testing.T, rate, churn float64) {
-	const served = 0.9 // what comes in meanwhile is still served
+	const served = 0.9 // most requests must be served all the same
 	s, err := scenario.LoadFile("../../../lab/scenarios/crowded_discovery.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -49,6 +50,6 @@
 		t.Errorf("service %.3f, want %.3f", r.Service, served)
 	}
 	if drained := r.Rules[oracle.SentToDrained]; drained > 0 {
-		t.Logf("the first: %v", r.Violations[:min(3, len(r.Violations))])
+		t.Logf("the first violations: %v", r.Violations[:min(3, len(r.Violations))])
 	}
 }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -217,7 +217,7 @@
 			return
 		}
 		if late := r.checker.Now() - r.loadStart - step.At; late > maxStepLateness {
-			r.markVoid("%v: played %v late", step, late)
+			r.markVoid("%v: applied %v late", step, late)
 		}
 		r.mu.Lock()
 		r.appliedSteps = append(r.appliedSteps, step.String())
@@ -368,7 +368,7 @@
 		if s.Counters != nil && s.Starts == 1 {
 			rec.Mismatches = append(rec.Mismatches, record.Compare(s.Name, s.Counters, s.Tally)...)
 		} else if s.Counters == nil && s.Starts == 1 && !s.Crashed {
-			rec.Mismatches = append(rec.Mismatches, s.Name+": no counters were told")
+			rec.Mismatches = append(rec.Mismatches, s.Name+": the sidecar reported no counters")
 		}
 	}
 	for _, second := range service.Series() {
@@ -384,10 +384,10 @@
 	lag := driver.Lag(99)
 	rec.LateSendsP99, rec.LateSendsMax = millis(lag), millis(driver.Lag(100))
 	if lag > r.scenario.MaxLag {
-		r.markVoid("the load lagged by %v at the 99th percentile, and may by %v", lag, r.scenario.MaxLag)
+		r.markVoid("the load lagged by %v at the 99th percentile; the limit is %v", lag, r.scenario.MaxLag)
 	}
 	if driver.Overrun() {
-		r.markVoid("more requests were open than the lab can hold")
+		r.markVoid("more requests were open at the same time than the harness can hold")
 	}
 	rec.Void = append(rec.Void, r.void...)
 }
--- a/internal/lab/harness/harness_test.go
+++ b/internal/lab/harness/harness_test.go
@@ -20,8 +20,7 @@
 	"heathgap/internal/operator"
 )
 
-// asSidecar in the environment makes the test's own program a sidecar in which the
-// policy of that name decides.
+// asSidecar, set in the environment, makes the test binary run as a sidecar in which the policy of that name decides.
 const asSidecar = "HEATHGAP_TEST_POLICY"
 
 func TestMain(m *testing.M) {
@@ -39,6 +38,7 @@
 	os.Exit(m.Run())
 }
 
+// sidecarCommand returns a function that returns the command of a sidecar with a policy.
 func sidecarCommand(name string) func() *exec.Cmd {
 	return func() *exec.Cmd {
 		cmd := exec.Command(os.Args[0])
@@ -47,8 +47,8 @@
 	}
 }
 
-// baseScenario is a small fleet. The margin and the lag allow for a slow and busy machine;
-// what the liars do lies beyond them.
+// baseScenario has a few endpoints and two sidecars. The margin and the allowed lag are wide enough for a slow and busy machine;
+// the faulty policies exceed them.
 const baseScenario = `
 name = "test"
 duration = "4s"
@@ -100,6 +100,7 @@
 	return s
 }
 
+// runScenario runs the scenario with the policy of that name.
 func runScenario(t *testing.T, s *scenario.Scenario, name string) *record.Record {
 	t.Helper()
 	r, err := Run(t.Context(), s, s.Seed, Options{Policy: name, Sidecar: sidecarCommand(name)})
@@ -116,12 +117,12 @@
 	crash   = "[[fault]]\nkind = \"crash\"\nat = \"1s\"\nfor = \"1s\"\nshare = 0.5\n"
 )
 
-// Short forms of scenarios: no rule is broken, each request has one end, and the
-// sidecars' counters say the same as the book.
+// Guards against violations by the module itself in short scenarios: each request has exactly one end, and the sidecars' counters
+// agree with the checker's records.
 func TestScenariosPass(t *testing.T) {
 	for name, c := range map[string]struct {
 		more    string
-		service float64 // at least: cold endpoints and dead ones cost some
+		service float64 // the least allowed: cold and dead endpoints cost some
 	}{
 		"calm": {"", 0.95}, "release": {release, 0.5}, "crash": {crash, 0.5}, "drain": {drain, 0.8}, "arrival": {arrival, 0.8},
 	} {
@@ -130,17 +131,17 @@
 			s := parseScenario(t, c.more)
 			r := runScenario(t, s, policy.Module)
 			if !r.Passed() || r.Service < c.service || r.All.Requests < 800 {
-				t.Errorf("service %.3f of %d; broken %v; books %q; void %q", r.Service, r.All.Requests, r.Violations, r.Mismatches, r.Void)
+				t.Errorf("service %.3f of %d; violations %v; mismatches %q; void %q", r.Service, r.All.Requests, r.Violations, r.Mismatches, r.Void)
 			}
 			if r.Timeline != s.Hash(s.Seed) {
-				t.Error("another timeline than the seed's")
+				t.Error("the timeline is not that of the seed")
 			}
 		})
 	}
 }
 
-// Guards against a book that notices nothing, or calls one thing by another's name:
-// each liar is caught by its own rule and by no other.
+// Guards against a checker that notices nothing or confuses faults: each faulty policy, and a proxy that answers twice, is found
+// by its own rule and by no other.
 func TestFaultyPoliciesDetected(t *testing.T) {
 	for name, c := range map[string]struct {
 		more string
@@ -181,11 +182,12 @@
 		}
 		wantOnly(t, r, oracle.AnsweredTwice)
 		if n := r.Rules[oracle.AnsweredTwice]; n > doubled || n < doubled/2 {
-			t.Errorf("noticed %d of %d; the rest may have ended with its connection", n, doubled)
+			t.Errorf("noticed %d of %d duplicate answers; only those whose connection ended may be missed", n, doubled)
 		}
 	})
 }
 
+// wantOnly fails the test unless the given rule is the only violated one.
 func wantOnly(t *testing.T, r *record.Record, rule oracle.Rule) {
 	t.Helper()
 	for _, other := range oracle.Rules {
@@ -194,11 +196,11 @@
 		}
 	}
 	if t.Failed() {
-		t.Logf("breaks: %v", r.Violations[:min(5, len(r.Violations))])
+		t.Logf("violations: %v", r.Violations[:min(5, len(r.Violations))])
 	}
 }
 
-// Two tiers: calls are requests of their own, and count as such.
+// Guards against calls of a second tier that are not recorded: they count as requests of their own.
 func TestTwoTiers(t *testing.T) {
 	t.Parallel()
 	text := strings.Replace(baseScenario, "queue = 16\n", "queue = 16\ncalls = 2\ncall_class = \"look\"\n"+
@@ -209,7 +211,7 @@
 	}
 	r := runScenario(t, s, policy.Module)
 	if !r.Passed() || r.Service < 0.9 {
-		t.Fatalf("service %.3f, broken %v, books %q, void %q", r.Service, r.Violations, r.Mismatches, r.Void)
+		t.Fatalf("service %.3f, violations %v, mismatches %q, void %q", r.Service, r.Violations, r.Mismatches, r.Void)
 	}
 	calls := 0
 	for _, sc := range r.Sidecars {
@@ -222,13 +224,13 @@
 	}
 }
 
-// A sidecar that the lab kills takes its requests with it: the clients' loss, and
-// no broken rule. One that gets SIGTERM loses nothing.
+// Requests at a sidecar that the lab kills count as interrupted, which violates no rule. A sidecar that gets SIGTERM must lose
+// none.
 func TestSidecarKillAndRestart(t *testing.T) {
 	for kind, interrupts := range map[string]bool{"sidecar_kill": true, "sidecar_restart": false} {
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
-			// Fifteen requests are out at a sidecar in the mean: one that is killed takes some with it.
+			// About fifteen requests are in flight at a sidecar at any time, so that some are interrupted when it is killed.
 			text := strings.ReplaceAll(baseScenario, `work = "4ms"`, `work = "120ms"`)
 			text = strings.ReplaceAll(text, "cores = 2", "cores = 8")
 			text = strings.Replace(text, `duration = "4s"`, `duration = "6s"`, 1)
@@ -244,13 +246,13 @@
 				starts += sc.Starts
 			}
 			if !r.Passed() || starts != 3 || (interrupted > 0) != interrupts {
-				t.Errorf("broken %v, books %q, void %q, %d starts, %d cut", r.Violations, r.Mismatches, r.Void, starts, interrupted)
+				t.Errorf("violations %v, mismatches %q, void %q, %d starts, %d requests interrupted", r.Violations, r.Mismatches, r.Void, starts, interrupted)
 			}
 		})
 	}
 }
 
-// An interrupted run leaves no process, and a record that says so.
+// Guards against processes that outlive an interrupted run. Its record must be marked as partial.
 func TestInterruptedRun(t *testing.T) {
 	t.Parallel()
 	var cmds []*exec.Cmd
@@ -270,16 +272,16 @@
 	}
 	for _, cmd := range cmds {
 		if err := syscall.Kill(cmd.Process.Pid, 0); err != syscall.ESRCH {
-			t.Errorf("process %d is left: %v", cmd.Process.Pid, err)
+			t.Errorf("process %d is still running: %v", cmd.Process.Pid, err)
 		}
 	}
 	if len(r.Mismatches) > 0 {
-		t.Errorf("the books of what was played differ: %q", r.Mismatches)
+		t.Errorf("mismatches in the partial record: %q", r.Mismatches)
 	}
 }
 
-// A sidecar whose port was taken in the meantime is started again at another; one
-// that never starts ends the run with its reason.
+// A sidecar whose port was taken before it could listen is started again at another port. One that never starts ends the run with
+// an error that names it.
 func TestSidecarStartRetry(t *testing.T) {
 	t.Parallel()
 	s := parseScenario(t, "")
@@ -294,14 +296,14 @@
 		return sidecarCommand(policy.Module)()
 	}})
 	if err != nil || r.Service < 0.9 {
-		t.Errorf("started at the second try: %v", err)
+		t.Errorf("the sidecar was to start at the second try: %v", err)
 	}
 	if _, err = Run(t.Context(), s, 1, Options{Sidecar: broken}); err == nil || !strings.Contains(err.Error(), "sidecar s0") {
 		t.Errorf("a sidecar that never starts: %v", err)
 	}
 }
 
-// A run whose own load came late counts for nothing, and says so.
+// Guards against results of a run whose own load was late: the run is void.
 func TestLateLoadIsVoid(t *testing.T) {
 	t.Parallel()
 	s := parseScenario(t, "")
--- a/internal/lab/harness/keyed.go
+++ b/internal/lab/harness/keyed.go
@@ -59,7 +59,7 @@
 type keyedLoad struct {
 	cluster *clusterRun
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex             // guards what follows
 	keys       map[string]*keyEffects // by key
 	rec        KeyedRecord
 	violations []string        // texts for the record; the first 20 only
@@ -95,7 +95,7 @@
 		effects.reply = fmt.Sprintf("effect %d of %s", effects.effects, key)
 		o.history.add(keyOp{Key: key, Effect: true, Reply: effects.reply}, o.cluster.now(), o.cluster.now())
 		if effects.effects > 1 {
-			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, by %s", key, effects.effects, q.Header.Get("X-Txn"))
+			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, the last one by request %s", key, effects.effects, q.Header.Get("X-Txn"))
 		}
 	}
 	reply := effects.reply
@@ -168,7 +168,7 @@
 				o.latency = append(o.latency, time.Since(began))
 			}
 		case code == http.StatusOK && body != reply:
-			o.recordViolation(&o.rec.TwoAnswers, TwoAnswers, "key %s: %q, and then %q by %s", key, reply, body, p.name)
+			o.recordViolation(&o.rec.TwoAnswers, TwoAnswers, "key %s: answered %q, and then %q through %s", key, reply, body, p.name)
 			received++
 		case code == http.StatusOK:
 			o.rec.Again++
@@ -188,7 +188,7 @@
 	}
 	if reply != "" && received < 2 {
 		o.mu.Lock()
-		o.recordViolation(&o.rec.Forgotten, Forgotten, "key %s: %q was told, and not again in %d tries", key, reply, maxTries)
+		o.recordViolation(&o.rec.Forgotten, Forgotten, "key %s: the answer %q was delivered once, and not again in %d tries", key, reply, maxTries)
 		o.mu.Unlock()
 	}
 }
--- a/internal/lab/harness/keyed_test.go
+++ b/internal/lab/harness/keyed_test.go
@@ -12,8 +12,8 @@
 	keyedNoFaults = "orders = 60\nduration = \"5s\"\n"
 )
 
-// Machines are lost with their disks, one at a time, while orders are under way and their clients come back through others: no
-// effect happens twice, no key has two answers, and each answer that was told is told again.
+// Guards against the loss of holdings: processes lose their data directories one at a time while clients repeat their requests
+// through others. No effect happens twice, no key has two answers, and each delivered answer is delivered again.
 func TestKeyedRequests(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, keyedDataLoss), bugNone, ClusterOptions{})
@@ -25,29 +25,29 @@
 		t.Errorf("%+v", o)
 	}
 	if len(r.Steps) < 5 || len(r.ReplicatedMS) != 2 {
-		t.Errorf("two machines were to be lost, and their copies to be made anew: %q, after %v ms", r.Steps, r.ReplicatedMS)
+		t.Errorf("want two lost processes whose holdings were copied again: steps %q, copied after %v ms", r.Steps, r.ReplicatedMS)
 	}
 }
 
-// The process that has an outcome copied dies before its client can have heard it.
+// The process dies after it has had an outcome copied, possibly before the client has received it. Repeats must get that outcome.
 func TestKeyedRequestsOwnerDies(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, "copies = 2\n"+keyedNoFaults), diesAfterCopy, ClusterOptions{})
 	if r.NumViolations > 0 || r.Keyed.Failed == 0 || float64(r.Keyed.Served) < 0.98*float64(r.Keyed.Keys) {
-		t.Errorf("%+v, breaks %q; some tries were to fail", r.Keyed, r.Violations)
+		t.Errorf("%+v, violations %q; want some failed tries", r.Keyed, r.Violations)
 	}
 }
 
-// A process that is told to end gives its seats to others before it goes: hardly any request is refused for it.
+// A process that is terminated hands over its replicas before it ends, so that hardly any request is refused.
 func TestKeyedRequestsCleanShutdown(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, "copies = 2\norders = 60\nduration = \"6s\"\n[[step]]\nat = \"1s\"\ndo = \"term\"\nwho = \"m1\"\nfor = \"4500ms\"\n"), bugNone, ClusterOptions{})
 	if o := r.Keyed; r.NumViolations > 0 || o.Served < o.Keys-1 || o.Refused+o.Failed > o.Keys/20 {
-		t.Errorf("%+v, breaks %q", o, r.Violations)
+		t.Errorf("%+v, violations %q", o, r.Violations)
 	}
 }
 
-// Without copies the same clients have effects twice, and two answers to one key: what copies are for.
+// Shows what copies prevent: without them the same clients cause effects twice and receive two answers for one key.
 func TestKeyedRequestsWithoutCopies(t *testing.T) {
 	t.Parallel()
 	r := runCluster(t, parseCluster(t, keyedNoFaults), bugNone, ClusterOptions{})
@@ -56,20 +56,20 @@
 	}
 }
 
-// Each planted bug is caught by its rule.
+// Guards against a checker that misses faults: each injected bug is found by its own rule.
 func TestKeyedRequestsInjectedBugs(t *testing.T) {
 	for bug, rule := range map[string]string{bugAnswersEarly: Forgotten, bugNoClaim: Doubled} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
 			r := runCluster(t, parseCluster(t, "copies = 2\n"+keyedNoFaults), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), rule+" at") {
-				t.Errorf("not found as %q: %+v, %q", rule, r.Keyed, r.Violations)
+				t.Errorf("no violation of rule %q: %+v, %q", rule, r.Keyed, r.Violations)
 			}
 		})
 	}
 }
 
-// Histories that must not be, and one that may.
+// Guards against a model of the history of keys that accepts impossible histories or rejects a possible one.
 func TestKeyHistories(t *testing.T) {
 	effect := func(n int) keyOp { return keyOp{Key: "k", Effect: true, Reply: []string{"one", "two"}[n]} }
 	told := func(reply string) keyOp { return keyOp{Key: "k", Reply: reply} }
@@ -81,9 +81,9 @@
 		events []event
 		fits   bool
 	}{
-		"refused, then told twice":       {[]event{{told(""), 0, 2}, {told("one"), 3, 9}, {effect(0), 5, 5}, {told("one"), 10, 11}}, true},
+		"refused, then received twice":   {[]event{{told(""), 0, 2}, {told("one"), 3, 9}, {effect(0), 5, 5}, {told("one"), 10, 11}}, true},
 		"two effects":                    {[]event{{told("one"), 0, 4}, {effect(0), 2, 2}, {effect(1), 6, 6}}, false},
-		"told before it happened":        {[]event{{told("one"), 0, 4}, {effect(0), 5, 5}}, false},
+		"received before the effect":     {[]event{{told("one"), 0, 4}, {effect(0), 5, 5}}, false},
 		"another answer than the effect": {[]event{{effect(0), 1, 1}, {told("one"), 0, 2}, {told("two"), 3, 4}}, false},
 	} {
 		var h keyHistory
@@ -91,7 +91,7 @@
 			h.add(e.op, e.from, e.to)
 		}
 		if h.linearizable() != c.fits {
-			t.Errorf("%s: fits %v", name, h.linearizable())
+			t.Errorf("%s: linearizable %v", name, h.linearizable())
 		}
 	}
 }
--- a/internal/lab/harness/measure_test.go
+++ b/internal/lab/harness/measure_test.go
@@ -10,6 +10,7 @@
 	"heathgap/internal/lab/policy"
 )
 
+// Guards against budgets that differ from the documented retry budget.
 func TestBudget(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -32,7 +33,7 @@
 	}
 	b := Budget{Start: 3, Floor: 4, Served: 10}
 	if b.Total() != 17 || b.FromFloors(8) != 0 || b.FromFloors(12) != 2 {
-		t.Errorf("%+v: in all %v; of 8 retries %v from floors, of 12 %v; want 17, 0, 2", b, b.Total(), b.FromFloors(8), b.FromFloors(12))
+		t.Errorf("%+v: total %v; of 8 retries %v from floors, of 12 %v; want 17, 0, 2", b, b.Total(), b.FromFloors(8), b.FromFloors(12))
 	}
 	for tier, want := range map[int]float64{0: 1, 1: 1.1, 2: 1.21, 21: 7.400249944258169} {
 		if got := Amplified(tier); math.Abs(got-want) > 1e-9 {
@@ -41,6 +42,7 @@
 	}
 }
 
+// Guards against watch requests whose version is read wrongly.
 func TestAfterParameter(t *testing.T) {
 	tests := []struct {
 		text  string
@@ -59,8 +61,9 @@
 	}
 }
 
-// A chain of three with about 20 requests: all go through all tiers, once while it is well. Where the last tier fails all,
-// each tier's attempts fail as the next tier's answers do, and no more are sent than the budgets fund.
+// A chain of three tiers with about 20 requests. Without faults, each request passes all tiers. If the last tier fails all
+// requests, the attempts of each tier fail as the answers of the next tier do, and no tier sends more retries than its budget
+// pays for.
 func TestChain(t *testing.T) {
 	conf := ChainConf{Depth: 3, Endpoints: 2, Rate: 20, For: time.Second, Deadline: 10 * time.Second, Peers: 10, PerCaller: true, Seed: 1}
 	opts := Options{Sidecar: sidecarCommand(policy.Module)}
@@ -73,19 +76,19 @@
 			t.Fatal(err)
 		}
 		if m.NumViolations > 0 || m.BalanceErr != nil {
-			t.Errorf("rules broken %d; the book: %v", m.NumViolations, m.BalanceErr)
+			t.Errorf("%d violations; balance of the records: %v", m.NumViolations, m.BalanceErr)
 		}
 		for way, w := range m.Front {
 			if w.Requests < 10 || w.Served != w.Requests {
-				t.Errorf("way %d: %d of %d requests served", way, w.Served, w.Requests)
+				t.Errorf("path %d: %d of %d requests served", way, w.Served, w.Requests)
 			}
 		}
 		for n, tier := range m.Tiers {
 			if n > 0 && (tier.Requests != m.Tiers[n-1].Attempts || tier.RemainingP50 >= m.Tiers[n-1].RemainingP50 || tier.RemainingP50 <= 0) {
-				t.Errorf("tier %d: asked %d after %d attempts, %v ms left after %v; want one call an attempt, with less time",
+				t.Errorf("tier %d: %d requests after %d attempts, %v ms left after %v; want one call for each attempt, with less time",
 					n+1, tier.Requests, m.Tiers[n-1].Attempts, tier.RemainingP50, m.Tiers[n-1].RemainingP50)
 			}
-			// A copy of what a busy machine delays may be sent and called off.
+			// A hedged request may be sent on a busy machine, and canceled.
 			if tier.Requests < m.Front[1].Requests || tier.Served == 0 || tier.Attempts < tier.Requests || tier.CPU <= 0 {
 				t.Errorf("tier %d: %+v for %d requests", n+1, tier, m.Front[1].Requests)
 			}
@@ -100,20 +103,20 @@
 			t.Fatal(err)
 		}
 		if m.NumViolations > 0 || m.BalanceErr != nil || m.Front[1].Served > 0 {
-			t.Errorf("rules broken %d; the book: %v; served %d", m.NumViolations, m.BalanceErr, m.Front[1].Served)
+			t.Errorf("%d violations; balance of the records: %v; served %d", m.NumViolations, m.BalanceErr, m.Front[1].Served)
 		}
 		for n, tier := range m.Tiers {
 			if tier.Attempts == 0 || tier.Outcomes["server_error"] == 0 || tier.Served > 0 {
 				t.Errorf("tier %d: %+v; want attempts that fail, and nothing served", n+1, tier)
 			}
 			if most := tier.Budget.Total(); float64(tier.Retries()) > most {
-				t.Errorf("tier %d: %d retries; its budget funds %v", n+1, tier.Retries(), most)
+				t.Errorf("tier %d: %d retries; its budget pays for %v", n+1, tier.Retries(), most)
 			}
 		}
 	})
 }
 
-// Two tiny sizes of what is measured of a call, one of them with several classes.
+// Measures the overhead with two small configurations, one of them with several classes.
 func TestOverhead(t *testing.T) {
 	opts := Options{Sidecar: sidecarCommand(policy.Module)}
 	for _, conf := range []OverheadConf{
@@ -131,7 +134,7 @@
 	}
 }
 
-// What a change costs is counted at the wire: each watcher is told the lines that changed, once, and no whole list.
+// Guards against changes of a list that cost more than necessary: each watcher receives the changed lines once, and no full list.
 func TestListTraffic(t *testing.T) {
 	for _, conf := range []ListTrafficConf{
 		{Endpoints: 20, AtOnce: 1, Changes: 6},
@@ -143,14 +146,14 @@
 		if err != nil {
 			t.Fatalf("%+v: %v", conf, err)
 		}
-		for who, w := range map[string]Wire{"sidecars": m.Real, "hollow watchers": m.Emulated} {
+		for who, w := range map[string]Wire{"sidecars": m.Real, "emulated watchers": m.Emulated} {
 			lines := w.LinesPerAnswer * w.Answers
 			if w.FullLists != 0 || w.Answers < 1 || w.AnswerBytes <= 0 || w.RequestBytes <= 0 || math.Abs(lines-float64(conf.AtOnce)) > 1e-6 {
-				t.Errorf("%+v: %s: %+v: %v lines a change; want %d, and no whole list", conf, who, w, lines, conf.AtOnce)
+				t.Errorf("%+v: %s: %+v: %v lines for each change; want %d, and no full list", conf, who, w, lines, conf.AtOnce)
 			}
 		}
 		if m.Whole.FullLists != 1 || m.Whole.LinesPerAnswer != float64(conf.Endpoints) || m.Whole.AnswerBytes < m.Emulated.AnswerBytes/m.Emulated.Answers {
-			t.Errorf("%+v: the whole list: %+v", conf, m.Whole)
+			t.Errorf("%+v: the full list: %+v", conf, m.Whole)
 		}
 	}
 }
--- a/internal/lab/harness/process.go
+++ b/internal/lab/harness/process.go
@@ -197,7 +197,7 @@
 	// The name is in parentheses. What follows it begins with field 3; fields 14 and 15 are the CPU times.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 13 {
-		return u, errors.New("/proc: a stat that is too short")
+		return u, errors.New("/proc: the stat file of the process has too few fields")
 	}
 	for _, f := range fields[11:13] {
 		ticks, err := strconv.Atoi(f)
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -136,7 +136,7 @@
 		case <-ctx.Done():
 			return fmt.Errorf("not ready: %w", ctx.Err())
 		case <-p.exited:
-			return fmt.Errorf("it ended as it started")
+			return fmt.Errorf("the process ended during its start")
 		case <-time.After(pollInterval):
 		}
 	}
