--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -240,6 +240,7 @@
 		}
 		r.endpoints = append(r.endpoints, e)
 	}
+	// Voters are named k1, k2 and so on, other members m1, m2 and so on, as in scenario files.
 	var names []string
 	for i := range r.scenario.Voters {
 		names = append(names, fmt.Sprintf("k%d", i+1))
@@ -876,7 +877,8 @@
 	}
 }
 
-// propose proposes a version at the voter that leads, and repeats this until the version is agreed.
+// propose proposes a version at the voter that leads, and repeats this until the version is agreed or the scenario's duration
+// has passed.
 func (r *clusterRun) propose(ctx context.Context, s scenario.ClusterStep) {
 	id := voter.NewID()
 	deadline := time.Now().Add(r.scenario.Duration)
@@ -960,7 +962,7 @@
 }
 
 // awaitPending waits until all agreed versions are in effect and their last requests have been seen, so that the checks miss
-// nothing.
+// nothing. It gives up after leaderTimeout; checkResult then reports the versions that are left.
 func (r *clusterRun) awaitPending(ctx context.Context) error {
 	if r.opts.Separate {
 		return nil
@@ -1125,7 +1127,7 @@
 		r.checker.RecordAction(consistency.Action{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
 		r.mu.Unlock()
 		if !probed {
-			w.Write([]byte("good\n")) //nolint:errcheck // its client shows
+			w.Write([]byte("good\n")) //nolint:errcheck // the client notices an error
 			return
 		}
 		if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -423,10 +423,10 @@
 			}
 		})
 	}
-	for name, scene := range map[string]string{"sound, cut off": banThenPartition, "sound, stopped": partitionStopPropose} {
+	for name, text := range map[string]string{"sound, cut off": banThenPartition, "sound, stopped": partitionStopPropose} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := runCluster(t, parseCluster(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
+			if r := runCluster(t, parseCluster(t, text), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
 				t.Errorf("versions %+v, violations %q", r.Versions, r.Violations)
 			}
 		})
--- a/internal/lab/harness/keyed_test.go
+++ b/internal/lab/harness/keyed_test.go
@@ -72,7 +72,7 @@
 // Guards against a model of the history of keys that accepts impossible histories or rejects a possible one.
 func TestKeyHistories(t *testing.T) {
 	effect := func(n int) keyOp { return keyOp{Key: "k", Effect: true, Reply: []string{"one", "two"}[n]} }
-	told := func(reply string) keyOp { return keyOp{Key: "k", Reply: reply} }
+	received := func(reply string) keyOp { return keyOp{Key: "k", Reply: reply} }
 	type event struct {
 		op       keyOp
 		from, to time.Duration
@@ -81,10 +81,10 @@
 		events []event
 		fits   bool
 	}{
-		"refused, then received twice":   {[]event{{told(""), 0, 2}, {told("one"), 3, 9}, {effect(0), 5, 5}, {told("one"), 10, 11}}, true},
-		"two effects":                    {[]event{{told("one"), 0, 4}, {effect(0), 2, 2}, {effect(1), 6, 6}}, false},
-		"received before the effect":     {[]event{{told("one"), 0, 4}, {effect(0), 5, 5}}, false},
-		"another answer than the effect": {[]event{{effect(0), 1, 1}, {told("one"), 0, 2}, {told("two"), 3, 4}}, false},
+		"refused, then received twice":   {[]event{{received(""), 0, 2}, {received("one"), 3, 9}, {effect(0), 5, 5}, {received("one"), 10, 11}}, true},
+		"two effects":                    {[]event{{received("one"), 0, 4}, {effect(0), 2, 2}, {effect(1), 6, 6}}, false},
+		"received before the effect":     {[]event{{received("one"), 0, 4}, {effect(0), 5, 5}}, false},
+		"another answer than the effect": {[]event{{effect(0), 1, 1}, {received("one"), 0, 2}, {received("two"), 3, 4}}, false},
 	} {
 		var h keyHistory
 		for _, e := range c.events {
--- a/internal/lab/harness/measure_test.go
+++ b/internal/lab/harness/measure_test.go
@@ -78,9 +78,9 @@
 		if m.NumViolations > 0 || m.BalanceErr != nil {
 			t.Errorf("%d violations; balance of the records: %v", m.NumViolations, m.BalanceErr)
 		}
-		for way, w := range m.Front {
+		for path, w := range m.Front {
 			if w.Requests < 10 || w.Served != w.Requests {
-				t.Errorf("path %d: %d of %d requests served", way, w.Served, w.Requests)
+				t.Errorf("path %d: %d of %d requests served", path, w.Served, w.Requests)
 			}
 		}
 		for n, tier := range m.Tiers {
@@ -109,8 +109,8 @@
 			if tier.Attempts == 0 || tier.Outcomes["server_error"] == 0 || tier.Served > 0 {
 				t.Errorf("tier %d: %+v; want attempts that fail, and nothing served", n+1, tier)
 			}
-			if most := tier.Budget.Total(); float64(tier.Retries()) > most {
-				t.Errorf("tier %d: %d retries; its budget pays for %v", n+1, tier.Retries(), most)
+			if budget := tier.Budget.Total(); float64(tier.Retries()) > budget {
+				t.Errorf("tier %d: %d retries; its budget pays for %v", n+1, tier.Retries(), budget)
 			}
 		}
 	})
