--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -162,27 +162,27 @@
 	}
 	c.stages = make([]*chainStage, c.conf.Depth)
 	for n := c.conf.Depth - 1; n >= 0; n-- {
-		l := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newLatencies(), timeUsed: newLatencies()}
-		c.stages[n] = l
-		if err := c.startEndpoints(n, l); err != nil {
+		stage := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newLatencies(), timeUsed: newLatencies()}
+		c.stages[n] = stage
+		if err := c.startEndpoints(n, stage); err != nil {
 			return err
 		}
-		l.sidecar = &sidecar{
+		stage.sidecar = &sidecar{
 			run: c.run, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, perCaller: c.conf.PerCaller, zone: "a",
 		}
-		if err := l.sidecar.assignAddresses(); err != nil {
+		if err := stage.sidecar.assignAddresses(); err != nil {
 			return err
 		}
-		c.addSidecar(l.sidecar)
-		target, err := l.sidecar.start(ctx)
+		c.addSidecar(stage.sidecar)
+		target, err := stage.sidecar.start(ctx)
 		if err != nil {
 			return err
 		}
 		front := &load.SingleTarget{}
 		front.Set(target)
-		l.through = load.NewClient(c.checker, front, c.clientGrace())
+		stage.through = load.NewClient(c.checker, front, c.clientGrace())
 		if c.conf.CompareDirect {
-			l.direct = load.NewClient(c.checker, l.directFront, c.clientGrace())
+			stage.direct = load.NewClient(c.checker, stage.directFront, c.clientGrace())
 		}
 	}
 	return nil
@@ -190,7 +190,7 @@
 
 // startEndpoints starts a tier's fake endpoints: those that its sidecar sends to, and if CompareDirect is set as many of the
 // direct path.
-func (c *chain) startEndpoints(n int, l *chainStage) error {
+func (c *chain) startEndpoints(n int, stage *chainStage) error {
 	paths := 1
 	if c.conf.CompareDirect {
 		paths = 2
@@ -222,12 +222,12 @@
 		if err != nil {
 			return err
 		}
-		l.endpoints = append(l.endpoints, e)
+		stage.endpoints = append(stage.endpoints, e)
 		if isDirect {
-			l.directFront.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
+			stage.directFront.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
-		l.discovery.SetLines(fake.Line{
+		stage.discovery.SetLines(fake.Line{
 			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: fake.Serving, Weight: 1,
 		})
 	}
@@ -255,16 +255,16 @@
 
 // stop stops everything that was started.
 func (c *chain) stop() {
-	for _, l := range c.stages {
-		if l == nil {
+	for _, stage := range c.stages {
+		if stage == nil {
 			continue
 		}
-		for _, client := range [2]*load.Client{l.through, l.direct} {
+		for _, client := range [2]*load.Client{stage.through, stage.direct} {
 			if client != nil {
 				client.Close()
 			}
 		}
-		for _, e := range l.endpoints {
+		for _, e := range stage.endpoints {
 			e.Kill()
 		}
 	}
@@ -278,9 +278,9 @@
 		e.SetTrouble(c.conf.Trouble, c.conf.Share)
 	}
 	before := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.stages {
+	for n, stage := range c.stages {
 		var err error
-		if before[n], err = l.sidecar.proc.cpuTime(); err != nil {
+		if before[n], err = stage.sidecar.proc.cpuTime(); err != nil {
 			return nil, err
 		}
 	}
@@ -341,26 +341,26 @@
 		return fmt.Errorf("interrupted: %w", ctx.Err())
 	}
 	cpu := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.stages {
-		after, err := l.sidecar.proc.cpuTime()
+	for n, stage := range c.stages {
+		after, err := stage.sidecar.proc.cpuTime()
 		if err != nil {
 			return err
 		}
 		cpu[n] = after - before[n]
 	}
 	var report oracle.Report
-	for n, l := range c.stages {
-		rec := l.sidecar.finish(true)
+	for n, stage := range c.stages {
+		rec := stage.sidecar.finish(true)
 		if n == 0 {
-			observe(l.timeUsed, 0)
-			l.latency = front
+			observe(stage.timeUsed, 0)
+			stage.latency = front
 		}
-		l.mu.Lock()
+		stage.mu.Lock()
 		t := ChainTier{
-			P50: quantile(l.latency, 50), P99: quantile(l.latency, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.timeUsed, 50),
-			RemainingMin: millis(c.conf.Deadline) - quantile(l.timeUsed, 100), RSSMB: rec.RSSMB, FDs: rec.FDs,
+			P50: quantile(stage.latency, 50), P99: quantile(stage.latency, 99), RemainingP50: millis(c.conf.Deadline) - quantile(stage.timeUsed, 50),
+			RemainingMin: millis(c.conf.Deadline) - quantile(stage.timeUsed, 100), RSSMB: rec.RSSMB, FDs: rec.FDs,
 		}
-		l.mu.Unlock()
+		stage.mu.Unlock()
 		if rec.Counters != nil {
 			t.Outcomes = rec.Counters.Attempts
 		}
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -277,19 +277,19 @@
 		targets = originals[:r.scenario.Voters]
 	}
 	for _, p := range r.procs {
-		for _, k := range targets {
-			if p == k {
+		for _, target := range targets {
+			if p == target {
 				continue
 			}
 			host, err := r.hosts.acquire()
 			if err != nil {
 				return err
 			}
-			link, err := newRelay(host, k.peerAddress)
+			relay, err := newRelay(host, target.peerAddress)
 			if err != nil {
 				return err
 			}
-			r.relays[[2]string{p.name, k.name}] = link
+			r.relays[[2]string{p.name, target.name}] = relay
 		}
 	}
 	var starting sync.WaitGroup
@@ -345,16 +345,16 @@
 		Name: r.scenario.Name, Address: p.peerAddress, Data: filepath.Join(p.dir, "data"), Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack,
 		ContradictAtMost: r.scenario.ContradictAtMost, Copies: r.scenario.Copies, Keep: outcomeLifetime, LostAfter: holdingsLostAfter,
 	}
-	for _, k := range r.procs[:r.scenario.Voters] {
-		address := k.peerAddress
-		if link := r.relays[[2]string{p.name, k.name}]; link != nil {
-			address = link.address()
+	for _, v := range r.procs[:r.scenario.Voters] {
+		address := v.peerAddress
+		if relay := r.relays[[2]string{p.name, v.name}]; relay != nil {
+			address = relay.address()
 		}
-		f.Voters = append(f.Voters, NamedAddress{k.name, address})
+		f.Voters = append(f.Voters, NamedAddress{v.name, address})
 	}
 	for _, q := range r.procs[r.scenario.Voters:] {
-		if link := r.relays[[2]string{p.name, q.name}]; link != nil {
-			f.Routes = append(f.Routes, NamedAddress{q.name, link.address()})
+		if relay := r.relays[[2]string{p.name, q.name}]; relay != nil {
+			f.Routes = append(f.Routes, NamedAddress{q.name, relay.address()})
 		}
 	}
 	return f.Text()
@@ -721,7 +721,7 @@
 			}
 		})
 	}
-	restart := func() {
+	start := func() {
 		if err := r.startMember(ctx, p); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
 			r.rec.Violations = append(r.rec.Violations, "did not start again: "+err.Error())
@@ -733,8 +733,8 @@
 	switch s.Do {
 	case "kill", "wipe", "term", "setback":
 		if r.scenario.Copies > 0 && s.Do != "term" {
-			if l := r.leaderLedger(); l != nil {
-				reverts.Go(func() { r.awaitReplicated(ctx, l.Members[p.memberName].Token) })
+			if ledger := r.leaderLedger(); ledger != nil {
+				reverts.Go(func() { r.awaitReplicated(ctx, ledger.Members[p.memberName].Token) })
 			}
 		}
 		p.setRunning(false)
@@ -754,7 +754,7 @@
 			}
 			if s.Do == "setback" {
 				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy the step is a wipe
-				restart()
+				start()
 				// The operator reads the line that the voter logs and follows it: the older data directory is removed.
 				time.Sleep(r.scenario.Lease)
 				p.setRunning(false)
@@ -762,23 +762,23 @@
 				p.proc.wait(exitTimeout)
 				os.RemoveAll(data)
 			}
-			restart()
+			start()
 		})
 	case "older": // replaced by an older build, and put back afterwards
 		p.older = true
 		p.setRunning(false)
 		p.proc.stop(syscall.SIGKILL)
 		p.proc.wait(exitTimeout)
-		restart()
+		start()
 		revertLater(func() {
 			p.older = false
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
-			restart()
+			start()
 		})
 	case "twin":
-		restart()
+		start()
 		revertLater(func() {
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
@@ -794,16 +794,16 @@
 			r.logStep("%s was resumed", p.name)
 		})
 	case "delay":
-		r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, s.By) })
+		r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.addDelay(dir, s.By) })
 		revertLater(func() {
-			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.addDelay(dir, -s.By) })
+			r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.addDelay(dir, -s.By) })
 			r.logStep("the delay of %s was removed", p.name)
 		})
 	case "cut":
 		r.partitions.Add(1)
-		r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.setPartitioned(dir, true) })
+		r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.setPartitioned(dir, true) })
 		revertLater(func() {
-			r.forRelays(p, s.With, s.Direction, func(w *relay, dir int) { w.setPartitioned(dir, false) })
+			r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.setPartitioned(dir, false) })
 			r.partitions.Add(-1)
 			r.logStep("the partition of %s was healed", p.name)
 		})
@@ -816,12 +816,12 @@
 			p.setRunning(false)
 			p.proc.stop(syscall.SIGKILL)
 			p.proc.wait(exitTimeout)
-			restart()
+			start()
 		})
 	case "reset":
-		for ends, link := range r.relays {
+		for ends, relay := range r.relays {
 			if ends[0] == p.name || ends[1] == p.name {
-				link.resetAll()
+				relay.resetAll()
 			}
 		}
 	case "restart": // in a run without a cluster: starts the process with other rules
@@ -987,9 +987,9 @@
 		if try > 0 {
 			time.Sleep(rpcTimeout)
 		}
-		for _, k := range r.procs[:r.scenario.Voters] {
+		for _, v := range r.procs[:r.scenario.Voters] {
 			var st voter.Status
-			if hasLeader || k.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Leader != k.name || st.Ledger == nil {
+			if hasLeader || v.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Leader != v.name || st.Ledger == nil {
 				continue
 			}
 			hasLeader = true
@@ -1045,32 +1045,32 @@
 
 // laggingVoters returns a text for each voter that has applied fewer entries than another one at the end. A voter that came back
 // with an empty data directory must have caught up.
-func (r *clusterRun) laggingVoters() (names []string) {
+func (r *clusterRun) laggingVoters() (lagging []string) {
 	if r.opts.Separate {
 		return nil
 	}
 	for try := 0; try < int(leaderTimeout/rpcTimeout); try++ {
-		names = nil
-		most := uint64(0)
+		lagging = nil
+		maxApplied := uint64(0)
 		applied := map[string]uint64{}
-		for _, k := range r.procs[:r.scenario.Voters] {
+		for _, v := range r.procs[:r.scenario.Voters] {
 			var st voter.Status
-			if k.rpc.Call("status", struct{}{}, &st, rpcTimeout) == nil {
-				applied[k.name] = st.Applied
-				most = max(most, st.Applied)
+			if v.rpc.Call("status", struct{}{}, &st, rpcTimeout) == nil {
+				applied[v.name] = st.Applied
+				maxApplied = max(maxApplied, st.Applied)
 			}
 		}
-		for _, k := range r.procs[:r.scenario.Voters] {
-			if applied[k.name] < most {
-				names = append(names, fmt.Sprintf("%s has applied %d of %d entries", k.name, applied[k.name], most))
+		for _, v := range r.procs[:r.scenario.Voters] {
+			if applied[v.name] < maxApplied {
+				lagging = append(lagging, fmt.Sprintf("%s has applied %d of %d entries", v.name, applied[v.name], maxApplied))
 			}
 		}
-		if len(names) == 0 {
+		if len(lagging) == 0 {
 			return nil
 		}
 		time.Sleep(rpcTimeout / 2)
 	}
-	return names
+	return lagging
 }
 
 // stopAll stops everything that was started. It ends each process by its own id.
@@ -1085,8 +1085,8 @@
 			p.rpc.Close()
 		}
 	}
-	for _, link := range r.relays {
-		link.close()
+	for _, relay := range r.relays {
+		relay.close()
 	}
 	for _, e := range r.endpoints {
 		e.server.Close()
--- a/internal/lab/harness/cluster_files.go
+++ b/internal/lab/harness/cluster_files.go
@@ -41,8 +41,8 @@
 	fmt.Fprintf(&b, "[crew]\nname = %q\naddress = %q\ndata = %q\nlease = %q\ndrift = %v\nslack = %q\ncontradict_at_most = %q\n",
 		f.Name, f.Address, f.Data, f.Lease, f.Drift, f.Slack, f.ContradictAtMost)
 	fmt.Fprintf(&b, "fixed_classes = [%q]\n", loadClass)
-	for _, k := range f.Voters {
-		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", k.Name, k.Address)
+	for _, v := range f.Voters {
+		fmt.Fprintf(&b, "[[crew.keeper]]\nname = %q\naddress = %q\n", v.Name, v.Address)
 	}
 	for _, w := range f.Routes {
 		fmt.Fprintf(&b, "[[crew.way]]\nname = %q\naddress = %q\n", w.Name, w.Address)
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -170,8 +170,8 @@
 			s.kill()
 		}
 	}
-	for _, l := range r.discoveries {
-		l.Close()
+	for _, d := range r.discoveries {
+		d.Close()
 	}
 	r.hosts.close()
 }
@@ -318,16 +318,16 @@
 		}
 		now := r.checker.Now()
 		violations := 0
-		r.checker.Do(func(b *oracle.Checker) {
-			b.Prune(now)
-			a := b.Close()
-			violations = a.NumViolations()
+		r.checker.Do(func(c *oracle.Checker) {
+			c.Prune(now)
+			report := c.Close()
+			violations = report.NumViolations()
 		})
 		if r.opts.Progress != nil {
 			r.checker.Service(func(s *oracle.Service) {
-				f := s.All()
+				all := s.All()
 				r.opts.Progress(fmt.Sprintf("%4.0f of %.0f s  asked %d  served %d  service %.3f  rules broken %d",
-					(now - r.loadStart).Seconds(), r.scenario.Duration.Seconds(), f.Requests, f.Served, f.Service, violations))
+					(now - r.loadStart).Seconds(), r.scenario.Duration.Seconds(), all.Requests, all.Served, all.Service, violations))
 			})
 		}
 	}
@@ -345,7 +345,7 @@
 	for _, s := range r.allSidecars() {
 		rec.Sidecars = append(rec.Sidecars, s.finish(true))
 	}
-	r.checker.Do(func(b *oracle.Checker) { report = b.Close() })
+	r.checker.Do(func(c *oracle.Checker) { report = c.Close() })
 	for i := range report.Violations {
 		report.Violations[i].At -= r.loadStart
 	}
--- a/internal/lab/harness/keyed.go
+++ b/internal/lab/harness/keyed.go
@@ -69,9 +69,9 @@
 
 // keyEffects holds the effects of a key. All endpoints share it.
 type keyEffects struct {
-	lastAt  time.Time // time of the last effect
-	reply   string    // of the last effect
-	effects int       // number of effects
+	lastAt time.Time // time of the last effect
+	reply  string    // of the last effect
+	count  int       // number of effects
 }
 
 func newKeyedLoad(r *clusterRun) *keyedLoad {
@@ -88,14 +88,14 @@
 		effects = &keyEffects{}
 		o.keys[key] = effects
 	}
-	if now := time.Now(); effects.effects > 0 && now.Before(effects.lastAt.Add(keyWindow)) {
+	if now := time.Now(); effects.count > 0 && now.Before(effects.lastAt.Add(keyWindow)) {
 		o.rec.Dropped++
 	} else {
-		effects.lastAt, effects.effects = now, effects.effects+1
-		effects.reply = fmt.Sprintf("effect %d of %s", effects.effects, key)
+		effects.lastAt, effects.count = now, effects.count+1
+		effects.reply = fmt.Sprintf("effect %d of %s", effects.count, key)
 		o.history.add(keyOp{Key: key, Effect: true, Reply: effects.reply}, o.cluster.now(), o.cluster.now())
-		if effects.effects > 1 {
-			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, the last one by request %s", key, effects.effects, q.Header.Get("X-Txn"))
+		if effects.count > 1 {
+			o.recordViolation(&o.rec.Doubled, Doubled, "key %s: %d effects, the last one by request %s", key, effects.count, q.Header.Get("X-Txn"))
 		}
 	}
 	reply := effects.reply
@@ -288,9 +288,9 @@
 
 // leaderLedger returns the leader's ledger, or nil if no voter reports that it leads.
 func (r *clusterRun) leaderLedger() *cluster.Ledger {
-	for _, k := range r.procs[:r.scenario.Voters] {
+	for _, v := range r.procs[:r.scenario.Voters] {
 		var st voter.Status
-		if k.rpc.Call("status", struct{}{}, &st, rpcTimeout) == nil && st.Leader == k.name {
+		if v.rpc.Call("status", struct{}{}, &st, rpcTimeout) == nil && st.Leader == v.name {
 			return st.Ledger
 		}
 	}
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -103,7 +103,7 @@
 	if s.run.opts.LogDir != "" {
 		logPath = filepath.Join(s.run.opts.LogDir, s.name+".log")
 	}
-	s.run.checker.Do(func(b *oracle.Checker) { b.SidecarStarted(s.run.checker.Now(), s.name, known.Index) })
+	s.run.checker.Do(func(c *oracle.Checker) { c.SidecarStarted(s.run.checker.Now(), s.name, known.Index) })
 	if s.proc, err = startProcess(s.run.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 }
 
 // finish stops the process and returns its part of the record, with its counters if counts is set.
-func (s *sidecar) finish(counts bool) record.Sidecar {
+func (s *sidecar) finish(withCounters bool) record.Sidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sampleLocked()
@@ -220,7 +220,7 @@
 	if s.proc == nil {
 		return r
 	}
-	if counts {
+	if withCounters {
 		r.Counters = s.proc.requestCounters()
 	}
 	if s.target != nil {
