--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -162,7 +162,7 @@
 	}
 	c.stages = make([]*chainStage, c.conf.Depth)
 	for n := c.conf.Depth - 1; n >= 0; n-- {
-		stage := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newLatencies(), timeUsed: newLatencies()}
+		stage := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newHistogram(), timeUsed: newHistogram()}
 		c.stages[n] = stage
 		if err := c.startEndpoints(n, stage); err != nil {
 			return err
@@ -291,7 +291,7 @@
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	out := &Chain{}
-	latency, lag := [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, newLatencies()
+	latency, lag := [2]*hdrhistogram.Histogram{newHistogram(), newHistogram()}, newHistogram()
 	background, stopBackground := context.WithCancel(ctx)
 	wait.Go(func() { c.monitor(background) })
 	var sending sync.WaitGroup
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -666,7 +666,8 @@
 	return steps
 }
 
-// applyStep applies one step. A goroutine in reverts reverts it after its time.
+// applyStep applies one step. A goroutine in reverts reverts it after the step's duration (For). A fault that the cluster or the
+// holdings don't promise to survive at this time is skipped or weakened.
 func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, reverts *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
 		return nil // without a cluster there is no voter that could receive it
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -68,8 +68,8 @@
 	last, stopped time.Duration
 }
 
-// If the clock was not read for stopGap, the process is taken to have been stopped. A running member reads it with each
-// heartbeat, and tick reads it too.
+// stopGap is the longest time between two readings of the clock in a running process: a member reads it with each heartbeat, and
+// tick reads it too. After a longer time the process is taken to have been stopped.
 const stopGap = 300 * time.Millisecond
 
 // BootTime implements env.Env.
@@ -94,6 +94,7 @@
 // olderEnv makes RPC connections that speak another version of the protocol.
 type olderEnv struct{ env.Env }
 
+// olderConn replaces the protocol version in what is written.
 type olderConn struct{ net.Conn }
 
 // Dial implements env.Env.
@@ -132,6 +133,7 @@
 	return result
 }
 
+// faultyClaim adds the bug of its holdings to a claim.
 type faultyClaim struct {
 	pipeline.Claim
 	holdings *faultyHoldings
@@ -163,8 +165,8 @@
 	return &faultyHoldings{Holdings: h, bug: b.bug}
 }
 
-// envWithClock returns the environment of a member, with the clock or the protocol version that the bug calls for.
-func envWithClock(e env.Env, bug, name string, drift float64) env.Env {
+// memberEnv returns the environment of a member, with the clock or the protocol version that the bug calls for.
+func memberEnv(e env.Env, bug, name string, drift float64) env.Env {
 	rate := 1.0
 	switch {
 	case bug == olderBuild:
@@ -217,7 +219,7 @@
 	join := member.JoinFunc(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
 		Cluster: func(conf *config.Config, e env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
-			m, err := join(conf, envWithClock(e, bug, conf.Name, file.Cluster.Params.Drift), log)
+			m, err := join(conf, memberEnv(e, bug, conf.Name, file.Cluster.Params.Drift), log)
 			return &faultyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -157,7 +157,8 @@
 	return nil
 }
 
-// stopAll kills all sidecars and closes the fake discovery services. It may be called when only part of the run has started.
+// stopAll kills all sidecars and endpoints and closes the fake discovery services. It may be called when only part of the run
+// has started.
 func (r *run) stopAll() {
 	for _, s := range r.allSidecars() {
 		s.kill()
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -265,7 +265,7 @@
 		return nil, err
 	}
 	labBefore := labCPUTime()
-	delivery := newLatencies()
+	delivery := newHistogram()
 	for range l.conf.Changes {
 		began := time.Now()
 		l.changeLines()
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return Overhead{}, err
 	}
-	n := int(m.total[1].TotalCount())
+	n := int(m.latency[1].TotalCount())
 	if m.failed > 0 || n == 0 {
 		return Overhead{}, fmt.Errorf("%d requests failed and %d were served: nothing to measure", m.failed, n)
 	}
@@ -151,8 +151,8 @@
 		return Overhead{}, fmt.Errorf("the sidecar sent %d attempts for %d requests: some did not go through it", counters.Sent, n)
 	}
 	return Overhead{
-		Requests: n, DirectP50: quantile(m.total[0], 50), DirectP99: quantile(m.total[0], 99),
-		SidecarP50: quantile(m.total[1], 50), SidecarP99: quantile(m.total[1], 99),
+		Requests: n, DirectP50: quantile(m.latency[0], 50), DirectP99: quantile(m.latency[0], 99),
+		SidecarP50: quantile(m.latency[1], 50), SidecarP99: quantile(m.latency[1], 99),
 		CPU: float64((after - before).Microseconds()) / float64(n), RSSMB: u.rssMB, FDs: u.fds, EndpointsUsed: len(used),
 		Lag: quantile(m.lag, 99),
 	}, nil
@@ -175,16 +175,16 @@
 	return r.startBehindFront(ctx, s)
 }
 
-// latencies holds the measurements of the requests.
-type latencies struct {
-	total  [2]*hdrhistogram.Histogram // direct, and through the sidecar; ns from the time when a request was due
-	lag    *hdrhistogram.Histogram    // of sending, behind the time when a request was due
-	failed int
+// overheadSamples holds the measurements of the requests.
+type overheadSamples struct {
+	latency [2]*hdrhistogram.Histogram // direct, and through the sidecar; ns from the time when a request was due
+	lag     *hdrhistogram.Histogram    // of sending, behind the time when a request was due
+	failed  int
 }
 
 // sendAlternating sends the requests at their times, along the two paths in turn.
-func (r *run) sendAlternating(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *latencies {
-	m := &latencies{total: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
+func (r *run) sendAlternating(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *overheadSamples {
+	m := &overheadSamples{latency: [2]*hdrhistogram.Histogram{newHistogram(), newHistogram()}, lag: newHistogram()}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	base := r.checker.Now()
@@ -209,7 +209,7 @@
 				m.failed++
 				return
 			}
-			observe(m.total[path], end)
+			observe(m.latency[path], end)
 		})
 	}
 	wait.Wait()
@@ -239,8 +239,8 @@
 	}
 }
 
-// newLatencies returns a histogram of latencies in ns, up to a minute.
-func newLatencies() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
+// newHistogram returns a histogram of latencies in ns, up to a minute.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
 
 // observe records a duration, limited to the histogram's bounds.
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -209,7 +209,7 @@
 	s.sampleLocked()
 }
 
-// finish stops the process and returns its part of the record, with its counters if counts is set.
+// finish stops the process and returns its part of the record, with its counters if withCounters is set.
 func (s *sidecar) finish(withCounters bool) record.Sidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
