--- a/internal/lab/harness/chain.go
+++ b/internal/lab/harness/chain.go
@@ -17,64 +17,65 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// MaxDepth bounds a chain: a tier is a sidecar's process and its stand-ins.
+// MaxDepth bounds a chain: each tier costs a sidecar process and its fake endpoints.
 const MaxDepth = 32
 
-// ChainConf is a chain of services, each of which calls the next through a sidecar.
+// ChainConf describes a chain of services, each of which calls the next one through a sidecar.
 type ChainConf struct {
-	Depth         int // tiers of services, and sidecars before them
-	Endpoints     int // of each tier
-	Rate          float64
+	Depth         int     // number of tiers, each with a sidecar before its services
+	Endpoints     int     // in each tier
+	Rate          float64 // requests a second
 	For           time.Duration
-	Deadline      time.Duration // that requests have at the front
-	Peers         int           // that each sidecar is told of
-	PerCaller     bool          // the settings say that each caller has a sidecar of its own (family mesh)
-	CompareDirect bool          // every other request goes along a chain without sidecars
-	Trouble       fake.Trouble
-	Share         float64 // of the last tier's requests that Errors strikes
+	Deadline      time.Duration // of requests at the front
+	Peers         int           // number of peers in each sidecar's settings
+	PerCaller     bool          // the settings state that each caller has its own sidecar (family mesh)
+	CompareDirect bool          // every second request goes along a second chain without sidecars
+	Trouble       fake.Trouble  // of the last tier, for the whole run
+	Share         float64       // share of the last tier's requests that fail, if Trouble is Errors
 	Seed          uint64
 }
 
-// Chain is what was seen of one.
+// Chain is the result of a chain's measurement.
 type Chain struct {
-	Front         [2]PathStats // straight, and through the sidecars
+	Front         [2]PathStats // direct, and through the sidecars
 	Tiers         []ChainTier
-	Lag           float64            // ms, the load's own at the 99th percentile
-	Seconds       float64            // how long the sidecars stood under load
-	NumViolations int                // of the four rules
-	Violations    []oracle.Violation // the first of them
-	BalanceErr    error              // what of the book does not add up
+	Lag           float64            // ms by which the load's own requests were late, 99th percentile
+	Seconds       float64            // how long the load lasted
+	NumViolations int                // of the checker's rules
+	Violations    []oracle.Violation // the first ones
+	BalanceErr    error              // an inconsistency in the checker's records; nil for none
 }
 
-// PathStats is one way along the chain.
+// PathStats describes the requests along one of the two paths.
 type PathStats struct {
 	Requests, Served int
-	P50, P99         float64 // ms of what was served, from when a request was due
+	P50, P99         float64 // ms, of served requests, from the time when a request was due
 }
 
-// ChainTier is one tier: its sidecar and the services behind it.
+// ChainTier is one tier: a sidecar and the services behind it.
 type ChainTier struct {
-	Requests     int // requests asked of its sidecar
-	Attempts     int // that came to its services
-	Served       int // answers that its sidecar gave
+	Requests     int // that its sidecar received
+	Attempts     int // that its services received
+	Served       int // answers of its sidecar
 	Refused      int
 	Failed       int
-	CallerLeft   int            // its caller went, or had no answer in its time
-	Outcomes     map[string]int // of attempts, as the sidecar counts them
-	Budget       Budget         // of its sidecar's retries
-	P50, P99     float64        // ms of calls that were served, as the caller before it saw them; of tier 1 as Front
-	RemainingP50 float64        // ms of the deadline left as it was asked
+	CallerLeft   int            // the caller left, or had no answer by its deadline
+	Outcomes     map[string]int // of attempts, by the sidecar's counters
+	Budget       Budget         // of the sidecar's retries
+	P50, P99     float64        // ms, of served calls as the tier before it saw them; of the first tier as in Front
+	RemainingP50 float64        // ms left until the deadline when the calls were made
 	RemainingMin float64
-	CPU          float64 // microseconds of its sidecar's processor for a request that it was asked
+	CPU          float64 // microseconds of the sidecar's CPU time for each request
 	RSSMB        float64
 	FDs          int
 }
 
-// Retries are attempts beyond the first of each request that was sent. What was refused unsent hides some of them.
+// Retries returns the number of attempts beyond the first one of each request. Requests that the sidecar refused without an
+// attempt hide some retries.
 func (t ChainTier) Retries() int { return max(0, t.Attempts-t.Requests) }
 
-// chainScene is one tier; a chain has so many alike.
-const chainScene = `
+// chainScenario has one tier; a chain repeats it.
+const chainScenario = `
 name = "chain"
 duration = "1h"
 margin = "300ms"
@@ -95,47 +96,48 @@
 rate = 1
 `
 
-func (c *ChainConf) scene() (*scenario.Scenario, error) {
-	s, err := scenario.Parse("chain", []byte(chainScene))
+// scenario returns the scenario of the chain, with one tier for each step of its depth.
+func (c *ChainConf) scenario() (*scenario.Scenario, error) {
+	s, err := scenario.Parse("chain", []byte(chainScenario))
 	if err != nil {
 		return nil, err
 	}
 	s.Load.Rate, s.Duration = c.Rate, c.For
 	s.Classes[0].Deadline, s.Classes[0].Aim = c.Deadline, min(s.Classes[0].Aim, c.Deadline)
-	one := s.Tiers[0]
-	one.Endpoints, one.Calls = c.Endpoints, 0
+	tierConf := s.Tiers[0]
+	tierConf.Endpoints, tierConf.Calls = c.Endpoints, 0
 	s.Tiers = nil
 	for n := range c.Depth {
-		one.Name = fmt.Sprintf("t%d", n+1)
-		s.Tiers = append(s.Tiers, one)
+		tierConf.Name = fmt.Sprintf("t%d", n+1)
+		s.Tiers = append(s.Tiers, tierConf)
 	}
 	return s, nil
 }
 
-// chain is a chain at work.
+// chain is the state of a chain's measurement.
 type chain struct {
-	*rig
-	conf  ChainConf
-	links []*link // one a tier
-	calls atomic.Int64
+	*run
+	conf   ChainConf
+	stages []*chainStage // one for each tier
+	calls  atomic.Int64  // numbers the calls
 }
 
-// link is a tier, and the ways to it.
-type link struct {
-	list      *fake.Discovery
-	sidecar   *sidecar
-	through   *load.Client
-	straight  *load.Client // nil without a straight way
-	direct    *front
-	endpoints []*fake.Endpoint // those of the way through sidecars first
+// chainStage is a tier and the two paths to it.
+type chainStage struct {
+	discovery   *fake.Discovery
+	sidecar     *sidecar
+	through     *load.Client     // through the sidecar
+	direct      *load.Client     // without a sidecar; nil unless CompareDirect is set
+	directFront *front           // picks endpoints for direct
+	endpoints   []*fake.Endpoint // those behind the sidecar first
 
-	mu         sync.Mutex
-	took, used *hdrhistogram.Histogram // of calls, and of the deadline when they were made
+	mu                sync.Mutex
+	latency, timeUsed *hdrhistogram.Histogram // of the calls, and of the deadline's time that was used up when they were made
 }
 
-// MeasureChain plays one chain.
+// MeasureChain runs one chain and returns its statistics.
 func MeasureChain(ctx context.Context, conf ChainConf, opts Options) (*Chain, error) {
-	scene, err := conf.scene()
+	sc, err := conf.scenario()
 	if err != nil {
 		return nil, err
 	}
@@ -144,96 +146,98 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	c := &chain{rig: newRig(scene, conf.Seed, opts, dir), conf: conf}
-	c.share(oracle.NewService(nil, 0))
-	defer c.end()
+	c := &chain{run: newRun(sc, conf.Seed, opts, dir), conf: conf}
+	c.openChecker(oracle.NewService(nil, 0))
+	defer c.stop()
 	if err := c.start(ctx); err != nil {
 		return nil, err
 	}
-	return c.play(ctx)
+	return c.sendLoad(ctx)
 }
 
-// start starts the last tier first: those before it call it.
+// start starts the tiers from the last to the first, since each tier calls the next one.
 func (c *chain) start(ctx context.Context) error {
-	for range c.scene.Tiers {
-		c.lists = append(c.lists, fake.NewDiscovery(c.book))
+	for range c.scenario.Tiers {
+		c.discoveries = append(c.discoveries, fake.NewDiscovery(c.checker))
 	}
-	c.links = make([]*link, c.conf.Depth)
+	c.stages = make([]*chainStage, c.conf.Depth)
 	for n := c.conf.Depth - 1; n >= 0; n-- {
-		l := &link{list: c.lists[n], direct: &front{}, took: newLatencies(), used: newLatencies()}
-		c.links[n] = l
-		if err := c.startServices(n, l); err != nil {
+		stage := &chainStage{discovery: c.discoveries[n], directFront: &front{}, latency: newHistogram(), timeUsed: newHistogram()}
+		c.stages[n] = stage
+		if err := c.startEndpoints(n, stage); err != nil {
 			return err
 		}
-		l.sidecar = &sidecar{
-			rig: c.rig, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, own: c.conf.PerCaller, zone: "a",
+		stage.sidecar = &sidecar{
+			run: c.run, name: fmt.Sprintf("s%d", n+1), tier: n, peers: c.conf.Peers, perCaller: c.conf.PerCaller, zone: "a",
 		}
-		if err := l.sidecar.settle(); err != nil {
+		if err := stage.sidecar.assignAddresses(); err != nil {
 			return err
 		}
-		c.addSidecar(l.sidecar)
-		target, err := l.sidecar.start(ctx)
+		c.addSidecar(stage.sidecar)
+		target, err := stage.sidecar.start(ctx)
 		if err != nil {
 			return err
 		}
-		only := &load.SingleTarget{}
-		only.Set(target)
-		l.through = load.NewClient(c.book, only, c.grace())
+		front := &load.SingleTarget{}
+		front.Set(target)
+		stage.through = load.NewClient(c.checker, front, c.clientGrace())
 		if c.conf.CompareDirect {
-			l.straight = load.NewClient(c.book, l.direct, c.grace())
+			stage.direct = load.NewClient(c.checker, stage.directFront, c.clientGrace())
 		}
 	}
 	return nil
 }
 
-// startServices starts a tier's stand-ins: those that its sidecar sends to, and as many of the straight way.
-func (c *chain) startServices(n int, l *link) error {
-	ways := 1
+// startEndpoints starts a tier's fake endpoints: those that its sidecar sends to, and if CompareDirect is set as many of the
+// direct path.
+func (c *chain) startEndpoints(n int, stage *chainStage) error {
+	paths := 1
 	if c.conf.CompareDirect {
-		ways = 2
+		paths = 2
 	}
-	for i := range ways * c.conf.Endpoints {
-		straight := i >= c.conf.Endpoints
-		host, err := c.hosts.take()
+	for i := range paths * c.conf.Endpoints {
+		isDirect := i >= c.conf.Endpoints
+		host, err := c.hosts.acquire()
 		if err != nil {
 			return err
 		}
-		t := c.scene.Tiers[n]
+		t := c.scenario.Tiers[n]
 		conf := fake.EndpointConf{
 			Name: fmt.Sprintf("%s-%d", t.Name, i), Address: host + ":0", ServerModel: t.ServerModel,
-			IdleFor: c.scene.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
-			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scene.Classes[0].Work}},
+			IdleFor: c.scenario.Limits.ConnIdle, BodyBytes: t.Body, Seed: c.conf.Seed<<16 + uint64(n<<8+i),
+			Classes: map[string]fake.ClassConf{"look": {Effect: decide.Safe, Work: c.scenario.Classes[0].Work}},
 		}
 		if n+1 < c.conf.Depth {
-			next := c.links[n+1]
+			next := c.stages[n+1]
 			client := next.through
-			if straight {
-				client = next.straight
+			if isDirect {
+				client = next.direct
 			}
 			conf.Calls = 1
 			conf.Call = func(ctx context.Context, until time.Duration, _ string) bool {
 				return c.call(ctx, next, client, until)
 			}
 		}
-		e, err := fake.StartEndpoint(conf, c.book)
+		e, err := fake.StartEndpoint(conf, c.checker)
 		if err != nil {
 			return err
 		}
-		l.endpoints = append(l.endpoints, e)
-		if straight {
-			l.direct.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
+		stage.endpoints = append(stage.endpoints, e)
+		if isDirect {
+			stage.directFront.add(&load.Target{Name: "straight-" + t.Name, Address: e.Address()})
 			continue
 		}
-		l.list.SetLines(fake.Line{
+		stage.discovery.SetLines(fake.Line{
 			Name: e.Name(), Address: e.Address(), Zone: "a", Type: "lab", Group: 1, Status: fake.Serving, Weight: 1,
 		})
 	}
 	return nil
 }
 
-// call makes a service's call of the next tier, with what is left of its own request's time, and fails when it fails.
-func (c *chain) call(ctx context.Context, to *link, client *load.Client, until time.Duration) bool {
-	began := c.book.Now()
+// call makes a service's call of the next tier, with the time that is left of the service's own request. It reports whether the
+// call was served.
+func (c *chain) call(ctx context.Context, to *chainStage, client *load.Client, until time.Duration) bool {
+	began := c.checker.Now()
 	result := client.Send(ctx, load.Request{
 		ID: fmt.Sprintf("c%x", c.calls.Add(1)), Class: "look", Tier: 1, Effect: decide.Safe, Deadline: until,
 	})
@@ -241,137 +245,137 @@
 	if client == to.through {
 		to.mu.Lock()
 		defer to.mu.Unlock()
-		observe(to.used, c.conf.Deadline-(until-began))
+		observe(to.timeUsed, c.conf.Deadline-(until-began))
 		if served {
-			observe(to.took, c.book.Now()-began)
+			observe(to.latency, c.checker.Now()-began)
 		}
 	}
 	return served
 }
 
-// end ends whatever stands.
-func (c *chain) end() {
-	for _, l := range c.links {
-		if l == nil {
+// stop stops everything that was started.
+func (c *chain) stop() {
+	for _, stage := range c.stages {
+		if stage == nil {
 			continue
 		}
-		for _, client := range [2]*load.Client{l.through, l.straight} {
+		for _, client := range [2]*load.Client{stage.through, stage.direct} {
 			if client != nil {
 				client.Close()
 			}
 		}
-		for _, e := range l.endpoints {
+		for _, e := range stage.endpoints {
 			e.Kill()
 		}
 	}
-	c.endAll()
+	c.stopAll()
 }
 
-// play sends the load, with the trouble in place from the start, and takes the figures.
-func (c *chain) play(ctx context.Context) (*Chain, error) {
-	last := c.links[c.conf.Depth-1]
+// sendLoad sends the load, with the trouble in effect from the start, and returns the measurements.
+func (c *chain) sendLoad(ctx context.Context) (*Chain, error) {
+	last := c.stages[c.conf.Depth-1]
 	for _, e := range last.endpoints {
 		e.SetTrouble(c.conf.Trouble, c.conf.Share)
 	}
 	before := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.links {
+	for n, stage := range c.stages {
 		var err error
-		if before[n], err = l.sidecar.proc.ran(); err != nil {
+		if before[n], err = stage.sidecar.proc.cpuTime(); err != nil {
 			return nil, err
 		}
 	}
-	ways := []*load.Client{c.links[0].through}
+	paths := []*load.Client{c.stages[0].through}
 	if c.conf.CompareDirect {
-		ways = append(ways, c.links[0].straight)
+		paths = append(paths, c.stages[0].direct)
 	}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	out := &Chain{}
-	took, lag := [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, newLatencies()
-	side, stopSide := context.WithCancel(ctx)
-	wait.Go(func() { c.look(side) })
+	latency, lag := [2]*hdrhistogram.Histogram{newHistogram(), newHistogram()}, newHistogram()
+	background, stopBackground := context.WithCancel(ctx)
+	wait.Go(func() { c.monitor(background) })
 	var sending sync.WaitGroup
-	base := c.book.Now()
-	for src := c.scene.Plan().Arrivals(c.conf.Seed); ctx.Err() == nil; {
+	base := c.checker.Now()
+	for src := c.scenario.Plan().Arrivals(c.conf.Seed); ctx.Err() == nil; {
 		a, ok := src.Next()
 		if !ok {
 			break
 		}
 		c.waitUntil(ctx, base+a.At)
 		sending.Go(func() {
-			late := c.book.Now() - base - a.At
-			client := ways[a.Number%len(ways)]
-			way := 1
-			if client != c.links[0].through {
-				way = 0
+			late := c.checker.Now() - base - a.At
+			client := paths[a.Number%len(paths)]
+			path := 1
+			if client != c.stages[0].through {
+				path = 0
 			}
 			result := client.Send(ctx, load.Request{
 				ID: fmt.Sprintf("f%d", a.Number), Class: "look", Effect: decide.Safe, Deadline: base + a.At + c.conf.Deadline,
 			})
-			end := c.book.Now() - base - a.At
+			end := c.checker.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(lag, late)
-			out.Front[way].Requests++
+			out.Front[path].Requests++
 			if result.Ending == load.Answered && result.Verdict == oracle.Served {
-				out.Front[way].Served++
-				observe(took[way], end)
+				out.Front[path].Served++
+				observe(latency[path], end)
 			}
 		})
 	}
 	sending.Wait()
-	out.Seconds = (c.book.Now() - base).Seconds()
-	stopSide()
+	out.Seconds = (c.checker.Now() - base).Seconds()
+	stopBackground()
 	wait.Wait()
-	time.Sleep(settleTime)
+	time.Sleep(settleDelay)
 	out.Lag = quantile(lag, 99)
-	for way := range took {
-		out.Front[way].P50, out.Front[way].P99 = quantile(took[way], 50), quantile(took[way], 99)
+	for path := range latency {
+		out.Front[path].P50, out.Front[path].P99 = quantile(latency[path], 50), quantile(latency[path], 99)
 	}
-	return out, c.take(ctx, out, before, took[1])
+	return out, c.collect(ctx, out, before, latency[1])
 }
 
-// take takes each tier's figures.
-func (c *chain) take(ctx context.Context, out *Chain, before []time.Duration, front *hdrhistogram.Histogram) error {
+// collect fills in the statistics of each tier.
+func (c *chain) collect(ctx context.Context, out *Chain, before []time.Duration, front *hdrhistogram.Histogram) error {
 	if ctx.Err() != nil {
 		return fmt.Errorf("interrupted: %w", ctx.Err())
 	}
-	ran := make([]time.Duration, c.conf.Depth)
-	for n, l := range c.links {
-		after, err := l.sidecar.proc.ran()
+	cpu := make([]time.Duration, c.conf.Depth)
+	for n, stage := range c.stages {
+		after, err := stage.sidecar.proc.cpuTime()
 		if err != nil {
 			return err
 		}
-		ran[n] = after - before[n]
+		cpu[n] = after - before[n]
 	}
-	var account oracle.Report
-	for n, l := range c.links {
-		said := l.sidecar.close(true)
+	var report oracle.Report
+	for n, stage := range c.stages {
+		rec := stage.sidecar.finish(true)
 		if n == 0 {
-			observe(l.used, 0)
-			l.took = front
+			observe(stage.timeUsed, 0)
+			stage.latency = front
 		}
-		l.mu.Lock()
+		stage.mu.Lock()
 		t := ChainTier{
-			P50: quantile(l.took, 50), P99: quantile(l.took, 99), RemainingP50: millis(c.conf.Deadline) - quantile(l.used, 50),
-			RemainingMin: millis(c.conf.Deadline) - quantile(l.used, 100), RSSMB: said.RSSMB, FDs: said.FDs,
+			P50: quantile(stage.latency, 50), P99: quantile(stage.latency, 99), RemainingP50: millis(c.conf.Deadline) - quantile(stage.timeUsed, 50),
+			RemainingMin: millis(c.conf.Deadline) - quantile(stage.timeUsed, 100), RSSMB: rec.RSSMB, FDs: rec.FDs,
 		}
-		l.mu.Unlock()
-		if said.Counters != nil {
-			t.Outcomes = said.Counters.Attempts
+		stage.mu.Unlock()
+		if rec.Counters != nil {
+			t.Outcomes = rec.Counters.Attempts
 		}
 		out.Tiers = append(out.Tiers, t)
 	}
-	c.book.Do(func(b *oracle.Checker) { account = b.Close() })
-	out.NumViolations, out.Violations, out.BalanceErr = account.NumViolations(), account.Violations, account.Balance()
+	c.checker.Do(func(b *oracle.Checker) { report = b.Close() })
+	out.NumViolations, out.Violations, out.BalanceErr = report.NumViolations(), report.Violations, report.Balance()
 	for n := range out.Tiers {
-		t, tally := &out.Tiers[n], account.Sidecars[c.links[n].sidecar.name]
-		if tally == nil { // nothing was asked of it
+		t, tally := &out.Tiers[n], report.Sidecars[c.stages[n].sidecar.name]
+		if tally == nil { // its sidecar received no request
 			tally = &oracle.Tally{}
 		}
 		t.Requests, t.Attempts, t.CallerLeft = tally.Requests, tally.Arrivals, tally.ClientLeft+tally.Interrupted
 		t.Served, t.Refused, t.Failed = tally.Answers[oracle.Served], tally.Answers[oracle.Refused], tally.Answers[oracle.Failed]
-		t.CPU = ratio(int(ran[n].Microseconds()), t.Requests)
+		t.CPU = ratio(int(cpu[n].Microseconds()), t.Requests)
 		t.Budget = NewBudget(c.conf.PerCaller, c.conf.Peers, t.Outcomes["served"], out.Seconds)
 	}
 	return nil
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -30,136 +30,141 @@
 	"heathgap/internal/versions"
 )
 
-// A crew of real processes with relays between them: faults on the ways and of the processes, a load that endpoints
-// count, and a book (internal/lab/consistency) that judges from outside.
+// A cluster run starts a cluster of real processes with relays between them. It applies faults to the network paths and to the
+// processes, sends load that the endpoints count, and records what it sees in a checker (package consistency) that knows nothing
+// of the cluster's inner state.
 
-// Figures of a crew's rig.
+// Parameters of a cluster run.
 const (
-	crewEndpoints  = 4
-	pollCrew       = 40 * time.Millisecond  // each process is asked so often what it acts on
-	pollTime       = 500 * time.Millisecond // for one answer: a process may be stopped
-	probeEvery     = 200 * time.Millisecond // a request that all endpoints break off: is it sent again?
-	probedClass    = "pay"
-	loadClass      = "look"
-	crewMargin     = 250 * time.Millisecond // for a poll, its answer and a busy machine
-	leaderTime     = 15 * time.Second       // for a crew to form and to have a leader
-	proposeTime    = 2 * time.Second        // for one try of a proposal
-	leastAttempts  = 2                      // with two a probe shows whether it may be sent again, at one retry's price
-	settleFor      = 1500 * time.Millisecond
-	twinMark       = "'"
-	hangUpAfter    = time.Millisecond // a proposer that dies: its word is out, and no answer can have come
-	crewDeadlineMS = 800.0
-	crewKeep       = 2 * time.Minute
-	crewLostAfter  = 10 * time.Second
+	numEndpoints      = 4
+	statusInterval    = 40 * time.Millisecond  // between two status requests to a process
+	rpcTimeout        = 500 * time.Millisecond // for one answer to the harness: the process may be stopped
+	probeInterval     = 200 * time.Millisecond // between two probes to a process: requests that all endpoints break off, to see whether they are sent again
+	probedClass       = "pay"
+	loadClass         = "look"
+	checkerMargin     = 250 * time.Millisecond  // that the checker allows for a status request, its answer and a busy machine
+	leaderTimeout     = 15 * time.Second        // for a cluster to form and to have a leader
+	proposeTimeout    = 2 * time.Second         // for one attempt of a proposal
+	maxAttempts       = 2                       // with two attempts a probe shows whether it may be sent again, at the price of one retry
+	afterAgreedDelay  = 1500 * time.Millisecond // after the last agreed version is in effect, before the checks
+	duplicateSuffix   = "'"                     // in the name of a duplicate: a second process that is started under the same member name
+	hangUpTimeout     = time.Millisecond        // a proposer that dies: its request has been sent, and no answer can have arrived
+	clusterDeadlineMS = 800.0                   // the deadline of all classes, in ms
+	outcomeLifetime   = 2 * time.Minute         // the holdings' setting keep: how long outcomes are kept
+	holdingsLostAfter = 10 * time.Second        // the holdings' setting lost_after
 )
 
-// ClusterOptions are those of a run.
+// ClusterOptions are the options of a cluster run.
 type ClusterOptions struct {
-	Program  func() *exec.Cmd // a command that runs one member
-	LogDir   string           // for the processes' logs; empty for none
-	Dir      string           // for their files; empty for one of the run's own, which ends with it
-	Progress func(line string)
-	// OlderProgram is a command that runs one member of an older build, for the step of that name; nil for none.
+	Program  func() *exec.Cmd  // returns a command that runs one member
+	LogDir   string            // for the processes' logs; empty for none
+	Dir      string            // for the processes' files; empty for a temporary folder, which is removed at the end
+	Progress func(line string) // receives each step as it is applied; nil for none
+	// OlderProgram returns a command that runs one member of an older build, for the step "older"; nil if there is none.
 	OlderProgram func() *exec.Cmd
-	// Separate starts the processes without a crew, each with its own rules: what the crew prevents shows so.
+	// Separate starts the processes without a cluster, each with its own rules. This shows the contradictions that a cluster
+	// prevents.
 	Separate bool
 }
 
-// ClusterRecord is what a run came to.
+// ClusterRecord is the result of a cluster run.
 type ClusterRecord struct {
 	Name          string   `json:"name"`
 	Seed          uint64   `json:"seed"`
 	Processes     int      `json:"processes"`
-	Steps         []string `json:"steps"` // as they were played
+	Steps         []string `json:"steps"` // as they were applied, with their times
 	NumViolations int      `json:"broken"`
 	Violations    []string `json:"breaks,omitempty"`
-	// Contradicted is the longest that an act went on which another member held forbidden.
-	Contradicted     float64            `json:"contradicted_ms"`
-	MaxContradiction float64            `json:"contradict_at_most_ms"`
-	Acts             int                `json:"acts"`
-	Against          int                `json:"acts_against"`
-	Requests         int                `json:"asked"`
-	Served           int                `json:"served"`
-	Versions         []ClusterVersion   `json:"versions,omitempty"`
-	Leaders          map[uint64]string  `json:"leaders,omitempty"`   // by term
-	Replaced         []string           `json:"replaced,omitempty"`  // keepers whose folder was lost
-	LeaderMS         []float64          `json:"leader_ms,omitempty"` // from each strike on a leader until another one was heard of
-	CautiousMS       map[string]float64 `json:"cautious_ms,omitempty"`
-	WholeMS          []float64          `json:"whole_ms,omitempty"` // from each lost process until all it held had its copies elsewhere
-	Orders           *KeyedRecord       `json:"orders,omitempty"`
-	RSSMB            map[string]float64 `json:"rss_mb"` // of the last start
-	CPU              map[string]float64 `json:"cpu_s"`  // of the last start
+	// Contradicted is the longest time for which a process went on with an action that the rules of another member forbade, in
+	// ms.
+	Contradicted         float64            `json:"contradicted_ms"`
+	MaxContradiction     float64            `json:"contradict_at_most_ms"` // the longest that the scenario allows
+	Actions              int                `json:"acts"`                  // at the endpoints
+	ActionsAgainstOthers int                `json:"acts_against"`          // actions that the rules of another member forbade
+	Requests             int                `json:"asked"`
+	Served               int                `json:"served"`
+	Versions             []ClusterVersion   `json:"versions,omitempty"`
+	Leaders              map[uint64]string  `json:"leaders,omitempty"`     // by term
+	Replaced             []string           `json:"replaced,omitempty"`    // voters that were replaced after the loss of their data directory
+	LeaderMS             []float64          `json:"leader_ms,omitempty"`   // for each fault of a leader, until a status report named another one
+	CautiousMS           map[string]float64 `json:"cautious_ms,omitempty"` // how long each process was cautious
+	ReplicatedMS         []float64          `json:"whole_ms,omitempty"`    // for each lost process, until all that it held had its copies elsewhere
+	Keyed                *KeyedRecord       `json:"orders,omitempty"`
+	RSSMB                map[string]float64 `json:"rss_mb"` // peak of the last start
+	CPU                  map[string]float64 `json:"cpu_s"`  // of the last start
 }
 
-// ClusterVersion is how one proposal went.
+// ClusterVersion is the result of one proposal.
 type ClusterVersion struct {
 	Number   uint64  `json:"number"`
-	State    string  `json:"state"`
-	Why      string  `json:"why,omitempty"`
-	ActiveMS float64 `json:"active_ms,omitempty"` // until the last live member acted on it alone
+	State    string  `json:"state"`               // "active" or "refused"
+	Reason   string  `json:"why,omitempty"`       // why it was refused
+	ActiveMS float64 `json:"active_ms,omitempty"` // from the proposal until no older version was in effect at any live member
 }
 
-// crewProc is one process over all its starts.
-type crewProc struct {
-	name    string        // in the run; that of a second process of a name has twinMark behind it
-	goes    string        // the name that it is started with
-	older   bool          // it is to be started as an older build
-	other   atomic.Uint64 // 1 once it was started with other rules, without a crew
-	host    string
-	listen  string
-	address string // of its part in the crew
-	dir     string
-	starts  int
-	proc    *process
-	line    *peerrpc.Client
+// clusterProcess is one process of the cluster over all its starts.
+type clusterProcess struct {
+	name            string        // unique in the run: a duplicate has duplicateSuffix behind the member name
+	memberName      string        // the name that it is started with
+	older           bool          // it is started as an older build
+	separateVersion atomic.Uint64 // in a run with ClusterOptions.Separate: 1 once the process was started with other rules
+	host            string
+	listen          string // address for callers
+	peerAddress     string // address for other members
+	dir             string
+	starts          int
+	proc            *process
+	rpc             *peerrpc.Client
 
-	mu   sync.Mutex
-	up   bool // it runs, and is not stopped
-	busy bool // a fault of the process itself has not ended
+	mu      sync.Mutex
+	running bool // it has started, and is neither ended nor stopped
+	faulted bool // a fault of the process itself has not been reverted yet
 }
 
-// crewRig is a run.
-type crewRig struct {
-	scene *scenario.Cluster
-	opts  ClusterOptions
-	seed  uint64
-	dir   string
-	hosts *hosts
-	began time.Time
+// clusterRun is the state of a cluster run.
+type clusterRun struct {
+	scenario *scenario.Cluster
+	opts     ClusterOptions
+	seed     uint64
+	dir      string
+	hosts    *hostAllocator
+	began    time.Time
 
-	procs   []*crewProc
-	relays  map[[2]string]*relay // from one process to a keeper
-	folders map[string]uint64    // keepers' ids when the crew was formed
-	ends    []*crewEndpoint
+	procs     []*clusterProcess
+	relays    map[[2]string]*relay // by the names of the process that connects and of the one that it connects to
+	voterIDs  map[string]uint64    // the voters' ids when the cluster was formed
+	endpoints []*clusterEndpoint
 
-	mu       sync.Mutex // guards book and what follows
-	book     *consistency.Checker
-	rec      ClusterRecord
-	leader   string // as last said
-	lastTerm uint64
-	lastTold uint64
-	losing   string                   // a keeper whose folder is lost and not replaced yet; empty for none
-	lostID   uint64                   // the lost folder's
-	struck   time.Duration            // when the leader was killed or stopped; 0 once another one leads
-	pending  map[uint64]time.Duration // versions on their way, and when they were proposed
-	lastAt   map[string]member.Status
-	cautious map[string]time.Duration
-	asked    atomic.Int64
-	served   atomic.Int64
-	ids      sync.Map     // of probes that have come to an endpoint
-	cuts     atomic.Int64 // that have not ended
-	orders   *orders
+	mu            sync.Mutex // guards checker and the fields up to cautious
+	checker       *consistency.Checker
+	rec           ClusterRecord
+	leader        string                   // by the last report
+	lastTerm      uint64                   // of that report
+	lastAgreed    uint64                   // number of the newest version that a leader has confirmed
+	lostVoter     string                   // a voter that has lost its data directory and is not replaced yet; empty for none
+	lostVoterID   uint64                   // its id before the loss
+	leaderFaultAt time.Duration            // when the leader was killed or stopped; 0 once another one leads
+	pending       map[uint64]time.Duration // when each agreed version that is not in effect everywhere was proposed
+	lastStatus    map[string]member.Status // by process
+	cautious      map[string]time.Duration // how long each process was cautious
+	requests      atomic.Int64             // of the load
+	served        atomic.Int64             // of the load
+	probeIDs      sync.Map                 // ids of the probes that have arrived at an endpoint
+	partitions    atomic.Int64             // that have not been healed
+	keyed         *keyedLoad
 }
 
-// seen tells whether a probe has come before.
-func (r *crewRig) seen(id string) bool {
-	_, before := r.ids.LoadOrStore(id, struct{}{})
+// probeSeen records the arrival of a probe and reports whether it has arrived before.
+func (r *clusterRun) probeSeen(id string) bool {
+	_, before := r.probeIDs.LoadOrStore(id, struct{}{})
 	return before
 }
 
-func (r *crewRig) now() time.Duration { return time.Since(r.began) }
+// now returns the time since the run began, which is the clock of the checker and of the record.
+func (r *clusterRun) now() time.Duration { return time.Since(r.began) }
 
-func (r *crewRig) note(format string, args ...any) {
+// logStep records a line with the current time and reports it as progress.
+func (r *clusterRun) logStep(format string, args ...any) {
 	line := fmt.Sprintf("%6.2fs ", r.now().Seconds()) + fmt.Sprintf(format, args...)
 	r.mu.Lock()
 	r.rec.Steps = append(r.rec.Steps, line)
@@ -169,8 +174,8 @@
 	}
 }
 
-// RunCluster plays a crew's scenario.
-func RunCluster(ctx context.Context, scene *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
+// RunCluster runs a cluster scenario with a seed and returns its record. An error means that there is no record.
+func RunCluster(ctx context.Context, sc *scenario.Cluster, seed uint64, opts ClusterOptions) (*ClusterRecord, error) {
 	dir, err := opts.Dir, error(nil)
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "heathgap-crew-"); err != nil {
@@ -178,214 +183,217 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	r := &crewRig{
-		scene: scene, opts: opts, seed: seed, dir: dir, hosts: newHosts(), began: time.Now(), relays: map[[2]string]*relay{},
-		book: consistency.New(consistency.Conf{MaxContradiction: scene.ContradictAtMost, Margin: crewMargin}), pending: map[uint64]time.Duration{},
-		lastAt: map[string]member.Status{}, cautious: map[string]time.Duration{},
-		rec: ClusterRecord{Name: scene.Name, Seed: seed, Processes: scene.Voters + scene.Members, Leaders: map[uint64]string{},
+	r := &clusterRun{
+		scenario: sc, opts: opts, seed: seed, dir: dir, hosts: newHostAllocator(), began: time.Now(), relays: map[[2]string]*relay{},
+		checker: consistency.New(consistency.Conf{MaxContradiction: sc.ContradictAtMost, Margin: checkerMargin}), pending: map[uint64]time.Duration{},
+		lastStatus: map[string]member.Status{}, cautious: map[string]time.Duration{},
+		rec: ClusterRecord{Name: sc.Name, Seed: seed, Processes: sc.Voters + sc.Members, Leaders: map[uint64]string{},
 			RSSMB: map[string]float64{}, CPU: map[string]float64{},
-			MaxContradiction: millis(scene.ContradictAtMost)},
+			MaxContradiction: millis(sc.ContradictAtMost)},
 	}
-	r.book.RecordVersion(0, consistency.Forbidden{})
-	r.orders = newOrders(r)
-	defer r.close()
+	r.checker.RecordVersion(0, consistency.Forbidden{})
+	r.keyed = newKeyedLoad(r)
+	defer r.stopAll()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	playing, done := context.WithCancel(ctx)
-	var all sync.WaitGroup
+	running, stopRunning := context.WithCancel(ctx)
+	var tasks sync.WaitGroup
 	for _, p := range r.procs {
-		all.Go(func() { r.poll(playing, p) })
-		all.Go(func() { r.probe(playing, p) })
-		all.Go(func() { r.load(playing, p) })
+		tasks.Go(func() { r.pollStatus(running, p) })
+		tasks.Go(func() { r.sendProbes(running, p) })
+		tasks.Go(func() { r.sendLoad(running, p) })
 	}
-	ordering, enough := context.WithCancel(playing)
-	defer enough()
-	ordered := make(chan struct{})
+	sendingKeyed, stopKeyed := context.WithCancel(running)
+	defer stopKeyed()
+	keyedDone := make(chan struct{})
 	go func() {
-		defer close(ordered)
-		if r.scene.KeyedRate > 0 {
-			r.orders.run(ordering)
+		defer close(keyedDone)
+		if r.scenario.KeyedRate > 0 {
+			r.keyed.run(sendingKeyed)
 		}
 	}()
-	err = r.play(ctx)
-	enough()
-	<-ordered
+	err = r.runSteps(ctx)
+	stopKeyed()
+	<-keyedDone
 	if err == nil {
-		err = r.settle(ctx)
+		err = r.awaitPending(ctx)
 	}
-	done()
-	all.Wait()
+	stopRunning()
+	tasks.Wait()
 	if err != nil {
 		return nil, err
 	}
-	r.judge()
-	if r.scene.KeyedRate > 0 {
-		r.orders.close(&r.rec)
+	r.checkResult()
+	if r.scenario.KeyedRate > 0 {
+		r.keyed.finish(&r.rec)
 	}
 	return &r.rec, nil
 }
 
-// start starts endpoints, relays and processes, and waits until there is a leader.
-func (r *crewRig) start(ctx context.Context) error {
-	for i := range crewEndpoints {
-		e, err := startCrewEndpoint(r, fmt.Sprintf("e-%d", i+1))
+// start starts the endpoints, the relays and the processes. It waits until all processes hold a lease.
+func (r *clusterRun) start(ctx context.Context) error {
+	for i := range numEndpoints {
+		e, err := startClusterEndpoint(r, fmt.Sprintf("e-%d", i+1))
 		if err != nil {
 			return err
 		}
-		r.ends = append(r.ends, e)
+		r.endpoints = append(r.endpoints, e)
 	}
+	// Voters are named k1, k2 and so on, other members m1, m2 and so on, as in scenario files.
 	var names []string
-	for i := range r.scene.Voters {
+	for i := range r.scenario.Voters {
 		names = append(names, fmt.Sprintf("k%d", i+1))
 	}
-	for i := range r.scene.Members {
+	for i := range r.scenario.Members {
 		names = append(names, fmt.Sprintf("m%d", i+1))
 	}
-	twins := 0
-	for _, s := range r.scene.Steps {
-		if twin := s.Who + twinMark; s.Do == "twin" && !slices.Contains(names, twin) {
-			names = append(names, twin)
-			twins++
+	duplicates := 0
+	for _, s := range r.scenario.Steps {
+		if duplicate := s.Who + duplicateSuffix; s.Do == "twin" && !slices.Contains(names, duplicate) {
+			names = append(names, duplicate)
+			duplicates++
 		}
 	}
 	for _, name := range names {
-		p := &crewProc{name: name, goes: strings.TrimSuffix(name, twinMark)}
+		p := &clusterProcess{name: name, memberName: strings.TrimSuffix(name, duplicateSuffix)}
 		p.dir = filepath.Join(r.dir, p.name)
 		var err error
-		if p.host, err = r.hosts.take(); err != nil {
+		if p.host, err = r.hosts.acquire(); err != nil {
 			return err
 		}
 		if p.listen, err = r.hosts.address(p.host); err != nil {
 			return err
 		}
-		if p.address, err = r.hosts.address(p.host); err != nil {
+		if p.peerAddress, err = r.hosts.address(p.host); err != nil {
 			return err
 		}
-		p.line = peerrpc.NewClient(env.Real{}, r.scene.Name, "lab", p.address)
+		p.rpc = peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
 		r.procs = append(r.procs, p)
 	}
-	first := r.procs[:len(r.procs)-twins]
-	reached := first // by each of the others: the keepers, and all where they hold something for one another
-	if r.scene.Copies == 0 {
-		reached = first[:r.scene.Voters]
+	originals := r.procs[:len(r.procs)-duplicates]
+	targets := originals // which the other processes connect to: the voters, or all processes where they hold replicas for one another
+	if r.scenario.Copies == 0 {
+		targets = originals[:r.scenario.Voters]
 	}
 	for _, p := range r.procs {
-		for _, k := range reached {
-			if p == k {
+		for _, target := range targets {
+			if p == target {
 				continue
 			}
-			host, err := r.hosts.take()
+			host, err := r.hosts.acquire()
 			if err != nil {
 				return err
 			}
-			way, err := newRelay(host, k.address)
+			relay, err := newRelay(host, target.peerAddress)
 			if err != nil {
 				return err
 			}
-			r.relays[[2]string{p.name, k.name}] = way
+			r.relays[[2]string{p.name, target.name}] = relay
 		}
 	}
 	var starting sync.WaitGroup
-	faults := make([]error, len(first))
-	for i, p := range first {
-		starting.Go(func() { faults[i] = r.startProc(ctx, p) })
+	errs := make([]error, len(originals))
+	for i, p := range originals {
+		starting.Go(func() { errs[i] = r.startMember(ctx, p) })
 	}
 	starting.Wait()
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	if r.opts.Separate {
 		return nil
 	}
-	limit := time.Now().Add(leaderTime)
+	deadline := time.Now().Add(leaderTimeout)
 	for {
 		ready := 0
-		for _, p := range first {
+		for _, p := range originals {
 			var a member.Status
-			if p.line.Call("acting", struct{}{}, &a, pollTime) == nil && !a.Cautious {
+			if p.rpc.Call("acting", struct{}{}, &a, rpcTimeout) == nil && !a.Cautious {
 				ready++
 			}
 		}
-		if ready == len(first) {
-			for _, p := range r.procs[:r.scene.Voters] { // for who is set back later
+		if ready == len(originals) {
+			for _, p := range r.procs[:r.scenario.Voters] { // the step "setback" restores this copy of the data directory
 				if err := os.CopyFS(filepath.Join(p.dir, "copy"), os.DirFS(filepath.Join(p.dir, "data"))); err != nil {
 					return err
 				}
 			}
 			var st voter.Status
-			if err := r.procs[0].line.Call("status", struct{}{}, &st, pollTime); err != nil {
+			if err := r.procs[0].rpc.Call("status", struct{}{}, &st, rpcTimeout); err != nil {
 				return err
 			}
-			r.folders = st.Ledger.Voters
-			if r.opts.Dir != "" && r.opts.Progress != nil { // for who tries commands on them
-				for _, p := range first {
+			r.voterIDs = st.Ledger.Voters
+			if r.opts.Dir != "" && r.opts.Progress != nil { // for a person who tries commands on the processes
+				for _, p := range originals {
 					r.opts.Progress(fmt.Sprintf("%s: zone %s, callers at %s, process %d, files in %s", p.name, r.zone(p), p.listen, p.proc.cmd.Process.Pid, p.dir))
 				}
 			}
-			r.note("%d processes hold a lease", ready)
+			r.logStep("%d processes hold a lease", ready)
 			return nil
 		}
-		if time.Now().After(limit) || ctx.Err() != nil {
-			return fmt.Errorf("only %d of %d processes hold a lease after %v; keep the logs (LogDir) and look there", ready, len(first), leaderTime)
+		if time.Now().After(deadline) || ctx.Err() != nil {
+			return fmt.Errorf("only %d of %d processes hold a lease after %v; set LogDir to keep their logs, which say why", ready, len(originals), leaderTimeout)
 		}
-		time.Sleep(pollCrew)
+		time.Sleep(statusInterval)
 	}
 }
 
-// operatorFile is what a process is told of the crew.
-func (r *crewRig) operatorFile(p *crewProc) string {
+// operatorConfig returns the operator's file of a process, which describes the cluster.
+func (r *clusterRun) operatorConfig(p *clusterProcess) string {
 	f := ClusterFile{
-		Name: r.scene.Name, Address: p.address, Data: filepath.Join(p.dir, "data"), Lease: r.scene.Lease, Drift: r.scene.Drift, Slack: r.scene.Slack,
-		ContradictAtMost: r.scene.ContradictAtMost, Copies: r.scene.Copies, Keep: crewKeep, LostAfter: crewLostAfter,
+		Name: r.scenario.Name, Address: p.peerAddress, Data: filepath.Join(p.dir, "data"), Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack,
+		ContradictAtMost: r.scenario.ContradictAtMost, Copies: r.scenario.Copies, Keep: outcomeLifetime, LostAfter: holdingsLostAfter,
 	}
-	for _, k := range r.procs[:r.scene.Voters] {
-		address := k.address
-		if way := r.relays[[2]string{p.name, k.name}]; way != nil {
-			address = way.address()
+	for _, v := range r.procs[:r.scenario.Voters] {
+		address := v.peerAddress
+		if relay := r.relays[[2]string{p.name, v.name}]; relay != nil {
+			address = relay.address()
 		}
-		f.Voters = append(f.Voters, NamedAddress{k.name, address})
+		f.Voters = append(f.Voters, NamedAddress{v.name, address})
 	}
-	for _, q := range r.procs[r.scene.Voters:] {
-		if way := r.relays[[2]string{p.name, q.name}]; way != nil {
-			f.Ways = append(f.Ways, NamedAddress{q.name, way.address()})
+	for _, q := range r.procs[r.scenario.Voters:] {
+		if relay := r.relays[[2]string{p.name, q.name}]; relay != nil {
+			f.Routes = append(f.Routes, NamedAddress{q.name, relay.address()})
 		}
 	}
 	return f.Text()
 }
 
-// config is a process's configuration. effect is that of the probed class.
-func (r *crewRig) config(p *crewProc, effect decide.Effect) ([]byte, error) {
+// sidecarConfig returns the sidecar's configuration of a process. effect is the effect of the probed class.
+func (r *clusterRun) sidecarConfig(p *clusterProcess, effect decide.Effect) ([]byte, error) {
 	f := SidecarFile{
-		Name: p.goes, Listen: p.listen, Host: p.host, Seed: r.seed + uint64(p.starts)*7919, Me: slices.Index(r.procs, p), Replicas: len(r.procs),
+		Name: p.memberName, Listen: p.listen, Host: p.host, Seed: r.seed + uint64(p.starts)*7919, Me: slices.Index(r.procs, p), Replicas: len(r.procs),
 		Zone: r.zone(p), Effect: effect,
 	}
-	for _, e := range r.ends {
+	for _, e := range r.endpoints {
 		f.Endpoints = append(f.Endpoints, NamedAddress{e.name, e.address})
 	}
 	return f.JSON()
 }
 
-// zone is where a process stands.
-func (r *crewRig) zone(p *crewProc) string {
-	return string(rune('a' + slices.Index(r.procs, p)%r.scene.Zones))
+// zone returns the zone of a process.
+func (r *clusterRun) zone(p *clusterProcess) string {
+	return string(rune('a' + slices.Index(r.procs, p)%r.scenario.Zones))
 }
 
-func (r *crewRig) startProc(ctx context.Context, p *crewProc) error {
-	return r.startAs(ctx, p, decide.Safe)
+// startMember starts a process with the usual effect of the probed class, which allows retries.
+func (r *clusterRun) startMember(ctx context.Context, p *clusterProcess) error {
+	return r.startWithEffect(ctx, p, decide.Safe)
 }
 
-func (r *crewRig) startAs(ctx context.Context, p *crewProc, effect decide.Effect) error {
+// startWithEffect writes the files of a process, starts it and waits until it is ready.
+func (r *clusterRun) startWithEffect(ctx context.Context, p *clusterProcess, effect decide.Effect) error {
 	p.starts++
 	if err := os.MkdirAll(filepath.Join(p.dir, "data"), 0o700); err != nil {
 		return err
 	}
-	conf, err := r.config(p, effect)
+	conf, err := r.sidecarConfig(p, effect)
 	if err != nil {
 		return err
 	}
 	confPath, operatorPath := filepath.Join(p.dir, "sidecar.json"), filepath.Join(p.dir, "operator.toml")
-	if err := errors.Join(os.WriteFile(confPath, conf, 0o600), os.WriteFile(operatorPath, []byte(r.operatorFile(p)), 0o600)); err != nil {
+	if err := errors.Join(os.WriteFile(confPath, conf, 0o600), os.WriteFile(operatorPath, []byte(r.operatorConfig(p)), 0o600)); err != nil {
 		return err
 	}
 	cmd := r.opts.Program()
@@ -403,163 +411,168 @@
 		logPath = filepath.Join(r.opts.LogDir, p.name+".log")
 	}
 	r.mu.Lock()
-	r.book.RecordStart(r.now(), p.name)
+	r.checker.RecordStart(r.now(), p.name)
 	r.mu.Unlock()
 	if p.proc, err = startProcess(cmd, p.name, confPath, logPath); err != nil {
 		return err
 	}
-	if err := waitUp(ctx, p.listen, p.proc); err != nil {
-		p.proc.end(syscall.SIGKILL)
-		p.proc.wait(killTime)
+	if err := waitReady(ctx, p.listen, p.proc); err != nil {
+		p.proc.stop(syscall.SIGKILL)
+		p.proc.wait(exitTimeout)
 		return fmt.Errorf("%s: %w: %s", p.name, err, p.proc.lastLine)
 	}
-	p.setUp(true)
+	p.setRunning(true)
 	return nil
 }
 
-func (p *crewProc) setUp(up bool) {
+func (p *clusterProcess) setRunning(up bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.up = up
+	p.running = up
 }
 
-// begin books a fault of the process itself; false while another one goes on: two would start it twice.
-func (p *crewProc) begin() bool {
+// beginFault marks the process as faulted. It returns false if the process is not running or if another fault has not been
+// reverted: two reverts would start the process twice.
+func (p *clusterProcess) beginFault() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy || !p.up {
+	if p.faulted || !p.running {
 		return false
 	}
-	p.busy = true
+	p.faulted = true
 	return true
 }
 
-func (p *crewProc) end() {
+// endFault marks the fault as reverted.
+func (p *clusterProcess) endFault() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy = false
+	p.faulted = false
 }
 
-func (p *crewProc) isUp() bool {
+func (p *clusterProcess) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.up
+	return p.running
 }
 
-// poll asks a process what it acts on, and a keeper who leads.
-func (r *crewRig) poll(ctx context.Context, p *crewProc) {
-	for ; ctx.Err() == nil; time.Sleep(pollCrew) {
+// pollStatus asks a process at intervals which rules are in effect there, and a voter also who leads.
+func (r *clusterRun) pollStatus(ctx context.Context, p *clusterProcess) {
+	for ; ctx.Err() == nil; time.Sleep(statusInterval) {
 		if r.opts.Separate {
 			r.mu.Lock()
-			r.book.RecordStatus(p.name, consistency.StatusReport{At: r.now(), Active: p.other.Load()})
+			r.checker.RecordStatus(p.name, consistency.StatusReport{At: r.now(), Active: p.separateVersion.Load()})
 			r.mu.Unlock()
 			continue
 		}
 		var a member.Status
-		asked := r.now()
-		if !p.isUp() || p.line.Call("acting", struct{}{}, &a, pollTime) != nil {
+		polledAt := r.now()
+		if !p.isRunning() || p.rpc.Call("acting", struct{}{}, &a, rpcTimeout) != nil {
 			continue
 		}
 		r.mu.Lock()
-		r.book.RecordStatus(p.name, consistency.StatusReport{At: asked, AnsweredAt: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
+		r.checker.RecordStatus(p.name, consistency.StatusReport{At: polledAt, AnsweredAt: r.now(), Cautious: a.Cautious, Active: a.Active, Next: a.Next})
 		if a.Cautious {
-			r.cautious[p.name] += pollCrew
+			r.cautious[p.name] += statusInterval
 		}
-		r.lastAt[p.name] = a
-		r.arrivedAt(asked)
+		r.lastStatus[p.name] = a
+		r.recordActiveEverywhere(polledAt)
 		r.mu.Unlock()
 		if strings.HasPrefix(p.name, "k") {
-			r.askLeader(p)
+			r.pollLeader(p)
 		}
 	}
 }
 
-// arrivedAt books versions that every live process acts on alone.
-func (r *crewRig) arrivedAt(now time.Duration) {
+// recordActiveEverywhere records the versions that are active at all live members, with no older version in effect. Members
+// without a lease (cautious) don't count. r.mu is held.
+func (r *clusterRun) recordActiveEverywhere(now time.Duration) {
 	for number, since := range r.pending {
-		all, one := true, false
+		allActive, anyActive := true, false
 		for _, p := range r.procs {
-			a, heard := r.lastAt[p.name]
-			acts := heard && !a.Cautious && a.Active >= number
-			one = one || acts && p.isUp()
-			all = all && (acts || !p.isUp() || heard && a.Cautious)
+			a, known := r.lastStatus[p.name]
+			active := known && !a.Cautious && a.Active >= number
+			anyActive = anyActive || active && p.isRunning()
+			allActive = allActive && (active || !p.isRunning() || known && a.Cautious)
 		}
-		if all && one {
+		if allActive && anyActive {
 			r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: number, State: "active", ActiveMS: millis(now - since)})
 			delete(r.pending, number)
 		}
 	}
 }
 
-func (r *crewRig) askLeader(p *crewProc) {
+// pollLeader asks a voter who leads, and records changes of the leader.
+func (r *clusterRun) pollLeader(p *clusterProcess) {
 	var s voter.Status
-	if p.line.Call("status", struct{}{}, &s, pollTime) != nil {
+	if p.rpc.Call("status", struct{}{}, &s, rpcTimeout) != nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A keeper names the leader of its term; who leads says so itself.
+	// A voter names the leader of its term, and a leader names itself. The name is empty if the voter knows none.
 	if s.Leader == "" {
 		return
 	}
-	r.book.RecordLeader(r.now(), s.Term, s.Leader)
-	if s.Leader == s.Name && r.losing != "" && s.Ledger.Voters[r.losing] != r.lostID {
-		r.losing = "" // its new folder has the lost one's place
+	r.checker.RecordLeader(r.now(), s.Term, s.Leader)
+	if s.Leader == s.Name && r.lostVoter != "" && s.Ledger.Voters[r.lostVoter] != r.lostVoterID {
+		r.lostVoter = "" // the ledger has the id of the voter's new data directory
 	}
 	if r.rec.Leaders[s.Term] = s.Leader; s.Term >= r.lastTerm {
-		if s.Term > r.lastTerm && r.struck > 0 {
-			r.rec.LeaderMS = append(r.rec.LeaderMS, millis(r.now()-r.struck))
-			r.struck = 0
+		if s.Term > r.lastTerm && r.leaderFaultAt > 0 {
+			r.rec.LeaderMS = append(r.rec.LeaderMS, millis(r.now()-r.leaderFaultAt))
+			r.leaderFaultAt = 0
 		}
 		r.leader, r.lastTerm = s.Leader, s.Term
 	}
 }
 
-// load asks for what is served, at an even pace.
-func (r *crewRig) load(ctx context.Context, p *crewProc) {
-	client := &http.Client{Timeout: time.Duration(crewDeadlineMS) * time.Millisecond}
+// sendLoad sends requests that endpoints serve to a process, at an even rate.
+func (r *clusterRun) sendLoad(ctx context.Context, p *clusterProcess) {
+	client := &http.Client{Timeout: time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
-	pace := time.NewTicker(time.Duration(float64(time.Second) / r.scene.Rate))
-	defer pace.Stop()
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / r.scenario.Rate))
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pace.C:
+		case <-ticker.C:
 		}
-		if !p.isUp() {
+		if !p.isRunning() {
 			continue
 		}
-		code := r.get(client, p, loadClass, n)
-		if !p.isUp() { // it was ended meanwhile: its client would have gone elsewhere
+		code := r.sendRequest(client, p, loadClass, n)
+		if !p.isRunning() { // it was ended meanwhile: a real client would have chosen another sidecar
 			continue
 		}
-		r.asked.Add(1)
+		r.requests.Add(1)
 		if code == http.StatusOK {
 			r.served.Add(1)
 		}
 	}
 }
 
-// probe asks for what all endpoints break off.
-func (r *crewRig) probe(ctx context.Context, p *crewProc) {
-	client := &http.Client{Timeout: 2 * time.Duration(crewDeadlineMS) * time.Millisecond}
+// sendProbes sends requests that all endpoints break off to a process, at an even rate.
+func (r *clusterRun) sendProbes(ctx context.Context, p *clusterProcess) {
+	client := &http.Client{Timeout: 2 * time.Duration(clusterDeadlineMS) * time.Millisecond}
 	defer client.CloseIdleConnections()
-	pace := time.NewTicker(probeEvery)
-	defer pace.Stop()
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-pace.C:
-			if p.isUp() {
-				r.get(client, p, probedClass, n)
+		case <-ticker.C:
+			if p.isRunning() {
+				r.sendRequest(client, p, probedClass, n)
 			}
 		}
 	}
 }
 
-func (r *crewRig) get(client *http.Client, p *crewProc, class string, n int) int {
+// sendRequest sends request n of a class to a process and returns the status code, or 0 if there was no answer.
+func (r *clusterRun) sendRequest(client *http.Client, p *clusterProcess, class string, n int) int {
 	q, err := http.NewRequest(http.MethodGet, "http://"+p.listen+"/"+class+"/x", nil)
 	if err != nil {
 		return 0
@@ -574,8 +587,9 @@
 	return answer.StatusCode
 }
 
-// byName finds a process: by its name, or by its part.
-func (r *crewRig) byName(who string) *crewProc {
+// processByName finds a process by its name, or by its part: "leader" or "follower" (the first running voter that does not lead).
+// It returns the first process if there is none.
+func (r *clusterRun) processByName(who string) *clusterProcess {
 	r.mu.Lock()
 	leader := r.leader
 	r.mu.Unlock()
@@ -583,8 +597,8 @@
 	case "leader":
 		who = leader
 	case "follower":
-		for _, p := range r.procs[:r.scene.Voters] {
-			if p.name != leader && p.isUp() {
+		for _, p := range r.procs[:r.scenario.Voters] {
+			if p.name != leader && p.isRunning() {
 				who = p.name
 				break
 			}
@@ -598,26 +612,27 @@
 	return r.procs[0]
 }
 
-// play plays the steps at their times.
-func (r *crewRig) play(ctx context.Context) error {
-	steps := slices.Clone(r.scene.Steps)
-	steps = append(steps, r.draw()...)
+// runSteps applies the steps of the scenario and those that follow from the seed, each at its time.
+func (r *clusterRun) runSteps(ctx context.Context) error {
+	steps := slices.Clone(r.scenario.Steps)
+	steps = append(steps, r.randomSteps()...)
 	slices.SortStableFunc(steps, func(a, b scenario.ClusterStep) int { return int(a.At - b.At) })
 	begin := r.now()
-	var ends sync.WaitGroup
-	defer ends.Wait()
+	var reverts sync.WaitGroup
+	defer reverts.Wait()
 	for _, s := range steps {
 		if err := r.sleepUntil(ctx, begin+s.At); err != nil {
 			return err
 		}
-		if err := r.strike(ctx, s, &ends); err != nil {
+		if err := r.applyStep(ctx, s, &reverts); err != nil {
 			return err
 		}
 	}
-	return r.sleepUntil(ctx, begin+r.scene.Duration)
+	return r.sleepUntil(ctx, begin+r.scenario.Duration)
 }
 
-func (r *crewRig) sleepUntil(ctx context.Context, at time.Duration) error {
+// sleepUntil waits until a time of the run.
+func (r *clusterRun) sleepUntil(ctx context.Context, at time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -626,255 +641,259 @@
 	}
 }
 
-// draw draws the steps that follow from the seed.
-func (r *crewRig) draw() []scenario.ClusterStep {
-	dice := rand.New(rand.NewPCG(r.seed, 0xc4e3))
+// randomSteps generates the faults and the proposals that follow from the seed.
+func (r *clusterRun) randomSteps() []scenario.ClusterStep {
+	rng := rand.New(rand.NewPCG(r.seed, 0xc4e3))
 	var steps []scenario.ClusterStep
-	span := r.scene.Duration - 2*r.scene.Lease
-	for range r.scene.Random {
-		at := time.Duration(dice.Int64N(int64(span)))
-		who := []string{"leader", "follower", r.procs[dice.IntN(len(r.procs))].name}[dice.IntN(3)]
-		do := scenario.ClusterFaults[dice.IntN(len(scenario.ClusterFaults))]
+	span := r.scenario.Duration - 2*r.scenario.Lease
+	for range r.scenario.Random {
+		at := time.Duration(rng.Int64N(int64(span)))
+		who := []string{"leader", "follower", r.procs[rng.IntN(len(r.procs))].name}[rng.IntN(3)]
+		do := scenario.ClusterFaults[rng.IntN(len(scenario.ClusterFaults))]
 		steps = append(steps, scenario.ClusterStep{
-			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[dice.IntN(len(scenario.CutDirections))],
-			For: r.scene.Lease/2 + time.Duration(dice.Int64N(int64(2*r.scene.Lease))),
+			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[rng.IntN(len(scenario.CutDirections))],
+			For: r.scenario.Lease/2 + time.Duration(rng.Int64N(int64(2*r.scenario.Lease))),
 		})
 	}
-	for i := range r.scene.Proposals {
-		at := time.Duration(i+1) * span / time.Duration(r.scene.Proposals+1)
+	for i := range r.scenario.Proposals {
+		at := time.Duration(i+1) * span / time.Duration(r.scenario.Proposals+1)
 		s := scenario.ClusterStep{At: at, Do: "propose", Effect: "once"}
 		if i%2 == 1 {
-			s.Effect, s.Ban = "repeatable", r.ends[dice.IntN(len(r.ends))].name
+			s.Effect, s.Ban = "repeatable", r.endpoints[rng.IntN(len(r.endpoints))].name
 		}
 		steps = append(steps, s)
 	}
 	return steps
 }
 
-// strike plays one step; what it began ends after its time.
-func (r *crewRig) strike(ctx context.Context, s scenario.ClusterStep, ends *sync.WaitGroup) error {
+// applyStep applies one step. A goroutine in reverts reverts it after the step's duration (For). A fault that the cluster or the
+// holdings don't promise to survive at this time is skipped or weakened.
+func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, reverts *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
-		return nil // there is nobody to propose it to
+		return nil // without a cluster there is no voter that could receive it
 	}
 	if s.Do == "propose" {
-		ends.Go(func() { r.propose(ctx, s) })
+		reverts.Go(func() { r.propose(ctx, s) })
 		return nil
 	}
 	if s.Do == "older" && r.opts.OlderProgram == nil {
-		return errors.New(`step "older": no program of an older build is named`)
+		return errors.New(`step "older": no program of an older build is given`)
 	}
 	if s.Do == "twin" {
-		s.Who += twinMark
+		s.Who += duplicateSuffix
 	}
 	if s.Who == "keepers" || s.Who == "all" {
 		for i, p := range r.procs {
-			if one := s; s.Who == "all" || i < r.scene.Voters {
-				one.Who = p.name
-				if err := r.strike(ctx, one, ends); err != nil {
+			if single := s; s.Who == "all" || i < r.scenario.Voters {
+				single.Who = p.name
+				if err := r.applyStep(ctx, single, reverts); err != nil {
 					return err
 				}
 			}
 		}
 		return nil
 	}
-	p := r.byName(s.Who)
-	own := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // of the process itself
-	if r.scene.Copies > 0 && (own || s.Do == "cut" && s.Drawn) && !r.mayLoseOne() {
-		return nil // more at once than what is promised survives
+	p := r.processByName(s.Who)
+	ofProcess := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // a fault of the process itself
+	if r.scenario.Copies > 0 && (ofProcess || s.Do == "cut" && s.Drawn) && !r.canLoseProcess() {
+		return nil // the holdings promise to survive only one fault at a time
 	}
-	if own && !p.begin() {
+	if ofProcess && !p.beginFault() {
 		return nil
 	}
-	if (s.Do == "wipe" || s.Do == "setback") && strings.HasPrefix(p.name, "k") && !r.mayLose(p) {
-		s.Do = "kill" // what is promised survives the loss of one folder at a time
+	if (s.Do == "wipe" || s.Do == "setback") && strings.HasPrefix(p.name, "k") && !r.reserveVoterLoss(p) {
+		s.Do = "kill" // the cluster promises to survive the loss of one data directory at a time
 	}
-	r.note("%s %s %s %s %v", s.Do, p.name, s.With, s.Direction, s.For)
+	r.logStep("%s %s %s %s %v", s.Do, p.name, s.With, s.Direction, s.For)
 	r.mu.Lock()
 	if p.name == r.leader && (s.Do == "kill" || s.Do == "stop" && s.For > time.Second) {
-		r.struck = r.now()
+		r.leaderFaultAt = r.now()
 	}
 	r.mu.Unlock()
-	later := func(do func()) {
-		ends.Go(func() {
+	revertLater := func(revert func()) {
+		reverts.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(s.For):
 			}
-			do()
-			if own {
-				p.end()
+			revert()
+			if ofProcess {
+				p.endFault()
 			}
 		})
 	}
-	back := func() {
-		if err := r.startProc(ctx, p); err != nil && ctx.Err() == nil {
+	start := func() {
+		if err := r.startMember(ctx, p); err != nil && ctx.Err() == nil {
 			r.mu.Lock()
-			r.rec.Violations = append(r.rec.Violations, "does not come back: "+err.Error())
+			r.rec.Violations = append(r.rec.Violations, "did not start again: "+err.Error())
 			r.rec.NumViolations++
 			r.mu.Unlock()
 		}
-		r.note("%s is back", p.name)
+		r.logStep("%s was started", p.name)
 	}
 	switch s.Do {
 	case "kill", "wipe", "term", "setback":
-		if r.scene.Copies > 0 && s.Do != "term" {
-			if l := r.ledger(); l != nil {
-				ends.Go(func() { r.awaitWhole(ctx, l.Members[p.goes].Token) })
+		if r.scenario.Copies > 0 && s.Do != "term" {
+			if ledger := r.leaderLedger(); ledger != nil {
+				reverts.Go(func() { r.awaitReplicated(ctx, ledger.Members[p.memberName].Token) })
 			}
 		}
-		p.setUp(false)
+		p.setRunning(false)
 		signal := syscall.SIGKILL
 		if s.Do == "term" {
 			signal = syscall.SIGTERM
 		}
-		p.proc.end(signal)
-		later(func() {
-			if !p.proc.wait(killTime) {
-				p.proc.end(syscall.SIGKILL)
-				p.proc.wait(killTime)
+		p.proc.stop(signal)
+		revertLater(func() {
+			if !p.proc.wait(exitTimeout) {
+				p.proc.stop(syscall.SIGKILL)
+				p.proc.wait(exitTimeout)
 			}
 			data := filepath.Join(p.dir, "data")
 			if s.Do != "kill" && s.Do != "term" {
 				os.RemoveAll(data)
 			}
 			if s.Do == "setback" {
-				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy it is a wipe
-				back()
-				// The operator finds the keeper's line and does as it says.
-				time.Sleep(r.scene.Lease)
-				p.setUp(false)
-				p.proc.end(syscall.SIGKILL)
-				p.proc.wait(killTime)
+				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy the step is a wipe
+				start()
+				// The operator reads the line that the voter logs and follows it: the older data directory is removed.
+				time.Sleep(r.scenario.Lease)
+				p.setRunning(false)
+				p.proc.stop(syscall.SIGKILL)
+				p.proc.wait(exitTimeout)
 				os.RemoveAll(data)
 			}
-			back()
+			start()
 		})
-	case "older": // replaced by one, and put back
+	case "older": // replaced by an older build, and put back afterwards
 		p.older = true
-		p.setUp(false)
-		p.proc.end(syscall.SIGKILL)
-		p.proc.wait(killTime)
-		back()
-		later(func() {
+		p.setRunning(false)
+		p.proc.stop(syscall.SIGKILL)
+		p.proc.wait(exitTimeout)
+		start()
+		revertLater(func() {
 			p.older = false
-			p.setUp(false)
-			p.proc.end(syscall.SIGKILL)
-			p.proc.wait(killTime)
-			back()
+			p.setRunning(false)
+			p.proc.stop(syscall.SIGKILL)
+			p.proc.wait(exitTimeout)
+			start()
 		})
 	case "twin":
-		back()
-		later(func() {
-			p.setUp(false)
-			p.proc.end(syscall.SIGKILL)
-			p.proc.wait(killTime)
-			r.note("%s is gone", p.name)
+		start()
+		revertLater(func() {
+			p.setRunning(false)
+			p.proc.stop(syscall.SIGKILL)
+			p.proc.wait(exitTimeout)
+			r.logStep("%s was ended", p.name)
 		})
 	case "stop":
-		p.setUp(false)
+		p.setRunning(false)
 		p.proc.signal(syscall.SIGSTOP)
-		later(func() {
+		revertLater(func() {
 			p.proc.signal(syscall.SIGCONT)
-			p.setUp(true)
-			r.note("%s goes on", p.name)
+			p.setRunning(true)
+			r.logStep("%s was resumed", p.name)
 		})
 	case "delay":
-		r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.slow(way, s.By) })
-		later(func() {
-			r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.slow(way, -s.By) })
-			r.note("%s is as fast as before", p.name)
+		r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.addDelay(dir, s.By) })
+		revertLater(func() {
+			r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.addDelay(dir, -s.By) })
+			r.logStep("the delay of %s was removed", p.name)
 		})
 	case "cut":
-		r.cuts.Add(1)
-		r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.set(way, true) })
-		later(func() {
-			r.ways(p, s.With, s.Direction, func(w *relay, way int) { w.set(way, false) })
-			r.cuts.Add(-1)
-			r.note("%s is whole again", p.name)
+		r.partitions.Add(1)
+		r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.setPartitioned(dir, true) })
+		revertLater(func() {
+			r.forRelays(p, s.With, s.Direction, func(relay *relay, dir int) { relay.setPartitioned(dir, false) })
+			r.partitions.Add(-1)
+			r.logStep("the partition of %s was healed", p.name)
 		})
-	case "full": // no file of it may grow, nor be written past its first page: as on a full disk
+	case "full": // as on a full disk: no file of the process may grow, nor be written past its first page
 		limit := &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}
 		if err := unix.Prlimit(p.proc.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
 			return err
 		}
-		later(func() { // room again: the keeper takes part when its process is started anew
-			p.setUp(false)
-			p.proc.end(syscall.SIGKILL)
-			p.proc.wait(killTime)
-			back()
+		revertLater(func() { // the disk has space again: the voter takes part once its process has been started again
+			p.setRunning(false)
+			p.proc.stop(syscall.SIGKILL)
+			p.proc.wait(exitTimeout)
+			start()
 		})
 	case "reset":
-		for ways, way := range r.relays {
-			if ways[0] == p.name || ways[1] == p.name {
-				way.reset()
+		for ends, relay := range r.relays {
+			if ends[0] == p.name || ends[1] == p.name {
+				relay.resetAll()
 			}
 		}
-	case "restart": // without a crew: with other rules
-		p.setUp(false)
-		p.proc.end(syscall.SIGKILL)
-		p.proc.wait(killTime)
+	case "restart": // in a run without a cluster: starts the process with other rules
+		p.setRunning(false)
+		p.proc.stop(syscall.SIGKILL)
+		p.proc.wait(exitTimeout)
 		r.mu.Lock()
-		r.book.RecordVersion(1, consistency.Forbidden{Resend: true})
+		r.checker.RecordVersion(1, consistency.Forbidden{Resend: true})
 		r.mu.Unlock()
-		p.other.Store(1)
-		return r.startAs(ctx, p, decide.Unsafe)
+		p.separateVersion.Store(1)
+		return r.startWithEffect(ctx, p, decide.Unsafe)
 	}
 	return nil
 }
 
-// mayLose books that a keeper loses its folder, if no other one is lost.
-func (r *crewRig) mayLose(p *crewProc) bool {
+// reserveVoterLoss records that a voter is about to lose its data directory. It returns false if the loss of another one has not
+// been made up yet.
+func (r *clusterRun) reserveVoterLoss(p *clusterProcess) bool {
 	var st voter.Status
-	if p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil || !p.isUp() {
+	if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil || !p.isRunning() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.losing != "" {
+	if r.lostVoter != "" {
 		return false
 	}
-	r.losing, r.lostID = p.name, st.Ledger.Voters[p.name]
+	r.lostVoter, r.lostVoterID = p.name, st.Ledger.Voters[p.name]
 	return true
 }
 
-// ways does something with the ways of a process to another one, or to all: what comes to it ("in"), what it says ("out"), or both.
-func (r *crewRig) ways(p *crewProc, with, way string, do func(w *relay, way int)) {
-	for ways, relay := range r.relays {
-		out, in, other := there, back, ways[1] // of a way that begins at the process
+// forRelays calls do for each relay between a process and another one (with), or all others if with is empty, for the direction
+// of what the process receives ("in"), of what it sends ("out"), or both.
+func (r *clusterRun) forRelays(p *clusterProcess, with, direction string, do func(w *relay, direction int)) {
+	for ends, relay := range r.relays {
+		out, in, other := toTarget, fromTarget, ends[1] // of a relay for connections from the process
 		switch p.name {
-		case ways[0]:
-		case ways[1]:
-			out, in, other = back, there, ways[0]
+		case ends[0]:
+		case ends[1]:
+			out, in, other = fromTarget, toTarget, ends[0]
 		default:
 			continue
 		}
 		if with != "" && with != other {
 			continue
 		}
-		if way != "in" {
+		if direction != "in" {
 			do(relay, out)
 		}
-		if way != "out" {
+		if direction != "out" {
 			do(relay, in)
 		}
 	}
 }
 
-// propose proposes a version at whichever keeper leads, until it is told or refused.
-func (r *crewRig) propose(ctx context.Context, s scenario.ClusterStep) {
+// propose proposes a version at the voter that leads, and repeats this until the version is agreed or the scenario's duration
+// has passed.
+func (r *clusterRun) propose(ctx context.Context, s scenario.ClusterStep) {
 	id := voter.NewID()
-	limit := time.Now().Add(r.scene.Duration)
-	for i := 0; ctx.Err() == nil && time.Now().Before(limit); i++ {
-		p := r.procs[i%r.scene.Voters]
+	deadline := time.Now().Add(r.scenario.Duration)
+	for i := 0; ctx.Err() == nil && time.Now().Before(deadline); i++ {
+		p := r.procs[i%r.scenario.Voters]
 		var st voter.Status
-		if !p.isUp() || p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil || st.Leader != p.name {
-			time.Sleep(pollCrew)
+		if !p.isRunning() || p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil || st.Leader != p.name {
+			time.Sleep(statusInterval)
 			continue
 		}
 		doc := st.Ledger.Active.Doc
 		effect := decide.Safe
-		for e, word := range versions.EffectNames {
-			if word == s.Effect {
+		for e, name := range versions.EffectNames {
+			if name == s.Effect {
 				effect = e
 			}
 		}
@@ -891,124 +910,126 @@
 		}
 		r.mu.Lock()
 		next := st.Ledger.LastNumber + 1
-		// Before anybody can act on it. A keeper that was cut off may still think that it leads, and name a number that has
-		// been told: that one stands.
-		if next <= r.lastTold {
+		// The checker must know the version before any member can apply it. A voter that is cut off may still believe that it
+		// leads and offer a number that is agreed already; what was recorded under that number must stay.
+		if next <= r.lastAgreed {
 			r.mu.Unlock()
-			time.Sleep(pollCrew)
+			time.Sleep(statusInterval)
 			continue
 		}
-		r.book.RecordVersion(next, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+		r.checker.RecordVersion(next, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
 		r.mu.Unlock()
 		began := r.now()
-		var told voter.ProposeResult
+		var result voter.ProposeResult
 		proposal := cluster.Proposal{ID: id, Parent: st.Ledger.Active.Number, Author: "lab", Doc: doc}
 		var err error
 		if s.ProposerDies && i == 0 {
-			err = r.sayAndDie(p, proposal, &told)
+			err = r.proposeAndHangUp(p, proposal, &result)
 		} else {
-			err = p.line.Call("propose", proposal, &told, proposeTime)
+			err = p.rpc.Call("propose", proposal, &result, proposeTimeout)
 		}
-		if err == nil && told.Number > 0 {
+		if err == nil && result.Number > 0 {
 			r.mu.Lock()
-			r.book.RecordVersion(told.Number, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
-			r.book.RecordAgreed(told.Number)
-			r.lastTold = max(r.lastTold, told.Number)
-			r.pending[told.Number] = began
+			r.checker.RecordVersion(result.Number, consistency.Forbidden{Resend: doc.Classes[probedClass].Effect == decide.Unsafe, Banned: doc.Banned})
+			r.checker.RecordAgreed(result.Number)
+			r.lastAgreed = max(r.lastAgreed, result.Number)
+			r.pending[result.Number] = began
 			r.mu.Unlock()
-			r.note("version %d told: %s %s", told.Number, s.Effect, s.Ban)
+			r.logStep("version %d was agreed: %s %s", result.Number, s.Effect, s.Ban)
 			return
 		}
-		time.Sleep(2 * pollCrew)
+		time.Sleep(2 * statusInterval)
 	}
 }
 
-// sayAndDie proposes as somebody who is gone before any answer; whether the proposal counts then shows at the keepers alone.
-func (r *crewRig) sayAndDie(p *crewProc, proposal cluster.Proposal, told *voter.ProposeResult) error {
-	proposer := peerrpc.NewClient(env.Real{}, r.scene.Name, "lab", p.address)
-	err := proposer.Call("propose", proposal, nil, hangUpAfter)
+// proposeAndHangUp proposes as a proposer that closes its connection before any answer. Whether the proposal was accepted then
+// shows only in the voters' ledger.
+func (r *clusterRun) proposeAndHangUp(p *clusterProcess, proposal cluster.Proposal, result *voter.ProposeResult) error {
+	proposer := peerrpc.NewClient(env.Real{}, r.scenario.Name, "lab", p.peerAddress)
+	err := proposer.Call("propose", proposal, nil, hangUpTimeout)
 	proposer.Close()
-	r.note("a proposer has died: %v", err)
-	for limit := time.Now().Add(proposeTime); time.Now().Before(limit); time.Sleep(pollCrew) {
+	r.logStep("a proposer closed its connection before an answer: %v", err)
+	for deadline := time.Now().Add(proposeTimeout); time.Now().Before(deadline); time.Sleep(statusInterval) {
 		var st voter.Status
-		if p.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Ledger == nil {
+		if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil {
 			continue
 		}
-		if round := st.Ledger.Find(proposal.ID); round != nil {
-			told.Number = round.Number
+		if version := st.Ledger.Find(proposal.ID); version != nil {
+			result.Number = version.Number
 			return nil
 		}
 	}
-	return errors.New("it did not count")
+	return errors.New("the ledger has no version of this proposal")
 }
 
-// settle waits until nothing is on its way, so that what was told can be looked for.
-func (r *crewRig) settle(ctx context.Context) error {
+// awaitPending waits until all agreed versions are in effect and their last requests have been seen, so that the checks miss
+// nothing. It gives up after leaderTimeout; checkResult then reports the versions that are left.
+func (r *clusterRun) awaitPending(ctx context.Context) error {
 	if r.opts.Separate {
 		return nil
 	}
-	limit := time.Now().Add(leaderTime)
-	for time.Now().Before(limit) && ctx.Err() == nil {
+	deadline := time.Now().Add(leaderTimeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
 		r.mu.Lock()
 		left := len(r.pending)
 		r.mu.Unlock()
 		if left == 0 {
-			return r.sleepUntil(ctx, r.now()+settleFor)
+			return r.sleepUntil(ctx, r.now()+afterAgreedDelay)
 		}
-		time.Sleep(pollCrew)
+		time.Sleep(statusInterval)
 	}
 	return ctx.Err()
 }
 
-// judge closes the book.
-func (r *crewRig) judge() {
-	present, led := map[uint64]bool{}, false
-	for try := 0; !led && !r.opts.Separate && try < int(leaderTime/pollTime); try++ {
+// checkResult checks the final state of the cluster and completes the record.
+func (r *clusterRun) checkResult() {
+	inLedger, hasLeader := map[uint64]bool{}, false
+	for try := 0; !hasLeader && !r.opts.Separate && try < int(leaderTimeout/rpcTimeout); try++ {
 		if try > 0 {
-			time.Sleep(pollTime)
+			time.Sleep(rpcTimeout)
 		}
-		for _, k := range r.procs[:r.scene.Voters] {
+		for _, v := range r.procs[:r.scenario.Voters] {
 			var st voter.Status
-			if led || k.line.Call("status", struct{}{}, &st, pollTime) != nil || st.Leader != k.name || st.Ledger == nil {
+			if hasLeader || v.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Leader != v.name || st.Ledger == nil {
 				continue
 			}
-			led = true
+			hasLeader = true
 			for name, id := range st.Ledger.Voters {
-				if id != r.folders[name] {
+				if id != r.voterIDs[name] {
 					r.rec.Replaced = append(r.rec.Replaced, name)
 				}
 			}
-			for _, round := range st.Ledger.VersionRecords() {
-				present[round.Number] = true
-				if round.State == cluster.Refused {
-					r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: round.Number, State: "refused", Why: round.Reason})
+			for _, version := range st.Ledger.VersionRecords() {
+				inLedger[version.Number] = true
+				if version.State == cluster.Refused {
+					r.rec.Versions = append(r.rec.Versions, ClusterVersion{Number: version.Number, State: "refused", Reason: version.Reason})
 				}
 			}
 		}
 	}
-	behind := r.behind()
+	behind := r.laggingVoters()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rec.Violations = append(r.rec.Violations, behind...)
 	r.rec.NumViolations += len(behind)
-	if !led && !r.opts.Separate {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no keeper leads %v after the last fault", leaderTime))
+	if !hasLeader && !r.opts.Separate {
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("no voter leads %v after the last fault", leaderTimeout))
 		r.rec.NumViolations++
 	}
 	for number, since := range r.pending {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, told at %v, is not acted on by all", number, since))
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("version %d, proposed at %v and agreed, is not in effect at all live members", number, since))
 		r.rec.NumViolations++
 	}
-	if !led {
-		present = nil // what the crew holds is not known
+	if !hasLeader {
+		inLedger = nil // without a leader it is not known what the ledger has
 	}
-	report := r.book.Close(present)
-	for _, b := range report.Violations {
-		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", b.Rule, b.At.Seconds(), b.What))
+	report := r.checker.Close(inLedger)
+	for _, v := range report.Violations {
+		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", v.Rule, v.At.Seconds(), v.What))
 	}
 	r.rec.NumViolations += report.NumViolations
-	r.rec.Contradicted, r.rec.Acts, r.rec.Against = millis(report.Longest), report.Actions, report.AgainstOthers
-	r.rec.Requests, r.rec.Served = int(r.asked.Load()), int(r.served.Load())
+	r.rec.Contradicted, r.rec.Actions, r.rec.ActionsAgainstOthers = millis(report.Longest), report.Actions, report.AgainstOthers
+	r.rec.Requests, r.rec.Served = int(r.requests.Load()), int(r.served.Load())
 	for _, p := range r.procs {
 		if p.proc == nil {
 			continue
@@ -1023,64 +1044,66 @@
 	}
 }
 
-// behind tells which keepers do not have in the end what the others have: one that came back empty must be filled.
-func (r *crewRig) behind() (names []string) {
+// laggingVoters returns a text for each voter that has applied fewer entries than another one at the end. A voter that came back
+// with an empty data directory must have caught up.
+func (r *clusterRun) laggingVoters() (lagging []string) {
 	if r.opts.Separate {
 		return nil
 	}
-	for try := 0; try < int(leaderTime/pollTime); try++ {
-		names = nil
-		most := uint64(0)
+	for try := 0; try < int(leaderTimeout/rpcTimeout); try++ {
+		lagging = nil
+		maxApplied := uint64(0)
 		applied := map[string]uint64{}
-		for _, k := range r.procs[:r.scene.Voters] {
+		for _, v := range r.procs[:r.scenario.Voters] {
 			var st voter.Status
-			if k.line.Call("status", struct{}{}, &st, pollTime) == nil {
-				applied[k.name] = st.Applied
-				most = max(most, st.Applied)
+			if v.rpc.Call("status", struct{}{}, &st, rpcTimeout) == nil {
+				applied[v.name] = st.Applied
+				maxApplied = max(maxApplied, st.Applied)
 			}
 		}
-		for _, k := range r.procs[:r.scene.Voters] {
-			if applied[k.name] < most {
-				names = append(names, fmt.Sprintf("%s has applied %d entries of %d", k.name, applied[k.name], most))
+		for _, v := range r.procs[:r.scenario.Voters] {
+			if applied[v.name] < maxApplied {
+				lagging = append(lagging, fmt.Sprintf("%s has applied %d of %d entries", v.name, applied[v.name], maxApplied))
 			}
 		}
-		if len(names) == 0 {
+		if len(lagging) == 0 {
 			return nil
 		}
-		time.Sleep(pollTime / 2)
+		time.Sleep(rpcTimeout / 2)
 	}
-	return names
+	return lagging
 }
 
-// close ends all that was started, each by its own id.
-func (r *crewRig) close() {
+// stopAll stops everything that was started. It ends each process by its own id.
+func (r *clusterRun) stopAll() {
 	for _, p := range r.procs {
 		if p.proc != nil {
 			p.proc.signal(syscall.SIGCONT)
-			p.proc.end(syscall.SIGKILL)
-			p.proc.wait(killTime)
+			p.proc.stop(syscall.SIGKILL)
+			p.proc.wait(exitTimeout)
 		}
-		if p.line != nil {
-			p.line.Close()
+		if p.rpc != nil {
+			p.rpc.Close()
 		}
 	}
-	for _, way := range r.relays {
-		way.close()
+	for _, relay := range r.relays {
+		relay.close()
 	}
-	for _, e := range r.ends {
+	for _, e := range r.endpoints {
 		e.server.Close()
 	}
 	r.hosts.close()
 }
 
-// crewEndpoint answers the load, breaks off the probes, and tells the book what comes.
-type crewEndpoint struct {
+// clusterEndpoint is a fake endpoint that answers the load, breaks off the probes and records in the checker what arrives.
+type clusterEndpoint struct {
 	name, address string
 	server        *http.Server
 }
 
-func startCrewEndpoint(r *crewRig, name string) (*crewEndpoint, error) {
-	host, err := r.hosts.take()
+// startClusterEndpoint starts an endpoint on a host of its own.
+func startClusterEndpoint(r *clusterRun, name string) (*clusterEndpoint, error) {
+	host, err := r.hosts.acquire()
 	if err != nil {
 		return nil, err
 	}
@@ -1088,24 +1111,24 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &crewEndpoint{name: name, address: listener.Addr().String()}
+	e := &clusterEndpoint{name: name, address: listener.Addr().String()}
 	e.server = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get("X-Txn")
-		if strings.HasPrefix(q.URL.Path, "/"+orderClass) {
-			r.orders.serve(w, q)
+		if strings.HasPrefix(q.URL.Path, "/"+keyedClass) {
+			r.keyed.serve(w, q)
 			return
 		}
 		process, _, _ := strings.Cut(id, ".")
 		probed := strings.HasPrefix(q.URL.Path, "/"+probedClass)
-		again := probed && r.seen(id)
+		resent := probed && r.probeSeen(id)
 		r.mu.Lock()
-		if again {
-			r.book.RecordAction(consistency.Action{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
+		if resent {
+			r.checker.RecordAction(consistency.Action{At: r.now(), Process: process, Resend: true, What: "send " + id + " again"})
 		}
-		r.book.RecordAction(consistency.Action{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
+		r.checker.RecordAction(consistency.Action{At: r.now(), Process: process, Endpoint: name, What: "send " + id + " to " + name})
 		r.mu.Unlock()
 		if !probed {
-			w.Write([]byte("good\n")) //nolint:errcheck // its client shows
+			w.Write([]byte("good\n")) //nolint:errcheck // the client notices an error
 			return
 		}
 		if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
--- a/internal/lab/harness/cluster_test.go
+++ b/internal/lab/harness/cluster_test.go
@@ -27,74 +27,78 @@
 	"heathgap/internal/pipeline"
 )
 
-// asMember in the environment makes the test's own program a member of a crew, with the bug of that name.
+// asMember, set in the environment, makes the test binary run as a member of a cluster with the bug of that name.
 const asMember = "HEATHGAP_TEST_MEMBER"
 
-// Bugs that are planted into a member.
+// Bugs that are injected into a member, by the names that asMember takes.
 const (
-	bugNone       = "none"
-	bugGoesOn     = "goes on when its lease has ended"
-	bugForgets    = "forgets bans when it is cut off"
-	bugStays      = "acts on the first rules that it was told"
-	bugSlow       = "its clock is slower than the terms allow"
-	bugSleeps     = "its clock stops with its process"
-	bugTellsEarly = "tells outcomes long before they are copied, and dies"
-	bugNoClaim    = "sends without a claim"
-	// No bug: it dies when an outcome is copied and its client may not have heard it.
-	diesThen = "dies when an outcome is copied"
-	// No bug: a build whose words are another version's.
+	bugNone            = "none"
+	bugKeepsRules      = "goes on when its lease has ended"
+	bugForgetsBans     = "forgets bans when it is cut off"
+	bugKeepsFirstRules = "acts on the first rules that it was told"
+	bugSlowClock       = "its clock is slower than the terms allow"
+	bugClockStops      = "its clock stops with its process"
+	bugAnswersEarly    = "tells outcomes long before they are copied, and dies"
+	bugNoClaim         = "sends without a claim"
+	// Not a bug: the process dies when an outcome has been copied and its client may not have received it yet.
+	diesAfterCopy = "dies when an outcome is copied"
+	// Not a bug: a build that speaks another version of the RPC protocol.
 	olderBuild = "older build"
-	// No bug: clocks whose rates are off by as much as the terms allow, one fast, the next slow.
-	clocksOff = "clocks off"
+	// Not a bug: clocks that differ in rate by as much as the cluster's parameters allow; members alternate between fast and
+	// slow.
+	clockDrift = "clocks off"
 )
 
-// otherClock is the machine's, but for the rate of the clock that leases are counted by.
-type otherClock struct {
+// skewedClock is the machine's environment, but the clock that leases are measured by runs at another rate.
+type skewedClock struct {
 	env.Env
-	rate  float64
-	began time.Duration
+	rate      float64
+	startedAt time.Duration
 }
 
-// BootTime is env.Env's.
-func (c otherClock) BootTime() time.Duration {
-	return c.began + time.Duration(float64(c.Env.BootTime()-c.began)*c.rate)
+// BootTime implements env.Env.
+func (c skewedClock) BootTime() time.Duration {
+	return c.startedAt + time.Duration(float64(c.Env.BootTime()-c.startedAt)*c.rate)
 }
 
-// sleeper's clock stands still while the process is stopped, as one does that does not go on while a machine is suspended.
-type sleeper struct {
+// stoppingClock stands still while the process is stopped, like a clock that does not advance while a machine is suspended.
+type stoppingClock struct {
 	env.Env
-	mu         sync.Mutex
-	last, lost time.Duration
+	mu            sync.Mutex
+	last, stopped time.Duration
 }
 
-// sleepGap without a look at the clock is taken for a stop: a member that runs looks with each heartbeat, and by stayAwake.
-const sleepGap = 300 * time.Millisecond
+// stopGap is the longest time between two readings of the clock in a running process: a member reads it with each heartbeat, and
+// tick reads it too. After a longer time the process is taken to have been stopped.
+const stopGap = 300 * time.Millisecond
 
-// BootTime is env.Env's.
-func (s *sleeper) BootTime() time.Duration {
+// BootTime implements env.Env.
+func (s *stoppingClock) BootTime() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.Env.BootTime()
-	if now-s.last > sleepGap {
-		s.lost += now - s.last
+	if now-s.last > stopGap {
+		s.stopped += now - s.last
 	}
 	s.last = now
-	return now - s.lost
+	return now - s.stopped
 }
 
-func (s *sleeper) stayAwake() {
-	for range time.Tick(sleepGap / 10) {
+// tick reads the clock often enough that a running process is not taken for a stopped one.
+func (s *stoppingClock) tick() {
+	for range time.Tick(stopGap / 10) {
 		s.BootTime()
 	}
 }
 
-// olderWorld's connections say the words of another version.
-type olderWorld struct{ env.Env }
+// olderEnv makes RPC connections that speak another version of the protocol.
+type olderEnv struct{ env.Env }
 
+// olderConn replaces the protocol version in what is written.
 type olderConn struct{ net.Conn }
 
-// Dial is env.Env's.
-func (w olderWorld) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+// Dial implements env.Env.
+func (w olderEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	conn, err := w.Env.Dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
@@ -102,110 +106,111 @@
 	return olderConn{conn}, nil
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c olderConn) Write(b []byte) (int, error) {
 	return c.Conn.Write(bytes.Replace(b, []byte("POST /crew/1/"), []byte("POST /crew/0/"), 1))
 }
 
-// buggyHoldings have a bug round them, at one member.
-type buggyHoldings struct {
+// faultyHoldings adds a bug to the holdings of one member.
+type faultyHoldings struct {
 	pipeline.Holdings
-	bug  string
-	ends atomic.Int64
+	bug      string
+	finished atomic.Int64
 }
 
-// deadlyEnd is the outcome with which a process dies, the first ones having shown that it serves.
-const deadlyEnd = 20
+// fatalFinish is the number of the outcome at which the process dies; the ones before show that it serves.
+const fatalFinish = 20
 
-// Claim is pipeline.Holdings'.
-func (b *buggyHoldings) Claim(m *httpwire.Request, print [16]byte, within time.Duration) pipeline.ClaimResult {
+// Claim implements pipeline.Holdings.
+func (b *faultyHoldings) Claim(m *httpwire.Request, fingerprint [16]byte, within time.Duration) pipeline.ClaimResult {
 	if b.bug == bugNoClaim {
 		return pipeline.ClaimResult{}
 	}
-	opened := b.Holdings.Claim(m, print, within)
-	if opened.Claim != nil {
-		opened.Claim = &buggyHold{opened.Claim, b}
+	result := b.Holdings.Claim(m, fingerprint, within)
+	if result.Claim != nil {
+		result.Claim = &faultyClaim{result.Claim, b}
 	}
-	return opened
+	return result
 }
 
-type buggyHold struct {
+// faultyClaim adds the bug of its holdings to a claim.
+type faultyClaim struct {
 	pipeline.Claim
-	of *buggyHoldings
+	holdings *faultyHoldings
 }
 
-// Finish is pipeline.Hold's.
-func (h *buggyHold) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
-	n := h.of.ends.Add(1)
-	if h.of.bug == bugTellsEarly {
-		time.AfterFunc(orderWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
-		if n == 2*deadlyEnd {
-			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
+// Finish implements pipeline.Claim.
+func (h *faultyClaim) Finish(answer httpwire.Answer, ran bool, within time.Duration) httpwire.Answer {
+	n := h.holdings.finished.Add(1)
+	if h.holdings.bug == bugAnswersEarly {
+		time.AfterFunc(keyWindow+time.Second, func() { h.Claim.Finish(answer, ran, within) })
+		if n == 2*fatalFinish {
+			syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // this ends the process
 		}
 		return answer
 	}
 	answer = h.Claim.Finish(answer, ran, within)
-	if n == deadlyEnd && h.of.bug == diesThen {
-		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // it dies
+	if n == fatalFinish && h.holdings.bug == diesAfterCopy {
+		syscall.Kill(os.Getpid(), syscall.SIGKILL) //nolint:errcheck // this ends the process
 	}
 	return answer
 }
 
-// Holdings is lifecycle.Crew's.
-func (b *buggyMember) Holdings() pipeline.Holdings {
+// Holdings implements lifecycle.Cluster.
+func (b *faultyMember) Holdings() pipeline.Holdings {
 	h := b.Cluster.Holdings()
 	if h == nil || b.name != "m1" {
 		return h
 	}
-	return &buggyHoldings{Holdings: h, bug: b.bug}
+	return &faultyHoldings{Holdings: h, bug: b.bug}
 }
 
-// clockOf is a member's clock.
-func clockOf(world env.Env, bug, name string, drift float64) env.Env {
+// memberEnv returns the environment of a member, with the clock or the protocol version that the bug calls for.
+func memberEnv(e env.Env, bug, name string, drift float64) env.Env {
 	rate := 1.0
 	switch {
 	case bug == olderBuild:
-		return olderWorld{world}
-	case bug == bugSleeps && name == "m2":
-		s := &sleeper{Env: world, last: world.BootTime()}
-		go s.stayAwake()
+		return olderEnv{e}
+	case bug == bugClockStops && name == "m2":
+		s := &stoppingClock{Env: e, last: e.BootTime()}
+		go s.tick()
 		return s
-	case bug == bugSlow && name == "m2":
-		rate = 0.15 // its lease lasts longer than it is cut off
-	case bug == clocksOff && name[len(name)-1]%2 == 0:
+	case bug == bugSlowClock && name == "m2":
+		rate = 0.15 // its lease lasts longer than it is partitioned
+	case bug == clockDrift && name[len(name)-1]%2 == 0:
 		rate = 1 + drift
-	case bug == clocksOff:
+	case bug == clockDrift:
 		rate = 1 - drift
 	}
-	return otherClock{world, rate, world.BootTime()}
+	return skewedClock{e, rate, e.BootTime()}
 }
 
-// buggyMember is a member with a bug round it.
-type buggyMember struct {
+// faultyMember adds a bug to a member.
+type faultyMember struct {
 	lifecycle.Cluster
-	bug  string
-	name string
-	last atomic.Pointer[pipeline.EffectiveRules]
+	bug       string
+	name      string
+	lastRules atomic.Pointer[pipeline.EffectiveRules]
 }
 
-// Effective is pipeline.Rules'.
-func (b *buggyMember) Effective() *pipeline.EffectiveRules {
+// Effective returns the member's effective rules, altered by the bug.
+func (b *faultyMember) Effective() *pipeline.EffectiveRules {
 	a := b.Cluster.Effective()
-	last := b.last.Load()
+	last := b.lastRules.Load()
 	switch {
-	case b.bug == bugForgets && a.Cautious:
+	case b.bug == bugForgetsBans && a.Cautious:
 		bare := *a
 		bare.Banned = nil
 		return &bare
-	case a.Cautious && last != nil && b.bug == bugGoesOn, last != nil && b.bug == bugStays:
+	case a.Cautious && last != nil && b.bug == bugKeepsRules, last != nil && b.bug == bugKeepsFirstRules:
 		return last
 	case !a.Cautious:
-		b.last.Store(a)
+		b.lastRules.Store(a)
 	}
 	return a
 }
 
-// memberMain runs a member with a bug.
+// memberMain runs a member with a bug and returns the exit status.
 func memberMain(bug string) int {
 	file, err := operator.FromEnv(os.Getenv)
 	if err != nil || file.Cluster == nil || bug == bugNone {
@@ -213,13 +218,14 @@
 	}
 	join := member.JoinFunc(*file.Cluster)
 	return lifecycle.Main(lifecycle.Options{Operator: file,
-		Cluster: func(conf *config.Config, world env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
-			m, err := join(conf, clockOf(world, bug, conf.Name, file.Cluster.Params.Drift), log)
-			return &buggyMember{Cluster: m, bug: bug, name: conf.Name}, err
+		Cluster: func(conf *config.Config, e env.Env, log zerolog.Logger) (lifecycle.Cluster, error) {
+			m, err := join(conf, memberEnv(e, bug, conf.Name, file.Cluster.Params.Drift), log)
+			return &faultyMember{Cluster: m, bug: bug, name: conf.Name}, err
 		}})
 }
 
-func crewScene(t *testing.T, text string) *scenario.Cluster {
+// parseCluster returns a cluster scenario with short leases.
+func parseCluster(t *testing.T, text string) *scenario.Cluster {
 	t.Helper()
 	s, err := scenario.ParseCluster(t.Name(), []byte("name = \"test\"\nlease = \"600ms\"\nslack = \"200ms\"\ncontradict_at_most = \"1s\"\n"+text))
 	if err != nil {
@@ -228,10 +234,11 @@
 	return s
 }
 
-func playCrew(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
+// runCluster runs the scenario. The test binary runs as the members, with the given bug.
+func runCluster(t *testing.T, s *scenario.Cluster, bug string, opts ClusterOptions) *ClusterRecord {
 	t.Helper()
 	opts.LogDir = t.TempDir()
-	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // kept for who looks into a failure
+	if dir := os.Getenv("HEATHGAP_TEST_LOGS"); dir != "" { // the logs stay, to look into a failure
 		opts.LogDir = filepath.Join(dir, strings.NewReplacer("/", "-", " ", "-").Replace(t.Name()))
 		if err := os.MkdirAll(opts.LogDir, 0o755); err != nil {
 			t.Fatal(err)
@@ -258,7 +265,7 @@
 	return r
 }
 
-const cutAndPropose = `
+const partitionAndPropose = `
 duration = "5s"
 [[step]]
 at = "500ms"
@@ -272,11 +279,12 @@
 ban = "e-2"
 `
 
-// Five processes: a member is cut off, the leader killed with a version on its way, and both come back. Nobody acts on
-// rules that contradict another's for longer than is promised, and the version is not lost; with clocks as far off as they may be.
-func TestCrew(t *testing.T) {
+// A member is partitioned and the leader is killed while a version is being agreed; both come back. Clocks differ as much as the
+// parameters allow. Guards against members that apply contradicting rules for longer than allowed, and against the loss of the
+// version.
+func TestCluster(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, cutAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clocksOff, ClusterOptions{})
+	r := runCluster(t, parseCluster(t, partitionAndPropose+"[[step]]\nat = \"1200ms\"\ndo = \"kill\"\nfor = \"2s\"\n"), clockDrift, ClusterOptions{})
 	for _, b := range r.Violations {
 		t.Error(b)
 	}
@@ -284,21 +292,22 @@
 		t.Errorf("versions: %+v", r.Versions)
 	}
 	if len(r.Leaders) < 2 {
-		t.Errorf("leaders %v: the killed one was not followed by another", r.Leaders)
+		t.Errorf("leaders %v: no other leader followed the killed one", r.Leaders)
 	}
 	if r.CautiousMS["m2"] < 1000 {
-		t.Errorf("cut off for 4 s, cautious for %v ms", r.CautiousMS["m2"])
+		t.Errorf("partitioned for 4 s, but cautious for only %v ms", r.CautiousMS["m2"])
 	}
 	if float64(r.Served) < 0.95*float64(r.Requests) {
 		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
-// The leader is stopped for twice its lease and goes on, then hears and is not heard; all keepers die at once; a folder is
-// lost. Every version that was told comes through, in its order, and none contradicts another for too long.
-func TestCrewThroughWorse(t *testing.T) {
+// The leader is stopped for twice its lease and resumes; a later one receives messages but can send none; all voters die at the
+// same time; a data directory is lost. Guards against the loss of an agreed version, against versions out of order and against
+// contradictions that last too long.
+func TestClusterSevereFaults(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, `
+	r := runCluster(t, parseCluster(t, `
 duration = "10s"
 [[step]]
 at = "300ms"
@@ -347,15 +356,16 @@
 		t.Error(b)
 	}
 	if len(r.Versions) != 3 || len(r.Replaced) != 1 || float64(r.Served) < 0.95*float64(r.Requests) {
-		t.Errorf("versions %+v, folders replaced %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
+		t.Errorf("versions %+v, replaced voters %v, served %d of %d", r.Versions, r.Replaced, r.Served, r.Requests)
 	}
 }
 
-// A process of another build and a second process of a name serve cautiously and hold up nobody; a proposal counts though its
-// proposer died before it heard so; who was named twice holds the lease when the first one has ended.
-func TestCrewStrangers(t *testing.T) {
+// Guards against processes that disturb the cluster: a member of an older build and a second process under the same name must
+// serve cautiously and delay nobody. A proposal is accepted though its proposer died before the answer, and the second process
+// gets the lease once the first one has ended.
+func TestClusterOlderBuildAndDuplicate(t *testing.T) {
 	t.Parallel()
-	r := playCrew(t, crewScene(t, `
+	r := runCluster(t, parseCluster(t, `
 duration = "7s"
 [[step]]
 at = "200ms"
@@ -385,51 +395,52 @@
 		t.Errorf("versions: %+v", r.Versions)
 	}
 	if r.CautiousMS["m1"] < 1500 || r.CautiousMS["m2'"] < 2000 || r.CautiousMS["m2'"] > 5500 {
-		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has gone", r.CautiousMS)
+		t.Errorf("cautious: %v; want most of 3.5 s at m1, and at m2' until m2 has ended", r.CautiousMS)
 	}
 	if float64(r.Served) < 0.95*float64(r.Requests) {
 		t.Errorf("served %d of %d", r.Served, r.Requests)
 	}
 }
 
-// Each planted bug is caught by its own rule, and a sound program breaks none in the same scene.
+// Guards against a checker that misses faults: each injected bug is found by its own rule, and correct members violate no rule in
+// the same scenarios.
 func TestCrewCatchesPlantedBugs(t *testing.T) {
-	const bannedThenCut = "duration = \"6s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\nban = \"e-2\"\n" +
+	const banThenPartition = "duration = \"6s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\nban = \"e-2\"\n" +
 		"[[step]]\nat = \"2500ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"3s\"\n"
-	const stopAndPropose = "duration = \"6s\"\n[[step]]\nat = \"800ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"5s\"\n" +
+	const partitionStopPropose = "duration = \"6s\"\n[[step]]\nat = \"800ms\"\ndo = \"cut\"\nwho = \"m2\"\nfor = \"5s\"\n" +
 		"[[step]]\nat = \"810ms\"\ndo = \"stop\"\nwho = \"m2\"\nfor = \"3s\"\n" +
 		"[[step]]\nat = \"1s\"\ndo = \"propose\"\neffect = \"once\"\n"
 	for bug, c := range map[string]struct{ scene, rule string }{
-		bugGoesOn:  {cutAndPropose, consistency.Contradicts},
-		bugSlow:    {cutAndPropose, consistency.Contradicts},
-		bugSleeps:  {stopAndPropose, consistency.Contradicts},
-		bugForgets: {bannedThenCut, consistency.Contradicts},
-		bugStays:   {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
+		bugKeepsRules:      {partitionAndPropose, consistency.Contradicts},
+		bugSlowClock:       {partitionAndPropose, consistency.Contradicts},
+		bugClockStops:      {partitionStopPropose, consistency.Contradicts},
+		bugForgetsBans:     {banThenPartition, consistency.Contradicts},
+		bugKeepsFirstRules: {"duration = \"4s\"\n[[step]]\nat = \"200ms\"\ndo = \"propose\"\neffect = \"once\"\n", consistency.AgainstSelf},
 	} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
-			r := playCrew(t, crewScene(t, c.scene), bug, ClusterOptions{})
+			r := runCluster(t, parseCluster(t, c.scene), bug, ClusterOptions{})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), c.rule+" at") {
-				t.Errorf("not found as %q: %q", c.rule, r.Violations)
+				t.Errorf("no violation of rule %q: %q", c.rule, r.Violations)
 			}
 		})
 	}
-	for name, scene := range map[string]string{"sound, cut off": bannedThenCut, "sound, stopped": stopAndPropose} {
+	for name, text := range map[string]string{"sound, cut off": banThenPartition, "sound, stopped": partitionStopPropose} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			if r := playCrew(t, crewScene(t, scene), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
-				t.Errorf("versions %+v, breaks %q", r.Versions, r.Violations)
+			if r := runCluster(t, parseCluster(t, text), bugNone, ClusterOptions{}); r.NumViolations > 0 || len(r.Versions) != 1 {
+				t.Errorf("versions %+v, violations %q", r.Versions, r.Violations)
 			}
 		})
 	}
 }
 
-// Without a crew the same contradiction goes on for as long as nobody looks: what the crew is for.
-func TestCrewWithout(t *testing.T) {
+// Shows what a cluster prevents: without one, processes with contradicting rules go on for as long as nobody intervenes.
+func TestSeparateProcessesContradict(t *testing.T) {
 	t.Parallel()
-	s := crewScene(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
-	r := playCrew(t, s, bugNone, ClusterOptions{Separate: true})
+	s := parseCluster(t, "duration = \"4s\"\nkeepers = 1\nmembers = 1\n[[step]]\nat = \"500ms\"\ndo = \"restart\"\nwho = \"m1\"\n")
+	r := runCluster(t, s, bugNone, ClusterOptions{Separate: true})
 	if r.Contradicted < 2*r.MaxContradiction {
-		t.Errorf("contradicted for %v ms, want well over the %v that a crew allows", r.Contradicted, r.MaxContradiction)
+		t.Errorf("contradicted for %v ms, want well over the %v ms that a cluster allows", r.Contradicted, r.MaxContradiction)
 	}
 }
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -17,57 +17,57 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// ListTrafficConf is what is measured of a list's changes.
+// ListTrafficConf describes a measurement of what changes of an endpoint list cost.
 type ListTrafficConf struct {
-	Endpoints int           // listed; nobody stands at them, since nothing is sent
-	AtOnce    int           // lines that change in one version
-	Apart     bool          // in a version each, one after the other at once
-	Changes   int           // how often that happens
-	Sidecars  int           // real ones that watch
-	Emulated  int           // watchers beside them that speak the protocol and keep nothing but the version
-	Peers     int           // that sidecars are told of: their waits are longer the more there are
-	Idle      time.Duration // looked at without changes; 0 for not
+	Endpoints int           // in the list; none of them exists, since no requests are sent
+	AtOnce    int           // lines that change together
+	Apart     bool          // each of these lines changes in a version of its own, published one right after the other
+	Changes   int           // number of changes
+	Sidecars  int           // real sidecars that watch the list
+	Emulated  int           // emulated watchers: they speak the protocol but keep only the version
+	Peers     int           // number of peers in the sidecars' settings: with more peers they wait longer
+	Idle      time.Duration // time of a second measurement without changes; 0 for none
 }
 
-// ListTraffic is what was seen.
+// ListTraffic is the result of a measurement of list changes.
 type ListTraffic struct {
-	Real, Emulated Wire          // while changes came, of one watcher
-	Idle           Wire          // of one sidecar, while none came
-	IdleFor        time.Duration // that it was looked at
-	Whole          Wire          // of one call for the whole list
-	CPU            float64       // microseconds of a sidecar's processor for a change
-	IdleCPU        float64       // of a second without any
-	LabCPU         float64       // microseconds of the lab's for a change and watcher: the agent's, the hollow watchers' and the counting
-	DeliveryP50    float64       // ms from a change until the last watcher has it
+	Real, Emulated Wire          // of one watcher, for each change
+	Idle           Wire          // of one sidecar, over the time without changes
+	IdleFor        time.Duration // length of that time
+	Whole          Wire          // of one request for the full list
+	CPU            float64       // microseconds of a sidecar's CPU time for each change
+	IdleCPU        float64       // microseconds of a sidecar's CPU time for each second without changes
+	LabCPU         float64       // microseconds of the harness's CPU time for each change and watcher: fake discovery, emulated watchers and counting
+	DeliveryP50    float64       // ms from a change until the last watcher has received it
 	DeliveryMax    float64
 }
 
-// Wire is what went over the wire, in what TCP carries.
+// Wire is the traffic between a watcher and discovery, as payload of TCP.
 type Wire struct {
-	Calls, Answers            float64 // messages of the sidecar, and of the agent
-	RequestBytes, AnswerBytes float64 // their bytes
+	Calls, Answers            float64 // messages of the watcher, and of discovery
+	RequestBytes, AnswerBytes float64 // their sizes
 	LinesPerAnswer            float64
-	FullLists                 float64 // of the answers, those that were whole lists
+	FullLists                 float64 // how many of the answers were full lists
 }
 
-// counts are a watcher's, since it began.
-type counts struct {
-	calls, answers, asked, told, lines, wholes, index atomic.Int64
+// watcherCounts counts the traffic of a watcher since its start. version is the newest version that the watcher is known to have.
+type watcherCounts struct {
+	calls, answers, requestBytes, answerBytes, lines, fullLists, version atomic.Int64
 }
 
-// snapshot is what counts were at a moment.
+// snapshot holds the values of watcherCounts at one time, without version.
 type snapshot [6]int64
 
-func (c *counts) now() snapshot {
-	return snapshot{c.calls.Load(), c.answers.Load(), c.asked.Load(), c.told.Load(), c.lines.Load(), c.wholes.Load()}
+func (c *watcherCounts) snapshot() snapshot {
+	return snapshot{c.calls.Load(), c.answers.Load(), c.requestBytes.Load(), c.answerBytes.Load(), c.lines.Load(), c.fullLists.Load()}
 }
 
-// since is the wire between two moments of some watchers, for one of them and one of so many things.
-func since(before, after []snapshot, things int) Wire {
+// wireBetween returns the traffic between two snapshots of some watchers, for one watcher and one change.
+func wireBetween(before, after []snapshot, changes int) Wire {
 	var d [6]float64
 	for i := range before {
 		for k := range d {
-			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, things))
+			d[k] += float64(after[i][k]-before[i][k]) / float64(len(before)*max(1, changes))
 		}
 	}
 	w := Wire{Calls: d[0], Answers: d[1], RequestBytes: d[2], AnswerBytes: d[3], FullLists: d[5]}
@@ -77,16 +77,16 @@
 	return w
 }
 
-func snapshots(all []*counts) []snapshot {
+func snapshots(all []*watcherCounts) []snapshot {
 	out := make([]snapshot, len(all))
 	for i, c := range all {
-		out[i] = c.now()
+		out[i] = c.snapshot()
 	}
 	return out
 }
 
-// listsScene has nothing that is called.
-const listsScene = `
+// listsScenario has an endpoint only because a scenario must; the list is published by the measurement.
+const listsScenario = `
 name = "lists"
 duration = "1h"
 [[class]]
@@ -101,28 +101,28 @@
 
 // Times of the measurement.
 const (
-	watchWait  = 10 * time.Second // of hollow watchers, at the agent
-	tellTime   = 10 * time.Second // until all watchers have a change
-	listPause  = time.Millisecond // between looks whether they have
-	afterStart = 9 * time.Second  // the first watch is asked for within a second; after a failed call 1 to 8 s later
-	settledFor = 300 * time.Millisecond
+	watchWait            = 10 * time.Second       // how long a watch of an emulated watcher may stay open
+	deliveryTimeout      = 10 * time.Second       // until all watchers have received a change
+	deliveryPollInterval = time.Millisecond       // between two checks whether they have
+	firstWatchTimeout    = 9 * time.Second        // a sidecar opens its first watch within a second, or 1 to 8 s after a failed call
+	afterChangesDelay    = 300 * time.Millisecond // for the work that the last change still causes
 )
 
-// lists is the measurement at work.
-type lists struct {
-	*rig
-	conf    ListTrafficConf
-	list    *fake.Discovery
-	version int64
-	real    []*counts
-	hollow  []*counts
-	taps    []*tap
-	flip    bool // lines of the next change are gone, or back
+// listTraffic is the state of the measurement.
+type listTraffic struct {
+	*run
+	conf      ListTrafficConf
+	discovery *fake.Discovery
+	version   int64 // the version that was published last
+	real      []*watcherCounts
+	emulated  []*watcherCounts
+	proxies   []*countingProxy
+	gone      bool // the changing lines are deleted at present; the next change restores them
 }
 
-// MeasureListTraffic changes a list and looks what its watchers get.
+// MeasureListTraffic changes a list and measures what its watchers receive.
 func MeasureListTraffic(ctx context.Context, conf ListTrafficConf, opts Options) (*ListTraffic, error) {
-	scene, err := scenario.Parse("lists", []byte(listsScene))
+	sc, err := scenario.Parse("lists", []byte(listsScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -131,12 +131,12 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	l := &lists{rig: newRig(scene, 1, opts, dir), conf: conf}
-	l.share(oracle.NewService(nil, 0))
+	l := &listTraffic{run: newRun(sc, 1, opts, dir), conf: conf}
+	l.openChecker(oracle.NewService(nil, 0))
 	var watchers sync.WaitGroup
 	watching, stop := context.WithCancel(ctx)
 	defer watchers.Wait()
-	defer l.end()
+	defer l.stop()
 	defer stop()
 	if err := l.start(watching, &watchers); err != nil {
 		return nil, err
@@ -144,75 +144,77 @@
 	return l.measure(ctx)
 }
 
-// line is one of the list; the same endpoint is gone and back.
-func line(n int, status string) fake.Line {
+// listLine returns line n of the list. An endpoint that is deleted and restored has the same line.
+func listLine(n int, status string) fake.Line {
 	return fake.Line{
 		Name: fmt.Sprintf("svc-%d.example.internal", n), Address: fmt.Sprintf("127.15.%d.%d:8080", n/250, 1+n%250), Zone: "zone-a", Type: "lab",
 		Group: 1, Status: status, Weight: 1, Since: 1_764_633_600_000 + int64(n),
 	}
 }
 
-func (l *lists) start(ctx context.Context, watchers *sync.WaitGroup) error {
-	l.list = fake.NewDiscovery(l.book)
-	l.lists = []*fake.Discovery{l.list}
+// start publishes the list, starts the sidecars with their counting proxies and the emulated watchers, and waits until all have
+// the list.
+func (l *listTraffic) start(ctx context.Context, watchers *sync.WaitGroup) error {
+	l.discovery = fake.NewDiscovery(l.checker)
+	l.discoveries = []*fake.Discovery{l.discovery}
 	all := make([]fake.Line, l.conf.Endpoints)
 	for n := range all {
-		all[n] = line(n, fake.Serving)
+		all[n] = listLine(n, fake.Serving)
 	}
-	l.set(all...)
+	l.publish(all...)
 	for n := range l.conf.Sidecars {
-		s := &sidecar{rig: l.rig, name: fmt.Sprintf("s%d", n), number: n % l.conf.Peers, peers: l.conf.Peers, zone: "zone-a"}
-		if err := s.settle(); err != nil {
+		s := &sidecar{run: l.run, name: fmt.Sprintf("s%d", n), number: n % l.conf.Peers, peers: l.conf.Peers, zone: "zone-a"}
+		if err := s.assignAddresses(); err != nil {
 			return err
 		}
-		c := &counts{}
-		t, err := newTap(s.host, s.list, c)
+		c := &watcherCounts{}
+		t, err := newCountingProxy(s.host, s.discoveryAddress, c)
 		if err != nil {
 			return err
 		}
-		l.taps, l.real = append(l.taps, t), append(l.real, c)
-		s.list = t.listener.Addr().String()
+		l.proxies, l.real = append(l.proxies, t), append(l.real, c)
+		s.discoveryAddress = t.listener.Addr().String()
 		l.addSidecar(s)
 		if _, err := s.start(ctx); err != nil {
 			return err
 		}
 	}
 	for n := range l.conf.Emulated {
-		host, err := l.hosts.take()
+		host, err := l.hosts.acquire()
 		if err != nil {
 			return err
 		}
-		address, err := l.list.OpenFor(fmt.Sprintf("h%d", n), host)
+		address, err := l.discovery.OpenFor(fmt.Sprintf("h%d", n), host)
 		if err != nil {
 			return err
 		}
-		c := &counts{}
-		l.hollow = append(l.hollow, c)
-		watchers.Go(func() { hollowWatch(ctx, address, c) })
+		c := &watcherCounts{}
+		l.emulated = append(l.emulated, c)
+		watchers.Go(func() { emulatedWatch(ctx, address, c) })
 	}
-	return l.await(ctx, afterStart)
+	return l.awaitDelivery(ctx, firstWatchTimeout)
 }
 
-func (l *lists) end() {
-	for _, t := range l.taps {
+func (l *listTraffic) stop() {
+	for _, t := range l.proxies {
 		t.close()
 	}
-	l.endAll()
+	l.stopAll()
 }
 
-// set makes one version.
-func (l *lists) set(lines ...fake.Line) {
-	l.list.SetLines(lines...)
+// publish changes lines of the list in one version.
+func (l *listTraffic) publish(lines ...fake.Line) {
+	l.discovery.SetLines(lines...)
 	l.version++
 }
 
-// await waits until all watchers have asked for what follows the newest version: then they have had it.
-func (l *lists) await(ctx context.Context, most time.Duration) error {
-	all := append(append([]*counts{}, l.real...), l.hollow...)
-	for end := time.Now().Add(most); ; {
+// awaitDelivery waits until all watchers have requested what follows the newest version, which shows that they have received it.
+func (l *listTraffic) awaitDelivery(ctx context.Context, timeout time.Duration) error {
+	all := append(append([]*watcherCounts{}, l.real...), l.emulated...)
+	for end := time.Now().Add(timeout); ; {
 		behind := 0
 		for _, c := range all {
-			if c.index.Load() < l.version {
+			if c.version.Load() < l.version {
 				behind++
 			}
 		}
@@ -220,72 +222,73 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%d of %d watchers have not asked for what follows version %d within %v", behind, len(all), l.version, most)
+			return fmt.Errorf("%d of %d watchers have not asked for what follows version %d within %v", behind, len(all), l.version, timeout)
 		}
 		select {
-		case <-time.After(listPause):
+		case <-time.After(deliveryPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// change has lines go, or those that went come back.
-func (l *lists) change() {
-	l.flip = !l.flip
+// changeLines deletes the changing lines, or restores them if they are deleted.
+func (l *listTraffic) changeLines() {
+	l.gone = !l.gone
 	status := fake.Serving
-	if l.flip {
+	if l.gone {
 		status = fake.Deleted
 	}
 	lines := make([]fake.Line, l.conf.AtOnce)
 	for n := range lines {
-		lines[n] = line(n, status)
+		lines[n] = listLine(n, status)
 	}
 	if !l.conf.Apart {
-		l.set(lines...)
+		l.publish(lines...)
 		return
 	}
 	for _, one := range lines {
-		l.set(one)
+		l.publish(one)
 	}
 }
 
-func (l *lists) measure(ctx context.Context) (*ListTraffic, error) {
+// measure makes the changes and returns what they cost.
+func (l *listTraffic) measure(ctx context.Context) (*ListTraffic, error) {
 	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
-	if out.Whole, err = l.fetchWhole(ctx); err != nil {
+	if out.Whole, err = l.fetchFullList(ctx); err != nil {
 		return nil, err
 	}
-	before, hollow := snapshots(l.real), snapshots(l.hollow)
-	cpu, err := l.ran()
+	before, emulated := snapshots(l.real), snapshots(l.emulated)
+	cpu, err := l.sidecarCPUTime()
 	if err != nil {
 		return nil, err
 	}
-	lab := labRan()
-	told := newLatencies()
+	labBefore := labCPUTime()
+	delivery := newHistogram()
 	for range l.conf.Changes {
 		began := time.Now()
-		l.change()
-		if err := l.await(ctx, tellTime); err != nil {
+		l.changeLines()
+		if err := l.awaitDelivery(ctx, deliveryTimeout); err != nil {
 			return nil, err
 		}
-		observe(told, time.Since(began))
+		observe(delivery, time.Since(began))
 	}
-	labAfter := labRan()
-	select { // what the last change still costs
-	case <-time.After(settledFor):
+	labAfter := labCPUTime()
+	select { // for what the last change still costs
+	case <-time.After(afterChangesDelay):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	after, err := l.ran()
+	after, err := l.sidecarCPUTime()
 	if err != nil {
 		return nil, err
 	}
 	changes := float64(l.conf.Changes)
-	out.Real, out.Emulated = since(before, snapshots(l.real), l.conf.Changes), since(hollow, snapshots(l.hollow), l.conf.Changes)
+	out.Real, out.Emulated = wireBetween(before, snapshots(l.real), l.conf.Changes), wireBetween(emulated, snapshots(l.emulated), l.conf.Changes)
 	out.CPU = float64((after - cpu).Microseconds()) / changes / float64(max(1, l.conf.Sidecars))
-	out.LabCPU = float64((labAfter - lab).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
-	out.DeliveryP50, out.DeliveryMax = quantile(told, 50), quantile(told, 100)
+	out.LabCPU = float64((labAfter - labBefore).Microseconds()) / changes / float64(l.conf.Sidecars+l.conf.Emulated)
+	out.DeliveryP50, out.DeliveryMax = quantile(delivery, 50), quantile(delivery, 100)
 	if l.conf.Idle <= 0 {
 		return out, nil
 	}
@@ -295,19 +298,19 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if after, err = l.ran(); err != nil {
+	if after, err = l.sidecarCPUTime(); err != nil {
 		return nil, err
 	}
-	out.Idle = since(before, snapshots(l.real), 1)
+	out.Idle = wireBetween(before, snapshots(l.real), 1)
 	out.IdleCPU = float64((after - cpu).Microseconds()) / l.conf.Idle.Seconds() / float64(max(1, l.conf.Sidecars))
 	return out, nil
 }
 
-// ran is the processor time of all sidecars.
-func (l *lists) ran() (time.Duration, error) {
+// sidecarCPUTime returns the CPU time of all sidecars together.
+func (l *listTraffic) sidecarCPUTime() (time.Duration, error) {
 	sum := time.Duration(0)
-	for _, s := range l.all() {
-		ran, err := s.proc.ran()
+	for _, s := range l.allSidecars() {
+		ran, err := s.proc.cpuTime()
 		if err != nil {
 			return 0, err
 		}
@@ -316,26 +319,26 @@
 	return sum, nil
 }
 
-// labRan is the processor time of this process.
-func labRan() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// labCPUTime returns the CPU time of this process.
+func labCPUTime() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// fetchWhole asks for the whole list once, as a sidecar does that has none.
-func (l *lists) fetchWhole(ctx context.Context) (Wire, error) {
-	host, err := l.hosts.take()
+// fetchFullList requests the full list once, as a sidecar without a list does.
+func (l *listTraffic) fetchFullList(ctx context.Context) (Wire, error) {
+	host, err := l.hosts.acquire()
 	if err != nil {
 		return Wire{}, err
 	}
-	address, err := l.list.OpenFor("whole", host)
+	address, err := l.discovery.OpenFor("whole", host)
 	if err != nil {
 		return Wire{}, err
 	}
-	c := &counts{}
+	c := &watcherCounts{}
 	w, err := dialWatch(ctx, address, c)
 	if err != nil {
 		return Wire{}, err
@@ -344,39 +347,39 @@
 	if _, err := w.call(httpwire.EncodeFetch()); err != nil {
 		return Wire{}, err
 	}
-	return since([]snapshot{{}}, []snapshot{c.now()}, 1), nil
+	return wireBetween([]snapshot{{}}, []snapshot{c.snapshot()}, 1), nil
 }
 
-// watchConn is a hollow watcher's connection: what it writes and reads is counted.
+// watchConn is the connection of an emulated watcher. It counts what it writes and reads.
 type watchConn struct {
 	net.Conn
-	in *bufio.Reader
-	c  *counts
+	in     *bufio.Reader
+	counts *watcherCounts
 }
 
-// Read counts what comes.
+// Read reads from the connection and counts the bytes.
 func (w *watchConn) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
-	w.c.told.Add(int64(n))
+	w.counts.answerBytes.Add(int64(n))
 	return n, err
 }
 
-func dialWatch(ctx context.Context, address string, c *counts) (*watchConn, error) {
+func dialWatch(ctx context.Context, address string, c *watcherCounts) (*watchConn, error) {
 	dialer := net.Dialer{Timeout: watchWait}
 	plain, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	w := &watchConn{Conn: plain, c: c}
+	w := &watchConn{Conn: plain, counts: c}
 	w.in = bufio.NewReader(w)
 	return w, nil
 }
 
-// call makes one call.
+// call sends one request and returns the list of the answer.
 func (w *watchConn) call(message []byte) (httpwire.List, error) {
-	w.SetDeadline(time.Now().Add(2 * watchWait)) //nolint:errcheck // the write tells
-	w.c.calls.Add(1)
-	w.c.asked.Add(int64(len(message)))
+	w.SetDeadline(time.Now().Add(2 * watchWait)) //nolint:errcheck // the write reports an error
+	w.counts.calls.Add(1)
+	w.counts.requestBytes.Add(int64(len(message)))
 	if _, err := w.Write(message); err != nil {
 		return httpwire.List{}, err
 	}
@@ -384,16 +387,17 @@
 	if err != nil {
 		return list, err
 	}
-	w.c.answers.Add(1)
-	w.c.lines.Add(int64(len(list.Endpoints)))
+	w.counts.answers.Add(1)
+	w.counts.lines.Add(int64(len(list.Endpoints)))
 	if list.Whole {
-		w.c.wholes.Add(1)
+		w.counts.fullLists.Add(1)
 	}
 	return list, nil
 }
 
-// hollowWatch watches as a sidecar does, until its context ends or a call fails: the measurement then says who is behind.
-func hollowWatch(ctx context.Context, address string, c *counts) {
+// emulatedWatch watches the list as a sidecar does, until ctx ends or a call fails. After a failure the watcher stays behind,
+// which the measurement reports.
+func emulatedWatch(ctx context.Context, address string, c *watcherCounts) {
 	w, err := dialWatch(ctx, address, c)
 	if err != nil {
 		return
@@ -407,44 +411,44 @@
 		if err != nil {
 			return
 		}
-		c.index.Store(list.Index)
+		c.version.Store(list.Index)
 		message = httpwire.EncodeWatch(list.Index, watchWait)
 	}
 }
 
-// tap stands between a sidecar and its discovery, and counts what it passes on.
-type tap struct {
+// countingProxy is a proxy between a sidecar and its discovery that counts what it forwards.
+type countingProxy struct {
 	listener net.Listener
 	to       string
-	c        *counts
+	counts   *watcherCounts
 
 	mu     sync.Mutex
 	conns  map[net.Conn]struct{}
 	closed bool
 }
 
-func newTap(host, to string, c *counts) (*tap, error) {
+func newCountingProxy(host, to string, c *watcherCounts) (*countingProxy, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
-	t := &tap{listener: listener, to: to, c: c, conns: map[net.Conn]struct{}{}}
+	t := &countingProxy{listener: listener, to: to, counts: c, conns: map[net.Conn]struct{}{}}
 	go t.accept()
 	return t, nil
 }
 
-func (t *tap) accept() {
+func (t *countingProxy) accept() {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
 			return
 		}
-		go t.carry(conn)
+		go t.handle(conn)
 	}
 }
 
-// keep has the connection end with the tap.
-func (t *tap) keep(conn net.Conn) bool {
+// track has the connection closed together with the proxy. It returns false if the proxy is closed already.
+func (t *countingProxy) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed {
@@ -453,7 +457,7 @@
 	return !t.closed
 }
 
-func (t *tap) close() {
+func (t *countingProxy) close() {
 	t.listener.Close()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -463,15 +467,15 @@
 	}
 }
 
-// carry passes one connection on, a message at a time: a watch has one call out.
-func (t *tap) carry(from net.Conn) {
+// handle forwards one connection. A watch has one request open at a time.
+func (t *countingProxy) handle(from net.Conn) {
 	defer from.Close()
 	to, err := net.DialTimeout("tcp", t.to, watchWait)
 	if err != nil {
 		return
 	}
 	defer to.Close()
-	if !t.keep(from) || !t.keep(to) {
+	if !t.track(from) || !t.track(to) {
 		return
 	}
 	defer func() {
@@ -481,23 +485,23 @@
 		delete(t.conns, to)
 	}()
 	var both sync.WaitGroup
-	both.Go(func() { t.pass(to, from, t.asked) })
-	told, done := t.told()
-	t.pass(from, to, told)
+	both.Go(func() { t.copy(to, from, t.countRequest) })
+	count, done := t.countAnswers()
+	t.copy(from, to, count)
 	done()
 	both.Wait()
 }
 
-// pass copies one way until either end is gone.
-func (t *tap) pass(to, from net.Conn, saw func([]byte)) {
+// copy forwards one direction until either end is closed.
+func (t *countingProxy) copy(to, from net.Conn, count func([]byte)) {
 	defer to.Close()
 	b := make([]byte, 64<<10)
 	for {
-		from.SetReadDeadline(time.Now().Add(time.Hour)) //nolint:errcheck // it ends with the tap at the latest
+		from.SetReadDeadline(time.Now().Add(time.Hour)) //nolint:errcheck // the connection is closed with the proxy at the latest
 		n, err := from.Read(b)
 		if n > 0 {
-			saw(b[:n])
-			to.SetWriteDeadline(time.Now().Add(watchWait)) //nolint:errcheck // the write tells
+			count(b[:n])
+			to.SetWriteDeadline(time.Now().Add(watchWait)) //nolint:errcheck // the write reports an error
 			if _, err := to.Write(b[:n]); err != nil {
 				return
 			}
@@ -508,17 +512,19 @@
 	}
 }
 
-// asked counts a call: the sidecar writes each at once, and it fits a read. Its version is what the sidecar has.
-func (t *tap) asked(b []byte) {
-	t.c.asked.Add(int64(len(b)))
-	t.c.calls.Add(1)
-	if after, ok := afterOf(b); ok {
-		t.c.index.Store(after)
+// countRequest counts a request. The sidecar writes each request at once and it fits one read. The version in it is the version
+// that the sidecar has.
+func (t *countingProxy) countRequest(b []byte) {
+	t.counts.requestBytes.Add(int64(len(b)))
+	t.counts.calls.Add(1)
+	if after, ok := afterParameter(b); ok {
+		t.counts.version.Store(after)
 	}
 }
 
-// told counts what the agent sends; a copy of it is decoded beside, for the lines of each answer, until it is done.
-func (t *tap) told() (saw func([]byte), done func()) {
+// countAnswers returns a function that counts the bytes from discovery. A goroutine decodes a copy of them to count the answers
+// and their lines, until done is called.
+func (t *countingProxy) countAnswers() (count func([]byte), done func()) {
 	read, write := net.Pipe()
 	go func() {
 		defer read.Close()
@@ -528,21 +534,21 @@
 			if err != nil {
 				return
 			}
-			t.c.answers.Add(1)
-			t.c.lines.Add(int64(len(list.Endpoints)))
+			t.counts.answers.Add(1)
+			t.counts.lines.Add(int64(len(list.Endpoints)))
 			if list.Whole {
-				t.c.wholes.Add(1)
+				t.counts.fullLists.Add(1)
 			}
 		}
 	}()
 	return func(b []byte) {
-		t.c.told.Add(int64(len(b)))
-		write.Write(b) //nolint:errcheck // an answer that is none ends the counting of lines
+		t.counts.answerBytes.Add(int64(len(b)))
+		write.Write(b) //nolint:errcheck // after an answer that can't be decoded no more lines are counted
 	}, func() { write.Close() }
 }
 
-// afterOf is the version that a call names.
-func afterOf(b []byte) (int64, bool) {
+// afterParameter returns the version that a watch request states, and whether it states one.
+func afterParameter(b []byte) (int64, bool) {
 	var after, wait int64
 	n, _ := fmt.Sscanf(string(b), "GET /discovery/hosts?after=%d&wait_ms=%d", &after, &wait)
 	return after, n == 2
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -21,40 +21,40 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// OverheadConf is what a call is measured with.
+// OverheadConf describes a measurement of a sidecar's overhead.
 type OverheadConf struct {
-	Rate      float64 // requests a second by each of the two ways
+	Rate      float64 // requests a second along each of the two paths, direct and through the sidecar
 	For       time.Duration
-	Endpoints int    // listed, each a stand-in that takes calls
-	Peers     int    // instances that the sidecar is told of: the more there are, the fewer of the endpoints it uses
-	Classes   int    // in the settings; requests are of all in turn
-	Stages    int    // tiers that the settings name; the sidecar sends to the first
-	PerCaller bool   // the settings say that each caller has a sidecar of its own (family mesh)
-	Seed      uint64 // of the arrivals
+	Endpoints int    // in the list; all exist
+	Peers     int    // number of peers in the sidecar's settings: with more peers it uses fewer of the endpoints
+	Classes   int    // in the settings; requests use them in turn
+	Stages    int    // tiers in the settings; the sidecar sends to the first one
+	PerCaller bool   // the settings state that each caller has its own sidecar (family mesh)
+	Seed      uint64 // of the arrival times
 }
 
-// Overhead is what a sidecar adds to a request, and takes for it.
+// Overhead is what a sidecar adds to a request's latency, and what it costs.
 type Overhead struct {
-	Requests      int     // by each way
-	DirectP50     float64 // ms, from when a request was due
+	Requests      int     // along each path
+	DirectP50     float64 // ms, from the time when a request was due
 	DirectP99     float64
 	SidecarP50    float64
 	SidecarP99    float64
-	CPU           float64 // microseconds of the sidecar's processor for a request, with what it takes while idle
-	RSSMB         float64 // most that the sidecar's process held
-	FDs           int     // descriptors of the sidecar's process at the end
-	EndpointsUsed int     // endpoints that the sidecar's requests came to
-	Lag           float64 // ms, the load's own at the 99th percentile
+	CPU           float64 // microseconds of the sidecar's CPU time for each request, including what it uses while idle
+	RSSMB         float64 // peak of the sidecar's process
+	FDs           int     // open descriptors of the sidecar's process at the end
+	EndpointsUsed int     // endpoints that received requests of the sidecar
+	Lag           float64 // ms by which the load's own requests were late, 99th percentile
 }
 
-// AddedP50 and AddedP99 are differences of quantiles, in ms.
+// AddedP50 returns the difference of the two paths' medians in ms. This is not the median of the differences.
 func (c Overhead) AddedP50() float64 { return c.SidecarP50 - c.DirectP50 }
 
-// AddedP99 is that of the 99th.
+// AddedP99 returns the difference of the two paths' 99th percentiles in ms.
 func (c Overhead) AddedP99() float64 { return c.SidecarP99 - c.DirectP99 }
 
-// callScene is a fleet in which nothing waits: what is measured is the way.
-const callScene = `
+// overheadScenario has enough capacity that no request waits at an endpoint, so that the latency is that of the path.
+const overheadScenario = `
 name = "call"
 duration = "1h"
 [limits]
@@ -73,9 +73,10 @@
 rate = 1
 `
 
-// scene is the scenario of a conf, beyond the bounds of files: there is one tier of plain stand-ins.
-func (c *OverheadConf) scene() (*scenario.Scenario, error) {
-	s, err := scenario.Parse("call", []byte(callScene))
+// scenario returns the scenario of the measurement: one tier of fake endpoints. It may be larger than the limits of scenario
+// files allow.
+func (c *OverheadConf) scenario() (*scenario.Scenario, error) {
+	s, err := scenario.Parse("call", []byte(overheadScenario))
 	if err != nil {
 		return nil, err
 	}
@@ -95,9 +96,9 @@
 	return s, nil
 }
 
-// MeasureOverhead sends every other request straight to an endpoint and the rest through one sidecar.
+// MeasureOverhead sends every second request directly to an endpoint and the others through one sidecar, and compares the two.
 func MeasureOverhead(ctx context.Context, conf OverheadConf, opts Options) (Overhead, error) {
-	scene, err := conf.scene()
+	sc, err := conf.scenario()
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -106,23 +107,23 @@
 		return Overhead{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := newRig(scene, 1, opts, dir)
-	r.share(oracle.NewService(nil, 0))
-	defer r.endAll()
-	if err := r.startCall(ctx, &conf); err != nil {
+	r := newRun(sc, 1, opts, dir)
+	r.openChecker(oracle.NewService(nil, 0))
+	defer r.stopAll()
+	if err := r.startOverhead(ctx, &conf); err != nil {
 		return Overhead{}, err
 	}
 	direct := &front{}
 	for _, s := range r.tiers[0].slots {
-		direct.add(&load.Target{Name: "direct", Address: s.present().Address()})
+		direct.add(&load.Target{Name: "direct", Address: s.currentEndpoint().Address()})
 	}
 	clients := [2]*load.Client{
-		load.NewClient(r.book, direct, r.grace()), load.NewClient(r.book, r.front, r.grace()),
+		load.NewClient(r.checker, direct, r.clientGrace()), load.NewClient(r.checker, r.front, r.clientGrace()),
 	}
 	defer clients[0].Close()
 	defer clients[1].Close()
-	proc := r.first[0].proc
-	before, err := proc.ran()
+	proc := r.firstTier[0].proc
+	before, err := proc.cpuTime()
 	if err != nil {
 		return Overhead{}, err
 	}
@@ -133,12 +134,12 @@
 		defer mu.Unlock()
 		used[endpoint] = true
 	}
-	m := r.send(ctx, &conf, clients)
-	after, err := proc.ran()
+	m := r.sendAlternating(ctx, &conf, clients)
+	after, err := proc.cpuTime()
 	if err != nil {
 		return Overhead{}, err
 	}
-	n := int(m.took[1].TotalCount())
+	n := int(m.latency[1].TotalCount())
 	if m.failed > 0 || n == 0 {
 		return Overhead{}, fmt.Errorf("%d requests failed and %d were served: nothing to measure", m.failed, n)
 	}
@@ -146,61 +147,61 @@
 	if err != nil {
 		return Overhead{}, err
 	}
-	if counters := proc.count(); counters != nil && counters.Sent < n {
+	if counters := proc.requestCounters(); counters != nil && counters.Sent < n {
 		return Overhead{}, fmt.Errorf("the sidecar sent %d attempts for %d requests: some did not go through it", counters.Sent, n)
 	}
 	return Overhead{
-		Requests: n, DirectP50: quantile(m.took[0], 50), DirectP99: quantile(m.took[0], 99),
-		SidecarP50: quantile(m.took[1], 50), SidecarP99: quantile(m.took[1], 99),
+		Requests: n, DirectP50: quantile(m.latency[0], 50), DirectP99: quantile(m.latency[0], 99),
+		SidecarP50: quantile(m.latency[1], 50), SidecarP99: quantile(m.latency[1], 99),
 		CPU: float64((after - before).Microseconds()) / float64(n), RSSMB: u.rssMB, FDs: u.fds, EndpointsUsed: len(used),
 		Lag: quantile(m.lag, 99),
 	}, nil
 }
 
-// startCall starts the endpoints and the sidecar; tiers that settings only name have none.
-func (r *rig) startCall(ctx context.Context, conf *OverheadConf) error {
-	r.lists = []*fake.Discovery{fake.NewDiscovery(r.book)}
+// startOverhead starts the endpoints and the sidecar. Further tiers exist only in the settings.
+func (r *run) startOverhead(ctx context.Context, conf *OverheadConf) error {
+	r.discoveries = []*fake.Discovery{fake.NewDiscovery(r.checker)}
 	r.tiers = []*tier{newTier(r, 0)}
 	r.tiers[0].conf.Calls = 0
 	if err := r.tiers[0].start(ctx); err != nil {
 		return err
 	}
-	s := &sidecar{rig: r, name: "s0", peers: conf.Peers, own: conf.PerCaller, zone: "a"}
-	if err := s.settle(); err != nil {
+	s := &sidecar{run: r, name: "s0", peers: conf.Peers, perCaller: conf.PerCaller, zone: "a"}
+	if err := s.assignAddresses(); err != nil {
 		return err
 	}
-	r.first = append(r.first, s)
+	r.firstTier = append(r.firstTier, s)
 	r.addSidecar(s)
-	return r.join(ctx, s)
+	return r.startBehindFront(ctx, s)
 }
 
-// sent is what came of a measurement's requests.
-type sent struct {
-	took   [2]*hdrhistogram.Histogram // straight, and through the sidecar; ns from when a request was due
-	lag    *hdrhistogram.Histogram
-	failed int
+// overheadSamples holds the measurements of the requests.
+type overheadSamples struct {
+	latency [2]*hdrhistogram.Histogram // direct, and through the sidecar; ns from the time when a request was due
+	lag     *hdrhistogram.Histogram    // of sending, behind the time when a request was due
+	failed  int
 }
 
-// send sends them as they are due.
-func (r *rig) send(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *sent {
-	m := &sent{took: [2]*hdrhistogram.Histogram{newLatencies(), newLatencies()}, lag: newLatencies()}
+// sendAlternating sends the requests at their times, along the two paths in turn.
+func (r *run) sendAlternating(ctx context.Context, conf *OverheadConf, clients [2]*load.Client) *overheadSamples {
+	m := &overheadSamples{latency: [2]*hdrhistogram.Histogram{newHistogram(), newHistogram()}, lag: newHistogram()}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	base := r.book.Now()
-	for src := r.scene.Plan().Arrivals(conf.Seed); ctx.Err() == nil; {
+	base := r.checker.Now()
+	for src := r.scenario.Plan().Arrivals(conf.Seed); ctx.Err() == nil; {
 		a, ok := src.Next()
 		if !ok {
 			break
 		}
 		r.waitUntil(ctx, base+a.At)
-		class := r.scene.Classes[a.Number/len(clients)%len(r.scene.Classes)].Name
+		class := r.scenario.Classes[a.Number/len(clients)%len(r.scenario.Classes)].Name
 		wait.Go(func() {
-			late := r.book.Now() - base - a.At
-			way := a.Number % len(clients)
-			result := clients[way].Send(ctx, load.Request{
-				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scene.Classes[0].Deadline,
+			late := r.checker.Now() - base - a.At
+			path := a.Number % len(clients)
+			result := clients[path].Send(ctx, load.Request{
+				ID: fmt.Sprintf("o%d", a.Number), Class: class, Effect: decide.Safe, Deadline: base + a.At + r.scenario.Classes[0].Deadline,
 			})
-			end := r.book.Now() - base - a.At
+			end := r.checker.Now() - base - a.At
 			mu.Lock()
 			defer mu.Unlock()
 			observe(m.lag, late)
@@ -208,50 +209,52 @@
 				m.failed++
 				return
 			}
-			observe(m.took[way], end)
+			observe(m.latency[path], end)
 		})
 	}
 	wait.Wait()
 	return m
 }
 
-// ThisMachine is the machine that figures are taken on.
+// ThisMachine describes the machine that measurements are taken on.
 func ThisMachine() record.Machine { return thisMachine() }
 
-// timerSlack is by how much the runtime's timers may be late: where the process waits in epoll meanwhile, that counts
-// whole milliseconds. The load of scenarios waits in the same way.
+// timerSlack is how late the runtime's timers may fire: while the process waits in epoll, they have a resolution of whole
+// milliseconds. The load of scenarios waits in the same way.
 const timerSlack = 2 * time.Millisecond
 
-// waitUntil waits for a time on the book's clock, the rest of it in the kernel.
-func (r *rig) waitUntil(ctx context.Context, at time.Duration) {
-	if pause := at - r.book.Now() - timerSlack; pause > 0 {
+// waitUntil waits for a time on the checker's clock. It sleeps in the kernel for the last part, which is more precise than a
+// timer.
+func (r *run) waitUntil(ctx context.Context, at time.Duration) {
+	if pause := at - r.checker.Now() - timerSlack; pause > 0 {
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 			return
 		}
 	}
-	if rest := at - r.book.Now(); rest > 0 {
+	if rest := at - r.checker.Now(); rest > 0 {
 		nap := unix.NsecToTimespec(int64(rest))
-		unix.Nanosleep(&nap, nil) //nolint:errcheck // woken early, the request is some microseconds early
+		unix.Nanosleep(&nap, nil) //nolint:errcheck // if woken early, the request is sent some microseconds early
 	}
 }
 
-func newLatencies() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
+// newHistogram returns a histogram of latencies in ns, up to a minute.
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(time.Minute), 3) }
 
-// observe books a time within the histogram's bounds.
+// observe records a duration, limited to the histogram's bounds.
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(max(1, int64(d)), int64(time.Minute))) //nolint:errcheck // it is within bounds
+	h.RecordValue(min(max(1, int64(d)), int64(time.Minute))) //nolint:errcheck // the value is within the bounds
 }
 
-// quantile (0 to 100) of a histogram, in ms.
+// quantile returns a quantile (0 to 100) of a histogram in ms.
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
 	return millis(time.Duration(h.ValueAtQuantile(q)))
 }
 
-// ran is the processor time that a process has had, to the nanosecond: the ticks of usage are 10 ms, a hundred requests.
-// What a thread ran that has ended is missing; the runtime keeps its threads.
-func (p *process) ran() (time.Duration, error) {
+// cpuTime returns the CPU time of the process in ns. The ticks in usage are 10 ms, the cost of a hundred requests. The time of
+// threads that have ended is missing, but the Go runtime keeps its threads.
+func (p *process) cpuTime() (time.Duration, error) {
 	paths, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "task", "*", "schedstat"))
 	if err != nil || len(paths) == 0 {
 		return 0, fmt.Errorf("process %s: no schedstat under /proc: %w", p.name, os.ErrNotExist)
--- a/internal/lab/harness/relay.go
+++ b/internal/lab/harness/relay.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// relay carries connections from one process to another. A way that is cut holds its bytes, as a network does whose
-// packets are lost: they come late, or never if the connection ends before.
+// relay forwards connections from one process to another. A direction that is partitioned holds back its bytes, as a network does
+// that loses packets: they arrive late, or never if the connection ends before.
 type relay struct {
 	listener net.Listener
 	target   string
 
-	mu     sync.Mutex
-	open   *sync.Cond
-	cut    [2]int           // cuts of the ways there and back that have not ended
-	delay  [2]time.Duration // of what goes there, and back
-	closed bool
-	conns  map[net.Conn]struct{}
+	mu         sync.Mutex
+	changed    *sync.Cond       // signals a change of partitions or closed
+	partitions [2]int           // partitions of each direction that have not been healed
+	delay      [2]time.Duration // of each direction
+	closed     bool
+	conns      map[net.Conn]struct{}
 }
 
-// The ways of a relay.
+// The directions of a relay.
 const (
-	there = iota
-	back
+	toTarget = iota
+	fromTarget
 )
 
-// newRelay listens at a free port of a host.
+// newRelay starts a relay that listens at a free port of a host.
 func newRelay(host, target string) (*relay, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		return nil, err
 	}
 	r := &relay{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
-	r.open = sync.NewCond(&r.mu)
+	r.changed = sync.NewCond(&r.mu)
 	go r.accept()
 	return r, nil
 }
@@ -47,11 +47,12 @@
 		if err != nil {
 			return
 		}
-		go r.carry(from)
+		go r.handle(from)
 	}
 }
 
-func (r *relay) carry(from net.Conn) {
+// handle forwards one connection until both directions have ended.
+func (r *relay) handle(from net.Conn) {
 	to, err := net.Dial("tcp", r.target)
 	if err != nil {
 		reset(from)
@@ -66,12 +67,13 @@
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.copy(to, from, there) })
-	both.Go(func() { r.copy(from, to, back) })
+	both.Go(func() { r.copy(to, from, toTarget) })
+	both.Go(func() { r.copy(from, to, fromTarget) })
 	both.Wait()
 	r.drop(from, to)
 }
 
+// drop closes connections and forgets them.
 func (r *relay) drop(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -81,16 +83,16 @@
 	}
 }
 
-// copy passes on one way until its end.
-func (r *relay) copy(to, from net.Conn, way int) {
+// copy forwards one direction of a connection until its end.
+func (r *relay) copy(to, from net.Conn, dir int) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
 		r.mu.Lock()
-		for r.cut[way] > 0 && !r.closed {
-			r.open.Wait()
+		for r.partitions[dir] > 0 && !r.closed {
+			r.changed.Wait()
 		}
-		delay := r.delay[way]
+		delay := r.delay[dir]
 		r.mu.Unlock()
 		time.Sleep(delay)
 		if n > 0 {
@@ -112,25 +114,25 @@
 	}
 }
 
-// set cuts a way or opens it.
-func (r *relay) set(way int, cut bool) {
+// setPartitioned partitions a direction or heals it. Partitions add up: each needs a healing of its own.
+func (r *relay) setPartitioned(dir int, partitioned bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut[way]--; cut {
-		r.cut[way] += 2
+	if r.partitions[dir]--; partitioned {
+		r.partitions[dir] += 2
 	}
-	r.open.Broadcast()
+	r.changed.Broadcast()
 }
 
-// slow has what goes a way come so much later than before, or sooner where that is below 0.
-func (r *relay) slow(way int, by time.Duration) {
+// addDelay adds a delay to a direction; a negative one takes it away.
+func (r *relay) addDelay(dir int, by time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.delay[way] += by
+	r.delay[dir] += by
 }
 
-// reset breaks all connections, in the middle of whatever they carry.
-func (r *relay) reset() {
+// resetAll resets all connections, whatever they are forwarding.
+func (r *relay) resetAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -138,16 +140,17 @@
 	}
 }
 
+// close stops listening and resets all connections.
 func (r *relay) close() {
 	r.listener.Close()
 	r.mu.Lock()
 	r.closed = true
-	r.open.Broadcast()
+	r.changed.Broadcast()
 	r.mu.Unlock()
-	r.reset()
+	r.resetAll()
 }
 
-// reset ends a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -21,51 +21,50 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// startTries is how often a sidecar is started at other ports where one was taken
-// between its choice and its use.
-const startTries = 5
+// maxStartAttempts bounds the starts of a sidecar at other ports: another process may take a port between its choice and its use.
+const maxStartAttempts = 5
 
 // sidecar is one sidecar over all its starts.
 type sidecar struct {
-	rig    *rig
-	name   string
-	tier   int // it sends to
-	number int // among its peers
-	peers  int
-	own    bool // the settings say that each caller has one of its own
-	zone   string
-	host   string
-	list   string // address of its discovery
+	run              *run
+	name             string
+	tier             int  // index of the tier that it sends to
+	number           int  // its number among its peers
+	peers            int  // number of peers, itself included, as the settings state it
+	perCaller        bool // the settings state that each caller has its own sidecar (family mesh)
+	zone             string
+	host             string
+	discoveryAddress string // where its fake discovery listens
 
-	mu      sync.Mutex
-	address string
-	proc    *process
-	target  *load.Target
-	starts  int
-	crashed bool
-	top     usage
-	random  uint64
+	mu        sync.Mutex   // guards what follows
+	address   string       // empty until an address is chosen; a later start uses the same address
+	proc      *process     // the last start; nil before the first
+	target    *load.Target // the last start that became ready; nil before that
+	starts    int
+	crashed   bool   // it ended although the lab did not stop it
+	peakUsage usage  // highest memory and descriptors over all samples, and the last value of the CPU time
+	seedStep  uint64 // changes the seed of its random numbers with each start
 }
 
-// settle gives it a host, and a discovery that listens at another.
-func (s *sidecar) settle() error {
+// assignAddresses acquires a host for the sidecar, and another host where its fake discovery listens.
+func (s *sidecar) assignAddresses() error {
 	var err error
-	if s.host, err = s.rig.hosts.take(); err != nil {
+	if s.host, err = s.run.hosts.acquire(); err != nil {
 		return err
 	}
-	at, err := s.rig.hosts.take()
+	at, err := s.run.hosts.acquire()
 	if err != nil {
 		return err
 	}
-	s.list, err = s.rig.lists[s.tier].OpenFor(s.name, at)
+	s.discoveryAddress, err = s.run.discoveries[s.tier].OpenFor(s.name, at)
 	return err
 }
 
-// start starts it, at its address if it has one, and returns when it is ready.
+// start starts the sidecar, at its address if it has one, and returns when it is ready.
 func (s *sidecar) start(ctx context.Context) (*load.Target, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	tries := startTries
+	tries := maxStartAttempts
 	if s.address != "" {
 		tries = 1
 	}
@@ -81,18 +80,19 @@
 	}
 }
 
+// startOnce tries one start. It writes the configuration, starts the process and waits until the process is ready. s.mu is held.
 func (s *sidecar) startOnce(ctx context.Context) error {
 	if s.address == "" {
 		var err error
-		if s.address, err = s.rig.hosts.address(s.host); err != nil {
+		if s.address, err = s.run.hosts.address(s.host); err != nil {
 			return err
 		}
 	}
 	s.starts++
-	s.random++
-	known := s.rig.lists[s.tier].LastDelivered(s.name)
-	path := filepath.Join(s.rig.dir, s.name+".json")
-	text, err := json.Marshal(s.config(known))
+	s.seedStep++
+	known := s.run.discoveries[s.tier].LastDelivered(s.name)
+	path := filepath.Join(s.run.dir, s.name+".json")
+	text, err := json.Marshal(s.configuration(known))
 	if err != nil {
 		return err
 	}
@@ -100,25 +100,25 @@
 		return err
 	}
 	logPath := ""
-	if s.rig.opts.LogDir != "" {
-		logPath = filepath.Join(s.rig.opts.LogDir, s.name+".log")
+	if s.run.opts.LogDir != "" {
+		logPath = filepath.Join(s.run.opts.LogDir, s.name+".log")
 	}
-	s.rig.book.Do(func(b *oracle.Checker) { b.SidecarStarted(s.rig.book.Now(), s.name, known.Index) })
-	if s.proc, err = startProcess(s.rig.opts.Sidecar(), s.name, path, logPath); err != nil {
+	s.run.checker.Do(func(c *oracle.Checker) { c.SidecarStarted(s.run.checker.Now(), s.name, known.Index) })
+	if s.proc, err = startProcess(s.run.opts.Sidecar(), s.name, path, logPath); err != nil {
 		return err
 	}
-	if err := waitUp(ctx, s.address, s.proc); err != nil {
-		s.proc.end(syscall.SIGKILL)
-		s.proc.wait(killTime)
+	if err := waitReady(ctx, s.address, s.proc); err != nil {
+		s.proc.stop(syscall.SIGKILL)
+		s.proc.wait(exitTimeout)
 		return fmt.Errorf("sidecar %s at %s: %w: %s", s.name, s.address, err, s.proc.lastLine)
 	}
 	s.target = &load.Target{Name: s.name, Address: s.address}
 	return nil
 }
 
-// waitUp waits until GET /up answers 200.
-func waitUp(ctx context.Context, address string, p *process) error {
-	ctx, cancel := context.WithTimeout(ctx, upTime)
+// waitReady waits until GET /up answers 200. It fails if the process ends or if readyTimeout passes.
+func waitReady(ctx context.Context, address string, p *process) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -136,138 +136,141 @@
 		case <-ctx.Done():
 			return fmt.Errorf("not ready: %w", ctx.Err())
 		case <-p.exited:
-			return fmt.Errorf("it ended as it started")
-		case <-time.After(pollPause):
+			return fmt.Errorf("the process ended during its start")
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// current is its newest start.
-func (s *sidecar) current() *load.Target {
+// currentTarget returns the target of the last start.
+func (s *sidecar) currentTarget() *load.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.target
 }
 
-// kill ends it outright; what it held is cut, not lost.
+// kill ends the process with SIGKILL. The requests that it held count as interrupted by the lab, not as lost by the sidecar.
 func (s *sidecar) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.proc == nil {
 		return
 	}
-	s.sample()
-	if s.target != nil { // it had become ready
+	s.sampleLocked()
+	if s.target != nil { // the process had become ready
 		s.target.Stopped.Store(true)
 	}
-	s.proc.end(syscall.SIGKILL)
-	s.proc.wait(killTime)
+	s.proc.stop(syscall.SIGKILL)
+	s.proc.wait(exitTimeout)
 }
 
-// restartKill is when a sidecar that got SIGTERM is killed: the longest deadline,
-// up to 3 s, and 0.7 s more, as the published protocol has it.
-func (s *sidecar) restartKill() time.Duration {
-	const patientFor, more = 3 * time.Second, 700 * time.Millisecond
+// terminateTimeout returns how long a sidecar has after SIGTERM until it is killed: the longest deadline of a class, at most 3 s,
+// plus 0.7 s, as the published protocol states it.
+func (s *sidecar) terminateTimeout() time.Duration {
+	const maxDeadline, extra = 3 * time.Second, 700 * time.Millisecond
 	longest := time.Duration(0)
-	for _, c := range s.rig.scene.Classes {
+	for _, c := range s.run.scenario.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, patientFor) + more
+	return min(longest, maxDeadline) + extra
 }
 
-// terminate asks it to end, and kills it if it has not in time: what it has not
-// answered by then is its own loss.
+// terminate sends SIGTERM, and kills the process if it has not ended within terminateTimeout. Requests that the sidecar has not
+// answered by then count as lost by it.
 func (s *sidecar) terminate() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.proc == nil {
 		return
 	}
-	s.sample()
-	s.proc.end(syscall.SIGTERM)
-	if !s.proc.wait(s.restartKill()) {
-		s.proc.end(syscall.SIGKILL)
-		s.proc.wait(killTime)
+	s.sampleLocked()
+	s.proc.stop(syscall.SIGTERM)
+	if !s.proc.wait(s.terminateTimeout()) {
+		s.proc.stop(syscall.SIGKILL)
+		s.proc.wait(exitTimeout)
 	}
 }
 
-// sample looks what the process takes, and whether it has ended by itself.
-func (s *sidecar) sample() {
+// sampleLocked records the resource usage of the process and whether it has crashed. s.mu is held.
+func (s *sidecar) sampleLocked() {
 	if s.proc == nil {
 		return
 	}
 	s.crashed = s.crashed || s.proc.crashed()
 	if u, err := s.proc.usage(); err == nil {
-		s.top.rssMB, s.top.cpu, s.top.fds = max(s.top.rssMB, u.rssMB), u.cpu, max(s.top.fds, u.fds)
+		s.peakUsage.rssMB, s.peakUsage.cpu, s.peakUsage.fds = max(s.peakUsage.rssMB, u.rssMB), u.cpu, max(s.peakUsage.fds, u.fds)
 	}
 }
 
-func (s *sidecar) watch() {
+// sampleUsage is sampleLocked with the lock taken.
+func (s *sidecar) sampleUsage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sample()
+	s.sampleLocked()
 }
 
-// close takes its counters and ends it.
-func (s *sidecar) close(counts bool) record.Sidecar {
+// finish stops the process and returns its part of the record, with its counters if withCounters is set.
+func (s *sidecar) finish(withCounters bool) record.Sidecar {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sample()
+	s.sampleLocked()
 	r := record.Sidecar{
-		Name: s.name, Tier: s.tier, Starts: s.starts, Crashed: s.crashed, RSSMB: s.top.rssMB, CPU: s.top.cpu, FDs: s.top.fds,
+		Name: s.name, Tier: s.tier, Starts: s.starts, Crashed: s.crashed, RSSMB: s.peakUsage.rssMB, CPU: s.peakUsage.cpu, FDs: s.peakUsage.fds,
 	}
 	if s.proc == nil {
 		return r
 	}
-	if counts {
-		r.Counters = s.proc.count()
+	if withCounters {
+		r.Counters = s.proc.requestCounters()
 	}
 	if s.target != nil {
 		s.target.Stopped.Store(true)
 	}
-	s.proc.end(syscall.SIGKILL)
-	s.proc.wait(killTime)
+	s.proc.stop(syscall.SIGKILL)
+	s.proc.wait(exitTimeout)
 	return r
 }
 
-// config is the sidecar's configuration, as the platform writes it.
-func (s *sidecar) config(known fake.List) map[string]any {
-	scene := s.rig.scene
+// configuration returns the sidecar's configuration in the form that the platform writes.
+func (s *sidecar) configuration(known fake.List) map[string]any {
+	sc := s.run.scenario
 	return map[string]any{
-		"name": s.name, "listen": s.address, "discovery": s.list,
-		"seed":     strconv.FormatUint(s.rig.seed*1_000_003+s.random*101+uint64(s.tier*1000+s.number), 16),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": scene.Limits.MemoryMB, "sockets": scene.Limits.Sockets},
+		"name": s.name, "listen": s.address, "discovery": s.discoveryAddress,
+		"seed":     strconv.FormatUint(s.run.seed*1_000_003+s.seedStep*101+uint64(s.tier*1000+s.number), 16),
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": sc.Limits.MemoryMB, "sockets": sc.Limits.Sockets},
 		"known":    known,
 		"settings": s.settings(),
 	}
 }
 
+// millis returns a duration in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
+// settings returns the settings part of the sidecar's configuration.
 func (s *sidecar) settings() map[string]any {
-	scene := s.rig.scene
-	stages := make([]string, len(scene.Tiers))
-	for i, t := range scene.Tiers {
+	sc := s.run.scenario
+	stages := make([]string, len(sc.Tiers))
+	for i, t := range sc.Tiers {
 		stages[i] = t.Name
 	}
-	profiles := make([]any, len(scene.Classes))
-	for i, c := range scene.Classes {
+	profiles := make([]any, len(sc.Classes))
+	for i, c := range sc.Classes {
 		profiles[i] = profile(c)
 	}
 	parties := []any{}
-	for _, t := range scene.Tenants {
+	for _, t := range sc.Tenants {
 		if t.Allowed > 0 {
 			parties = append(parties, map[string]any{"name": t.Name, "allowance_per_s": t.Allowed, "portion": t.Portion})
 		}
 	}
 	family := ""
-	if s.own {
+	if s.perCaller {
 		family = "mesh"
 	}
-	l, r := scene.Limits, scene.Rules
+	l, r := sc.Limits, sc.Rules
 	return map[string]any{
 		"family": family, "me": s.number, "replicas_of_me": s.peers, "az": s.zone, "tier": s.tier, "stages": stages, "tick": 2.0,
-		"membership_mode": scene.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
+		"membership_mode": sc.Tiers[s.tier].ListBy, "weights": "silent", "worth_by": "request",
 		"over_share_worth": 0.1,
 		"bounds": map[string]any{
 			"cancel": l.Cancel, "second_copies": l.Hedging, "retry_after": l.RetryAfter, "probing": false,
@@ -283,27 +286,28 @@
 	}
 }
 
-// effectWords are the settings' words for effects.
-var effectWords = map[decide.Effect]string{
+// effectNames are the names of effects in the settings.
+var effectNames = map[decide.Effect]string{
 	decide.Safe: "repeatable", decide.Keyed: "by_key", decide.Unsafe: "once",
 }
 
+// profile returns the settings of a class.
 func profile(c scenario.Class) map[string]any {
 	return map[string]any{
-		"name": c.Name, "effect": effectWords[c.Effect], "group": c.Group, "window": millis(c.Window), "aim": millis(c.Aim),
+		"name": c.Name, "effect": effectNames[c.Effect], "group": c.Group, "window": millis(c.Window), "aim": millis(c.Aim),
 		"deadline": millis(c.Deadline), "worth": c.Worth, "late_share": c.LateShare, "stream": false,
 	}
 }
 
-// front deals out connections among the sidecars of the first tier, in turn. It
-// learns late that one has died.
+// front gives connections to the sidecars of the first tier in turn. It learns with a delay that a sidecar has died, as a real
+// front would, so that it may choose a dead one.
 type front struct {
 	mu      sync.Mutex
 	targets []*load.Target
 	next    int
 }
 
-// Pick returns the next one.
+// Pick returns the sidecar for the next connection, or nil if there is none.
 func (f *front) Pick() *load.Target {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -331,11 +335,12 @@
 	}
 }
 
-// Options are those of a run.
+// Options are the options of a run.
 type Options struct {
-	Sidecar  func() *exec.Cmd // a command that runs one sidecar, told by BALANCER_CONFIG
-	Policy   string           // its name, for the record
-	LogDir   string           // for sidecars' logs; empty for none
+	Sidecar func() *exec.Cmd // returns a command that runs one sidecar, which reads BALANCER_CONFIG
+	Policy  string           // name of the policy, for the record
+	LogDir  string           // for the sidecars' logs; empty for none
+	// Progress receives a line every second; nil for none.
 	Progress func(line string)
-	Before   func(address string) (string, error) // puts something before each sidecar of the first tier; nil for nothing
+	Before   func(address string) (string, error) // if set, puts a proxy before each sidecar of the first tier and returns its address
 }
