--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -17,8 +17,10 @@
 
 // EffectiveRules is what a member applies at a given time.
 type EffectiveRules struct {
-	Rules    versions.Rules
-	Cautious bool   // it holds no lease: the rules are safe under every possible version
+	Rules versions.Rules
+	// Cautious means that the member holds no lease: classes and hedging are safe under every possible version; bans and MaxAttempts
+	// are the last known ones.
+	Cautious bool
 	Active   uint64 // the active version
 	Next     uint64 // the prepared version applied together with Active; 0 if there is none
 	Epoch    uint64
@@ -48,10 +50,10 @@
 	view          holdings.View
 	deltaFailures int   // consecutive deltas of this leader that could not be applied; after 1 the full view is requested
 	viewErr       error // from the newest delta or view that could not be applied
-	// What the member's holdings store reports, for the next renewal.
+	// To be reported with the next renewal: what the member's holdings store has found, and that the member is being decommissioned.
 	CaughtUp        []holdings.CaughtUp
 	Unreachable     []holdings.Incarnation
-	Decommissioning bool // it wants to leave
+	Decommissioning bool
 }
 
 // NewLeaseHolder returns the lease holder of a process that has not received any grant.
@@ -163,7 +165,8 @@
 	}
 }
 
-// Effective returns what the member applies at the given time. Without a valid lease these are the cautious rules.
+// Effective returns what the member applies at the given time. Without a valid lease these are the cautious rules, with the bans and
+// MaxAttempts last known.
 func (h *LeaseHolder) Effective(now BootTime) EffectiveRules {
 	s := EffectiveRules{Rules: h.rules, Active: h.active.Number, Epoch: h.epoch}
 	if h.next != nil && h.next.State == Prepared && h.prepared == h.next.Number {
@@ -172,14 +175,15 @@
 	if now >= h.leaseEnd {
 		s.Cautious, s.Next = true, 0
 		s.Rules = h.cautiousRules
-		s.Rules.Banned = h.rules.Banned // bans and drains are kept
+		s.Rules.Banned = h.rules.Banned // Banned and MaxAttempts stay those last known
 		s.Rules.MaxAttempts = h.rules.MaxAttempts
 	}
 	return s
 }
 
-// maxDeltaFailures is the number of consecutive deltas that can't be applied, the last of them a full view, after which a member
-// requests the full view in the format without a checksum that older builds use, for as long as this leader leads.
+// maxDeltaFailures is the number of consecutive failures to apply a delta after which a member requests the full view in the format
+// without a checksum that older builds use, for as long as this leader leads. After the first failure, it requests a delta that holds
+// the full view.
 const maxDeltaFailures = 2
 
 // updateView applies the members and the placement of a grant. If they can't be applied, it leaves both as they were and sets viewErr.
@@ -215,7 +219,8 @@
 	}
 }
 
-// ViewErr returns why the members or the placement of a grant could last not be applied; nil if that never happened.
+// ViewErr returns the newest error of applying the members or the placement of a grant; nil if there was none. A later success does
+// not clear it.
 func (h *LeaseHolder) ViewErr() error { return h.viewErr }
 
 // View returns the newest members and placement received; zero before the first, or if the cluster has no holdings. A returned view
--- a/internal/cluster/ledger.go
+++ b/internal/cluster/ledger.go
@@ -36,7 +36,7 @@
 // State is the stage of a proposed version.
 type State uint8
 
-// The states of a version, in order.
+// The states of a version: Checking, Prepared and Active in this order, or Refused after Checking.
 const (
 	Checking State = iota + 1 // each member checks whether it can apply the version
 	Prepared                  // each member applies only what both the active and the next version allow
@@ -57,7 +57,8 @@
 	Reason string `cbor:"22,keyasint,omitempty"` // why it was refused
 }
 
-// maxRejectedProposals bounds the remembered ids of rejected proposals. It is above the number of proposals in flight within a minute.
+// maxRejectedProposals bounds the remembered ids of rejected proposals. It is meant to exceed the number of proposals of which copies
+// may still be under way.
 const maxRejectedProposals = 256
 
 // MaxReplacedVoters bounds the remembered ids of replaced data directories. It is far above the number that ever reconnect.
@@ -67,8 +68,8 @@
 // With documents of 64 KiB they take at most 8 MiB.
 const maxHistory = 128
 
-// Ledger is the state that the voters replicate. Only Apply changes it, in the order of the raft log, so that the same entries
-// always lead to the same ledger.
+// Ledger is the state that the voters replicate. Apply changes it, and package voter changes Voters and ReplacedVoters when raft's
+// configuration changes; both in the order of the raft log, so that the same entries always lead to the same ledger.
 type Ledger struct {
 	Epoch   uint64            `cbor:"1,keyasint"` // incremented with each change of members
 	Members map[string]Member `cbor:"2,keyasint"` // by name
@@ -128,7 +129,8 @@
 	Reason string `cbor:"2,keyasint"`
 }
 
-// Apply applies one entry of the raft log. An entry that is no longer valid changes nothing; the error tells its proposer why.
+// Apply applies one entry of the raft log. An entry that is no longer valid changes nothing, except that the id of a rejected proposal
+// is remembered. The error tells its proposer why.
 func (l *Ledger) Apply(e *Entry) error {
 	switch {
 	case len(e.Join) > 0 || len(e.Leave) > 0:
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// changeMembers removes and adds members. Members that are already gone, and joins under a name that another process has, are skipped.
+// changeMembers removes and adds members. Members that are already gone, joins under a name that another process has, and joins beyond
+// MaxMembers are skipped.
 func (l *Ledger) changeMembers(joining, leaving []Member) error {
 	changed := false
 	names := make([]string, 0, len(joining)+len(leaving))
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -51,9 +51,9 @@
 
 // Grant is the leader's answer to a renewal.
 type Grant struct {
-	// Granted means that the member holds a lease, counted from before it sent the request. Without a lease the other fields
-	// guarantee nothing, but the member applies the bans in them: a process that has just started must not send to an endpoint
-	// that was banned before.
+	// Granted means that the member holds a lease, counted from before it sent the request. Without a lease the member still takes
+	// over Epoch, Active and Next, so that it applies their bans: a process that has just started must not send to an endpoint that
+	// was banned before.
 	Granted  bool   `cbor:"1,keyasint"`
 	Reason   string `cbor:"2,keyasint,omitempty"` // why no lease was granted
 	RetryNow bool   `cbor:"3,keyasint,omitempty"` // no lease was granted, but a retry at once with what this answer reports may succeed
@@ -90,16 +90,18 @@
 	term    uint64
 	states  map[string]*memberState
 	joining map[string]Member // have requested to join and are not in the ledger yet
-	leaving map[string]Member // have announced that they leave
+	leaving map[string]Member // have announced that their process ends
 
-	// The following fields spare the leader a check of every member with each renewal, which was most of its work at 3,000 members.
+	// Of the following fields, the reports and deadSince are what replicas are planned from. The others spare the leader repeated work:
+	// a check of every member with each renewal, which was most of its work at 3,000 members, and the planning and encoding of an
+	// unchanged state.
 	recheck         bool                              // something was reported since the last check that may make an entry due
 	recheckAt       BootTime                          // when the next lease ends or the next shard counts as lost, as known at the last check
 	checkedStage    ledgerStage                       // of the ledger at the last check
 	caughtUp        map[string][]holdings.CaughtUp    // as last reported by each member
 	unreachable     map[string][]holdings.Incarnation // as last reported by each member
 	decommissioning map[string]bool                   // as last reported by each member
-	plannedFor      viewVersion                       // the state for which replicas were last planned
+	plannedFor      viewVersion                       // the state for which the last plan had no changes; zero once a member has reported something new
 	deadSince       map[int]BootTime                  // since when no member has a ready replica, by shard
 	encoded         encodedView                       // what members receive of the ledger's current state
 	waitingFor      string                            // a member whose report on the current proposal was missing at the last check
@@ -333,7 +335,8 @@
 	return due
 }
 
-// placementEntry returns the entry that changes replicas, if one follows from the members and from what primaries have reported.
+// placementEntry returns the entry that changes replicas, if one follows from the members, from what they have reported, and from how long
+// shards have had no ready replica.
 func (le *Lessor) placementEntry(now BootTime, l *Ledger) (Entry, bool) {
 	if le.params.Holdings.Copies == 0 {
 		return Entry{}, false
@@ -413,8 +416,8 @@
 // decommissioningMembers returns the members that leave once their replicas are elsewhere.
 func (le *Lessor) decommissioningMembers(l *Ledger) map[holdings.Incarnation]bool {
 	out := map[holdings.Incarnation]bool{}
-	for name, leaving := range le.decommissioning {
-		if leaving {
+	for name, decommissioning := range le.decommissioning {
+		if decommissioning {
 			out[holdings.Incarnation{Name: name, JoinEpoch: l.JoinEpochs[name]}] = true
 		}
 	}
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -57,8 +57,9 @@
 
 	refusalLogged map[holdings.Kind]time.Time // when a refusal of this kind was last logged; guarded by mu
 
-	// Counters, all but background for the metrics: claims granted, requests that had finished before, requests refused, and commands
-	// without a usable answer of a primary. background is the number of commands being retried in the background.
+	// Counters, all but background for the metrics: claims granted, requests that had finished before, requests refused, and (alone)
+	// requests whose claim got no decision or that were served without their outcome being recorded. background is the number of
+	// commands being retried in the background.
 	claimed, known, refused, alone, background atomic.Int64
 }
 
@@ -72,7 +73,7 @@
 type clientPool struct {
 	free   chan *peerrpc.Client
 	made   atomic.Int64
-	closed atomic.Bool // no member uses the address any more
+	closed atomic.Bool // connections are closed once idle: no member uses the address any more, or the service has stopped
 }
 
 func newHoldingsService(m *Member, conf *config.Config) (*holdingsService, error) {
@@ -144,7 +145,7 @@
 	return n
 }
 
-// run lets the store's timeouts expire until stop is called.
+// run calls the store's Tick and sends pending batches, every holdingsTick, until stop is called.
 func (hs *holdingsService) run() {
 	for {
 		hs.member.env.Sleep(holdingsTick)
@@ -179,6 +180,8 @@
 	return hs.stopped
 }
 
+// stop makes run, sendBatches and the retries of execute end, without waiting for them, and closes the connections. Those in use are closed
+// when their calls end.
 func (hs *holdingsService) stop() {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -53,7 +53,7 @@
 	stopRequested chan struct{}
 	ended         chan struct{}
 
-	// Counters for the metrics: series of calls that ended, grants without a lease, and series without a leader's answer.
+	// Counters for the metrics: series of calls that ended, a leader's answers without a lease, and series without a leader's answer.
 	renewals, refused, noLeader atomic.Int64
 
 	holdings *holdingsService // nil if the cluster has no holdings
@@ -219,7 +219,7 @@
 		m.holdings.update(m.holder)
 	}
 	if err := m.holder.ViewErr(); err != nil && !m.viewErrLogged {
-		m.viewErrLogged = true // logged once per process; the lease holder then requests the full view
+		m.viewErrLogged = true // logged once per process; LeaseHolder.NextRenewal decides what to request instead
 		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
 	}
 	select {
@@ -254,11 +254,11 @@
 	Active   uint64   `cbor:"3,keyasint"`
 	Next     uint64   `cbor:"4,keyasint"`
 	Epoch    uint64   `cbor:"5,keyasint"`
-	LeaseMS  int      `cbor:"6,keyasint"` // milliseconds until the lease ends; negative if it has ended
+	LeaseMS  int      `cbor:"6,keyasint"` // milliseconds until the lease ends; negative if it has ended or there was none
 	Banned   []string `cbor:"7,keyasint,omitempty"`
-	Renewals int64    `cbor:"8,keyasint"`
-	Refused  int64    `cbor:"9,keyasint"`
-	Lost     int64    `cbor:"10,keyasint"`
+	Renewals int64    `cbor:"8,keyasint"`  // series of calls that ended
+	Refused  int64    `cbor:"9,keyasint"`  // a leader's answers without a lease
+	Lost     int64    `cbor:"10,keyasint"` // series of calls without a leader's answer
 }
 
 func (m *Member) handleActing(string, []byte) (any, error) {
@@ -277,6 +277,7 @@
 	return m.effective.Load()
 }
 
+// statusOf returns the report of a state, without Banned.
 func (m *Member) statusOf(state *effectiveState) Status {
 	return Status{
 		Name: m.holder.Self.Name, Cautious: state.Cautious, Active: state.versions.Active, Next: state.versions.Next, Epoch: state.versions.Epoch,
@@ -324,7 +325,8 @@
 	return m.holdings
 }
 
-// Leaving implements lifecycle.Cluster.
+// Leaving implements lifecycle.Cluster: further renewals ask the leader to move this sidecar's replicas to other members. Without holdings
+// it does nothing.
 func (m *Member) Leaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -122,7 +122,8 @@
 	Leader string `cbor:"2,keyasint,omitempty"`
 }
 
-// logEntry is an entry of the raft log. The mark lets a leader recognize its own entry.
+// logEntry is an entry of the raft log. The mark lets a leader recognize an entry that it proposed of its own accord; it is 0 for versions
+// proposed by people.
 type logEntry struct {
 	Mark  uint64        `cbor:"1,keyasint"`
 	Entry cluster.Entry `cbor:"2,keyasint"`
@@ -316,13 +317,15 @@
 // propose proposes an entry of this leader's own to raft.
 func (c *Core) propose(e cluster.Entry) {
 	c.markCount++
+	// The mark is odd (see NewID), and so never 0, which is the mark of versions proposed by people, and means "no entry" in pendingMark.
 	mark := NewID() + 2*c.markCount
-	if c.appendEntry(logEntry{mark, e}) == nil {
+	if c.proposeEntry(logEntry{mark, e}) == nil {
 		c.pendingMark = mark
 	}
 }
 
-func (c *Core) appendEntry(e logEntry) error {
+// proposeEntry proposes an entry to raft. An error means that raft has not taken it.
+func (c *Core) proposeEntry(e logEntry) error {
 	encoded, err := cbor.Marshal(e)
 	if err != nil {
 		return err
@@ -416,7 +419,7 @@
 	return nil
 }
 
-// failAll answers all waiting renewals and proposals, because this voter does not lead any more.
+// failAll answers all waiting renewals and proposals, because this voter no longer leads or is stopping.
 func (c *Core) failAll() {
 	if c.pendingRead != nil {
 		c.waitingRenewals = append(c.waitingRenewals, c.pendingRead.batch...)
@@ -477,13 +480,14 @@
 	}
 }
 
-// Propose proposes a version. The reply comes when the proposal has been committed or refused.
+// Propose proposes a version. The reply comes at once if this voter does not lead or raft refuses the entry; otherwise when the proposal
+// has been committed, or with ErrUnknownOutcome when this voter no longer leads or stops.
 func (c *Core) Propose(p cluster.Proposal, reply func(ProposeResult, error)) {
 	if c.raftState != raft.StateLeader {
 		reply(ProposeResult{Leader: c.voterName(c.leaderID)}, nil)
 		return
 	}
-	if err := c.appendEntry(logEntry{Entry: cluster.Entry{Propose: &p}}); err != nil {
+	if err := c.proposeEntry(logEntry{Entry: cluster.Entry{Propose: &p}}); err != nil {
 		reply(ProposeResult{}, err)
 		return
 	}
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -126,7 +126,8 @@
 	return c.bootstrap(ownSet)
 }
 
-// bootstrap saves the initial state, a snapshot with an empty ledger that is the same for all voters of the set, and starts raft.
+// bootstrap saves the initial state and starts raft. The state is a snapshot, at index and term 1, of a ledger that holds only the voters;
+// it is the same for all voters of the set.
 func (c *Core) bootstrap(set map[string]uint64) error {
 	ledger := cluster.NewLedger()
 	ledger.Voters = maps.Clone(set)
@@ -151,8 +152,8 @@
 }
 
 // replaceVoter, on the leader, proposes to replace a voter's lost data directory by its new one. It does so for one voter at a time, and
-// only if the old directory has been silent for an election timeout: a second process under the same name must not push out the
-// first one while that serves.
+// only if the old directory has been silent for an election timeout: a second process under the same name must not replace the
+// first one while that one is running.
 func (c *Core) replaceVoter(a Announcement) {
 	previousID, known := c.ledger.Voters[a.Name]
 	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -64,7 +64,8 @@
 	mem      *raft.MemoryStorage // what raft reads; always written after disk
 }
 
-// errDamaged prevents a start: it is unknown which of the data is correct.
+// errDamaged means that stored or received data is damaged, and it is unknown which of it is correct. It prevents a start and stops a
+// running voter.
 var errDamaged = errors.New("damaged")
 
 // damagedRemedy ends the error message about a data directory that can't be used.
@@ -138,6 +139,7 @@
 	return s.disk.View(s.loadRaft)
 }
 
+// putIdentity writes the identity in a transaction.
 func (s *store) putIdentity(tx Tx) error {
 	encoded, err := cbor.Marshal(s.identity)
 	if err != nil {
