--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -128,7 +128,6 @@
 	twins    []*process // second processes of a name
 	starts   map[string]int
 	disks    map[string]*disk
-	copies   map[string]*disk // earlier copies of folders
 	ids      map[string]uint64
 	doubt    map[string]uint64 // keepers whose folder was lost or set back, until they have so many entries
 	setBack  map[string]bool
