--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -17,14 +17,14 @@
 	"heathgap/internal/pipeline"
 )
 
-var keepBugs = flag.Bool("sim.keepbugs", false, "the small scripts of planted bugs are kept in the corpus")
+var saveBugs = flag.Bool("sim.keepbugs", false, "the small scripts of planted bugs are kept in the corpus")
 
 var fromScratch = flag.Bool("sim.fromscratch", false, "planted bugs are looked for from seed 0 on, to see how many seeds it takes")
 
 var bugSeeds = flag.Int("sim.bugseeds", 1000, "within so many seeds each planted bug must be found")
 
-// buggy is the module with a bug round it.
-type buggy struct {
+// faultyDecider is the module with a bug round it.
+type faultyDecider struct {
 	inner pipeline.Decider
 	// before may change an event; false swallows it.
 	before func(now decide.Time, ev *decide.Event) bool
@@ -33,7 +33,7 @@
 }
 
 // Handle is pipeline.Decider's.
-func (b *buggy) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (b *faultyDecider) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	changed := *ev
 	changed.Endpoints = slices.Clone(ev.Endpoints)
 	if b.before != nil && !b.before(now, &changed) {
@@ -48,12 +48,12 @@
 }
 
 // Audit passes the module's on.
-func (b *buggy) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
+func (b *faultyDecider) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
 
-// round makes deciders with a bug; plant is called for each start of a sidecar.
-func round(plant func(conf *config.Config, b *buggy)) lifecycle.Decider {
+// withBug makes deciders with a bug; plant is called for each start of a sidecar.
+func withBug(plant func(conf *config.Config, b *faultyDecider)) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
-		b := &buggy{}
+		b := &faultyDecider{}
 		own := *conf
 		own.Settings.Classes = slices.Clone(conf.Settings.Classes)
 		plant(&own, b)
@@ -63,9 +63,9 @@
 	}
 }
 
-// lines plants a change of each line of a list.
-func lines(change func(l *decide.Endpoint)) lifecycle.Decider {
-	return round(func(_ *config.Config, b *buggy) {
+// withListChange plants a change of each line of a list.
+func withListChange(change func(l *decide.Endpoint)) lifecycle.Decider {
+	return withBug(func(_ *config.Config, b *faultyDecider) {
 		b.before = func(_ decide.Time, ev *decide.Event) bool {
 			for i := range ev.Endpoints {
 				change(&ev.Endpoints[i])
@@ -75,9 +75,9 @@
 	})
 }
 
-// unlooked makes deciders whose network code looks neither at drains nor at windows where the first byte leaves: that
+// withoutSendCheck makes deciders whose network code looks neither at drains nor at windows where the first byte leaves: that
 // look alone keeps rules 2 and 3 when the module does not, and hides what the module does wrong.
-func unlooked(inner lifecycle.Decider) lifecycle.Decider {
+func withoutSendCheck(inner lifecycle.Decider) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		d, err := inner(conf)
 		conf.Settings.Rules.DrainGrace = 0
@@ -90,13 +90,13 @@
 	}
 }
 
-var ignoresWindows = round(func(conf *config.Config, _ *buggy) {
+var ignoresWindows = withBug(func(conf *config.Config, _ *faultyDecider) {
 	for i := range conf.Settings.Classes {
 		conf.Settings.Classes[i].Window = time.Hour
 	}
 })
 
-var ignoresDrains = lines(func(l *decide.Endpoint) {
+var ignoresDrains = withListChange(func(l *decide.Endpoint) {
 	if l.State == decide.Draining {
 		l.State = decide.Active
 	}
@@ -104,17 +104,17 @@
 
 // Drains and windows are looked at twice: where the module decides, and where the first byte leaves. The second look
 // alone keeps the rules: the seeds that find these bugs without it pass with it.
-func TestSecondLookKeepsTheRules(t *testing.T) {
+func TestSendCheckKeepsTheRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		module lifecycle.Decider
 		seed   uint64
 	}{"drains": {ignoresDrains, 0}, "windows": {ignoresWindows, 905}} {
-		if f := play(t, GenerateScript(c.seed), Options{Decider: unlooked(c.module)}).Failure; f == nil {
+		if f := runScript(t, GenerateScript(c.seed), Options{Decider: withoutSendCheck(c.module)}).Failure; f == nil {
 			t.Errorf("%s: seed %d passes without the second look", name, c.seed)
 		}
 		const more = 10
 		for seed := range uint64(more) {
-			if f := play(t, GenerateScript(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
+			if f := runScript(t, GenerateScript(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
 				t.Errorf("%s: seed %d: %v", name, c.seed+seed, f)
 			}
 		}
@@ -128,29 +128,29 @@
 	hint  uint64   // a seed that found it and got small: tried first, so that CI is quick
 }{
 	"sends again by itself when a used connection breaks": {
-		Options{Bug: func(p *Proc) { p.resend = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
+		Options{Bug: func(p *Process) { p.resendOnReset = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
 	"does not look at the window": {
-		Options{Decider: unlooked(ignoresWindows)}, []string{string(oracle.DuplicateEffect)}, 905},
+		Options{Decider: withoutSendCheck(ignoresWindows)}, []string{string(oracle.DuplicateEffect)}, 905},
 	"takes what is unsafe for safe": {
-		Options{Decider: round(func(conf *config.Config, _ *buggy) {
+		Options{Decider: withBug(func(conf *config.Config, _ *faultyDecider) {
 			for i := range conf.Settings.Classes {
 				conf.Settings.Classes[i].Effect = decide.Safe
 			}
 		})}, []string{string(oracle.DuplicateEffect)}, 4},
 	"ignores drains": {
-		Options{Decider: unlooked(ignoresDrains)}, []string{string(oracle.SentToDrained)}, 0},
+		Options{Decider: withoutSendCheck(ignoresDrains)}, []string{string(oracle.SentToDrained)}, 0},
 	"takes cold endpoints for warm": {
-		Options{Decider: lines(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.OverloadedCold)}, 2707},
+		Options{Decider: withListChange(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.OverloadedCold)}, 2707},
 	"answers once more when an attempt is called off": {
-		Options{Bug: func(p *Proc) { p.doubleOnCancel = true }}, []string{string(oracle.AnsweredTwice)}, 2},
+		Options{Bug: func(p *Process) { p.repeatAnswerOnCancel = true }}, []string{string(oracle.AnsweredTwice)}, 2},
 	"forgets attempts whose dial failed": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				return ev.Kind != decide.Finished || ev.Outcome != decide.ConnectFailed
 			}
 		})}, []string{"books"}, 4},
 	"takes the list of before a reload": {
-		Options{Decider: unlooked(round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withoutSendCheck(withBug(func(_ *config.Config, b *faultyDecider) {
 			var first []decide.Endpoint
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.ListRestored {
@@ -163,7 +163,7 @@
 			}
 		}))}, []string{string(oracle.SentToDrained)}, 0},
 	"waits for its time-out a second too long": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.Arrived {
 					ev.Grace += time.Second
@@ -172,7 +172,7 @@
 			}
 		})}, []string{string(oracle.LostRequest)}, 195},
 	"in one order of two events alone: forgets a request that comes in the instant of an answer": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			var answered decide.Time
 			b.before = func(now decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.Finished && ev.Outcome == decide.Served {
@@ -204,7 +204,7 @@
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fails := func(s Script) *Failure { return play(t, s, bug.opts).Failure }
+			fails := func(s Script) *Failure { return runScript(t, s, bug.opts).Failure }
 			var small Script
 			found, first := 0, uint64(0)
 			for seed := range seedsToTry(bug.hint) {
@@ -221,7 +221,7 @@
 				if found++; found == 1 {
 					first = seed
 				}
-				if small = Shrink(GenerateScript(seed), fails); len(small.Asks) < smallAsks {
+				if small = Shrink(GenerateScript(seed), fails); len(small.Requests) < smallAsks {
 					break
 				}
 			}
@@ -229,18 +229,18 @@
 				t.Fatalf("not found within %d seeds", *bugSeeds)
 			}
 			t.Logf("found by seed %d; of seed %d, %d requests, %d faults, %d sidecars, %d endpoints are left: %v",
-				first, small.Seed, len(small.Asks), len(small.Faults), small.Sidecars, small.Endpoints, fails(small))
-			if len(small.Asks) >= smallAsks {
-				t.Errorf("%d requests are left, want under %d", len(small.Asks), smallAsks)
+				first, small.Seed, len(small.Requests), len(small.Faults), small.Sidecars, small.Endpoints, fails(small))
+			if len(small.Requests) >= smallAsks {
+				t.Errorf("%d requests are left, want under %d", len(small.Requests), smallAsks)
 			}
-			if *keepBugs {
+			if *saveBugs {
 				file := strings.NewReplacer(" ", "-", ":", "", ",", "").Replace(name)
-				kept := SavedFailure{Why: "planted: " + name + ": " + fails(small).Error(), Script: small}
+				kept := SavedFailure{Reason: "planted: " + name + ": " + fails(small).Error(), Script: small}
 				if err := kept.Save(filepath.Join(corpus, file+".json")); err != nil {
 					t.Error(err)
 				}
 			}
-			if f := play(t, small, Options{}).Failure; f != nil {
+			if f := runScript(t, small, Options{}).Failure; f != nil {
 				t.Errorf("the small script fails without the bug: %v", f)
 			}
 		})
--- a/internal/sim/clustersim/disk.go
+++ b/internal/sim/clustersim/disk.go
@@ -31,33 +31,33 @@
 	}
 }
 
-// Trouble is what befalls one write of a disk.
-type Trouble string
+// DiskFault is what befalls one write of a disk.
+type DiskFault string
 
 // The troubles.
 const (
-	ErrorBefore Trouble = "an error, and nothing is written"
-	ErrorAfter  Trouble = "an error, and all is written"
-	KillBefore  Trouble = "the process dies, and nothing is written"
-	KillAfter   Trouble = "the process dies, and all is written"
+	ErrorBefore DiskFault = "an error, and nothing is written"
+	ErrorAfter  DiskFault = "an error, and all is written"
+	KillBefore  DiskFault = "the process dies, and nothing is written"
+	KillAfter   DiskFault = "the process dies, and all is written"
 )
 
-var troubles = []Trouble{ErrorBefore, ErrorAfter, KillBefore, KillAfter}
+var diskFaults = []DiskFault{ErrorBefore, ErrorAfter, KillBefore, KillAfter}
 
 // errDisk is what a disk that fails says.
 var errDisk = errors.New("no space left on device")
 
 // disk is one folder: what is written outlives its process.
 type disk struct {
-	buckets map[string]*table
-	writes  int     // so far
-	fails   int     // the number of the write that trouble befalls; 0 for none
-	trouble Trouble // that
-	met     bool    // it has come
-	killed  bool    // its process died of that just now
-	// lies plants a bug: a yes is given before the write is durable, and a kill takes the last ones away.
-	lies     bool
-	unsynced []func()
+	buckets  map[string]*table
+	writes   int       // so far
+	faultAt  int       // the number of the write that trouble befalls; 0 for none
+	fault    DiskFault // that
+	faultHit bool      // it has come
+	killed   bool      // its process died of that just now
+	// acksEarly plants a bug: a yes is given before the write is durable, and a kill takes the last ones away.
+	acksEarly bool
+	unsynced  []func()
 }
 
 var _ voter.Disk = (*disk)(nil)
@@ -73,7 +73,7 @@
 	return c
 }
 
-func (d *disk) of(bucket string) *table {
+func (d *disk) tableFor(bucket string) *table {
 	if d.buckets[bucket] == nil {
 		d.buckets[bucket] = &table{values: map[string][]byte{}}
 	}
@@ -83,37 +83,37 @@
 // View is keeper.Disk's.
 func (d *disk) View(do func(voter.Tx) error) error { return do(&transaction{disk: d}) }
 
-// mostUnsynced writes are lost with a disk that lies.
-const mostUnsynced = 3
+// maxUnsynced writes are lost with a disk that lies.
+const maxUnsynced = 3
 
 // Update is keeper.Disk's.
 func (d *disk) Update(do func(voter.Tx) error) error {
 	tx := &transaction{disk: d}
 	if err := do(tx); err != nil {
-		tx.back()
+		tx.rollback()
 		return err
 	}
 	d.writes++
-	trouble := Trouble("")
-	if d.writes == d.fails {
-		trouble, d.met = d.trouble, true
+	trouble := DiskFault("")
+	if d.writes == d.faultAt {
+		trouble, d.faultHit = d.fault, true
 	}
 	switch trouble {
 	case ErrorBefore:
-		tx.back()
+		tx.rollback()
 		return errDisk
 	case ErrorAfter:
 		return errDisk
 	case KillBefore:
-		tx.back()
+		tx.rollback()
 		d.killed = true
 		panic("the process died before a write")
 	case KillAfter:
 		d.killed = true
 		panic("the process died after a write")
 	}
-	if d.lies {
-		if d.unsynced = append(d.unsynced, tx.back); len(d.unsynced) > mostUnsynced {
+	if d.acksEarly {
+		if d.unsynced = append(d.unsynced, tx.rollback); len(d.unsynced) > maxUnsynced {
 			d.unsynced = d.unsynced[1:]
 		}
 	}
@@ -123,8 +123,8 @@
 // Close is keeper.Disk's.
 func (d *disk) Close() error { return nil }
 
-// die takes away what a disk that lies had said yes to.
-func (d *disk) die() {
+// loseUnsynced takes away what a disk that lies had said yes to.
+func (d *disk) loseUnsynced() {
 	for _, back := range slices.Backward(d.unsynced) {
 		back()
 	}
@@ -137,45 +137,45 @@
 	undo []func()
 }
 
-func (t *transaction) back() {
+func (t *transaction) rollback() {
 	for _, undo := range slices.Backward(t.undo) {
 		undo()
 	}
 	t.undo = nil
 }
 
-func (t *transaction) before(bucket, key string) {
-	old, there := t.disk.of(bucket).values[key]
+func (t *transaction) recordUndo(bucket, key string) {
+	old, there := t.disk.tableFor(bucket).values[key]
 	t.undo = append(t.undo, func() {
 		if there {
-			t.disk.of(bucket).put(key, old)
+			t.disk.tableFor(bucket).put(key, old)
 		} else {
-			t.disk.of(bucket).remove(key)
+			t.disk.tableFor(bucket).remove(key)
 		}
 	})
 }
 
 // Get is keeper.Tx's.
-func (t *transaction) Get(bucket, key string) []byte { return t.disk.of(bucket).values[key] }
+func (t *transaction) Get(bucket, key string) []byte { return t.disk.tableFor(bucket).values[key] }
 
 // Put is keeper.Tx's.
 func (t *transaction) Put(bucket, key string, value []byte) error {
-	t.before(bucket, key)
-	t.disk.of(bucket).put(key, value)
+	t.recordUndo(bucket, key)
+	t.disk.tableFor(bucket).put(key, value)
 	return nil
 }
 
 // Delete is keeper.Tx's.
 func (t *transaction) Delete(bucket, key string) error {
-	t.before(bucket, key)
-	t.disk.of(bucket).remove(key)
+	t.recordUndo(bucket, key)
+	t.disk.tableFor(bucket).remove(key)
 	return nil
 }
 
 // From is keeper.Tx's.
 func (t *transaction) From(bucket, key string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
-		b := t.disk.of(bucket)
+		b := t.disk.tableFor(bucket)
 		from, _ := slices.BinarySearchFunc(b.keys, key, strings.Compare)
 		for _, k := range b.keys[from:] {
 			if !yield(k, b.values[k]) {
--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -13,14 +13,14 @@
 	"heathgap/internal/versions"
 )
 
-// asking is what was asked of the crew: a proposal, or, with parent and propose unset, which versions there are.
-type asking struct {
+// clientCall is what was asked of the crew: a proposal, or, with parent and propose unset, which versions there are.
+type clientCall struct {
 	propose bool
 	parent  uint64
 }
 
-// told is what came of it. A proposal's number is 0 where nobody learnt whether it counts.
-type told struct {
+// clientResult is what came of it. A proposal's number is 0 where nobody learnt whether it counts.
+type clientResult struct {
 	number       uint64 // of a proposal
 	active, next uint64 // of a look
 }
@@ -31,7 +31,7 @@
 	clients    map[string]int
 }
 
-func (h *history) add(who string, from, to time.Duration, in asking, out told) {
+func (h *history) add(who string, from, to time.Duration, in clientCall, out clientResult) {
 	if h.clients == nil {
 		h.clients = map[string]int{}
 	}
@@ -41,23 +41,23 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: h.clients[who], Input: in, Output: out, Call: int64(from), Return: int64(to)})
 }
 
-// known is the state of the model: the highest version there is, and the least that may be the active one. Versions become
+// modelState is the state of the model: the highest version there is, and the least that may be the active one. Versions become
 // active by themselves, so the model learns of that when somebody is told.
-type known struct{ last, active uint64 }
+type modelState struct{ last, active uint64 }
 
-// model says which orders of events a crew may have: numbers rise by one, a proposal's parent is what is active, nobody is
+// ledgerModel says which orders of events a crew may have: numbers rise by one, a proposal's parent is what is active, nobody is
 // told of a version before it is there, and no look after another shows less.
-var model = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{known{}} },
+var ledgerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{modelState{}} },
 	Step: func(state, input, output any) (next []any) {
-		s, in, out := state.(known), input.(asking), output.(told)
+		s, in, out := state.(modelState), input.(clientCall), output.(clientResult)
 		if !in.propose {
 			if out.active < s.active || out.active > s.last || out.next != 0 && out.next != s.last {
 				return nil
 			}
-			return []any{known{s.last, out.active}}
+			return []any{modelState{s.last, out.active}}
 		}
-		counted := known{s.last + 1, in.parent}
+		counted := modelState{s.last + 1, in.parent}
 		fits := in.parent >= s.active && in.parent <= s.last
 		switch {
 		case out.number == 0 && fits:
@@ -71,42 +71,42 @@
 	},
 }
 
-const checkTime = time.Minute // for one history; they take milliseconds
+const checkTimeout = time.Minute // for one history; they take milliseconds
 
 // check looks for an order of events.
 func (h *history) check() error {
-	m := model.ToModel()
-	switch porcupine.CheckOperationsTimeout(m, h.operations, checkTime) {
+	m := ledgerModel.ToModel()
+	switch porcupine.CheckOperationsTimeout(m, h.operations, checkTimeout) {
 	case porcupine.Illegal:
 		return fmt.Errorf("no order of events explains what %d clients were told in %d answers", len(h.clients), len(h.operations))
 	case porcupine.Unknown:
-		return fmt.Errorf("%d answers could not be judged in %v", len(h.operations), checkTime)
+		return fmt.Errorf("%d answers could not be judged in %v", len(h.operations), checkTimeout)
 	}
 	return nil
 }
 
-// client is who proposes.
-const client = "client"
+// clientName is who proposes.
+const clientName = "client"
 
 // Figures of a client that proposes.
 const (
-	proposeTime  = time.Second // for one try
-	proposeTries = 12
-	proposePause = 200 * time.Millisecond
+	proposeTimeout     = time.Second // for one try
+	maxProposeAttempts = 12
+	proposeRetryDelay  = 200 * time.Millisecond
 )
 
-// proposalDice keeps what a client knows.
-type proposalDice struct{ count int }
+// documentState keeps what a client knows.
+type documentState struct{ count int }
 
-// document draws one that differs from the one before: what pays is safe or not, and some endpoints are banned. One in
+// nextDocument draws one that differs from the one before: what pays is safe or not, and some endpoints are banned. One in
 // eight no member takes.
-func (r *run) document() versions.Document {
-	r.next.count++
+func (r *run) nextDocument() versions.Document {
+	r.documents.count++
 	effect := decide.Unsafe
-	if r.next.count%2 == 0 {
+	if r.documents.count%2 == 0 {
 		effect = decide.Safe
 	}
-	d := versions.Document{Classes: map[string]versions.Class{"pay": {Effect: effect}}, MaxAttempts: 2 + r.next.count%7}
+	d := versions.Document{Classes: map[string]versions.Class{"pay": {Effect: effect}}, MaxAttempts: 2 + r.documents.count%7}
 	for i := range 4 {
 		if r.w.chance(0.3) {
 			d.Banned = append(d.Banned, fmt.Sprintf("e%d", i))
@@ -118,9 +118,9 @@
 	return d
 }
 
-// active is the highest version that a keeper in reach takes for active.
-func (r *run) active() (highest uint64) {
-	for _, p := range r.all() {
+// highestActive is the highest version that a keeper in reach takes for active.
+func (r *run) highestActive() (highest uint64) {
+	for _, p := range r.running() {
 		if p.core != nil && !p.paused {
 			l, _ := p.core.Ledger()
 			highest = max(highest, l.Active.Number)
@@ -129,33 +129,33 @@
 	return highest
 }
 
-func (r *run) proposeOften() {
-	if r.calm {
+func (r *run) proposeRepeatedly() {
+	if r.faultsOver {
 		return
 	}
-	r.propose(r.document(), func(uint64, error) {})
-	r.w.after(r.w.between(r.conf.ProposeEvery/4, 7*r.conf.ProposeEvery/4), "propose", "", r.proposeOften)
+	r.propose(r.nextDocument(), func(uint64, error) {})
+	r.w.schedule(r.w.randomDuration(r.conf.ProposeEvery/4, 7*r.conf.ProposeEvery/4), "propose", "", r.proposeRepeatedly)
 }
 
-// proposeLast proposes until a version is told, and tells its number.
-func (r *run) proposeLast(done func(uint64)) {
-	d := r.document()
+// proposeUntilReported proposes until a version is told, and tells its number.
+func (r *run) proposeUntilReported(done func(uint64)) {
+	d := r.nextDocument()
 	delete(d.Classes, "nobody_has")
 	r.propose(d, func(n uint64, _ error) {
 		if n > 0 {
 			done(n)
 			return
 		}
-		r.w.after(proposePause, "propose", "last", func() { r.proposeLast(done) })
+		r.w.schedule(proposeRetryDelay, "propose", "last", func() { r.proposeUntilReported(done) })
 	})
 }
 
 // propose has a client propose, with the same id to one keeper after another until one tells how it went.
 func (r *run) propose(d versions.Document, done func(number uint64, err error)) {
-	p := cluster.Proposal{ID: voter.NewID(), Parent: r.active(), Author: client, Doc: d}
-	from, c := r.w.now, r.procs[client]
-	who := fmt.Sprintf("client %d", r.next.count)
-	keepers := slices.Clone(r.names[:r.conf.Keepers])
+	p := cluster.Proposal{ID: voter.NewID(), Parent: r.highestActive(), Author: clientName, Doc: d}
+	from, c := r.w.now, r.processes[clientName]
+	who := fmt.Sprintf("client %d", r.documents.count)
+	keepers := slices.Clone(r.names[:r.conf.Voters])
 	type answer struct {
 		Told voter.ProposeResult
 		Why  string
@@ -164,16 +164,16 @@
 	counted := false // it may have been, by a try whose answer is lost
 	var try func()
 	try = func() {
-		if tries++; tries > proposeTries {
-			r.result.Unknown++
-			r.history.add(who, from, 1<<62, asking{true, p.Parent}, told{})
+		if tries++; tries > maxProposeAttempts {
+			r.result.UnknownOutcomes++
+			r.history.add(who, from, 1<<62, clientCall{true, p.Parent}, clientResult{})
 			done(0, fmt.Errorf("no word"))
 			return
 		}
 		to := keepers[0]
-		call(c, to, "propose", p, proposeTime, func(q *process, p cluster.Proposal, reply func(answer)) {
-			q.keep(func(k *voter.Core) {
-				if _, leads := k.IsLeader(); leads && r.bug == TellsEarly {
+		call(c, to, "propose", p, proposeTimeout, func(q *process, p cluster.Proposal, reply func(answer)) {
+			q.withVoter(func(k *voter.Core) {
+				if _, leads := k.IsLeader(); leads && r.bug == ReportsEarly {
 					l, _ := k.Ledger()
 					reply(answer{Told: voter.ProposeResult{Number: l.LastNumber + 1}})
 				}
@@ -188,8 +188,8 @@
 		}, func(a answer, ok bool) {
 			switch {
 			case ok && a.Told.Number > 0:
-				r.told = append(r.told, toldVersion{a.Told.Number, p.ID, from})
-				r.history.add(who, from, r.w.now, asking{true, p.Parent}, told{number: a.Told.Number})
+				r.reported = append(r.reported, reportedVersion{a.Told.Number, p.ID, from})
+				r.history.add(who, from, r.w.now, clientCall{true, p.Parent}, clientResult{number: a.Told.Number})
 				done(a.Told.Number, nil)
 				return
 			case ok && a.Why != "" && !counted && a.Why != voter.ErrUnknownOutcome.Error():
@@ -202,7 +202,7 @@
 				counted = true
 				keepers = append(keepers[1:], to)
 			}
-			r.w.after(proposePause, "propose again", who, try)
+			r.w.schedule(proposeRetryDelay, "propose again", who, try)
 		})
 	}
 	try()
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -16,45 +16,45 @@
 
 // Figures of the network between processes.
 const (
-	leastWay  = 200 * time.Microsecond
-	slowShare = 0.02
-	twice     = 0.01        // of messages come twice
-	resets    = 0.002       // of exchanges break off, heard or not
-	lateShare = 0.5         // of messages that a cut has held come when it is mended
-	peerTime  = time.Second // a keeper's exchanges with another end by then, as in package keeper
+	minLatency           = 200 * time.Microsecond
+	slowProbability      = 0.02
+	duplicateProbability = 0.01        // of messages come twice
+	resetProbability     = 0.002       // of exchanges break off, heard or not
+	lateProbability      = 0.5         // of messages that a cut has held come when it is mended
+	peerTimeout          = time.Second // a keeper's exchanges with another end by then, as in package keeper
 )
 
 // process is one start of a sidecar that is a member, and of a keeper where it is one.
 type process struct {
-	r      *run
-	name   string
-	id     string  // name and start
-	rate   float64 // of its clock
-	booted time.Duration
-	dead   bool
-	paused bool
-	since  time.Duration // it is paused
-	lost   time.Duration // of pauses, for a clock that stops in them
-	inbox  []func()      // what comes while it is paused
-	// pauseNext is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
-	pauseNext time.Duration
-
-	holder  *cluster.LeaseHolder
-	seeker  *cluster.LeaseRenewer
-	store   *holdings.Store // nil where nothing is held
-	me      holdings.Incarnation
-	learnt  holdings.View   // by the store, last
-	viewed  holdings.View   // as it was last looked at
-	before  *holdings.Delta // the one before, for a planted bug
-	noted   [2]uint64       // of a keeper's ledger: epoch and number that were last noted as agreed on
-	leaving bool            // it has said so
-	why     string          // it holds no lease
-
-	core   *voter.Core // nil where this one is no keeper, or its keeper has ended
-	failed error       // why
-	disk   *disk
-	lines  map[string]*line
-	judged uint64 // entries applied, when its ledger was last compared
+	r           *run
+	name        string
+	id          string  // name and start
+	clockRate   float64 // of its clock
+	bootOffset  time.Duration
+	dead        bool
+	paused      bool
+	pausedAt    time.Duration // it is paused
+	pausedTotal time.Duration // of pauses, for a clock that stops in them
+	deferred    []func()      // what comes while it is paused
+	// pauseAtRenewal is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
+	pauseAtRenewal time.Duration
+
+	holder        *cluster.LeaseHolder
+	renewer       *cluster.LeaseRenewer
+	store         *holdings.Store // nil where nothing is held
+	incarnation   holdings.Incarnation
+	appliedView   holdings.View   // by the store, last
+	checkedView   holdings.View   // as it was last looked at
+	lastDelta     *holdings.Delta // the one before, for a planted bug
+	lastRecorded  [2]uint64       // of a keeper's ledger: epoch and number that were last noted as agreed on
+	leaving       bool            // it has said so
+	noLeaseReason string          // it holds no lease
+
+	core         *voter.Core // nil where this one is no keeper, or its keeper has ended
+	voterErr     error       // why
+	disk         *disk
+	peerQueues   map[string]*peerQueue
+	checkedEntry uint64 // entries applied, when its ledger was last compared
 }
 
 // Now is keeper.Clock's.
@@ -64,42 +64,42 @@
 func (p *process) BootTime() time.Duration {
 	true := p.r.w.now
 	if p.r.bug == ClockStops {
-		true -= p.lost
+		true -= p.pausedTotal
 		if p.paused {
-			true -= p.r.w.now - p.since
+			true -= p.r.w.now - p.pausedAt
 		}
 	}
-	return p.booted + time.Duration(float64(true)*p.rate)
+	return p.bootOffset + time.Duration(float64(true)*p.clockRate)
 }
 
-// later has this process do something after a time on its clock.
-func (p *process) later(d time.Duration, what string, do func()) {
-	p.r.w.after(time.Duration(float64(d)/p.rate), what, p.id, func() { p.do(do) })
+// scheduleLocal has this process do something after a time on its clock.
+func (p *process) scheduleLocal(d time.Duration, what string, do func()) {
+	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.runOrDefer(do) })
 }
 
-// do has this process do something now, or when it goes on.
-func (p *process) do(do func()) {
+// runOrDefer has this process do something now, or when it goes on.
+func (p *process) runOrDefer(runOrDefer func()) {
 	switch {
 	case p.dead:
 	case p.paused:
-		p.inbox = append(p.inbox, do)
+		p.deferred = append(p.deferred, runOrDefer)
 	default:
-		do()
+		runOrDefer()
 	}
 }
 
 // pause stops the process, as SIGSTOP or a suspended machine does.
-func (p *process) pause() { p.paused, p.since = true, p.r.w.now }
+func (p *process) pause() { p.paused, p.pausedAt = true, p.r.w.now }
 
 // resume lets it go on: what has come in the meantime it takes at once.
 func (p *process) resume() {
 	p.paused = false
-	p.lost += p.r.w.now - p.since
-	p.r.judge(p)
-	inbox := p.inbox
-	p.inbox = nil
+	p.pausedTotal += p.r.w.now - p.pausedAt
+	p.r.checkMember(p)
+	inbox := p.deferred
+	p.deferred = nil
 	for _, do := range inbox {
-		p.do(do)
+		p.runOrDefer(do)
 	}
 }
 
@@ -107,38 +107,38 @@
 func (p *process) kill() {
 	p.dead = true
 	if p.disk != nil {
-		p.disk.die()
+		p.disk.loseUnsynced()
 	}
 }
 
-// open opens the keeper's folder and begins.
-func (p *process) open() {
-	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.keepers, Params: p.r.conf.Terms}
-	p.guarded(func() (err error) {
-		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.fresh(p) }, p)
+// startVoter opens the keeper's folder and begins.
+func (p *process) startVoter() {
+	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.voters, Params: p.r.conf.Params}
+	p.callVoter(func() (err error) {
+		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.newDirectoryID(p) }, p)
 		if err == nil {
 			err = p.core.Start()
 		}
 		return err
 	})
-	p.tick()
+	p.scheduleTick()
 }
 
-// guarded calls the core, lets it settle, and ends it where that fails.
-func (p *process) guarded(do func() error) {
-	err := p.settled(do)
+// callVoter calls the core, lets it settle, and ends it where that fails.
+func (p *process) callVoter(do func() error) {
+	err := p.callAndProcessReady(do)
 	switch {
 	case p.disk.killed:
 		p.disk.killed = false
 		p.r.kill(p)
 	case err != nil:
-		p.fail(err)
+		p.failVoter(err)
 	default:
-		p.r.judgeKeeper(p)
+		p.r.checkVoter(p)
 	}
 }
 
-func (p *process) settled(do func() error) (err error) {
+func (p *process) callAndProcessReady(do func() error) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			err = fmt.Errorf("panic: %v", fault)
@@ -150,90 +150,90 @@
 	return err
 }
 
-func (p *process) fail(err error) {
+func (p *process) failVoter(err error) {
 	if p.core != nil {
 		p.core.FailWaiting()
 	}
-	p.core, p.failed = nil, err
-	p.r.stopped(p, err)
+	p.core, p.voterErr = nil, err
+	p.r.voterStopped(p, err)
 }
 
-// keep has the keeper of this process do something, if there is one.
-func (p *process) keep(do func(c *voter.Core)) {
+// withVoter has the keeper of this process do something, if there is one.
+func (p *process) withVoter(do func(c *voter.Core)) {
 	if p.core != nil {
-		p.guarded(func() error {
+		p.callVoter(func() error {
 			do(p.core)
 			return nil
 		})
 	}
 }
 
-func (p *process) tick() {
-	p.later(voter.TickEvery, "tick", func() {
-		p.keep(func(c *voter.Core) { c.Tick() })
+func (p *process) scheduleTick() {
+	p.scheduleLocal(voter.TickEvery, "tick", func() {
+		p.withVoter(func(c *voter.Core) { c.Tick() })
 		if p.core != nil {
-			p.tick()
+			p.scheduleTick()
 		}
 	})
 }
 
-// line is what a keeper has to say to another: one exchange at a time, as a process has it.
-type line struct {
-	waits []*raftpb.Message
-	busy  bool
+// peerQueue is what a keeper has to say to another: one exchange at a time, as a process has it.
+type peerQueue struct {
+	messages []*raftpb.Message
+	busy     bool
 }
 
-const mostWaits = 256
+const maxQueuedMessages = 256
 
 // Send is keeper.Ways'.
 func (p *process) Send(to string, m *raftpb.Message) bool {
-	l := p.lines[to]
+	l := p.peerQueues[to]
 	if l == nil {
-		l = &line{}
-		p.lines[to] = l
+		l = &peerQueue{}
+		p.peerQueues[to] = l
 	}
-	if len(l.waits) >= mostWaits {
+	if len(l.messages) >= maxQueuedMessages {
 		return false
 	}
-	l.waits = append(l.waits, m)
-	if p.r.bug == NoMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
+	l.messages = append(l.messages, m)
+	if p.r.bug == ConfirmsWithoutMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
 		// The planted bug: each of the others is taken for having said yes.
 		yes := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
-		p.r.w.after(leastWay, "forged", p.id, func() {
-			p.do(func() { p.keep(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
+		p.r.w.schedule(minLatency, "forged", p.id, func() {
+			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
 		})
 	}
 	if !l.busy {
 		l.busy = true
-		p.r.w.after(0, "line", p.id+">"+to, func() { p.do(func() { p.exchange(to, l) }) })
+		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.runOrDefer(func() { p.sendQueued(to, l) }) })
 	}
 	return true
 }
 
-// exchange says what waits on a line.
-func (p *process) exchange(to string, l *line) {
-	if l.busy = len(l.waits) > 0; !l.busy {
+// sendQueued says what waits on a line.
+func (p *process) sendQueued(to string, l *peerQueue) {
+	if l.busy = len(l.messages) > 0; !l.busy {
 		return
 	}
-	batch := l.waits
-	l.waits = nil
+	batch := l.messages
+	l.messages = nil
 	var texts [][]byte
 	for _, m := range batch {
-		texts = append(texts, must(proto.Marshal(m)))
+		texts = append(texts, mustEncode(proto.Marshal(m)))
 	}
-	call(p, to, "raft", texts, peerTime, func(q *process, texts [][]byte, reply func(string)) {
+	call(p, to, "raft", texts, peerTimeout, func(q *process, texts [][]byte, reply func(string)) {
 		var messages []*raftpb.Message
 		for _, text := range texts {
 			m := &raftpb.Message{}
 			if err := proto.Unmarshal(text, m); err != nil {
 				panic(err) // what was marshalled a moment ago
 			}
-			if q.r.bug == TakesOldWord {
-				m.To = proto.Uint64(q.r.ids[q.name])
+			if q.r.bug == AcceptsStaleMessages {
+				m.To = proto.Uint64(q.r.directoryIDs[q.name])
 			}
 			messages = append(messages, m)
 		}
-		q.keep(func(c *voter.Core) {
+		q.withVoter(func(c *voter.Core) {
 			why := ""
 			if err := c.HandleMessages(p.name, messages); err != nil {
 				why = err.Error()
@@ -243,28 +243,28 @@
 	}, func(why string, ok bool) {
 		for _, m := range batch {
 			if m.GetType() == raftpb.MsgSnap {
-				p.keep(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && why == "") })
+				p.withVoter(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && why == "") })
 			}
 		}
-		if ok || p.r.bug != FallsSilent {
-			p.exchange(to, l)
+		if ok || p.r.bug != StopsSending {
+			p.sendQueued(to, l)
 		}
 	})
 }
 
 // Announce is keeper.Ways'.
 func (p *process) Announce(to string, mine voter.Announcement) {
-	call(p, to, "form", mine, peerTime, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
-		q.keep(func(c *voter.Core) {
+	call(p, to, "form", mine, peerTimeout, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
+		q.withVoter(func(c *voter.Core) {
 			c.HandleAnnouncement(theirs)
 			reply(c.Announcement())
 		})
 	}, func(theirs voter.Announcement, ok bool) {
-		if p.r.bug == TrustsOldFolder {
+		if p.r.bug == TrustsOldDirectory {
 			theirs.Term, theirs.End, theirs.Seen = 0, voter.Announcement{}.End, nil
 		}
 		if ok {
-			p.keep(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
+			p.withVoter(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
 		}
 	})
 }
@@ -272,20 +272,20 @@
 // heartbeat asks for the lease, and again with the next heartbeat.
 func (p *process) heartbeat() {
 	if !p.leaving {
-		p.seeker.StartHeartbeat()
-		p.ask()
+		p.renewer.StartHeartbeat()
+		p.renew()
 	}
 }
 
-func (p *process) ask() {
+func (p *process) renew() {
 	if p.store != nil {
 		p.holder.CaughtUp = p.store.CaughtUp()
 	}
-	to, r := p.seeker.NextRequest(p.BootTime())
+	to, r := p.renewer.NextRequest(p.BootTime())
 	asked := p.r.w.now
-	p.r.said[saying{r.Token, r.Prepared, r.Epoch}] = true
-	if long := p.pauseNext; long > 0 {
-		p.pauseNext = 0
+	p.r.prepared[preparedVersion{r.Token, r.Prepared, r.Epoch}] = true
+	if long := p.pauseAtRenewal; long > 0 {
+		p.pauseAtRenewal = 0
 		p.r.pause(p, long)
 	}
 	answered := func(a voter.RenewResult) {
@@ -293,29 +293,29 @@
 			return
 		}
 		if p.r.bug == CountsFromAnswer {
-			p.seeker.NextRequest(p.BootTime())
+			p.renewer.NextRequest(p.BootTime())
 		}
-		p.r.tamper(p, a.Grant)
+		p.r.tamperDelta(p, a.Grant)
 		differed := p.holder.ViewErr()
-		next := p.seeker.HandleResponse(p.BootTime(), a.Grant, a.Leader)
+		next := p.renewer.HandleResponse(p.BootTime(), a.Grant, a.Leader)
 		if p.holder.ViewErr() != differed {
 			p.r.result.Deltas["differed"]++
 		}
-		if p.why = "no answer"; a.Grant != nil {
-			p.why = a.Grant.Reason
-			p.r.heard(p, asked, a.Grant, next.Err)
+		if p.noLeaseReason = "no answer"; a.Grant != nil {
+			p.noLeaseReason = a.Grant.Reason
+			p.r.recordGrant(p, asked, a.Grant, next.Err)
 		}
-		p.learn()
-		p.r.judge(p)
+		p.applyView()
+		p.r.checkMember(p)
 		if next.RenewNow {
-			p.ask()
+			p.renew()
 			return
 		}
-		p.later(p.r.conf.Terms.Lease/cluster.HeartbeatsPerLease, "heartbeat", p.heartbeat)
+		p.scheduleLocal(p.r.conf.Params.Lease/cluster.HeartbeatsPerLease, "heartbeat", p.heartbeat)
 	}
-	call(p, to, "renew", r, p.r.conf.Terms.Lease/cluster.CallTimeoutPart, func(q *process, r cluster.Renewal, reply func(voter.RenewResult)) {
-		q.keep(func(c *voter.Core) {
-			if l, _ := c.Ledger(); q.r.bug == AnyEpoch {
+	call(p, to, "renew", r, p.r.conf.Params.Lease/cluster.CallTimeoutPart, func(q *process, r cluster.Renewal, reply func(voter.RenewResult)) {
+		q.withVoter(func(c *voter.Core) {
+			if l, _ := c.Ledger(); q.r.bug == IgnoresEpoch {
 				r.Epoch = l.Epoch
 			}
 			if l, _ := c.Ledger(); q.r.bug == WrongBase && l.Epoch > 0 && r.HasMembership > 0 {
@@ -323,11 +323,11 @@
 			}
 			c.Renew(r, func(a voter.RenewResult) {
 				if l, _ := c.Ledger(); a.Grant != nil {
-					q.r.agreeOn(q, l)
+					q.r.recordAgreed(q, l)
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
+					q.r.w.schedule(0, "told", q.id, func() { q.runOrDefer(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
 				}
 			})
 		})
@@ -339,13 +339,13 @@
 	})
 }
 
-// learn has the store take what is new of members and placement. Nothing is ever held in it: a replica lacks nothing at once.
-func (p *process) learn() {
+// applyView has the store take what is new of members and placement. Nothing is ever held in it: a replica lacks nothing at once.
+func (p *process) applyView() {
 	if p.store == nil {
 		return
 	}
-	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.me || !view.Is(&p.learnt)) {
-		p.me, p.learnt = me, view
+	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.incarnation || !view.Is(&p.appliedView)) {
+		p.incarnation, p.appliedView = me, view
 		p.store.ApplyView(p.BootTime(), me, view.Placement, view.Members)
 	}
 }
@@ -362,78 +362,78 @@
 		}
 	}
 	var none A
-	from.later(within, kind+" times out", func() { end(none, false) })
-	text := must(cbor.Marshal(q))
+	from.scheduleLocal(within, kind+" times out", func() { end(none, false) })
+	text := mustEncode(cbor.Marshal(q))
 	back := func(other *process, a A) {
-		text := must(cbor.Marshal(a))
+		text := mustEncode(cbor.Marshal(a))
 		r.send(other.name, from.name, kind+" answer", func() {
-			from.do(func() { end(decoded[A](text), true) })
+			from.runOrDefer(func() { end(mustDecode[A](text), true) })
 		})
 	}
-	if r.w.chance(resets) {
-		r.w.after(r.w.between(0, r.usual), kind+" reset", from.id, func() { from.do(func() { end(none, false) }) })
+	if r.w.chance(resetProbability) {
+		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.runOrDefer(func() { end(none, false) }) })
 	}
 	r.send(from.name, to, kind, func() {
-		other := r.procs[to]
+		other := r.processes[to]
 		refuse := func() {
-			r.send(to, from.name, kind+" refused", func() { from.do(func() { end(none, false) }) })
+			r.send(to, from.name, kind+" refused", func() { from.runOrDefer(func() { end(none, false) }) })
 		}
 		if other == nil || other.dead {
 			refuse()
 			return
 		}
-		other.do(func() {
+		other.runOrDefer(func() {
 			if other.core == nil {
 				refuse()
 				return
 			}
-			handle(other, decoded[Q](text), func(a A) { back(other, a) })
+			handle(other, mustDecode[Q](text), func(a A) { back(other, a) })
 		})
 	})
 }
 
-func must(text []byte, err error) []byte {
+func mustEncode(text []byte, err error) []byte {
 	if err != nil {
 		panic(err) // the program's own types
 	}
 	return text
 }
 
-func decoded[T any](text []byte) (t T) {
+func mustDecode[T any](text []byte) (t T) {
 	if err := cbor.Unmarshal(text, &t); err != nil {
 		panic(err) // what was marshalled a moment ago
 	}
 	return t
 }
 
-// way is from one process to another.
-type way struct{ from, to string }
+// direction is from one process to another.
+type direction struct{ from, to string }
 
 // send has something come to another process: after a while, twice at times, late or never where the way is cut.
 func (r *run) send(from, to, what string, come func()) {
 	arrive := func() {
-		delay := r.w.between(leastWay, r.usual)
-		if r.w.chance(slowShare) {
-			delay = r.w.between(r.usual, r.slow)
+		delay := r.w.randomDuration(minLatency, r.usualLatency)
+		if r.w.chance(slowProbability) {
+			delay = r.w.randomDuration(r.usualLatency, r.slowLatency)
 		}
-		r.w.after(delay, what, from+">"+to, come)
+		r.w.schedule(delay, what, from+">"+to, come)
 	}
-	if r.cut[way{from, to}] {
-		if r.w.chance(lateShare) {
-			r.held = append(r.held, held{way{from, to}, arrive})
+	if r.partitioned[direction{from, to}] {
+		if r.w.chance(lateProbability) {
+			r.heldMessages = append(r.heldMessages, heldMessage{direction{from, to}, arrive})
 		}
 		return
 	}
 	arrive()
-	if r.w.chance(twice) {
+	if r.w.chance(duplicateProbability) {
 		arrive()
 	}
 }
 
-// held is what stands at a cut.
-type held struct {
-	way    way
-	arrive func()
+// heldMessage is what stands at a cut.
+type heldMessage struct {
+	direction direction
+	send      func()
 }
 
 // log is where a process's keeper writes.
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -14,49 +14,49 @@
 
 // What members know of each other and of the placement, which they are told as changes.
 
-// digestOf writes something out, so that two that are equal write the same.
-func digestOf(what any) string {
+// digest writes something out, so that two that are equal write the same.
+func digest(what any) string {
 	sum := fnv.New128a()
 	fmt.Fprintf(sum, "%+v", what)
 	return fmt.Sprintf("%x", sum.Sum(nil))
 }
 
-// agreeOn notes the members and the placement of a ledger by which a member is answered.
-func (r *run) agreeOn(p *process, l *cluster.Ledger) {
-	if l.Placement == nil || p.noted == [2]uint64{l.Epoch, l.Placement.Number} {
+// recordAgreed notes the members and the placement of a ledger by which a member is answered.
+func (r *run) recordAgreed(p *process, l *cluster.Ledger) {
+	if l.Placement == nil || p.lastRecorded == [2]uint64{l.Epoch, l.Placement.Number} {
 		return
 	}
-	p.noted = [2]uint64{l.Epoch, l.Placement.Number}
+	p.lastRecorded = [2]uint64{l.Epoch, l.Placement.Number}
 	for _, part := range []struct {
 		known  map[uint64]string
 		number uint64
 		says   string
-	}{{r.membership, l.Epoch, digestOf(l.Membership())}, {r.placement, l.Placement.Number, digestOf(l.Placement.Shards)}} {
+	}{{r.membershipOf, l.Epoch, digest(l.Membership())}, {r.placementOf, l.Placement.Number, digest(l.Placement.Shards)}} {
 		if other, known := part.known[part.number]; known && other != part.says {
-			r.broken(Differ, "%s has other members or another placement under number %d than another leader had", p.id, part.number)
+			r.violation(LedgersDiffer, "%s has other members or another placement under number %d than another leader had", p.id, part.number)
 		}
 		part.known[part.number] = part.says
 	}
 }
 
-// judgeView looks whether what a member knows is what the ledger had.
-func (r *run) judgeView(p *process) {
+// checkView looks whether what a member knows is what the ledger had.
+func (r *run) checkView(p *process) {
 	v := p.holder.View()
-	if v.Placement == nil || v.Is(&p.viewed) {
+	if v.Placement == nil || v.Is(&p.checkedView) {
 		return
 	}
-	p.viewed = v
-	if r.membership[v.Epoch] != digestOf(v.Members) {
-		r.broken(Views, "%s knows other members of epoch %d than the ledger had: %+v", p.id, v.Epoch, v.Members)
+	p.checkedView = v
+	if r.membershipOf[v.Epoch] != digest(v.Members) {
+		r.violation(ViewsDiffer, "%s knows other members of epoch %d than the ledger had: %+v", p.id, v.Epoch, v.Members)
 	}
-	if r.placement[v.Placement.Number] != digestOf(v.Placement.Shards) {
-		r.broken(Views, "%s knows another placement of number %d than the ledger had", p.id, v.Placement.Number)
+	if r.placementOf[v.Placement.Number] != digest(v.Placement.Shards) {
+		r.violation(ViewsDiffer, "%s knows another placement of number %d than the ledger had", p.id, v.Placement.Number)
 	}
 }
 
-// current tells whether a member knows what the leader's ledger says now.
-func (r *run) current(p *process) bool {
-	leader := r.leads()
+// viewIsCurrent tells whether a member knows what the leader's ledger says now.
+func (r *run) viewIsCurrent(p *process) bool {
+	leader := r.reachableLeader()
 	if leader == nil {
 		return false
 	}
@@ -65,29 +65,29 @@
 	return l.Placement != nil && v.Placement != nil && v.Epoch == l.Epoch && v.Placement.Number == l.Placement.Number
 }
 
-// tamperShare of deltas a planted bug befalls.
-const tamperShare = 0.2
+// tamperProbability of deltas a planted bug befalls.
+const tamperProbability = 0.2
 
-// tamper counts what a member is told, and has a planted bug befall it.
-func (r *run) tamper(p *process, g *cluster.Grant) {
+// tamperDelta counts what a member is told, and has a planted bug befall it.
+func (r *run) tamperDelta(p *process, g *cluster.Grant) {
 	if g == nil || len(g.Delta) == 0 {
 		return
 	}
-	d := decoded[holdings.Delta](g.Delta)
+	d := mustDecode[holdings.Delta](g.Delta)
 	kind := "changes"
 	if d.SinceEpoch == 0 {
 		kind = "whole"
 	}
 	r.result.Deltas[kind]++
-	before := p.before
-	p.before = &d
-	if r.bug != WrongBase && (!slices.Contains([]Bug{LeavesOut, AppliesAgain, ShortHistory}, r.bug) || !r.w.chance(tamperShare)) {
+	before := p.lastDelta
+	p.lastDelta = &d
+	if r.bug != WrongBase && (!slices.Contains([]Bug{OmitsChange, ReappliesDelta, TruncatedHistory}, r.bug) || !r.w.chance(tamperProbability)) {
 		return
 	}
 	faulty := d
 	faulty.Joined, faulty.Gone, faulty.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 	switch r.bug {
-	case LeavesOut:
+	case OmitsChange:
 		switch {
 		case len(d.Gone) > 0:
 			faulty.Gone = faulty.Gone[1:]
@@ -96,7 +96,7 @@
 		case len(d.Shards) > 0:
 			faulty.Shards = faulty.Shards[1:]
 		}
-	case AppliesAgain:
+	case ReappliesDelta:
 		if before == nil || before.SinceEpoch == 0 || d.SinceEpoch == 0 {
 			return
 		}
@@ -119,7 +119,7 @@
 			return
 		}
 		faulty.SinceEpoch = p.holder.View().Epoch
-	case ShortHistory: // of what was to be told only the newest is left
+	case TruncatedHistory: // of what was to be told only the newest is left
 		if d.SinceEpoch == 0 {
 			return
 		}
@@ -127,15 +127,15 @@
 		faulty.Joined = slices.DeleteFunc(faulty.Joined, func(m holdings.Member) bool { return m.JoinEpoch < d.Epoch })
 		faulty.Shards = faulty.Shards[len(faulty.Shards)/2:]
 	}
-	if r.opts.Forged {
-		faulty.Checksum = leadsTo(p.holder.View(), &faulty).Checksum()
+	if r.opts.FixChecksums {
+		faulty.Checksum = applyDelta(p.holder.View(), &faulty).Checksum()
 	}
-	g.Delta = must(cbor.Marshal(faulty))
+	g.Delta = mustEncode(cbor.Marshal(faulty))
 	r.result.Deltas["tampered"]++
 }
 
-// leadsTo is what a delta leads to, by the model's own way.
-func leadsTo(v holdings.View, d *holdings.Delta) *holdings.View {
+// applyDelta is what a delta leads to, by the model's own way.
+func applyDelta(v holdings.View, d *holdings.Delta) *holdings.View {
 	next := holdings.View{Epoch: d.Epoch, Placement: &holdings.Placement{}}
 	in := map[string]holdings.Member{}
 	if d.SinceEpoch != 0 {
--- a/internal/sim/clustersim/world.go
+++ b/internal/sim/clustersim/world.go
@@ -21,11 +21,11 @@
 
 // event is something that happens at a time.
 type event struct {
-	at    time.Duration
-	order int // of those at one time
-	what  string
-	who   string
-	do    func()
+	at   time.Duration
+	seq  int // of those at one time
+	what string
+	who  string
+	do   func()
 }
 
 // queue is a heap of events.
@@ -36,7 +36,7 @@
 
 // Less is heap.Interface's.
 func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
 // Swap is heap.Interface's.
@@ -55,19 +55,19 @@
 
 // world is virtual time and what comes next.
 type world struct {
-	now    time.Duration
-	queue  queue
-	orders int
-	steps  int
-	dice   *mrand.Rand
-	sum    hash.Hash64
-	trace  io.Writer // a line a step; nil for none
+	now       time.Duration
+	queue     queue
+	lastSeq   int
+	steps     int
+	rng       *mrand.Rand
+	traceHash hash.Hash64
+	trace     io.Writer // a line a step; nil for none
 }
 
-// after has something happen after a time.
-func (w *world) after(d time.Duration, what, who string, do func()) {
-	w.orders++
-	heap.Push(&w.queue, &event{w.now + max(0, d), w.orders, what, who, do})
+// schedule has something happen after a time.
+func (w *world) schedule(d time.Duration, what, who string, do func()) {
+	w.lastSeq++
+	heap.Push(&w.queue, &event{w.now + max(0, d), w.lastSeq, what, who, do})
 }
 
 // step takes the next step; false when none is left up to a time.
@@ -79,46 +79,46 @@
 	e := heap.Pop(&w.queue).(*event)
 	w.now = e.at
 	w.steps++
-	w.note(e.what, e.who)
+	w.record(e.what, e.who)
 	e.do()
 	return true
 }
 
-// note books what happens, for the trace and its hash.
-func (w *world) note(what, who string) {
-	out := io.Writer(w.sum)
+// record books what happens, for the trace and its hash.
+func (w *world) record(what, who string) {
+	out := io.Writer(w.traceHash)
 	if w.trace != nil {
-		out = io.MultiWriter(w.sum, w.trace)
+		out = io.MultiWriter(w.traceHash, w.trace)
 	}
 	fmt.Fprintf(out, "%d %d %s %s\n", w.steps, w.now, what, who)
 }
 
-// between draws a time.
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.dice.Int64N(int64(most-least)+1))
+// randomDuration draws a time.
+func (w *world) randomDuration(least, most time.Duration) time.Duration {
+	return least + time.Duration(w.rng.Int64N(int64(most-least)+1))
 }
 
 // chance draws whether something happens.
-func (w *world) chance(p float64) bool { return w.dice.Float64() < p }
+func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
 
-// seeded stands in for crypto/rand while a world runs: raft draws the times of its elections from there.
-type seeded struct{ dice *mrand.ChaCha8 }
+// seededReader stands in for crypto/rand while a world runs: raft draws the times of its elections from there.
+type seededReader struct{ source *mrand.ChaCha8 }
 
 // Read is io.Reader's.
-func (s seeded) Read(b []byte) (int, error) { return s.dice.Read(b) }
+func (s seededReader) Read(b []byte) (int, error) { return s.source.Read(b) }
 
-// one world runs at a time in a process: its source of chance is the process's.
-var one sync.Mutex
+// randMutex world runs at a time in a process: its source of chance is the process's.
+var randMutex sync.Mutex
 
-// seed puts a seed's chance in place, until the function that it returns is called.
-func seed(n uint64) (w *world, done func()) {
-	one.Lock()
+// newSeededWorld puts a seed's chance in place, until the function that it returns is called.
+func newSeededWorld(n uint64) (w *world, done func()) {
+	randMutex.Lock()
 	before := rand.Reader
 	var key [32]byte
 	copy(key[:], fmt.Sprintf("crew %d", n))
-	rand.Reader = seeded{mrand.NewChaCha8(key)}
-	return &world{dice: mrand.New(mrand.NewPCG(n, 0x63726577)), sum: fnv.New64a()}, func() {
+	rand.Reader = seededReader{mrand.NewChaCha8(key)}
+	return &world{rng: mrand.New(mrand.NewPCG(n, 0x63726577)), traceHash: fnv.New64a()}, func() {
 		rand.Reader = before
-		one.Unlock()
+		randMutex.Unlock()
 	}
 }
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -22,21 +22,21 @@
 // The models act in the world's steps, one at a time: they need no locks, and whatever
 // they do follows from what came and from the seed.
 
-// request is a message that has come whole.
-type request struct {
+// receivedRequest is a message that has come whole.
+type receivedRequest struct {
 	method, path, class, id, key, query string
-	first, whole                        time.Duration
+	firstByte, lastByte                 time.Duration
 }
 
-// inbox gathers the bytes of a connection into requests.
-type inbox struct {
+// requestParser gathers the bytes of a connection into requests.
+type requestParser struct {
 	buf   []byte
 	first time.Duration // of the first byte that stands there
 }
 
-// add takes bytes; the requests that are whole by now come back. An error means that
+// parse takes bytes; the requests that are whole by now come back. An error means that
 // what came is no request.
-func (in *inbox) add(now time.Duration, b []byte) (whole []request, err error) {
+func (in *requestParser) parse(now time.Duration, b []byte) (whole []receivedRequest, err error) {
 	if len(in.buf) == 0 {
 		in.first = now
 	}
@@ -54,10 +54,10 @@
 		}
 		in.buf = in.buf[len(in.buf)-left.Len()-r.Buffered():]
 		path := string(m.URI().Path())
-		q := request{
+		q := receivedRequest{
 			method: string(m.Header.Method()), path: path, query: string(m.URI().QueryString()),
 			id: string(m.Header.Peek("X-Txn")), key: string(m.Header.Peek("Idempotency-Key")),
-			first: in.first, whole: now,
+			firstByte: in.first, lastByte: now,
 		}
 		q.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		whole = append(whole, q)
@@ -66,28 +66,28 @@
 	return whole, nil
 }
 
-// keyMemory is what a group of endpoints knows of keys.
-type keyMemory struct {
+// keyStore is what a group of endpoints knows of keys.
+type keyStore struct {
 	window time.Duration
-	seen   map[string]*keyRun
+	runs   map[string]*keyedRun
 }
 
-type keyRun struct {
-	at      time.Duration
+type keyedRun struct {
+	started time.Duration
 	done    bool
 	waiters []func()
 }
 
-func (k *keyMemory) see(now time.Duration, key string) (first, own *keyRun) {
-	if first = k.seen[key]; first != nil && now-first.at <= k.window {
+func (k *keyStore) lookupOrStart(now time.Duration, key string) (first, own *keyedRun) {
+	if first = k.runs[key]; first != nil && now-first.started <= k.window {
 		return first, nil
 	}
-	own = &keyRun{at: now}
-	k.seen[key] = own
+	own = &keyedRun{started: now}
+	k.runs[key] = own
 	return nil, own
 }
 
-func (r *keyRun) end() {
+func (r *keyedRun) finish() {
 	if r == nil || r.done {
 		return
 	}
@@ -100,120 +100,120 @@
 
 // endpoint is one process of the tier.
 type endpoint struct {
-	s       *simulation
-	name    string
-	address string
-	station *servermodel.Server
-	inboxes map[*conn]*inbox
-	busy    map[*conn]*task
-	conns   []*conn
-	next    *event
-	trouble Kind
-	cutOff  bool
+	s           *simulation
+	name        string
+	address     string
+	server      *servermodel.Server
+	parsers     map[*conn]*requestParser
+	tasks       map[*conn]*task
+	conns       []*conn
+	serverEvent *event
+	fault       FaultKind
+	partitioned bool
 
 	slowToConnect bool // beside whatever else troubles it
 
-	dead   bool
-	number int // of the next event of its own
+	dead         bool
+	serverEvents int // of the next event of its own
 }
 
 // task is a request at work.
 type task struct {
 	servermodel.Job
-	q    request
-	c    *conn // nil when its peer has gone
-	own  *keyRun
-	work bool // it is at the station
+	req     receivedRequest
+	c       *conn // nil when its peer has gone
+	keyed   *keyedRun
+	running bool // it is at the station
 }
 
-func (e *endpoint) silent() bool { return e.cutOff }
+func (e *endpoint) unreachable() bool { return e.partitioned }
 
-// lateConnect is how late connections come up, of those that do: within the connect time-out.
-const lateConnect = 250 * time.Millisecond
+// slowConnectDelay is how late connections come up, of those that do: within the connect time-out.
+const slowConnectDelay = 250 * time.Millisecond
 
-func (e *endpoint) late() time.Duration {
+func (e *endpoint) connectDelay() time.Duration {
 	if !e.slowToConnect {
 		return 0
 	}
-	return lateConnect
+	return slowConnectDelay
 }
 
-func (e *endpoint) opened(c *conn) {
+func (e *endpoint) onOpen(c *conn) {
 	if e.dead {
 		c.peerClose(true)
 		return
 	}
 	e.conns = append(e.conns, c)
-	e.inboxes[c] = &inbox{}
-	if e.cutOff {
-		c.silence(true)
+	e.parsers[c] = &requestParser{}
+	if e.partitioned {
+		c.setPartitioned(true)
 	}
 }
 
-func (e *endpoint) refused(*conn) {}
+func (e *endpoint) onRefused(*conn) {}
 
-func (e *endpoint) data(c *conn, b []byte) {
-	in := e.inboxes[c]
+func (e *endpoint) onData(c *conn, b []byte) {
+	in := e.parsers[c]
 	if e.dead || in == nil {
 		return
 	}
-	whole, err := in.add(e.s.now(), b)
+	whole, err := in.parse(e.s.now(), b)
 	for _, q := range whole {
-		e.take(c, q)
+		e.handleRequest(c, q)
 	}
 	if err != nil {
-		e.drop(c, true)
+		e.closeConn(c, true)
 	}
 }
 
-// ended is told when the sidecar has closed: what is safe is given up, an effect goes on.
-func (e *endpoint) ended(c *conn, _ bool) {
-	if t := e.busy[c]; t != nil {
+// onClose is told when the sidecar has closed: what is safe is given up, an effect goes on.
+func (e *endpoint) onClose(c *conn, _ bool) {
+	if t := e.tasks[c]; t != nil {
 		t.c = nil
-		if t.work && e.s.classes[t.q.class].Effect == decide.Safe && e.station.Cancel(e.s.now(), &t.Job) {
-			e.arm()
+		if t.running && e.s.classes[t.req.class].Effect == decide.Safe && e.server.Cancel(e.s.now(), &t.Job) {
+			e.scheduleServer()
 		}
 	}
-	e.drop(c, false)
+	e.closeConn(c, false)
 }
 
-func (e *endpoint) drop(c *conn, reset bool) {
-	delete(e.inboxes, c)
-	delete(e.busy, c)
+func (e *endpoint) closeConn(c *conn, reset bool) {
+	delete(e.parsers, c)
+	delete(e.tasks, c)
 	e.conns = slices.DeleteFunc(e.conns, func(o *conn) bool { return o == c })
 	c.peerClose(reset)
 }
 
 const (
-	offText  = "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-	failText = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
+	refusedResponse = "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	errorResponse   = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
 )
 
-// take takes a request that has come whole.
-func (e *endpoint) take(c *conn, q request) {
+// handleRequest takes a request that has come whole.
+func (e *endpoint) handleRequest(c *conn, q receivedRequest) {
 	class, known := e.s.classes[q.class]
-	e.s.seen[q.id] = true
+	e.s.arrived[q.id] = true
 	arrived := func(runs, repeat bool) {
-		e.s.book.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.first, LastByte: q.whole, Accepted: runs, Repeat: repeat})
+		e.s.checker.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.firstByte, LastByte: q.lastByte, Accepted: runs, Repeat: repeat})
 	}
-	if !known || e.trouble == Refuse {
+	if !known || e.fault == Refuse {
 		arrived(false, false)
-		c.peerWrite(offText)
+		c.peerWrite(refusedResponse)
 		return
 	}
-	var first, own *keyRun
+	var first, own *keyedRun
 	if class.Effect == decide.Keyed {
-		first, own = e.s.keys.see(q.whole, q.key)
+		first, own = e.s.keys.lookupOrStart(q.lastByte, q.key)
 	}
-	if e.trouble == Errors {
+	if e.fault == Errors {
 		arrived(true, first != nil)
-		own.end()
-		c.peerWrite(failText)
+		own.finish()
+		c.peerWrite(errorResponse)
 		return
 	}
 	if first != nil {
 		arrived(true, true)
-		answer := func() { c.peerWrite(okText(q, e.name)) }
+		answer := func() { c.peerWrite(okResponse(q, e.name)) }
 		if first.done {
 			answer()
 		} else {
@@ -221,65 +221,65 @@
 		}
 		return
 	}
-	t := &task{q: q, c: c, own: own, work: true}
+	t := &task{req: q, c: c, keyed: own, running: true}
 	t.Data = t
-	t.Work = time.Duration(e.s.dice(e.name, q.id).ExpFloat64() * float64(e.s.work))
-	e.due()
-	if e.station.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
+	t.Work = time.Duration(e.s.rngFor(e.name, q.id).ExpFloat64() * float64(e.s.meanWork))
+	e.finishDueTasks()
+	if e.server.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
 		if own != nil {
-			delete(e.s.keys.seen, q.key)
+			delete(e.s.keys.runs, q.key)
 		}
 		arrived(false, false)
-		c.peerWrite(offText)
+		c.peerWrite(refusedResponse)
 		return
 	}
 	arrived(true, false)
-	e.busy[c] = t
-	e.arm()
+	e.tasks[c] = t
+	e.scheduleServer()
 }
 
-func okText(q request, name string) string {
+func okResponse(q receivedRequest, name string) string {
 	body := q.id + " " + name + "\n"
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// due hands out what is done by now.
-func (e *endpoint) due() {
-	done, fell := e.station.Due(e.s.now())
+// finishDueTasks hands out what is done by now.
+func (e *endpoint) finishDueTasks() {
+	done, fell := e.server.Due(e.s.now())
 	if fell {
-		e.s.book.EndpointOverloaded(e.s.now(), e.name)
+		e.s.checker.EndpointOverloaded(e.s.now(), e.name)
 	}
 	for _, j := range done {
 		t := j.Data.(*task)
-		t.work = false
-		t.own.end()
+		t.running = false
+		t.keyed.finish()
 		if t.c == nil {
 			continue
 		}
-		delete(e.busy, t.c)
+		delete(e.tasks, t.c)
 		if fell {
-			e.drop(t.c, true)
+			e.closeConn(t.c, true)
 			continue
 		}
-		e.answer(t)
+		e.respond(t)
 	}
 }
 
-// answer writes a task's answer, as the trouble has it.
-func (e *endpoint) answer(t *task) {
-	text := okText(t.q, e.name)
-	switch e.trouble {
+// respond writes a task's answer, as the trouble has it.
+func (e *endpoint) respond(t *task) {
+	text := okResponse(t.req, e.name)
+	switch e.fault {
 	case Hang:
 		return
-	case Half:
-		if e.s.dice(e.name, t.q.id, "open").IntN(2) == 0 { // only its connection's end would tell its end
+	case Truncate:
+		if e.s.rngFor(e.name, t.req.id, "open").IntN(2) == 0 { // only its connection's end would tell its end
 			_, body, _ := strings.Cut(text, "\r\n\r\n")
 			t.c.peerWrite("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body[:len(body)-3])
-			e.drop(t.c, true)
+			e.closeConn(t.c, true)
 			return
 		}
 		t.c.peerWrite(text[:len(text)-3])
-		e.drop(t.c, e.s.dice(e.name, t.q.id, "half").IntN(2) == 0)
+		e.closeConn(t.c, e.s.rngFor(e.name, t.req.id, "half").IntN(2) == 0)
 		return
 	case Garbage:
 		text = "what?\r\n\r\n"
@@ -287,58 +287,58 @@
 	t.c.peerWrite(text)
 }
 
-func (e *endpoint) arm() {
-	if e.next != nil {
-		e.s.w.off(e.next)
-		e.next = nil
+func (e *endpoint) scheduleServer() {
+	if e.serverEvent != nil {
+		e.s.w.cancel(e.serverEvent)
+		e.serverEvent = nil
 	}
-	at, ok := e.station.Next()
+	at, ok := e.server.Next()
 	if !ok || e.dead {
 		return
 	}
-	e.number++
+	e.serverEvents++
 	// Up to the network's grid: an answer may then leave, and come, in the same instant
 	// as something else does.
-	at = (at + leastLatency - 1).Truncate(leastLatency)
-	e.next = e.s.w.at(fmt.Sprintf("%s/work/%d", e.name, e.number), e.s.w.start.Add(at), func() {
-		e.next = nil
-		e.due()
-		e.arm()
+	at = (at + minLatency - 1).Truncate(minLatency)
+	e.serverEvent = e.s.w.schedule(fmt.Sprintf("%s/work/%d", e.name, e.serverEvents), e.s.w.start.Add(at), func() {
+		e.serverEvent = nil
+		e.finishDueTasks()
+		e.scheduleServer()
 	})
 }
 
 // kill ends the process; its keys stay with the group, as do effects.
 func (e *endpoint) kill() {
 	e.dead = true
-	for _, j := range e.station.Clear() {
-		j.Data.(*task).own.end()
+	for _, j := range e.server.Clear() {
+		j.Data.(*task).keyed.finish()
 	}
 	for _, c := range slices.Clone(e.conns) {
-		e.drop(c, true)
+		e.closeConn(c, true)
 	}
-	e.arm()
+	e.scheduleServer()
 }
 
-func (e *endpoint) pause(paused bool) {
-	e.due()
-	e.station.Pause(e.s.now(), paused)
-	e.arm()
+func (e *endpoint) setPaused(paused bool) {
+	e.finishDueTasks()
+	e.server.Pause(e.s.now(), paused)
+	e.scheduleServer()
 }
 
-// cutMachine cuts the endpoint's machine off, or brings it back: its old connections are
+// setPartitioned cuts the endpoint's machine off, or brings it back: its old connections are
 // reset then.
-func (e *endpoint) cutMachine(cut bool) {
-	e.cutOff = cut
+func (e *endpoint) setPartitioned(cut bool) {
+	e.partitioned = cut
 	for _, c := range slices.Clone(e.conns) {
-		c.silence(cut)
+		c.setPartitioned(cut)
 		if !cut {
-			e.drop(c, true)
+			e.closeConn(c, true)
 		}
 	}
 }
 
-// listLine is a line of the list, as discovery writes it.
-type listLine struct {
+// listEntry is a line of the list, as discovery writes it.
+type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -350,53 +350,53 @@
 
 // discovery tells the list.
 type discovery struct {
-	s       *simulation
-	index   int64
-	names   []string
-	lines   map[string]listLine
-	changed map[string]int64
-	down    bool
-	inboxes map[*conn]*inbox
-	waiting []*watcher
+	s         *simulation
+	index     int64
+	names     []string
+	entries   map[string]listEntry
+	changedAt map[string]int64
+	down      bool
+	parsers   map[*conn]*requestParser
+	watchers  []*watcher
 }
 
 type watcher struct {
-	c     *conn
-	after int64
-	end   *event
+	c       *conn
+	after   int64
+	timeout *event
 }
 
 func newDiscovery(s *simulation) *discovery {
-	return &discovery{s: s, lines: map[string]listLine{}, changed: map[string]int64{}, inboxes: map[*conn]*inbox{}}
+	return &discovery{s: s, entries: map[string]listEntry{}, changedAt: map[string]int64{}, parsers: map[*conn]*requestParser{}}
 }
 
-func (d *discovery) set(l listLine) {
+func (d *discovery) publish(l listEntry) {
 	d.index++
-	if _, known := d.lines[l.Name]; !known {
+	if _, known := d.entries[l.Name]; !known {
 		d.names = append(d.names, l.Name)
 	}
-	d.lines[l.Name], d.changed[l.Name] = l, d.index
-	d.s.book.ListPublished(d.s.now(), d.index, l.Name, l.Status == "SERVING")
+	d.entries[l.Name], d.changedAt[l.Name] = l, d.index
+	d.s.checker.ListPublished(d.s.now(), d.index, l.Name, l.Status == "SERVING")
 	if l.Status != "SERVING" {
 		for _, sc := range d.s.sidecars {
-			if sc.proc.dialing[l.Address] > 0 {
-				d.s.w.met[DrainDuringDial]++
+			if sc.proc.dialsInProgress[l.Address] > 0 {
+				d.s.w.rareEvents[DrainDuringDial]++
 			}
 		}
 	}
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.watchers
+	d.watchers = nil
 	for _, w := range waiting {
-		d.s.w.off(w.end)
-		d.tell(w.c, w.after)
+		d.s.w.cancel(w.timeout)
+		d.respond(w.c, w.after)
 	}
 }
 
-func (d *discovery) list(after int64) map[string]any {
-	lines := []listLine{}
+func (d *discovery) changesSince(after int64) map[string]any {
+	lines := []listEntry{}
 	for _, name := range d.names {
-		l := d.lines[name]
-		if after == 0 && l.Status == "DELETED" || after > 0 && d.changed[name] <= after {
+		l := d.entries[name]
+		if after == 0 && l.Status == "DELETED" || after > 0 && d.changedAt[name] <= after {
 			continue
 		}
 		lines = append(lines, l)
@@ -404,123 +404,123 @@
 	return map[string]any{"index": d.index, "snapshot": after == 0, "endpoints": lines}
 }
 
-// tell answers a call with what is newer, and books what it told.
-func (d *discovery) tell(c *conn, after int64) {
-	text, err := json.Marshal(d.list(after))
+// respond answers a call with what is newer, and books what it told.
+func (d *discovery) respond(c *conn, after int64) {
+	text, err := json.Marshal(d.changesSince(after))
 	if err != nil {
 		panic(err) // it holds nothing that can't be written
 	}
 	c.peerWrite("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + string(text))
-	d.s.book.ListDelivered(d.s.now()+spikeLatency*2, c.proc.name(), d.index)
-	d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+	d.s.checker.ListDelivered(d.s.now()+maxLatency*2, c.proc.sidecarName(), d.index)
+	d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 }
 
 func (d *discovery) setDown(down bool) {
 	d.down = down
-	d.s.book.SetDiscoveryUp(d.s.now(), !down)
+	d.s.checker.SetDiscoveryUp(d.s.now(), !down)
 	if !down {
 		return
 	}
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.watchers
+	d.watchers = nil
 	for _, w := range waiting {
-		d.s.w.off(w.end)
-		d.s.book.ListCallEnded(d.s.now(), w.c.proc.name())
+		d.s.w.cancel(w.timeout)
+		d.s.checker.ListCallEnded(d.s.now(), w.c.proc.sidecarName())
 		w.c.peerClose(true)
-		delete(d.inboxes, w.c)
+		delete(d.parsers, w.c)
 	}
 }
 
-func (d *discovery) opened(c *conn) {
+func (d *discovery) onOpen(c *conn) {
 	if d.down {
 		c.peerClose(true)
 		return
 	}
-	d.inboxes[c] = &inbox{}
+	d.parsers[c] = &requestParser{}
 }
 
-func (d *discovery) refused(*conn) {}
+func (d *discovery) onRefused(*conn) {}
 
-func (d *discovery) ended(c *conn, _ bool) {
-	delete(d.inboxes, c)
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *watcher) bool {
+func (d *discovery) onClose(c *conn, _ bool) {
+	delete(d.parsers, c)
+	d.watchers = slices.DeleteFunc(d.watchers, func(w *watcher) bool {
 		if w.c == c {
-			d.s.w.off(w.end)
-			d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+			d.s.w.cancel(w.timeout)
+			d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 		}
 		return w.c == c
 	})
 	c.peerClose(false)
 }
 
-func (d *discovery) data(c *conn, b []byte) {
-	in := d.inboxes[c]
+func (d *discovery) onData(c *conn, b []byte) {
+	in := d.parsers[c]
 	if in == nil {
 		return
 	}
-	whole, _ := in.add(d.s.now(), b)
+	whole, _ := in.parse(d.s.now(), b)
 	for _, q := range whole {
-		d.s.book.ListCallBegun(c.proc.name())
-		d.call(c, q)
+		d.s.checker.ListCallBegun(c.proc.sidecarName())
+		d.handleCall(c, q)
 	}
 }
 
-func (d *discovery) call(c *conn, q request) {
+func (d *discovery) handleCall(c *conn, q receivedRequest) {
 	if d.down {
 		c.peerWrite("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
-		d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+		d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 		return
 	}
 	var after, ms int64
 	fmt.Sscanf(q.query, "after=%d&wait_ms=%d", &after, &ms) //nolint:errcheck // the whole list has neither
 	if after == 0 || d.index > after {
-		d.tell(c, after)
+		d.respond(c, after)
 		return
 	}
-	d.s.book.WatchAccepted(c.proc.name(), d.s.now()+time.Duration(ms)*time.Millisecond)
+	d.s.checker.WatchAccepted(c.proc.sidecarName(), d.s.now()+time.Duration(ms)*time.Millisecond)
 	w := &watcher{c: c, after: after}
-	w.end = d.s.w.after(c.id+"/watch", time.Duration(ms)*time.Millisecond, func() {
-		d.waiting = slices.DeleteFunc(d.waiting, func(o *watcher) bool { return o == w })
-		d.tell(c, after)
+	w.timeout = d.s.w.scheduleAfter(c.id+"/watch", time.Duration(ms)*time.Millisecond, func() {
+		d.watchers = slices.DeleteFunc(d.watchers, func(o *watcher) bool { return o == w })
+		d.respond(c, after)
 	})
-	d.waiting = append(d.waiting, w)
+	d.watchers = append(d.watchers, w)
 }
 
 // client is one caller's connection; it asks one thing at a time.
 type client struct {
-	s     *simulation
-	c     *conn
-	ask   *Ask // what is out; nil while idle
-	out   time.Duration
-	buf   []byte
-	uses  int
-	gone  bool // the sidecar has ended it, or it is no use any more
-	limit *event
-}
-
-func (k *client) opened(c *conn) {
-	if !k.gone {
+	s        *simulation
+	c        *conn
+	pending  *Request // what is out; nil while idle
+	sentAt   time.Duration
+	buf      []byte
+	answered int
+	closed   bool // the sidecar has ended it, or it is no use any more
+	timeout  *event
+}
+
+func (k *client) onOpen(c *conn) {
+	if !k.closed {
 		k.write()
 	}
 }
 
-// refused is told when no connection came up: nothing was asked.
-func (k *client) refused(*conn) {
-	k.gone = true
-	k.s.unreached++
+// onRefused is told when no connection came up: nothing was asked.
+func (k *client) onRefused(*conn) {
+	k.closed = true
+	k.s.notConnected++
 	k.s.settled++
-	k.ask = nil
+	k.pending = nil
 }
 
 // write sends what the client asks.
 func (k *client) write() {
-	a := k.ask
+	a := k.pending
 	class := k.s.classes[a.Class]
-	k.out = k.s.now()
-	until := k.out + class.Deadline
-	k.s.book.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Deadline: until + spikeLatency*2})
-	k.s.book.RequestWritten(a.ID)
-	k.s.asking[k] = true
+	k.sentAt = k.s.now()
+	until := k.sentAt + class.Deadline
+	k.s.checker.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.sidecarName(), Effect: class.Effect, Key: a.Key, Deadline: until + maxLatency*2})
+	k.s.checker.RequestWritten(a.ID)
+	k.s.unanswered[k] = true
 	method, more := "GET", ""
 	if class.Effect != decide.Safe {
 		method, more = "POST", "Content-Length: 4\r\n"
@@ -534,70 +534,70 @@
 	}
 	k.c.peerWrite(fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: sim\r\nX-Txn: %s\r\nX-Remaining: %.6f\r\n%s\r\n%s",
 		method, a.Class, a.ID, class.Deadline.Seconds(), more, body))
-	wait := class.Deadline + k.s.patience()
+	wait := class.Deadline + k.s.clientMargin()
 	if a.Leave > 0 {
 		wait = a.Leave
 	}
-	k.limit = k.s.w.after(k.c.id+"/limit/"+a.ID, wait, func() { k.timeUp(a.Leave > 0) })
+	k.timeout = k.s.w.scheduleAfter(k.c.id+"/limit/"+a.ID, wait, func() { k.onTimeout(a.Leave > 0) })
 }
 
-func (k *client) timeUp(leaves bool) {
+func (k *client) onTimeout(leaves bool) {
 	if leaves {
-		k.s.book.ClientLeft(k.s.now(), k.ask.ID)
+		k.s.checker.ClientLeft(k.s.now(), k.pending.ID)
 	} else {
-		k.s.book.Unanswered(k.s.now(), k.ask.ID)
+		k.s.checker.Unanswered(k.s.now(), k.pending.ID)
 	}
-	k.end(true)
+	k.finish(true)
 }
 
-// end ends what is out, and the connection.
-func (k *client) end(reset bool) {
-	k.s.w.off(k.limit)
-	k.ask, k.gone = nil, true
-	delete(k.s.asking, k)
+// finish ends what is out, and the connection.
+func (k *client) finish(reset bool) {
+	k.s.w.cancel(k.timeout)
+	k.pending, k.closed = nil, true
+	delete(k.s.unanswered, k)
 	k.s.settled++
 	k.c.peerClose(reset)
 }
 
-func (k *client) ended(c *conn, _ bool) {
-	if k.gone {
+func (k *client) onClose(c *conn, _ bool) {
+	if k.closed {
 		return
 	}
-	k.gone = true
-	if k.ask == nil {
+	k.closed = true
+	if k.pending == nil {
 		c.peerClose(false)
 		return
 	}
-	if k.limit == nil { // it broke before anything was written
-		k.refused(c)
+	if k.timeout == nil { // it broke before anything was written
+		k.onRefused(c)
 		c.peerClose(false)
 		return
 	}
-	a := k.ask
+	a := k.pending
 	switch {
 	case c.proc.dead:
-		k.s.book.RequestInterrupted(k.s.now(), a.ID)
-	case k.uses > 0 && len(k.buf) == 0 && k.s.book.RetractRequest(a.ID):
+		k.s.checker.RequestInterrupted(k.s.now(), a.ID)
+	case k.answered > 0 && len(k.buf) == 0 && k.s.checker.RetractRequest(a.ID):
 		// It ended as the request crossed that: once more, on a new connection.
-		k.s.w.off(k.limit)
-		k.ask = nil
-		delete(k.s.asking, k)
+		k.s.w.cancel(k.timeout)
+		k.pending = nil
+		delete(k.s.unanswered, k)
 		c.peerClose(false)
-		k.s.connect(a)
+		k.s.sendOnNewConn(a)
 		return
 	default:
-		k.s.book.Unanswered(k.s.now(), a.ID)
+		k.s.checker.Unanswered(k.s.now(), a.ID)
 	}
-	k.end(false)
+	k.finish(false)
 }
 
-func (k *client) data(_ *conn, b []byte) {
-	if k.gone {
+func (k *client) onData(_ *conn, b []byte) {
+	if k.closed {
 		return
 	}
-	if k.ask == nil {
-		k.s.book.ExtraBytes(k.s.now(), k.c.id)
-		k.gone = true
+	if k.pending == nil {
+		k.s.checker.ExtraBytes(k.s.now(), k.c.id)
+		k.closed = true
 		k.c.peerClose(true)
 		return
 	}
@@ -609,12 +609,12 @@
 		return // not whole yet; if never, its time will tell
 	}
 	k.buf = k.buf[len(k.buf)-left.Len()-r.Buffered():]
-	k.answered(&m)
+	k.handleResponse(&m)
 }
 
-func (k *client) answered(m *fasthttp.Response) {
-	a, now := k.ask, k.s.now()
-	k.s.w.off(k.limit)
+func (k *client) handleResponse(m *fasthttp.Response) {
+	a, now := k.pending, k.s.now()
+	k.s.w.cancel(k.timeout)
 	verdict := oracle.Failed
 	switch m.StatusCode() {
 	case fasthttp.StatusOK:
@@ -623,22 +623,22 @@
 		verdict = oracle.Refused
 	}
 	if body := string(m.Body()); verdict == oracle.Served && !(strings.HasPrefix(body, a.ID+" ") && strings.HasSuffix(body, "\n")) {
-		k.s.book.ForeignAnswer(now, a.ID)
+		k.s.checker.ForeignAnswer(now, a.ID)
 	} else {
-		k.s.book.AnswerReceived(now, a.ID, verdict)
+		k.s.checker.AnswerReceived(now, a.ID, verdict)
 	}
 	if len(k.buf) > 0 {
-		k.s.book.ExtraBytes(now, a.ID)
+		k.s.checker.ExtraBytes(now, a.ID)
 	}
 	k.s.verdicts[verdict]++
-	delete(k.s.asking, k)
+	delete(k.s.unanswered, k)
 	k.s.settled++
-	k.uses++
-	k.ask = nil
+	k.answered++
+	k.pending = nil
 	if m.ConnectionClose() || a.Close {
-		k.gone = true
+		k.closed = true
 		k.c.peerClose(false)
 		return
 	}
-	k.s.idle = append(k.s.idle, k)
+	k.s.idleClients = append(k.s.idleClients, k)
 }
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -13,46 +13,46 @@
 
 // Figures of the simulated network.
 const (
-	leastLatency = 50 * time.Microsecond
-	usualLatency = 500 * time.Microsecond
-	spikeLatency = 4 * time.Millisecond
-	spikeShare   = 0.05
-	splitShare   = 0.2      // of messages that come in two parts
-	bufferBytes  = 16 << 10 // written and not yet read by the other side; more blocks the writer
+	minLatency       = 50 * time.Microsecond
+	maxUsualLatency  = 500 * time.Microsecond
+	maxLatency       = 4 * time.Millisecond
+	spikeProbability = 0.05
+	splitProbability = 0.2      // of messages that come in two parts
+	sendBufferBytes  = 16 << 10 // written and not yet read by the other side; more blocks the writer
 )
 
 // peer is the other side of a connection: a model that acts in the world's steps.
 type peer interface {
-	data(c *conn, b []byte)    // bytes have come
-	ended(c *conn, reset bool) // the sidecar's side has closed, or it broke
-	opened(c *conn)            // a connection that the peer asked for stands
-	refused(c *conn)           // it does not come up
+	onData(c *conn, b []byte)    // bytes have come
+	onClose(c *conn, reset bool) // the sidecar's side has closed, or it broke
+	onOpen(c *conn)              // a connection that the peer asked for stands
+	onRefused(c *conn)           // it does not come up
 }
 
 // conn is a connection between a sidecar and a peer. The sidecar's code uses it as
 // a net.Conn; the peer's side are its peer methods.
 type conn struct {
-	w    *World
-	proc *Proc
-	peer peer
-	id   string
-	dice *rand.Rand // of its own: draws do not depend on what other connections do
-	cut  bool       // the line is silent: nothing passes until it is mended
+	w           *World
+	proc        *Process
+	peer        peer
+	id          string
+	rng         *rand.Rand // of its own: draws do not depend on what other connections do
+	partitioned bool       // the line is silent: nothing passes until it is mended
 
 	// The sidecar's side; w.mu guards it.
-	in           []byte
-	eof, reset   bool
-	resetTold    bool // the kernel tells a reader of a reset once, and of an end from then on
-	closed       bool
-	readBy       time.Time
-	writeBy      time.Time
-	flying       int // bytes on their way to the peer
-	toPeer, toUs []segment
-	peerBusy     bool // an event for the first of toPeer stands
-	usBusy       bool
-	peerDone     bool   // the peer has ended its side
-	dialed       string // where to, if the sidecar made it
-	written      []byte // the newest message without an answer, for a planted bug
+	received           []byte
+	eof, reset         bool
+	resetReported      bool // the kernel tells a reader of a reset once, and of an end from then on
+	closed             bool
+	readDeadline       time.Time
+	writeDeadline      time.Time
+	bytesInFlight      int // bytes on their way to the peer
+	toPeer, toSidecar  []segment
+	toPeerScheduled    bool // an event for the first of toPeer stands
+	toSidecarScheduled bool
+	peerClosed         bool   // the peer has ended its side
+	dialedAddress      string // where to, if the sidecar made it
+	unanswered         []byte // the newest message without an answer, for a planted bug
 }
 
 // segment is what travels one way.
@@ -63,104 +63,104 @@
 	at    time.Time
 }
 
-func (w *World) newConn(p *Proc, id string, other peer, seed uint64) *conn {
-	return &conn{w: w, proc: p, peer: other, id: id, dice: rand.New(rand.NewPCG(seed, hashOf(id)))}
+func (w *World) newConn(p *Process, id string, other peer, seed uint64) *conn {
+	return &conn{w: w, proc: p, peer: other, id: id, rng: rand.New(rand.NewPCG(seed, hashOf(id)))}
 }
 
-func (c *conn) latency() time.Duration {
-	most := usualLatency
-	if c.dice.Float64() < spikeShare {
-		most = spikeLatency
+func (c *conn) randomLatency() time.Duration {
+	most := maxUsualLatency
+	if c.rng.Float64() < spikeProbability {
+		most = maxLatency
 	}
 	// On a grid: some things then come in the same instant, and the scheduler picks.
-	return leastLatency * time.Duration(1+c.dice.Int64N(int64(most/leastLatency)))
+	return minLatency * time.Duration(1+c.rng.Int64N(int64(most/minLatency)))
 }
 
-// post puts a segment on its way; w.mu is held. Segments of one way keep their order.
-func (c *conn) post(queue *[]segment, s segment) {
-	s.at = time.Now().Add(c.latency())
+// enqueue puts a segment on its way; w.mu is held. Segments of one way keep their order.
+func (c *conn) enqueue(queue *[]segment, s segment) {
+	s.at = time.Now().Add(c.randomLatency())
 	if n := len(*queue); n > 0 && s.at.Before((*queue)[n-1].at) {
 		s.at = (*queue)[n-1].at
 	}
-	if len(s.bytes) > 1 && c.dice.Float64() < splitShare {
-		cut := 1 + c.dice.IntN(len(s.bytes)-1)
+	if len(s.bytes) > 1 && c.rng.Float64() < splitProbability {
+		cut := 1 + c.rng.IntN(len(s.bytes)-1)
 		first := s
 		first.bytes, s.bytes = s.bytes[:cut], s.bytes[cut:]
-		s.at = s.at.Add(c.latency())
+		s.at = s.at.Add(c.randomLatency())
 		*queue = append(*queue, first)
 	}
 	*queue = append(*queue, s)
 }
 
-// arm has the first segment of each way delivered; w.mu is held.
-func (c *conn) arm() {
-	if c.cut {
+// scheduleDelivery has the first segment of each way delivered; w.mu is held.
+func (c *conn) scheduleDelivery() {
+	if c.partitioned {
 		return
 	}
-	if len(c.toPeer) > 0 && !c.peerBusy {
-		c.peerBusy = true
-		c.w.events = append(c.w.events, &event{key: c.id + "/out", at: c.toPeer[0].at, do: c.deliverOut})
+	if len(c.toPeer) > 0 && !c.toPeerScheduled {
+		c.toPeerScheduled = true
+		c.w.events = append(c.w.events, &event{key: c.id + "/out", at: c.toPeer[0].at, do: c.deliverToPeer})
 	}
-	if len(c.toUs) > 0 && !c.usBusy {
-		c.usBusy = true
-		c.w.events = append(c.w.events, &event{key: c.id + "/in", at: c.toUs[0].at, do: c.deliverIn})
+	if len(c.toSidecar) > 0 && !c.toSidecarScheduled {
+		c.toSidecarScheduled = true
+		c.w.events = append(c.w.events, &event{key: c.id + "/in", at: c.toSidecar[0].at, do: c.deliverToSidecar})
 	}
-	c.w.poke()
+	c.w.wakeScheduler()
 }
 
-func (c *conn) deliverOut() {
+func (c *conn) deliverToPeer() {
 	c.w.mu.Lock()
-	c.peerBusy = false
-	if c.cut || len(c.toPeer) == 0 {
+	c.toPeerScheduled = false
+	if c.partitioned || len(c.toPeer) == 0 {
 		c.w.mu.Unlock()
 		return
 	}
 	s := c.toPeer[0]
 	c.toPeer = c.toPeer[1:]
-	c.flying -= len(s.bytes)
-	done := c.peerDone
-	c.arm()
+	c.bytesInFlight -= len(s.bytes)
+	done := c.peerClosed
+	c.scheduleDelivery()
 	c.w.mu.Unlock()
 	switch {
 	case done:
 	case s.rst, s.fin:
-		c.peer.ended(c, s.rst)
+		c.peer.onClose(c, s.rst)
 	default:
-		c.peer.data(c, s.bytes)
+		c.peer.onData(c, s.bytes)
 	}
 }
 
-func (c *conn) deliverIn() {
+func (c *conn) deliverToSidecar() {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.usBusy = false
-	if c.cut || len(c.toUs) == 0 {
+	c.toSidecarScheduled = false
+	if c.partitioned || len(c.toSidecar) == 0 {
 		return
 	}
-	s := c.toUs[0]
-	c.toUs = c.toUs[1:]
+	s := c.toSidecar[0]
+	c.toSidecar = c.toSidecar[1:]
 	switch {
 	case s.rst:
-		c.reset, c.in = true, nil
-		if c.proc.resend && c.dialed != "" && !c.closed && len(c.written) > 0 {
-			c.proc.sendAgain(c)
+		c.reset, c.received = true, nil
+		if c.proc.resendOnReset && c.dialedAddress != "" && !c.closed && len(c.unanswered) > 0 {
+			c.proc.resendUnanswered(c)
 		}
 	case s.fin:
 		c.eof = true
 	default:
-		c.in = append(c.in, s.bytes...)
-		c.written = nil // it is answered
+		c.received = append(c.received, s.bytes...)
+		c.unanswered = nil // it is answered
 	}
-	c.arm()
+	c.scheduleDelivery()
 }
 
 // peerWrite sends from the peer's side.
 func (c *conn) peerWrite(text string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if !c.peerDone && text != "" {
-		c.post(&c.toUs, segment{bytes: []byte(text)})
-		c.arm()
+	if !c.peerClosed && text != "" {
+		c.enqueue(&c.toSidecar, segment{bytes: []byte(text)})
+		c.scheduleDelivery()
 	}
 }
 
@@ -168,45 +168,45 @@
 func (c *conn) peerClose(reset bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.peerDone {
+	if c.peerClosed {
 		return
 	}
-	c.peerDone = true
-	c.post(&c.toUs, segment{fin: !reset, rst: reset})
-	c.arm()
+	c.peerClosed = true
+	c.enqueue(&c.toSidecar, segment{fin: !reset, rst: reset})
+	c.scheduleDelivery()
 }
 
-// silence cuts the line, or mends it: what was held comes then.
-func (c *conn) silence(cut bool) {
+// setPartitioned cuts the line, or mends it: what was held comes then.
+func (c *conn) setPartitioned(cut bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.cut = cut
-	c.arm()
+	c.partitioned = cut
+	c.scheduleDelivery()
 }
 
 // errReset is what the kernel says of a connection that broke.
 var errReset = &net.OpError{Op: "sim", Net: "tcp", Err: syscall.ECONNRESET}
 
-func past(limit, now time.Time) bool { return !limit.IsZero() && !limit.After(now) }
+func expired(limit, now time.Time) bool { return !limit.IsZero() && !limit.After(now) }
 
 // Read is net.Conn's.
 func (c *conn) Read(b []byte) (int, error) {
 	c.w.park(c.id+"/read", func(now time.Time) bool {
-		return c.closed || c.reset || c.eof || len(c.in) > 0 || c.proc.dead || past(c.readBy, now)
-	}, func() time.Time { return c.readBy })
+		return c.closed || c.reset || c.eof || len(c.received) > 0 || c.proc.dead || expired(c.readDeadline, now)
+	}, func() time.Time { return c.readDeadline })
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	switch {
 	case c.closed, c.proc.dead, c.w.closed:
 		return 0, net.ErrClosed
-	case past(c.readBy, time.Now()):
+	case expired(c.readDeadline, time.Now()):
 		return 0, os.ErrDeadlineExceeded
-	case c.reset && !c.resetTold:
-		c.resetTold = true
+	case c.reset && !c.resetReported:
+		c.resetReported = true
 		return 0, errReset
-	case len(c.in) > 0:
-		n := copy(b, c.in)
-		c.in = c.in[n:]
+	case len(c.received) > 0:
+		n := copy(b, c.received)
+		c.received = c.received[n:]
 		return n, nil
 	}
 	return 0, io.EOF
@@ -216,13 +216,13 @@
 func (c *conn) Write(b []byte) (n int, err error) {
 	for {
 		c.w.park(c.id+"/write", func(now time.Time) bool {
-			return c.closed || c.reset || c.proc.dead || past(c.writeBy, now) || c.flying < bufferBytes
-		}, func() time.Time { return c.writeBy })
+			return c.closed || c.reset || c.proc.dead || expired(c.writeDeadline, now) || c.bytesInFlight < sendBufferBytes
+		}, func() time.Time { return c.writeDeadline })
 		c.w.mu.Lock()
 		switch {
 		case c.closed, c.proc.dead, c.w.closed:
 			err = net.ErrClosed
-		case past(c.writeBy, time.Now()):
+		case expired(c.writeDeadline, time.Now()):
 			err = os.ErrDeadlineExceeded
 		case c.reset:
 			err = errReset
@@ -231,16 +231,16 @@
 			c.w.mu.Unlock()
 			return n, err
 		}
-		take := min(len(b)-n, bufferBytes-c.flying)
-		c.flying += take
-		if c.proc.resend && c.dialed != "" {
-			c.written = append(c.written, b[n:n+take]...)
+		take := min(len(b)-n, sendBufferBytes-c.bytesInFlight)
+		c.bytesInFlight += take
+		if c.proc.resendOnReset && c.dialedAddress != "" {
+			c.unanswered = append(c.unanswered, b[n:n+take]...)
 		}
-		if c.proc.doubleOnCancel && c.dialed == "" {
-			c.proc.newest, c.proc.newestText = c, slices.Clone(b[n:n+take])
+		if c.proc.repeatAnswerOnCancel && c.dialedAddress == "" {
+			c.proc.lastAnsweredConn, c.proc.lastAnswer = c, slices.Clone(b[n:n+take])
 		}
-		c.post(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+take]...)})
-		c.arm()
+		c.enqueue(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+take]...)})
+		c.scheduleDelivery()
 		n += take
 		c.w.mu.Unlock()
 		if n == len(b) {
@@ -257,18 +257,18 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if n := c.proc.newest; n != nil && !n.closed && c.dialed != "" && !c.eof && !c.reset {
-		n.post(&n.toPeer, segment{bytes: c.proc.newestText})
-		n.arm()
+	if n := c.proc.lastAnsweredConn; n != nil && !n.closed && c.dialedAddress != "" && !c.eof && !c.reset {
+		n.enqueue(&n.toPeer, segment{bytes: c.proc.lastAnswer})
+		n.scheduleDelivery()
 	}
-	if c.dialed != "" && c.flying > 0 {
-		c.w.met[CancelCrosses]++
+	if c.dialedAddress != "" && c.bytesInFlight > 0 {
+		c.w.rareEvents[CancelWhileSending]++
 	}
 	if !c.proc.dead {
-		c.post(&c.toPeer, segment{fin: len(c.in) == 0, rst: len(c.in) > 0})
-		c.arm()
+		c.enqueue(&c.toPeer, segment{fin: len(c.received) == 0, rst: len(c.received) > 0})
+		c.scheduleDelivery()
 	}
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
@@ -276,7 +276,7 @@
 func (c *conn) Fresh() bool {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	return !c.closed && !c.reset && !c.eof && len(c.in) == 0
+	return !c.closed && !c.reset && !c.eof && len(c.received) == 0
 }
 
 // HungUp tells whether the other side has ended it, or broken it.
@@ -309,39 +309,39 @@
 // SetReadDeadline is net.Conn's.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.w.mu.Lock()
-	c.readBy = t
+	c.readDeadline = t
 	c.w.mu.Unlock()
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
 // SetWriteDeadline is net.Conn's.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.w.mu.Lock()
-	c.writeBy = t
+	c.writeDeadline = t
 	c.w.mu.Unlock()
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
 // listener is a sidecar's.
 type listener struct {
-	proc   *Proc
-	queue  []*conn
-	closed bool
+	proc    *Process
+	backlog []*conn
+	closed  bool
 }
 
 // Accept is net.Listener's.
 func (l *listener) Accept() (net.Conn, error) {
 	w := l.proc.w
-	w.park(l.proc.id+"/accept", func(time.Time) bool { return l.closed || l.proc.dead || len(l.queue) > 0 }, nil)
+	w.park(l.proc.id+"/accept", func(time.Time) bool { return l.closed || l.proc.dead || len(l.backlog) > 0 }, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.closed || l.proc.dead || len(l.queue) == 0 {
+	if l.closed || l.proc.dead || len(l.backlog) == 0 {
 		return nil, net.ErrClosed
 	}
-	c := l.queue[0]
-	l.queue = l.queue[1:]
+	c := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	l.proc.conns = append(l.proc.conns, c)
 	return c, nil
 }
@@ -352,13 +352,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l.closed = true
-	for _, c := range l.queue {
+	for _, c := range l.backlog {
 		c.closed = true
-		c.post(&c.toPeer, segment{rst: true})
-		c.arm()
+		c.enqueue(&c.toPeer, segment{rst: true})
+		c.scheduleDelivery()
 	}
-	l.queue = nil
-	w.poke()
+	l.backlog = nil
+	w.wakeScheduler()
 	return nil
 }
 
@@ -366,21 +366,21 @@
 func (l *listener) Addr() net.Addr { return addr(l.proc.address) }
 
 // connect opens a connection from a peer to a sidecar. The peer hears how it went.
-func (w *World) connect(p *Proc, id string, from peer, seed uint64) *conn {
+func (w *World) connect(p *Process, id string, from peer, seed uint64) *conn {
 	c := w.newConn(p, id, from, seed)
-	w.after(id+"/syn", c.latency(), func() {
+	w.scheduleAfter(id+"/syn", c.randomLatency(), func() {
 		w.mu.Lock()
 		l := p.listener
 		up := l != nil && !l.closed && !p.dead
 		if up {
-			l.queue = append(l.queue, c)
+			l.backlog = append(l.backlog, c)
 		}
 		w.mu.Unlock()
-		w.after(id+"/ack", c.latency(), func() {
+		w.scheduleAfter(id+"/ack", c.randomLatency(), func() {
 			if up {
-				from.opened(c)
+				from.onOpen(c)
 			} else {
-				from.refused(c)
+				from.onRefused(c)
 			}
 		})
 	})
--- a/internal/sim/replay_test.go
+++ b/internal/sim/replay_test.go
@@ -20,7 +20,7 @@
 		t.Skip("run by another test")
 	}
 	for seed := range uint64(replaySeeds) {
-		os.Stdout.WriteString(simtest.HashPrefix + strconv.FormatUint(play(t, GenerateScript(seed), Options{}).Hash, 16) + "\n")
+		os.Stdout.WriteString(simtest.HashPrefix + strconv.FormatUint(runScript(t, GenerateScript(seed), Options{}).Hash, 16) + "\n")
 	}
 }
 
@@ -29,11 +29,11 @@
 func TestSameSeedSameTrace(t *testing.T) {
 	var want []string
 	for seed := range uint64(replaySeeds) {
-		want = append(want, strconv.FormatUint(play(t, GenerateScript(seed), Options{}).Hash, 16))
+		want = append(want, strconv.FormatUint(runScript(t, GenerateScript(seed), Options{}).Hash, 16))
 	}
 	before := runtime.GOMAXPROCS(1)
 	for seed := range uint64(replaySeeds) {
-		if got := strconv.FormatUint(play(t, GenerateScript(seed), Options{}).Hash, 16); got != want[seed] {
+		if got := strconv.FormatUint(runScript(t, GenerateScript(seed), Options{}).Hash, 16); got != want[seed] {
 			t.Errorf("seed %d: %s with one processor, %s with %d", seed, got, want[seed], before)
 		}
 	}
@@ -45,7 +45,7 @@
 func TestOtherSeedOtherTrace(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for seed := range uint64(replaySeeds) {
-		hash := play(t, GenerateScript(seed), Options{}).Hash
+		hash := runScript(t, GenerateScript(seed), Options{}).Hash
 		if other, known := seen[hash]; known {
 			t.Errorf("seeds %d and %d take the same steps", seed, other)
 		}
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -26,17 +26,17 @@
 	coldFor  = 4 * time.Second
 	coldFrom = 0.1
 	// More than so many times its present capacity, for so long, pushes a cold one over.
-	fallMultiple = 2.0
-	fallFor      = 300 * time.Millisecond
-	answerSlack  = 20 * time.Millisecond
-	drainGrace   = 300 * time.Millisecond
-	askEvery     = 5 * time.Second
-	toldAfter    = 6 * time.Second
-	deadline     = time.Second
-	// margin is what the network may add between a sidecar and who watches it: an
+	overloadMultiple = 2.0
+	overloadFor      = 300 * time.Millisecond
+	answerSlack      = 20 * time.Millisecond
+	drainGrace       = 300 * time.Millisecond
+	pollInterval     = 5 * time.Second
+	deliveredAfter   = 6 * time.Second
+	deadline         = time.Second
+	// networkMargin is what the network may add between a sidecar and who watches it: an
 	// answer and an attempt each on their way.
-	margin     = 4 * spikeLatency
-	settleMost = 20 * time.Second // of virtual time, after the last request
+	networkMargin = 4 * maxLatency
+	settleLimit   = 20 * time.Second // of virtual time, after the last request
 )
 
 // Failure is a broken rule, or books that do not add up.
@@ -54,15 +54,15 @@
 
 // Result is what a run left.
 type Result struct {
-	Failure  *Failure // nil for a good run
-	Hash     uint64   // over all steps
-	Steps    int
-	Time     time.Duration
-	Asks     int
-	Faults   int
-	Verdicts [4]int // served, refused, failed, malformed
-	Attempts int
-	Met      map[Case]int // rare meetings of events
+	Failure    *Failure // nil for a good run
+	Hash       uint64   // over all steps
+	Steps      int
+	Time       time.Duration
+	Requests   int
+	Faults     int
+	Verdicts   [4]int // served, refused, failed, malformed
+	Attempts   int
+	RareEvents map[RareEvent]int // rare meetings of events
 }
 
 // Options are those of a run.
@@ -71,73 +71,73 @@
 	Trace   io.Writer         // a line a step; nil for none
 	Log     io.Writer         // of the sidecars; nil for none
 	Decider lifecycle.Decider // nil for the module
-	Bug     func(p *Proc)     // plants a bug into a process; nil for none
+	Bug     func(p *Process)  // plants a bug into a process; nil for none
 }
 
 // simulation is one run.
 type simulation struct {
-	w         *World
-	script    Script
-	opts      Options
-	book      *oracle.Checker
-	classes   map[string]decide.Class
-	keys      *keyMemory
-	work      time.Duration
-	endpoints []*endpoint // by place; the one that stands there now
-	routes    map[string]peer
-	born      int
-	list      *discovery
-	sidecars  []*sidecar
-	idle      []*client
-	clients   map[string]bool // connections by their ids
-	settled   int
-	unreached int
-	asking    map[*client]bool // those that have asked and heard nothing yet
-	seen      map[string]bool  // requests of which an attempt has come to an endpoint
-	verdicts  [4]int
+	w            *World
+	script       Script
+	opts         Options
+	checker      *oracle.Checker
+	classes      map[string]decide.Class
+	keys         *keyStore
+	meanWork     time.Duration
+	endpoints    []*endpoint // by place; the one that stands there now
+	routes       map[string]peer
+	namesGiven   int
+	discovery    *discovery
+	sidecars     []*sidecar
+	idleClients  []*client
+	clientIDs    map[string]bool // connections by their ids
+	settled      int
+	notConnected int
+	unanswered   map[*client]bool // those that have asked and heard nothing yet
+	arrived      map[string]bool  // requests of which an attempt has come to an endpoint
+	verdicts     [4]int
 }
 
 // sidecar is one sidecar over all its starts.
 type sidecar struct {
-	name   string
-	starts int
-	proc   *Proc
-	run    *lifecycle.Sidecar // nil until it has started
+	name     string
+	starts   int
+	proc     *Process
+	instance *lifecycle.Sidecar // nil until it has started
 }
 
-// name is the sidecar's, without its start.
-func (p *Proc) name() string {
+// sidecarName is the sidecar's, without its start.
+func (p *Process) sidecarName() string {
 	name, _, _ := strings.Cut(p.id, ".")
 	return name
 }
 
 func (s *simulation) now() time.Duration { return s.w.now() }
 
-// patience is how long clients wait past a request's time.
-func (s *simulation) patience() time.Duration { return answerSlack + margin + 4*spikeLatency }
+// clientMargin is how long clients wait past a request's time.
+func (s *simulation) clientMargin() time.Duration { return answerSlack + networkMargin + 4*maxLatency }
 
-// dice are a source of their own for what is named: draws do not depend on others.
-func (s *simulation) dice(parts ...string) *rand.Rand {
+// rngFor are a source of their own for what is named: draws do not depend on others.
+func (s *simulation) rngFor(parts ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(s.script.Seed, hashOf(strings.Join(parts, "/"))))
 }
 
 // Run plays a script. It must be called in a bubble of testing/synctest.
 func Run(script Script, opts Options) Result {
 	s := &simulation{
-		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, work: script.Work,
-		book: oracle.New(oracle.Conf{
-			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: askEvery, DeliveredAfter: toldAfter, Margin: margin,
+		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, meanWork: script.Work,
+		checker: oracle.New(oracle.Conf{
+			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: pollInterval, DeliveredAfter: deliveredAfter, Margin: networkMargin,
 		}),
-		keys: &keyMemory{window: script.Window, seen: map[string]*keyRun{}}, routes: map[string]peer{},
+		keys: &keyStore{window: script.Window, runs: map[string]*keyedRun{}}, routes: map[string]peer{},
 		classes: map[string]decide.Class{
 			"look": {Effect: decide.Safe, Deadline: deadline}, "pay": {Effect: decide.Keyed, Deadline: deadline},
 			"burn": {Effect: decide.Unsafe, Deadline: deadline},
 		},
-		clients: map[string]bool{}, seen: map[string]bool{}, asking: map[*client]bool{},
+		clientIDs: map[string]bool{}, arrived: map[string]bool{}, unanswered: map[*client]bool{},
 	}
-	s.list = newDiscovery(s)
-	s.routes["discovery:1"], s.routes["discovery:2"] = s.list, s.list
-	s.book.SetDiscoveryUp(0, true)
+	s.discovery = newDiscovery(s)
+	s.routes["discovery:1"], s.routes["discovery:2"] = s.discovery, s.discovery
+	s.checker.SetDiscoveryUp(0, true)
 	for n := range script.Endpoints {
 		s.startEndpoint(n, "", false)
 	}
@@ -146,67 +146,67 @@
 		s.sidecars = append(s.sidecars, sc)
 		s.start(sc)
 	}
-	for _, a := range script.Asks {
-		s.w.after("ask/"+a.ID, a.At, func() { s.ask(a) })
+	for _, a := range script.Requests {
+		s.w.scheduleAfter("ask/"+a.ID, a.At, func() { s.sendRequest(a) })
 	}
 	for i, f := range script.Faults {
-		s.w.after(fmt.Sprintf("fault/%d", i), f.At, func() { s.strike(i, f) })
+		s.w.scheduleAfter(fmt.Sprintf("fault/%d", i), f.At, func() { s.injectFault(i, f) })
 	}
-	s.w.check = s.checkAll
-	err := s.w.run(s.done)
+	s.w.check = s.checkInvariants
+	err := s.w.run(s.finished)
 	result := Result{
-		Hash: s.w.sum.Sum64(), Steps: s.w.steps, Time: s.now(), Asks: len(script.Asks), Faults: len(script.Faults),
-		Verdicts: s.verdicts, Met: s.w.met,
+		Hash: s.w.traceHash.Sum64(), Steps: s.w.steps, Time: s.now(), Requests: len(script.Requests), Faults: len(script.Faults),
+		Verdicts: s.verdicts, RareEvents: s.w.rareEvents,
 	}
-	for _, t := range s.book.Close().Sidecars {
+	for _, t := range s.checker.Close().Sidecars {
 		result.Attempts += t.Arrivals
 	}
 	if err != nil && !errors.As(err, &result.Failure) {
 		result.Failure = &Failure{Rule: "stuck", Step: s.w.steps, At: s.now(), What: err.Error()}
 	}
-	s.endAll()
+	s.shutdown()
 	return result
 }
 
-// done tells whether all is settled.
-func (s *simulation) done() bool {
-	return s.now() >= s.script.Duration && s.settled >= len(s.script.Asks) || s.now() > s.script.Duration+settleMost
+// finished tells whether all is settled.
+func (s *simulation) finished() bool {
+	return s.now() >= s.script.Duration && s.settled >= len(s.script.Requests) || s.now() > s.script.Duration+settleLimit
 }
 
-// endAll ends all processes and lets their goroutines go.
-func (s *simulation) endAll() {
+// shutdown ends all processes and lets their goroutines go.
+func (s *simulation) shutdown() {
 	for _, sc := range s.sidecars {
 		sc.proc.kill()
-		if sc.run != nil {
-			sc.run.Abandon()
+		if sc.instance != nil {
+			sc.instance.Abandon()
 		}
 	}
-	s.w.close()
-	time.Sleep(serverTail)
+	s.w.releaseAll()
+	time.Sleep(serverShutdownTime)
 }
 
-// serverTail is how long a goroutine of fasthttp's server, which looks after its
+// serverShutdownTime is how long a goroutine of fasthttp's server, which looks after its
 // workers, goes on sleeping past the server's end (10 s in its version 1.79).
-const serverTail = 11 * time.Second
+const serverShutdownTime = 11 * time.Second
 
-// checkAll looks after each step whether all rules hold and the books add up.
-func (s *simulation) checkAll() error {
-	account := s.book.Close()
+// checkInvariants looks after each step whether all rules hold and the books add up.
+func (s *simulation) checkInvariants() error {
+	account := s.checker.Close()
 	if len(account.Violations) > 0 {
 		b := account.Violations[0]
 		return &Failure{Rule: string(b.Rule), Step: s.w.steps, At: s.now(), What: b.What}
 	}
 	for _, sc := range s.sidecars {
-		if sc.run == nil || sc.proc.dead {
+		if sc.instance == nil || sc.proc.dead {
 			continue
 		}
-		if err := sc.run.Audit(); err != nil {
+		if err := sc.instance.Audit(); err != nil {
 			return &Failure{Rule: "books", Step: s.w.steps, At: s.now(), What: sc.proc.id + ": " + err.Error()}
 		}
 	}
-	if s.now() > s.script.Duration+settleMost {
+	if s.now() > s.script.Duration+settleLimit {
 		return &Failure{Rule: "stuck", Step: s.w.steps, At: s.now(),
-			What: fmt.Sprintf("%d of %d requests are settled", s.settled, len(s.script.Asks))}
+			What: fmt.Sprintf("%d of %d requests are settled", s.settled, len(s.script.Requests))}
 	}
 	return nil
 }
@@ -215,31 +215,31 @@
 func (s *simulation) startEndpoint(place int, name string, cold bool) {
 	address := name
 	if name == "" {
-		s.born++
-		name = fmt.Sprintf("e%d", s.born)
-		address = fmt.Sprintf("10.0.0.%d:80", s.born)
+		s.namesGiven++
+		name = fmt.Sprintf("e%d", s.namesGiven)
+		address = fmt.Sprintf("10.0.0.%d:80", s.namesGiven)
 	} else {
 		address = s.endpoints[place].address
 	}
 	st, err := servermodel.New(servermodel.Conf{
-		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: fallMultiple, FallFor: fallFor,
+		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: overloadMultiple, FallFor: overloadFor,
 	}, s.now(), cold)
 	if err != nil {
 		panic(err) // the figures are right
 	}
-	e := &endpoint{s: s, name: name, address: address, station: st, inboxes: map[*conn]*inbox{}, busy: map[*conn]*task{}}
+	e := &endpoint{s: s, name: name, address: address, server: st, parsers: map[*conn]*requestParser{}, tasks: map[*conn]*task{}}
 	if place < len(s.endpoints) {
-		e.number = s.endpoints[place].number + 1000
+		e.serverEvents = s.endpoints[place].serverEvents + 1000
 		s.endpoints[place] = e
 	} else {
 		s.endpoints = append(s.endpoints, e)
 	}
 	s.routes[address] = e
-	s.list.set(s.lineOf(e, "SERVING", cold))
+	s.discovery.publish(s.entryFor(e, "SERVING", cold))
 }
 
-func (s *simulation) lineOf(e *endpoint, status string, cold bool) listLine {
-	l := listLine{Name: e.name, Address: e.address, Zone: "z", Group: 1, Status: status, Weight: 1}
+func (s *simulation) entryFor(e *endpoint, status string, cold bool) listEntry {
+	l := listEntry{Name: e.name, Address: e.address, Zone: "z", Group: 1, Status: status, Weight: 1}
 	if cold {
 		l.Since = time.Now().UnixMilli()
 	}
@@ -250,8 +250,8 @@
 func (s *simulation) start(sc *sidecar) {
 	sc.starts++
 	id := fmt.Sprintf("%s.%d", sc.name, sc.starts)
-	s.book.SidecarStarted(s.now(), sc.name, 0)
-	proc := s.w.newProc(id, sc.name+":7070", s.script.Seed, func(address string) peer {
+	s.checker.SidecarStarted(s.now(), sc.name, 0)
+	proc := s.w.newProcess(id, sc.name+":7070", s.script.Seed, func(address string) peer {
 		if p := s.routes[address]; p != nil {
 			if e, ok := p.(*endpoint); ok && e.dead {
 				return nil
@@ -260,11 +260,11 @@
 		}
 		return nil
 	})
-	sc.proc, sc.run = proc, nil
+	sc.proc, sc.instance = proc, nil
 	if s.opts.Bug != nil {
 		s.opts.Bug(proc)
 	}
-	conf, err := config.Parse(s.config(sc), func(string) string { return "" })
+	conf, err := config.Parse(s.sidecarConfig(sc), func(string) string { return "" })
 	if err != nil {
 		panic(err) // the lab's own text
 	}
@@ -276,10 +276,10 @@
 	if err != nil {
 		panic(err) // nothing can be in its way
 	}
-	sc.run = run
+	sc.instance = run
 }
 
-func (s *simulation) config(sc *sidecar) []byte {
+func (s *simulation) sidecarConfig(sc *sidecar) []byte {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 200.0, "deadline": millis(deadline),
 			"window": millis(s.script.Window), "worth": worth, "late_share": 0.5}
@@ -288,14 +288,14 @@
 		"name": sc.name, "listen": sc.name + ":7070", "discovery": "discovery:1",
 		"seed":   strconv.FormatUint(s.script.Seed*1009+uint64(sc.starts)*31+hashOf(sc.name)%1000, 16),
 		"limits": map[string]any{"memory_mb": 32, "sockets": 256},
-		"known":  s.list.list(0),
+		"known":  s.discovery.changesSince(0),
 		"settings": map[string]any{
 			"me": slices.Index(s.sidecars, sc), "replicas_of_me": s.script.Sidecars, "az": "z", "tier": 0, "stages": []string{"one"},
 			"tick": 2.0, "membership_mode": "subscribe", "weights": "silent", "over_share_worth": 0.1,
 			"bounds": map[string]any{"cancel": true, "second_copies": true, "retry_after": true, "max_attempts": 4,
 				"max_retry_after": 2000.0, "connect_timeout": 300.0, "conn_idle": 3000.0, "most_held": 200},
-			"rules": map[string]any{"answer_slack": millis(answerSlack), "ask_every": millis(askEvery), "cold": millis(coldFor),
-				"cold_from": coldFrom, "drain_grace": millis(drainGrace), "fall_multiple": fallMultiple, "overload_for": millis(fallFor)},
+			"rules": map[string]any{"answer_slack": millis(answerSlack), "ask_every": millis(pollInterval), "cold": millis(coldFor),
+				"cold_from": coldFrom, "drain_grace": millis(drainGrace), "fall_multiple": overloadMultiple, "overload_for": millis(overloadFor)},
 			"profiles": []any{class("look", "repeatable", 1), class("pay", "by_key", 3), class("burn", "once", 3)},
 		},
 	})
@@ -307,22 +307,22 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// ask has a client ask: on an idle connection, or on one of its own.
-func (s *simulation) ask(a Ask) {
-	s.idle = slices.DeleteFunc(s.idle, func(k *client) bool { return k.gone })
-	if n := len(s.idle); n > 0 && !a.Fresh {
-		i := s.dice("idle", a.ID).IntN(n)
-		k := s.idle[i]
-		s.idle = slices.Delete(s.idle, i, i+1)
-		k.ask = &a
+// sendRequest has a client ask: on an idle connection, or on one of its own.
+func (s *simulation) sendRequest(a Request) {
+	s.idleClients = slices.DeleteFunc(s.idleClients, func(k *client) bool { return k.closed })
+	if n := len(s.idleClients); n > 0 && !a.Fresh {
+		i := s.rngFor("idle", a.ID).IntN(n)
+		k := s.idleClients[i]
+		s.idleClients = slices.Delete(s.idleClients, i, i+1)
+		k.pending = &a
 		k.write()
 		return
 	}
-	s.connect(&a)
+	s.sendOnNewConn(&a)
 }
 
-// connect asks on a new connection, of any sidecar that stands.
-func (s *simulation) connect(a *Ask) {
+// sendOnNewConn asks on a new connection, of any sidecar that stands.
+func (s *simulation) sendOnNewConn(a *Request) {
 	var up []*sidecar
 	for _, sc := range s.sidecars {
 		if !sc.proc.dead {
@@ -330,37 +330,37 @@
 		}
 	}
 	if len(up) == 0 {
-		s.unreached++
+		s.notConnected++
 		s.settled++
 		return
 	}
 	id := "c/" + a.ID
-	for s.clients[id] { // it crossed the end of a connection, and is sent once more
+	for s.clientIDs[id] { // it crossed the end of a connection, and is sent once more
 		id += "+"
 	}
-	s.clients[id] = true
-	k := &client{s: s, ask: a}
-	k.c = s.w.connect(up[s.dice("front", a.ID).IntN(len(up))].proc, id, k, s.script.Seed)
+	s.clientIDs[id] = true
+	k := &client{s: s, pending: a}
+	k.c = s.w.connect(up[s.rngFor("front", a.ID).IntN(len(up))].proc, id, k, s.script.Seed)
 }
 
-// strike begins a fault, and has it end.
-func (s *simulation) strike(number int, f Fault) {
-	later := func(do func()) { s.w.after(fmt.Sprintf("fault/%d/end", number), f.For, do) }
+// injectFault begins a fault, and has it end.
+func (s *simulation) injectFault(number int, f Fault) {
+	later := func(do func()) { s.w.scheduleAfter(fmt.Sprintf("fault/%d/end", number), f.For, do) }
 	switch f.Kind {
-	case Cold:
+	case ColdJoin:
 		s.startEndpoint(len(s.endpoints), "", true)
 		return
-	case ListDown:
-		s.list.setDown(true)
-		later(func() { s.list.setDown(false) })
+	case DiscoveryDown:
+		s.discovery.setDown(true)
+		later(func() { s.discovery.setDown(false) })
 		return
 	case Kill, Stop, Reload:
-		s.strikeSidecar(f, later)
+		s.injectSidecarFault(f, later)
 		return
 	}
 	place := f.Target % len(s.endpoints)
 	e := s.endpoints[place]
-	if e.dead || s.list.lines[e.name].Status != "SERVING" {
+	if e.dead || s.discovery.entries[e.name].Status != "SERVING" {
 		return
 	}
 	switch f.Kind {
@@ -372,64 +372,64 @@
 			}
 		})
 	case Drain:
-		s.list.set(s.lineOf(e, "DRAINING", false))
+		s.discovery.publish(s.entryFor(e, "DRAINING", false))
 		later(func() {
 			e.kill()
-			s.list.set(s.lineOf(e, "DELETED", false))
+			s.discovery.publish(s.entryFor(e, "DELETED", false))
 		})
 	case Stall:
-		e.pause(true)
-		later(func() { e.pause(false) })
-	case CutOff:
-		e.cutMachine(true)
-		later(func() { e.cutMachine(false) })
-	case Late:
+		e.setPaused(true)
+		later(func() { e.setPaused(false) })
+	case Partition:
+		e.setPartitioned(true)
+		later(func() { e.setPartitioned(false) })
+	case SlowConnect:
 		e.slowToConnect = true
 		later(func() { e.slowToConnect = false })
 	default:
-		e.trouble = f.Kind
-		later(func() { e.trouble = "" })
+		e.fault = f.Kind
+		later(func() { e.fault = "" })
 	}
 }
 
-func (s *simulation) strikeSidecar(f Fault, later func(func())) {
+func (s *simulation) injectSidecarFault(f Fault, later func(func())) {
 	sc := s.sidecars[f.Target%len(s.sidecars)]
-	proc, run := sc.proc, sc.run
+	proc, run := sc.proc, sc.instance
 	if proc.dead || run == nil {
 		return
 	}
 	switch f.Kind {
 	case Reload:
-		for _, w := range s.list.waiting {
+		for _, w := range s.discovery.watchers {
 			if w.c.proc == proc {
-				s.w.met[ReloadDuringCall]++
+				s.w.rareEvents[ReloadDuringWatch]++
 			}
 		}
 		proc.Go("reload", func() { run.MoveDiscovery("discovery:2") })
 	case Kill:
-		s.end(proc, run)
+		s.killSidecar(proc, run)
 		later(func() { s.start(sc) })
 	case Stop:
 		// Like the platform: SIGTERM, and SIGKILL when even the slowest answer is due.
 		again := func() {
 			if !proc.dead {
-				s.end(proc, run)
+				s.killSidecar(proc, run)
 				s.start(sc)
 			}
 		}
 		proc.Go("stop", func() {
 			run.Stop()
-			s.w.after(proc.id+"/exit", 0, again)
+			s.w.scheduleAfter(proc.id+"/exit", 0, again)
 		})
-		s.w.after(proc.id+"/sigkill", deadline+700*time.Millisecond, again)
+		s.w.scheduleAfter(proc.id+"/sigkill", deadline+700*time.Millisecond, again)
 	}
 }
 
-// end ends a process at once.
-func (s *simulation) end(p *Proc, run *lifecycle.Sidecar) {
-	for k := range s.asking {
-		if k.c.proc == p && k.ask != nil && !s.seen[k.ask.ID] {
-			s.w.met[KillBeforeSend]++
+// killSidecar ends a process at once.
+func (s *simulation) killSidecar(p *Process, run *lifecycle.Sidecar) {
+	for k := range s.unanswered {
+		if k.c.proc == p && k.pending != nil && !s.arrived[k.pending.ID] {
+			s.w.rareEvents[KillBeforeSend]++
 		}
 	}
 	p.kill()
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -21,7 +21,7 @@
 	}
 	for smaller := true; smaller; {
 		smaller = false
-		for _, next := range []func(Script, func(Script) bool) (Script, bool){fewerAsks, fewerFaults, fewerMachines, shorter} {
+		for _, next := range []func(Script, func(Script) bool) (Script, bool){fewerRequests, fewerFaults, fewerProcesses, shorterDuration} {
 			var done bool
 			script, done = next(script, still)
 			smaller = smaller || done
@@ -30,12 +30,12 @@
 	return script
 }
 
-// fewerAsks drops requests, half of them at a time at first, then ever fewer.
-func fewerAsks(s Script, still func(Script) bool) (_ Script, smaller bool) {
-	for size := (len(s.Asks) + 1) / 2; size > 0; size /= 2 {
-		for from := 0; from < len(s.Asks); {
+// fewerRequests drops requests, half of them at a time at first, then ever fewer.
+func fewerRequests(s Script, still func(Script) bool) (_ Script, smaller bool) {
+	for size := (len(s.Requests) + 1) / 2; size > 0; size /= 2 {
+		for from := 0; from < len(s.Requests); {
 			try := s
-			try.Asks = slices.Delete(slices.Clone(s.Asks), from, min(from+size, len(s.Asks)))
+			try.Requests = slices.Delete(slices.Clone(s.Requests), from, min(from+size, len(s.Requests)))
 			if still(try) {
 				s, smaller = try, true
 			} else {
@@ -59,7 +59,7 @@
 	return s, smaller
 }
 
-func fewerMachines(s Script, still func(Script) bool) (_ Script, smaller bool) {
+func fewerProcesses(s Script, still func(Script) bool) (_ Script, smaller bool) {
 	for _, n := range []func(*Script) *int{
 		func(s *Script) *int { return &s.Sidecars }, func(s *Script) *int { return &s.Endpoints },
 	} {
@@ -75,15 +75,15 @@
 	return s, smaller
 }
 
-// shorter ends the run after the last thing that begins in it.
-func shorter(s Script, still func(Script) bool) (Script, bool) {
+// shorterDuration ends the run after the last thing that begins in it.
+func shorterDuration(s Script, still func(Script) bool) (Script, bool) {
 	try := s
-	try.Duration = grid
-	for _, a := range s.Asks {
-		try.Duration = max(try.Duration, a.At+grid)
+	try.Duration = timeGrid
+	for _, a := range s.Requests {
+		try.Duration = max(try.Duration, a.At+timeGrid)
 	}
 	for _, f := range s.Faults {
-		try.Duration = max(try.Duration, f.At+f.For+grid)
+		try.Duration = max(try.Duration, f.At+f.For+timeGrid)
 	}
 	if try.Duration < s.Duration && still(try) {
 		return try, true
@@ -93,7 +93,7 @@
 
 // SavedFailure is a script that was kept because it once failed.
 type SavedFailure struct {
-	Why    string // what it found
+	Reason string // what it found
 	Script Script
 }
 
@@ -107,7 +107,7 @@
 	if err := json.Unmarshal(text, &k); err != nil {
 		return k, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(k.Script.Asks) == 0 || k.Script.Sidecars < 1 || k.Script.Endpoints < 1 {
+	if len(k.Script.Requests) == 0 || k.Script.Sidecars < 1 || k.Script.Endpoints < 1 {
 		return k, fmt.Errorf("%s: no script: it needs requests, sidecars and endpoints", path)
 	}
 	return k, nil
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -25,8 +25,8 @@
 	logFile    = flag.String("sim.log", "", "where its sidecars' logs are written")
 )
 
-// play plays a script in a bubble of its own.
-func play(t *testing.T, script Script, opts Options) (r Result) {
+// runScript plays a script in a bubble of its own.
+func runScript(t *testing.T, script Script, opts Options) (r Result) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		opts.Wait = synctest.Wait
@@ -37,18 +37,18 @@
 
 func TestSeeds(t *testing.T) {
 	if *oneSeed >= 0 {
-		playOne(t, uint64(*oneSeed))
+		runOneSeed(t, uint64(*oneSeed))
 		return
 	}
-	total := playSeeds(t, *seeds, Options{})
+	total := runSeeds(t, *seeds, Options{})
 	for _, f := range total.failures {
 		t.Errorf("seed %d: %v", f.seed, f.failure)
 	}
 	total.log(t)
 	// What the seeds never bring about, they do not test.
-	for _, name := range Cases {
-		t.Logf("%s: %d times", name, total.met[name])
-		if total.met[name] == 0 && *seeds >= 100 {
+	for _, name := range RareEvents {
+		t.Logf("%s: %d times", name, total.rareEvents[name])
+		if total.rareEvents[name] == 0 && *seeds >= 100 {
 			t.Errorf("never met: %s", name)
 		}
 	}
@@ -57,13 +57,13 @@
 	}
 }
 
-// sum adds up runs.
-type sum struct {
-	runs, overlaps, steps, asks, faults, attempts int
-	verdicts                                      [4]int
-	simulated, took                               time.Duration
-	met                                           map[Case]int
-	failures                                      []failedSeed
+// totals adds up runs.
+type totals struct {
+	runs, overlaps, steps, requests, faults, attempts int
+	verdicts                                          [4]int
+	simulated, elapsed                                time.Duration
+	rareEvents                                        map[RareEvent]int
+	failures                                          []failedSeed
 }
 
 type failedSeed struct {
@@ -71,19 +71,19 @@
 	failure *Failure
 }
 
-func (s *sum) log(t *testing.T) {
+func (s *totals) log(t *testing.T) {
 	t.Helper()
 	n := float64(max(1, s.runs))
 	t.Logf("%d seeds in %v: %.1f requests, %.1f attempts, %.1f faults and %.0f steps a seed; %d with all four kinds of trouble at once; %.0f simulated seconds a second, %.0f steps a second; served %d, refused %d, failed %d",
-		s.runs, s.took.Round(time.Millisecond), float64(s.asks)/n, float64(s.attempts)/n, float64(s.faults)/n,
-		float64(s.steps)/n, s.overlaps, s.simulated.Seconds()/s.took.Seconds(), float64(s.steps)/s.took.Seconds(),
+		s.runs, s.elapsed.Round(time.Millisecond), float64(s.requests)/n, float64(s.attempts)/n, float64(s.faults)/n,
+		float64(s.steps)/n, s.overlaps, s.simulated.Seconds()/s.elapsed.Seconds(), float64(s.steps)/s.elapsed.Seconds(),
 		s.verdicts[0], s.verdicts[1], s.verdicts[2])
 }
 
-// playSeeds plays seeds from 0 on, on all processors.
-func playSeeds(t *testing.T, n int, opts Options) *sum {
+// runSeeds plays seeds from 0 on, on all processors.
+func runSeeds(t *testing.T, n int, opts Options) *totals {
 	t.Helper()
-	total := &sum{met: map[Case]int{}}
+	total := &totals{rareEvents: map[RareEvent]int{}}
 	var mu sync.Mutex
 	began := time.Now()
 	t.Run("seeds", func(t *testing.T) {
@@ -93,7 +93,7 @@
 				t.Parallel()
 				for seed := worker; seed < n; seed += workers {
 					script := GenerateScript(uint64(seed))
-					r := play(t, script, opts)
+					r := runScript(t, script, opts)
 					mu.Lock()
 					total.add(uint64(seed), &script, r)
 					mu.Unlock()
@@ -101,25 +101,25 @@
 			})
 		}
 	})
-	total.took = time.Since(began)
+	total.elapsed = time.Since(began)
 	slices.SortFunc(total.failures, func(a, b failedSeed) int { return cmp.Compare(a.seed, b.seed) })
 	return total
 }
 
-func (s *sum) add(seed uint64, script *Script, r Result) {
+func (s *totals) add(seed uint64, script *Script, r Result) {
 	s.runs++
 	s.steps += r.Steps
-	s.asks += r.Asks
+	s.requests += r.Requests
 	s.faults += r.Faults
 	s.attempts += r.Attempts
 	s.simulated += r.Time
-	for name, n := range r.Met {
-		s.met[name] += n
+	for name, n := range r.RareEvents {
+		s.rareEvents[name] += n
 	}
 	for i, v := range r.Verdicts {
 		s.verdicts[i] += v
 	}
-	if script.Overlap() {
+	if script.HasOverlap() {
 		s.overlaps++
 	}
 	if r.Failure != nil {
@@ -127,9 +127,9 @@
 	}
 }
 
-func playOne(t *testing.T, seed uint64) {
+func runOneSeed(t *testing.T, seed uint64) {
 	opts := Options{Trace: simtest.Create(t, *traceFile), Log: simtest.Create(t, *logFile)}
-	r := play(t, GenerateScript(seed), opts)
+	r := runScript(t, GenerateScript(seed), opts)
 	t.Logf("%+v", r)
 	if r.Failure != nil {
 		t.Errorf("seed %d: %v", seed, r.Failure)
@@ -150,8 +150,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := play(t, kept.Script, Options{}); r.Failure != nil {
-				t.Errorf("%s: %v", kept.Why, r.Failure)
+			if r := runScript(t, kept.Script, Options{}); r.Failure != nil {
+				t.Errorf("%s: %v", kept.Reason, r.Failure)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 	if *shrinkSeed < 0 {
 		t.Skip("asked for with -sim.shrink")
 	}
-	fails := func(s Script) *Failure { return play(t, s, Options{}).Failure }
+	fails := func(s Script) *Failure { return runScript(t, s, Options{}).Failure }
 	script := GenerateScript(uint64(*shrinkSeed))
 	first := fails(script)
 	if first == nil {
@@ -171,15 +171,15 @@
 	small := Shrink(script, fails)
 	last := fails(small)
 	path := filepath.Join(corpus, fmt.Sprintf("seed-%d.json", *shrinkSeed))
-	if err := (SavedFailure{Why: last.Error(), Script: small}).Save(path); err != nil {
+	if err := (SavedFailure{Reason: last.Error(), Script: small}).Save(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d of %d requests and %d of %d faults are left, in %s: %v", len(small.Asks), len(script.Asks),
+	t.Logf("%d of %d requests and %d of %d faults are left, in %s: %v", len(small.Requests), len(script.Requests),
 		len(small.Faults), len(script.Faults), path, last)
 }
 
 // A kept file that is no script is refused.
-func TestLoadKept(t *testing.T) {
+func TestLoadSavedFailureRejectsInvalid(t *testing.T) {
 	for name, text := range map[string]string{"no JSON": "{", "nothing": "{}", "no sidecar": `{"Script":{"Asks":[{"ID":"a"}]}}`} {
 		path := filepath.Join(t.TempDir(), "x.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -22,8 +22,8 @@
 	"time"
 )
 
-// op is something that a goroutine wants to do and waits to be allowed.
-type op struct {
+// pendingOp is something that a goroutine wants to do and waits to be allowed.
+type pendingOp struct {
 	key     string // unique among what is parked
 	ready   func(now time.Time) bool
 	due     func() time.Time // when it becomes ready by itself; zero for never
@@ -32,50 +32,50 @@
 
 // event is something that the world does at a time.
 type event struct {
-	key string
-	at  time.Time
-	do  func()
-	off bool // it was called off
+	key      string
+	at       time.Time
+	do       func()
+	canceled bool // it was called off
 }
 
 // World is the simulated world. Its own state changes in steps alone; the mutex is for
 // goroutines that park while the scheduler looks.
 type World struct {
-	wait func() // until all other goroutines of the bubble stand still
-	seed uint64
-	wake chan struct{}
+	waitIdle func() // until all other goroutines of the bubble stand still
+	seed     uint64
+	wake     chan struct{}
 
 	mu     sync.Mutex
-	parked []*op
+	parked []*pendingOp
 	events []*event
 	closed bool // nothing parks any more
 
-	start time.Time
-	steps int
-	sum   hash.Hash64
-	trace io.Writer // nil for none
-	check func() error
-	met   map[Case]int
+	start      time.Time
+	steps      int
+	traceHash  hash.Hash64
+	trace      io.Writer // nil for none
+	check      func() error
+	rareEvents map[RareEvent]int
 }
 
-// Case is a rare meeting of events that a run may bring about.
-type Case string
+// RareEvent is a rare meeting of events that a run may bring about.
+type RareEvent string
 
 // The cases that are counted.
 const (
-	TimersAtOnce     Case = "two timers due in one instant"
-	AnswerAndTimer   Case = "an answer in the instant of a timer"
-	CancelCrosses    Case = "an attempt called off while its last bytes are on their way"
-	DrainDuringDial  Case = "a drain told while a dial to that endpoint is under way"
-	KillBeforeSend   Case = "a sidecar killed between a request and its first attempt"
-	ReloadDuringCall Case = "a reload while a watch waits"
+	SimultaneousTimers RareEvent = "two timers due in one instant"
+	AnswerWithTimer    RareEvent = "an answer in the instant of a timer"
+	CancelWhileSending RareEvent = "an attempt called off while its last bytes are on their way"
+	DrainDuringDial    RareEvent = "a drain told while a dial to that endpoint is under way"
+	KillBeforeSend     RareEvent = "a sidecar killed between a request and its first attempt"
+	ReloadDuringWatch  RareEvent = "a reload while a watch waits"
 )
 
-// Cases are all of them.
-var Cases = []Case{TimersAtOnce, AnswerAndTimer, CancelCrosses, DrainDuringDial, KillBeforeSend, ReloadDuringCall}
+// RareEvents are all of them.
+var RareEvents = []RareEvent{SimultaneousTimers, AnswerWithTimer, CancelWhileSending, DrainDuringDial, KillBeforeSend, ReloadDuringWatch}
 
-// meet counts what comes together among the steps that are ready.
-func (w *World) meet(steps []step) {
+// countRareEvents counts what comes together among the steps that are ready.
+func (w *World) countRareEvents(steps []step) {
 	timers, timer, answer := 0, false, false
 	for _, s := range steps {
 		isTimer := strings.Contains(s.key, "/timer/")
@@ -86,26 +86,26 @@
 		answer = answer || strings.Contains(s.key, "/dial/") && strings.HasSuffix(s.key, "/in")
 	}
 	if timers > 1 {
-		w.met[TimersAtOnce]++
+		w.rareEvents[SimultaneousTimers]++
 	}
 	if timer && answer {
-		w.met[AnswerAndTimer]++
+		w.rareEvents[AnswerWithTimer]++
 	}
 }
 
 // newWorld returns a world; wait is synctest.Wait.
 func newWorld(seed uint64, wait func(), trace io.Writer) *World {
 	return &World{
-		wait: wait, seed: mix(seed + 1), wake: make(chan struct{}, 1), start: time.Now(),
-		sum: fnv.New64a(), trace: trace, met: map[Case]int{},
+		waitIdle: wait, seed: mix(seed + 1), wake: make(chan struct{}, 1), start: time.Now(),
+		traceHash: fnv.New64a(), trace: trace, rareEvents: map[RareEvent]int{},
 	}
 }
 
 // now is the virtual time since the world began.
 func (w *World) now() time.Duration { return time.Since(w.start) }
 
-// poke has the scheduler look again.
-func (w *World) poke() {
+// wakeScheduler has the scheduler look again.
+func (w *World) wakeScheduler() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -115,7 +115,7 @@
 // park waits until the scheduler releases it. ready and due are asked with w.mu held;
 // a nil ready is ready at once.
 func (w *World) park(key string, ready func(now time.Time) bool, due func() time.Time) {
-	o := &op{key: key, ready: ready, due: due, release: make(chan struct{})}
+	o := &pendingOp{key: key, ready: ready, due: due, release: make(chan struct{})}
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
@@ -123,42 +123,42 @@
 	}
 	w.parked = append(w.parked, o)
 	w.mu.Unlock()
-	w.poke()
+	w.wakeScheduler()
 	<-o.release
 }
 
-// at has the world do something at a time, and returns it to be called off.
-func (w *World) at(key string, at time.Time, do func()) *event {
-	e := &event{key: key, at: at, do: do}
+// schedule has the world do something at a time, and returns it to be called off.
+func (w *World) schedule(key string, schedule time.Time, do func()) *event {
+	e := &event{key: key, at: schedule, do: do}
 	w.mu.Lock()
 	w.events = append(w.events, e)
 	w.mu.Unlock()
-	w.poke()
+	w.wakeScheduler()
 	return e
 }
 
-// after is at, counted from now.
-func (w *World) after(key string, d time.Duration, do func()) *event {
-	return w.at(key, time.Now().Add(d), do)
+// scheduleAfter is at, counted from now.
+func (w *World) scheduleAfter(key string, d time.Duration, do func()) *event {
+	return w.schedule(key, time.Now().Add(d), do)
 }
 
-// off calls an event off.
-func (w *World) off(e *event) {
+// cancel calls an event off.
+func (w *World) cancel(e *event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e.off = true
+	e.canceled = true
 }
 
 // step is one thing that may come next.
 type step struct {
 	key   string
-	op    *op
+	op    *pendingOp
 	event *event
 }
 
-// ready lists what may come next, in an order that does not depend on how it came
+// readySteps lists what may come next, in an order that does not depend on how it came
 // about, and when the next thing becomes ready by itself.
-func (w *World) ready() (steps []step, next time.Time) {
+func (w *World) readySteps() (steps []step, next time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
@@ -167,7 +167,7 @@
 			next = at
 		}
 	}
-	w.events = slices.DeleteFunc(w.events, func(e *event) bool { return e.off })
+	w.events = slices.DeleteFunc(w.events, func(e *event) bool { return e.canceled })
 	for _, e := range w.events {
 		if e.at.After(now) {
 			sooner(e.at)
@@ -191,7 +191,7 @@
 // run takes steps until done says so, a check fails, or nothing is left to come.
 func (w *World) run(done func() bool) error {
 	for {
-		w.wait()
+		w.waitIdle()
 		if w.check != nil {
 			if err := w.check(); err != nil {
 				return err
@@ -200,10 +200,10 @@
 		if done() {
 			return nil
 		}
-		steps, next := w.ready()
+		steps, next := w.readySteps()
 		if len(steps) > 0 {
-			w.meet(steps)
-			w.take(w.pick(steps), len(steps))
+			w.countRareEvents(steps)
+			w.execute(w.pick(steps), len(steps))
 			continue
 		}
 		if next.IsZero() {
@@ -237,17 +237,17 @@
 	return x ^ x>>31
 }
 
-// take takes one step.
-func (w *World) take(s step, among int) {
+// execute takes one step.
+func (w *World) execute(s step, among int) {
 	w.steps++
 	line := fmt.Sprintf("%d %d %s %d\n", w.steps, w.now(), s.key, among)
-	io.WriteString(w.sum, line) //nolint:errcheck // a hash does not fail
+	io.WriteString(w.traceHash, line) //nolint:errcheck // a hash does not fail
 	if w.trace != nil {
 		io.WriteString(w.trace, line) //nolint:errcheck // a trace that is cut short shows that
 	}
 	w.mu.Lock()
 	if s.op != nil {
-		w.parked = slices.DeleteFunc(w.parked, func(o *op) bool { return o == s.op })
+		w.parked = slices.DeleteFunc(w.parked, func(o *pendingOp) bool { return o == s.op })
 		w.mu.Unlock()
 		close(s.op.release)
 		return
@@ -257,8 +257,8 @@
 	s.event.do()
 }
 
-// close lets all go that is parked, for good: the run is over.
-func (w *World) close() {
+// releaseAll lets all go that is parked, for good: the run is over.
+func (w *World) releaseAll() {
 	w.mu.Lock()
 	w.closed = true
 	parked := w.parked
