--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -60,7 +60,7 @@
 	Duration  time.Duration
 	Window    time.Duration // in which keys are known
 	Work      time.Duration // of a request, on average
-	Requests  []Request
+	Requests  []Request     `json:"Asks"` // in the order of their times
 	Faults    []Fault
 }
 
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -93,7 +93,7 @@
 
 // SavedFailure is a script that was kept because it once failed.
 type SavedFailure struct {
-	Reason string // what it found
+	Reason string `json:"Why"` // the failure that the script caused when it was saved
 	Script Script
 }
 
