--- a/internal/sim/clustersim/disk.go
+++ b/internal/sim/clustersim/disk.go
@@ -17,7 +17,7 @@
 }
 
 func (t *table) put(key string, value []byte) {
-	if _, there := t.values[key]; !there {
+	if _, found := t.values[key]; !found {
 		i, _ := slices.BinarySearch(t.keys, key)
 		t.keys = slices.Insert(t.keys, i, key)
 	}
@@ -25,7 +25,7 @@
 }
 
 func (t *table) remove(key string) {
-	if i, there := slices.BinarySearch(t.keys, key); there {
+	if i, found := slices.BinarySearch(t.keys, key); found {
 		t.keys = slices.Delete(t.keys, i, i+1)
 		delete(t.values, key)
 	}
@@ -94,11 +94,11 @@
 		return err
 	}
 	d.writes++
-	trouble := DiskFault("")
+	fault := DiskFault("")
 	if d.writes == d.faultAt {
-		trouble, d.faultHit = d.fault, true
+		fault, d.faultHit = d.fault, true
 	}
-	switch trouble {
+	switch fault {
 	case ErrorBefore:
 		tx.rollback()
 		return errDisk
@@ -125,8 +125,8 @@
 
 // loseUnsynced takes away what a disk that lies had said yes to.
 func (d *disk) loseUnsynced() {
-	for _, back := range slices.Backward(d.unsynced) {
-		back()
+	for _, rollback := range slices.Backward(d.unsynced) {
+		rollback()
 	}
 	d.unsynced = nil
 }
@@ -145,9 +145,9 @@
 }
 
 func (t *transaction) recordUndo(bucket, key string) {
-	old, there := t.disk.tableFor(bucket).values[key]
+	old, existed := t.disk.tableFor(bucket).values[key]
 	t.undo = append(t.undo, func() {
-		if there {
+		if existed {
 			t.disk.tableFor(bucket).put(key, old)
 		} else {
 			t.disk.tableFor(bucket).remove(key)
--- a/internal/sim/clustersim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -74,8 +74,8 @@
 func (r *run) randomProcess() *process {
 	up := r.running()
 	if r.w.chance(0.5) {
-		if keepers := slices.DeleteFunc(slices.Clone(up), func(p *process) bool { return p.disk == nil }); len(keepers) > 0 {
-			up = keepers
+		if voters := slices.DeleteFunc(slices.Clone(up), func(p *process) bool { return p.disk == nil }); len(voters) > 0 {
+			up = voters
 		}
 	}
 	return up[r.w.rng.IntN(len(up))]
@@ -89,12 +89,12 @@
 	return r.randomProcess()
 }
 
-func (r *run) pause(p *process, long time.Duration) {
+func (r *run) pause(p *process, duration time.Duration) {
 	if p.paused {
 		return
 	}
 	p.pause()
-	r.w.schedule(long, "continue", p.id, func() {
+	r.w.schedule(duration, "continue", p.id, func() {
 		if p.paused && !p.dead {
 			p.resume()
 		}
@@ -104,10 +104,10 @@
 // stopGracefully ends a process in order: it says so, and is gone a moment later.
 func (r *run) stopGracefully() {
 	p := r.randomProcess()
-	said := p.holder.NextRenewal()
-	said.Leaving = true
-	call(p, p.renewer.FirstVoter(), "renew", said, 500*time.Millisecond, func(q *process, said cluster.Renewal, reply func(voter.RenewResult)) {
-		q.withVoter(func(c *voter.Core) { c.Renew(said, reply) })
+	renewal := p.holder.NextRenewal()
+	renewal.Leaving = true
+	call(p, p.renewer.FirstVoter(), "renew", renewal, 500*time.Millisecond, func(q *process, renewal cluster.Renewal, reply func(voter.RenewResult)) {
+		q.withVoter(func(c *voter.Core) { c.Renew(renewal, reply) })
 	}, func(voter.RenewResult, bool) {})
 	// It asks for nothing any more: the word that it leaves is its last.
 	p.leaving = true
@@ -120,31 +120,31 @@
 
 // partitionProcess cuts the ways of a process, out or in or both.
 func (r *run) partitionProcess(name string, out, in bool) {
-	var ways []direction
+	var directions []direction
 	for _, other := range append([]string{clientName}, r.names...) {
 		if other == name {
 			continue
 		}
 		if out {
-			ways = append(ways, direction{name, other})
+			directions = append(directions, direction{name, other})
 		}
 		if in {
-			ways = append(ways, direction{other, name})
+			directions = append(directions, direction{other, name})
 		}
 	}
-	r.partition(ways)
+	r.partition(directions)
 }
 
 // isolateLeader cuts whoever leads off from the other keepers, not from members: for a moment it and the next one both lead.
 func (r *run) isolateLeader() {
-	lead := r.leaderOrRandom().name
-	var ways []direction
+	leader := r.leaderOrRandom().name
+	var directions []direction
 	for _, other := range r.names[:r.conf.Voters] {
-		if other != lead {
-			ways = append(ways, direction{lead, other}, direction{other, lead})
+		if other != leader {
+			directions = append(directions, direction{leader, other}, direction{other, leader})
 		}
 	}
-	r.partition(ways)
+	r.partition(directions)
 	r.w.schedule(r.w.randomDuration(500*time.Millisecond, 1200*time.Millisecond), "propose", "", func() {
 		if !r.faultsOver {
 			r.propose(r.nextDocument(), func(uint64, error) {})
@@ -155,33 +155,33 @@
 // splitCluster cuts the crew in two. One process may see both halves.
 func (r *run) splitCluster() {
 	var sides [2][]string
-	both := r.names[r.w.rng.IntN(r.conf.Voters)]
+	bridge := r.names[r.w.rng.IntN(r.conf.Voters)]
 	if r.w.chance(0.5) {
-		both = ""
+		bridge = ""
 	}
 	for _, name := range r.names {
-		if name != both {
+		if name != bridge {
 			side := r.w.rng.IntN(2)
 			sides[side] = append(sides[side], name)
 		}
 	}
-	var ways []direction
+	var directions []direction
 	for _, a := range sides[0] {
 		for _, b := range sides[1] {
-			ways = append(ways, direction{a, b}, direction{b, a})
+			directions = append(directions, direction{a, b}, direction{b, a})
 		}
 	}
-	r.partition(ways)
+	r.partition(directions)
 }
 
 // partition cuts ways for a while. Cuts that meet end with the first: the next fault comes soon.
-func (r *run) partition(ways []direction) {
-	for _, w := range ways {
-		r.partitioned[w] = true
+func (r *run) partition(directions []direction) {
+	for _, d := range directions {
+		r.partitioned[d] = true
 	}
 	r.w.schedule(r.w.randomDuration(100*time.Millisecond, 4*time.Second), "mend", "", func() {
-		for _, w := range ways {
-			delete(r.partitioned, w)
+		for _, d := range directions {
+			delete(r.partitioned, d)
 		}
 		r.sendHeld()
 	})
@@ -232,10 +232,10 @@
 	if !r.votersIntact() {
 		return
 	}
-	folder := r.disks[name].copy()
+	saved := r.disks[name].copy()
 	r.w.schedule(r.w.randomDuration(200*time.Millisecond, 2*time.Second), "set back", name, func() {
 		if r.votersIntact() {
-			r.replaceDirectory(name, folder)
+			r.replaceDirectory(name, saved)
 			r.pauseLeaderLater()
 		}
 	})
@@ -250,11 +250,11 @@
 }
 
 // replaceDirectory puts a copy in the place of a keeper's folder and starts it with that.
-func (r *run) replaceDirectory(name string, folder *disk) {
+func (r *run) replaceDirectory(name string, saved *disk) {
 	p := r.processes[name]
 	p.kill()
-	folder.acksEarly, folder.writes = r.disks[name].acksEarly, r.disks[name].writes
-	r.disks[name] = folder
+	saved.acksEarly, saved.writes = r.disks[name].acksEarly, r.disks[name].writes
+	r.disks[name] = saved
 	r.setBack[name], r.incomplete[name] = true, r.highestApplied
 	r.start(name)
 }
@@ -262,28 +262,28 @@
 // setBackMiddleVoter sets back the folder of the one keeper that sees both sides of a cut: what the leader's side has agreed on rests
 // on it, and the other side, which lacks that, is a majority with it.
 func (r *run) setBackMiddleVoter() {
-	lead := r.reachableLeader()
-	if !r.votersIntact() || lead == nil || r.conf.Voters < 5 {
+	leader := r.reachableLeader()
+	if !r.votersIntact() || leader == nil || r.conf.Voters < 5 {
 		return
 	}
-	others := slices.DeleteFunc(slices.Clone(r.names[:r.conf.Voters]), func(name string) bool { return name == lead.name })
+	others := slices.DeleteFunc(slices.Clone(r.names[:r.conf.Voters]), func(name string) bool { return name == leader.name })
 	r.w.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	middle, folder := others[0], r.disks[others[0]].copy()
+	middle, saved := others[0], r.disks[others[0]].copy()
 	half := (r.conf.Voters - 1) / 2
-	var ways []direction
-	for _, a := range append([]string{lead.name}, others[1:half]...) {
+	var directions []direction
+	for _, a := range append([]string{leader.name}, others[1:half]...) {
 		for _, b := range others[half:] {
-			ways = append(ways, direction{a, b}, direction{b, a})
+			directions = append(directions, direction{a, b}, direction{b, a})
 		}
 	}
-	r.partition(ways)
+	r.partition(directions)
 	r.propose(r.nextDocument(), func(uint64, error) {})
 	r.w.schedule(r.w.randomDuration(100*time.Millisecond, time.Second), "set back", middle, func() {
 		p := r.processes[middle]
-		if len(r.incomplete) > 0 || p == nil || p.dead || p.paused || p.core == nil || lead.dead || lead.paused {
+		if len(r.incomplete) > 0 || p == nil || p.dead || p.paused || p.core == nil || leader.dead || leader.paused {
 			return
 		}
-		r.replaceDirectory(middle, folder)
+		r.replaceDirectory(middle, saved)
 		r.pauseLeaderLater()
 	})
 }
--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -57,15 +57,15 @@
 			}
 			return []any{modelState{s.last, out.active}}
 		}
-		counted := modelState{s.last + 1, in.parent}
-		fits := in.parent >= s.active && in.parent <= s.last
+		accepted := modelState{s.last + 1, in.parent}
+		parentPossible := in.parent >= s.active && in.parent <= s.last
 		switch {
-		case out.number == 0 && fits:
-			return []any{s, counted}
+		case out.number == 0 && parentPossible:
+			return []any{s, accepted}
 		case out.number == 0:
 			return []any{s}
-		case fits && out.number == counted.last:
-			return []any{counted}
+		case parentPossible && out.number == accepted.last:
+			return []any{accepted}
 		}
 		return nil
 	},
@@ -155,55 +155,55 @@
 	p := cluster.Proposal{ID: voter.NewID(), Parent: r.highestActive(), Author: clientName, Doc: d}
 	from, c := r.w.now, r.processes[clientName]
 	who := fmt.Sprintf("client %d", r.documents.count)
-	keepers := slices.Clone(r.names[:r.conf.Voters])
+	voters := slices.Clone(r.names[:r.conf.Voters])
 	type answer struct {
-		Told voter.ProposeResult
-		Why  string
+		Result voter.ProposeResult
+		Rejection  string
 	}
-	tries := 0
-	counted := false // it may have been, by a try whose answer is lost
-	var try func()
-	try = func() {
-		if tries++; tries > maxProposeAttempts {
+	attempts := 0
+	mayBeAccepted := false // it may have been, by a try whose answer is lost
+	var attempt func()
+	attempt = func() {
+		if attempts++; attempts > maxProposeAttempts {
 			r.result.UnknownOutcomes++
 			r.history.add(who, from, 1<<62, clientCall{true, p.Parent}, clientResult{})
 			done(0, fmt.Errorf("no word"))
 			return
 		}
-		to := keepers[0]
+		to := voters[0]
 		call(c, to, "propose", p, proposeTimeout, func(q *process, p cluster.Proposal, reply func(answer)) {
 			q.withVoter(func(k *voter.Core) {
 				if _, leads := k.IsLeader(); leads && r.bug == ReportsEarly {
 					l, _ := k.Ledger()
-					reply(answer{Told: voter.ProposeResult{Number: l.LastNumber + 1}})
+					reply(answer{Result: voter.ProposeResult{Number: l.LastNumber + 1}})
 				}
-				k.Propose(p, func(told voter.ProposeResult, err error) {
-					a := answer{Told: told}
+				k.Propose(p, func(result voter.ProposeResult, err error) {
+					a := answer{Result: result}
 					if err != nil {
-						a.Why = err.Error()
+						a.Rejection = err.Error()
 					}
 					reply(a)
 				})
 			})
 		}, func(a answer, ok bool) {
 			switch {
-			case ok && a.Told.Number > 0:
-				r.reported = append(r.reported, reportedVersion{a.Told.Number, p.ID, from})
-				r.history.add(who, from, r.w.now, clientCall{true, p.Parent}, clientResult{number: a.Told.Number})
-				done(a.Told.Number, nil)
+			case ok && a.Result.Number > 0:
+				r.reported = append(r.reported, reportedVersion{a.Result.Number, p.ID, from})
+				r.history.add(who, from, r.w.now, clientCall{true, p.Parent}, clientResult{number: a.Result.Number})
+				done(a.Result.Number, nil)
 				return
-			case ok && a.Why != "" && !counted && a.Why != voter.ErrUnknownOutcome.Error():
-				done(0, fmt.Errorf("%s", a.Why)) // it does not count
+			case ok && a.Rejection != "" && !mayBeAccepted && a.Rejection != voter.ErrUnknownOutcome.Error():
+				done(0, fmt.Errorf("%s", a.Rejection)) // it does not count
 				return
-			case ok && a.Told.Leader != "":
-				i := slices.Index(keepers, a.Told.Leader)
-				keepers = slices.Insert(slices.Delete(keepers, i, i+1), 0, a.Told.Leader)
+			case ok && a.Result.Leader != "":
+				i := slices.Index(voters, a.Result.Leader)
+				voters = slices.Insert(slices.Delete(voters, i, i+1), 0, a.Result.Leader)
 			default:
-				counted = true
-				keepers = append(keepers[1:], to)
+				mayBeAccepted = true
+				voters = append(voters[1:], to)
 			}
-			r.w.schedule(proposeRetryDelay, "propose again", who, try)
+			r.w.schedule(proposeRetryDelay, "propose again", who, attempt)
 		})
 	}
-	try()
+	attempt()
 }
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -62,29 +62,29 @@
 
 // BootTime is keeper.Clock's, by this machine's clock.
 func (p *process) BootTime() time.Duration {
-	true := p.r.w.now
+	elapsed := p.r.w.now
 	if p.r.bug == ClockStops {
-		true -= p.pausedTotal
+		elapsed -= p.pausedTotal
 		if p.paused {
-			true -= p.r.w.now - p.pausedAt
+			elapsed -= p.r.w.now - p.pausedAt
 		}
 	}
-	return p.bootOffset + time.Duration(float64(true)*p.clockRate)
+	return p.bootOffset + time.Duration(float64(elapsed)*p.clockRate)
 }
 
 // scheduleLocal has this process do something after a time on its clock.
 func (p *process) scheduleLocal(d time.Duration, what string, do func()) {
-	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.runOrDefer(do) })
+	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.f(do) })
 }
 
-// runOrDefer has this process do something now, or when it goes on.
-func (p *process) runOrDefer(runOrDefer func()) {
+// f has this process do something now, or when it goes on.
+func (p *process) f(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
-		p.deferred = append(p.deferred, runOrDefer)
+		p.deferred = append(p.deferred, f)
 	default:
-		runOrDefer()
+		f()
 	}
 }
 
@@ -96,10 +96,10 @@
 	p.paused = false
 	p.pausedTotal += p.r.w.now - p.pausedAt
 	p.r.checkMember(p)
-	inbox := p.deferred
+	deferred := p.deferred
 	p.deferred = nil
-	for _, do := range inbox {
-		p.runOrDefer(do)
+	for _, do := range deferred {
+		p.f(do)
 	}
 }
 
@@ -198,14 +198,14 @@
 	l.messages = append(l.messages, m)
 	if p.r.bug == ConfirmsWithoutMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
 		// The planted bug: each of the others is taken for having said yes.
-		yes := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
+		forged := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
 		p.r.w.schedule(minLatency, "forged", p.id, func() {
-			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
+			p.f(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // it is a bug
 		})
 	}
 	if !l.busy {
 		l.busy = true
-		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.runOrDefer(func() { p.sendQueued(to, l) }) })
+		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.f(func() { p.sendQueued(to, l) }) })
 	}
 	return true
 }
@@ -234,16 +234,16 @@
 			messages = append(messages, m)
 		}
 		q.withVoter(func(c *voter.Core) {
-			why := ""
+			rejection := ""
 			if err := c.HandleMessages(p.name, messages); err != nil {
-				why = err.Error()
+				rejection = err.Error()
 			}
-			reply(why)
+			reply(rejection)
 		})
-	}, func(why string, ok bool) {
+	}, func(rejection string, ok bool) {
 		for _, m := range batch {
 			if m.GetType() == raftpb.MsgSnap {
-				p.withVoter(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && why == "") })
+				p.withVoter(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && rejection == "") })
 			}
 		}
 		if ok || p.r.bug != StopsSending {
@@ -282,13 +282,13 @@
 		p.holder.CaughtUp = p.store.CaughtUp()
 	}
 	to, r := p.renewer.NextRequest(p.BootTime())
-	asked := p.r.w.now
+	sentAt := p.r.w.now
 	p.r.prepared[preparedVersion{r.Token, r.Prepared, r.Epoch}] = true
-	if long := p.pauseAtRenewal; long > 0 {
+	if duration := p.pauseAtRenewal; duration > 0 {
 		p.pauseAtRenewal = 0
-		p.r.pause(p, long)
+		p.r.pause(p, duration)
 	}
-	answered := func(a voter.RenewResult) {
+	handleAnswer := func(a voter.RenewResult) {
 		if p.leaving {
 			return
 		}
@@ -296,14 +296,14 @@
 			p.renewer.NextRequest(p.BootTime())
 		}
 		p.r.tamperDelta(p, a.Grant)
-		differed := p.holder.ViewErr()
+		viewErr := p.holder.ViewErr()
 		next := p.renewer.HandleResponse(p.BootTime(), a.Grant, a.Leader)
-		if p.holder.ViewErr() != differed {
+		if p.holder.ViewErr() != viewErr {
 			p.r.result.Deltas["differed"]++
 		}
 		if p.noLeaseReason = "no answer"; a.Grant != nil {
 			p.noLeaseReason = a.Grant.Reason
-			p.r.recordGrant(p, asked, a.Grant, next.Err)
+			p.r.recordGrant(p, sentAt, a.Grant, next.Err)
 		}
 		p.applyView()
 		p.r.checkMember(p)
@@ -327,7 +327,7 @@
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.schedule(0, "told", q.id, func() { q.runOrDefer(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
+					q.r.w.schedule(0, "told", q.id, func() { q.f(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
 				}
 			})
 		})
@@ -335,7 +335,7 @@
 		if !ok {
 			a = voter.RenewResult{}
 		}
-		answered(a)
+		handleAnswer(a)
 	})
 }
 
@@ -354,40 +354,40 @@
 func call[Q, A any](from *process, to, kind string, q Q, within time.Duration, handle func(q *process, body Q, reply func(A)),
 	done func(answer A, ok bool)) {
 	r := from.r
-	over := false
-	end := func(a A, ok bool) {
-		if !over {
-			over = true
+	finished := false
+	finish := func(a A, ok bool) {
+		if !finished {
+			finished = true
 			done(a, ok)
 		}
 	}
 	var none A
-	from.scheduleLocal(within, kind+" times out", func() { end(none, false) })
+	from.scheduleLocal(within, kind+" times out", func() { finish(none, false) })
 	text := mustEncode(cbor.Marshal(q))
-	back := func(other *process, a A) {
+	reply := func(other *process, a A) {
 		text := mustEncode(cbor.Marshal(a))
 		r.send(other.name, from.name, kind+" answer", func() {
-			from.runOrDefer(func() { end(mustDecode[A](text), true) })
+			from.f(func() { finish(mustDecode[A](text), true) })
 		})
 	}
 	if r.w.chance(resetProbability) {
-		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.runOrDefer(func() { end(none, false) }) })
+		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.f(func() { finish(none, false) }) })
 	}
 	r.send(from.name, to, kind, func() {
 		other := r.processes[to]
 		refuse := func() {
-			r.send(to, from.name, kind+" refused", func() { from.runOrDefer(func() { end(none, false) }) })
+			r.send(to, from.name, kind+" refused", func() { from.f(func() { finish(none, false) }) })
 		}
 		if other == nil || other.dead {
 			refuse()
 			return
 		}
-		other.runOrDefer(func() {
+		other.f(func() {
 			if other.core == nil {
 				refuse()
 				return
 			}
-			handle(other, mustDecode[Q](text), func(a A) { back(other, a) })
+			handle(other, mustDecode[Q](text), func(a A) { reply(other, a) })
 		})
 	})
 }
@@ -410,23 +410,23 @@
 type direction struct{ from, to string }
 
 // send has something come to another process: after a while, twice at times, late or never where the way is cut.
-func (r *run) send(from, to, what string, come func()) {
-	arrive := func() {
+func (r *run) send(from, to, what string, deliver func()) {
+	transmit := func() {
 		delay := r.w.randomDuration(minLatency, r.usualLatency)
 		if r.w.chance(slowProbability) {
 			delay = r.w.randomDuration(r.usualLatency, r.slowLatency)
 		}
-		r.w.schedule(delay, what, from+">"+to, come)
+		r.w.schedule(delay, what, from+">"+to, deliver)
 	}
 	if r.partitioned[direction{from, to}] {
 		if r.w.chance(lateProbability) {
-			r.heldMessages = append(r.heldMessages, heldMessage{direction{from, to}, arrive})
+			r.heldMessages = append(r.heldMessages, heldMessage{direction{from, to}, transmit})
 		}
 		return
 	}
-	arrive()
+	transmit()
 	if r.w.chance(duplicateProbability) {
-		arrive()
+		transmit()
 	}
 }
 
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -164,8 +164,8 @@
 }
 
 // Run plays a seed.
-func Run(seedOf uint64, conf Conf, opts Options) Result {
-	w, done := newSeededWorld(seedOf)
+func Run(seed uint64, conf Conf, opts Options) Result {
+	w, done := newSeededWorld(seed)
 	defer done()
 	w.trace = opts.Trace
 	r := &run{w: w, conf: conf, opts: opts, bug: opts.Bug, voters: map[string]string{}, processes: map[string]*process{}, starts: map[string]int{},
@@ -301,9 +301,9 @@
 
 // wipe empties a keeper's folder.
 func (r *run) wipe(name string) {
-	lies := r.disks[name].acksEarly
+	acksEarly := r.disks[name].acksEarly
 	r.disks[name] = newDisk()
-	r.disks[name].acksEarly = lies
+	r.disks[name].acksEarly = acksEarly
 	delete(r.setBack, name)
 	r.incomplete[name] = r.highestApplied
 }
@@ -329,33 +329,33 @@
 		return
 	}
 	r.checkView(p)
-	x := p.holder.Effective(p.BootTime())
-	if r.bug == DropsBans && x.Cautious {
-		x.Rules.Banned = nil
+	effective := p.holder.Effective(p.BootTime())
+	if r.bug == DropsBans && effective.Cautious {
+		effective.Rules.Banned = nil
 	}
-	for _, n := range []uint64{x.Active, x.Next} {
+	for _, n := range []uint64{effective.Active, effective.Next} {
 		for _, name := range r.bannedIn[n] {
-			if !x.Rules.Banned[name] {
+			if !effective.Rules.Banned[name] {
 				r.violation(ForgottenBan, "%s acts on version %d and not on its ban of %s", p.id, n, name)
 			}
 		}
 	}
-	if x.Cautious {
+	if effective.Cautious {
 		return
 	}
 	for _, q := range r.running() {
 		if q == p || q.paused {
 			continue
 		}
-		y := q.holder.Effective(q.BootTime())
-		if y.Cautious {
+		other := q.holder.Effective(q.BootTime())
+		if other.Cautious {
 			continue
 		}
 		if q.name == p.name {
 			r.violation(DuplicateLease, "%s and %s both hold a lease", p.id, q.id)
 		}
-		if x.Active != y.Active && x.Next != y.Active && y.Next != x.Active {
-			r.violation(IncompatibleVersions, "%s acts on %d+%d and %s on %d+%d", p.id, x.Active, x.Next, q.id, y.Active, y.Next)
+		if effective.Active != other.Active && effective.Next != other.Active && other.Next != effective.Active {
+			r.violation(IncompatibleVersions, "%s acts on %d+%d and %s on %d+%d", p.id, effective.Active, effective.Next, q.id, other.Active, other.Next)
 		}
 	}
 }
@@ -372,21 +372,21 @@
 	if applied == p.checkedEntry {
 		return
 	}
-	single := applied == p.checkedEntry+1 // else what was true between is not seen
+	onlyOne := applied == p.checkedEntry+1 // else what was true between is not seen
 	p.checkedEntry = applied
 	r.highestApplied = max(r.highestApplied, applied)
 	if applied >= r.incomplete[p.name] {
 		delete(r.incomplete, p.name) // entries that nobody has applied yet may still show that it was set back
 	}
-	for _, round := range []*cluster.VersionRecord{&l.Active, l.Next} {
-		if round != nil && round.Number > 0 {
-			r.bannedIn[round.Number] = round.Doc.Banned
+	for _, record := range []*cluster.VersionRecord{&l.Active, l.Next} {
+		if record != nil && record.Number > 0 {
+			r.bannedIn[record.Number] = record.Doc.Banned
 		}
 	}
 	if _, known := r.activeSince[l.Active.Number]; !known {
 		r.activeSince[l.Active.Number] = r.w.now
 		for _, name := range slices.Sorted(maps.Keys(l.Members)) {
-			if single && l.Active.Number > 0 && !r.prepared[preparedVersion{l.Members[name].Token, l.Active.Number, l.Epoch}] {
+			if onlyOne && l.Active.Number > 0 && !r.prepared[preparedVersion{l.Members[name].Token, l.Active.Number, l.Epoch}] {
 				r.violation(OlderEpoch, "version %d is active in epoch %d, in which %s never said that it acts on it", l.Active.Number, l.Epoch, name)
 			}
 		}
@@ -396,24 +396,24 @@
 	if l.Next != nil {
 		fmt.Fprint(sum, *l.Next)
 	}
-	says := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.LastNumber, sum.Sum64())
-	if other, known := r.ledgerAfter[applied]; known && other != says {
-		r.violation(LedgersDiffer, "after entry %d %s holds %s, and another held %s", applied, p.id, says, other)
+	summary := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.LastNumber, sum.Sum64())
+	if other, known := r.ledgerAfter[applied]; known && other != summary {
+		r.violation(LedgersDiffer, "after entry %d %s holds %s, and another held %s", applied, p.id, summary, other)
 	}
-	r.ledgerAfter[applied] = says
+	r.ledgerAfter[applied] = summary
 }
 
 // recordGrant books what a member was told.
-func (r *run) recordGrant(p *process, asked time.Duration, g *cluster.Grant, err error) {
+func (r *run) recordGrant(p *process, sentAt time.Duration, g *cluster.Grant, err error) {
 	// A few members' words are enough for the order of events; they come eight times a lease.
 	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.RetryNow {
 		return
 	}
-	read := clientResult{active: g.Active.Number}
+	result := clientResult{active: g.Active.Number}
 	if g.Next != nil {
-		read.next = g.Next.Number
+		result.next = g.Next.Number
 	}
-	r.history.add(p.id, asked, r.w.now, clientCall{}, read)
+	r.history.add(p.id, sentAt, r.w.now, clientCall{}, result)
 }
 
 // reachableLeader tells whether a keeper leads that can be reached: the one of the newest term.
--- a/internal/sim/clustersim/sim_test.go
+++ b/internal/sim/clustersim/sim_test.go
@@ -66,12 +66,12 @@
 		}
 		active, leaders, settled = append(active, r.ActivationTimes...), append(leaders, r.LeaderlessTimes...), append(settled, r.SettleTime)
 	}
-	took := time.Since(began)
-	t.Logf("%d seeds, %d steps in %v; %d versions told; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, took.Round(time.Millisecond),
+	elapsed := time.Since(began)
+	t.Logf("%d seeds, %d steps in %v; %d versions told; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, elapsed.Round(time.Millisecond),
 		sum.Versions, sum.CautiousShare, sum.Faults)
 	t.Logf("told to members: %v", sum.Deltas)
-	holds := conf.Params.Holdings.Copies > 0
-	if holds && (sum.Deltas["changes"] < 10*sum.Deltas["whole"] || sum.Deltas["whole"] == 0 || sum.Deltas["differed"] > 0) {
+	withHoldings := conf.Params.Holdings.Copies > 0
+	if withHoldings && (sum.Deltas["changes"] < 10*sum.Deltas["whole"] || sum.Deltas["whole"] == 0 || sum.Deltas["differed"] > 0) {
 		t.Errorf("told to members: %v; wanted: changes, some wholes, and none that differ", sum.Deltas)
 	}
 	t.Logf("until a version is active %s; nobody leads %s; until all is well %s", spread(active), spread(leaders), spread(settled))
@@ -143,22 +143,22 @@
 func TestEachDiskWriteFails(t *testing.T) {
 	conf := DefaultConf()
 	conf.Voters, conf.Members, conf.FaultEvery, conf.Duration = 3, 3, 0, 6*time.Second
-	for _, trouble := range diskFaults {
+	for _, fault := range diskFaults {
 		writes := 0
 		for at := 1; ; at++ {
-			conf.DiskFaultAt, conf.DiskFault = at, trouble
+			conf.DiskFaultAt, conf.DiskFault = at, fault
 			r := Run(1, conf, Options{})
 			if r.Failure != nil {
-				t.Fatalf("write %d, %s: %v", at, trouble, r.Failure)
+				t.Fatalf("write %d, %s: %v", at, fault, r.Failure)
 			}
 			if !r.DiskFaultHit {
 				break
 			}
 			writes++
 		}
-		t.Logf("%s: %d writes", trouble, writes)
+		t.Logf("%s: %d writes", fault, writes)
 		if writes < 10 {
-			t.Errorf("%s: only %d writes met it", trouble, writes)
+			t.Errorf("%s: only %d writes met it", fault, writes)
 		}
 	}
 }
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -15,9 +15,9 @@
 // What members know of each other and of the placement, which they are told as changes.
 
 // digest writes something out, so that two that are equal write the same.
-func digest(what any) string {
+func digest(value any) string {
 	sum := fnv.New128a()
-	fmt.Fprintf(sum, "%+v", what)
+	fmt.Fprintf(sum, "%+v", value)
 	return fmt.Sprintf("%x", sum.Sum(nil))
 }
 
@@ -79,7 +79,7 @@
 		kind = "whole"
 	}
 	r.result.Deltas[kind]++
-	before := p.lastDelta
+	previous := p.lastDelta
 	p.lastDelta = &d
 	if r.bug != WrongBase && (!slices.Contains([]Bug{OmitsChange, ReappliesDelta, TruncatedHistory}, r.bug) || !r.w.chance(tamperProbability)) {
 		return
@@ -97,10 +97,10 @@
 			faulty.Shards = faulty.Shards[1:]
 		}
 	case ReappliesDelta:
-		if before == nil || before.SinceEpoch == 0 || d.SinceEpoch == 0 {
+		if previous == nil || previous.SinceEpoch == 0 || d.SinceEpoch == 0 {
 			return
 		}
-		for _, m := range before.Joined {
+		for _, m := range previous.Joined {
 			if d.SinceEpoch == d.Epoch {
 				break // it changes no members
 			}
@@ -108,7 +108,7 @@
 			faulty.Gone = slices.DeleteFunc(faulty.Gone, same)
 			faulty.Joined = append(slices.DeleteFunc(faulty.Joined, func(other holdings.Member) bool { return same(other.Name) }), m)
 		}
-		for _, s := range before.Shards {
+		for _, s := range previous.Shards {
 			if d.SinceNumber == d.Number {
 				break
 			}
@@ -137,19 +137,19 @@
 // applyDelta is what a delta leads to, by the model's own way.
 func applyDelta(v holdings.View, d *holdings.Delta) *holdings.View {
 	next := holdings.View{Epoch: d.Epoch, Placement: &holdings.Placement{}}
-	in := map[string]holdings.Member{}
+	members := map[string]holdings.Member{}
 	if d.SinceEpoch != 0 {
 		for _, m := range v.Members {
-			in[m.Name] = m
+			members[m.Name] = m
 		}
 	}
 	for _, name := range d.Gone {
-		delete(in, name)
+		delete(members, name)
 	}
 	for _, m := range d.Joined {
-		in[m.Name] = m
+		members[m.Name] = m
 	}
-	for _, m := range in { // in any order: sorted below
+	for _, m := range members { // in any order: sorted below
 		next.Members = append(next.Members, m)
 	}
 	slices.SortFunc(next.Members, func(a, b holdings.Member) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/sim/clustersim/world.go
+++ b/internal/sim/clustersim/world.go
@@ -94,8 +94,8 @@
 }
 
 // randomDuration draws a time.
-func (w *world) randomDuration(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int64N(int64(most-least)+1))
+func (w *world) randomDuration(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(w.rng.Int64N(int64(maximum-minimum)+1))
 }
 
 // chance draws whether something happens.
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -36,7 +36,7 @@
 
 // parse takes bytes; the requests that are whole by now come back. An error means that
 // what came is no request.
-func (in *requestParser) parse(now time.Duration, b []byte) (whole []receivedRequest, err error) {
+func (in *requestParser) parse(now time.Duration, b []byte) (complete []receivedRequest, err error) {
 	if len(in.buf) == 0 {
 		in.first = now
 	}
@@ -47,10 +47,10 @@
 		r := bufio.NewReaderSize(left, len(in.buf)+16)
 		err := m.Read(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return whole, nil
+			return complete, nil
 		}
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		in.buf = in.buf[len(in.buf)-left.Len()-r.Buffered():]
 		path := string(m.URI().Path())
@@ -60,10 +60,10 @@
 			firstByte: in.first, lastByte: now,
 		}
 		q.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-		whole = append(whole, q)
+		complete = append(complete, q)
 		in.first = now
 	}
-	return whole, nil
+	return complete, nil
 }
 
 // keyStore is what a group of endpoints knows of keys.
@@ -78,13 +78,13 @@
 	waiters []func()
 }
 
-func (k *keyStore) lookupOrStart(now time.Duration, key string) (first, own *keyedRun) {
-	if first = k.runs[key]; first != nil && now-first.started <= k.window {
-		return first, nil
+func (k *keyStore) lookupOrStart(now time.Duration, key string) (earlier, started *keyedRun) {
+	if earlier = k.runs[key]; earlier != nil && now-earlier.started <= k.window {
+		return earlier, nil
 	}
-	own = &keyedRun{started: now}
-	k.runs[key] = own
-	return nil, own
+	started = &keyedRun{started: now}
+	k.runs[key] = started
+	return nil, started
 }
 
 func (r *keyedRun) finish() {
@@ -157,8 +157,8 @@
 	if e.dead || in == nil {
 		return
 	}
-	whole, err := in.parse(e.s.now(), b)
-	for _, q := range whole {
+	requests, err := in.parse(e.s.now(), b)
+	for _, q := range requests {
 		e.handleRequest(c, q)
 	}
 	if err != nil {
@@ -201,32 +201,32 @@
 		c.peerWrite(refusedResponse)
 		return
 	}
-	var first, own *keyedRun
+	var earlier, started *keyedRun
 	if class.Effect == decide.Keyed {
-		first, own = e.s.keys.lookupOrStart(q.lastByte, q.key)
+		earlier, started = e.s.keys.lookupOrStart(q.lastByte, q.key)
 	}
 	if e.fault == Errors {
-		arrived(true, first != nil)
-		own.finish()
+		arrived(true, earlier != nil)
+		started.finish()
 		c.peerWrite(errorResponse)
 		return
 	}
-	if first != nil {
+	if earlier != nil {
 		arrived(true, true)
-		answer := func() { c.peerWrite(okResponse(q, e.name)) }
-		if first.done {
-			answer()
+		respond := func() { c.peerWrite(okResponse(q, e.name)) }
+		if earlier.done {
+			respond()
 		} else {
-			first.waiters = append(first.waiters, answer)
+			earlier.waiters = append(earlier.waiters, respond)
 		}
 		return
 	}
-	t := &task{req: q, c: c, keyed: own, running: true}
+	t := &task{req: q, c: c, keyed: started, running: true}
 	t.Data = t
 	t.Work = time.Duration(e.s.rngFor(e.name, q.id).ExpFloat64() * float64(e.s.meanWork))
 	e.finishDueTasks()
 	if e.server.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
-		if own != nil {
+		if started != nil {
 			delete(e.s.keys.runs, q.key)
 		}
 		arrived(false, false)
@@ -245,8 +245,8 @@
 
 // finishDueTasks hands out what is done by now.
 func (e *endpoint) finishDueTasks() {
-	done, fell := e.server.Due(e.s.now())
-	if fell {
+	done, overloaded := e.server.Due(e.s.now())
+	if overloaded {
 		e.s.checker.EndpointOverloaded(e.s.now(), e.name)
 	}
 	for _, j := range done {
@@ -257,7 +257,7 @@
 			continue
 		}
 		delete(e.tasks, t.c)
-		if fell {
+		if overloaded {
 			e.closeConn(t.c, true)
 			continue
 		}
@@ -327,11 +327,11 @@
 
 // setPartitioned cuts the endpoint's machine off, or brings it back: its old connections are
 // reset then.
-func (e *endpoint) setPartitioned(cut bool) {
-	e.partitioned = cut
+func (e *endpoint) setPartitioned(partitioned bool) {
+	e.partitioned = partitioned
 	for _, c := range slices.Clone(e.conns) {
-		c.setPartitioned(cut)
-		if !cut {
+		c.setPartitioned(partitioned)
+		if !partitioned {
 			e.closeConn(c, true)
 		}
 	}
@@ -458,8 +458,8 @@
 	if in == nil {
 		return
 	}
-	whole, _ := in.parse(d.s.now(), b)
-	for _, q := range whole {
+	requests, _ := in.parse(d.s.now(), b)
+	for _, q := range requests {
 		d.s.checker.ListCallBegun(c.proc.sidecarName())
 		d.handleCall(c, q)
 	}
@@ -521,19 +521,19 @@
 	k.s.checker.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.sidecarName(), Effect: class.Effect, Key: a.Key, Deadline: until + maxLatency*2})
 	k.s.checker.RequestWritten(a.ID)
 	k.s.unanswered[k] = true
-	method, more := "GET", ""
+	method, headers := "GET", ""
 	if class.Effect != decide.Safe {
-		method, more = "POST", "Content-Length: 4\r\n"
+		method, headers = "POST", "Content-Length: 4\r\n"
 	}
 	if a.Key != "" {
-		more += "Idempotency-Key: " + a.Key + "\r\n"
+		headers += "Idempotency-Key: " + a.Key + "\r\n"
 	}
 	body := ""
 	if method == "POST" {
 		body = "body"
 	}
 	k.c.peerWrite(fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: sim\r\nX-Txn: %s\r\nX-Remaining: %.6f\r\n%s\r\n%s",
-		method, a.Class, a.ID, class.Deadline.Seconds(), more, body))
+		method, a.Class, a.ID, class.Deadline.Seconds(), headers, body))
 	wait := class.Deadline + k.s.clientMargin()
 	if a.Leave > 0 {
 		wait = a.Leave
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -68,12 +68,12 @@
 }
 
 func (c *conn) randomLatency() time.Duration {
-	most := maxUsualLatency
+	limit := maxUsualLatency
 	if c.rng.Float64() < spikeProbability {
-		most = maxLatency
+		limit = maxLatency
 	}
 	// On a grid: some things then come in the same instant, and the scheduler picks.
-	return minLatency * time.Duration(1+c.rng.Int64N(int64(most/minLatency)))
+	return minLatency * time.Duration(1+c.rng.Int64N(int64(limit/minLatency)))
 }
 
 // enqueue puts a segment on its way; w.mu is held. Segments of one way keep their order.
@@ -83,11 +83,11 @@
 		s.at = (*queue)[n-1].at
 	}
 	if len(s.bytes) > 1 && c.rng.Float64() < splitProbability {
-		cut := 1 + c.rng.IntN(len(s.bytes)-1)
-		first := s
-		first.bytes, s.bytes = s.bytes[:cut], s.bytes[cut:]
+		splitAt := 1 + c.rng.IntN(len(s.bytes)-1)
+		firstPart := s
+		firstPart.bytes, s.bytes = s.bytes[:splitAt], s.bytes[splitAt:]
 		s.at = s.at.Add(c.randomLatency())
-		*queue = append(*queue, first)
+		*queue = append(*queue, firstPart)
 	}
 	*queue = append(*queue, s)
 }
@@ -177,10 +177,10 @@
 }
 
 // setPartitioned cuts the line, or mends it: what was held comes then.
-func (c *conn) setPartitioned(cut bool) {
+func (c *conn) setPartitioned(partitioned bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.partitioned = cut
+	c.partitioned = partitioned
 	c.scheduleDelivery()
 }
 
@@ -231,17 +231,17 @@
 			c.w.mu.Unlock()
 			return n, err
 		}
-		take := min(len(b)-n, sendBufferBytes-c.bytesInFlight)
-		c.bytesInFlight += take
+		size := min(len(b)-n, sendBufferBytes-c.bytesInFlight)
+		c.bytesInFlight += size
 		if c.proc.resendOnReset && c.dialedAddress != "" {
-			c.unanswered = append(c.unanswered, b[n:n+take]...)
+			c.unanswered = append(c.unanswered, b[n:n+size]...)
 		}
 		if c.proc.repeatAnswerOnCancel && c.dialedAddress == "" {
-			c.proc.lastAnsweredConn, c.proc.lastAnswer = c, slices.Clone(b[n:n+take])
+			c.proc.lastAnsweredConn, c.proc.lastAnswer = c, slices.Clone(b[n:n+size])
 		}
-		c.enqueue(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+take]...)})
+		c.enqueue(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+size]...)})
 		c.scheduleDelivery()
-		n += take
+		n += size
 		c.w.mu.Unlock()
 		if n == len(b) {
 			return n, nil
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -143,24 +143,24 @@
 // Dial is env.Env's.
 func (p *Process) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	id := p.nextKey("dial")
-	limit := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	other := p.route(address)
 	c := p.w.newConn(p, id, other, p.seed)
-	up, down := false, false
-	d, told := other.(dialTarget)
-	late := time.Duration(0)
-	if told {
-		late = d.connectDelay()
+	connected, refused := false, false
+	target, isTarget := other.(dialTarget)
+	delay := time.Duration(0)
+	if isTarget {
+		delay = target.connectDelay()
 	}
 	switch {
 	case other == nil:
-		p.w.scheduleAfter(id+"/rst", c.randomLatency(), func() { down = true })
-	case told && d.unreachable():
+		p.w.scheduleAfter(id+"/rst", c.randomLatency(), func() { refused = true })
+	case isTarget && target.unreachable():
 	default:
-		p.w.scheduleAfter(id+"/syn", c.randomLatency()+c.randomLatency()+late, func() {
-			up = !c.closed
-			down = c.closed
-			if up {
+		p.w.scheduleAfter(id+"/syn", c.randomLatency()+c.randomLatency()+delay, func() {
+			connected = !c.closed
+			refused = c.closed
+			if connected {
 				other.onOpen(c)
 			}
 		})
@@ -171,15 +171,15 @@
 	stop := context.AfterFunc(ctx, p.w.wakeScheduler)
 	defer stop()
 	p.w.park(id, func(now time.Time) bool {
-		return up || down || p.dead || ctx.Err() != nil || !limit.After(now)
-	}, func() time.Time { return limit })
+		return connected || refused || p.dead || ctx.Err() != nil || !deadline.After(now)
+	}, func() time.Time { return deadline })
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	p.dialsInProgress[address]--
 	switch {
-	case ctx.Err() != nil || p.dead || p.w.closed || !up && !down:
+	case ctx.Err() != nil || p.dead || p.w.closed || !connected && !refused:
 		c.closed = true
-		if up { // it came up as it was given up
+		if connected { // it came up as it was given up
 			c.enqueue(&c.toPeer, segment{fin: true})
 			c.scheduleDelivery()
 		}
@@ -187,7 +187,7 @@
 			return nil, err
 		}
 		return nil, context.DeadlineExceeded
-	case down:
+	case refused:
 		return nil, errRefused
 	}
 	c.dialedAddress = address
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -158,8 +158,8 @@
 		Hash: s.w.traceHash.Sum64(), Steps: s.w.steps, Time: s.now(), Requests: len(script.Requests), Faults: len(script.Faults),
 		Verdicts: s.verdicts, RareEvents: s.w.rareEvents,
 	}
-	for _, t := range s.checker.Close().Sidecars {
-		result.Attempts += t.Arrivals
+	for _, tally := range s.checker.Close().Sidecars {
+		result.Attempts += tally.Arrivals
 	}
 	if err != nil && !errors.As(err, &result.Failure) {
 		result.Failure = &Failure{Rule: "stuck", Step: s.w.steps, At: s.now(), What: err.Error()}
@@ -191,10 +191,10 @@
 
 // checkInvariants looks after each step whether all rules hold and the books add up.
 func (s *simulation) checkInvariants() error {
-	account := s.checker.Close()
-	if len(account.Violations) > 0 {
-		b := account.Violations[0]
-		return &Failure{Rule: string(b.Rule), Step: s.w.steps, At: s.now(), What: b.What}
+	report := s.checker.Close()
+	if len(report.Violations) > 0 {
+		violation := report.Violations[0]
+		return &Failure{Rule: string(violation.Rule), Step: s.w.steps, At: s.now(), What: violation.What}
 	}
 	for _, sc := range s.sidecars {
 		if sc.instance == nil || sc.proc.dead {
@@ -212,25 +212,25 @@
 }
 
 // startEndpoint starts an endpoint at a place; under its old name, or a new one.
-func (s *simulation) startEndpoint(place int, name string, cold bool) {
+func (s *simulation) startEndpoint(index int, name string, cold bool) {
 	address := name
 	if name == "" {
 		s.namesGiven++
 		name = fmt.Sprintf("e%d", s.namesGiven)
 		address = fmt.Sprintf("10.0.0.%d:80", s.namesGiven)
 	} else {
-		address = s.endpoints[place].address
+		address = s.endpoints[index].address
 	}
-	st, err := servermodel.New(servermodel.Conf{
+	server, err := servermodel.New(servermodel.Conf{
 		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: overloadMultiple, FallFor: overloadFor,
 	}, s.now(), cold)
 	if err != nil {
 		panic(err) // the figures are right
 	}
-	e := &endpoint{s: s, name: name, address: address, server: st, parsers: map[*conn]*requestParser{}, tasks: map[*conn]*task{}}
-	if place < len(s.endpoints) {
-		e.serverEvents = s.endpoints[place].serverEvents + 1000
-		s.endpoints[place] = e
+	e := &endpoint{s: s, name: name, address: address, server: server, parsers: map[*conn]*requestParser{}, tasks: map[*conn]*task{}}
+	if index < len(s.endpoints) {
+		e.serverEvents = s.endpoints[index].serverEvents + 1000
+		s.endpoints[index] = e
 	} else {
 		s.endpoints = append(s.endpoints, e)
 	}
@@ -344,8 +344,8 @@
 }
 
 // injectFault begins a fault, and has it end.
-func (s *simulation) injectFault(number int, f Fault) {
-	later := func(do func()) { s.w.scheduleAfter(fmt.Sprintf("fault/%d/end", number), f.For, do) }
+func (s *simulation) injectFault(n int, f Fault) {
+	later := func(do func()) { s.w.scheduleAfter(fmt.Sprintf("fault/%d/end", n), f.For, do) }
 	switch f.Kind {
 	case ColdJoin:
 		s.startEndpoint(len(s.endpoints), "", true)
@@ -358,8 +358,8 @@
 		s.injectSidecarFault(f, later)
 		return
 	}
-	place := f.Target % len(s.endpoints)
-	e := s.endpoints[place]
+	index := f.Target % len(s.endpoints)
+	e := s.endpoints[index]
 	if e.dead || s.discovery.entries[e.name].Status != "SERVING" {
 		return
 	}
@@ -367,8 +367,8 @@
 	case Crash:
 		e.kill()
 		later(func() {
-			if s.endpoints[place] == e {
-				s.startEndpoint(place, e.name, true)
+			if s.endpoints[index] == e {
+				s.startEndpoint(index, e.name, true)
 			}
 		})
 	case Drain:
@@ -411,7 +411,7 @@
 		later(func() { s.start(sc) })
 	case Stop:
 		// Like the platform: SIGTERM, and SIGKILL when even the slowest answer is due.
-		again := func() {
+		restart := func() {
 			if !proc.dead {
 				s.killSidecar(proc, run)
 				s.start(sc)
@@ -419,9 +419,9 @@
 		}
 		proc.Go("stop", func() {
 			run.Stop()
-			s.w.scheduleAfter(proc.id+"/exit", 0, again)
+			s.w.scheduleAfter(proc.id+"/exit", 0, restart)
 		})
-		s.w.scheduleAfter(proc.id+"/sigkill", deadline+700*time.Millisecond, again)
+		s.w.scheduleAfter(proc.id+"/sigkill", deadline+700*time.Millisecond, restart)
 	}
 }
 
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -86,8 +86,8 @@
 )
 
 // randomTime draws a time on the grid.
-func randomTime(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most/timeGrid))) * timeGrid
+func randomTime(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit/timeGrid))) * timeGrid
 }
 
 // GenerateScript draws a script from a seed.
@@ -107,10 +107,10 @@
 	}
 	for n := range asks {
 		a := Request{ID: fmt.Sprintf("r%03d", n), At: randomTime(r, s.Duration)}
-		switch k := r.IntN(10); {
-		case k < 5:
+		switch n := r.IntN(10); {
+		case n < 5:
 			a.Class = "look"
-		case k < 8:
+		case n < 8:
 			a.Class, a.Key = "pay", "k"+a.ID
 		default:
 			a.Class = "burn"
@@ -144,14 +144,14 @@
 	}
 	if r.IntN(partitionedDrainEvery) == 0 {
 		// Dials to a machine that is cut off hang: the drain comes meanwhile.
-		cut := Fault{Kind: Partition, Target: r.IntN(maxEndpoints), At: randomTime(r, s.Duration), For: maxFaultDuration}
-		drain := Fault{Kind: Drain, Target: cut.Target, At: cut.At + randomTime(r, maxFaultDuration/2), For: maxFaultDuration}
-		s.Faults = append(s.Faults, cut, drain)
+		partition := Fault{Kind: Partition, Target: r.IntN(maxEndpoints), At: randomTime(r, s.Duration), For: maxFaultDuration}
+		drain := Fault{Kind: Drain, Target: partition.Target, At: partition.At + randomTime(r, maxFaultDuration/2), For: maxFaultDuration}
+		s.Faults = append(s.Faults, partition, drain)
 	}
 	// From a source of its own, so that the rest of a seed's script stays as it was.
-	if own := rand.New(rand.NewPCG(seed, 13)); own.IntN(slowConnectEvery) == 0 {
+	if rng := rand.New(rand.NewPCG(seed, 13)); rng.IntN(slowConnectEvery) == 0 {
 		for target := range s.Endpoints {
-			s.Faults = append(s.Faults, Fault{Kind: SlowConnect, Target: target, At: randomTime(own, s.Duration/2), For: s.Duration})
+			s.Faults = append(s.Faults, Fault{Kind: SlowConnect, Target: target, At: randomTime(rng, s.Duration/2), For: s.Duration})
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
@@ -162,12 +162,12 @@
 const maxFaultDuration = 2 * time.Second
 
 // overlappingFaults draws a restart, a failure, a stall and a cold arrival that meet.
-func overlappingFaults(r *rand.Rand, long time.Duration) (faults []Fault) {
-	meet := randomTime(r, long-maxFaultDuration) + maxFaultDuration/2
+func overlappingFaults(rng *rand.Rand, duration time.Duration) (faults []Fault) {
+	meet := randomTime(rng, duration-maxFaultDuration) + maxFaultDuration/2
 	for _, kinds := range [][]FaultKind{{Kill, Stop}, {Errors, Truncate, Garbage, Refuse}, {Stall, Hang, Partition}, {ColdJoin, Crash}} {
-		before := randomTime(r, maxFaultDuration/2)
+		before := randomTime(rng, maxFaultDuration/2)
 		faults = append(faults, Fault{
-			Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(maxEndpoints), At: meet - before, For: before + randomTime(r, maxFaultDuration/2),
+			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(maxEndpoints), At: meet - before, For: before + randomTime(rng, maxFaultDuration/2),
 		})
 	}
 	return faults
@@ -176,19 +176,19 @@
 // HasOverlap tells whether a restart, a failure, a stall and a cold arrival are all
 // under way at one time.
 func (s *Script) HasOverlap() bool {
-	sorts := map[FaultKind]int{
+	groups := map[FaultKind]int{
 		Kill: 0, Stop: 0, Errors: 1, Truncate: 1, Garbage: 1, Refuse: 1, Stall: 2, Hang: 2, Partition: 2, ColdJoin: 3, Crash: 3,
 	}
-	for _, at := range s.Faults {
+	for _, start := range s.Faults {
 		seen := [4]bool{}
 		for _, f := range s.Faults {
-			sort, counts := sorts[f.Kind]
+			group, counts := groups[f.Kind]
 			end := f.At + f.For
 			if f.Kind == ColdJoin || f.Kind == Crash {
 				end += coldFor // it is cold for so long after
 			}
-			if counts && f.At <= at.At && at.At <= end {
-				seen[sort] = true
+			if counts && f.At <= start.At && start.At <= end {
+				seen[group] = true
 			}
 		}
 		if seen == [4]bool{true, true, true, true} {
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -11,19 +11,19 @@
 // without some of its faults, requests, sidecars and endpoints, and shorter. fails
 // plays a script and returns its failure.
 func Shrink(script Script, fails func(Script) *Failure) Script {
-	first := fails(script)
-	if first == nil {
+	original := fails(script)
+	if original == nil {
 		return script
 	}
-	still := func(s Script) bool {
+	stillFails := func(s Script) bool {
 		f := fails(s)
-		return f != nil && f.Rule == first.Rule
+		return f != nil && f.Rule == original.Rule
 	}
 	for smaller := true; smaller; {
 		smaller = false
 		for _, next := range []func(Script, func(Script) bool) (Script, bool){fewerRequests, fewerFaults, fewerProcesses, shorterDuration} {
 			var done bool
-			script, done = next(script, still)
+			script, done = next(script, stillFails)
 			smaller = smaller || done
 		}
 	}
@@ -31,12 +31,12 @@
 }
 
 // fewerRequests drops requests, half of them at a time at first, then ever fewer.
-func fewerRequests(s Script, still func(Script) bool) (_ Script, smaller bool) {
+func fewerRequests(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for size := (len(s.Requests) + 1) / 2; size > 0; size /= 2 {
 		for from := 0; from < len(s.Requests); {
 			try := s
 			try.Requests = slices.Delete(slices.Clone(s.Requests), from, min(from+size, len(s.Requests)))
-			if still(try) {
+			if stillFails(try) {
 				s, smaller = try, true
 			} else {
 				from += size
@@ -46,11 +46,11 @@
 	return s, smaller
 }
 
-func fewerFaults(s Script, still func(Script) bool) (_ Script, smaller bool) {
+func fewerFaults(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for i := 0; i < len(s.Faults); {
 		try := s
 		try.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
-		if still(try) {
+		if stillFails(try) {
 			s, smaller = try, true
 		} else {
 			i++
@@ -59,14 +59,14 @@
 	return s, smaller
 }
 
-func fewerProcesses(s Script, still func(Script) bool) (_ Script, smaller bool) {
+func fewerProcesses(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for _, n := range []func(*Script) *int{
 		func(s *Script) *int { return &s.Sidecars }, func(s *Script) *int { return &s.Endpoints },
 	} {
 		for *n(&s) > 1 {
 			try := s
 			*n(&try)--
-			if !still(try) {
+			if !stillFails(try) {
 				break
 			}
 			s, smaller = try, true
@@ -76,7 +76,7 @@
 }
 
 // shorterDuration ends the run after the last thing that begins in it.
-func shorterDuration(s Script, still func(Script) bool) (Script, bool) {
+func shorterDuration(s Script, stillFails func(Script) bool) (Script, bool) {
 	try := s
 	try.Duration = timeGrid
 	for _, a := range s.Requests {
@@ -85,7 +85,7 @@
 	for _, f := range s.Faults {
 		try.Duration = max(try.Duration, f.At+f.For+timeGrid)
 	}
-	if try.Duration < s.Duration && still(try) {
+	if try.Duration < s.Duration && stillFails(try) {
 		return try, true
 	}
 	return s, false
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -76,19 +76,19 @@
 
 // countRareEvents counts what comes together among the steps that are ready.
 func (w *World) countRareEvents(steps []step) {
-	timers, timer, answer := 0, false, false
+	timers, timerReady, answerReady := 0, false, false
 	for _, s := range steps {
 		isTimer := strings.Contains(s.key, "/timer/")
 		if isTimer {
 			timers++
-			timer = true
+			timerReady = true
 		}
-		answer = answer || strings.Contains(s.key, "/dial/") && strings.HasSuffix(s.key, "/in")
+		answerReady = answerReady || strings.Contains(s.key, "/dial/") && strings.HasSuffix(s.key, "/in")
 	}
 	if timers > 1 {
 		w.rareEvents[SimultaneousTimers]++
 	}
-	if timer && answer {
+	if timerReady && answerReady {
 		w.rareEvents[AnswerWithTimer]++
 	}
 }
@@ -162,7 +162,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	sooner := func(at time.Time) {
+	setNext := func(at time.Time) {
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
@@ -170,7 +170,7 @@
 	w.events = slices.DeleteFunc(w.events, func(e *event) bool { return e.canceled })
 	for _, e := range w.events {
 		if e.at.After(now) {
-			sooner(e.at)
+			setNext(e.at)
 			continue
 		}
 		steps = append(steps, step{key: e.key, event: e})
@@ -181,7 +181,7 @@
 			continue
 		}
 		if o.due != nil {
-			sooner(o.due())
+			setNext(o.due())
 		}
 	}
 	slices.SortFunc(steps, func(a, b step) int { return strings.Compare(a.key, b.key) })
@@ -220,14 +220,14 @@
 // the seed, the step's name and the time alone. A script from which something is left
 // out so keeps the order of the rest, and can be made small.
 func (w *World) pick(steps []step) step {
-	least, first := uint64(math.MaxUint64), 0
+	lowest, chosen := uint64(math.MaxUint64), 0
 	now := uint64(w.now())
 	for i, s := range steps {
-		if draw := mix(w.seed ^ mix(hashOf(s.key)^mix(now))); draw < least {
-			least, first = draw, i
+		if draw := mix(w.seed ^ mix(hashOf(s.key)^mix(now))); draw < lowest {
+			lowest, chosen = draw, i
 		}
 	}
-	return steps[first]
+	return steps[chosen]
 }
 
 // mix spreads a number's bits (the finalizer of SplitMix64).
@@ -238,9 +238,9 @@
 }
 
 // execute takes one step.
-func (w *World) execute(s step, among int) {
+func (w *World) execute(s step, choices int) {
 	w.steps++
-	line := fmt.Sprintf("%d %d %s %d\n", w.steps, w.now(), s.key, among)
+	line := fmt.Sprintf("%d %d %s %d\n", w.steps, w.now(), s.key, choices)
 	io.WriteString(w.traceHash, line) //nolint:errcheck // a hash does not fail
 	if w.trace != nil {
 		io.WriteString(w.trace, line) //nolint:errcheck // a trace that is cut short shows that
