--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -157,8 +157,8 @@
 	who := fmt.Sprintf("client %d", r.documents.count)
 	voters := slices.Clone(r.names[:r.conf.Voters])
 	type answer struct {
-		Result voter.ProposeResult
-		Rejection  string
+		Result    voter.ProposeResult
+		Rejection string
 	}
 	attempts := 0
 	mayBeAccepted := false // it may have been, by a try whose answer is lost
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -74,11 +74,11 @@
 
 // scheduleLocal has this process do something after a time on its clock.
 func (p *process) scheduleLocal(d time.Duration, what string, do func()) {
-	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.f(do) })
+	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.runOrDefer(do) })
 }
 
-// f has this process do something now, or when it goes on.
-func (p *process) f(f func()) {
+// runOrDefer has this process do something now, or when it goes on.
+func (p *process) runOrDefer(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
@@ -99,7 +99,7 @@
 	deferred := p.deferred
 	p.deferred = nil
 	for _, do := range deferred {
-		p.f(do)
+		p.runOrDefer(do)
 	}
 }
 
@@ -200,12 +200,12 @@
 		// The planted bug: each of the others is taken for having said yes.
 		forged := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
 		p.r.w.schedule(minLatency, "forged", p.id, func() {
-			p.f(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // it is a bug
+			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // it is a bug
 		})
 	}
 	if !l.busy {
 		l.busy = true
-		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.f(func() { p.sendQueued(to, l) }) })
+		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.runOrDefer(func() { p.sendQueued(to, l) }) })
 	}
 	return true
 }
@@ -327,7 +327,7 @@
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.schedule(0, "told", q.id, func() { q.f(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
+					q.r.w.schedule(0, "told", q.id, func() { q.runOrDefer(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
 				}
 			})
 		})
@@ -367,22 +367,22 @@
 	reply := func(other *process, a A) {
 		text := mustEncode(cbor.Marshal(a))
 		r.send(other.name, from.name, kind+" answer", func() {
-			from.f(func() { finish(mustDecode[A](text), true) })
+			from.runOrDefer(func() { finish(mustDecode[A](text), true) })
 		})
 	}
 	if r.w.chance(resetProbability) {
-		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.f(func() { finish(none, false) }) })
+		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.runOrDefer(func() { finish(none, false) }) })
 	}
 	r.send(from.name, to, kind, func() {
 		other := r.processes[to]
 		refuse := func() {
-			r.send(to, from.name, kind+" refused", func() { from.f(func() { finish(none, false) }) })
+			r.send(to, from.name, kind+" refused", func() { from.runOrDefer(func() { finish(none, false) }) })
 		}
 		if other == nil || other.dead {
 			refuse()
 			return
 		}
-		other.f(func() {
+		other.runOrDefer(func() {
 			if other.core == nil {
 				refuse()
 				return
