--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -11,51 +11,51 @@
 	"time"
 )
 
-// Figures of the simulated network.
+// Properties of the simulated network.
 const (
-	minLatency       = 50 * time.Microsecond
-	maxUsualLatency  = 500 * time.Microsecond
-	maxLatency       = 4 * time.Millisecond
+	minLatency       = 50 * time.Microsecond  // also the grid on which latencies lie
+	maxUsualLatency  = 500 * time.Microsecond // without a spike
+	maxLatency       = 4 * time.Millisecond   // with a spike
 	spikeProbability = 0.05
-	splitProbability = 0.2      // of messages that come in two parts
-	sendBufferBytes  = 16 << 10 // written and not yet read by the other side; more blocks the writer
+	splitProbability = 0.2      // share of the messages that arrive in two parts
+	sendBufferBytes  = 16 << 10 // bytes that the peer has not received yet; a writer blocks above that
 )
 
-// peer is the other side of a connection: a model that acts in the world's steps.
+// peer is the model at the other end of a sidecar's connection. Its methods run in steps of the world.
 type peer interface {
-	onData(c *conn, b []byte)    // bytes have come
-	onClose(c *conn, reset bool) // the sidecar's side has closed, or it broke
-	onOpen(c *conn)              // a connection that the peer asked for stands
-	onRefused(c *conn)           // it does not come up
+	onData(c *conn, b []byte)    // bytes arrived from the sidecar
+	onClose(c *conn, reset bool) // the sidecar's end closed the connection, or reset it
+	onOpen(c *conn)              // the connection is established
+	onRefused(c *conn)           // a connection that the peer opened was not accepted
 }
 
-// conn is a connection between a sidecar and a peer. The sidecar's code uses it as
-// a net.Conn; the peer's side are its peer methods.
+// conn is a connection between a sidecar and a peer. The sidecar's code uses it as a net.Conn; the
+// peer uses peerWrite and peerClose.
 type conn struct {
 	w           *World
 	proc        *Process
 	peer        peer
 	id          string
-	rng         *rand.Rand // of its own: draws do not depend on what other connections do
-	partitioned bool       // the line is silent: nothing passes until it is mended
+	rng         *rand.Rand // one per connection, so that its draws do not depend on other connections
+	partitioned bool       // no segment is delivered until the partition heals
 
-	// The sidecar's side; w.mu guards it.
+	// The sidecar's end of the connection, guarded by w.mu.
 	received           []byte
 	eof, reset         bool
-	resetReported      bool // the kernel tells a reader of a reset once, and of an end from then on
+	resetReported      bool // a reset is reported to a reader once; later reads return io.EOF, as with the kernel
 	closed             bool
 	readDeadline       time.Time
 	writeDeadline      time.Time
-	bytesInFlight      int // bytes on their way to the peer
+	bytesInFlight      int // written by the sidecar and not yet delivered to the peer
 	toPeer, toSidecar  []segment
-	toPeerScheduled    bool // an event for the first of toPeer stands
-	toSidecarScheduled bool
-	peerClosed         bool   // the peer has ended its side
-	dialedAddress      string // where to, if the sidecar made it
-	unanswered         []byte // the newest message without an answer, for a planted bug
+	toPeerScheduled    bool   // an event is scheduled for the first segment of toPeer
+	toSidecarScheduled bool   // the same for toSidecar
+	peerClosed         bool   // the peer has closed its end
+	dialedAddress      string // the address that the sidecar dialed; empty for a connection that the peer opened
+	unanswered         []byte // the newest message that got no response yet, kept for an injected bug
 }
 
-// segment is what travels one way.
+// segment is a part of what one end sends to the other: bytes, an orderly close or a reset.
 type segment struct {
 	bytes []byte
 	fin   bool
@@ -63,20 +63,23 @@
 	at    time.Time
 }
 
+// newConn returns a connection that is not established yet. It draws from the seed and its id.
 func (w *World) newConn(p *Process, id string, other peer, seed uint64) *conn {
 	return &conn{w: w, proc: p, peer: other, id: id, rng: rand.New(rand.NewPCG(seed, hashOf(id)))}
 }
 
+// randomLatency returns the time that one segment takes.
 func (c *conn) randomLatency() time.Duration {
 	limit := maxUsualLatency
 	if c.rng.Float64() < spikeProbability {
 		limit = maxLatency
 	}
-	// On a grid: some things then come in the same instant, and the scheduler picks.
+	// Latencies lie on a grid, so that some segments arrive at the same instant and the scheduler picks their order.
 	return minLatency * time.Duration(1+c.rng.Int64N(int64(limit/minLatency)))
 }
 
-// enqueue puts a segment on its way; w.mu is held. Segments of one way keep their order.
+// enqueue appends a segment to a queue, with the time of its delivery. Segments of one direction keep
+// their order. The caller holds w.mu.
 func (c *conn) enqueue(queue *[]segment, s segment) {
 	s.at = time.Now().Add(c.randomLatency())
 	if n := len(*queue); n > 0 && s.at.Before((*queue)[n-1].at) {
@@ -92,7 +95,8 @@
 	*queue = append(*queue, s)
 }
 
-// scheduleDelivery has the first segment of each way delivered; w.mu is held.
+// scheduleDelivery schedules the delivery of the first segment of each direction, unless that is done
+// already or the connection is partitioned. The caller holds w.mu.
 func (c *conn) scheduleDelivery() {
 	if c.partitioned {
 		return
@@ -108,6 +112,7 @@
 	c.w.wakeScheduler()
 }
 
+// deliverToPeer delivers the first segment that the sidecar sent.
 func (c *conn) deliverToPeer() {
 	c.w.mu.Lock()
 	c.toPeerScheduled = false
@@ -130,6 +135,7 @@
 	}
 }
 
+// deliverToSidecar delivers the first segment that the peer sent.
 func (c *conn) deliverToSidecar() {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -149,12 +155,12 @@
 		c.eof = true
 	default:
 		c.received = append(c.received, s.bytes...)
-		c.unanswered = nil // it is answered
+		c.unanswered = nil // any byte from the peer counts as the response
 	}
 	c.scheduleDelivery()
 }
 
-// peerWrite sends from the peer's side.
+// peerWrite sends text from the peer's end.
 func (c *conn) peerWrite(text string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -164,7 +170,7 @@
 	}
 }
 
-// peerClose ends the peer's side, in order or with a reset.
+// peerClose closes the peer's end, in order or with a reset.
 func (c *conn) peerClose(reset bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -176,7 +182,8 @@
 	c.scheduleDelivery()
 }
 
-// setPartitioned cuts the line, or mends it: what was held comes then.
+// setPartitioned starts or heals a partition of the connection. Segments sent meanwhile are delivered
+// after it heals.
 func (c *conn) setPartitioned(partitioned bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -184,12 +191,13 @@
 	c.scheduleDelivery()
 }
 
-// errReset is what the kernel says of a connection that broke.
+// errReset is the error of reads and writes after a reset, as the kernel reports it.
 var errReset = &net.OpError{Op: "sim", Net: "tcp", Err: syscall.ECONNRESET}
 
+// expired reports whether a deadline is set and has passed.
 func expired(limit, now time.Time) bool { return !limit.IsZero() && !limit.After(now) }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	c.w.park(c.id+"/read", func(now time.Time) bool {
 		return c.closed || c.reset || c.eof || len(c.received) > 0 || c.proc.dead || expired(c.readDeadline, now)
@@ -212,7 +220,7 @@
 	return 0, io.EOF
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (n int, err error) {
 	for {
 		c.w.park(c.id+"/write", func(now time.Time) bool {
@@ -249,7 +257,7 @@
 	}
 }
 
-// Close is net.Conn's. What has come and was not read makes it a reset.
+// Close implements net.Conn. As in TCP, bytes that were received and not read turn the close into a reset.
 func (c *conn) Close() error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -272,41 +280,43 @@
 	return nil
 }
 
-// Fresh tells whether it stands and is silent.
+// Fresh reports whether the connection is open and nothing has arrived on it: httpwire asks before it
+// uses an idle connection.
 func (c *conn) Fresh() bool {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	return !c.closed && !c.reset && !c.eof && len(c.received) == 0
 }
 
-// HungUp tells whether the other side has ended it, or broken it.
+// HungUp reports whether either end has closed or reset the connection.
 func (c *conn) HungUp() bool {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	return c.closed || c.reset || c.eof
 }
 
+// addr is the net.Addr of a simulated endpoint.
 type addr string
 
-// Network is net.Addr's.
+// Network implements net.Addr.
 func (addr) Network() string { return "tcp" }
 
-// String is net.Addr's.
+// String implements net.Addr.
 func (a addr) String() string { return string(a) }
 
-// LocalAddr is net.Conn's.
+// LocalAddr implements net.Conn.
 func (c *conn) LocalAddr() net.Addr { return addr(c.proc.address) }
 
-// RemoteAddr is net.Conn's.
+// RemoteAddr implements net.Conn. It returns the connection's id.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.id) }
 
-// SetDeadline is net.Conn's.
+// SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
 	c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline is net.Conn's.
+// SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.w.mu.Lock()
 	c.readDeadline = t
@@ -315,7 +325,7 @@
 	return nil
 }
 
-// SetWriteDeadline is net.Conn's.
+// SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.w.mu.Lock()
 	c.writeDeadline = t
@@ -324,14 +334,14 @@
 	return nil
 }
 
-// listener is a sidecar's.
+// listener accepts the connections that callers open to a sidecar.
 type listener struct {
 	proc    *Process
 	backlog []*conn
 	closed  bool
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	w := l.proc.w
 	w.park(l.proc.id+"/accept", func(time.Time) bool { return l.closed || l.proc.dead || len(l.backlog) > 0 }, nil)
@@ -346,7 +356,7 @@
 	return c, nil
 }
 
-// Close is net.Listener's: what stands in its queue is reset.
+// Close implements net.Listener. Connections that were not accepted yet are reset.
 func (l *listener) Close() error {
 	w := l.proc.w
 	w.mu.Lock()
@@ -362,10 +372,10 @@
 	return nil
 }
 
-// Addr is net.Listener's.
+// Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return addr(l.proc.address) }
 
-// connect opens a connection from a peer to a sidecar. The peer hears how it went.
+// connect opens a connection from a peer to a sidecar. Later steps call the peer's onOpen or onRefused.
 func (w *World) connect(p *Process, id string, from peer, seed uint64) *conn {
 	c := w.newConn(p, id, from, seed)
 	w.scheduleAfter(id+"/syn", c.randomLatency(), func() {
@@ -387,10 +397,12 @@
 	return c
 }
 
+// errRefused is the error of a dial to an address where nothing listens.
 var errRefused = errors.New("connection refused")
 
+// hashOf returns the FNV-1a hash of a text.
 func hashOf(text string) uint64 {
-	h := uint64(14695981039346656037) // FNV-1a
+	h := uint64(14695981039346656037) // FNV-1a offset basis
 	for _, b := range []byte(text) {
 		h = (h ^ uint64(b)) * 1099511628211
 	}
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -10,30 +10,31 @@
 	"heathgap/internal/env"
 )
 
-// Process is one start of a sidecar's process: the env.Env that its code runs on.
+// Process is one started process of a sidecar. It is the env.Env on which the sidecar's code runs.
 type Process struct {
 	w       *World
-	id      string // name and start
+	id      string // the sidecar's name and the number of the start, as in s0.1
 	address string
 	seed    uint64
-	route   func(address string) peer // who listens at an address; nil for nobody
+	route   func(address string) peer // returns the peer that listens at an address; nil for none
 	rng     *rand.Rand
 
 	dead            bool
 	listener        *listener
 	conns           []*conn
-	counts          map[string]int // of goroutines, dials and timers, by what for
-	dialsInProgress map[string]int // dials under way, by address
+	counts          map[string]int // numbers given by nextKey, by kind
+	dialsInProgress map[string]int // by address
 
-	// Bugs that tests plant into the process's connections.
-	resendOnReset        bool  // a used connection that breaks has its message sent again
-	repeatAnswerOnCancel bool  // a connection that is given up has the newest answer written again
-	lastAnsweredConn     *conn // the caller's connection that was answered last, and with what
+	// Bugs that tests inject into the process's connections.
+	resendOnReset        bool  // when a connection that the process dialed is reset, its unanswered message is sent again
+	repeatAnswerOnCancel bool  // when the process closes a connection that it dialed, the last answer to a caller is written again
+	lastAnsweredConn     *conn // the connection of a caller that was written to last, with the bytes of that write
 	lastAnswer           []byte
 }
 
 var _ env.Env = (*Process)(nil)
 
+// newProcess returns a process in which nothing runs yet.
 func (w *World) newProcess(id, address string, seed uint64, route func(string) peer) *Process {
 	return &Process{
 		w: w, id: id, address: address, seed: seed, route: route, counts: map[string]int{}, dialsInProgress: map[string]int{},
@@ -41,7 +42,7 @@
 	}
 }
 
-// nextKey names the next thing of a kind.
+// nextKey returns a key for the next goroutine, dial, timer or the like of the process.
 func (p *Process) nextKey(kind string) string {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
@@ -49,13 +50,13 @@
 	return fmt.Sprintf("%s/%s/%d", p.id, kind, p.counts[kind])
 }
 
-// Now is env.Env's.
+// Now implements env.Env.
 func (p *Process) Now() time.Time { return time.Now() }
 
-// BootTime is env.Env's: machines are not suspended here.
+// BootTime implements env.Env. Simulated machines are never suspended.
 func (p *Process) BootTime() time.Duration { return p.w.now() }
 
-// Go is env.Env's: the goroutine begins when the scheduler says so.
+// Go implements env.Env. The goroutine starts when the scheduler releases it.
 func (p *Process) Go(name string, f func()) {
 	key := p.nextKey(name)
 	go func() {
@@ -64,7 +65,7 @@
 	}()
 }
 
-// AfterFunc is env.Env's.
+// AfterFunc implements env.Env.
 func (p *Process) AfterFunc(d time.Duration, f func()) {
 	key := p.nextKey("after")
 	p.w.scheduleAfter(key, d, func() {
@@ -74,21 +75,21 @@
 	})
 }
 
-// Sleep is env.Env's.
+// Sleep implements env.Env.
 func (p *Process) Sleep(d time.Duration) {
 	until := time.Now().Add(d)
 	p.w.park(p.nextKey("sleep"), func(now time.Time) bool { return p.dead || !until.After(now) },
 		func() time.Time { return until })
 }
 
-// RandomDuration is env.Env's.
+// RandomDuration implements env.Env.
 func (p *Process) RandomDuration(d time.Duration) time.Duration {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	return time.Duration(p.rng.Int64N(int64(d)))
 }
 
-// timer fires as a step of the world.
+// timer implements env.Timer; it fires in a step of the world.
 type timer struct {
 	p    *Process
 	key  string
@@ -96,17 +97,17 @@
 	next *event
 }
 
-// NewTimer is env.Env's.
+// NewTimer implements env.Env.
 func (p *Process) NewTimer(d time.Duration) env.Timer {
 	t := &timer{p: p, key: p.nextKey("timer"), c: make(chan time.Time, 1)}
 	t.Reset(d)
 	return t
 }
 
-// C is env.Timer's.
+// C implements env.Timer.
 func (t *timer) C() <-chan time.Time { return t.c }
 
-// Stop is env.Timer's.
+// Stop implements env.Timer.
 func (t *timer) Stop() {
 	if t.next != nil {
 		t.p.w.cancel(t.next)
@@ -118,7 +119,7 @@
 	}
 }
 
-// Reset is env.Timer's.
+// Reset implements env.Timer.
 func (t *timer) Reset(d time.Duration) {
 	t.Stop()
 	t.next = t.p.w.scheduleAfter(t.key, d, func() {
@@ -132,7 +133,7 @@
 	})
 }
 
-// Listen is env.Env's.
+// Listen implements env.Env. A process has one listener; the address is ignored.
 func (p *Process) Listen(string) (net.Listener, error) {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
@@ -140,7 +141,8 @@
 	return p.listener, nil
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env. It fails at once with errRefused where nothing listens, and at its timeout
+// where the target is unreachable.
 func (p *Process) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	id := p.nextKey("dial")
 	deadline := time.Now().Add(timeout)
@@ -179,7 +181,7 @@
 	switch {
 	case ctx.Err() != nil || p.dead || p.w.closed || !connected && !refused:
 		c.closed = true
-		if connected { // it came up as it was given up
+		if connected { // it was established at the instant in which the caller gave up
 			c.enqueue(&c.toPeer, segment{fin: true})
 			c.scheduleDelivery()
 		}
@@ -195,8 +197,8 @@
 	return c, nil
 }
 
-// resendUnanswered is the planted bug: what was written to a connection that broke goes out
-// once more, on another, by itself.
+// resendUnanswered implements the injected bug resendOnReset: it sends the unanswered message of a
+// connection that was reset once more, on a new connection, without asking the module.
 func (p *Process) resendUnanswered(from *conn) {
 	other := p.route(from.dialedAddress)
 	if other == nil || len(from.unanswered) == 0 {
@@ -212,14 +214,13 @@
 	}})
 }
 
-// dialTarget is a peer whose machine may be cut off: connections do not come up then. They may also come up late.
+// dialTarget is a peer whose machine may be unreachable, so that dials to it time out, or slow to establish connections.
 type dialTarget interface {
 	unreachable() bool
 	connectDelay() time.Duration
 }
 
-// kill ends the process: its connections break, and whatever its goroutines still do
-// has no effect.
+// kill ends the process: its connections are reset, and what its goroutines still do has no effect.
 func (p *Process) kill() {
 	p.w.mu.Lock()
 	p.dead = true
@@ -230,7 +231,7 @@
 	}
 	for _, c := range broken {
 		if !c.closed {
-			c.toPeer = nil // what was not on the wire is gone with it
+			c.toPeer = nil // segments that were not delivered yet are lost
 			c.enqueue(&c.toPeer, segment{rst: true})
 			c.scheduleDelivery()
 		}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,13 +1,13 @@
-// Package sim runs the sidecar's network code in a world of its own: virtual time,
-// connections that carry real bytes, endpoints, discovery, clients and faults, all
-// of which follow from one seed. After each step the rules and the engine's books are
-// checked.
+// Package sim runs the sidecar's network code in a simulated world: virtual time, connections that
+// carry real bytes, and models of endpoints, discovery, clients and faults. Everything in a run
+// follows from one seed. After each step the simulation checks the rules of package oracle and the
+// consistency of the engine's internal counts.
 //
-// Goroutines of the sidecar are real and live in a testing/synctest bubble. Whatever
-// one does that others can see (a read, a write, a dial, the start of a goroutine, a
-// timer) parks it until the scheduler releases it. The scheduler acts only when all
-// stand still, and picks by the seed among the steps that are ready; so that no two
-// goroutines run at once in an order that nobody chose.
+// The sidecar's goroutines are real and run in a testing/synctest bubble. A goroutine parks before
+// each action that others can observe (a read, a write, a dial, the start of a goroutine, a timer)
+// until the scheduler releases it. The scheduler acts only when all goroutines are blocked, and uses
+// the seed to pick one of the steps that are ready. So no two goroutines run at once, and the order
+// of steps is always the scheduler's choice.
 package sim
 
 import (
@@ -22,15 +22,15 @@
 	"time"
 )
 
-// pendingOp is something that a goroutine wants to do and waits to be allowed.
+// pendingOp is an operation of a parked goroutine, which waits until the scheduler releases it.
 type pendingOp struct {
-	key     string // unique among what is parked
-	ready   func(now time.Time) bool
-	due     func() time.Time // when it becomes ready by itself; zero for never
+	key     string                   // unique among the parked operations
+	ready   func(now time.Time) bool // reports whether the operation may proceed; nil for always
+	due     func() time.Time         // when the operation becomes ready without any other event; the zero time for never
 	release chan struct{}
 }
 
-// event is something that the world does at a time.
+// event is an action of the simulated world that is due at a given time.
 type event struct {
 	key      string
 	at       time.Time
@@ -38,30 +38,30 @@
 	canceled bool // it was called off
 }
 
-// World is the simulated world. Its own state changes in steps alone; the mutex is for
-// goroutines that park while the scheduler looks.
+// World is the simulated world. Only steps change the state of its models; the mutex guards what
+// parking goroutines share with the scheduler.
 type World struct {
-	waitIdle func() // until all other goroutines of the bubble stand still
+	waitIdle func() // blocks until all other goroutines of the bubble are blocked
 	seed     uint64
 	wake     chan struct{}
 
 	mu     sync.Mutex
 	parked []*pendingOp
 	events []*event
-	closed bool // nothing parks any more
+	closed bool // the run is over: operations no longer park
 
 	start      time.Time
 	steps      int
 	traceHash  hash.Hash64
-	trace      io.Writer // nil for none
+	trace      io.Writer // one line per step; nil for none
 	check      func() error
 	rareEvents map[RareEvent]int
 }
 
-// RareEvent is a rare meeting of events that a run may bring about.
+// RareEvent is a coincidence of events that the tests count, to see that the seeds bring it about.
 type RareEvent string
 
-// The cases that are counted.
+// The coincidences that a run counts.
 const (
 	SimultaneousTimers RareEvent = "two timers due in one instant"
 	AnswerWithTimer    RareEvent = "an answer in the instant of a timer"
@@ -71,10 +71,10 @@
 	ReloadDuringWatch  RareEvent = "a reload while a watch waits"
 )
 
-// RareEvents are all of them.
+// RareEvents lists all of them.
 var RareEvents = []RareEvent{SimultaneousTimers, AnswerWithTimer, CancelWhileSending, DrainDuringDial, KillBeforeSend, ReloadDuringWatch}
 
-// countRareEvents counts what comes together among the steps that are ready.
+// countRareEvents counts the coincidences among the steps that are ready at one instant.
 func (w *World) countRareEvents(steps []step) {
 	timers, timerReady, answerReady := 0, false, false
 	for _, s := range steps {
@@ -93,7 +93,7 @@
 	}
 }
 
-// newWorld returns a world; wait is synctest.Wait.
+// newWorld returns a world whose scheduling follows from the seed. wait is synctest.Wait.
 func newWorld(seed uint64, wait func(), trace io.Writer) *World {
 	return &World{
 		waitIdle: wait, seed: mix(seed + 1), wake: make(chan struct{}, 1), start: time.Now(),
@@ -101,10 +101,10 @@
 	}
 }
 
-// now is the virtual time since the world began.
+// now is the virtual time since the start of the world.
 func (w *World) now() time.Duration { return time.Since(w.start) }
 
-// wakeScheduler has the scheduler look again.
+// wakeScheduler makes a sleeping scheduler check again which steps are ready.
 func (w *World) wakeScheduler() {
 	select {
 	case w.wake <- struct{}{}:
@@ -112,8 +112,8 @@
 	}
 }
 
-// park waits until the scheduler releases it. ready and due are asked with w.mu held;
-// a nil ready is ready at once.
+// park blocks the calling goroutine until the scheduler releases it. The scheduler calls ready and
+// due with w.mu held. With a nil ready the operation is ready at once.
 func (w *World) park(key string, ready func(now time.Time) bool, due func() time.Time) {
 	o := &pendingOp{key: key, ready: ready, due: due, release: make(chan struct{})}
 	w.mu.Lock()
@@ -127,7 +127,7 @@
 	<-o.release
 }
 
-// schedule has the world do something at a time, and returns it to be called off.
+// schedule adds an event at a given time and returns it, so that the caller can cancel it.
 func (w *World) schedule(key string, schedule time.Time, do func()) *event {
 	e := &event{key: key, at: schedule, do: do}
 	w.mu.Lock()
@@ -137,27 +137,27 @@
 	return e
 }
 
-// scheduleAfter is at, counted from now.
+// scheduleAfter adds an event that is due after d.
 func (w *World) scheduleAfter(key string, d time.Duration, do func()) *event {
 	return w.schedule(key, time.Now().Add(d), do)
 }
 
-// cancel calls an event off.
+// cancel cancels an event that has not run yet.
 func (w *World) cancel(e *event) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	e.canceled = true
 }
 
-// step is one thing that may come next.
+// step is one thing that may happen next: the release of a parked operation, or an event.
 type step struct {
 	key   string
 	op    *pendingOp
 	event *event
 }
 
-// readySteps lists what may come next, in an order that does not depend on how it came
-// about, and when the next thing becomes ready by itself.
+// readySteps returns the steps that may happen now, sorted by key so that their order does not depend
+// on how they came about, and the time at which the next step becomes ready without another event.
 func (w *World) readySteps() (steps []step, next time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -188,7 +188,7 @@
 	return steps, next
 }
 
-// run takes steps until done says so, a check fails, or nothing is left to come.
+// run executes steps until done returns true, a check fails, or no step can ever become ready.
 func (w *World) run(done func() bool) error {
 	for {
 		w.waitIdle()
@@ -216,9 +216,9 @@
 	}
 }
 
-// pick chooses among the steps that are ready: the first by a draw that follows from
-// the seed, the step's name and the time alone. A script from which something is left
-// out so keeps the order of the rest, and can be made small.
+// pick chooses among the ready steps the one with the lowest hash of the seed, the step's key and the
+// time. The choice depends on nothing else, so that the remaining steps keep their order when Shrink
+// leaves parts of a script out.
 func (w *World) pick(steps []step) step {
 	lowest, chosen := uint64(math.MaxUint64), 0
 	now := uint64(w.now())
@@ -230,20 +230,20 @@
 	return steps[chosen]
 }
 
-// mix spreads a number's bits (the finalizer of SplitMix64).
+// mix spreads the bits of a number (the finalizer of SplitMix64).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// execute takes one step.
+// execute runs one step, and adds it to the trace and its hash. choices is how many steps were ready.
 func (w *World) execute(s step, choices int) {
 	w.steps++
 	line := fmt.Sprintf("%d %d %s %d\n", w.steps, w.now(), s.key, choices)
-	io.WriteString(w.traceHash, line) //nolint:errcheck // a hash does not fail
+	io.WriteString(w.traceHash, line) //nolint:errcheck // writing to a hash never fails
 	if w.trace != nil {
-		io.WriteString(w.trace, line) //nolint:errcheck // a trace that is cut short shows that
+		io.WriteString(w.trace, line) //nolint:errcheck // a failed write shows as a truncated trace
 	}
 	w.mu.Lock()
 	if s.op != nil {
@@ -257,7 +257,7 @@
 	s.event.do()
 }
 
-// releaseAll lets all go that is parked, for good: the run is over.
+// releaseAll ends the scheduling: it releases all parked goroutines, and none parks afterwards.
 func (w *World) releaseAll() {
 	w.mu.Lock()
 	w.closed = true
