--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -19,23 +19,23 @@
 	"heathgap/internal/lab/servermodel"
 )
 
-// The models act in the world's steps, one at a time: they need no locks, and whatever
-// they do follows from what came and from the seed.
+// The models of endpoints, discovery and clients act in steps of the world, one at a time. So they need
+// no locks, and what they do follows from the bytes they receive and from the seed.
 
-// receivedRequest is a message that has come whole.
+// receivedRequest is a request that arrived completely.
 type receivedRequest struct {
 	method, path, class, id, key, query string
-	firstByte, lastByte                 time.Duration
+	firstByte, lastByte                 time.Duration // times at which its first and its last byte arrived
 }
 
-// requestParser gathers the bytes of a connection into requests.
+// requestParser splits the bytes of a connection into requests.
 type requestParser struct {
 	buf   []byte
-	first time.Duration // of the first byte that stands there
+	first time.Duration // when the first byte in buf arrived
 }
 
-// parse takes bytes; the requests that are whole by now come back. An error means that
-// what came is no request.
+// parse adds bytes and returns the requests that are complete now. An error means that the bytes are
+// not an HTTP request.
 func (in *requestParser) parse(now time.Duration, b []byte) (complete []receivedRequest, err error) {
 	if len(in.buf) == 0 {
 		in.first = now
@@ -66,18 +66,20 @@
 	return complete, nil
 }
 
-// keyStore is what a group of endpoints knows of keys.
+// keyStore is the memory of idempotency keys that all endpoints share.
 type keyStore struct {
 	window time.Duration
 	runs   map[string]*keyedRun
 }
 
+// keyedRun is the execution of a request under a key. waiters answer repeats that arrive before it is done.
 type keyedRun struct {
 	started time.Duration
 	done    bool
 	waiters []func()
 }
 
+// lookupOrStart returns the earlier run under a key, if it started within the window, or else starts a new one.
 func (k *keyStore) lookupOrStart(now time.Duration, key string) (earlier, started *keyedRun) {
 	if earlier = k.runs[key]; earlier != nil && now-earlier.started <= k.window {
 		return earlier, nil
@@ -87,6 +89,7 @@
 	return nil, started
 }
 
+// finish marks a run as done and answers the repeats that wait for it. r may be nil.
 func (r *keyedRun) finish() {
 	if r == nil || r.done {
 		return
@@ -98,39 +101,42 @@
 	r.waiters = nil
 }
 
-// endpoint is one process of the tier.
+// endpoint is one process of an endpoint.
 type endpoint struct {
 	s           *simulation
 	name        string
 	address     string
 	server      *servermodel.Server
 	parsers     map[*conn]*requestParser
-	tasks       map[*conn]*task
+	tasks       map[*conn]*task // requests in progress, by connection
 	conns       []*conn
-	serverEvent *event
-	fault       FaultKind
+	serverEvent *event    // the next event of server
+	fault       FaultKind // empty for none
 	partitioned bool
 
-	slowToConnect bool // beside whatever else troubles it
+	slowToConnect bool // independent of fault
 
 	dead         bool
-	serverEvents int // of the next event of its own
+	serverEvents int // numbers the events of server in their keys
 }
 
-// task is a request at work.
+// task is a request in progress.
 type task struct {
 	servermodel.Job
 	req     receivedRequest
-	c       *conn // nil when its peer has gone
-	keyed   *keyedRun
-	running bool // it is at the station
+	c       *conn     // nil when the connection has ended
+	keyed   *keyedRun // nil without an idempotency key
+	running bool      // it is still at the server model
 }
 
+// unreachable reports whether dials to the endpoint must time out.
 func (e *endpoint) unreachable() bool { return e.partitioned }
 
-// slowConnectDelay is how late connections come up, of those that do: within the connect time-out.
+// slowConnectDelay is added to the dials that SlowConnect delays. It is below the connect timeout of
+// 300 ms, so that they succeed.
 const slowConnectDelay = 250 * time.Millisecond
 
+// connectDelay returns how much later than usual connections are established.
 func (e *endpoint) connectDelay() time.Duration {
 	if !e.slowToConnect {
 		return 0
@@ -138,6 +144,7 @@
 	return slowConnectDelay
 }
 
+// onOpen implements peer.
 func (e *endpoint) onOpen(c *conn) {
 	if e.dead {
 		c.peerClose(true)
@@ -150,8 +157,10 @@
 	}
 }
 
+// onRefused implements peer; endpoints open no connections.
 func (e *endpoint) onRefused(*conn) {}
 
+// onData implements peer.
 func (e *endpoint) onData(c *conn, b []byte) {
 	in := e.parsers[c]
 	if e.dead || in == nil {
@@ -166,7 +175,7 @@
 	}
 }
 
-// onClose is told when the sidecar has closed: what is safe is given up, an effect goes on.
+// onClose implements peer. A request in progress is canceled if it is safe; one with an effect goes on.
 func (e *endpoint) onClose(c *conn, _ bool) {
 	if t := e.tasks[c]; t != nil {
 		t.c = nil
@@ -177,6 +186,7 @@
 	e.closeConn(c, false)
 }
 
+// closeConn ends a connection and forgets it.
 func (e *endpoint) closeConn(c *conn, reset bool) {
 	delete(e.parsers, c)
 	delete(e.tasks, c)
@@ -189,7 +199,7 @@
 	errorResponse   = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
 )
 
-// handleRequest takes a request that has come whole.
+// handleRequest starts work on a complete request, or answers it at once.
 func (e *endpoint) handleRequest(c *conn, q receivedRequest) {
 	class, known := e.s.classes[q.class]
 	e.s.arrived[q.id] = true
@@ -238,12 +248,13 @@
 	e.scheduleServer()
 }
 
+// okResponse returns the answer to a request that was served; its body names the request and the endpoint.
 func okResponse(q receivedRequest, name string) string {
 	body := q.id + " " + name + "\n"
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// finishDueTasks hands out what is done by now.
+// finishDueTasks answers the requests that are done by now.
 func (e *endpoint) finishDueTasks() {
 	done, overloaded := e.server.Due(e.s.now())
 	if overloaded {
@@ -265,14 +276,14 @@
 	}
 }
 
-// respond writes a task's answer, as the trouble has it.
+// respond writes a task's answer, changed by the endpoint's fault.
 func (e *endpoint) respond(t *task) {
 	text := okResponse(t.req, e.name)
 	switch e.fault {
 	case Hang:
 		return
 	case Truncate:
-		if e.s.rngFor(e.name, t.req.id, "open").IntN(2) == 0 { // only its connection's end would tell its end
+		if e.s.rngFor(e.name, t.req.id, "open").IntN(2) == 0 { // without a length: a client could tell the end only by the end of the connection
 			_, body, _ := strings.Cut(text, "\r\n\r\n")
 			t.c.peerWrite("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body[:len(body)-3])
 			e.closeConn(t.c, true)
@@ -287,6 +298,7 @@
 	t.c.peerWrite(text)
 }
 
+// scheduleServer schedules the next event of the server model, in place of the one scheduled before.
 func (e *endpoint) scheduleServer() {
 	if e.serverEvent != nil {
 		e.s.w.cancel(e.serverEvent)
@@ -297,8 +309,8 @@
 		return
 	}
 	e.serverEvents++
-	// Up to the network's grid: an answer may then leave, and come, in the same instant
-	// as something else does.
+	// Round up to the network's grid, so that an answer may be sent, and may arrive, at the same instant as
+	// another event.
 	at = (at + minLatency - 1).Truncate(minLatency)
 	e.serverEvent = e.s.w.schedule(fmt.Sprintf("%s/work/%d", e.name, e.serverEvents), e.s.w.start.Add(at), func() {
 		e.serverEvent = nil
@@ -307,7 +319,7 @@
 	})
 }
 
-// kill ends the process; its keys stay with the group, as do effects.
+// kill ends the process. Its keys stay known to the other endpoints, and effects stay.
 func (e *endpoint) kill() {
 	e.dead = true
 	for _, j := range e.server.Clear() {
@@ -319,14 +331,15 @@
 	e.scheduleServer()
 }
 
+// setPaused stops work on all requests, or lets it go on.
 func (e *endpoint) setPaused(paused bool) {
 	e.finishDueTasks()
 	e.server.Pause(e.s.now(), paused)
 	e.scheduleServer()
 }
 
-// setPartitioned cuts the endpoint's machine off, or brings it back: its old connections are
-// reset then.
+// setPartitioned makes the endpoint's machine unreachable, or reachable again. Its old connections are
+// reset when it is reachable again.
 func (e *endpoint) setPartitioned(partitioned bool) {
 	e.partitioned = partitioned
 	for _, c := range slices.Clone(e.conns) {
@@ -337,7 +350,7 @@
 	}
 }
 
-// listEntry is a line of the list, as discovery writes it.
+// listEntry is an entry of discovery's list, as written in its answers.
 type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -348,18 +361,19 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// discovery tells the list.
+// discovery is the model of the service that tells sidecars the list of endpoints.
 type discovery struct {
 	s         *simulation
-	index     int64
-	names     []string
+	index     int64    // of the newest change
+	names     []string // in the order of their first appearance
 	entries   map[string]listEntry
-	changedAt map[string]int64
+	changedAt map[string]int64 // index of the last change, by name
 	down      bool
 	parsers   map[*conn]*requestParser
 	watchers  []*watcher
 }
 
+// watcher is an open call for changes after an index.
 type watcher struct {
 	c       *conn
 	after   int64
@@ -370,6 +384,7 @@
 	return &discovery{s: s, entries: map[string]listEntry{}, changedAt: map[string]int64{}, parsers: map[*conn]*requestParser{}}
 }
 
+// publish changes an entry of the list and answers all open watches.
 func (d *discovery) publish(l listEntry) {
 	d.index++
 	if _, known := d.entries[l.Name]; !known {
@@ -392,6 +407,7 @@
 	}
 }
 
+// changesSince returns the answer to a call: the full list for 0, or else the entries that changed after an index.
 func (d *discovery) changesSince(after int64) map[string]any {
 	lines := []listEntry{}
 	for _, name := range d.names {
@@ -404,17 +420,18 @@
 	return map[string]any{"index": d.index, "snapshot": after == 0, "endpoints": lines}
 }
 
-// respond answers a call with what is newer, and books what it told.
+// respond answers a call and records what was delivered.
 func (d *discovery) respond(c *conn, after int64) {
 	text, err := json.Marshal(d.changesSince(after))
 	if err != nil {
-		panic(err) // it holds nothing that can't be written
+		panic(err) // all its values can be encoded
 	}
 	c.peerWrite("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + string(text))
 	d.s.checker.ListDelivered(d.s.now()+maxLatency*2, c.proc.sidecarName(), d.index)
 	d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 }
 
+// setDown makes discovery fail, or work again. When it fails, open watches are reset.
 func (d *discovery) setDown(down bool) {
 	d.down = down
 	d.s.checker.SetDiscoveryUp(d.s.now(), !down)
@@ -431,6 +448,7 @@
 	}
 }
 
+// onOpen implements peer.
 func (d *discovery) onOpen(c *conn) {
 	if d.down {
 		c.peerClose(true)
@@ -439,8 +457,10 @@
 	d.parsers[c] = &requestParser{}
 }
 
+// onRefused implements peer; discovery opens no connections.
 func (d *discovery) onRefused(*conn) {}
 
+// onClose implements peer.
 func (d *discovery) onClose(c *conn, _ bool) {
 	delete(d.parsers, c)
 	d.watchers = slices.DeleteFunc(d.watchers, func(w *watcher) bool {
@@ -453,6 +473,7 @@
 	c.peerClose(false)
 }
 
+// onData implements peer.
 func (d *discovery) onData(c *conn, b []byte) {
 	in := d.parsers[c]
 	if in == nil {
@@ -465,6 +486,7 @@
 	}
 }
 
+// handleCall answers a call at once, or keeps it open as a watch while there is no newer change.
 func (d *discovery) handleCall(c *conn, q receivedRequest) {
 	if d.down {
 		c.peerWrite("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
@@ -472,7 +494,7 @@
 		return
 	}
 	var after, ms int64
-	fmt.Sscanf(q.query, "after=%d&wait_ms=%d", &after, &ms) //nolint:errcheck // the whole list has neither
+	fmt.Sscanf(q.query, "after=%d&wait_ms=%d", &after, &ms) //nolint:errcheck // a call for the full list has neither
 	if after == 0 || d.index > after {
 		d.respond(c, after)
 		return
@@ -486,25 +508,26 @@
 	d.watchers = append(d.watchers, w)
 }
 
-// client is one caller's connection; it asks one thing at a time.
+// client is one connection of a caller, with at most one request at a time.
 type client struct {
 	s        *simulation
 	c        *conn
-	pending  *Request // what is out; nil while idle
+	pending  *Request // the request without an outcome; nil while idle
 	sentAt   time.Duration
 	buf      []byte
-	answered int
-	closed   bool // the sidecar has ended it, or it is no use any more
-	timeout  *event
+	answered int    // requests answered on the connection
+	closed   bool   // the connection has ended, or must not be used again
+	timeout  *event // when the client gives up; nil until the first request is written
 }
 
+// onOpen implements peer.
 func (k *client) onOpen(c *conn) {
 	if !k.closed {
 		k.write()
 	}
 }
 
-// onRefused is told when no connection came up: nothing was asked.
+// onRefused implements peer. The request counts as settled, though it was not sent.
 func (k *client) onRefused(*conn) {
 	k.closed = true
 	k.s.notConnected++
@@ -512,7 +535,7 @@
 	k.pending = nil
 }
 
-// write sends what the client asks.
+// write sends the pending request.
 func (k *client) write() {
 	a := k.pending
 	class := k.s.classes[a.Class]
@@ -541,6 +564,7 @@
 	k.timeout = k.s.w.scheduleAfter(k.c.id+"/limit/"+a.ID, wait, func() { k.onTimeout(a.Leave > 0) })
 }
 
+// onTimeout records that the client gave up: because its script says so, or since no answer came in time.
 func (k *client) onTimeout(leaves bool) {
 	if leaves {
 		k.s.checker.ClientLeft(k.s.now(), k.pending.ID)
@@ -550,7 +574,7 @@
 	k.finish(true)
 }
 
-// finish ends what is out, and the connection.
+// finish settles the pending request and closes the connection.
 func (k *client) finish(reset bool) {
 	k.s.w.cancel(k.timeout)
 	k.pending, k.closed = nil, true
@@ -559,6 +583,7 @@
 	k.c.peerClose(reset)
 }
 
+// onClose implements peer.
 func (k *client) onClose(c *conn, _ bool) {
 	if k.closed {
 		return
@@ -568,7 +593,7 @@
 		c.peerClose(false)
 		return
 	}
-	if k.timeout == nil { // it broke before anything was written
+	if k.timeout == nil { // the connection ended before the request was written
 		k.onRefused(c)
 		c.peerClose(false)
 		return
@@ -578,7 +603,8 @@
 	case c.proc.dead:
 		k.s.checker.RequestInterrupted(k.s.now(), a.ID)
 	case k.answered > 0 && len(k.buf) == 0 && k.s.checker.RetractRequest(a.ID):
-		// It ended as the request crossed that: once more, on a new connection.
+		// The sidecar closed the idle connection while the request was on its way, and no endpoint got an
+		// attempt: send it again on a new connection.
 		k.s.w.cancel(k.timeout)
 		k.pending = nil
 		delete(k.s.unanswered, k)
@@ -591,6 +617,7 @@
 	k.finish(false)
 }
 
+// onData implements peer.
 func (k *client) onData(_ *conn, b []byte) {
 	if k.closed {
 		return
@@ -606,12 +633,13 @@
 	left := bytes.NewReader(k.buf)
 	r := bufio.NewReaderSize(left, len(k.buf)+16)
 	if err := m.Read(r); err != nil {
-		return // not whole yet; if never, its time will tell
+		return // incomplete so far; the timeout handles an answer that never completes
 	}
 	k.buf = k.buf[len(k.buf)-left.Len()-r.Buffered():]
 	k.handleResponse(&m)
 }
 
+// handleResponse records a complete answer.
 func (k *client) handleResponse(m *fasthttp.Response) {
 	a, now := k.pending, k.s.now()
 	k.s.w.cancel(k.timeout)
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -21,60 +21,60 @@
 	"heathgap/internal/operator"
 )
 
-// Figures of the simulated deployment.
+// Properties of the simulated deployment.
 const (
-	coldFor  = 4 * time.Second
-	coldFrom = 0.1
-	// More than so many times its present capacity, for so long, pushes a cold one over.
+	coldFor  = 4 * time.Second // an endpoint is cold for so long after its start
+	coldFrom = 0.1             // share of its capacity that an endpoint has at its start
+	// A cold endpoint is overloaded when it gets more than overloadMultiple times its present capacity for overloadFor.
 	overloadMultiple = 2.0
 	overloadFor      = 300 * time.Millisecond
-	answerSlack      = 20 * time.Millisecond
-	drainGrace       = 300 * time.Millisecond
-	pollInterval     = 5 * time.Second
-	deliveredAfter   = 6 * time.Second
-	deadline         = time.Second
-	// networkMargin is what the network may add between a sidecar and who watches it: an
-	// answer and an attempt each on their way.
+	answerSlack      = 20 * time.Millisecond  // an answer may be so much later than the caller's deadline
+	drainGrace       = 300 * time.Millisecond // attempts to a draining endpoint must end within it
+	pollInterval     = 5 * time.Second        // a sidecar that has sent no call for the list for so long counts as if it had the newest list
+	deliveredAfter   = 6 * time.Second        // a change of the list counts as delivered after so long, whether or not it arrived
+	deadline         = time.Second            // of each request
+	// networkMargin is the most that the network adds to the times that models see: the latency of an
+	// answer and of an attempt.
 	networkMargin = 4 * maxLatency
-	settleLimit   = 20 * time.Second // of virtual time, after the last request
+	settleLimit   = 20 * time.Second // virtual time after the end of the script in which all requests must be settled
 )
 
-// Failure is a broken rule, or books that do not add up.
+// Failure is a violated rule, or internal counts of the engine that contradict each other.
 type Failure struct {
-	Rule string // a truth.Rule, "books" or "stuck"
-	Step int
-	At   time.Duration
+	Rule string        // an oracle.Rule; "books" for contradicting counts, "stuck" for a run that does not end
+	Step int           // number of steps taken so far
+	At   time.Duration // virtual time since the start of the run
 	What string
 }
 
-// Error tells it in a line.
+// Error implements error, in one line.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("step %d at %v: %s: %s", f.Step, f.At, f.Rule, f.What)
 }
 
-// Result is what a run left.
+// Result is the outcome of a run.
 type Result struct {
-	Failure    *Failure // nil for a good run
-	Hash       uint64   // over all steps
+	Failure    *Failure // nil if the run passed
+	Hash       uint64   // of all steps, in order
 	Steps      int
-	Time       time.Duration
+	Time       time.Duration // virtual time that the run took
 	Requests   int
 	Faults     int
-	Verdicts   [4]int // served, refused, failed, malformed
-	Attempts   int
-	RareEvents map[RareEvent]int // rare meetings of events
+	Verdicts   [4]int            // by oracle.Verdict: served, refused, failed, malformed
+	Attempts   int               // attempts that arrived at endpoints
+	RareEvents map[RareEvent]int // how often each coincidence came about
 }
 
-// Options are those of a run.
-type Options struct {
-	Wait    func()            // synctest.Wait: the run must be in a bubble
-	Trace   io.Writer         // a line a step; nil for none
+// Options hold what a run needs beside its script.
+type Options struct { // synctest.Wait: the run must be in a bubble of testing/synctest
+	Wait    func()            // receives one line per step; nil for none
+	Trace   io.Writer         // receives the logs of the sidecars; nil for none
 	Log     io.Writer         // of the sidecars; nil for none
-	Decider lifecycle.Decider // nil for the module
-	Bug     func(p *Process)  // plants a bug into a process; nil for none
+	Decider lifecycle.Decider // the decision module to use; nil for the real one
+	Bug     func(p *Process)  // injects a bug into each process that starts; nil for none
 }
 
-// simulation is one run.
+// simulation holds the models and the state of one run.
 type simulation struct {
 	w            *World
 	script       Script
@@ -82,19 +82,19 @@
 	checker      *oracle.Checker
 	classes      map[string]decide.Class
 	keys         *keyStore
-	meanWork     time.Duration
-	endpoints    []*endpoint // by place; the one that stands there now
-	routes       map[string]peer
-	namesGiven   int
+	meanWork     time.Duration   // mean time that an endpoint works on a request
+	endpoints    []*endpoint     // the present process at each index; a cold process replaces a crashed one
+	routes       map[string]peer // listening peers by address
+	namesGiven   int             // number of endpoint names given out
 	discovery    *discovery
 	sidecars     []*sidecar
-	idleClients  []*client
-	clientIDs    map[string]bool // connections by their ids
-	settled      int
-	notConnected int
-	unanswered   map[*client]bool // those that have asked and heard nothing yet
-	arrived      map[string]bool  // requests of which an attempt has come to an endpoint
-	verdicts     [4]int
+	idleClients  []*client        // connected clients without a pending request
+	clientIDs    map[string]bool  // ids of all connections from clients so far
+	settled      int              // requests with a final outcome
+	notConnected int              // requests whose connection was not established; they are settled too
+	unanswered   map[*client]bool // clients whose request has no outcome yet
+	arrived      map[string]bool  // ids of requests of which an attempt has reached an endpoint
+	verdicts     [4]int           // as in Result
 }
 
 // sidecar is one sidecar over all its starts.
@@ -102,26 +102,28 @@
 	name     string
 	starts   int
 	proc     *Process
-	instance *lifecycle.Sidecar // nil until it has started
+	instance *lifecycle.Sidecar // the present process's; nil until it has started
 }
 
-// sidecarName is the sidecar's, without its start.
+// sidecarName returns the name of the process's sidecar, without the number of the start.
 func (p *Process) sidecarName() string {
 	name, _, _ := strings.Cut(p.id, ".")
 	return name
 }
 
+// now is the virtual time since the start of the run.
 func (s *simulation) now() time.Duration { return s.w.now() }
 
-// clientMargin is how long clients wait past a request's time.
+// clientMargin is how long clients wait for an answer past a request's deadline.
 func (s *simulation) clientMargin() time.Duration { return answerSlack + networkMargin + 4*maxLatency }
 
-// rngFor are a source of their own for what is named: draws do not depend on others.
+// rngFor returns a random source for one purpose, named by parts, so that its draws do not depend on
+// other draws.
 func (s *simulation) rngFor(parts ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(s.script.Seed, hashOf(strings.Join(parts, "/"))))
 }
 
-// Run plays a script. It must be called in a bubble of testing/synctest.
+// Run runs a script. It must be called in a bubble of testing/synctest.
 func Run(script Script, opts Options) Result {
 	s := &simulation{
 		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, meanWork: script.Work,
@@ -168,12 +170,12 @@
 	return result
 }
 
-// finished tells whether all is settled.
+// finished reports whether the script is over and all its requests are settled, or the time for that has passed.
 func (s *simulation) finished() bool {
 	return s.now() >= s.script.Duration && s.settled >= len(s.script.Requests) || s.now() > s.script.Duration+settleLimit
 }
 
-// shutdown ends all processes and lets their goroutines go.
+// shutdown ends all processes and releases their goroutines.
 func (s *simulation) shutdown() {
 	for _, sc := range s.sidecars {
 		sc.proc.kill()
@@ -185,11 +187,11 @@
 	time.Sleep(serverShutdownTime)
 }
 
-// serverShutdownTime is how long a goroutine of fasthttp's server, which looks after its
-// workers, goes on sleeping past the server's end (10 s in its version 1.79).
+// serverShutdownTime is longer than the goroutine that manages the workers of a fasthttp server sleeps
+// after the server has ended (10 s in version 1.79).
 const serverShutdownTime = 11 * time.Second
 
-// checkInvariants looks after each step whether all rules hold and the books add up.
+// checkInvariants checks after each step that no rule is violated and that the engine's counts agree.
 func (s *simulation) checkInvariants() error {
 	report := s.checker.Close()
 	if len(report.Violations) > 0 {
@@ -211,7 +213,8 @@
 	return nil
 }
 
-// startEndpoint starts an endpoint at a place; under its old name, or a new one.
+// startEndpoint starts an endpoint at an index: under the given name, with the address that the index
+// has, or under a new name and address if name is empty.
 func (s *simulation) startEndpoint(index int, name string, cold bool) {
 	address := name
 	if name == "" {
@@ -225,7 +228,7 @@
 		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: overloadMultiple, FallFor: overloadFor,
 	}, s.now(), cold)
 	if err != nil {
-		panic(err) // the figures are right
+		panic(err) // the configuration is valid
 	}
 	e := &endpoint{s: s, name: name, address: address, server: server, parsers: map[*conn]*requestParser{}, tasks: map[*conn]*task{}}
 	if index < len(s.endpoints) {
@@ -238,6 +241,7 @@
 	s.discovery.publish(s.entryFor(e, "SERVING", cold))
 }
 
+// entryFor returns the endpoint's entry in the list of discovery.
 func (s *simulation) entryFor(e *endpoint, status string, cold bool) listEntry {
 	l := listEntry{Name: e.name, Address: e.address, Zone: "z", Group: 1, Status: status, Weight: 1}
 	if cold {
@@ -246,7 +250,7 @@
 	return l
 }
 
-// start starts a sidecar's process.
+// start starts a new process of a sidecar.
 func (s *simulation) start(sc *sidecar) {
 	sc.starts++
 	id := fmt.Sprintf("%s.%d", sc.name, sc.starts)
@@ -266,7 +270,7 @@
 	}
 	conf, err := config.Parse(s.sidecarConfig(sc), func(string) string { return "" })
 	if err != nil {
-		panic(err) // the lab's own text
+		panic(err) // sidecarConfig writes a valid configuration
 	}
 	log := zerolog.Nop()
 	if s.opts.Log != nil {
@@ -274,11 +278,12 @@
 	}
 	run, err := lifecycle.Start(conf, log, lifecycle.Options{Operator: operator.Default(), Decider: s.opts.Decider, Env: proc})
 	if err != nil {
-		panic(err) // nothing can be in its way
+		panic(err) // the simulated environment gives no reason to fail
 	}
 	sc.instance = run
 }
 
+// sidecarConfig returns the configuration file of a sidecar's next process.
 func (s *simulation) sidecarConfig(sc *sidecar) []byte {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 200.0, "deadline": millis(deadline),
@@ -305,9 +310,11 @@
 	return text
 }
 
+// millis returns a duration in milliseconds, the unit of the settings.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// sendRequest has a client ask: on an idle connection, or on one of its own.
+// sendRequest has a client send a request, on an idle connection if there is one and the request does
+// not need a connection of its own.
 func (s *simulation) sendRequest(a Request) {
 	s.idleClients = slices.DeleteFunc(s.idleClients, func(k *client) bool { return k.closed })
 	if n := len(s.idleClients); n > 0 && !a.Fresh {
@@ -321,7 +328,7 @@
 	s.sendOnNewConn(&a)
 }
 
-// sendOnNewConn asks on a new connection, of any sidecar that stands.
+// sendOnNewConn has a new client send a request, to any sidecar that runs.
 func (s *simulation) sendOnNewConn(a *Request) {
 	var up []*sidecar
 	for _, sc := range s.sidecars {
@@ -335,7 +342,7 @@
 		return
 	}
 	id := "c/" + a.ID
-	for s.clientIDs[id] { // it crossed the end of a connection, and is sent once more
+	for s.clientIDs[id] { // the request was sent before, on a connection that the sidecar was closing
 		id += "+"
 	}
 	s.clientIDs[id] = true
@@ -343,7 +350,8 @@
 	k.c = s.w.connect(up[s.rngFor("front", a.ID).IntN(len(up))].proc, id, k, s.script.Seed)
 }
 
-// injectFault begins a fault, and has it end.
+// injectFault starts the nth fault of the script and schedules its end. It has no effect on an endpoint
+// that is dead, draining or gone.
 func (s *simulation) injectFault(n int, f Fault) {
 	later := func(do func()) { s.w.scheduleAfter(fmt.Sprintf("fault/%d/end", n), f.For, do) }
 	switch f.Kind {
@@ -392,6 +400,7 @@
 	}
 }
 
+// injectSidecarFault starts a fault of a sidecar. It has no effect on a sidecar that does not run.
 func (s *simulation) injectSidecarFault(f Fault, later func(func())) {
 	sc := s.sidecars[f.Target%len(s.sidecars)]
 	proc, run := sc.proc, sc.instance
@@ -410,7 +419,7 @@
 		s.killSidecar(proc, run)
 		later(func() { s.start(sc) })
 	case Stop:
-		// Like the platform: SIGTERM, and SIGKILL when even the slowest answer is due.
+		// As the platform does: SIGTERM, then SIGKILL when even the last answer is overdue.
 		restart := func() {
 			if !proc.dead {
 				s.killSidecar(proc, run)
@@ -425,7 +434,7 @@
 	}
 }
 
-// killSidecar ends a process at once.
+// killSidecar ends a process at once, as SIGKILL does.
 func (s *simulation) killSidecar(p *Process, run *lifecycle.Sidecar) {
 	for k := range s.unanswered {
 		if k.c.proc == p && k.pending != nil && !s.arrived[k.pending.ID] {
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -7,90 +7,91 @@
 	"time"
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is a kind of fault, as saved scripts name it.
 type FaultKind string
 
-// The kinds. What lasts ends after For.
+// The kinds of faults. One that lasts ends after Fault.For.
 const (
-	Crash         FaultKind = "crash"    // an endpoint dies, and comes back cold under its name
-	ColdJoin      FaultKind = "cold"     // a cold endpoint joins, under a name of its own
-	Drain         FaultKind = "drain"    // an endpoint drains, and leaves
-	Stall         FaultKind = "stall"    // an endpoint stops working
-	Errors        FaultKind = "errors"   // an endpoint fails all it gets, at once
-	Refuse        FaultKind = "refuse"   // an endpoint turns all away
+	Crash         FaultKind = "crash"    // an endpoint dies, and starts again cold under its name after For
+	ColdJoin      FaultKind = "cold"     // a cold endpoint joins under a new name
+	Drain         FaultKind = "drain"    // an endpoint drains, and leaves after For
+	Stall         FaultKind = "stall"    // an endpoint stops working on its requests
+	Errors        FaultKind = "errors"   // an endpoint answers every request with an error at once
+	Refuse        FaultKind = "refuse"   // an endpoint rejects every request
 	Hang          FaultKind = "hang"     // an endpoint never answers
-	Truncate      FaultKind = "half"     // an endpoint breaks off within answers
-	Garbage       FaultKind = "garbage"  // an endpoint answers with nonsense
-	Partition     FaultKind = "cut_off"  // a machine is silent
-	SlowConnect   FaultKind = "late"     // connections to an endpoint come up late
-	Kill          FaultKind = "kill"     // a sidecar is killed, and starts again from nothing
+	Truncate      FaultKind = "half"     // an endpoint truncates its answers
+	Garbage       FaultKind = "garbage"  // an endpoint answers with bytes that are not HTTP
+	Partition     FaultKind = "cut_off"  // an endpoint's machine is unreachable; its connections are reset when that ends
+	SlowConnect   FaultKind = "late"     // connections to an endpoint are established late
+	Kill          FaultKind = "kill"     // a sidecar is killed, and starts again without state after For
 	Stop          FaultKind = "stop"     // a sidecar gets SIGTERM, and starts again when it has ended
-	DiscoveryDown FaultKind = "listdown" // discovery is down
-	Reload        FaultKind = "reload"   // a sidecar is told another discovery's address, with the same list
+	DiscoveryDown FaultKind = "listdown" // discovery does not answer
+	Reload        FaultKind = "reload"   // a sidecar is given another address of discovery, which has the same list
 )
 
+// The kinds from which GenerateScript picks; SlowConnect is generated separately.
 var endpointFaults = []FaultKind{Crash, ColdJoin, Drain, Stall, Errors, Refuse, Hang, Truncate, Garbage, Partition}
 var otherFaults = []FaultKind{Kill, Stop, DiscoveryDown, Reload}
 
 // Fault is one fault of a script.
 type Fault struct {
 	Kind   FaultKind
-	At     time.Duration
-	For    time.Duration
-	Target int // endpoint or sidecar, modulo how many there are
+	At     time.Duration // since the start of the run
+	For    time.Duration // how long it lasts
+	Target int           // index of an endpoint or sidecar, modulo their number
 }
 
 // Request is one request of a script.
 type Request struct {
 	ID    string
-	Class string
-	Key   string
-	At    time.Duration
-	Leave time.Duration // after which its client leaves; 0 for never
-	Close bool          // its connection ends with it
-	Fresh bool          // on a connection of its own
+	Class string        // "look" (safe), "pay" (keyed) or "burn" (unsafe)
+	Key   string        // idempotency key; empty for none
+	At    time.Duration // since the start of the run
+	Leave time.Duration // the client leaves so long after it sent the request; 0 for never
+	Close bool          // the client closes the connection after the answer
+	Fresh bool          // the client opens a connection for it, also when one is idle
 }
 
-// Script is all that happens in a run but what the scheduler picks: that follows from
-// Seed. A failing script can be made smaller and kept.
+// Script is everything that happens in a run except the scheduler's choices, which follow from Seed.
+// A failing script can be shrunk and saved.
 type Script struct {
 	Seed      uint64
 	Sidecars  int
 	Endpoints int
-	Duration  time.Duration
-	Window    time.Duration // in which keys are known
-	Work      time.Duration // of a request, on average
+	Duration  time.Duration // requests and faults start within it
+	Window    time.Duration // how long endpoints remember idempotency keys
+	Work      time.Duration // mean time that an endpoint works on a request
 	Requests  []Request     `json:"Asks"` // in the order of their times
 	Faults    []Fault
 }
 
-// Sizes of drawn scripts.
+// Sizes of generated scripts. A constant named ...Every is the n of "in one script of n".
 const (
 	maxSidecars           = 3
 	minEndpoints          = 3
 	maxEndpoints          = 6
 	minRequests           = 40
-	extraRequests         = 80
-	heavyRequests         = 300 // of one script in heavyEvery, which also has a cold arrival
+	extraRequests         = 80  // at most so many more than minRequests
+	heavyRequests         = 300 // in one script of heavyEvery, in which a cold endpoint joins too
 	heavyEvery            = 5
 	maxFaults             = 10
-	overlapEvery          = 4 // one script in so many has all four kinds of trouble at once
-	partitionedDrainEvery = 6 // one script in so many has an endpoint drain whose machine is cut off
-	slowConnectEvery      = 4 // one script in so many has connections to all endpoints come up late, from some time on
+	overlapEvery          = 4 // overlappingFaults adds a fault of each of the four groups
+	partitionedDrainEvery = 6 // an endpoint drains while its machine is unreachable
+	slowConnectEvery      = 4 // connections to all endpoints are established late, each from some time on
 	scriptDuration        = 6 * time.Second
-	timeGrid              = time.Millisecond // requests and faults begin on it, so that some meet in an instant
+	timeGrid              = time.Millisecond // requests and faults start on this grid, so that some start at the same instant
 	lightWork             = 15 * time.Millisecond
 	heavyWork             = 50 * time.Millisecond
 	longWindow            = 3 * time.Second
-	shortWindow           = 600 * time.Millisecond // of one script in three: repeats must stay within it
+	shortWindow           = 600 * time.Millisecond // in one script of three: repeats under a key must stay within it
 )
 
-// randomTime draws a time on the grid.
+// randomTime returns a time on the grid, below limit.
 func randomTime(r *rand.Rand, limit time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(limit/timeGrid))) * timeGrid
 }
 
-// GenerateScript draws a script from a seed.
+// GenerateScript generates the script of a seed.
 func GenerateScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 12))
 	s := Script{
@@ -122,7 +123,7 @@
 		a.Fresh = r.IntN(4) == 0
 		s.Requests = append(s.Requests, a)
 	}
-	// Bursts: some requests come in the same instant as others.
+	// Bursts: one request in five starts at the same time as another.
 	for n := range s.Requests {
 		if r.IntN(5) == 0 {
 			s.Requests[n].At = s.Requests[r.IntN(len(s.Requests))].At
@@ -143,12 +144,12 @@
 		s.Faults = append(s.Faults, overlappingFaults(r, s.Duration)...)
 	}
 	if r.IntN(partitionedDrainEvery) == 0 {
-		// Dials to a machine that is cut off hang: the drain comes meanwhile.
+		// Dials to an unreachable machine hang, and the endpoint drains in the meantime.
 		partition := Fault{Kind: Partition, Target: r.IntN(maxEndpoints), At: randomTime(r, s.Duration), For: maxFaultDuration}
 		drain := Fault{Kind: Drain, Target: partition.Target, At: partition.At + randomTime(r, maxFaultDuration/2), For: maxFaultDuration}
 		s.Faults = append(s.Faults, partition, drain)
 	}
-	// From a source of its own, so that the rest of a seed's script stays as it was.
+	// These faults have their own random source, so that they do not change the rest of a seed's script.
 	if rng := rand.New(rand.NewPCG(seed, 13)); rng.IntN(slowConnectEvery) == 0 {
 		for target := range s.Endpoints {
 			s.Faults = append(s.Faults, Fault{Kind: SlowConnect, Target: target, At: randomTime(rng, s.Duration/2), For: s.Duration})
@@ -158,10 +159,10 @@
 	return s
 }
 
-// maxFaultDuration bounds how long a fault lasts.
+// maxFaultDuration is the longest time that a generated fault lasts, except SlowConnect.
 const maxFaultDuration = 2 * time.Second
 
-// overlappingFaults draws a restart, a failure, a stall and a cold arrival that meet.
+// overlappingFaults generates a restart, a failure, a stall and a cold start that are under way at the same time.
 func overlappingFaults(rng *rand.Rand, duration time.Duration) (faults []Fault) {
 	meet := randomTime(rng, duration-maxFaultDuration) + maxFaultDuration/2
 	for _, kinds := range [][]FaultKind{{Kill, Stop}, {Errors, Truncate, Garbage, Refuse}, {Stall, Hang, Partition}, {ColdJoin, Crash}} {
@@ -173,8 +174,8 @@
 	return faults
 }
 
-// HasOverlap tells whether a restart, a failure, a stall and a cold arrival are all
-// under way at one time.
+// HasOverlap reports whether a restart, a failure, a stall and a cold start are all under way at the
+// same time.
 func (s *Script) HasOverlap() bool {
 	groups := map[FaultKind]int{
 		Kill: 0, Stop: 0, Errors: 1, Truncate: 1, Garbage: 1, Refuse: 1, Stall: 2, Hang: 2, Partition: 2, ColdJoin: 3, Crash: 3,
@@ -185,7 +186,7 @@
 			group, counts := groups[f.Kind]
 			end := f.At + f.For
 			if f.Kind == ColdJoin || f.Kind == Crash {
-				end += coldFor // it is cold for so long after
+				end += coldFor // it stays cold for so long after it starts
 			}
 			if counts && f.At <= start.At && start.At <= end {
 				seen[group] = true
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Shrink makes a failing script smaller for as long as it fails by the same rule:
-// without some of its faults, requests, sidecars and endpoints, and shorter. fails
-// plays a script and returns its failure.
+// Shrink reduces a failing script while it still violates the same rule: it removes faults, requests,
+// sidecars and endpoints, and shortens the run. fails runs a script and returns its failure, nil if it
+// passed.
 func Shrink(script Script, fails func(Script) *Failure) Script {
 	original := fails(script)
 	if original == nil {
@@ -30,7 +30,7 @@
 	return script
 }
 
-// fewerRequests drops requests, half of them at a time at first, then ever fewer.
+// fewerRequests tries to remove requests, first half of them at a time, then ever smaller parts.
 func fewerRequests(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for size := (len(s.Requests) + 1) / 2; size > 0; size /= 2 {
 		for from := 0; from < len(s.Requests); {
@@ -46,6 +46,7 @@
 	return s, smaller
 }
 
+// fewerFaults tries to remove each fault.
 func fewerFaults(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for i := 0; i < len(s.Faults); {
 		try := s
@@ -59,6 +60,7 @@
 	return s, smaller
 }
 
+// fewerProcesses tries to run with fewer sidecars and fewer endpoints.
 func fewerProcesses(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for _, n := range []func(*Script) *int{
 		func(s *Script) *int { return &s.Sidecars }, func(s *Script) *int { return &s.Endpoints },
@@ -75,7 +77,7 @@
 	return s, smaller
 }
 
-// shorterDuration ends the run after the last thing that begins in it.
+// shorterDuration tries to end the run after the last request or fault of the script.
 func shorterDuration(s Script, stillFails func(Script) bool) (Script, bool) {
 	try := s
 	try.Duration = timeGrid
@@ -91,13 +93,13 @@
 	return s, false
 }
 
-// SavedFailure is a script that was kept because it once failed.
+// SavedFailure is a script that failed once and is saved as a test case.
 type SavedFailure struct {
 	Reason string `json:"Why"` // the failure that the script caused when it was saved
 	Script Script
 }
 
-// LoadSavedFailure reads one.
+// LoadSavedFailure reads a saved script. It returns an error for one without requests, sidecars or endpoints.
 func LoadSavedFailure(path string) (SavedFailure, error) {
 	var k SavedFailure
 	text, err := os.ReadFile(path)
@@ -113,7 +115,7 @@
 	return k, nil
 }
 
-// Save writes one.
+// Save writes the script as JSON.
 func (k SavedFailure) Save(path string) error {
 	text, err := json.MarshalIndent(k, "", " ")
 	if err != nil {
