--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -17,22 +17,22 @@
 	"heathgap/internal/pipeline"
 )
 
-var saveBugs = flag.Bool("sim.keepbugs", false, "the small scripts of planted bugs are kept in the corpus")
+var saveBugs = flag.Bool("sim.keepbugs", false, "save the small scripts of injected bugs in the corpus")
 
-var fromScratch = flag.Bool("sim.fromscratch", false, "planted bugs are looked for from seed 0 on, to see how many seeds it takes")
+var fromScratch = flag.Bool("sim.fromscratch", false, "search for injected bugs from seed 0 on, to see how many seeds it takes")
 
-var bugSeeds = flag.Int("sim.bugseeds", 1000, "within so many seeds each planted bug must be found")
+var bugSeeds = flag.Int("sim.bugseeds", 1000, "each injected bug must be found within so many seeds")
 
-// faultyDecider is the module with a bug round it.
+// faultyDecider wraps the decision module with an injected bug.
 type faultyDecider struct {
 	inner pipeline.Decider
-	// before may change an event; false swallows it.
+	// before may change an event; the module does not get the event if it returns false.
 	before func(now decide.Time, ev *decide.Event) bool
-	// after may change what is decided.
+	// after may change the actions that the module decided on.
 	after func(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action
 }
 
-// Handle is pipeline.Decider's.
+// Handle implements pipeline.Decider.
 func (b *faultyDecider) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	changed := *ev
 	changed.Endpoints = slices.Clone(ev.Endpoints)
@@ -47,10 +47,11 @@
 	return out
 }
 
-// Audit passes the module's on.
+// Audit returns the module's audit.
 func (b *faultyDecider) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
 
-// withBug makes deciders with a bug; plant is called for each start of a sidecar.
+// withBug makes deciders with a bug. plant is called at each start of a sidecar; it may change conf and
+// sets the hooks of the decider.
 func withBug(plant func(conf *config.Config, b *faultyDecider)) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		b := &faultyDecider{}
@@ -63,7 +64,7 @@
 	}
 }
 
-// withListChange plants a change of each line of a list.
+// withListChange makes deciders that change each endpoint of each list.
 func withListChange(change func(l *decide.Endpoint)) lifecycle.Decider {
 	return withBug(func(_ *config.Config, b *faultyDecider) {
 		b.before = func(_ decide.Time, ev *decide.Event) bool {
@@ -75,8 +76,9 @@
 	})
 }
 
-// withoutSendCheck makes deciders whose network code looks neither at drains nor at windows where the first byte leaves: that
-// look alone keeps rules 2 and 3 when the module does not, and hides what the module does wrong.
+// withoutSendCheck makes deciders whose network code does not check drains and key windows again when the first byte is sent.
+// That check alone prevents attempts to draining endpoints and duplicate effects when the module is wrong, and so hides the
+// module's bugs.
 func withoutSendCheck(inner lifecycle.Decider) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		d, err := inner(conf)
@@ -90,27 +92,29 @@
 	}
 }
 
+// ignoresWindows makes deciders that take each idempotency key to be known for an hour.
 var ignoresWindows = withBug(func(conf *config.Config, _ *faultyDecider) {
 	for i := range conf.Settings.Classes {
 		conf.Settings.Classes[i].Window = time.Hour
 	}
 })
 
+// ignoresDrains makes deciders that take draining endpoints for active ones.
 var ignoresDrains = withListChange(func(l *decide.Endpoint) {
 	if l.State == decide.Draining {
 		l.State = decide.Active
 	}
 })
 
-// Drains and windows are looked at twice: where the module decides, and where the first byte leaves. The second look
-// alone keeps the rules: the seeds that find these bugs without it pass with it.
+// Drains and key windows are checked twice: by the module when it decides, and by the network code when the first byte is sent.
+// Guards against the loss of the second check: with it, seeds pass that fail without it when the module ignores drains or windows.
 func TestSendCheckKeepsTheRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		module lifecycle.Decider
 		seed   uint64
 	}{"drains": {ignoresDrains, 0}, "windows": {ignoresWindows, 905}} {
 		if f := runScript(t, GenerateScript(c.seed), Options{Decider: withoutSendCheck(c.module)}).Failure; f == nil {
-			t.Errorf("%s: seed %d passes without the second look", name, c.seed)
+			t.Errorf("%s: seed %d passes without the check at the first byte", name, c.seed)
 		}
 		const more = 10
 		for seed := range uint64(more) {
@@ -121,11 +125,11 @@
 	}
 }
 
-// bugs are planted by the tests alone, each to be found by its own rule.
+// bugs are the injected bugs; each must be found by a rule that it violates.
 var bugs = map[string]struct {
 	opts  Options
-	rules []string // any of them names it
-	hint  uint64   // a seed that found it and got small: tried first, so that CI is quick
+	rules []string // each of them is right for the bug
+	hint  uint64   // a seed that finds it and whose script shrinks well: tried first, to save time
 }{
 	"sends again by itself when a used connection breaks": {
 		Options{Bug: func(p *Process) { p.resendOnReset = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
@@ -183,7 +187,7 @@
 		})}, []string{string(oracle.LostRequest)}, 38},
 }
 
-// seedsToTry are the hint, unless the search is to be from scratch, and all others.
+// seedsToTry yields the hint, unless -sim.fromscratch is set, and then all seeds from 0 on.
 func seedsToTry(hint uint64) iter.Seq[uint64] {
 	return func(yield func(uint64) bool) {
 		if !*fromScratch && !yield(hint) {
@@ -197,10 +201,11 @@
 	}
 }
 
-// Each planted bug is found, by its own rule, and made small enough to read.
+// Guards against a simulation that no longer notices bugs: each injected bug must violate the expected rule, and its script
+// must shrink to a size that people can read.
 func TestPlantedBugs(t *testing.T) {
-	const smallAsks = 20  // a script that people can read
-	const shrinkMost = 10 // failing seeds that are made smaller: a crowded one may not get small
+	const smallAsks = 20  // requests in a script that people can read
+	const shrinkMost = 10 // failing seeds to shrink at most: the script of a seed with many requests may stay large
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sim/replay_test.go
+++ b/internal/sim/replay_test.go
@@ -9,23 +9,23 @@
 	"heathgap/internal/sim/simtest"
 )
 
-// printHash in the environment has the test's own program print the hash of a seed.
+// printHash is the environment variable that makes TestPrintHash print the hash of each seed's steps.
 const printHash = "HEATHGAP_SIM_HASH"
 
 const replaySeeds = 25
 
-// TestPrintHash is the other process of TestSameSeedSameTrace.
+// TestPrintHash is what TestSameSeedSameTrace runs in other processes.
 func TestPrintHash(t *testing.T) {
 	if os.Getenv(printHash) == "" {
-		t.Skip("run by another test")
+		t.Skip("run by TestSameSeedSameTrace only")
 	}
 	for seed := range uint64(replaySeeds) {
 		os.Stdout.WriteString(simtest.HashPrefix + strconv.FormatUint(runScript(t, GenerateScript(seed), Options{}).Hash, 16) + "\n")
 	}
 }
 
-// The same seed takes the same steps: twice in one process, with one processor and
-// with all, and in other processes.
+// Guards against steps that do not follow from the seed alone: a seed must take the same steps twice in
+// one process, with one processor and with all, and in other processes.
 func TestSameSeedSameTrace(t *testing.T) {
 	var want []string
 	for seed := range uint64(replaySeeds) {
@@ -41,7 +41,7 @@
 	simtest.SameInSubprocesses(t, "TestPrintHash", printHash, want)
 }
 
-// Different seeds take different steps: a hash that never changes would show nothing.
+// Different seeds must take different steps: a hash that never changes would hide differences.
 func TestOtherSeedOtherTrace(t *testing.T) {
 	seen := map[uint64]uint64{}
 	for seed := range uint64(replaySeeds) {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -18,14 +18,14 @@
 )
 
 var (
-	seeds      = flag.Int("sim.seeds", 100, "so many seeds are played")
-	oneSeed    = flag.Int64("sim.seed", -1, "only this one")
-	shrinkSeed = flag.Int64("sim.shrink", -1, "the script of this seed is made small and kept")
-	traceFile  = flag.String("sim.trace", "", "where its steps are written")
-	logFile    = flag.String("sim.log", "", "where its sidecars' logs are written")
+	seeds      = flag.Int("sim.seeds", 100, "number of seeds to run")
+	oneSeed    = flag.Int64("sim.seed", -1, "run only this seed")
+	shrinkSeed = flag.Int64("sim.shrink", -1, "shrink the script of this seed and save it")
+	traceFile  = flag.String("sim.trace", "", "file for the steps of the seed of -sim.seed")
+	logFile    = flag.String("sim.log", "", "file for the logs of its sidecars")
 )
 
-// runScript plays a script in a bubble of its own.
+// runScript runs a script in its own synctest bubble.
 func runScript(t *testing.T, script Script, opts Options) (r Result) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
@@ -45,19 +45,19 @@
 		t.Errorf("seed %d: %v", f.seed, f.failure)
 	}
 	total.log(t)
-	// What the seeds never bring about, they do not test.
+	// Guards against seeds that no longer bring about the rare coincidences, and so no longer test them.
 	for _, name := range RareEvents {
 		t.Logf("%s: %d times", name, total.rareEvents[name])
 		if total.rareEvents[name] == 0 && *seeds >= 100 {
-			t.Errorf("never met: %s", name)
+			t.Errorf("no seed brought about: %s", name)
 		}
 	}
 	if total.overlaps == 0 && *seeds >= 100 {
-		t.Error("no seed has all four kinds of trouble at once")
+		t.Error("no seed has all four groups of faults at the same time")
 	}
 }
 
-// totals adds up runs.
+// totals adds up the results of many runs.
 type totals struct {
 	runs, overlaps, steps, requests, faults, attempts int
 	verdicts                                          [4]int
@@ -66,6 +66,7 @@
 	failures                                          []failedSeed
 }
 
+// failedSeed is a seed whose run failed.
 type failedSeed struct {
 	seed    uint64
 	failure *Failure
@@ -74,13 +75,13 @@
 func (s *totals) log(t *testing.T) {
 	t.Helper()
 	n := float64(max(1, s.runs))
-	t.Logf("%d seeds in %v: %.1f requests, %.1f attempts, %.1f faults and %.0f steps a seed; %d with all four kinds of trouble at once; %.0f simulated seconds a second, %.0f steps a second; served %d, refused %d, failed %d",
+	t.Logf("%d seeds in %v: %.1f requests, %.1f attempts, %.1f faults and %.0f steps a seed; %d with all four groups of faults at the same time; %.0f simulated seconds a second, %.0f steps a second; served %d, refused %d, failed %d",
 		s.runs, s.elapsed.Round(time.Millisecond), float64(s.requests)/n, float64(s.attempts)/n, float64(s.faults)/n,
 		float64(s.steps)/n, s.overlaps, s.simulated.Seconds()/s.elapsed.Seconds(), float64(s.steps)/s.elapsed.Seconds(),
 		s.verdicts[0], s.verdicts[1], s.verdicts[2])
 }
 
-// runSeeds plays seeds from 0 on, on all processors.
+// runSeeds runs the seeds from 0 to n-1 in parallel, on all processors.
 func runSeeds(t *testing.T, n int, opts Options) *totals {
 	t.Helper()
 	total := &totals{rareEvents: map[RareEvent]int{}}
@@ -136,7 +137,7 @@
 	}
 }
 
-// corpus holds scripts that once failed, small: each must pass for ever.
+// corpus holds small scripts that failed once; each must pass from then on.
 const corpus = "testdata/seeds"
 
 func TestCorpus(t *testing.T) {
@@ -157,10 +158,10 @@
 	}
 }
 
-// TestShrink makes the script of a failing seed small and keeps it.
+// TestShrink shrinks the script of the failing seed of -sim.shrink and saves it in the corpus.
 func TestShrink(t *testing.T) {
 	if *shrinkSeed < 0 {
-		t.Skip("asked for with -sim.shrink")
+		t.Skip("runs with -sim.shrink only")
 	}
 	fails := func(s Script) *Failure { return runScript(t, s, Options{}).Failure }
 	script := GenerateScript(uint64(*shrinkSeed))
@@ -174,11 +175,11 @@
 	if err := (SavedFailure{Reason: last.Error(), Script: small}).Save(path); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d of %d requests and %d of %d faults are left, in %s: %v", len(small.Requests), len(script.Requests),
+	t.Logf("%d of %d requests and %d of %d faults are left, saved in %s: %v", len(small.Requests), len(script.Requests),
 		len(small.Faults), len(script.Faults), path, last)
 }
 
-// A kept file that is no script is refused.
+// Guards against a damaged file in the corpus that would load as an empty script and pass.
 func TestLoadSavedFailureRejectsInvalid(t *testing.T) {
 	for name, text := range map[string]string{"no JSON": "{", "nothing": "{}", "no sidecar": `{"Script":{"Asks":[{"ID":"a"}]}}`} {
 		path := filepath.Join(t.TempDir(), "x.json")
@@ -186,7 +187,7 @@
 			t.Fatal(err)
 		}
 		if _, err := LoadSavedFailure(path); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: loaded without an error", name)
 		}
 	}
 }
--- a/internal/sim/simtest/simtest.go
+++ b/internal/sim/simtest/simtest.go
@@ -1,4 +1,4 @@
-// Package simtest is what the tests of the simulations share.
+// Package simtest holds what the tests of the simulators share.
 package simtest
 
 import (
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// HashPrefix stands before each hash that a test's other process prints, on a line of its own.
+// HashPrefix starts each line on which a test in another process prints a hash.
 const HashPrefix = "hash "
 
-// SameInSubprocesses runs a test of this program in processes of their own, with 1 processor and with 8, with a variable set that
-// tells it to print hashes, and has the test fail unless they are those wanted.
+// SameInSubprocesses runs a test of the present test binary in other processes, with GOMAXPROCS 1 and 8 and with an environment
+// variable that makes it print hashes. The calling test fails unless each process prints the hashes in want.
 func SameInSubprocesses(t *testing.T, test, variable string, want []string) {
 	t.Helper()
 	for _, processors := range []string{"1", "8"} {
@@ -36,7 +36,7 @@
 	}
 }
 
-// Create opens a file to be written for the time of a test; nil where no path is given.
+// Create creates a file that is closed at the end of the test. It returns nil for an empty path.
 func Create(t *testing.T, path string) io.Writer {
 	t.Helper()
 	if path == "" {
