--- a/internal/sim/clustersim/bugs_test.go
+++ b/internal/sim/clustersim/bugs_test.go
@@ -6,12 +6,12 @@
 )
 
 var (
-	bugSeeds = flag.Int("crewsim.bugseeds", 10, "so many seeds are searched for a planted bug, from the one on that has found it")
-	oneBug   = flag.Int("crewsim.bug", -1, "only this one of the planted bugs, from seed 0 on")
+	bugSeeds = flag.Int("crewsim.bugseeds", 10, "number of seeds to search for an injected bug, from a seed on that has found it")
+	oneBug   = flag.Int("crewsim.bug", -1, "search only for this one of the injected bugs, from seed 0 on")
 )
 
-// Guards against a crew that is busy with itself for good: leases refused for an older epoch cost members their place, which
-// raised the epoch for all, faster than 300 members could name it. With that this seed was not well after 20 s.
+// Guards against a large cluster that never settles: renewals refused for an older epoch removed members from the cluster, and each
+// removal raised the epoch for all, faster than 300 members could report it. With that fault seed 2001 was not settled after 20 s.
 func TestThreeHundredMembersSettle(t *testing.T) {
 	conf := DefaultConf()
 	conf.Members = 295
@@ -20,7 +20,7 @@
 	}
 }
 
-// plantedBugs are the bugs, each with a rule that is to find it, and a seed that has.
+// plantedBugs are the injected bugs, each with a rule that must find it and the first seed to try.
 var plantedBugs = []struct {
 	bug  Bug
 	rule string
@@ -44,8 +44,8 @@
 	{StopsSending, NotSettled, 0},
 }
 
-// Each fault of what members are told as changes is found by what they know where its checksum is made right, and does
-// nothing where it is not: it is met, and the whole mends it.
+// Guards against faulty deltas of members and placement that go unnoticed. With a corrected checksum, the check of the members' views
+// must find each fault. With the wrong checksum, a fault must do no harm: the member rejects the delta and gets the full state.
 func TestPlantedDeltas(t *testing.T) {
 	for _, bug := range []Bug{OmitsChange, ReappliesDelta, WrongBase, TruncatedHistory} {
 		found, differed := false, 0
@@ -58,14 +58,14 @@
 			}
 			r := Run(seed, HoldingsConf(), Options{Bug: bug})
 			if r.Failure != nil {
-				t.Errorf("%s: seed %d: %v, though its checksum shows it", bug, seed, r.Failure)
+				t.Errorf("%s: seed %d: %v, although the checksum shows the fault", bug, seed, r.Failure)
 			}
 			if differed += r.Deltas["differed"]; found && differed > 0 && seed >= 2 {
 				break
 			}
 		}
-		if t.Logf("%s: %d were not taken", bug, differed); !found || differed == 0 {
-			t.Errorf("%s: found %v, met %d times", bug, found, differed)
+		if t.Logf("%s: members rejected %d deltas", bug, differed); !found || differed == 0 {
+			t.Errorf("%s: found by the check of views: %v, rejected by members: %d times; want both", bug, found, differed)
 		}
 	}
 }
@@ -85,7 +85,7 @@
 			}
 		}
 		if !found {
-			t.Errorf("%s: %s finds it in none of %d seeds", c.bug, c.rule, *bugSeeds)
+			t.Errorf("%s: the rule %s does not find it in any of %d seeds", c.bug, c.rule, *bugSeeds)
 		}
 	}
 }
--- a/internal/sim/clustersim/disk.go
+++ b/internal/sim/clustersim/disk.go
@@ -10,12 +10,13 @@
 	"heathgap/internal/cluster/voter"
 )
 
-// table holds values in the order of their keys.
+// table is a bucket of a disk: values sorted by key.
 type table struct {
 	keys   []string
 	values map[string][]byte
 }
 
+// put sets the value of a key.
 func (t *table) put(key string, value []byte) {
 	if _, found := t.values[key]; !found {
 		i, _ := slices.BinarySearch(t.keys, key)
@@ -24,6 +25,7 @@
 	t.values[key] = value
 }
 
+// remove deletes a key, if it exists.
 func (t *table) remove(key string) {
 	if i, found := slices.BinarySearch(t.keys, key); found {
 		t.keys = slices.Delete(t.keys, i, i+1)
@@ -31,10 +33,10 @@
 	}
 }
 
-// DiskFault is what befalls one write of a disk.
+// DiskFault is a fault of one write to a disk.
 type DiskFault string
 
-// The troubles.
+// The faults of a write.
 const (
 	ErrorBefore DiskFault = "an error, and nothing is written"
 	ErrorAfter  DiskFault = "an error, and all is written"
@@ -44,27 +46,28 @@
 
 var diskFaults = []DiskFault{ErrorBefore, ErrorAfter, KillBefore, KillAfter}
 
-// errDisk is what a disk that fails says.
+// errDisk is the error of a write that fails.
 var errDisk = errors.New("no space left on device")
 
-// disk is one folder: what is written outlives its process.
+// disk is the content of one data directory. It outlives the process that writes to it.
 type disk struct {
 	buckets  map[string]*table
-	writes   int       // so far
-	faultAt  int       // the number of the write that trouble befalls; 0 for none
-	fault    DiskFault // that
-	faultHit bool      // it has come
-	killed   bool      // its process died of that just now
-	// acksEarly plants a bug: a yes is given before the write is durable, and a kill takes the last ones away.
+	writes   int // number of writes so far
+	faultAt  int // number of the write that gets the fault; 0 for none
+	fault    DiskFault
+	faultHit bool // the fault has happened
+	killed   bool // the last write killed the process; the caller resets it
+	// acksEarly injects a bug: writes are acknowledged before they are durable, and a kill undoes the last of them.
 	acksEarly bool
-	unsynced  []func()
+	unsynced  []func() // undo functions of the last writes, if acksEarly
 }
 
 var _ voter.Disk = (*disk)(nil)
 
+// newDisk returns an empty data directory.
 func newDisk() *disk { return &disk{buckets: map[string]*table{}} }
 
-// copy returns a folder with the same content.
+// copy returns a data directory with the same content.
 func (d *disk) copy() *disk {
 	c := newDisk()
 	for name, t := range d.buckets {
@@ -73,6 +76,7 @@
 	return c
 }
 
+// tableFor returns a bucket, which it creates if necessary.
 func (d *disk) tableFor(bucket string) *table {
 	if d.buckets[bucket] == nil {
 		d.buckets[bucket] = &table{values: map[string][]byte{}}
@@ -80,13 +84,13 @@
 	return d.buckets[bucket]
 }
 
-// View is keeper.Disk's.
+// View implements voter.Disk.
 func (d *disk) View(do func(voter.Tx) error) error { return do(&transaction{disk: d}) }
 
-// maxUnsynced writes are lost with a disk that lies.
+// maxUnsynced is how many writes a kill undoes at most if acksEarly is set.
 const maxUnsynced = 3
 
-// Update is keeper.Disk's.
+// Update implements voter.Disk. It panics where a fault kills the process; the panic ends the core's call.
 func (d *disk) Update(do func(voter.Tx) error) error {
 	tx := &transaction{disk: d}
 	if err := do(tx); err != nil {
@@ -120,10 +124,10 @@
 	return nil
 }
 
-// Close is keeper.Disk's.
+// Close implements voter.Disk.
 func (d *disk) Close() error { return nil }
 
-// loseUnsynced takes away what a disk that lies had said yes to.
+// loseUnsynced undoes the writes that were acknowledged and are not durable.
 func (d *disk) loseUnsynced() {
 	for _, rollback := range slices.Backward(d.unsynced) {
 		rollback()
@@ -131,12 +135,13 @@
 	d.unsynced = nil
 }
 
-// transaction is a keeper.Tx; it knows its way back.
+// transaction implements voter.Tx and can be rolled back.
 type transaction struct {
 	disk *disk
 	undo []func()
 }
 
+// rollback undoes all writes of the transaction.
 func (t *transaction) rollback() {
 	for _, undo := range slices.Backward(t.undo) {
 		undo()
@@ -144,6 +149,7 @@
 	t.undo = nil
 }
 
+// recordUndo remembers the present value of a key for rollback.
 func (t *transaction) recordUndo(bucket, key string) {
 	old, existed := t.disk.tableFor(bucket).values[key]
 	t.undo = append(t.undo, func() {
@@ -155,24 +161,24 @@
 	})
 }
 
-// Get is keeper.Tx's.
+// Get implements voter.Tx.
 func (t *transaction) Get(bucket, key string) []byte { return t.disk.tableFor(bucket).values[key] }
 
-// Put is keeper.Tx's.
+// Put implements voter.Tx.
 func (t *transaction) Put(bucket, key string, value []byte) error {
 	t.recordUndo(bucket, key)
 	t.disk.tableFor(bucket).put(key, value)
 	return nil
 }
 
-// Delete is keeper.Tx's.
+// Delete implements voter.Tx.
 func (t *transaction) Delete(bucket, key string) error {
 	t.recordUndo(bucket, key)
 	t.disk.tableFor(bucket).remove(key)
 	return nil
 }
 
-// From is keeper.Tx's.
+// From implements voter.Tx.
 func (t *transaction) From(bucket, key string) iter.Seq2[string, []byte] {
 	return func(yield func(string, []byte) bool) {
 		b := t.disk.tableFor(bucket)
--- a/internal/sim/clustersim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -9,13 +9,14 @@
 	"heathgap/internal/cluster/voter"
 )
 
-// faultKind is one kind of fault, with how often it is drawn beside the others.
+// faultKind is a kind of fault. Its weight is how often it is picked, relative to the others.
 type faultKind struct {
 	name   string
 	weight int
 	inject func(r *run)
 }
 
+// faultKinds returns all kinds of faults. The order is part of what follows from a seed.
 func faultKinds() []faultKind {
 	return []faultKind{
 		{"kill", 6, func(r *run) { r.kill(r.randomProcess()) }},
@@ -41,7 +42,7 @@
 	}
 }
 
-// injectFaults draws a fault, and the time of the next.
+// injectFaults injects a fault picked at random and schedules the next.
 func (r *run) injectFaults() {
 	if r.faultsOver {
 		return
@@ -49,7 +50,7 @@
 	r.w.schedule(r.w.randomDuration(r.conf.FaultEvery/4, 7*r.conf.FaultEvery/4), "strike", "", r.injectFaults)
 	for name := range r.incomplete {
 		if r.setBack[name] {
-			return // it must find the others: nothing is promised else
+			return // it must reach the other voters to be recognized; with another fault meanwhile, nothing is guaranteed
 		}
 	}
 	all := faultKinds()
@@ -70,7 +71,7 @@
 	}
 }
 
-// randomProcess draws a process; every other time it is a keeper's.
+// randomProcess picks a process; every other time it is one with a voter.
 func (r *run) randomProcess() *process {
 	up := r.running()
 	if r.w.chance(0.5) {
@@ -81,7 +82,7 @@
 	return up[r.w.rng.IntN(len(up))]
 }
 
-// leaderOrRandom is the one that leads, or anybody.
+// leaderOrRandom returns the leader's process, or any process if no leader can be reached.
 func (r *run) leaderOrRandom() *process {
 	if p := r.reachableLeader(); p != nil {
 		return p
@@ -89,6 +90,7 @@
 	return r.randomProcess()
 }
 
+// pause pauses a process for a time.
 func (r *run) pause(p *process, duration time.Duration) {
 	if p.paused {
 		return
@@ -101,7 +103,7 @@
 	})
 }
 
-// stopGracefully ends a process in order: it says so, and is gone a moment later.
+// stopGracefully ends a process in order: it announces that it leaves, and exits 50 ms later.
 func (r *run) stopGracefully() {
 	p := r.randomProcess()
 	renewal := p.holder.NextRenewal()
@@ -109,7 +111,7 @@
 	call(p, p.renewer.FirstVoter(), "renew", renewal, 500*time.Millisecond, func(q *process, renewal cluster.Renewal, reply func(voter.RenewResult)) {
 		q.withVoter(func(c *voter.Core) { c.Renew(renewal, reply) })
 	}, func(voter.RenewResult, bool) {})
-	// It asks for nothing any more: the word that it leaves is its last.
+	// It renews no more, so the announcement is its last message.
 	p.leaving = true
 	r.w.schedule(50*time.Millisecond, "exit", p.id, func() {
 		if !p.dead {
@@ -118,7 +120,7 @@
 	})
 }
 
-// partitionProcess cuts the ways of a process, out or in or both.
+// partitionProcess partitions the directions from a process (out), to it (in), or both.
 func (r *run) partitionProcess(name string, out, in bool) {
 	var directions []direction
 	for _, other := range append([]string{clientName}, r.names...) {
@@ -135,7 +137,8 @@
 	r.partition(directions)
 }
 
-// isolateLeader cuts whoever leads off from the other keepers, not from members: for a moment it and the next one both lead.
+// isolateLeader partitions the leader from the other voters, but not from the members, so that for a moment it and the next
+// leader both lead. A proposal follows.
 func (r *run) isolateLeader() {
 	leader := r.leaderOrRandom().name
 	var directions []direction
@@ -152,7 +155,7 @@
 	})
 }
 
-// splitCluster cuts the crew in two. One process may see both halves.
+// splitCluster partitions the cluster into two halves. Half of the time one voter still reaches both.
 func (r *run) splitCluster() {
 	var sides [2][]string
 	bridge := r.names[r.w.rng.IntN(r.conf.Voters)]
@@ -174,7 +177,7 @@
 	r.partition(directions)
 }
 
-// partition cuts ways for a while. Cuts that meet end with the first: the next fault comes soon.
+// partition partitions directions for a time. Where partitions overlap, the first that heals ends both; another fault follows soon.
 func (r *run) partition(directions []direction) {
 	for _, d := range directions {
 		r.partitioned[d] = true
@@ -187,7 +190,7 @@
 	})
 }
 
-// sendHeld lets what is held at ways that stand again go on.
+// sendHeld sends the held messages of all directions that are no longer partitioned.
 func (r *run) sendHeld() {
 	held := r.heldMessages
 	r.heldMessages = nil
@@ -200,8 +203,9 @@
 	}
 }
 
-// votersIntact tells whether all keepers' folders are theirs and whole, but for one: only while a majority's are is anything
-// promised, and a folder that was set back must find the others.
+// votersIntact reports whether all voters run with complete data directories and nothing is partitioned, so that one data
+// directory may be damaged. The cluster guarantees nothing unless a majority of the directories is complete, and a voter with a
+// directory that was set back must reach the others.
 func (r *run) votersIntact() bool {
 	if len(r.incomplete) > 0 {
 		return false
@@ -215,7 +219,7 @@
 	return len(r.partitioned) == 0 && r.highestApplied > 0
 }
 
-// loseDirectory empties a keeper's folder, and starts it again.
+// loseDirectory empties the data directory of a voter and restarts it.
 func (r *run) loseDirectory() {
 	name := r.names[r.w.rng.IntN(r.conf.Voters)]
 	if !r.votersIntact() {
@@ -226,7 +230,7 @@
 	r.restartLater(name)
 }
 
-// setBackDirectory sets a keeper's folder back to an earlier copy. Soon after, whoever leads may be paused.
+// setBackDirectory sets the data directory of a voter back to an earlier copy. Soon after, the leader may be paused.
 func (r *run) setBackDirectory() {
 	name := r.names[r.w.rng.IntN(r.conf.Voters)]
 	if !r.votersIntact() {
@@ -241,6 +245,7 @@
 	})
 }
 
+// pauseLeaderLater schedules a pause of the leader.
 func (r *run) pauseLeaderLater() {
 	r.w.schedule(r.w.randomDuration(400*time.Millisecond, time.Second), "pause leader", "", func() {
 		if p := r.reachableLeader(); p != nil && !r.faultsOver {
@@ -249,7 +254,7 @@
 	})
 }
 
-// replaceDirectory puts a copy in the place of a keeper's folder and starts it with that.
+// replaceDirectory replaces the data directory of a voter with an earlier copy and restarts the voter.
 func (r *run) replaceDirectory(name string, saved *disk) {
 	p := r.processes[name]
 	p.kill()
@@ -259,8 +264,9 @@
 	r.start(name)
 }
 
-// setBackMiddleVoter sets back the folder of the one keeper that sees both sides of a cut: what the leader's side has agreed on rests
-// on it, and the other side, which lacks that, is a majority with it.
+// setBackMiddleVoter partitions the voters into two sides and sets back the data directory of the one voter that reaches both. The
+// leader's side needs that voter for its majority. After the set-back it lacks what that majority agreed on, and could form another
+// majority with the other side, which lacks it too.
 func (r *run) setBackMiddleVoter() {
 	leader := r.reachableLeader()
 	if !r.votersIntact() || leader == nil || r.conf.Voters < 5 {
@@ -288,7 +294,7 @@
 	})
 }
 
-// scheduleDiskFault has one of a disk's next writes fail, or kill.
+// scheduleDiskFault schedules a fault for one of a disk's next four writes.
 func (r *run) scheduleDiskFault() {
 	name := r.names[r.w.rng.IntN(r.conf.Voters)]
 	d := r.disks[name]
@@ -296,7 +302,7 @@
 	r.diskFaultSet[name] = true
 }
 
-// startDuplicate starts a second process under the name of a member, for a while.
+// startDuplicate runs a second process under the name of a member for a while.
 func (r *run) startDuplicate() {
 	name := r.names[r.conf.Voters+r.w.rng.IntN(max(1, r.conf.Members))%max(1, r.conf.Members)]
 	p := r.newProcess(name)
@@ -308,6 +314,7 @@
 	r.w.schedule(r.w.randomDuration(500*time.Millisecond, 4*time.Second), "twin ends", p.id, p.kill)
 }
 
+// killAll kills the processes of the given names.
 func (r *run) killAll(names []string) {
 	for _, name := range names {
 		if p := r.processes[name]; p != nil && !p.dead {
@@ -316,7 +323,7 @@
 	}
 }
 
-// pauseLeadersInTurn pauses whoever leads, again and again, for about a new leader's time.
+// pauseLeadersInTurn pauses the leader four times, each time for about as long as the election of the next one takes.
 func (r *run) pauseLeadersInTurn() {
 	for i := range 4 {
 		r.w.schedule(time.Duration(i)*time.Second, "churn", "", func() {
@@ -327,7 +334,7 @@
 	}
 }
 
-// healAll ends all faults.
+// healAll ends all faults: partitions, disk faults to come, pauses and duplicates. It starts all processes that do not run.
 func (r *run) healAll() {
 	clear(r.partitioned)
 	r.sendHeld()
--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -13,24 +13,25 @@
 	"heathgap/internal/versions"
 )
 
-// clientCall is what was asked of the crew: a proposal, or, with parent and propose unset, which versions there are.
+// clientCall is a call of a client: a proposal, or a read of the versions if propose is false.
 type clientCall struct {
 	propose bool
 	parent  uint64
 }
 
-// clientResult is what came of it. A proposal's number is 0 where nobody learnt whether it counts.
+// clientResult is the result of a call.
 type clientResult struct {
-	number       uint64 // of a proposal
-	active, next uint64 // of a look
+	number       uint64 // of a proposal; 0 if its outcome is unknown
+	active, next uint64 // of a read
 }
 
-// history is what clients of the crew asked and were told, and when.
+// history holds the calls of the cluster's clients, with their times and results.
 type history struct {
 	operations []porcupine.Operation
 	clients    map[string]int
 }
 
+// add adds a call that lasted from from to to.
 func (h *history) add(who string, from, to time.Duration, in clientCall, out clientResult) {
 	if h.clients == nil {
 		h.clients = map[string]int{}
@@ -41,12 +42,12 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: h.clients[who], Input: in, Output: out, Call: int64(from), Return: int64(to)})
 }
 
-// modelState is the state of the model: the highest version there is, and the least that may be the active one. Versions become
-// active by themselves, so the model learns of that when somebody is told.
+// modelState is the state of ledgerModel: the highest version number, and the lowest version that may be active. Versions become
+// active without a call, so the model learns of that from later results.
 type modelState struct{ last, active uint64 }
 
-// ledgerModel says which orders of events a crew may have: numbers rise by one, a proposal's parent is what is active, nobody is
-// told of a version before it is there, and no look after another shows less.
+// ledgerModel defines which orders of calls are correct: numbers rise by one, the parent of a proposal is the active version, no
+// read returns a version before it exists, and no read returns less than an earlier one.
 var ledgerModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{modelState{}} },
 	Step: func(state, input, output any) (next []any) {
@@ -71,35 +72,35 @@
 	},
 }
 
-const checkTimeout = time.Minute // for one history; they take milliseconds
+const checkTimeout = time.Minute // for one history; a check takes milliseconds
 
-// check looks for an order of events.
+// check returns an error unless some order of the calls explains all results (linearizability).
 func (h *history) check() error {
 	m := ledgerModel.ToModel()
 	switch porcupine.CheckOperationsTimeout(m, h.operations, checkTimeout) {
 	case porcupine.Illegal:
-		return fmt.Errorf("no order of events explains what %d clients were told in %d answers", len(h.clients), len(h.operations))
+		return fmt.Errorf("not linearizable: no order of events explains what %d clients were told in %d answers", len(h.clients), len(h.operations))
 	case porcupine.Unknown:
-		return fmt.Errorf("%d answers could not be judged in %v", len(h.operations), checkTimeout)
+		return fmt.Errorf("linearizability check of %d answers did not end within %v", len(h.operations), checkTimeout)
 	}
 	return nil
 }
 
-// clientName is who proposes.
+// clientName is the name of the process that proposes.
 const clientName = "client"
 
-// Figures of a client that proposes.
+// Parameters of the client that proposes.
 const (
-	proposeTimeout     = time.Second // for one try
+	proposeTimeout     = time.Second // for one attempt
 	maxProposeAttempts = 12
 	proposeRetryDelay  = 200 * time.Millisecond
 )
 
-// documentState keeps what a client knows.
+// documentState counts the documents generated so far.
 type documentState struct{ count int }
 
-// nextDocument draws one that differs from the one before: what pays is safe or not, and some endpoints are banned. One in
-// eight no member takes.
+// nextDocument generates a document that differs from the one before: the class "pay" is safe or unsafe, and some endpoints are
+// banned. One document in eight has a class that no member knows, so that every member rejects it.
 func (r *run) nextDocument() versions.Document {
 	r.documents.count++
 	effect := decide.Unsafe
@@ -118,7 +119,7 @@
 	return d
 }
 
-// highestActive is the highest version that a keeper in reach takes for active.
+// highestActive returns the highest version that is active in the ledger of any voter that runs.
 func (r *run) highestActive() (highest uint64) {
 	for _, p := range r.running() {
 		if p.core != nil && !p.paused {
@@ -129,6 +130,7 @@
 	return highest
 }
 
+// proposeRepeatedly proposes a document and schedules the next proposal.
 func (r *run) proposeRepeatedly() {
 	if r.faultsOver {
 		return
@@ -137,7 +139,7 @@
 	r.w.schedule(r.w.randomDuration(r.conf.ProposeEvery/4, 7*r.conf.ProposeEvery/4), "propose", "", r.proposeRepeatedly)
 }
 
-// proposeUntilReported proposes until a version is told, and tells its number.
+// proposeUntilReported proposes a valid document until its number is reported, and calls done with the number.
 func (r *run) proposeUntilReported(done func(uint64)) {
 	d := r.nextDocument()
 	delete(d.Classes, "nobody_has")
@@ -150,7 +152,8 @@
 	})
 }
 
-// propose has a client propose, with the same id to one keeper after another until one tells how it went.
+// propose proposes a document. It sends the same proposal to one voter after another until one reports the outcome. done gets
+// number 0 and an error if the proposal was rejected or its outcome is unknown.
 func (r *run) propose(d versions.Document, done func(number uint64, err error)) {
 	p := cluster.Proposal{ID: voter.NewID(), Parent: r.highestActive(), Author: clientName, Doc: d}
 	from, c := r.w.now, r.processes[clientName]
@@ -161,13 +164,13 @@
 		Rejection string
 	}
 	attempts := 0
-	mayBeAccepted := false // it may have been, by a try whose answer is lost
+	mayBeAccepted := false // an attempt without an answer may have been accepted
 	var attempt func()
 	attempt = func() {
 		if attempts++; attempts > maxProposeAttempts {
 			r.result.UnknownOutcomes++
 			r.history.add(who, from, 1<<62, clientCall{true, p.Parent}, clientResult{})
-			done(0, fmt.Errorf("no word"))
+			done(0, fmt.Errorf("no voter reported the outcome"))
 			return
 		}
 		to := voters[0]
@@ -193,7 +196,7 @@
 				done(a.Result.Number, nil)
 				return
 			case ok && a.Rejection != "" && !mayBeAccepted && a.Rejection != voter.ErrUnknownOutcome.Error():
-				done(0, fmt.Errorf("%s", a.Rejection)) // it does not count
+				done(0, fmt.Errorf("%s", a.Rejection)) // the proposal was rejected
 				return
 			case ok && a.Result.Leader != "":
 				i := slices.Index(voters, a.Result.Leader)
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -14,53 +14,53 @@
 	"heathgap/internal/holdings"
 )
 
-// Figures of the network between processes.
+// Properties of the network between processes, and of the calls over it.
 const (
-	minLatency           = 200 * time.Microsecond
-	slowProbability      = 0.02
-	duplicateProbability = 0.01        // of messages come twice
-	resetProbability     = 0.002       // of exchanges break off, heard or not
-	lateProbability      = 0.5         // of messages that a cut has held come when it is mended
-	peerTimeout          = time.Second // a keeper's exchanges with another end by then, as in package keeper
+	minLatency           = 200 * time.Microsecond // latencies are between this and the run's usualLatency
+	slowProbability      = 0.02                   // share of the messages that take up to the run's slowLatency
+	duplicateProbability = 0.01                   // share of the messages that arrive twice
+	resetProbability     = 0.002                  // share of the calls whose caller gets an error early, whether or not the request arrives
+	lateProbability      = 0.5                    // share of the messages sent into a partition that are delivered once it heals; the others are lost
+	peerTimeout          = time.Second            // timeout of a voter's calls to another voter, the same as in package voter
 )
 
-// process is one start of a sidecar that is a member, and of a keeper where it is one.
+// process is one started process of a member, with its voter if the member is one. It implements voter.Clock and voter.Transport.
 type process struct {
 	r           *run
 	name        string
-	id          string  // name and start
-	clockRate   float64 // of its clock
-	bootOffset  time.Duration
+	id          string        // its name and the number of the start, as in m1.2
+	clockRate   float64       // seconds of its clock per second of virtual time
+	bootOffset  time.Duration // what its boot-time clock showed at the start of the run
 	dead        bool
 	paused      bool
-	pausedAt    time.Duration // it is paused
-	pausedTotal time.Duration // of pauses, for a clock that stops in them
-	deferred    []func()      // what comes while it is paused
-	// pauseAtRenewal is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
+	pausedAt    time.Duration // when the present pause began
+	pausedTotal time.Duration // length of all earlier pauses, for a clock that stops in them
+	deferred    []func()      // calls that arrived while it was paused
+	// pauseAtRenewal is how long the process is paused after it has sent its next renewal, before the grant arrives; 0 for no pause.
 	pauseAtRenewal time.Duration
 
 	holder        *cluster.LeaseHolder
 	renewer       *cluster.LeaseRenewer
-	store         *holdings.Store // nil where nothing is held
+	store         *holdings.Store // nil in a cluster without holdings
 	incarnation   holdings.Incarnation
-	appliedView   holdings.View   // by the store, last
-	checkedView   holdings.View   // as it was last looked at
-	lastDelta     *holdings.Delta // the one before, for a planted bug
-	lastRecorded  [2]uint64       // of a keeper's ledger: epoch and number that were last noted as agreed on
-	leaving       bool            // it has said so
-	noLeaseReason string          // it holds no lease
-
-	core         *voter.Core // nil where this one is no keeper, or its keeper has ended
-	voterErr     error       // why
+	appliedView   holdings.View   // the view that was last given to store
+	checkedView   holdings.View   // the view that checkView last checked
+	lastDelta     *holdings.Delta // the delta of the grant before, for an injected bug
+	lastRecorded  [2]uint64       // epoch and placement number that recordAgreed last recorded for its ledger
+	leaving       bool            // it has announced that it leaves, and renews no more
+	noLeaseReason string          // why its last renewal was not granted; empty if it was
+
+	core         *voter.Core // nil without a voter, or when the voter has stopped with voterErr
+	voterErr     error
 	disk         *disk
 	peerQueues   map[string]*peerQueue
-	checkedEntry uint64 // entries applied, when its ledger was last compared
+	checkedEntry uint64 // number of entries applied when checkVoter last ran
 }
 
-// Now is keeper.Clock's.
+// Now implements voter.Clock.
 func (p *process) Now() time.Time { return time.Unix(0, 0).Add(p.BootTime()) }
 
-// BootTime is keeper.Clock's, by this machine's clock.
+// BootTime implements voter.Clock, by the process's own clock.
 func (p *process) BootTime() time.Duration {
 	elapsed := p.r.w.now
 	if p.r.bug == ClockStops {
@@ -72,12 +72,12 @@
 	return p.bootOffset + time.Duration(float64(elapsed)*p.clockRate)
 }
 
-// scheduleLocal has this process do something after a time on its clock.
+// scheduleLocal runs do after d on the process's own clock.
 func (p *process) scheduleLocal(d time.Duration, what string, do func()) {
 	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.runOrDefer(do) })
 }
 
-// runOrDefer has this process do something now, or when it goes on.
+// runOrDefer runs f now, or when the process resumes if it is paused. A dead process never runs it.
 func (p *process) runOrDefer(f func()) {
 	switch {
 	case p.dead:
@@ -88,10 +88,10 @@
 	}
 }
 
-// pause stops the process, as SIGSTOP or a suspended machine does.
+// pause stops the process, as SIGSTOP or the suspension of its machine does.
 func (p *process) pause() { p.paused, p.pausedAt = true, p.r.w.now }
 
-// resume lets it go on: what has come in the meantime it takes at once.
+// resume ends a pause: the process at once runs all calls that arrived in the meantime.
 func (p *process) resume() {
 	p.paused = false
 	p.pausedTotal += p.r.w.now - p.pausedAt
@@ -103,7 +103,7 @@
 	}
 }
 
-// kill ends it. Its folder stays.
+// kill ends the process. Its data directory stays.
 func (p *process) kill() {
 	p.dead = true
 	if p.disk != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// startVoter opens the keeper's folder and begins.
+// startVoter opens the voter's data directory and starts the voter.
 func (p *process) startVoter() {
 	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.voters, Params: p.r.conf.Params}
 	p.callVoter(func() (err error) {
@@ -124,7 +124,8 @@
 	p.scheduleTick()
 }
 
-// callVoter calls the core, lets it settle, and ends it where that fails.
+// callVoter calls the voter's core and processes what follows from that. It stops the voter on an error, and the process if a disk
+// fault killed it.
 func (p *process) callVoter(do func() error) {
 	err := p.callAndProcessReady(do)
 	switch {
@@ -138,6 +139,7 @@
 	}
 }
 
+// callAndProcessReady calls the core and turns a panic into an error.
 func (p *process) callAndProcessReady(do func() error) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -150,6 +152,7 @@
 	return err
 }
 
+// failVoter stops the voter; the process and its lease renewals go on.
 func (p *process) failVoter(err error) {
 	if p.core != nil {
 		p.core.FailWaiting()
@@ -158,7 +161,7 @@
 	p.r.voterStopped(p, err)
 }
 
-// withVoter has the keeper of this process do something, if there is one.
+// withVoter calls the voter's core, if the process has one.
 func (p *process) withVoter(do func(c *voter.Core)) {
 	if p.core != nil {
 		p.callVoter(func() error {
@@ -168,6 +171,7 @@
 	}
 }
 
+// scheduleTick schedules the voter's next tick.
 func (p *process) scheduleTick() {
 	p.scheduleLocal(voter.TickEvery, "tick", func() {
 		p.withVoter(func(c *voter.Core) { c.Tick() })
@@ -177,15 +181,16 @@
 	})
 }
 
-// peerQueue is what a keeper has to say to another: one exchange at a time, as a process has it.
+// peerQueue holds the raft messages from one voter to another. One call at a time carries them, as between real processes.
 type peerQueue struct {
 	messages []*raftpb.Message
-	busy     bool
+	busy     bool // a call is under way, or about to start
 }
 
+// maxQueuedMessages is the length of a peerQueue above which messages are dropped.
 const maxQueuedMessages = 256
 
-// Send is keeper.Ways'.
+// Send implements voter.Transport.
 func (p *process) Send(to string, m *raftpb.Message) bool {
 	l := p.peerQueues[to]
 	if l == nil {
@@ -197,10 +202,10 @@
 	}
 	l.messages = append(l.messages, m)
 	if p.r.bug == ConfirmsWithoutMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
-		// The planted bug: each of the others is taken for having said yes.
+		// Injected bug: the voter behaves as if each other voter had acknowledged the heartbeat.
 		forged := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
 		p.r.w.schedule(minLatency, "forged", p.id, func() {
-			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // it is a bug
+			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // an injected bug
 		})
 	}
 	if !l.busy {
@@ -210,7 +215,7 @@
 	return true
 }
 
-// sendQueued says what waits on a line.
+// sendQueued sends all queued messages in one call, and goes on with those that were queued meanwhile.
 func (p *process) sendQueued(to string, l *peerQueue) {
 	if l.busy = len(l.messages) > 0; !l.busy {
 		return
@@ -226,7 +231,7 @@
 		for _, text := range texts {
 			m := &raftpb.Message{}
 			if err := proto.Unmarshal(text, m); err != nil {
-				panic(err) // what was marshalled a moment ago
+				panic(err) // the caller has just encoded it
 			}
 			if q.r.bug == AcceptsStaleMessages {
 				m.To = proto.Uint64(q.r.directoryIDs[q.name])
@@ -252,7 +257,7 @@
 	})
 }
 
-// Announce is keeper.Ways'.
+// Announce implements voter.Transport.
 func (p *process) Announce(to string, mine voter.Announcement) {
 	call(p, to, "form", mine, peerTimeout, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
 		q.withVoter(func(c *voter.Core) {
@@ -269,7 +274,7 @@
 	})
 }
 
-// heartbeat asks for the lease, and again with the next heartbeat.
+// heartbeat renews the lease; renew schedules the next heartbeat.
 func (p *process) heartbeat() {
 	if !p.leaving {
 		p.renewer.StartHeartbeat()
@@ -277,6 +282,7 @@
 	}
 }
 
+// renew sends one renewal and handles its grant.
 func (p *process) renew() {
 	if p.store != nil {
 		p.holder.CaughtUp = p.store.CaughtUp()
@@ -339,7 +345,7 @@
 	})
 }
 
-// applyView has the store take what is new of members and placement. Nothing is ever held in it: a replica lacks nothing at once.
+// applyView gives the store a view that is new. The store never holds an entry, so that a replica is caught up as soon as it is placed.
 func (p *process) applyView() {
 	if p.store == nil {
 		return
@@ -350,7 +356,8 @@
 	}
 }
 
-// call is one exchange: what is said is coded and decoded as on the wire. done is called once, in time.
+// call sends a request to another process, encoded as on the wire, and calls done once: with the answer, or with ok false if the
+// request was refused, reset or not answered within the timeout on the caller's clock.
 func call[Q, A any](from *process, to, kind string, q Q, within time.Duration, handle func(q *process, body Q, reply func(A)),
 	done func(answer A, ok bool)) {
 	r := from.r
@@ -392,24 +399,27 @@
 	})
 }
 
+// mustEncode returns the encoded text; it panics on an error.
 func mustEncode(text []byte, err error) []byte {
 	if err != nil {
-		panic(err) // the program's own types
+		panic(err) // the types of the protocol can always be encoded
 	}
 	return text
 }
 
+// mustDecode decodes a text that mustEncode returned.
 func mustDecode[T any](text []byte) (t T) {
 	if err := cbor.Unmarshal(text, &t); err != nil {
-		panic(err) // what was marshalled a moment ago
+		panic(err) // the text was encoded a moment ago
 	}
 	return t
 }
 
-// direction is from one process to another.
+// direction is one direction of the network between two processes. Each can be partitioned alone.
 type direction struct{ from, to string }
 
-// send has something come to another process: after a while, twice at times, late or never where the way is cut.
+// send delivers a message to another process after a random latency, sometimes twice. In a partitioned direction it arrives after
+// the partition has healed, or never.
 func (r *run) send(from, to, what string, deliver func()) {
 	transmit := func() {
 		delay := r.w.randomDuration(minLatency, r.usualLatency)
@@ -430,13 +440,13 @@
 	}
 }
 
-// heldMessage is what stands at a cut.
+// heldMessage is a message that is sent once its direction is no longer partitioned.
 type heldMessage struct {
 	direction direction
 	send      func()
 }
 
-// log is where a process's keeper writes.
+// log returns the logger of a process's voter.
 func (r *run) log(p *process) zerolog.Logger {
 	if r.opts.Log == nil {
 		return zerolog.Nop()
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -18,48 +18,48 @@
 	"heathgap/internal/versions"
 )
 
-// Conf is what a run plays.
+// Conf is the configuration of a run.
 type Conf struct {
-	Voters, Members int // members that are no keepers: each keeper is a member too
+	Voters, Members int // Members counts the members that are not voters; each voter is a member too
 	Params          cluster.Params
-	Duration        time.Duration // of faults; then all is mended
-	// FaultEvery is how far apart faults begin, about, in the middle one of three kinds of days; 0 for none.
+	Duration        time.Duration // how long faults are injected; then all are healed
+	// FaultEvery is the mean time between faults, which each run multiplies by 0.5, 1 or 3; 0 for no faults.
 	FaultEvery time.Duration
-	// ProposeEvery is how far apart proposals are, about; 0 for none but the last.
+	// ProposeEvery is the mean time between proposals; 0 for none except the last.
 	ProposeEvery time.Duration
-	// The write of a keeper's disk that trouble befalls, by its number; 0 for none but the drawn ones.
+	// DiskFaultAt is the number of the write of k1's disk that gets the fault DiskFault; 0 for none except those of injectFaults.
 	DiskFaultAt int
 	DiskFault   DiskFault
 }
 
-// DefaultConf is the crew that CI plays.
+// DefaultConf is the cluster that the tests run by default.
 func DefaultConf() Conf {
 	return Conf{Voters: 5, Members: 25, Params: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
 		Duration: 20 * time.Second, FaultEvery: 700 * time.Millisecond, ProposeEvery: time.Second}
 }
 
-// HoldingsConf is that crew with copied holdings, whose members are told of each other and of the placement.
+// HoldingsConf is DefaultConf with holdings, so that members get the other members and the placement.
 func HoldingsConf() Conf {
 	c := DefaultConf()
 	c.Params.Holdings = clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 3 * time.Second}
 	return c
 }
 
-// Options are those of a run that do not change what it does, but for a planted bug.
+// Options hold what a run needs beside its configuration. Only Bug changes what happens in it.
 type Options struct {
-	Trace, Log io.Writer // nil for none
+	Trace, Log io.Writer // receive the steps and the voters' logs; nil for none
 	Bug        Bug
-	// Only is the one rule that counts, "" for all: whether a bug is found by what it does, not by the program's own guard
-	// that meets it before.
+	// Only is the one rule that counts, "" for all rules. It shows whether a rule finds a bug by its effects, even if one of the
+	// program's own checks would report the bug earlier.
 	Only string
-	// FixChecksums has the checksums of faulty deltas made right, so that what a member knows shows the fault.
+	// FixChecksums corrects the checksums of faulty deltas, so that members apply them and ViewsDiffer must find the fault.
 	FixChecksums bool
 }
 
-// Bug is planted into what is round the cores.
+// Bug is a bug injected into the environment of the voter cores and lease holders.
 type Bug string
 
-// The bugs.
+// The bugs that a run can inject.
 const (
 	CountsFromAnswer        Bug = "a member counts its lease from the answer"
 	ClockStops              Bug = "a member's clock stops while its machine is suspended"
@@ -80,90 +80,90 @@
 	TruncatedHistory        Bug = "a history was cut, and changes are told from before that"
 )
 
-// The rules that a run checks.
+// The rules that a run checks, and parameters of the checks.
 const (
-	IncompatibleVersions = "apart"        // two members act on versions that are no neighbours
-	DuplicateLease       = "twice"        // two processes of one name hold a lease
-	ForgottenBan         = "forgets"      // a member does not act on a ban of a version that it acts on
-	OlderEpoch           = "older_epoch"  // a member is back in an epoch that has passed
-	TwoLeaders           = "two_leaders"  // two leaders of one term
-	LedgersDiffer        = "differ"       // two keepers hold different ledgers after the same entry
-	LostVersion          = "lost"         // a version that was told is not there
-	NotLinearizable      = "not_in_order" // what was told fits no order of events
-	ViewsDiffer          = "views"        // a member knows other members or another placement than the ledger had
-	VoterStopped         = "stops"        // a keeper ends for no reason that was played
-	NotSettled           = "stuck"        // the crew is not well long after all was mended
-	settleLimit          = 20 * time.Second
-	sampleInterval       = 50 * time.Millisecond
+	IncompatibleVersions = "apart"               // two members apply versions that are not neighbors
+	DuplicateLease       = "twice"               // two processes of one name hold a lease
+	ForgottenBan         = "forgets"             // a member does not apply a ban of a version that it applies
+	OlderEpoch           = "older_epoch"         // a version is active in an epoch in which a member did not report that it had prepared the version
+	TwoLeaders           = "two_leaders"         // a term has two leaders
+	LedgersDiffer        = "differ"              // two voters have different ledgers after the same entry
+	LostVersion          = "lost"                // a version whose number was reported does not exist
+	NotLinearizable      = "not_in_order"        // no order of the clients' calls explains their results
+	ViewsDiffer          = "views"               // a member knows other members or another placement than the ledger had
+	VoterStopped         = "stops"               // a voter stops for a reason that no injected fault explains
+	NotSettled           = "stuck"               // the cluster has not settled long after all faults were healed
+	settleLimit          = 20 * time.Second      // how long the cluster may take to settle
+	sampleInterval       = 50 * time.Millisecond // between measurements of the leader and of cautious members
 )
 
-// Failure is a broken rule.
+// Failure is a violated rule.
 type Failure = sim.Failure
 
-// Result is what a run left.
+// Result is the outcome of a run.
 type Result struct {
-	Failure         *Failure // nil for a good run
-	Hash            uint64   // over all steps
+	Failure         *Failure // nil if the run passed
+	Hash            uint64   // of all steps, in order
 	Steps           int
-	Faults          map[string]int
-	Versions        int             // told
-	ActivationTimes []time.Duration // from each proposal to a ledger in which it is active
-	LeaderlessTimes []time.Duration // for so long nobody led that could be reached
-	CautiousShare   float64         // share of the members' time
-	UnknownOutcomes int             // proposals that nobody learnt the fate of
-	SettleTime      time.Duration   // from when all was mended until the crew was well
-	Deltas          map[string]int  // taken by members: whole, changes, and differing ones that were not taken
-	DiskFaultHit    bool            // Conf.TroubleAt has come
+	Faults          map[string]int  // injected, by kind
+	Versions        int             // number of versions whose number was reported to the proposer
+	ActivationTimes []time.Duration // from each proposal to the first ledger in which the version is active
+	LeaderlessTimes []time.Duration // lengths of the times without a reachable leader
+	CautiousShare   float64         // share of the members' time in which they were cautious
+	UnknownOutcomes int             // number of proposals whose outcome is unknown
+	SettleTime      time.Duration   // from the end of all faults until the cluster was settled
+	Deltas          map[string]int  // sent to members: full states ("whole"), changes, states that a member rejected ("differed") and tampered ones
+	DiskFaultHit    bool            // the write Conf.DiskFaultAt has happened
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
 	w            *world
 	conf         Conf
 	opts         Options
 	bug          Bug
-	voters       map[string]string // as each is started with
-	names        []string          // of members, keepers first
-	processes    map[string]*process
-	duplicates   []*process // second processes of a name
-	starts       map[string]int
-	disks        map[string]*disk
-	directoryIDs map[string]uint64
-	incomplete   map[string]uint64 // keepers whose folder was lost or set back, until they have so many entries
-	setBack      map[string]bool
-	diskFaultSet map[string]bool
+	voters       map[string]string   // addresses by names
+	names        []string            // of members, voters first
+	processes    map[string]*process // the present process of each name
+	duplicates   []*process          // second processes of a name, which the fault "twin" starts
+	starts       map[string]int      // number of processes started so far, by name
+	disks        map[string]*disk    // of voters
+	directoryIDs map[string]uint64   // of the voters' data directories
+	incomplete   map[string]uint64   // voters whose data directory was lost or set back, with the entry that they must apply to be complete again
+	setBack      map[string]bool     // voters whose data directory was set back
+	diskFaultSet map[string]bool     // voters for whose disk a fault was scheduled
 	partitioned  map[direction]bool
 	heldMessages []heldMessage
-	faultsOver   bool // faults are over
+	faultsOver   bool // no more faults are injected
 
 	failure                   *Failure
-	leaderOfTerm              map[uint64]string
-	ledgerAfter               map[uint64]string // what a ledger says after so many entries
-	membershipOf              map[uint64]string // that a ledger has in an epoch
-	placementOf               map[uint64]string // and by its number
-	highestApplied            uint64            // entries that any keeper has applied
-	bannedIn                  map[uint64][]string
-	activeSince               map[uint64]time.Duration // when a version was first active
+	leaderOfTerm              map[uint64]string        // leader by term
+	ledgerAfter               map[uint64]string        // summary of the ledger by applied entry
+	membershipOf              map[uint64]string        // digest of the members by epoch
+	placementOf               map[uint64]string        // digest of the placement by number
+	highestApplied            uint64                   // the newest entry that any voter has applied
+	bannedIn                  map[uint64][]string      // banned endpoints by version
+	activeSince               map[uint64]time.Duration // when each version was first active in a ledger
 	reported                  []reportedVersion
-	prepared                  map[preparedVersion]bool
+	prepared                  map[preparedVersion]bool // what members have reported as prepared
 	history                   history
 	documents                 documentState
 	result                    Result
-	leaderlessFor             time.Duration // nobody leads since so long
-	usualLatency, slowLatency time.Duration // of messages on their way, most and of a few
+	leaderlessFor             time.Duration // how long there has been no reachable leader
+	usualLatency, slowLatency time.Duration // longest latency of most messages, and of a few slow ones
 	samples, cautiousSamples  int
 }
 
-// preparedVersion is a member's word, in an epoch, that it acts on a version.
+// preparedVersion is a member's report, in an epoch, that it applies a version together with the active one.
 type preparedVersion struct{ token, version, epoch uint64 }
 
-// reportedVersion is a version whose number its author was told.
+// reportedVersion is a version whose number was reported to its proposer.
 type reportedVersion struct {
 	number, id uint64
 	proposedAt time.Duration
 }
 
-// Run plays a seed.
+// Run runs a seed.
 func Run(seed uint64, conf Conf, opts Options) Result {
 	w, done := newSeededWorld(seed)
 	defer done()
@@ -222,6 +222,7 @@
 	return *res
 }
 
+// violation ends the run with a violated rule, unless it has failed already or the rule does not count.
 func (r *run) violation(rule, format string, args ...any) {
 	if r.failure == nil && (r.opts.Only == "" || rule == r.opts.Only) {
 		r.failure = &Failure{Rule: rule, Step: r.w.steps, At: r.w.now, What: fmt.Sprintf(format, args...)}
@@ -229,7 +230,7 @@
 	}
 }
 
-// newDirectoryID draws the id of a new folder.
+// newDirectoryID generates the id of a new data directory.
 func (r *run) newDirectoryID(p *process) uint64 {
 	if old := r.directoryIDs[p.name]; old != 0 && r.bug == KeepsOldID {
 		return old
@@ -238,7 +239,7 @@
 	return r.directoryIDs[p.name]
 }
 
-// start starts a process of a name.
+// start starts a process under a name, unless one runs.
 func (r *run) start(name string) {
 	if old := r.processes[name]; old != nil && !old.dead {
 		return
@@ -251,6 +252,7 @@
 	p.heartbeat()
 }
 
+// newProcess returns a process whose clock runs at a rate within the drift that the cluster parameters allow.
 func (r *run) newProcess(name string) *process {
 	r.starts[name]++
 	drift := r.conf.Params.Drift
@@ -270,17 +272,19 @@
 	return p
 }
 
+// kill kills a process and restarts it later.
 func (r *run) kill(p *process) {
 	p.kill()
 	r.restartLater(p.name)
 }
 
+// restartLater schedules the start of a process under a name.
 func (r *run) restartLater(name string) {
 	r.w.schedule(r.w.randomDuration(100*time.Millisecond, 3*time.Second), "start", name, func() { r.start(name) })
 }
 
-// voterStopped is called when a keeper takes no further part. Its operator starts the process again, with an empty folder
-// where that was set back or is damaged.
+// voterStopped handles the stop of a voter by an error. It reports a violation unless an injected fault explains the error. An
+// operator restarts the process soon after, with an empty data directory if the old one was set back.
 func (r *run) voterStopped(p *process, err error) {
 	r.w.record("stopped: "+err.Error(), p.id)
 	setBack := strings.Contains(err.Error(), "set back")
@@ -299,7 +303,7 @@
 	})
 }
 
-// wipe empties a keeper's folder.
+// wipe empties a voter's data directory.
 func (r *run) wipe(name string) {
 	acksEarly := r.disks[name].acksEarly
 	r.disks[name] = newDisk()
@@ -308,7 +312,7 @@
 	r.incomplete[name] = r.highestApplied
 }
 
-// running are the processes that stand, in order.
+// running returns all live processes, paused ones too, in a fixed order.
 func (r *run) running() (out []*process) {
 	for _, name := range r.names {
 		if p := r.processes[name]; p != nil && !p.dead && p.holder != nil {
@@ -323,7 +327,7 @@
 	return out
 }
 
-// checkMember looks whether a member, whose stance may have changed, contradicts another.
+// checkMember checks that the versions a member applies are compatible with those of all others, and that it applies all bans.
 func (r *run) checkMember(p *process) {
 	if p.dead || p.paused {
 		return
@@ -336,7 +340,7 @@
 	for _, n := range []uint64{effective.Active, effective.Next} {
 		for _, name := range r.bannedIn[n] {
 			if !effective.Rules.Banned[name] {
-				r.violation(ForgottenBan, "%s acts on version %d and not on its ban of %s", p.id, n, name)
+				r.violation(ForgottenBan, "%s applies version %d, but not its ban of %s", p.id, n, name)
 			}
 		}
 	}
@@ -355,12 +359,12 @@
 			r.violation(DuplicateLease, "%s and %s both hold a lease", p.id, q.id)
 		}
 		if effective.Active != other.Active && effective.Next != other.Active && other.Next != effective.Active {
-			r.violation(IncompatibleVersions, "%s acts on %d+%d and %s on %d+%d", p.id, effective.Active, effective.Next, q.id, other.Active, other.Next)
+			r.violation(IncompatibleVersions, "%s applies versions %d+%d and %s applies %d+%d", p.id, effective.Active, effective.Next, q.id, other.Active, other.Next)
 		}
 	}
 }
 
-// checkVoter looks at what a keeper that has settled holds.
+// checkVoter checks a voter's term and ledger after each call of its core.
 func (r *run) checkVoter(p *process) {
 	if term, leads := p.core.IsLeader(); leads {
 		if other := r.leaderOfTerm[term]; other != "" && other != p.name {
@@ -372,11 +376,11 @@
 	if applied == p.checkedEntry {
 		return
 	}
-	onlyOne := applied == p.checkedEntry+1 // else what was true between is not seen
+	onlyOne := applied == p.checkedEntry+1 // otherwise the states between were not seen
 	p.checkedEntry = applied
 	r.highestApplied = max(r.highestApplied, applied)
 	if applied >= r.incomplete[p.name] {
-		delete(r.incomplete, p.name) // entries that nobody has applied yet may still show that it was set back
+		delete(r.incomplete, p.name) // setBack stays: later entries may still reveal that the directory was set back
 	}
 	for _, record := range []*cluster.VersionRecord{&l.Active, l.Next} {
 		if record != nil && record.Number > 0 {
@@ -387,7 +391,7 @@
 		r.activeSince[l.Active.Number] = r.w.now
 		for _, name := range slices.Sorted(maps.Keys(l.Members)) {
 			if onlyOne && l.Active.Number > 0 && !r.prepared[preparedVersion{l.Members[name].Token, l.Active.Number, l.Epoch}] {
-				r.violation(OlderEpoch, "version %d is active in epoch %d, in which %s never said that it acts on it", l.Active.Number, l.Epoch, name)
+				r.violation(OlderEpoch, "version %d is active in epoch %d, in which %s never reported that it had prepared it", l.Active.Number, l.Epoch, name)
 			}
 		}
 	}
@@ -403,9 +407,9 @@
 	r.ledgerAfter[applied] = summary
 }
 
-// recordGrant books what a member was told.
+// recordGrant records a grant as a read of the versions, for the check of linearizability.
 func (r *run) recordGrant(p *process, sentAt time.Duration, g *cluster.Grant, err error) {
-	// A few members' words are enough for the order of events; they come eight times a lease.
+	// The answers of a few members are enough for the check; each member renews eight times per lease.
 	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.RetryNow {
 		return
 	}
@@ -416,7 +420,7 @@
 	r.history.add(p.id, sentAt, r.w.now, clientCall{}, result)
 }
 
-// reachableLeader tells whether a keeper leads that can be reached: the one of the newest term.
+// reachableLeader returns the leader's process, that of the newest term if several lead; nil if none leads or it is paused.
 func (r *run) reachableLeader() *process {
 	var best *process
 	newest := uint64(0)
@@ -431,7 +435,7 @@
 	return best
 }
 
-// sample measures.
+// sample measures how long there is no leader, and how many members are cautious.
 func (r *run) sample() {
 	if r.reachableLeader() == nil {
 		r.leaderlessFor += sampleInterval
@@ -450,7 +454,7 @@
 	r.w.schedule(sampleInterval, "sample", "", r.sample)
 }
 
-// settle mends everything and waits until the crew is well: all in, and a last version acted on by all.
+// settle heals all faults and waits until the cluster has settled on a last version.
 func (r *run) settle() {
 	r.faultsOver = true
 	r.healAll()
@@ -466,7 +470,7 @@
 		return
 	}
 	if last == 0 || !r.settledOn(last) {
-		r.violation(NotSettled, "%v after all was mended: the last version told is %d; %s", settleLimit, last, r.describe())
+		r.violation(NotSettled, "not settled %v after all faults were healed: the last version reported is %d; %s", settleLimit, last, r.describe())
 		return
 	}
 	r.result.SettleTime = r.w.now - began
@@ -477,13 +481,13 @@
 		l, _ := p.core.Ledger()
 		for _, v := range r.reported {
 			if have := l.Find(v.id); have == nil || have.Number != v.number {
-				r.violation(LostVersion, "version %d was told, and %s does not have it", v.number, p.id)
+				r.violation(LostVersion, "version %d was reported to its proposer, but %s does not have it", v.number, p.id)
 			}
 		}
 	}
 }
 
-// settledOn tells whether all act on a version alone, and all keepers have it.
+// settledOn reports whether all processes run, all members apply this version or a newer one and no other, and all voters have it.
 func (r *run) settledOn(version uint64) bool {
 	up := r.running()
 	if len(up) < len(r.names) {
@@ -510,7 +514,7 @@
 	return true
 }
 
-// describe tells where everybody is.
+// describe returns the state of each process, for failure messages.
 func (r *run) describe() string {
 	var out []string
 	for _, p := range r.running() {
@@ -522,7 +526,7 @@
 		if p.core != nil {
 			l, applied := p.core.Ledger()
 			term, leads := p.core.IsLeader()
-			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, keepers %v)", applied, r.highestApplied, leads, term, l.Voters)
+			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, voters %v)", applied, r.highestApplied, leads, term, l.Voters)
 		} else if p.voterErr != nil {
 			text += fmt.Sprintf(" (%v)", p.voterErr)
 		}
--- a/internal/sim/clustersim/sim_test.go
+++ b/internal/sim/clustersim/sim_test.go
@@ -12,16 +12,17 @@
 )
 
 var (
-	seeds         = flag.Int("crewsim.seeds", 40, "so many seeds are played")
-	holdingsSeeds = flag.Int("crewsim.held", 16, "so many seeds are played with copied holdings")
-	firstSeed     = flag.Int("crewsim.from", 0, "from this one on")
-	oneSeed       = flag.Int64("crewsim.seed", -1, "only this one")
-	voters        = flag.Int("crewsim.keepers", 5, "of the members")
-	members       = flag.Int("crewsim.members", 25, "members that are no keepers")
-	traceFile     = flag.String("crewsim.trace", "", "where the steps of the one seed are written")
-	logFile       = flag.String("crewsim.log", "", "where its keepers' logs are written")
+	seeds         = flag.Int("crewsim.seeds", 40, "number of seeds to run")
+	holdingsSeeds = flag.Int("crewsim.held", 16, "number of seeds to run with holdings")
+	firstSeed     = flag.Int("crewsim.from", 0, "first seed to run")
+	oneSeed       = flag.Int64("crewsim.seed", -1, "run only this seed")
+	voters        = flag.Int("crewsim.keepers", 5, "number of voters")
+	members       = flag.Int("crewsim.members", 25, "number of members that are not voters")
+	traceFile     = flag.String("crewsim.trace", "", "file for the steps of the seed of -crewsim.seed")
+	logFile       = flag.String("crewsim.log", "", "file for the logs of its voters")
 )
 
+// defaultConf is DefaultConf with the sizes that the flags set.
 func defaultConf() Conf {
 	c := DefaultConf()
 	c.Voters, c.Members = *voters, *members
@@ -30,14 +31,14 @@
 
 func TestSeeds(t *testing.T) { runSeeds(t, defaultConf(), *seeds) }
 
-// holdingsConf is the crew that holds.
+// holdingsConf is HoldingsConf with the sizes that the flags set.
 func holdingsConf() Conf {
 	c := HoldingsConf()
 	c.Voters, c.Members = *voters, *members
 	return c
 }
 
-// The same with copied holdings: members are told of each other and of the placement as changes, and after each answer have what the
+// The same with holdings: members get the other members and the placement as deltas, and after each grant must have what the
 // ledger had.
 func TestSeedsWithHoldings(t *testing.T) { runSeeds(t, holdingsConf(), *holdingsSeeds) }
 
@@ -67,25 +68,25 @@
 		active, leaders, settled = append(active, r.ActivationTimes...), append(leaders, r.LeaderlessTimes...), append(settled, r.SettleTime)
 	}
 	elapsed := time.Since(began)
-	t.Logf("%d seeds, %d steps in %v; %d versions told; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, elapsed.Round(time.Millisecond),
+	t.Logf("%d seeds, %d steps in %v; %d versions reported; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, elapsed.Round(time.Millisecond),
 		sum.Versions, sum.CautiousShare, sum.Faults)
-	t.Logf("told to members: %v", sum.Deltas)
+	t.Logf("states sent to members: %v", sum.Deltas)
 	withHoldings := conf.Params.Holdings.Copies > 0
 	if withHoldings && (sum.Deltas["changes"] < 10*sum.Deltas["whole"] || sum.Deltas["whole"] == 0 || sum.Deltas["differed"] > 0) {
-		t.Errorf("told to members: %v; wanted: changes, some wholes, and none that differ", sum.Deltas)
+		t.Errorf("states sent to members: %v; want mostly changes, some full states (whole), and none that differ", sum.Deltas)
 	}
-	t.Logf("until a version is active %s; nobody leads %s; until all is well %s", spread(active), spread(leaders), spread(settled))
-	for _, k := range faultKinds() { // what the seeds never bring about, they do not test
+	t.Logf("until a version is active %s; without a leader %s; until the cluster is settled %s", spread(active), spread(leaders), spread(settled))
+	for _, k := range faultKinds() { // a fault that no seed injects is not tested
 		if sum.Faults[k.name] == 0 && seeds >= 40 {
-			t.Errorf("never drawn: %s", k.name)
+			t.Errorf("no seed injects the fault %s", k.name)
 		}
 	}
 	if len(active) < seeds {
-		t.Errorf("%d versions became active in %d seeds", len(active), seeds)
+		t.Errorf("only %d versions became active in %d seeds", len(active), seeds)
 	}
 }
 
-// spread tells the median, a late one and the last.
+// spread returns the median, the 99th percentile and the maximum.
 func spread(all []time.Duration) string {
 	slices.Sort(all)
 	if len(all) == 0 {
@@ -104,13 +105,13 @@
 	}
 }
 
-// printHash in the environment has the test's own program print the hashes of seeds.
+// printHash is the environment variable that makes TestPrintHash print the hashes.
 const (
 	printHash   = "HEATHGAP_CREWSIM_HASH"
 	replaySeeds = 4
 )
 
-// traceHashes plays seeds.
+// traceHashes runs the first seeds and returns the hashes of their steps.
 func traceHashes(t *testing.T) (out []string) {
 	t.Helper()
 	for seed := range uint64(replaySeeds) {
@@ -119,27 +120,29 @@
 	return out
 }
 
-// TestPrintHash is the other process of TestSameSeedSameTrace.
+// TestPrintHash is what TestSameSeedSameTrace runs in other processes.
 func TestPrintHash(t *testing.T) {
 	if os.Getenv(printHash) == "" {
-		t.Skip("run by another test")
+		t.Skip("run by TestSameSeedSameTrace only")
 	}
 	for _, h := range traceHashes(t) {
 		fmt.Println(simtest.HashPrefix + h)
 	}
 }
 
-// The same seed takes the same steps, in other processes too, with one processor and with eight; others take others.
+// Guards against steps that do not follow from the seed alone: a seed must take the same steps in other processes, with one
+// processor and with eight. Different seeds must take different steps.
 func TestSameSeedSameTrace(t *testing.T) {
 	want := traceHashes(t)
 	if seen := slices.Compact(slices.Sorted(slices.Values(want))); len(seen) != replaySeeds {
-		t.Errorf("%d seeds take %d ways", replaySeeds, len(seen))
+		t.Errorf("the steps of %d seeds have only %d different hashes", replaySeeds, len(seen))
 	}
 	simtest.SameInSubprocesses(t, "TestPrintHash", printHash, want)
 }
 
-// Each write of a keeper's disk meets each trouble in turn, until a run has none left to meet: what was told is there, and
-// the crew is well again. Nothing else befalls this crew.
+// Guards against a voter that loses data or stops for good after a failed write or a crash in a write. Each write of a voter's disk
+// gets each fault in turn, until a run has fewer writes. Reported versions must still exist and the cluster must settle. There are
+// no other faults.
 func TestEachDiskWriteFails(t *testing.T) {
 	conf := DefaultConf()
 	conf.Voters, conf.Members, conf.FaultEvery, conf.Duration = 3, 3, 0, 6*time.Second
@@ -158,7 +161,7 @@
 		}
 		t.Logf("%s: %d writes", fault, writes)
 		if writes < 10 {
-			t.Errorf("%s: only %d writes met it", fault, writes)
+			t.Errorf("%s: only %d writes got the fault, want at least 10", fault, writes)
 		}
 	}
 }
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -12,16 +12,17 @@
 	"heathgap/internal/holdings"
 )
 
-// What members know of each other and of the placement, which they are told as changes.
+// Checks of what members know of the other members and of the placement, which the leader sends them as changes.
 
-// digest writes something out, so that two that are equal write the same.
+// digest returns the same text for equal values.
 func digest(value any) string {
 	sum := fnv.New128a()
 	fmt.Fprintf(sum, "%+v", value)
 	return fmt.Sprintf("%x", sum.Sum(nil))
 }
 
-// recordAgreed notes the members and the placement of a ledger by which a member is answered.
+// recordAgreed records the members and the placement of the ledger from which a voter answers a renewal. It reports a violation if
+// another ledger had others under the same epoch or placement number.
 func (r *run) recordAgreed(p *process, l *cluster.Ledger) {
 	if l.Placement == nil || p.lastRecorded == [2]uint64{l.Epoch, l.Placement.Number} {
 		return
@@ -33,13 +34,13 @@
 		says   string
 	}{{r.membershipOf, l.Epoch, digest(l.Membership())}, {r.placementOf, l.Placement.Number, digest(l.Placement.Shards)}} {
 		if other, known := part.known[part.number]; known && other != part.says {
-			r.violation(LedgersDiffer, "%s has other members or another placement under number %d than another leader had", p.id, part.number)
+			r.violation(LedgersDiffer, "%s answers with other members or another placement under number %d than another leader", p.id, part.number)
 		}
 		part.known[part.number] = part.says
 	}
 }
 
-// checkView looks whether what a member knows is what the ledger had.
+// checkView checks that what a member knows is what a ledger had under the same epoch and placement number.
 func (r *run) checkView(p *process) {
 	v := p.holder.View()
 	if v.Placement == nil || v.Is(&p.checkedView) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// viewIsCurrent tells whether a member knows what the leader's ledger says now.
+// viewIsCurrent reports whether a member has the members and the placement of the leader's present ledger.
 func (r *run) viewIsCurrent(p *process) bool {
 	leader := r.reachableLeader()
 	if leader == nil {
@@ -65,10 +66,10 @@
 	return l.Placement != nil && v.Placement != nil && v.Epoch == l.Epoch && v.Placement.Number == l.Placement.Number
 }
 
-// tamperProbability of deltas a planted bug befalls.
+// tamperProbability is the share of deltas that most bugs of deltas change.
 const tamperProbability = 0.2
 
-// tamperDelta counts what a member is told, and has a planted bug befall it.
+// tamperDelta counts the delta of a grant, and changes it as the injected bug does.
 func (r *run) tamperDelta(p *process, g *cluster.Grant) {
 	if g == nil || len(g.Delta) == 0 {
 		return
@@ -102,7 +103,7 @@
 		}
 		for _, m := range previous.Joined {
 			if d.SinceEpoch == d.Epoch {
-				break // it changes no members
+				break // this delta changes no members
 			}
 			same := func(name string) bool { return name == m.Name }
 			faulty.Gone = slices.DeleteFunc(faulty.Gone, same)
@@ -119,7 +120,7 @@
 			return
 		}
 		faulty.SinceEpoch = p.holder.View().Epoch
-	case TruncatedHistory: // of what was to be told only the newest is left
+	case TruncatedHistory: // keeps only the newest part of the changes
 		if d.SinceEpoch == 0 {
 			return
 		}
@@ -134,7 +135,7 @@
 	r.result.Deltas["tampered"]++
 }
 
-// applyDelta is what a delta leads to, by the model's own way.
+// applyDelta returns the view to which a delta leads, computed without the code under test.
 func applyDelta(v holdings.View, d *holdings.Delta) *holdings.View {
 	next := holdings.View{Epoch: d.Epoch, Placement: &holdings.Placement{}}
 	members := map[string]holdings.Member{}
@@ -149,7 +150,7 @@
 	for _, m := range d.Joined {
 		members[m.Name] = m
 	}
-	for _, m := range members { // in any order: sorted below
+	for _, m := range members { // the order does not matter: they are sorted below
 		next.Members = append(next.Members, m)
 	}
 	slices.SortFunc(next.Members, func(a, b holdings.Member) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/sim/clustersim/world.go
+++ b/internal/sim/clustersim/world.go
@@ -1,10 +1,11 @@
-// Package clustersim plays a crew in a world of its own, under one seed: the real cores of keepers (raft, ledger, leases,
-// their folders' store) and the real seekers and holders of members, on virtual time, between models of the network, of
-// clocks that differ and of disks. It has no goroutines: one step follows another, and the same seed takes the same steps.
-// After each step it checks what must never be (run.go), in the end that what was told is there and that the crew is well.
+// Package clustersim simulates whole clusters under one seed: the real voter cores (raft, ledger, leases, storage in their data
+// directories) and the real lease holders and renewers of the members, on virtual time, with models of the network, of clocks that
+// run at different rates and of disks. It has no goroutines: steps follow one another, and the same seed takes the same steps.
+// After each step a run checks the rules listed in run.go. At its end it checks that each version whose number was reported still
+// exists, and that the cluster settles.
 //
-// What it does not play: sockets, the wire, bbolt's file and the engine that acts on the rules. Real processes
-// (heathlab crew) play those.
+// It does not simulate sockets, the encoding of frames, bbolt's file and the engine that applies the rules. Runs of real processes
+// (heathlab crew) cover those.
 package clustersim
 
 import (
@@ -19,33 +20,33 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is an action that is due at a virtual time.
 type event struct {
 	at   time.Duration
-	seq  int // of those at one time
-	what string
-	who  string
+	seq  int    // orders events that are due at the same time
+	what string // the kind of event, for the trace
+	who  string // the process or the direction, for the trace
 	do   func()
 }
 
-// queue is a heap of events.
+// queue is a heap of events, the earliest first.
 type queue []*event
 
-// Len is heap.Interface's.
+// Len implements heap.Interface.
 func (q queue) Len() int { return len(q) }
 
-// Less is heap.Interface's.
+// Less implements heap.Interface.
 func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-// Swap is heap.Interface's.
+// Swap implements heap.Interface.
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (q *queue) Push(e any) { *q = append(*q, e.(*event)) }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (q *queue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
@@ -53,24 +54,24 @@
 	return e
 }
 
-// world is virtual time and what comes next.
+// world holds the virtual time and the events to come.
 type world struct {
-	now       time.Duration
+	now       time.Duration // since the start of the run
 	queue     queue
 	lastSeq   int
 	steps     int
 	rng       *mrand.Rand
 	traceHash hash.Hash64
-	trace     io.Writer // a line a step; nil for none
+	trace     io.Writer // one line per step; nil for none
 }
 
-// schedule has something happen after a time.
+// schedule adds an event that is due after d.
 func (w *world) schedule(d time.Duration, what, who string, do func()) {
 	w.lastSeq++
 	heap.Push(&w.queue, &event{w.now + max(0, d), w.lastSeq, what, who, do})
 }
 
-// step takes the next step; false when none is left up to a time.
+// step runs the next event. It returns false if none is due by until; the time is until then.
 func (w *world) step(until time.Duration) bool {
 	if len(w.queue) == 0 || w.queue[0].at > until {
 		w.now = until
@@ -84,7 +85,7 @@
 	return true
 }
 
-// record books what happens, for the trace and its hash.
+// record writes a line on what happens to the trace and its hash.
 func (w *world) record(what, who string) {
 	out := io.Writer(w.traceHash)
 	if w.trace != nil {
@@ -93,24 +94,24 @@
 	fmt.Fprintf(out, "%d %d %s %s\n", w.steps, w.now, what, who)
 }
 
-// randomDuration draws a time.
+// randomDuration returns a time from minimum to maximum.
 func (w *world) randomDuration(minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(w.rng.Int64N(int64(maximum-minimum)+1))
 }
 
-// chance draws whether something happens.
+// chance returns true with probability p.
 func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
 
-// seededReader stands in for crypto/rand while a world runs: raft draws the times of its elections from there.
+// seededReader replaces crypto/rand while a world runs: raft draws its election timeouts from there.
 type seededReader struct{ source *mrand.ChaCha8 }
 
-// Read is io.Reader's.
+// Read implements io.Reader.
 func (s seededReader) Read(b []byte) (int, error) { return s.source.Read(b) }
 
-// randMutex world runs at a time in a process: its source of chance is the process's.
+// randMutex is held while a world runs: it replaces crypto/rand.Reader, which the whole process shares.
 var randMutex sync.Mutex
 
-// newSeededWorld puts a seed's chance in place, until the function that it returns is called.
+// newSeededWorld returns a world and makes crypto/rand follow from the seed until the caller calls done.
 func newSeededWorld(n uint64) (w *world, done func()) {
 	randMutex.Lock()
 	before := rand.Reader
