--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -50,15 +50,15 @@
 // Audit returns the module's audit.
 func (b *faultyDecider) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
 
-// withBug makes deciders with a bug. plant is called at each start of a sidecar; it may change conf and
+// withBug makes deciders with a bug. inject is called at each start of a sidecar; it may change conf and
 // sets the hooks of the decider.
-func withBug(plant func(conf *config.Config, b *faultyDecider)) lifecycle.Decider {
+func withBug(inject func(conf *config.Config, b *faultyDecider)) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		b := &faultyDecider{}
-		own := *conf
-		own.Settings.Classes = slices.Clone(conf.Settings.Classes)
-		plant(&own, b)
-		inner, err := lifecycle.Module(&own)
+		changed := *conf
+		changed.Settings.Classes = slices.Clone(conf.Settings.Classes)
+		inject(&changed, b)
+		inner, err := lifecycle.Module(&changed)
 		b.inner = inner
 		return b, err
 	}
@@ -203,9 +203,9 @@
 
 // Guards against a simulation that no longer notices bugs: each injected bug must violate the expected rule, and its script
 // must shrink to a size that people can read.
-func TestPlantedBugs(t *testing.T) {
-	const smallAsks = 20  // requests in a script that people can read
-	const shrinkMost = 10 // failing seeds to shrink at most: the script of a seed with many requests may stay large
+func TestInjectedBugs(t *testing.T) {
+	const maxShrunkRequests = 20 // requests in a script that people can read
+	const maxShrunkSeeds = 10    // failing seeds to shrink at most: the script of a seed with many requests may stay large
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -213,7 +213,7 @@
 			var small Script
 			found, first := 0, uint64(0)
 			for seed := range seedsToTry(bug.hint) {
-				if found == shrinkMost {
+				if found == maxShrunkSeeds {
 					break
 				}
 				failure := fails(GenerateScript(seed))
@@ -226,7 +226,7 @@
 				if found++; found == 1 {
 					first = seed
 				}
-				if small = Shrink(GenerateScript(seed), fails); len(small.Requests) < smallAsks {
+				if small = Shrink(GenerateScript(seed), fails); len(small.Requests) < maxShrunkRequests {
 					break
 				}
 			}
@@ -235,13 +235,13 @@
 			}
 			t.Logf("found by seed %d; of seed %d, %d requests, %d faults, %d sidecars, %d endpoints are left: %v",
 				first, small.Seed, len(small.Requests), len(small.Faults), small.Sidecars, small.Endpoints, fails(small))
-			if len(small.Requests) >= smallAsks {
-				t.Errorf("%d requests are left, want under %d", len(small.Requests), smallAsks)
+			if len(small.Requests) >= maxShrunkRequests {
+				t.Errorf("%d requests are left, want under %d", len(small.Requests), maxShrunkRequests)
 			}
 			if *saveBugs {
 				file := strings.NewReplacer(" ", "-", ":", "", ",", "").Replace(name)
-				kept := SavedFailure{Reason: "planted: " + name + ": " + fails(small).Error(), Script: small}
-				if err := kept.Save(filepath.Join(corpus, file+".json")); err != nil {
+				saved := SavedFailure{Reason: "planted: " + name + ": " + fails(small).Error(), Script: small}
+				if err := saved.Save(filepath.Join(corpus, file+".json")); err != nil {
 					t.Error(err)
 				}
 			}
--- a/internal/sim/clustersim/bugs_test.go
+++ b/internal/sim/clustersim/bugs_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// plantedBugs are the injected bugs, each with a rule that must find it and the first seed to try.
-var plantedBugs = []struct {
+// injectedBugs are the injected bugs, each with a rule that must find it and the first seed to try.
+var injectedBugs = []struct {
 	bug  Bug
 	rule string
 	seed uint64
@@ -46,7 +46,7 @@
 
 // Guards against faulty deltas of members and placement that go unnoticed. With a corrected checksum, the check of the members' views
 // must find each fault. With the wrong checksum, a fault must do no harm: the member rejects the delta and gets the full state.
-func TestPlantedDeltas(t *testing.T) {
+func TestFaultyDeltas(t *testing.T) {
 	for _, bug := range []Bug{OmitsChange, ReappliesDelta, WrongBase, TruncatedHistory} {
 		found, differed := false, 0
 		for seed := uint64(0); seed < uint64(*bugSeeds); seed++ {
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestPlantedBugs(t *testing.T) {
-	for i, c := range plantedBugs {
+func TestInjectedBugs(t *testing.T) {
+	for i, c := range injectedBugs {
 		if *oneBug >= 0 {
 			if c.seed = 0; i != *oneBug {
 				continue
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -298,7 +298,7 @@
 		if p.leaving {
 			return
 		}
-		if p.r.bug == CountsFromAnswer {
+		if p.r.bug == CountsFromAnswer { // sets the time from which the lease counts to that of the answer
 			p.renewer.NextRequest(p.BootTime())
 		}
 		p.r.tamperDelta(p, a.Grant)
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -203,11 +203,11 @@
 func (e *endpoint) handleRequest(c *conn, q receivedRequest) {
 	class, known := e.s.classes[q.class]
 	e.s.arrived[q.id] = true
-	arrived := func(runs, repeat bool) {
+	recordArrival := func(runs, repeat bool) {
 		e.s.checker.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.firstByte, LastByte: q.lastByte, Accepted: runs, Repeat: repeat})
 	}
 	if !known || e.fault == Refuse {
-		arrived(false, false)
+		recordArrival(false, false)
 		c.peerWrite(refusedResponse)
 		return
 	}
@@ -216,13 +216,13 @@
 		earlier, started = e.s.keys.lookupOrStart(q.lastByte, q.key)
 	}
 	if e.fault == Errors {
-		arrived(true, earlier != nil)
+		recordArrival(true, earlier != nil)
 		started.finish()
 		c.peerWrite(errorResponse)
 		return
 	}
 	if earlier != nil {
-		arrived(true, true)
+		recordArrival(true, true)
 		respond := func() { c.peerWrite(okResponse(q, e.name)) }
 		if earlier.done {
 			respond()
@@ -239,11 +239,11 @@
 		if started != nil {
 			delete(e.s.keys.runs, q.key)
 		}
-		arrived(false, false)
+		recordArrival(false, false)
 		c.peerWrite(refusedResponse)
 		return
 	}
-	arrived(true, false)
+	recordArrival(true, false)
 	e.tasks[c] = t
 	e.scheduleServer()
 }
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -141,8 +141,8 @@
 	return p.listener, nil
 }
 
-// Dial implements env.Env. It fails at once with errRefused where nothing listens, and at its timeout
-// where the target is unreachable.
+// Dial implements env.Env. Where nothing listens it fails with errRefused after one latency; where the
+// target is unreachable it fails at the timeout.
 func (p *Process) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	id := p.nextKey("dial")
 	deadline := time.Now().Add(timeout)
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -403,8 +403,8 @@
 // injectSidecarFault starts a fault of a sidecar. It has no effect on a sidecar that does not run.
 func (s *simulation) injectSidecarFault(f Fault, later func(func())) {
 	sc := s.sidecars[f.Target%len(s.sidecars)]
-	proc, run := sc.proc, sc.instance
-	if proc.dead || run == nil {
+	proc, instance := sc.proc, sc.instance
+	if proc.dead || instance == nil {
 		return
 	}
 	switch f.Kind {
@@ -414,20 +414,20 @@
 				s.w.rareEvents[ReloadDuringWatch]++
 			}
 		}
-		proc.Go("reload", func() { run.MoveDiscovery("discovery:2") })
+		proc.Go("reload", func() { instance.MoveDiscovery("discovery:2") })
 	case Kill:
-		s.killSidecar(proc, run)
+		s.killSidecar(proc, instance)
 		later(func() { s.start(sc) })
 	case Stop:
 		// As the platform does: SIGTERM, then SIGKILL when even the last answer is overdue.
 		restart := func() {
 			if !proc.dead {
-				s.killSidecar(proc, run)
+				s.killSidecar(proc, instance)
 				s.start(sc)
 			}
 		}
 		proc.Go("stop", func() {
-			run.Stop()
+			instance.Stop()
 			s.w.scheduleAfter(proc.id+"/exit", 0, restart)
 		})
 		s.w.scheduleAfter(proc.id+"/sigkill", deadline+700*time.Millisecond, restart)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -147,12 +147,12 @@
 	}
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			kept, err := LoadSavedFailure(path)
+			saved, err := LoadSavedFailure(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r := runScript(t, kept.Script, Options{}); r.Failure != nil {
-				t.Errorf("%s: %v", kept.Reason, r.Failure)
+			if r := runScript(t, saved.Script, Options{}); r.Failure != nil {
+				t.Errorf("%s: %v", saved.Reason, r.Failure)
 			}
 		})
 	}
