--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -128,8 +128,8 @@
 }
 
 // schedule adds an event at a given time and returns it, so that the caller can cancel it.
-func (w *World) schedule(key string, schedule time.Time, do func()) *event {
-	e := &event{key: key, at: schedule, do: do}
+func (w *World) schedule(key string, at time.Time, do func()) *event {
+	e := &event{key: key, at: at, do: do}
 	w.mu.Lock()
 	w.events = append(w.events, e)
 	w.mu.Unlock()
