--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -17,23 +17,23 @@
 	"heathgap/internal/pipeline"
 )
 
-var keepBugs = flag.Bool("sim.keepbugs", false, "the small scripts of planted bugs are kept in the corpus")
+var saveBugs = flag.Bool("sim.keepbugs", false, "save the small scripts of injected bugs in the corpus")
 
-var fromScratch = flag.Bool("sim.fromscratch", false, "planted bugs are looked for from seed 0 on, to see how many seeds it takes")
+var fromScratch = flag.Bool("sim.fromscratch", false, "search for injected bugs from seed 0 on, to see how many seeds it takes")
 
-var bugSeeds = flag.Int("sim.bugseeds", 1000, "within so many seeds each planted bug must be found")
+var bugSeeds = flag.Int("sim.bugseeds", 1000, "each injected bug must be found within so many seeds")
 
-// buggy is the module with a bug round it.
-type buggy struct {
+// faultyDecider wraps the decision module with an injected bug.
+type faultyDecider struct {
 	inner pipeline.Decider
-	// before may change an event; false swallows it.
+	// before may change an event; the module does not get the event if it returns false.
 	before func(now decide.Time, ev *decide.Event) bool
-	// after may change what is decided.
+	// after may change the actions that the module decided on.
 	after func(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action
 }
 
-// Handle is pipeline.Decider's.
-func (b *buggy) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+// Handle implements pipeline.Decider.
+func (b *faultyDecider) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	changed := *ev
 	changed.Endpoints = slices.Clone(ev.Endpoints)
 	if b.before != nil && !b.before(now, &changed) {
@@ -47,25 +47,26 @@
 	return out
 }
 
-// Audit passes the module's on.
-func (b *buggy) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
+// Audit returns the module's audit.
+func (b *faultyDecider) Audit() (int, error) { return b.inner.(*decide.Balancer).Audit() }
 
-// round makes deciders with a bug; plant is called for each start of a sidecar.
-func round(plant func(conf *config.Config, b *buggy)) lifecycle.Decider {
+// withBug makes deciders with a bug. inject is called at each start of a sidecar; it may change conf and
+// sets the hooks of the decider.
+func withBug(inject func(conf *config.Config, b *faultyDecider)) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
-		b := &buggy{}
-		own := *conf
-		own.Settings.Classes = slices.Clone(conf.Settings.Classes)
-		plant(&own, b)
-		inner, err := lifecycle.Module(&own)
+		b := &faultyDecider{}
+		changed := *conf
+		changed.Settings.Classes = slices.Clone(conf.Settings.Classes)
+		inject(&changed, b)
+		inner, err := lifecycle.Module(&changed)
 		b.inner = inner
 		return b, err
 	}
 }
 
-// lines plants a change of each line of a list.
-func lines(change func(l *decide.Endpoint)) lifecycle.Decider {
-	return round(func(_ *config.Config, b *buggy) {
+// withListChange makes deciders that change each endpoint of each list.
+func withListChange(change func(l *decide.Endpoint)) lifecycle.Decider {
+	return withBug(func(_ *config.Config, b *faultyDecider) {
 		b.before = func(_ decide.Time, ev *decide.Event) bool {
 			for i := range ev.Endpoints {
 				change(&ev.Endpoints[i])
@@ -75,9 +76,10 @@
 	})
 }
 
-// unlooked makes deciders whose network code looks neither at drains nor at windows where the first byte leaves: that
-// look alone keeps rules 2 and 3 when the module does not, and hides what the module does wrong.
-func unlooked(inner lifecycle.Decider) lifecycle.Decider {
+// withoutSendCheck makes deciders whose network code does not check drains and key windows again when the first byte is sent.
+// That check alone prevents attempts to draining endpoints and duplicate effects when the module is wrong, and so hides the
+// module's bugs.
+func withoutSendCheck(inner lifecycle.Decider) lifecycle.Decider {
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		d, err := inner(conf)
 		conf.Settings.Rules.DrainGrace = 0
@@ -90,67 +92,69 @@
 	}
 }
 
-var ignoresWindows = round(func(conf *config.Config, _ *buggy) {
+// ignoresWindows makes deciders that take each idempotency key to be known for an hour.
+var ignoresWindows = withBug(func(conf *config.Config, _ *faultyDecider) {
 	for i := range conf.Settings.Classes {
 		conf.Settings.Classes[i].Window = time.Hour
 	}
 })
 
-var ignoresDrains = lines(func(l *decide.Endpoint) {
+// ignoresDrains makes deciders that take draining endpoints for active ones.
+var ignoresDrains = withListChange(func(l *decide.Endpoint) {
 	if l.State == decide.Draining {
 		l.State = decide.Active
 	}
 })
 
-// Drains and windows are looked at twice: where the module decides, and where the first byte leaves. The second look
-// alone keeps the rules: the seeds that find these bugs without it pass with it.
-func TestSecondLookKeepsTheRules(t *testing.T) {
+// Drains and key windows are checked twice: by the module when it decides, and by the network code when the first byte is sent.
+// Guards against the loss of the second check: with it, seeds pass that fail without it when the module ignores drains or windows.
+func TestSendCheckKeepsTheRules(t *testing.T) {
 	for name, c := range map[string]struct {
 		module lifecycle.Decider
 		seed   uint64
 	}{"drains": {ignoresDrains, 0}, "windows": {ignoresWindows, 905}} {
-		if f := play(t, GenerateScript(c.seed), Options{Decider: unlooked(c.module)}).Failure; f == nil {
-			t.Errorf("%s: seed %d passes without the second look", name, c.seed)
+		if f := runScript(t, GenerateScript(c.seed), Options{Decider: withoutSendCheck(c.module)}).Failure; f == nil {
+			t.Errorf("%s: seed %d passes without the check at the first byte", name, c.seed)
 		}
 		const more = 10
 		for seed := range uint64(more) {
-			if f := play(t, GenerateScript(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
+			if f := runScript(t, GenerateScript(c.seed+seed), Options{Decider: c.module}).Failure; f != nil {
 				t.Errorf("%s: seed %d: %v", name, c.seed+seed, f)
 			}
 		}
 	}
 }
 
-// bugs are planted by the tests alone, each to be found by its own rule.
+// bugs are the injected bugs; each must be found by a rule that it violates.
 var bugs = map[string]struct {
 	opts  Options
-	rules []string // any of them names it
-	hint  uint64   // a seed that found it and got small: tried first, so that CI is quick
+	rules []string // each of them is right for the bug
+	hint  uint64   // a seed that finds it and whose script shrinks well: tried first, to save time
 }{
 	"sends again by itself when a used connection breaks": {
-		Options{Bug: func(p *Proc) { p.resend = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
+		Options{Bug: func(p *Process) { p.resendOnReset = true }}, []string{string(oracle.DuplicateEffect), string(oracle.SentAfterAnswer)}, 141},
 	"does not look at the window": {
-		Options{Decider: unlooked(ignoresWindows)}, []string{string(oracle.DuplicateEffect)}, 905},
+		Options{Decider: withoutSendCheck(ignoresWindows)}, []string{string(oracle.DuplicateEffect)}, 905},
 	"takes what is unsafe for safe": {
-		Options{Decider: round(func(conf *config.Config, _ *buggy) {
+		Options{Decider: withBug(func(conf *config.Config, _ *faultyDecider) {
 			for i := range conf.Settings.Classes {
 				conf.Settings.Classes[i].Effect = decide.Safe
 			}
 		})}, []string{string(oracle.DuplicateEffect)}, 4},
 	"ignores drains": {
-		Options{Decider: unlooked(ignoresDrains)}, []string{string(oracle.SentToDrained)}, 0},
+		Options{Decider: withoutSendCheck(ignoresDrains)}, []string{string(oracle.SentToDrained)}, 0},
 	"takes cold endpoints for warm": {
-		Options{Decider: lines(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.OverloadedCold)}, 2707},
+		Options{Decider: withListChange(func(l *decide.Endpoint) { l.Started = 0 })}, []string{string(oracle.OverloadedCold)}, 2707},
 	"answers once more when an attempt is called off": {
-		Options{Bug: func(p *Proc) { p.doubleOnCancel = true }}, []string{string(oracle.AnsweredTwice)}, 2},
+		Options{Bug: func(p *Process) { p.repeatAnswerOnCancel = true }}, []string{string(oracle.AnsweredTwice)}, 2},
 	"forgets attempts whose dial failed": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				return ev.Kind != decide.Finished || ev.Outcome != decide.ConnectFailed
 			}
 		})}, []string{"books"}, 4},
 	"takes the list of before a reload": {
-		Options{Decider: unlooked(round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withoutSendCheck(withBug(func(_ *config.Config, b *faultyDecider) {
 			var first []decide.Endpoint
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.ListRestored {
@@ -163,7 +167,7 @@
 			}
 		}))}, []string{string(oracle.SentToDrained)}, 0},
 	"waits for its time-out a second too long": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			b.before = func(_ decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.Arrived {
 					ev.Grace += time.Second
@@ -172,7 +176,7 @@
 			}
 		})}, []string{string(oracle.LostRequest)}, 195},
 	"in one order of two events alone: forgets a request that comes in the instant of an answer": {
-		Options{Decider: round(func(_ *config.Config, b *buggy) {
+		Options{Decider: withBug(func(_ *config.Config, b *faultyDecider) {
 			var answered decide.Time
 			b.before = func(now decide.Time, ev *decide.Event) bool {
 				if ev.Kind == decide.Finished && ev.Outcome == decide.Served {
@@ -183,7 +187,7 @@
 		})}, []string{string(oracle.LostRequest)}, 38},
 }
 
-// seedsToTry are the hint, unless the search is to be from scratch, and all others.
+// seedsToTry yields the hint, unless -sim.fromscratch is set, and then all seeds from 0 on.
 func seedsToTry(hint uint64) iter.Seq[uint64] {
 	return func(yield func(uint64) bool) {
 		if !*fromScratch && !yield(hint) {
@@ -197,18 +201,19 @@
 	}
 }
 
-// Each planted bug is found, by its own rule, and made small enough to read.
-func TestPlantedBugs(t *testing.T) {
-	const smallAsks = 20  // a script that people can read
-	const shrinkMost = 10 // failing seeds that are made smaller: a crowded one may not get small
+// Guards against a simulation that no longer notices bugs: each injected bug must violate the expected rule, and its script
+// must shrink to a size that people can read.
+func TestInjectedBugs(t *testing.T) {
+	const maxShrunkRequests = 20 // requests in a script that people can read
+	const maxShrunkSeeds = 10    // failing seeds to shrink at most: the script of a seed with many requests may stay large
 	for name, bug := range bugs {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fails := func(s Script) *Failure { return play(t, s, bug.opts).Failure }
+			fails := func(s Script) *Failure { return runScript(t, s, bug.opts).Failure }
 			var small Script
 			found, first := 0, uint64(0)
 			for seed := range seedsToTry(bug.hint) {
-				if found == shrinkMost {
+				if found == maxShrunkSeeds {
 					break
 				}
 				failure := fails(GenerateScript(seed))
@@ -221,7 +226,7 @@
 				if found++; found == 1 {
 					first = seed
 				}
-				if small = Shrink(GenerateScript(seed), fails); len(small.Asks) < smallAsks {
+				if small = Shrink(GenerateScript(seed), fails); len(small.Requests) < maxShrunkRequests {
 					break
 				}
 			}
@@ -229,18 +234,18 @@
 				t.Fatalf("not found within %d seeds", *bugSeeds)
 			}
 			t.Logf("found by seed %d; of seed %d, %d requests, %d faults, %d sidecars, %d endpoints are left: %v",
-				first, small.Seed, len(small.Asks), len(small.Faults), small.Sidecars, small.Endpoints, fails(small))
-			if len(small.Asks) >= smallAsks {
-				t.Errorf("%d requests are left, want under %d", len(small.Asks), smallAsks)
+				first, small.Seed, len(small.Requests), len(small.Faults), small.Sidecars, small.Endpoints, fails(small))
+			if len(small.Requests) >= maxShrunkRequests {
+				t.Errorf("%d requests are left, want under %d", len(small.Requests), maxShrunkRequests)
 			}
-			if *keepBugs {
+			if *saveBugs {
 				file := strings.NewReplacer(" ", "-", ":", "", ",", "").Replace(name)
-				kept := SavedFailure{Why: "planted: " + name + ": " + fails(small).Error(), Script: small}
-				if err := kept.Save(filepath.Join(corpus, file+".json")); err != nil {
+				saved := SavedFailure{Reason: "planted: " + name + ": " + fails(small).Error(), Script: small}
+				if err := saved.Save(filepath.Join(corpus, file+".json")); err != nil {
 					t.Error(err)
 				}
 			}
-			if f := play(t, small, Options{}).Failure; f != nil {
+			if f := runScript(t, small, Options{}).Failure; f != nil {
 				t.Errorf("the small script fails without the bug: %v", f)
 			}
 		})
--- a/internal/sim/clustersim/history.go
+++ b/internal/sim/clustersim/history.go
@@ -13,25 +13,26 @@
 	"heathgap/internal/versions"
 )
 
-// asking is what was asked of the crew: a proposal, or, with parent and propose unset, which versions there are.
-type asking struct {
+// clientCall is a call of a client: a proposal, or a read of the versions if propose is false.
+type clientCall struct {
 	propose bool
 	parent  uint64
 }
 
-// told is what came of it. A proposal's number is 0 where nobody learnt whether it counts.
-type told struct {
-	number       uint64 // of a proposal
-	active, next uint64 // of a look
+// clientResult is the result of a call.
+type clientResult struct {
+	number       uint64 // of a proposal; 0 if its outcome is unknown
+	active, next uint64 // of a read
 }
 
-// history is what clients of the crew asked and were told, and when.
+// history holds the calls of the cluster's clients, with their times and results.
 type history struct {
 	operations []porcupine.Operation
 	clients    map[string]int
 }
 
-func (h *history) add(who string, from, to time.Duration, in asking, out told) {
+// add adds a call that lasted from from to to.
+func (h *history) add(who string, from, to time.Duration, in clientCall, out clientResult) {
 	if h.clients == nil {
 		h.clients = map[string]int{}
 	}
@@ -41,72 +42,72 @@
 	h.operations = append(h.operations, porcupine.Operation{ClientId: h.clients[who], Input: in, Output: out, Call: int64(from), Return: int64(to)})
 }
 
-// known is the state of the model: the highest version there is, and the least that may be the active one. Versions become
-// active by themselves, so the model learns of that when somebody is told.
-type known struct{ last, active uint64 }
+// modelState is the state of ledgerModel: the highest version number, and the lowest version that may be active. Versions become
+// active without a call, so the model learns of that from later results.
+type modelState struct{ last, active uint64 }
 
-// model says which orders of events a crew may have: numbers rise by one, a proposal's parent is what is active, nobody is
-// told of a version before it is there, and no look after another shows less.
-var model = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{known{}} },
+// ledgerModel defines which orders of calls are correct: numbers rise by one, the parent of a proposal is the active version, no
+// read returns a version before it exists, and no read returns less than an earlier one.
+var ledgerModel = porcupine.NondeterministicModel{
+	Init: func() []any { return []any{modelState{}} },
 	Step: func(state, input, output any) (next []any) {
-		s, in, out := state.(known), input.(asking), output.(told)
+		s, in, out := state.(modelState), input.(clientCall), output.(clientResult)
 		if !in.propose {
 			if out.active < s.active || out.active > s.last || out.next != 0 && out.next != s.last {
 				return nil
 			}
-			return []any{known{s.last, out.active}}
+			return []any{modelState{s.last, out.active}}
 		}
-		counted := known{s.last + 1, in.parent}
-		fits := in.parent >= s.active && in.parent <= s.last
+		accepted := modelState{s.last + 1, in.parent}
+		parentPossible := in.parent >= s.active && in.parent <= s.last
 		switch {
-		case out.number == 0 && fits:
-			return []any{s, counted}
+		case out.number == 0 && parentPossible:
+			return []any{s, accepted}
 		case out.number == 0:
 			return []any{s}
-		case fits && out.number == counted.last:
-			return []any{counted}
+		case parentPossible && out.number == accepted.last:
+			return []any{accepted}
 		}
 		return nil
 	},
 }
 
-const checkTime = time.Minute // for one history; they take milliseconds
+const checkTimeout = time.Minute // for one history; a check takes milliseconds
 
-// check looks for an order of events.
+// check returns an error unless some order of the calls explains all results (linearizability).
 func (h *history) check() error {
-	m := model.ToModel()
-	switch porcupine.CheckOperationsTimeout(m, h.operations, checkTime) {
+	m := ledgerModel.ToModel()
+	switch porcupine.CheckOperationsTimeout(m, h.operations, checkTimeout) {
 	case porcupine.Illegal:
-		return fmt.Errorf("no order of events explains what %d clients were told in %d answers", len(h.clients), len(h.operations))
+		return fmt.Errorf("not linearizable: no order of events explains what %d clients were told in %d answers", len(h.clients), len(h.operations))
 	case porcupine.Unknown:
-		return fmt.Errorf("%d answers could not be judged in %v", len(h.operations), checkTime)
+		return fmt.Errorf("linearizability check of %d answers did not end within %v", len(h.operations), checkTimeout)
 	}
 	return nil
 }
 
-// client is who proposes.
-const client = "client"
+// clientName is the name of the process that proposes.
+const clientName = "client"
 
-// Figures of a client that proposes.
+// Parameters of the client that proposes.
 const (
-	proposeTime  = time.Second // for one try
-	proposeTries = 12
-	proposePause = 200 * time.Millisecond
+	proposeTimeout     = time.Second // for one attempt
+	maxProposeAttempts = 12
+	proposeRetryDelay  = 200 * time.Millisecond
 )
 
-// proposalDice keeps what a client knows.
-type proposalDice struct{ count int }
+// documentState counts the documents generated so far.
+type documentState struct{ count int }
 
-// document draws one that differs from the one before: what pays is safe or not, and some endpoints are banned. One in
-// eight no member takes.
-func (r *run) document() versions.Document {
-	r.next.count++
+// nextDocument generates a document that differs from the one before: the class "pay" is safe or unsafe, and some endpoints are
+// banned. One document in eight has a class that no member knows, so that every member rejects it.
+func (r *run) nextDocument() versions.Document {
+	r.documents.count++
 	effect := decide.Unsafe
-	if r.next.count%2 == 0 {
+	if r.documents.count%2 == 0 {
 		effect = decide.Safe
 	}
-	d := versions.Document{Classes: map[string]versions.Class{"pay": {Effect: effect}}, MaxAttempts: 2 + r.next.count%7}
+	d := versions.Document{Classes: map[string]versions.Class{"pay": {Effect: effect}}, MaxAttempts: 2 + r.documents.count%7}
 	for i := range 4 {
 		if r.w.chance(0.3) {
 			d.Banned = append(d.Banned, fmt.Sprintf("e%d", i))
@@ -118,9 +119,9 @@
 	return d
 }
 
-// active is the highest version that a keeper in reach takes for active.
-func (r *run) active() (highest uint64) {
-	for _, p := range r.all() {
+// highestActive returns the highest version that is active in the ledger of any voter that runs.
+func (r *run) highestActive() (highest uint64) {
+	for _, p := range r.running() {
 		if p.core != nil && !p.paused {
 			l, _ := p.core.Ledger()
 			highest = max(highest, l.Active.Number)
@@ -129,81 +130,83 @@
 	return highest
 }
 
-func (r *run) proposeOften() {
-	if r.calm {
+// proposeRepeatedly proposes a document and schedules the next proposal.
+func (r *run) proposeRepeatedly() {
+	if r.faultsOver {
 		return
 	}
-	r.propose(r.document(), func(uint64, error) {})
-	r.w.after(r.w.between(r.conf.ProposeEvery/4, 7*r.conf.ProposeEvery/4), "propose", "", r.proposeOften)
+	r.propose(r.nextDocument(), func(uint64, error) {})
+	r.w.schedule(r.w.randomDuration(r.conf.ProposeEvery/4, 7*r.conf.ProposeEvery/4), "propose", "", r.proposeRepeatedly)
 }
 
-// proposeLast proposes until a version is told, and tells its number.
-func (r *run) proposeLast(done func(uint64)) {
-	d := r.document()
+// proposeUntilReported proposes a valid document until its number is reported, and calls done with the number.
+func (r *run) proposeUntilReported(done func(uint64)) {
+	d := r.nextDocument()
 	delete(d.Classes, "nobody_has")
 	r.propose(d, func(n uint64, _ error) {
 		if n > 0 {
 			done(n)
 			return
 		}
-		r.w.after(proposePause, "propose", "last", func() { r.proposeLast(done) })
+		r.w.schedule(proposeRetryDelay, "propose", "last", func() { r.proposeUntilReported(done) })
 	})
 }
 
-// propose has a client propose, with the same id to one keeper after another until one tells how it went.
+// propose proposes a document. It sends the same proposal to one voter after another until one reports the outcome. done gets
+// number 0 and an error if the proposal was rejected or its outcome is unknown.
 func (r *run) propose(d versions.Document, done func(number uint64, err error)) {
-	p := cluster.Proposal{ID: voter.NewID(), Parent: r.active(), Author: client, Doc: d}
-	from, c := r.w.now, r.procs[client]
-	who := fmt.Sprintf("client %d", r.next.count)
-	keepers := slices.Clone(r.names[:r.conf.Keepers])
+	p := cluster.Proposal{ID: voter.NewID(), Parent: r.highestActive(), Author: clientName, Doc: d}
+	from, c := r.w.now, r.processes[clientName]
+	who := fmt.Sprintf("client %d", r.documents.count)
+	voters := slices.Clone(r.names[:r.conf.Voters])
 	type answer struct {
-		Told voter.ProposeResult
-		Why  string
+		Result    voter.ProposeResult
+		Rejection string
 	}
-	tries := 0
-	counted := false // it may have been, by a try whose answer is lost
-	var try func()
-	try = func() {
-		if tries++; tries > proposeTries {
-			r.result.Unknown++
-			r.history.add(who, from, 1<<62, asking{true, p.Parent}, told{})
-			done(0, fmt.Errorf("no word"))
+	attempts := 0
+	mayBeAccepted := false // an attempt without an answer may have been accepted
+	var attempt func()
+	attempt = func() {
+		if attempts++; attempts > maxProposeAttempts {
+			r.result.UnknownOutcomes++
+			r.history.add(who, from, 1<<62, clientCall{true, p.Parent}, clientResult{})
+			done(0, fmt.Errorf("no voter reported the outcome"))
 			return
 		}
-		to := keepers[0]
-		call(c, to, "propose", p, proposeTime, func(q *process, p cluster.Proposal, reply func(answer)) {
-			q.keep(func(k *voter.Core) {
-				if _, leads := k.IsLeader(); leads && r.bug == TellsEarly {
+		to := voters[0]
+		call(c, to, "propose", p, proposeTimeout, func(q *process, p cluster.Proposal, reply func(answer)) {
+			q.withVoter(func(k *voter.Core) {
+				if _, leads := k.IsLeader(); leads && r.bug == ReportsEarly {
 					l, _ := k.Ledger()
-					reply(answer{Told: voter.ProposeResult{Number: l.LastNumber + 1}})
+					reply(answer{Result: voter.ProposeResult{Number: l.LastNumber + 1}})
 				}
-				k.Propose(p, func(told voter.ProposeResult, err error) {
-					a := answer{Told: told}
+				k.Propose(p, func(result voter.ProposeResult, err error) {
+					a := answer{Result: result}
 					if err != nil {
-						a.Why = err.Error()
+						a.Rejection = err.Error()
 					}
 					reply(a)
 				})
 			})
 		}, func(a answer, ok bool) {
 			switch {
-			case ok && a.Told.Number > 0:
-				r.told = append(r.told, toldVersion{a.Told.Number, p.ID, from})
-				r.history.add(who, from, r.w.now, asking{true, p.Parent}, told{number: a.Told.Number})
-				done(a.Told.Number, nil)
+			case ok && a.Result.Number > 0:
+				r.reported = append(r.reported, reportedVersion{a.Result.Number, p.ID, from})
+				r.history.add(who, from, r.w.now, clientCall{true, p.Parent}, clientResult{number: a.Result.Number})
+				done(a.Result.Number, nil)
 				return
-			case ok && a.Why != "" && !counted && a.Why != voter.ErrUnknownOutcome.Error():
-				done(0, fmt.Errorf("%s", a.Why)) // it does not count
+			case ok && a.Rejection != "" && !mayBeAccepted && a.Rejection != voter.ErrUnknownOutcome.Error():
+				done(0, fmt.Errorf("%s", a.Rejection)) // the proposal was rejected
 				return
-			case ok && a.Told.Leader != "":
-				i := slices.Index(keepers, a.Told.Leader)
-				keepers = slices.Insert(slices.Delete(keepers, i, i+1), 0, a.Told.Leader)
+			case ok && a.Result.Leader != "":
+				i := slices.Index(voters, a.Result.Leader)
+				voters = slices.Insert(slices.Delete(voters, i, i+1), 0, a.Result.Leader)
 			default:
-				counted = true
-				keepers = append(keepers[1:], to)
+				mayBeAccepted = true
+				voters = append(voters[1:], to)
 			}
-			r.w.after(proposePause, "propose again", who, try)
+			r.w.schedule(proposeRetryDelay, "propose again", who, attempt)
 		})
 	}
-	try()
+	attempt()
 }
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -14,131 +14,133 @@
 	"heathgap/internal/holdings"
 )
 
-// Figures of the network between processes.
+// Properties of the network between processes, and of the calls over it.
 const (
-	leastWay  = 200 * time.Microsecond
-	slowShare = 0.02
-	twice     = 0.01        // of messages come twice
-	resets    = 0.002       // of exchanges break off, heard or not
-	lateShare = 0.5         // of messages that a cut has held come when it is mended
-	peerTime  = time.Second // a keeper's exchanges with another end by then, as in package keeper
+	minLatency           = 200 * time.Microsecond // latencies are between this and the run's usualLatency
+	slowProbability      = 0.02                   // share of the messages that take up to the run's slowLatency
+	duplicateProbability = 0.01                   // share of the messages that arrive twice
+	resetProbability     = 0.002                  // share of the calls whose caller gets an error early, whether or not the request arrives
+	lateProbability      = 0.5                    // share of the messages sent into a partition that are delivered once it heals; the others are lost
+	peerTimeout          = time.Second            // timeout of a voter's calls to another voter, the same as in package voter
 )
 
-// process is one start of a sidecar that is a member, and of a keeper where it is one.
+// process is one started process of a member, with its voter if the member is one. It implements voter.Clock and voter.Transport.
 type process struct {
-	r      *run
-	name   string
-	id     string  // name and start
-	rate   float64 // of its clock
-	booted time.Duration
-	dead   bool
-	paused bool
-	since  time.Duration // it is paused
-	lost   time.Duration // of pauses, for a clock that stops in them
-	inbox  []func()      // what comes while it is paused
-	// pauseNext is for how long it is paused when it has asked for its lease the next time, before the answer; 0 for not.
-	pauseNext time.Duration
-
-	holder  *cluster.LeaseHolder
-	seeker  *cluster.LeaseRenewer
-	store   *holdings.Store // nil where nothing is held
-	me      holdings.Incarnation
-	learnt  holdings.View   // by the store, last
-	viewed  holdings.View   // as it was last looked at
-	before  *holdings.Delta // the one before, for a planted bug
-	noted   [2]uint64       // of a keeper's ledger: epoch and number that were last noted as agreed on
-	leaving bool            // it has said so
-	why     string          // it holds no lease
-
-	core   *voter.Core // nil where this one is no keeper, or its keeper has ended
-	failed error       // why
-	disk   *disk
-	lines  map[string]*line
-	judged uint64 // entries applied, when its ledger was last compared
+	r           *run
+	name        string
+	id          string        // its name and the number of the start, as in m1.2
+	clockRate   float64       // seconds of its clock per second of virtual time
+	bootOffset  time.Duration // what its boot-time clock showed at the start of the run
+	dead        bool
+	paused      bool
+	pausedAt    time.Duration // when the present pause began
+	pausedTotal time.Duration // length of all earlier pauses, for a clock that stops in them
+	deferred    []func()      // calls that arrived while it was paused
+	// pauseAtRenewal is how long the process is paused after it has sent its next renewal, before the grant arrives; 0 for no pause.
+	pauseAtRenewal time.Duration
+
+	holder        *cluster.LeaseHolder
+	renewer       *cluster.LeaseRenewer
+	store         *holdings.Store // nil in a cluster without holdings
+	incarnation   holdings.Incarnation
+	appliedView   holdings.View   // the view that was last given to store
+	checkedView   holdings.View   // the view that checkView last checked
+	lastDelta     *holdings.Delta // the delta of the grant before, for an injected bug
+	lastRecorded  [2]uint64       // epoch and placement number that recordAgreed last recorded for its ledger
+	leaving       bool            // it has announced that it leaves, and renews no more
+	noLeaseReason string          // why its last renewal was not granted; empty if it was
+
+	core         *voter.Core // nil without a voter, or when the voter has stopped with voterErr
+	voterErr     error
+	disk         *disk
+	peerQueues   map[string]*peerQueue
+	checkedEntry uint64 // number of entries applied when checkVoter last ran
 }
 
-// Now is keeper.Clock's.
+// Now implements voter.Clock.
 func (p *process) Now() time.Time { return time.Unix(0, 0).Add(p.BootTime()) }
 
-// BootTime is keeper.Clock's, by this machine's clock.
+// BootTime implements voter.Clock, by the process's own clock.
 func (p *process) BootTime() time.Duration {
-	true := p.r.w.now
+	elapsed := p.r.w.now
 	if p.r.bug == ClockStops {
-		true -= p.lost
+		elapsed -= p.pausedTotal
 		if p.paused {
-			true -= p.r.w.now - p.since
+			elapsed -= p.r.w.now - p.pausedAt
 		}
 	}
-	return p.booted + time.Duration(float64(true)*p.rate)
+	return p.bootOffset + time.Duration(float64(elapsed)*p.clockRate)
 }
 
-// later has this process do something after a time on its clock.
-func (p *process) later(d time.Duration, what string, do func()) {
-	p.r.w.after(time.Duration(float64(d)/p.rate), what, p.id, func() { p.do(do) })
+// scheduleLocal runs do after d on the process's own clock.
+func (p *process) scheduleLocal(d time.Duration, what string, do func()) {
+	p.r.w.schedule(time.Duration(float64(d)/p.clockRate), what, p.id, func() { p.runOrDefer(do) })
 }
 
-// do has this process do something now, or when it goes on.
-func (p *process) do(do func()) {
+// runOrDefer runs f now, or when the process resumes if it is paused. A dead process never runs it.
+func (p *process) runOrDefer(f func()) {
 	switch {
 	case p.dead:
 	case p.paused:
-		p.inbox = append(p.inbox, do)
+		p.deferred = append(p.deferred, f)
 	default:
-		do()
+		f()
 	}
 }
 
-// pause stops the process, as SIGSTOP or a suspended machine does.
-func (p *process) pause() { p.paused, p.since = true, p.r.w.now }
+// pause stops the process, as SIGSTOP or the suspension of its machine does.
+func (p *process) pause() { p.paused, p.pausedAt = true, p.r.w.now }
 
-// resume lets it go on: what has come in the meantime it takes at once.
+// resume ends a pause: the process at once runs all calls that arrived in the meantime.
 func (p *process) resume() {
 	p.paused = false
-	p.lost += p.r.w.now - p.since
-	p.r.judge(p)
-	inbox := p.inbox
-	p.inbox = nil
-	for _, do := range inbox {
-		p.do(do)
+	p.pausedTotal += p.r.w.now - p.pausedAt
+	p.r.checkMember(p)
+	deferred := p.deferred
+	p.deferred = nil
+	for _, do := range deferred {
+		p.runOrDefer(do)
 	}
 }
 
-// kill ends it. Its folder stays.
+// kill ends the process. Its data directory stays.
 func (p *process) kill() {
 	p.dead = true
 	if p.disk != nil {
-		p.disk.die()
+		p.disk.loseUnsynced()
 	}
 }
 
-// open opens the keeper's folder and begins.
-func (p *process) open() {
-	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.keepers, Params: p.r.conf.Terms}
-	p.guarded(func() (err error) {
-		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.fresh(p) }, p)
+// startVoter opens the voter's data directory and starts the voter.
+func (p *process) startVoter() {
+	conf := voter.Conf{Cluster: "sim", Name: p.name, Voters: p.r.voters, Params: p.r.conf.Params}
+	p.callVoter(func() (err error) {
+		p.core, err = voter.NewCore(conf, p, p.r.log(p), p.disk, "folder of "+p.name, func() uint64 { return p.r.newDirectoryID(p) }, p)
 		if err == nil {
 			err = p.core.Start()
 		}
 		return err
 	})
-	p.tick()
+	p.scheduleTick()
 }
 
-// guarded calls the core, lets it settle, and ends it where that fails.
-func (p *process) guarded(do func() error) {
-	err := p.settled(do)
+// callVoter calls the voter's core and processes what follows from that. It stops the voter on an error, and the process if a disk
+// fault killed it.
+func (p *process) callVoter(do func() error) {
+	err := p.callAndProcessReady(do)
 	switch {
 	case p.disk.killed:
 		p.disk.killed = false
 		p.r.kill(p)
 	case err != nil:
-		p.fail(err)
+		p.failVoter(err)
 	default:
-		p.r.judgeKeeper(p)
+		p.r.checkVoter(p)
 	}
 }
 
-func (p *process) settled(do func() error) (err error) {
+// callAndProcessReady calls the core and turns a panic into an error.
+func (p *process) callAndProcessReady(do func() error) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			err = fmt.Errorf("panic: %v", fault)
@@ -150,172 +152,176 @@
 	return err
 }
 
-func (p *process) fail(err error) {
+// failVoter stops the voter; the process and its lease renewals go on.
+func (p *process) failVoter(err error) {
 	if p.core != nil {
 		p.core.FailWaiting()
 	}
-	p.core, p.failed = nil, err
-	p.r.stopped(p, err)
+	p.core, p.voterErr = nil, err
+	p.r.voterStopped(p, err)
 }
 
-// keep has the keeper of this process do something, if there is one.
-func (p *process) keep(do func(c *voter.Core)) {
+// withVoter calls the voter's core, if the process has one.
+func (p *process) withVoter(do func(c *voter.Core)) {
 	if p.core != nil {
-		p.guarded(func() error {
+		p.callVoter(func() error {
 			do(p.core)
 			return nil
 		})
 	}
 }
 
-func (p *process) tick() {
-	p.later(voter.TickEvery, "tick", func() {
-		p.keep(func(c *voter.Core) { c.Tick() })
+// scheduleTick schedules the voter's next tick.
+func (p *process) scheduleTick() {
+	p.scheduleLocal(voter.TickEvery, "tick", func() {
+		p.withVoter(func(c *voter.Core) { c.Tick() })
 		if p.core != nil {
-			p.tick()
+			p.scheduleTick()
 		}
 	})
 }
 
-// line is what a keeper has to say to another: one exchange at a time, as a process has it.
-type line struct {
-	waits []*raftpb.Message
-	busy  bool
+// peerQueue holds the raft messages from one voter to another. One call at a time carries them, as between real processes.
+type peerQueue struct {
+	messages []*raftpb.Message
+	busy     bool // a call is under way, or about to start
 }
 
-const mostWaits = 256
+// maxQueuedMessages is the length of a peerQueue above which messages are dropped.
+const maxQueuedMessages = 256
 
-// Send is keeper.Ways'.
+// Send implements voter.Transport.
 func (p *process) Send(to string, m *raftpb.Message) bool {
-	l := p.lines[to]
+	l := p.peerQueues[to]
 	if l == nil {
-		l = &line{}
-		p.lines[to] = l
+		l = &peerQueue{}
+		p.peerQueues[to] = l
 	}
-	if len(l.waits) >= mostWaits {
+	if len(l.messages) >= maxQueuedMessages {
 		return false
 	}
-	l.waits = append(l.waits, m)
-	if p.r.bug == NoMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
-		// The planted bug: each of the others is taken for having said yes.
-		yes := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
-		p.r.w.after(leastWay, "forged", p.id, func() {
-			p.do(func() { p.keep(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{yes}) }) }) //nolint:errcheck // it is a bug
+	l.messages = append(l.messages, m)
+	if p.r.bug == ConfirmsWithoutMajority && m.GetType() == raftpb.MsgHeartbeat && len(m.GetContext()) > 0 {
+		// Injected bug: the voter behaves as if each other voter had acknowledged the heartbeat.
+		forged := &raftpb.Message{Type: raftpb.MsgHeartbeatResp.Enum(), From: m.To, To: m.From, Term: m.Term, Context: m.Context}
+		p.r.w.schedule(minLatency, "forged", p.id, func() {
+			p.runOrDefer(func() { p.withVoter(func(c *voter.Core) { c.HandleMessages(to, []*raftpb.Message{forged}) }) }) //nolint:errcheck // an injected bug
 		})
 	}
 	if !l.busy {
 		l.busy = true
-		p.r.w.after(0, "line", p.id+">"+to, func() { p.do(func() { p.exchange(to, l) }) })
+		p.r.w.schedule(0, "line", p.id+">"+to, func() { p.runOrDefer(func() { p.sendQueued(to, l) }) })
 	}
 	return true
 }
 
-// exchange says what waits on a line.
-func (p *process) exchange(to string, l *line) {
-	if l.busy = len(l.waits) > 0; !l.busy {
+// sendQueued sends all queued messages in one call, and goes on with those that were queued meanwhile.
+func (p *process) sendQueued(to string, l *peerQueue) {
+	if l.busy = len(l.messages) > 0; !l.busy {
 		return
 	}
-	batch := l.waits
-	l.waits = nil
+	batch := l.messages
+	l.messages = nil
 	var texts [][]byte
 	for _, m := range batch {
-		texts = append(texts, must(proto.Marshal(m)))
+		texts = append(texts, mustEncode(proto.Marshal(m)))
 	}
-	call(p, to, "raft", texts, peerTime, func(q *process, texts [][]byte, reply func(string)) {
+	call(p, to, "raft", texts, peerTimeout, func(q *process, texts [][]byte, reply func(string)) {
 		var messages []*raftpb.Message
 		for _, text := range texts {
 			m := &raftpb.Message{}
 			if err := proto.Unmarshal(text, m); err != nil {
-				panic(err) // what was marshalled a moment ago
+				panic(err) // the caller has just encoded it
 			}
-			if q.r.bug == TakesOldWord {
-				m.To = proto.Uint64(q.r.ids[q.name])
+			if q.r.bug == AcceptsStaleMessages {
+				m.To = proto.Uint64(q.r.directoryIDs[q.name])
 			}
 			messages = append(messages, m)
 		}
-		q.keep(func(c *voter.Core) {
-			why := ""
+		q.withVoter(func(c *voter.Core) {
+			rejection := ""
 			if err := c.HandleMessages(p.name, messages); err != nil {
-				why = err.Error()
+				rejection = err.Error()
 			}
-			reply(why)
+			reply(rejection)
 		})
-	}, func(why string, ok bool) {
+	}, func(rejection string, ok bool) {
 		for _, m := range batch {
 			if m.GetType() == raftpb.MsgSnap {
-				p.keep(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && why == "") })
+				p.withVoter(func(c *voter.Core) { c.SnapshotReported(m.GetTo(), ok && rejection == "") })
 			}
 		}
-		if ok || p.r.bug != FallsSilent {
-			p.exchange(to, l)
+		if ok || p.r.bug != StopsSending {
+			p.sendQueued(to, l)
 		}
 	})
 }
 
-// Announce is keeper.Ways'.
+// Announce implements voter.Transport.
 func (p *process) Announce(to string, mine voter.Announcement) {
-	call(p, to, "form", mine, peerTime, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
-		q.keep(func(c *voter.Core) {
+	call(p, to, "form", mine, peerTimeout, func(q *process, theirs voter.Announcement, reply func(voter.Announcement)) {
+		q.withVoter(func(c *voter.Core) {
 			c.HandleAnnouncement(theirs)
 			reply(c.Announcement())
 		})
 	}, func(theirs voter.Announcement, ok bool) {
-		if p.r.bug == TrustsOldFolder {
+		if p.r.bug == TrustsOldDirectory {
 			theirs.Term, theirs.End, theirs.Seen = 0, voter.Announcement{}.End, nil
 		}
 		if ok {
-			p.keep(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
+			p.withVoter(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
 		}
 	})
 }
 
-// heartbeat asks for the lease, and again with the next heartbeat.
+// heartbeat renews the lease; renew schedules the next heartbeat.
 func (p *process) heartbeat() {
 	if !p.leaving {
-		p.seeker.StartHeartbeat()
-		p.ask()
+		p.renewer.StartHeartbeat()
+		p.renew()
 	}
 }
 
-func (p *process) ask() {
+// renew sends one renewal and handles its grant.
+func (p *process) renew() {
 	if p.store != nil {
 		p.holder.CaughtUp = p.store.CaughtUp()
 	}
-	to, r := p.seeker.NextRequest(p.BootTime())
-	asked := p.r.w.now
-	p.r.said[saying{r.Token, r.Prepared, r.Epoch}] = true
-	if long := p.pauseNext; long > 0 {
-		p.pauseNext = 0
-		p.r.pause(p, long)
+	to, r := p.renewer.NextRequest(p.BootTime())
+	sentAt := p.r.w.now
+	p.r.prepared[preparedVersion{r.Token, r.Prepared, r.Epoch}] = true
+	if duration := p.pauseAtRenewal; duration > 0 {
+		p.pauseAtRenewal = 0
+		p.r.pause(p, duration)
 	}
-	answered := func(a voter.RenewResult) {
+	handleAnswer := func(a voter.RenewResult) {
 		if p.leaving {
 			return
 		}
-		if p.r.bug == CountsFromAnswer {
-			p.seeker.NextRequest(p.BootTime())
+		if p.r.bug == CountsFromAnswer { // sets the time from which the lease counts to that of the answer
+			p.renewer.NextRequest(p.BootTime())
 		}
-		p.r.tamper(p, a.Grant)
-		differed := p.holder.ViewErr()
-		next := p.seeker.HandleResponse(p.BootTime(), a.Grant, a.Leader)
-		if p.holder.ViewErr() != differed {
+		p.r.tamperDelta(p, a.Grant)
+		viewErr := p.holder.ViewErr()
+		next := p.renewer.HandleResponse(p.BootTime(), a.Grant, a.Leader)
+		if p.holder.ViewErr() != viewErr {
 			p.r.result.Deltas["differed"]++
 		}
-		if p.why = "no answer"; a.Grant != nil {
-			p.why = a.Grant.Reason
-			p.r.heard(p, asked, a.Grant, next.Err)
+		if p.noLeaseReason = "no answer"; a.Grant != nil {
+			p.noLeaseReason = a.Grant.Reason
+			p.r.recordGrant(p, sentAt, a.Grant, next.Err)
 		}
-		p.learn()
-		p.r.judge(p)
+		p.applyView()
+		p.r.checkMember(p)
 		if next.RenewNow {
-			p.ask()
+			p.renew()
 			return
 		}
-		p.later(p.r.conf.Terms.Lease/cluster.HeartbeatsPerLease, "heartbeat", p.heartbeat)
+		p.scheduleLocal(p.r.conf.Params.Lease/cluster.HeartbeatsPerLease, "heartbeat", p.heartbeat)
 	}
-	call(p, to, "renew", r, p.r.conf.Terms.Lease/cluster.CallTimeoutPart, func(q *process, r cluster.Renewal, reply func(voter.RenewResult)) {
-		q.keep(func(c *voter.Core) {
-			if l, _ := c.Ledger(); q.r.bug == AnyEpoch {
+	call(p, to, "renew", r, p.r.conf.Params.Lease/cluster.CallTimeoutPart, func(q *process, r cluster.Renewal, reply func(voter.RenewResult)) {
+		q.withVoter(func(c *voter.Core) {
+			if l, _ := c.Ledger(); q.r.bug == IgnoresEpoch {
 				r.Epoch = l.Epoch
 			}
 			if l, _ := c.Ledger(); q.r.bug == WrongBase && l.Epoch > 0 && r.HasMembership > 0 {
@@ -323,11 +329,11 @@
 			}
 			c.Renew(r, func(a voter.RenewResult) {
 				if l, _ := c.Ledger(); a.Grant != nil {
-					q.r.agreeOn(q, l)
+					q.r.recordAgreed(q, l)
 				}
 				reply(a)
 				if a.Grant != nil && a.Grant.Granted {
-					q.r.w.after(0, "told", q.id, func() { q.do(func() { q.keep(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
+					q.r.w.schedule(0, "told", q.id, func() { q.runOrDefer(func() { q.withVoter(func(c *voter.Core) { c.LeaseAnswerSent(&r) }) }) })
 				}
 			})
 		})
@@ -335,108 +341,112 @@
 		if !ok {
 			a = voter.RenewResult{}
 		}
-		answered(a)
+		handleAnswer(a)
 	})
 }
 
-// learn has the store take what is new of members and placement. Nothing is ever held in it: a replica lacks nothing at once.
-func (p *process) learn() {
+// applyView gives the store a view that is new. The store never holds an entry, so that a replica is caught up as soon as it is placed.
+func (p *process) applyView() {
 	if p.store == nil {
 		return
 	}
-	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.me || !view.Is(&p.learnt)) {
-		p.me, p.learnt = me, view
+	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.incarnation || !view.Is(&p.appliedView)) {
+		p.incarnation, p.appliedView = me, view
 		p.store.ApplyView(p.BootTime(), me, view.Placement, view.Members)
 	}
 }
 
-// call is one exchange: what is said is coded and decoded as on the wire. done is called once, in time.
+// call sends a request to another process, encoded as on the wire, and calls done once: with the answer, or with ok false if the
+// request was refused, reset or not answered within the timeout on the caller's clock.
 func call[Q, A any](from *process, to, kind string, q Q, within time.Duration, handle func(q *process, body Q, reply func(A)),
 	done func(answer A, ok bool)) {
 	r := from.r
-	over := false
-	end := func(a A, ok bool) {
-		if !over {
-			over = true
+	finished := false
+	finish := func(a A, ok bool) {
+		if !finished {
+			finished = true
 			done(a, ok)
 		}
 	}
 	var none A
-	from.later(within, kind+" times out", func() { end(none, false) })
-	text := must(cbor.Marshal(q))
-	back := func(other *process, a A) {
-		text := must(cbor.Marshal(a))
+	from.scheduleLocal(within, kind+" times out", func() { finish(none, false) })
+	text := mustEncode(cbor.Marshal(q))
+	reply := func(other *process, a A) {
+		text := mustEncode(cbor.Marshal(a))
 		r.send(other.name, from.name, kind+" answer", func() {
-			from.do(func() { end(decoded[A](text), true) })
+			from.runOrDefer(func() { finish(mustDecode[A](text), true) })
 		})
 	}
-	if r.w.chance(resets) {
-		r.w.after(r.w.between(0, r.usual), kind+" reset", from.id, func() { from.do(func() { end(none, false) }) })
+	if r.w.chance(resetProbability) {
+		r.w.schedule(r.w.randomDuration(0, r.usualLatency), kind+" reset", from.id, func() { from.runOrDefer(func() { finish(none, false) }) })
 	}
 	r.send(from.name, to, kind, func() {
-		other := r.procs[to]
+		other := r.processes[to]
 		refuse := func() {
-			r.send(to, from.name, kind+" refused", func() { from.do(func() { end(none, false) }) })
+			r.send(to, from.name, kind+" refused", func() { from.runOrDefer(func() { finish(none, false) }) })
 		}
 		if other == nil || other.dead {
 			refuse()
 			return
 		}
-		other.do(func() {
+		other.runOrDefer(func() {
 			if other.core == nil {
 				refuse()
 				return
 			}
-			handle(other, decoded[Q](text), func(a A) { back(other, a) })
+			handle(other, mustDecode[Q](text), func(a A) { reply(other, a) })
 		})
 	})
 }
 
-func must(text []byte, err error) []byte {
+// mustEncode returns the encoded text; it panics on an error.
+func mustEncode(text []byte, err error) []byte {
 	if err != nil {
-		panic(err) // the program's own types
+		panic(err) // the types of the protocol can always be encoded
 	}
 	return text
 }
 
-func decoded[T any](text []byte) (t T) {
+// mustDecode decodes a text that mustEncode returned.
+func mustDecode[T any](text []byte) (t T) {
 	if err := cbor.Unmarshal(text, &t); err != nil {
-		panic(err) // what was marshalled a moment ago
+		panic(err) // the text was encoded a moment ago
 	}
 	return t
 }
 
-// way is from one process to another.
-type way struct{ from, to string }
+// direction is one direction of the network between two processes. Each can be partitioned alone.
+type direction struct{ from, to string }
 
-// send has something come to another process: after a while, twice at times, late or never where the way is cut.
-func (r *run) send(from, to, what string, come func()) {
-	arrive := func() {
-		delay := r.w.between(leastWay, r.usual)
-		if r.w.chance(slowShare) {
-			delay = r.w.between(r.usual, r.slow)
+// send delivers a message to another process after a random latency, sometimes twice. In a partitioned direction it arrives after
+// the partition has healed, or never.
+func (r *run) send(from, to, what string, deliver func()) {
+	transmit := func() {
+		delay := r.w.randomDuration(minLatency, r.usualLatency)
+		if r.w.chance(slowProbability) {
+			delay = r.w.randomDuration(r.usualLatency, r.slowLatency)
 		}
-		r.w.after(delay, what, from+">"+to, come)
+		r.w.schedule(delay, what, from+">"+to, deliver)
 	}
-	if r.cut[way{from, to}] {
-		if r.w.chance(lateShare) {
-			r.held = append(r.held, held{way{from, to}, arrive})
+	if r.partitioned[direction{from, to}] {
+		if r.w.chance(lateProbability) {
+			r.heldMessages = append(r.heldMessages, heldMessage{direction{from, to}, transmit})
 		}
 		return
 	}
-	arrive()
-	if r.w.chance(twice) {
-		arrive()
+	transmit()
+	if r.w.chance(duplicateProbability) {
+		transmit()
 	}
 }
 
-// held is what stands at a cut.
-type held struct {
-	way    way
-	arrive func()
+// heldMessage is a message that is sent once its direction is no longer partitioned.
+type heldMessage struct {
+	direction direction
+	send      func()
 }
 
-// log is where a process's keeper writes.
+// log returns the logger of a process's voter.
 func (r *run) log(p *process) zerolog.Logger {
 	if r.opts.Log == nil {
 		return zerolog.Nop()
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -18,277 +18,280 @@
 	"heathgap/internal/versions"
 )
 
-// Conf is what a run plays.
+// Conf is the configuration of a run.
 type Conf struct {
-	Keepers, Members int // members that are no keepers: each keeper is a member too
-	Terms            cluster.Params
-	Duration         time.Duration // of faults; then all is mended
-	// FaultEvery is how far apart faults begin, about, in the middle one of three kinds of days; 0 for none.
+	Voters, Members int // Members counts the members that are not voters; each voter is a member too
+	Params          cluster.Params
+	Duration        time.Duration // how long faults are injected; then all are healed
+	// FaultEvery is the mean time between faults, which each run multiplies by 0.5, 1 or 3; 0 for no faults.
 	FaultEvery time.Duration
-	// ProposeEvery is how far apart proposals are, about; 0 for none but the last.
+	// ProposeEvery is the mean time between proposals; 0 for none except the last.
 	ProposeEvery time.Duration
-	// The write of a keeper's disk that trouble befalls, by its number; 0 for none but the drawn ones.
-	TroubleAt int
-	Trouble   Trouble
+	// DiskFaultAt is the number of the write of k1's disk that gets the fault DiskFault; 0 for none except those of injectFaults.
+	DiskFaultAt int
+	DiskFault   DiskFault
 }
 
-// Usual is the crew that CI plays.
-func Usual() Conf {
-	return Conf{Keepers: 5, Members: 25, Terms: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
+// DefaultConf is the cluster that the tests run by default.
+func DefaultConf() Conf {
+	return Conf{Voters: 5, Members: 25, Params: cluster.Params{Lease: time.Second, Drift: 0.01, Slack: 200 * time.Millisecond},
 		Duration: 20 * time.Second, FaultEvery: 700 * time.Millisecond, ProposeEvery: time.Second}
 }
 
-// Held is that crew with copied holdings, whose members are told of each other and of the placement.
-func Held() Conf {
-	c := Usual()
-	c.Terms.Holdings = clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 3 * time.Second}
+// HoldingsConf is DefaultConf with holdings, so that members get the other members and the placement.
+func HoldingsConf() Conf {
+	c := DefaultConf()
+	c.Params.Holdings = clusterparams.Holdings{Copies: 2, Keep: time.Minute, LostAfter: 3 * time.Second}
 	return c
 }
 
-// Options are those of a run that do not change what it does, but for a planted bug.
+// Options hold what a run needs beside its configuration. Only Bug changes what happens in it.
 type Options struct {
-	Trace, Log io.Writer // nil for none
+	Trace, Log io.Writer // receive the steps and the voters' logs; nil for none
 	Bug        Bug
-	// Only is the one rule that counts, "" for all: whether a bug is found by what it does, not by the program's own guard
-	// that meets it before.
+	// Only is the one rule that counts, "" for all rules. It shows whether a rule finds a bug by its effects, even if one of the
+	// program's own checks would report the bug earlier.
 	Only string
-	// Forged has the checksums of faulty deltas made right, so that what a member knows shows the fault.
-	Forged bool
+	// FixChecksums corrects the checksums of faulty deltas, so that members apply them and ViewsDiffer must find the fault.
+	FixChecksums bool
 }
 
-// Bug is planted into what is round the cores.
+// Bug is a bug injected into the environment of the voter cores and lease holders.
 type Bug string
 
-// The bugs.
+// The bugs that a run can inject.
 const (
-	CountsFromAnswer Bug = "a member counts its lease from the answer"
-	ClockStops       Bug = "a member's clock stops while its machine is suspended"
-	SlowClock        Bug = "a member's clock is slower than the terms allow"
-	SameToken        Bug = "a second process of a name comes with the first one's token"
-	AnyEpoch         Bug = "a leader grants what is asked for under an older epoch"
-	DropsBans        Bug = "a member that is cut off drops the bans"
-	NoMajority       Bug = "a leader takes itself for confirmed without a majority"
-	TellsEarly       Bug = "a leader tells a proposal's number before it is agreed on"
-	YesBeforeSync    Bug = "a disk says yes before a write is durable"
-	TrustsOldFolder  Bug = "a folder that was set back is trusted at once"
-	KeepsOldID       Bug = "an empty folder comes back under the id of the lost one"
-	TakesOldWord     Bug = "a folder takes word that was for the one before it"
-	FallsSilent      Bug = "a keeper says nothing more to one that it could not reach once"
-	LeavesOut        Bug = "a delta lacks a change"
-	AppliesAgain     Bug = "a delta is applied again after a later one"
-	WrongBase        Bug = "a delta starts from a later state than it says"
-	ShortHistory     Bug = "a history was cut, and changes are told from before that"
+	CountsFromAnswer        Bug = "a member counts its lease from the answer"
+	ClockStops              Bug = "a member's clock stops while its machine is suspended"
+	SlowClock               Bug = "a member's clock is slower than the terms allow"
+	SameToken               Bug = "a second process of a name comes with the first one's token"
+	IgnoresEpoch            Bug = "a leader grants what is asked for under an older epoch"
+	DropsBans               Bug = "a member that is cut off drops the bans"
+	ConfirmsWithoutMajority Bug = "a leader takes itself for confirmed without a majority"
+	ReportsEarly            Bug = "a leader tells a proposal's number before it is agreed on"
+	AcksBeforeSync          Bug = "a disk says yes before a write is durable"
+	TrustsOldDirectory      Bug = "a folder that was set back is trusted at once"
+	KeepsOldID              Bug = "an empty folder comes back under the id of the lost one"
+	AcceptsStaleMessages    Bug = "a folder takes word that was for the one before it"
+	StopsSending            Bug = "a keeper says nothing more to one that it could not reach once"
+	OmitsChange             Bug = "a delta lacks a change"
+	ReappliesDelta          Bug = "a delta is applied again after a later one"
+	WrongBase               Bug = "a delta starts from a later state than it says"
+	TruncatedHistory        Bug = "a history was cut, and changes are told from before that"
 )
 
-// The rules that a run checks.
+// The rules that a run checks, and parameters of the checks.
 const (
-	Apart       = "apart"        // two members act on versions that are no neighbours
-	TwiceThere  = "twice"        // two processes of one name hold a lease
-	Forgets     = "forgets"      // a member does not act on a ban of a version that it acts on
-	OlderEpoch  = "older_epoch"  // a member is back in an epoch that has passed
-	TwoLeaders  = "two_leaders"  // two leaders of one term
-	Differ      = "differ"       // two keepers hold different ledgers after the same entry
-	Lost        = "lost"         // a version that was told is not there
-	NotInOrder  = "not_in_order" // what was told fits no order of events
-	Views       = "views"        // a member knows other members or another placement than the ledger had
-	Stops       = "stops"        // a keeper ends for no reason that was played
-	Stuck       = "stuck"        // the crew is not well long after all was mended
-	mostSettle  = 20 * time.Second
-	sampleEvery = 50 * time.Millisecond
+	IncompatibleVersions = "apart"               // two members apply versions that are not neighbors
+	DuplicateLease       = "twice"               // two processes of one name hold a lease
+	ForgottenBan         = "forgets"             // a member does not apply a ban of a version that it applies
+	OlderEpoch           = "older_epoch"         // a version is active in an epoch in which a member did not report that it had prepared the version
+	TwoLeaders           = "two_leaders"         // a term has two leaders
+	LedgersDiffer        = "differ"              // two voters have different ledgers after the same entry
+	LostVersion          = "lost"                // a version whose number was reported does not exist
+	NotLinearizable      = "not_in_order"        // no order of the clients' calls explains their results
+	ViewsDiffer          = "views"               // a member knows other members or another placement than the ledger had
+	VoterStopped         = "stops"               // a voter stops for a reason that no injected fault explains
+	NotSettled           = "stuck"               // the cluster has not settled long after all faults were healed
+	settleLimit          = 20 * time.Second      // how long the cluster may take to settle
+	sampleInterval       = 50 * time.Millisecond // between measurements of the leader and of cautious members
 )
 
-// Failure is a broken rule.
+// Failure is a violated rule.
 type Failure = sim.Failure
 
-// Result is what a run left.
+// Result is the outcome of a run.
 type Result struct {
-	Failure  *Failure // nil for a good run
-	Hash     uint64   // over all steps
-	Steps    int
-	Faults   map[string]int
-	Versions int             // told
-	Active   []time.Duration // from each proposal to a ledger in which it is active
-	Leaders  []time.Duration // for so long nobody led that could be reached
-	Cautious float64         // share of the members' time
-	Unknown  int             // proposals that nobody learnt the fate of
-	Settled  time.Duration   // from when all was mended until the crew was well
-	Deltas   map[string]int  // taken by members: whole, changes, and differing ones that were not taken
-	Troubled bool            // Conf.TroubleAt has come
+	Failure         *Failure // nil if the run passed
+	Hash            uint64   // of all steps, in order
+	Steps           int
+	Faults          map[string]int  // injected, by kind
+	Versions        int             // number of versions whose number was reported to the proposer
+	ActivationTimes []time.Duration // from each proposal to the first ledger in which the version is active
+	LeaderlessTimes []time.Duration // lengths of the times without a reachable leader
+	CautiousShare   float64         // share of the members' time in which they were cautious
+	UnknownOutcomes int             // number of proposals whose outcome is unknown
+	SettleTime      time.Duration   // from the end of all faults until the cluster was settled
+	Deltas          map[string]int  // sent to members: full states ("whole"), changes, states that a member rejected ("differed") and tampered ones
+	DiskFaultHit    bool            // the write Conf.DiskFaultAt has happened
 }
 
-// run is one run.
+// run is the state of one run.
 type run struct {
-	w        *world
-	conf     Conf
-	opts     Options
-	bug      Bug
-	keepers  map[string]string // as each is started with
-	names    []string          // of members, keepers first
-	procs    map[string]*process
-	twins    []*process // second processes of a name
-	starts   map[string]int
-	disks    map[string]*disk
-	copies   map[string]*disk // earlier copies of folders
-	ids      map[string]uint64
-	doubt    map[string]uint64 // keepers whose folder was lost or set back, until they have so many entries
-	setBack  map[string]bool
-	troubled map[string]bool
-	cut      map[way]bool
-	held     []held
-	calm     bool // faults are over
-
-	fault             *Failure
-	leaders           map[uint64]string
-	agreed            map[uint64]string // what a ledger says after so many entries
-	membership        map[uint64]string // that a ledger has in an epoch
-	placement         map[uint64]string // and by its number
-	highest           uint64            // entries that any keeper has applied
-	banned            map[uint64][]string
-	acting            map[uint64]time.Duration // when a version was first active
-	told              []toldVersion
-	said              map[saying]bool
-	history           history
-	next              proposalDice
-	result            Result
-	gap               time.Duration // nobody leads since so long
-	usual, slow       time.Duration // of messages on their way, most and of a few
-	samples, cautious int
+	w            *world
+	conf         Conf
+	opts         Options
+	bug          Bug
+	voters       map[string]string   // addresses by names
+	names        []string            // of members, voters first
+	processes    map[string]*process // the present process of each name
+	duplicates   []*process          // second processes of a name, which the fault "twin" starts
+	starts       map[string]int      // number of processes started so far, by name
+	disks        map[string]*disk    // of voters
+	directoryIDs map[string]uint64   // of the voters' data directories
+	incomplete   map[string]uint64   // voters whose data directory was lost or set back, with the entry that they must apply to be complete again
+	setBack      map[string]bool     // voters whose data directory was set back
+	diskFaultSet map[string]bool     // voters for whose disk a fault was scheduled
+	partitioned  map[direction]bool
+	heldMessages []heldMessage
+	faultsOver   bool // no more faults are injected
+
+	failure                   *Failure
+	leaderOfTerm              map[uint64]string        // leader by term
+	ledgerAfter               map[uint64]string        // summary of the ledger by applied entry
+	membershipOf              map[uint64]string        // digest of the members by epoch
+	placementOf               map[uint64]string        // digest of the placement by number
+	highestApplied            uint64                   // the newest entry that any voter has applied
+	bannedIn                  map[uint64][]string      // banned endpoints by version
+	activeSince               map[uint64]time.Duration // when each version was first active in a ledger
+	reported                  []reportedVersion
+	prepared                  map[preparedVersion]bool // what members have reported as prepared
+	history                   history
+	documents                 documentState
+	result                    Result
+	leaderlessFor             time.Duration // how long there has been no reachable leader
+	usualLatency, slowLatency time.Duration // longest latency of most messages, and of a few slow ones
+	samples, cautiousSamples  int
 }
 
-// saying is a member's word, in an epoch, that it acts on a version.
-type saying struct{ token, version, epoch uint64 }
+// preparedVersion is a member's report, in an epoch, that it applies a version together with the active one.
+type preparedVersion struct{ token, version, epoch uint64 }
 
-// toldVersion is a version whose number its author was told.
-type toldVersion struct {
+// reportedVersion is a version whose number was reported to its proposer.
+type reportedVersion struct {
 	number, id uint64
-	asked      time.Duration
+	proposedAt time.Duration
 }
 
-// Play plays a seed.
-func Play(seedOf uint64, conf Conf, opts Options) Result {
-	w, done := seed(seedOf)
+// Run runs a seed.
+func Run(seed uint64, conf Conf, opts Options) Result {
+	w, done := newSeededWorld(seed)
 	defer done()
 	w.trace = opts.Trace
-	r := &run{w: w, conf: conf, opts: opts, bug: opts.Bug, keepers: map[string]string{}, procs: map[string]*process{}, starts: map[string]int{},
-		disks: map[string]*disk{}, ids: map[string]uint64{}, doubt: map[string]uint64{}, setBack: map[string]bool{},
-		troubled: map[string]bool{}, cut: map[way]bool{}, leaders: map[uint64]string{}, agreed: map[uint64]string{}, banned: map[uint64][]string{},
-		acting: map[uint64]time.Duration{}, said: map[saying]bool{}, membership: map[uint64]string{}, placement: map[uint64]string{},
+	r := &run{w: w, conf: conf, opts: opts, bug: opts.Bug, voters: map[string]string{}, processes: map[string]*process{}, starts: map[string]int{},
+		disks: map[string]*disk{}, directoryIDs: map[string]uint64{}, incomplete: map[string]uint64{}, setBack: map[string]bool{},
+		diskFaultSet: map[string]bool{}, partitioned: map[direction]bool{}, leaderOfTerm: map[uint64]string{}, ledgerAfter: map[uint64]string{}, bannedIn: map[uint64][]string{},
+		activeSince: map[uint64]time.Duration{}, prepared: map[preparedVersion]bool{}, membershipOf: map[uint64]string{}, placementOf: map[uint64]string{},
 		result: Result{Faults: map[string]int{}, Deltas: map[string]int{}}}
-	r.usual = []time.Duration{time.Millisecond, 5 * time.Millisecond, 30 * time.Millisecond}[w.dice.IntN(3)]
-	r.slow = []time.Duration{r.usual, 100 * time.Millisecond, 400 * time.Millisecond}[w.dice.IntN(3)]
-	r.conf.FaultEvery = conf.FaultEvery * time.Duration([]int{2, 4, 12}[w.dice.IntN(3)]) / 4
-	for i := range conf.Keepers {
+	r.usualLatency = []time.Duration{time.Millisecond, 5 * time.Millisecond, 30 * time.Millisecond}[w.rng.IntN(3)]
+	r.slowLatency = []time.Duration{r.usualLatency, 100 * time.Millisecond, 400 * time.Millisecond}[w.rng.IntN(3)]
+	r.conf.FaultEvery = conf.FaultEvery * time.Duration([]int{2, 4, 12}[w.rng.IntN(3)]) / 4
+	for i := range conf.Voters {
 		name := fmt.Sprintf("k%d", i+1)
-		r.keepers[name] = name + ":1"
+		r.voters[name] = name + ":1"
 		r.names = append(r.names, name)
 		r.disks[name] = newDisk()
-		r.disks[name].lies = opts.Bug == YesBeforeSync
+		r.disks[name].acksEarly = opts.Bug == AcksBeforeSync
 	}
 	for i := range conf.Members {
 		r.names = append(r.names, fmt.Sprintf("m%d", i+1))
 	}
 	for _, name := range r.names {
-		w.after(w.between(0, 300*time.Millisecond), "start", name, func() { r.start(name) })
+		w.schedule(w.randomDuration(0, 300*time.Millisecond), "start", name, func() { r.start(name) })
 	}
-	r.procs[client] = &process{r: r, name: client, id: client, rate: 1}
-	if conf.TroubleAt > 0 {
-		r.disks["k1"].fails, r.disks["k1"].trouble, r.troubled["k1"] = conf.TroubleAt, conf.Trouble, true
+	r.processes[clientName] = &process{r: r, name: clientName, id: clientName, clockRate: 1}
+	if conf.DiskFaultAt > 0 {
+		r.disks["k1"].faultAt, r.disks["k1"].fault, r.diskFaultSet["k1"] = conf.DiskFaultAt, conf.DiskFault, true
 	}
-	w.after(sampleEvery, "sample", "", r.sample)
+	w.schedule(sampleInterval, "sample", "", r.sample)
 	if conf.ProposeEvery > 0 {
-		w.after(conf.ProposeEvery, "propose", "", r.proposeOften)
+		w.schedule(conf.ProposeEvery, "propose", "", r.proposeRepeatedly)
 	}
 	if conf.FaultEvery > 0 {
-		w.after(3*time.Second, "strike", "", r.strike)
+		w.schedule(3*time.Second, "strike", "", r.injectFaults)
 	}
-	for r.fault == nil && w.step(conf.Duration) {
+	for r.failure == nil && w.step(conf.Duration) {
 	}
-	if r.fault == nil {
+	if r.failure == nil {
 		r.settle()
 	}
-	if r.fault == nil {
+	if r.failure == nil {
 		if err := r.history.check(); err != nil {
-			r.broken(NotInOrder, "%v", err)
+			r.violation(NotLinearizable, "%v", err)
 		}
 	}
 	res := &r.result
-	res.Failure, res.Hash, res.Steps, res.Versions = r.fault, w.sum.Sum64(), w.steps, len(r.told)
-	res.Cautious = float64(r.cautious) / float64(max(1, r.samples))
-	for _, v := range r.told {
-		if at, ok := r.acting[v.number]; ok {
-			res.Active = append(res.Active, at-v.asked)
+	res.Failure, res.Hash, res.Steps, res.Versions = r.failure, w.traceHash.Sum64(), w.steps, len(r.reported)
+	res.CautiousShare = float64(r.cautiousSamples) / float64(max(1, r.samples))
+	for _, v := range r.reported {
+		if at, ok := r.activeSince[v.number]; ok {
+			res.ActivationTimes = append(res.ActivationTimes, at-v.proposedAt)
 		}
 	}
-	res.Troubled = conf.TroubleAt > 0 && r.disks["k1"].met
+	res.DiskFaultHit = conf.DiskFaultAt > 0 && r.disks["k1"].faultHit
 	return *res
 }
 
-func (r *run) broken(rule, format string, args ...any) {
-	if r.fault == nil && (r.opts.Only == "" || rule == r.opts.Only) {
-		r.fault = &Failure{Rule: rule, Step: r.w.steps, At: r.w.now, What: fmt.Sprintf(format, args...)}
-		r.w.note("broken "+rule, "")
+// violation ends the run with a violated rule, unless it has failed already or the rule does not count.
+func (r *run) violation(rule, format string, args ...any) {
+	if r.failure == nil && (r.opts.Only == "" || rule == r.opts.Only) {
+		r.failure = &Failure{Rule: rule, Step: r.w.steps, At: r.w.now, What: fmt.Sprintf(format, args...)}
+		r.w.record("broken "+rule, "")
 	}
 }
 
-// fresh draws the id of a new folder.
-func (r *run) fresh(p *process) uint64 {
-	if old := r.ids[p.name]; old != 0 && r.bug == KeepsOldID {
+// newDirectoryID generates the id of a new data directory.
+func (r *run) newDirectoryID(p *process) uint64 {
+	if old := r.directoryIDs[p.name]; old != 0 && r.bug == KeepsOldID {
 		return old
 	}
-	r.ids[p.name] = voter.NewID()
-	return r.ids[p.name]
+	r.directoryIDs[p.name] = voter.NewID()
+	return r.directoryIDs[p.name]
 }
 
-// start starts a process of a name.
+// start starts a process under a name, unless one runs.
 func (r *run) start(name string) {
-	if old := r.procs[name]; old != nil && !old.dead {
+	if old := r.processes[name]; old != nil && !old.dead {
 		return
 	}
 	p := r.newProcess(name)
-	r.procs[name] = p
+	r.processes[name] = p
 	if p.disk = r.disks[name]; p.disk != nil {
-		p.open()
+		p.startVoter()
 	}
 	p.heartbeat()
 }
 
+// newProcess returns a process whose clock runs at a rate within the drift that the cluster parameters allow.
 func (r *run) newProcess(name string) *process {
 	r.starts[name]++
-	drift := r.conf.Terms.Drift
-	p := &process{r: r, name: name, id: fmt.Sprintf("%s.%d", name, r.starts[name]), rate: 1 + drift*float64(r.w.dice.IntN(3)-1),
-		booted: r.w.between(0, time.Hour), lines: map[string]*line{}}
+	drift := r.conf.Params.Drift
+	p := &process{r: r, name: name, id: fmt.Sprintf("%s.%d", name, r.starts[name]), clockRate: 1 + drift*float64(r.w.rng.IntN(3)-1),
+		bootOffset: r.w.randomDuration(0, time.Hour), peerQueues: map[string]*peerQueue{}}
 	if r.bug == SlowClock && strings.HasPrefix(name, "m") {
-		p.rate = 0.6
+		p.clockRate = 0.6
 	}
 	own := versions.FromSettings(&decide.Settings{Limits: decide.Limits{MaxAttempts: versions.AttemptsLimit}, Classes: []decide.Class{{Name: "pay", Effect: decide.Safe}}})
 	self := cluster.Member{Name: name, Token: voter.NewID(), Address: name + ":1"}
-	if r.conf.Terms.Holdings.Copies > 0 {
+	if r.conf.Params.Holdings.Copies > 0 {
 		self.Zone = fmt.Sprint(slices.Index(r.names, name) % 3)
-		p.store = holdings.NewStore(r.conf.Terms.Holdings, 1<<10)
+		p.store = holdings.NewStore(r.conf.Params.Holdings, 1<<10)
 	}
-	p.holder = cluster.NewLeaseHolder(self, r.conf.Terms, own, 0)
-	p.seeker = cluster.NewLeaseRenewer(p.holder, slices.Sorted(maps.Keys(r.keepers)))
+	p.holder = cluster.NewLeaseHolder(self, r.conf.Params, own, 0)
+	p.renewer = cluster.NewLeaseRenewer(p.holder, slices.Sorted(maps.Keys(r.voters)))
 	return p
 }
 
+// kill kills a process and restarts it later.
 func (r *run) kill(p *process) {
 	p.kill()
-	r.startLater(p.name)
+	r.restartLater(p.name)
 }
 
-func (r *run) startLater(name string) {
-	r.w.after(r.w.between(100*time.Millisecond, 3*time.Second), "start", name, func() { r.start(name) })
+// restartLater schedules the start of a process under a name.
+func (r *run) restartLater(name string) {
+	r.w.schedule(r.w.randomDuration(100*time.Millisecond, 3*time.Second), "start", name, func() { r.start(name) })
 }
 
-// stopped is called when a keeper takes no further part. Its operator starts the process again, with an empty folder
-// where that was set back or is damaged.
-func (r *run) stopped(p *process, err error) {
-	r.w.note("stopped: "+err.Error(), p.id)
+// voterStopped handles the stop of a voter by an error. It reports a violation unless an injected fault explains the error. An
+// operator restarts the process soon after, with an empty data directory if the old one was set back.
+func (r *run) voterStopped(p *process, err error) {
+	r.w.record("stopped: "+err.Error(), p.id)
 	setBack := strings.Contains(err.Error(), "set back")
-	if !(setBack && r.setBack[p.name]) && !(strings.Contains(err.Error(), errDisk.Error()) && r.troubled[p.name]) {
-		r.broken(Stops, "%s: %v", p.id, err)
+	if !(setBack && r.setBack[p.name]) && !(strings.Contains(err.Error(), errDisk.Error()) && r.diskFaultSet[p.name]) {
+		r.violation(VoterStopped, "%s: %v", p.id, err)
 	}
-	r.w.after(r.w.between(100*time.Millisecond, 2*time.Second), "operator", p.id, func() {
+	r.w.schedule(r.w.randomDuration(100*time.Millisecond, 2*time.Second), "operator", p.id, func() {
 		if p.dead {
 			return
 		}
@@ -300,23 +303,23 @@
 	})
 }
 
-// wipe empties a keeper's folder.
+// wipe empties a voter's data directory.
 func (r *run) wipe(name string) {
-	lies := r.disks[name].lies
+	acksEarly := r.disks[name].acksEarly
 	r.disks[name] = newDisk()
-	r.disks[name].lies = lies
+	r.disks[name].acksEarly = acksEarly
 	delete(r.setBack, name)
-	r.doubt[name] = r.highest
+	r.incomplete[name] = r.highestApplied
 }
 
-// all are the processes that stand, in order.
-func (r *run) all() (out []*process) {
+// running returns all live processes, paused ones too, in a fixed order.
+func (r *run) running() (out []*process) {
 	for _, name := range r.names {
-		if p := r.procs[name]; p != nil && !p.dead && p.holder != nil {
+		if p := r.processes[name]; p != nil && !p.dead && p.holder != nil {
 			out = append(out, p)
 		}
 	}
-	for _, p := range r.twins {
+	for _, p := range r.duplicates {
 		if !p.dead {
 			out = append(out, p)
 		}
@@ -324,71 +327,71 @@
 	return out
 }
 
-// judge looks whether a member, whose stance may have changed, contradicts another.
-func (r *run) judge(p *process) {
+// checkMember checks that the versions a member applies are compatible with those of all others, and that it applies all bans.
+func (r *run) checkMember(p *process) {
 	if p.dead || p.paused {
 		return
 	}
-	r.judgeView(p)
-	x := p.holder.Effective(p.BootTime())
-	if r.bug == DropsBans && x.Cautious {
-		x.Rules.Banned = nil
+	r.checkView(p)
+	effective := p.holder.Effective(p.BootTime())
+	if r.bug == DropsBans && effective.Cautious {
+		effective.Rules.Banned = nil
 	}
-	for _, n := range []uint64{x.Active, x.Next} {
-		for _, name := range r.banned[n] {
-			if !x.Rules.Banned[name] {
-				r.broken(Forgets, "%s acts on version %d and not on its ban of %s", p.id, n, name)
+	for _, n := range []uint64{effective.Active, effective.Next} {
+		for _, name := range r.bannedIn[n] {
+			if !effective.Rules.Banned[name] {
+				r.violation(ForgottenBan, "%s applies version %d, but not its ban of %s", p.id, n, name)
 			}
 		}
 	}
-	if x.Cautious {
+	if effective.Cautious {
 		return
 	}
-	for _, q := range r.all() {
+	for _, q := range r.running() {
 		if q == p || q.paused {
 			continue
 		}
-		y := q.holder.Effective(q.BootTime())
-		if y.Cautious {
+		other := q.holder.Effective(q.BootTime())
+		if other.Cautious {
 			continue
 		}
 		if q.name == p.name {
-			r.broken(TwiceThere, "%s and %s both hold a lease", p.id, q.id)
+			r.violation(DuplicateLease, "%s and %s both hold a lease", p.id, q.id)
 		}
-		if x.Active != y.Active && x.Next != y.Active && y.Next != x.Active {
-			r.broken(Apart, "%s acts on %d+%d and %s on %d+%d", p.id, x.Active, x.Next, q.id, y.Active, y.Next)
+		if effective.Active != other.Active && effective.Next != other.Active && other.Next != effective.Active {
+			r.violation(IncompatibleVersions, "%s applies versions %d+%d and %s applies %d+%d", p.id, effective.Active, effective.Next, q.id, other.Active, other.Next)
 		}
 	}
 }
 
-// judgeKeeper looks at what a keeper that has settled holds.
-func (r *run) judgeKeeper(p *process) {
+// checkVoter checks a voter's term and ledger after each call of its core.
+func (r *run) checkVoter(p *process) {
 	if term, leads := p.core.IsLeader(); leads {
-		if other := r.leaders[term]; other != "" && other != p.name {
-			r.broken(TwoLeaders, "%s and %s lead in term %d", other, p.name, term)
+		if other := r.leaderOfTerm[term]; other != "" && other != p.name {
+			r.violation(TwoLeaders, "%s and %s lead in term %d", other, p.name, term)
 		}
-		r.leaders[term] = p.name
+		r.leaderOfTerm[term] = p.name
 	}
 	l, applied := p.core.Ledger()
-	if applied == p.judged {
+	if applied == p.checkedEntry {
 		return
 	}
-	single := applied == p.judged+1 // else what was true between is not seen
-	p.judged = applied
-	r.highest = max(r.highest, applied)
-	if applied >= r.doubt[p.name] {
-		delete(r.doubt, p.name) // entries that nobody has applied yet may still show that it was set back
+	onlyOne := applied == p.checkedEntry+1 // otherwise the states between were not seen
+	p.checkedEntry = applied
+	r.highestApplied = max(r.highestApplied, applied)
+	if applied >= r.incomplete[p.name] {
+		delete(r.incomplete, p.name) // setBack stays: later entries may still reveal that the directory was set back
 	}
-	for _, round := range []*cluster.VersionRecord{&l.Active, l.Next} {
-		if round != nil && round.Number > 0 {
-			r.banned[round.Number] = round.Doc.Banned
+	for _, record := range []*cluster.VersionRecord{&l.Active, l.Next} {
+		if record != nil && record.Number > 0 {
+			r.bannedIn[record.Number] = record.Doc.Banned
 		}
 	}
-	if _, known := r.acting[l.Active.Number]; !known {
-		r.acting[l.Active.Number] = r.w.now
+	if _, known := r.activeSince[l.Active.Number]; !known {
+		r.activeSince[l.Active.Number] = r.w.now
 		for _, name := range slices.Sorted(maps.Keys(l.Members)) {
-			if single && l.Active.Number > 0 && !r.said[saying{l.Members[name].Token, l.Active.Number, l.Epoch}] {
-				r.broken(OlderEpoch, "version %d is active in epoch %d, in which %s never said that it acts on it", l.Active.Number, l.Epoch, name)
+			if onlyOne && l.Active.Number > 0 && !r.prepared[preparedVersion{l.Members[name].Token, l.Active.Number, l.Epoch}] {
+				r.violation(OlderEpoch, "version %d is active in epoch %d, in which %s never reported that it had prepared it", l.Active.Number, l.Epoch, name)
 			}
 		}
 	}
@@ -397,31 +400,31 @@
 	if l.Next != nil {
 		fmt.Fprint(sum, *l.Next)
 	}
-	says := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.LastNumber, sum.Sum64())
-	if other, known := r.agreed[applied]; known && other != says {
-		r.broken(Differ, "after entry %d %s holds %s, and another held %s", applied, p.id, says, other)
+	summary := fmt.Sprintf("epoch %d, version %d of %d, digest %x", l.Epoch, l.Active.Number, l.LastNumber, sum.Sum64())
+	if other, known := r.ledgerAfter[applied]; known && other != summary {
+		r.violation(LedgersDiffer, "after entry %d %s holds %s, and another held %s", applied, p.id, summary, other)
 	}
-	r.agreed[applied] = says
+	r.ledgerAfter[applied] = summary
 }
 
-// heard books what a member was told.
-func (r *run) heard(p *process, asked time.Duration, g *cluster.Grant, err error) {
-	// A few members' words are enough for the order of events; they come eight times a lease.
+// recordGrant records a grant as a read of the versions, for the check of linearizability.
+func (r *run) recordGrant(p *process, sentAt time.Duration, g *cluster.Grant, err error) {
+	// The answers of a few members are enough for the check; each member renews eight times per lease.
 	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.RetryNow {
 		return
 	}
-	read := told{active: g.Active.Number}
+	result := clientResult{active: g.Active.Number}
 	if g.Next != nil {
-		read.next = g.Next.Number
+		result.next = g.Next.Number
 	}
-	r.history.add(p.id, asked, r.w.now, asking{}, read)
+	r.history.add(p.id, sentAt, r.w.now, clientCall{}, result)
 }
 
-// leads tells whether a keeper leads that can be reached: the one of the newest term.
-func (r *run) leads() *process {
+// reachableLeader returns the leader's process, that of the newest term if several lead; nil if none leads or it is paused.
+func (r *run) reachableLeader() *process {
 	var best *process
 	newest := uint64(0)
-	for _, p := range r.all() {
+	for _, p := range r.running() {
 		if p.core == nil || p.paused {
 			continue
 		}
@@ -432,61 +435,61 @@
 	return best
 }
 
-// sample measures.
+// sample measures how long there is no leader, and how many members are cautious.
 func (r *run) sample() {
-	if r.leads() == nil {
-		r.gap += sampleEvery
-	} else if r.gap > 0 {
-		r.result.Leaders = append(r.result.Leaders, r.gap)
-		r.gap = 0
+	if r.reachableLeader() == nil {
+		r.leaderlessFor += sampleInterval
+	} else if r.leaderlessFor > 0 {
+		r.result.LeaderlessTimes = append(r.result.LeaderlessTimes, r.leaderlessFor)
+		r.leaderlessFor = 0
 	}
-	for _, p := range r.all() {
+	for _, p := range r.running() {
 		if r.w.now < 3*time.Second || p.paused {
 			continue
 		}
 		if r.samples++; p.holder.Effective(p.BootTime()).Cautious {
-			r.cautious++
+			r.cautiousSamples++
 		}
 	}
-	r.w.after(sampleEvery, "sample", "", r.sample)
+	r.w.schedule(sampleInterval, "sample", "", r.sample)
 }
 
-// settle mends everything and waits until the crew is well: all in, and a last version acted on by all.
+// settle heals all faults and waits until the cluster has settled on a last version.
 func (r *run) settle() {
-	r.calm = true
-	r.mend()
-	began, limit := r.w.now, r.w.now+mostSettle
+	r.faultsOver = true
+	r.healAll()
+	began, limit := r.w.now, r.w.now+settleLimit
 	last := uint64(0)
-	r.w.after(2*time.Second, "propose", "last", func() { r.proposeLast(func(n uint64) { last = n }) })
-	for r.fault == nil && r.w.now < limit {
-		if !r.w.step(limit) || last > 0 && r.well(last) {
+	r.w.schedule(2*time.Second, "propose", "last", func() { r.proposeUntilReported(func(n uint64) { last = n }) })
+	for r.failure == nil && r.w.now < limit {
+		if !r.w.step(limit) || last > 0 && r.settledOn(last) {
 			break
 		}
 	}
-	if r.fault != nil {
+	if r.failure != nil {
 		return
 	}
-	if last == 0 || !r.well(last) {
-		r.broken(Stuck, "%v after all was mended: the last version told is %d; %s", mostSettle, last, r.describe())
+	if last == 0 || !r.settledOn(last) {
+		r.violation(NotSettled, "not settled %v after all faults were healed: the last version reported is %d; %s", settleLimit, last, r.describe())
 		return
 	}
-	r.result.Settled = r.w.now - began
-	for _, p := range r.all() {
+	r.result.SettleTime = r.w.now - began
+	for _, p := range r.running() {
 		if p.core == nil {
 			continue
 		}
 		l, _ := p.core.Ledger()
-		for _, v := range r.told {
+		for _, v := range r.reported {
 			if have := l.Find(v.id); have == nil || have.Number != v.number {
-				r.broken(Lost, "version %d was told, and %s does not have it", v.number, p.id)
+				r.violation(LostVersion, "version %d was reported to its proposer, but %s does not have it", v.number, p.id)
 			}
 		}
 	}
 }
 
-// well tells whether all act on a version alone, and all keepers have it.
-func (r *run) well(version uint64) bool {
-	up := r.all()
+// settledOn reports whether all processes run, all members apply this version or a newer one and no other, and all voters have it.
+func (r *run) settledOn(version uint64) bool {
+	up := r.running()
 	if len(up) < len(r.names) {
 		return false
 	}
@@ -495,37 +498,37 @@
 		if s.Cautious || s.Active < version || s.Next != 0 {
 			return false
 		}
-		if p.store != nil && !r.current(p) {
+		if p.store != nil && !r.viewIsCurrent(p) {
 			return false
 		}
-		if r.keepers[p.name] == "" {
+		if r.voters[p.name] == "" {
 			continue
 		}
 		if p.core == nil {
 			return false
 		}
-		if l, applied := p.core.Ledger(); l.Active.Number < version || applied < r.highest {
+		if l, applied := p.core.Ledger(); l.Active.Number < version || applied < r.highestApplied {
 			return false
 		}
 	}
 	return true
 }
 
-// describe tells where everybody is.
+// describe returns the state of each process, for failure messages.
 func (r *run) describe() string {
 	var out []string
-	for _, p := range r.all() {
+	for _, p := range r.running() {
 		s := p.holder.Effective(p.BootTime())
 		text := fmt.Sprintf("%s on %d+%d", p.id, s.Active, s.Next)
 		if s.Cautious {
-			text += fmt.Sprintf(" cautious (%s)", p.why)
+			text += fmt.Sprintf(" cautious (%s)", p.noLeaseReason)
 		}
 		if p.core != nil {
 			l, applied := p.core.Ledger()
 			term, leads := p.core.IsLeader()
-			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, keepers %v)", applied, r.highest, leads, term, l.Voters)
-		} else if p.failed != nil {
-			text += fmt.Sprintf(" (%v)", p.failed)
+			text += fmt.Sprintf(" (entry %d of %d, leads %v, term %d, voters %v)", applied, r.highestApplied, leads, term, l.Voters)
+		} else if p.voterErr != nil {
+			text += fmt.Sprintf(" (%v)", p.voterErr)
 		}
 		out = append(out, text)
 	}
--- a/internal/sim/clustersim/sim_test.go
+++ b/internal/sim/clustersim/sim_test.go
@@ -12,80 +12,81 @@
 )
 
 var (
-	seeds     = flag.Int("crewsim.seeds", 40, "so many seeds are played")
-	heldSeeds = flag.Int("crewsim.held", 16, "so many seeds are played with copied holdings")
-	from      = flag.Int("crewsim.from", 0, "from this one on")
-	oneSeed   = flag.Int64("crewsim.seed", -1, "only this one")
-	keepers   = flag.Int("crewsim.keepers", 5, "of the members")
-	members   = flag.Int("crewsim.members", 25, "members that are no keepers")
-	traceFile = flag.String("crewsim.trace", "", "where the steps of the one seed are written")
-	logFile   = flag.String("crewsim.log", "", "where its keepers' logs are written")
+	seeds         = flag.Int("crewsim.seeds", 40, "number of seeds to run")
+	holdingsSeeds = flag.Int("crewsim.held", 16, "number of seeds to run with holdings")
+	firstSeed     = flag.Int("crewsim.from", 0, "first seed to run")
+	oneSeed       = flag.Int64("crewsim.seed", -1, "run only this seed")
+	voters        = flag.Int("crewsim.keepers", 5, "number of voters")
+	members       = flag.Int("crewsim.members", 25, "number of members that are not voters")
+	traceFile     = flag.String("crewsim.trace", "", "file for the steps of the seed of -crewsim.seed")
+	logFile       = flag.String("crewsim.log", "", "file for the logs of its voters")
 )
 
-func usual() Conf {
-	c := Usual()
-	c.Keepers, c.Members = *keepers, *members
+// defaultConf is DefaultConf with the sizes that the flags set.
+func defaultConf() Conf {
+	c := DefaultConf()
+	c.Voters, c.Members = *voters, *members
 	return c
 }
 
-func TestSeeds(t *testing.T) { playSeeds(t, usual(), *seeds) }
+func TestSeeds(t *testing.T) { runSeeds(t, defaultConf(), *seeds) }
 
-// holding is the crew that holds.
-func holding() Conf {
-	c := Held()
-	c.Keepers, c.Members = *keepers, *members
+// holdingsConf is HoldingsConf with the sizes that the flags set.
+func holdingsConf() Conf {
+	c := HoldingsConf()
+	c.Voters, c.Members = *voters, *members
 	return c
 }
 
-// The same with copied holdings: members are told of each other and of the placement as changes, and after each answer have what the
+// The same with holdings: members get the other members and the placement as deltas, and after each grant must have what the
 // ledger had.
-func TestSeedsHeld(t *testing.T) { playSeeds(t, holding(), *heldSeeds) }
+func TestSeedsWithHoldings(t *testing.T) { runSeeds(t, holdingsConf(), *holdingsSeeds) }
 
-func playSeeds(t *testing.T, conf Conf, seeds int) {
+func runSeeds(t *testing.T, conf Conf, seeds int) {
 	if *oneSeed >= 0 {
-		playOne(t, uint64(*oneSeed), conf)
+		runOneSeed(t, uint64(*oneSeed), conf)
 		return
 	}
 	began := time.Now()
 	var sum Result
 	sum.Faults, sum.Deltas = map[string]int{}, map[string]int{}
 	var active, leaders, settled []time.Duration
-	for seed := *from; seed < *from+seeds; seed++ {
-		r := Play(uint64(seed), conf, Options{})
+	for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
+		r := Run(uint64(seed), conf, Options{})
 		if r.Failure != nil {
 			t.Errorf("seed %d: %v", seed, r.Failure)
 		}
 		sum.Steps += r.Steps
 		sum.Versions += r.Versions
-		sum.Cautious += r.Cautious / float64(seeds)
+		sum.CautiousShare += r.CautiousShare / float64(seeds)
 		for kind, n := range r.Faults {
 			sum.Faults[kind] += n
 		}
 		for kind, n := range r.Deltas {
 			sum.Deltas[kind] += n
 		}
-		active, leaders, settled = append(active, r.Active...), append(leaders, r.Leaders...), append(settled, r.Settled)
+		active, leaders, settled = append(active, r.ActivationTimes...), append(leaders, r.LeaderlessTimes...), append(settled, r.SettleTime)
 	}
-	took := time.Since(began)
-	t.Logf("%d seeds, %d steps in %v; %d versions told; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, took.Round(time.Millisecond),
-		sum.Versions, sum.Cautious, sum.Faults)
-	t.Logf("told to members: %v", sum.Deltas)
-	holds := conf.Terms.Holdings.Copies > 0
-	if holds && (sum.Deltas["changes"] < 10*sum.Deltas["whole"] || sum.Deltas["whole"] == 0 || sum.Deltas["differed"] > 0) {
-		t.Errorf("told to members: %v; wanted: changes, some wholes, and none that differ", sum.Deltas)
+	elapsed := time.Since(began)
+	t.Logf("%d seeds, %d steps in %v; %d versions reported; cautious %.3f of the members' time; faults %v", seeds, sum.Steps, elapsed.Round(time.Millisecond),
+		sum.Versions, sum.CautiousShare, sum.Faults)
+	t.Logf("states sent to members: %v", sum.Deltas)
+	withHoldings := conf.Params.Holdings.Copies > 0
+	if withHoldings && (sum.Deltas["changes"] < 10*sum.Deltas["whole"] || sum.Deltas["whole"] == 0 || sum.Deltas["differed"] > 0) {
+		t.Errorf("states sent to members: %v; want mostly changes, some full states (whole), and none that differ", sum.Deltas)
 	}
-	t.Logf("until a version is active %s; nobody leads %s; until all is well %s", spread(active), spread(leaders), spread(settled))
-	for _, k := range kinds() { // what the seeds never bring about, they do not test
+	t.Logf("until a version is active %s; without a leader %s; until the cluster is settled %s", spread(active), spread(leaders), spread(settled))
+	for _, k := range faultKinds() { // a fault that no seed injects is not tested
 		if sum.Faults[k.name] == 0 && seeds >= 40 {
-			t.Errorf("never drawn: %s", k.name)
+			t.Errorf("no seed injects the fault %s", k.name)
 		}
 	}
 	if len(active) < seeds {
-		t.Errorf("%d versions became active in %d seeds", len(active), seeds)
+		t.Errorf("only %d versions became active in %d seeds", len(active), seeds)
 	}
 }
 
-// spread tells the median, a late one and the last.
+// spread returns the median, the 99th percentile and the maximum.
 func spread(all []time.Duration) string {
 	slices.Sort(all)
 	if len(all) == 0 {
@@ -95,70 +96,72 @@
 		all[len(all)-1].Round(time.Millisecond), len(all))
 }
 
-func playOne(t *testing.T, seed uint64, conf Conf) {
+func runOneSeed(t *testing.T, seed uint64, conf Conf) {
 	opts := Options{Trace: simtest.Create(t, *traceFile), Log: simtest.Create(t, *logFile)}
-	r := Play(seed, conf, opts)
+	r := Run(seed, conf, opts)
 	t.Logf("%+v", r)
 	if r.Failure != nil {
 		t.Errorf("seed %d: %v", seed, r.Failure)
 	}
 }
 
-// printHash in the environment has the test's own program print the hashes of seeds.
+// printHash is the environment variable that makes TestPrintHash print the hashes.
 const (
 	printHash   = "HEATHGAP_CREWSIM_HASH"
 	replaySeeds = 4
 )
 
-// hashes plays seeds.
-func hashes(t *testing.T) (out []string) {
+// traceHashes runs the first seeds and returns the hashes of their steps.
+func traceHashes(t *testing.T) (out []string) {
 	t.Helper()
 	for seed := range uint64(replaySeeds) {
-		out = append(out, fmt.Sprintf("%x", Play(seed, usual(), Options{}).Hash))
+		out = append(out, fmt.Sprintf("%x", Run(seed, defaultConf(), Options{}).Hash))
 	}
 	return out
 }
 
-// TestPrintHash is the other process of TestSameSeedSameTrace.
+// TestPrintHash is what TestSameSeedSameTrace runs in other processes.
 func TestPrintHash(t *testing.T) {
 	if os.Getenv(printHash) == "" {
-		t.Skip("run by another test")
+		t.Skip("run by TestSameSeedSameTrace only")
 	}
-	for _, h := range hashes(t) {
+	for _, h := range traceHashes(t) {
 		fmt.Println(simtest.HashPrefix + h)
 	}
 }
 
-// The same seed takes the same steps, in other processes too, with one processor and with eight; others take others.
+// Guards against steps that do not follow from the seed alone: a seed must take the same steps in other processes, with one
+// processor and with eight. Different seeds must take different steps.
 func TestSameSeedSameTrace(t *testing.T) {
-	want := hashes(t)
+	want := traceHashes(t)
 	if seen := slices.Compact(slices.Sorted(slices.Values(want))); len(seen) != replaySeeds {
-		t.Errorf("%d seeds take %d ways", replaySeeds, len(seen))
+		t.Errorf("the steps of %d seeds have only %d different hashes", replaySeeds, len(seen))
 	}
 	simtest.SameInSubprocesses(t, "TestPrintHash", printHash, want)
 }
 
-// Each write of a keeper's disk meets each trouble in turn, until a run has none left to meet: what was told is there, and
-// the crew is well again. Nothing else befalls this crew.
-func TestEachWriteMeetsTrouble(t *testing.T) {
-	conf := Usual()
-	conf.Keepers, conf.Members, conf.FaultEvery, conf.Duration = 3, 3, 0, 6*time.Second
-	for _, trouble := range troubles {
+// Guards against a voter that loses data or stops for good after a failed write or a crash in a write. Each write of a voter's disk
+// gets each fault in turn, until a run has fewer writes. Reported versions must still exist and the cluster must settle. There are
+// no other faults.
+func TestEachDiskWriteFails(t *testing.T) {
+	conf := DefaultConf()
+	conf.Voters, conf.Members, conf.FaultEvery, conf.Duration = 3, 3, 0, 6*time.Second
+	for _, fault := range diskFaults {
 		writes := 0
 		for at := 1; ; at++ {
-			conf.TroubleAt, conf.Trouble = at, trouble
-			r := Play(1, conf, Options{})
+			conf.DiskFaultAt, conf.DiskFault = at, fault
+			r := Run(1, conf, Options{})
 			if r.Failure != nil {
-				t.Fatalf("write %d, %s: %v", at, trouble, r.Failure)
+				t.Fatalf("write %d, %s: %v", at, fault, r.Failure)
 			}
-			if !r.Troubled {
+			if !r.DiskFaultHit {
 				break
 			}
 			writes++
 		}
-		t.Logf("%s: %d writes", trouble, writes)
+		t.Logf("%s: %d writes", fault, writes)
 		if writes < 10 {
-			t.Errorf("%s: only %d writes met it", trouble, writes)
+			t.Errorf("%s: only %d writes got the fault, want at least 10", fault, writes)
 		}
 	}
 }
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -19,24 +19,24 @@
 	"heathgap/internal/lab/servermodel"
 )
 
-// The models act in the world's steps, one at a time: they need no locks, and whatever
-// they do follows from what came and from the seed.
+// The models of endpoints, discovery and clients act in steps of the world, one at a time. So they need
+// no locks, and what they do follows from the bytes they receive and from the seed.
 
-// request is a message that has come whole.
-type request struct {
+// receivedRequest is a request that arrived completely.
+type receivedRequest struct {
 	method, path, class, id, key, query string
-	first, whole                        time.Duration
+	firstByte, lastByte                 time.Duration // times at which its first and its last byte arrived
 }
 
-// inbox gathers the bytes of a connection into requests.
-type inbox struct {
+// requestParser splits the bytes of a connection into requests.
+type requestParser struct {
 	buf   []byte
-	first time.Duration // of the first byte that stands there
+	first time.Duration // when the first byte in buf arrived
 }
 
-// add takes bytes; the requests that are whole by now come back. An error means that
-// what came is no request.
-func (in *inbox) add(now time.Duration, b []byte) (whole []request, err error) {
+// parse adds bytes and returns the requests that are complete now. An error means that the bytes are
+// not an HTTP request.
+func (in *requestParser) parse(now time.Duration, b []byte) (complete []receivedRequest, err error) {
 	if len(in.buf) == 0 {
 		in.first = now
 	}
@@ -47,47 +47,50 @@
 		r := bufio.NewReaderSize(left, len(in.buf)+16)
 		err := m.Read(r)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			return whole, nil
+			return complete, nil
 		}
 		if err != nil {
-			return whole, err
+			return complete, err
 		}
 		in.buf = in.buf[len(in.buf)-left.Len()-r.Buffered():]
 		path := string(m.URI().Path())
-		q := request{
+		q := receivedRequest{
 			method: string(m.Header.Method()), path: path, query: string(m.URI().QueryString()),
 			id: string(m.Header.Peek("X-Txn")), key: string(m.Header.Peek("Idempotency-Key")),
-			first: in.first, whole: now,
+			firstByte: in.first, lastByte: now,
 		}
 		q.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-		whole = append(whole, q)
+		complete = append(complete, q)
 		in.first = now
 	}
-	return whole, nil
+	return complete, nil
 }
 
-// keyMemory is what a group of endpoints knows of keys.
-type keyMemory struct {
+// keyStore is the memory of idempotency keys that all endpoints share.
+type keyStore struct {
 	window time.Duration
-	seen   map[string]*keyRun
+	runs   map[string]*keyedRun
 }
 
-type keyRun struct {
-	at      time.Duration
+// keyedRun is the execution of a request under a key. waiters answer repeats that arrive before it is done.
+type keyedRun struct {
+	started time.Duration
 	done    bool
 	waiters []func()
 }
 
-func (k *keyMemory) see(now time.Duration, key string) (first, own *keyRun) {
-	if first = k.seen[key]; first != nil && now-first.at <= k.window {
-		return first, nil
+// lookupOrStart returns the earlier run under a key, if it started within the window, or else starts a new one.
+func (k *keyStore) lookupOrStart(now time.Duration, key string) (earlier, started *keyedRun) {
+	if earlier = k.runs[key]; earlier != nil && now-earlier.started <= k.window {
+		return earlier, nil
 	}
-	own = &keyRun{at: now}
-	k.seen[key] = own
-	return nil, own
+	started = &keyedRun{started: now}
+	k.runs[key] = started
+	return nil, started
 }
 
-func (r *keyRun) end() {
+// finish marks a run as done and answers the repeats that wait for it. r may be nil.
+func (r *keyedRun) finish() {
 	if r == nil || r.done {
 		return
 	}
@@ -98,188 +101,196 @@
 	r.waiters = nil
 }
 
-// endpoint is one process of the tier.
+// endpoint is one process of an endpoint.
 type endpoint struct {
-	s       *simulation
-	name    string
-	address string
-	station *servermodel.Server
-	inboxes map[*conn]*inbox
-	busy    map[*conn]*task
-	conns   []*conn
-	next    *event
-	trouble Kind
-	cutOff  bool
+	s           *simulation
+	name        string
+	address     string
+	server      *servermodel.Server
+	parsers     map[*conn]*requestParser
+	tasks       map[*conn]*task // requests in progress, by connection
+	conns       []*conn
+	serverEvent *event    // the next event of server
+	fault       FaultKind // empty for none
+	partitioned bool
 
-	slowToConnect bool // beside whatever else troubles it
+	slowToConnect bool // independent of fault
 
-	dead   bool
-	number int // of the next event of its own
+	dead         bool
+	serverEvents int // numbers the events of server in their keys
 }
 
-// task is a request at work.
+// task is a request in progress.
 type task struct {
 	servermodel.Job
-	q    request
-	c    *conn // nil when its peer has gone
-	own  *keyRun
-	work bool // it is at the station
+	req     receivedRequest
+	c       *conn     // nil when the connection has ended
+	keyed   *keyedRun // nil without an idempotency key
+	running bool      // it is still at the server model
 }
 
-func (e *endpoint) silent() bool { return e.cutOff }
+// unreachable reports whether dials to the endpoint must time out.
+func (e *endpoint) unreachable() bool { return e.partitioned }
 
-// lateConnect is how late connections come up, of those that do: within the connect time-out.
-const lateConnect = 250 * time.Millisecond
+// slowConnectDelay is added to the dials that SlowConnect delays. It is below the connect timeout of
+// 300 ms, so that they succeed.
+const slowConnectDelay = 250 * time.Millisecond
 
-func (e *endpoint) late() time.Duration {
+// connectDelay returns how much later than usual connections are established.
+func (e *endpoint) connectDelay() time.Duration {
 	if !e.slowToConnect {
 		return 0
 	}
-	return lateConnect
+	return slowConnectDelay
 }
 
-func (e *endpoint) opened(c *conn) {
+// onOpen implements peer.
+func (e *endpoint) onOpen(c *conn) {
 	if e.dead {
 		c.peerClose(true)
 		return
 	}
 	e.conns = append(e.conns, c)
-	e.inboxes[c] = &inbox{}
-	if e.cutOff {
-		c.silence(true)
+	e.parsers[c] = &requestParser{}
+	if e.partitioned {
+		c.setPartitioned(true)
 	}
 }
 
-func (e *endpoint) refused(*conn) {}
+// onRefused implements peer; endpoints open no connections.
+func (e *endpoint) onRefused(*conn) {}
 
-func (e *endpoint) data(c *conn, b []byte) {
-	in := e.inboxes[c]
+// onData implements peer.
+func (e *endpoint) onData(c *conn, b []byte) {
+	in := e.parsers[c]
 	if e.dead || in == nil {
 		return
 	}
-	whole, err := in.add(e.s.now(), b)
-	for _, q := range whole {
-		e.take(c, q)
+	requests, err := in.parse(e.s.now(), b)
+	for _, q := range requests {
+		e.handleRequest(c, q)
 	}
 	if err != nil {
-		e.drop(c, true)
+		e.closeConn(c, true)
 	}
 }
 
-// ended is told when the sidecar has closed: what is safe is given up, an effect goes on.
-func (e *endpoint) ended(c *conn, _ bool) {
-	if t := e.busy[c]; t != nil {
+// onClose implements peer. A request in progress is canceled if it is safe; one with an effect goes on.
+func (e *endpoint) onClose(c *conn, _ bool) {
+	if t := e.tasks[c]; t != nil {
 		t.c = nil
-		if t.work && e.s.classes[t.q.class].Effect == decide.Safe && e.station.Cancel(e.s.now(), &t.Job) {
-			e.arm()
+		if t.running && e.s.classes[t.req.class].Effect == decide.Safe && e.server.Cancel(e.s.now(), &t.Job) {
+			e.scheduleServer()
 		}
 	}
-	e.drop(c, false)
+	e.closeConn(c, false)
 }
 
-func (e *endpoint) drop(c *conn, reset bool) {
-	delete(e.inboxes, c)
-	delete(e.busy, c)
+// closeConn ends a connection and forgets it.
+func (e *endpoint) closeConn(c *conn, reset bool) {
+	delete(e.parsers, c)
+	delete(e.tasks, c)
 	e.conns = slices.DeleteFunc(e.conns, func(o *conn) bool { return o == c })
 	c.peerClose(reset)
 }
 
 const (
-	offText  = "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-	failText = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
+	refusedResponse = "HTTP/1.1 503 x\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	errorResponse   = "HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n"
 )
 
-// take takes a request that has come whole.
-func (e *endpoint) take(c *conn, q request) {
+// handleRequest starts work on a complete request, or answers it at once.
+func (e *endpoint) handleRequest(c *conn, q receivedRequest) {
 	class, known := e.s.classes[q.class]
-	e.s.seen[q.id] = true
-	arrived := func(runs, repeat bool) {
-		e.s.book.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.first, LastByte: q.whole, Accepted: runs, Repeat: repeat})
+	e.s.arrived[q.id] = true
+	recordArrival := func(runs, repeat bool) {
+		e.s.checker.AttemptArrived(oracle.Arrival{ID: q.id, Endpoint: e.name, FirstByte: q.firstByte, LastByte: q.lastByte, Accepted: runs, Repeat: repeat})
 	}
-	if !known || e.trouble == Refuse {
-		arrived(false, false)
-		c.peerWrite(offText)
+	if !known || e.fault == Refuse {
+		recordArrival(false, false)
+		c.peerWrite(refusedResponse)
 		return
 	}
-	var first, own *keyRun
+	var earlier, started *keyedRun
 	if class.Effect == decide.Keyed {
-		first, own = e.s.keys.see(q.whole, q.key)
+		earlier, started = e.s.keys.lookupOrStart(q.lastByte, q.key)
 	}
-	if e.trouble == Errors {
-		arrived(true, first != nil)
-		own.end()
-		c.peerWrite(failText)
+	if e.fault == Errors {
+		recordArrival(true, earlier != nil)
+		started.finish()
+		c.peerWrite(errorResponse)
 		return
 	}
-	if first != nil {
-		arrived(true, true)
-		answer := func() { c.peerWrite(okText(q, e.name)) }
-		if first.done {
-			answer()
+	if earlier != nil {
+		recordArrival(true, true)
+		respond := func() { c.peerWrite(okResponse(q, e.name)) }
+		if earlier.done {
+			respond()
 		} else {
-			first.waiters = append(first.waiters, answer)
+			earlier.waiters = append(earlier.waiters, respond)
 		}
 		return
 	}
-	t := &task{q: q, c: c, own: own, work: true}
+	t := &task{req: q, c: c, keyed: started, running: true}
 	t.Data = t
-	t.Work = time.Duration(e.s.dice(e.name, q.id).ExpFloat64() * float64(e.s.work))
-	e.due()
-	if e.station.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
-		if own != nil {
-			delete(e.s.keys.seen, q.key)
+	t.Work = time.Duration(e.s.rngFor(e.name, q.id).ExpFloat64() * float64(e.s.meanWork))
+	e.finishDueTasks()
+	if e.server.Arrive(e.s.now(), &t.Job) == servermodel.Rejected {
+		if started != nil {
+			delete(e.s.keys.runs, q.key)
 		}
-		arrived(false, false)
-		c.peerWrite(offText)
+		recordArrival(false, false)
+		c.peerWrite(refusedResponse)
 		return
 	}
-	arrived(true, false)
-	e.busy[c] = t
-	e.arm()
+	recordArrival(true, false)
+	e.tasks[c] = t
+	e.scheduleServer()
 }
 
-func okText(q request, name string) string {
+// okResponse returns the answer to a request that was served; its body names the request and the endpoint.
+func okResponse(q receivedRequest, name string) string {
 	body := q.id + " " + name + "\n"
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// due hands out what is done by now.
-func (e *endpoint) due() {
-	done, fell := e.station.Due(e.s.now())
-	if fell {
-		e.s.book.EndpointOverloaded(e.s.now(), e.name)
+// finishDueTasks answers the requests that are done by now.
+func (e *endpoint) finishDueTasks() {
+	done, overloaded := e.server.Due(e.s.now())
+	if overloaded {
+		e.s.checker.EndpointOverloaded(e.s.now(), e.name)
 	}
 	for _, j := range done {
 		t := j.Data.(*task)
-		t.work = false
-		t.own.end()
+		t.running = false
+		t.keyed.finish()
 		if t.c == nil {
 			continue
 		}
-		delete(e.busy, t.c)
-		if fell {
-			e.drop(t.c, true)
+		delete(e.tasks, t.c)
+		if overloaded {
+			e.closeConn(t.c, true)
 			continue
 		}
-		e.answer(t)
+		e.respond(t)
 	}
 }
 
-// answer writes a task's answer, as the trouble has it.
-func (e *endpoint) answer(t *task) {
-	text := okText(t.q, e.name)
-	switch e.trouble {
+// respond writes a task's answer, changed by the endpoint's fault.
+func (e *endpoint) respond(t *task) {
+	text := okResponse(t.req, e.name)
+	switch e.fault {
 	case Hang:
 		return
-	case Half:
-		if e.s.dice(e.name, t.q.id, "open").IntN(2) == 0 { // only its connection's end would tell its end
+	case Truncate:
+		if e.s.rngFor(e.name, t.req.id, "open").IntN(2) == 0 { // without a length: a client could tell the end only by the end of the connection
 			_, body, _ := strings.Cut(text, "\r\n\r\n")
 			t.c.peerWrite("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body[:len(body)-3])
-			e.drop(t.c, true)
+			e.closeConn(t.c, true)
 			return
 		}
 		t.c.peerWrite(text[:len(text)-3])
-		e.drop(t.c, e.s.dice(e.name, t.q.id, "half").IntN(2) == 0)
+		e.closeConn(t.c, e.s.rngFor(e.name, t.req.id, "half").IntN(2) == 0)
 		return
 	case Garbage:
 		text = "what?\r\n\r\n"
@@ -287,58 +298,60 @@
 	t.c.peerWrite(text)
 }
 
-func (e *endpoint) arm() {
-	if e.next != nil {
-		e.s.w.off(e.next)
-		e.next = nil
+// scheduleServer schedules the next event of the server model, in place of the one scheduled before.
+func (e *endpoint) scheduleServer() {
+	if e.serverEvent != nil {
+		e.s.w.cancel(e.serverEvent)
+		e.serverEvent = nil
 	}
-	at, ok := e.station.Next()
+	at, ok := e.server.Next()
 	if !ok || e.dead {
 		return
 	}
-	e.number++
-	// Up to the network's grid: an answer may then leave, and come, in the same instant
-	// as something else does.
-	at = (at + leastLatency - 1).Truncate(leastLatency)
-	e.next = e.s.w.at(fmt.Sprintf("%s/work/%d", e.name, e.number), e.s.w.start.Add(at), func() {
-		e.next = nil
-		e.due()
-		e.arm()
+	e.serverEvents++
+	// Round up to the network's grid, so that an answer may be sent, and may arrive, at the same instant as
+	// another event.
+	at = (at + minLatency - 1).Truncate(minLatency)
+	e.serverEvent = e.s.w.schedule(fmt.Sprintf("%s/work/%d", e.name, e.serverEvents), e.s.w.start.Add(at), func() {
+		e.serverEvent = nil
+		e.finishDueTasks()
+		e.scheduleServer()
 	})
 }
 
-// kill ends the process; its keys stay with the group, as do effects.
+// kill ends the process. Its keys stay known to the other endpoints, and effects stay.
 func (e *endpoint) kill() {
 	e.dead = true
-	for _, j := range e.station.Clear() {
-		j.Data.(*task).own.end()
+	for _, j := range e.server.Clear() {
+		j.Data.(*task).keyed.finish()
 	}
 	for _, c := range slices.Clone(e.conns) {
-		e.drop(c, true)
+		e.closeConn(c, true)
 	}
-	e.arm()
+	e.scheduleServer()
 }
 
-func (e *endpoint) pause(paused bool) {
-	e.due()
-	e.station.Pause(e.s.now(), paused)
-	e.arm()
+// setPaused stops work on all requests, or lets it go on.
+func (e *endpoint) setPaused(paused bool) {
+	e.finishDueTasks()
+	e.server.Pause(e.s.now(), paused)
+	e.scheduleServer()
 }
 
-// cutMachine cuts the endpoint's machine off, or brings it back: its old connections are
-// reset then.
-func (e *endpoint) cutMachine(cut bool) {
-	e.cutOff = cut
+// setPartitioned makes the endpoint's machine unreachable, or reachable again. Its old connections are
+// reset when it is reachable again.
+func (e *endpoint) setPartitioned(partitioned bool) {
+	e.partitioned = partitioned
 	for _, c := range slices.Clone(e.conns) {
-		c.silence(cut)
-		if !cut {
-			e.drop(c, true)
+		c.setPartitioned(partitioned)
+		if !partitioned {
+			e.closeConn(c, true)
 		}
 	}
 }
 
-// listLine is a line of the list, as discovery writes it.
-type listLine struct {
+// listEntry is an entry of discovery's list, as written in its answers.
+type listEntry struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
@@ -348,55 +361,58 @@
 	Since   int64   `json:"since_ms"`
 }
 
-// discovery tells the list.
+// discovery is the model of the service that tells sidecars the list of endpoints.
 type discovery struct {
-	s       *simulation
-	index   int64
-	names   []string
-	lines   map[string]listLine
-	changed map[string]int64
-	down    bool
-	inboxes map[*conn]*inbox
-	waiting []*watcher
+	s         *simulation
+	index     int64    // of the newest change
+	names     []string // in the order of their first appearance
+	entries   map[string]listEntry
+	changedAt map[string]int64 // index of the last change, by name
+	down      bool
+	parsers   map[*conn]*requestParser
+	watchers  []*watcher
 }
 
+// watcher is an open call for changes after an index.
 type watcher struct {
-	c     *conn
-	after int64
-	end   *event
+	c       *conn
+	after   int64
+	timeout *event
 }
 
 func newDiscovery(s *simulation) *discovery {
-	return &discovery{s: s, lines: map[string]listLine{}, changed: map[string]int64{}, inboxes: map[*conn]*inbox{}}
+	return &discovery{s: s, entries: map[string]listEntry{}, changedAt: map[string]int64{}, parsers: map[*conn]*requestParser{}}
 }
 
-func (d *discovery) set(l listLine) {
+// publish changes an entry of the list and answers all open watches.
+func (d *discovery) publish(l listEntry) {
 	d.index++
-	if _, known := d.lines[l.Name]; !known {
+	if _, known := d.entries[l.Name]; !known {
 		d.names = append(d.names, l.Name)
 	}
-	d.lines[l.Name], d.changed[l.Name] = l, d.index
-	d.s.book.ListPublished(d.s.now(), d.index, l.Name, l.Status == "SERVING")
+	d.entries[l.Name], d.changedAt[l.Name] = l, d.index
+	d.s.checker.ListPublished(d.s.now(), d.index, l.Name, l.Status == "SERVING")
 	if l.Status != "SERVING" {
 		for _, sc := range d.s.sidecars {
-			if sc.proc.dialing[l.Address] > 0 {
-				d.s.w.met[DrainDuringDial]++
+			if sc.proc.dialsInProgress[l.Address] > 0 {
+				d.s.w.rareEvents[DrainDuringDial]++
 			}
 		}
 	}
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.watchers
+	d.watchers = nil
 	for _, w := range waiting {
-		d.s.w.off(w.end)
-		d.tell(w.c, w.after)
+		d.s.w.cancel(w.timeout)
+		d.respond(w.c, w.after)
 	}
 }
 
-func (d *discovery) list(after int64) map[string]any {
-	lines := []listLine{}
+// changesSince returns the answer to a call: the full list for 0, or else the entries that changed after an index.
+func (d *discovery) changesSince(after int64) map[string]any {
+	lines := []listEntry{}
 	for _, name := range d.names {
-		l := d.lines[name]
-		if after == 0 && l.Status == "DELETED" || after > 0 && d.changed[name] <= after {
+		l := d.entries[name]
+		if after == 0 && l.Status == "DELETED" || after > 0 && d.changedAt[name] <= after {
 			continue
 		}
 		lines = append(lines, l)
@@ -404,200 +420,211 @@
 	return map[string]any{"index": d.index, "snapshot": after == 0, "endpoints": lines}
 }
 
-// tell answers a call with what is newer, and books what it told.
-func (d *discovery) tell(c *conn, after int64) {
-	text, err := json.Marshal(d.list(after))
+// respond answers a call and records what was delivered.
+func (d *discovery) respond(c *conn, after int64) {
+	text, err := json.Marshal(d.changesSince(after))
 	if err != nil {
-		panic(err) // it holds nothing that can't be written
+		panic(err) // all its values can be encoded
 	}
 	c.peerWrite("HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(text)) + "\r\n\r\n" + string(text))
-	d.s.book.ListDelivered(d.s.now()+spikeLatency*2, c.proc.name(), d.index)
-	d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+	d.s.checker.ListDelivered(d.s.now()+maxLatency*2, c.proc.sidecarName(), d.index)
+	d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 }
 
+// setDown makes discovery fail, or work again. When it fails, open watches are reset.
 func (d *discovery) setDown(down bool) {
 	d.down = down
-	d.s.book.SetDiscoveryUp(d.s.now(), !down)
+	d.s.checker.SetDiscoveryUp(d.s.now(), !down)
 	if !down {
 		return
 	}
-	waiting := d.waiting
-	d.waiting = nil
+	waiting := d.watchers
+	d.watchers = nil
 	for _, w := range waiting {
-		d.s.w.off(w.end)
-		d.s.book.ListCallEnded(d.s.now(), w.c.proc.name())
+		d.s.w.cancel(w.timeout)
+		d.s.checker.ListCallEnded(d.s.now(), w.c.proc.sidecarName())
 		w.c.peerClose(true)
-		delete(d.inboxes, w.c)
+		delete(d.parsers, w.c)
 	}
 }
 
-func (d *discovery) opened(c *conn) {
+// onOpen implements peer.
+func (d *discovery) onOpen(c *conn) {
 	if d.down {
 		c.peerClose(true)
 		return
 	}
-	d.inboxes[c] = &inbox{}
+	d.parsers[c] = &requestParser{}
 }
 
-func (d *discovery) refused(*conn) {}
+// onRefused implements peer; discovery opens no connections.
+func (d *discovery) onRefused(*conn) {}
 
-func (d *discovery) ended(c *conn, _ bool) {
-	delete(d.inboxes, c)
-	d.waiting = slices.DeleteFunc(d.waiting, func(w *watcher) bool {
+// onClose implements peer.
+func (d *discovery) onClose(c *conn, _ bool) {
+	delete(d.parsers, c)
+	d.watchers = slices.DeleteFunc(d.watchers, func(w *watcher) bool {
 		if w.c == c {
-			d.s.w.off(w.end)
-			d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+			d.s.w.cancel(w.timeout)
+			d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 		}
 		return w.c == c
 	})
 	c.peerClose(false)
 }
 
-func (d *discovery) data(c *conn, b []byte) {
-	in := d.inboxes[c]
+// onData implements peer.
+func (d *discovery) onData(c *conn, b []byte) {
+	in := d.parsers[c]
 	if in == nil {
 		return
 	}
-	whole, _ := in.add(d.s.now(), b)
-	for _, q := range whole {
-		d.s.book.ListCallBegun(c.proc.name())
-		d.call(c, q)
+	requests, _ := in.parse(d.s.now(), b)
+	for _, q := range requests {
+		d.s.checker.ListCallBegun(c.proc.sidecarName())
+		d.handleCall(c, q)
 	}
 }
 
-func (d *discovery) call(c *conn, q request) {
+// handleCall answers a call at once, or keeps it open as a watch while there is no newer change.
+func (d *discovery) handleCall(c *conn, q receivedRequest) {
 	if d.down {
 		c.peerWrite("HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
-		d.s.book.ListCallEnded(d.s.now(), c.proc.name())
+		d.s.checker.ListCallEnded(d.s.now(), c.proc.sidecarName())
 		return
 	}
 	var after, ms int64
-	fmt.Sscanf(q.query, "after=%d&wait_ms=%d", &after, &ms) //nolint:errcheck // the whole list has neither
+	fmt.Sscanf(q.query, "after=%d&wait_ms=%d", &after, &ms) //nolint:errcheck // a call for the full list has neither
 	if after == 0 || d.index > after {
-		d.tell(c, after)
+		d.respond(c, after)
 		return
 	}
-	d.s.book.WatchAccepted(c.proc.name(), d.s.now()+time.Duration(ms)*time.Millisecond)
+	d.s.checker.WatchAccepted(c.proc.sidecarName(), d.s.now()+time.Duration(ms)*time.Millisecond)
 	w := &watcher{c: c, after: after}
-	w.end = d.s.w.after(c.id+"/watch", time.Duration(ms)*time.Millisecond, func() {
-		d.waiting = slices.DeleteFunc(d.waiting, func(o *watcher) bool { return o == w })
-		d.tell(c, after)
+	w.timeout = d.s.w.scheduleAfter(c.id+"/watch", time.Duration(ms)*time.Millisecond, func() {
+		d.watchers = slices.DeleteFunc(d.watchers, func(o *watcher) bool { return o == w })
+		d.respond(c, after)
 	})
-	d.waiting = append(d.waiting, w)
+	d.watchers = append(d.watchers, w)
 }
 
-// client is one caller's connection; it asks one thing at a time.
+// client is one connection of a caller, with at most one request at a time.
 type client struct {
-	s     *simulation
-	c     *conn
-	ask   *Ask // what is out; nil while idle
-	out   time.Duration
-	buf   []byte
-	uses  int
-	gone  bool // the sidecar has ended it, or it is no use any more
-	limit *event
-}
-
-func (k *client) opened(c *conn) {
-	if !k.gone {
+	s        *simulation
+	c        *conn
+	pending  *Request // the request without an outcome; nil while idle
+	sentAt   time.Duration
+	buf      []byte
+	answered int    // requests answered on the connection
+	closed   bool   // the connection has ended, or must not be used again
+	timeout  *event // when the client gives up; nil until the first request is written
+}
+
+// onOpen implements peer.
+func (k *client) onOpen(c *conn) {
+	if !k.closed {
 		k.write()
 	}
 }
 
-// refused is told when no connection came up: nothing was asked.
-func (k *client) refused(*conn) {
-	k.gone = true
-	k.s.unreached++
+// onRefused implements peer. The request counts as settled, though it was not sent.
+func (k *client) onRefused(*conn) {
+	k.closed = true
+	k.s.notConnected++
 	k.s.settled++
-	k.ask = nil
+	k.pending = nil
 }
 
-// write sends what the client asks.
+// write sends the pending request.
 func (k *client) write() {
-	a := k.ask
+	a := k.pending
 	class := k.s.classes[a.Class]
-	k.out = k.s.now()
-	until := k.out + class.Deadline
-	k.s.book.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.name(), Effect: class.Effect, Key: a.Key, Deadline: until + spikeLatency*2})
-	k.s.book.RequestWritten(a.ID)
-	k.s.asking[k] = true
-	method, more := "GET", ""
+	k.sentAt = k.s.now()
+	until := k.sentAt + class.Deadline
+	k.s.checker.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.sidecarName(), Effect: class.Effect, Key: a.Key, Deadline: until + maxLatency*2})
+	k.s.checker.RequestWritten(a.ID)
+	k.s.unanswered[k] = true
+	method, headers := "GET", ""
 	if class.Effect != decide.Safe {
-		method, more = "POST", "Content-Length: 4\r\n"
+		method, headers = "POST", "Content-Length: 4\r\n"
 	}
 	if a.Key != "" {
-		more += "Idempotency-Key: " + a.Key + "\r\n"
+		headers += "Idempotency-Key: " + a.Key + "\r\n"
 	}
 	body := ""
 	if method == "POST" {
 		body = "body"
 	}
 	k.c.peerWrite(fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: sim\r\nX-Txn: %s\r\nX-Remaining: %.6f\r\n%s\r\n%s",
-		method, a.Class, a.ID, class.Deadline.Seconds(), more, body))
-	wait := class.Deadline + k.s.patience()
+		method, a.Class, a.ID, class.Deadline.Seconds(), headers, body))
+	wait := class.Deadline + k.s.clientMargin()
 	if a.Leave > 0 {
 		wait = a.Leave
 	}
-	k.limit = k.s.w.after(k.c.id+"/limit/"+a.ID, wait, func() { k.timeUp(a.Leave > 0) })
+	k.timeout = k.s.w.scheduleAfter(k.c.id+"/limit/"+a.ID, wait, func() { k.onTimeout(a.Leave > 0) })
 }
 
-func (k *client) timeUp(leaves bool) {
+// onTimeout records that the client gave up: because its script says so, or since no answer came in time.
+func (k *client) onTimeout(leaves bool) {
 	if leaves {
-		k.s.book.ClientLeft(k.s.now(), k.ask.ID)
+		k.s.checker.ClientLeft(k.s.now(), k.pending.ID)
 	} else {
-		k.s.book.Unanswered(k.s.now(), k.ask.ID)
+		k.s.checker.Unanswered(k.s.now(), k.pending.ID)
 	}
-	k.end(true)
+	k.finish(true)
 }
 
-// end ends what is out, and the connection.
-func (k *client) end(reset bool) {
-	k.s.w.off(k.limit)
-	k.ask, k.gone = nil, true
-	delete(k.s.asking, k)
+// finish settles the pending request and closes the connection.
+func (k *client) finish(reset bool) {
+	k.s.w.cancel(k.timeout)
+	k.pending, k.closed = nil, true
+	delete(k.s.unanswered, k)
 	k.s.settled++
 	k.c.peerClose(reset)
 }
 
-func (k *client) ended(c *conn, _ bool) {
-	if k.gone {
+// onClose implements peer.
+func (k *client) onClose(c *conn, _ bool) {
+	if k.closed {
 		return
 	}
-	k.gone = true
-	if k.ask == nil {
+	k.closed = true
+	if k.pending == nil {
 		c.peerClose(false)
 		return
 	}
-	if k.limit == nil { // it broke before anything was written
-		k.refused(c)
+	if k.timeout == nil { // the connection ended before the request was written
+		k.onRefused(c)
 		c.peerClose(false)
 		return
 	}
-	a := k.ask
+	a := k.pending
 	switch {
 	case c.proc.dead:
-		k.s.book.RequestInterrupted(k.s.now(), a.ID)
-	case k.uses > 0 && len(k.buf) == 0 && k.s.book.RetractRequest(a.ID):
-		// It ended as the request crossed that: once more, on a new connection.
-		k.s.w.off(k.limit)
-		k.ask = nil
-		delete(k.s.asking, k)
+		k.s.checker.RequestInterrupted(k.s.now(), a.ID)
+	case k.answered > 0 && len(k.buf) == 0 && k.s.checker.RetractRequest(a.ID):
+		// The sidecar closed the idle connection while the request was on its way, and no endpoint got an
+		// attempt: send it again on a new connection.
+		k.s.w.cancel(k.timeout)
+		k.pending = nil
+		delete(k.s.unanswered, k)
 		c.peerClose(false)
-		k.s.connect(a)
+		k.s.sendOnNewConn(a)
 		return
 	default:
-		k.s.book.Unanswered(k.s.now(), a.ID)
+		k.s.checker.Unanswered(k.s.now(), a.ID)
 	}
-	k.end(false)
+	k.finish(false)
 }
 
-func (k *client) data(_ *conn, b []byte) {
-	if k.gone {
+// onData implements peer.
+func (k *client) onData(_ *conn, b []byte) {
+	if k.closed {
 		return
 	}
-	if k.ask == nil {
-		k.s.book.ExtraBytes(k.s.now(), k.c.id)
-		k.gone = true
+	if k.pending == nil {
+		k.s.checker.ExtraBytes(k.s.now(), k.c.id)
+		k.closed = true
 		k.c.peerClose(true)
 		return
 	}
@@ -606,15 +633,16 @@
 	left := bytes.NewReader(k.buf)
 	r := bufio.NewReaderSize(left, len(k.buf)+16)
 	if err := m.Read(r); err != nil {
-		return // not whole yet; if never, its time will tell
+		return // incomplete so far; the timeout handles an answer that never completes
 	}
 	k.buf = k.buf[len(k.buf)-left.Len()-r.Buffered():]
-	k.answered(&m)
+	k.handleResponse(&m)
 }
 
-func (k *client) answered(m *fasthttp.Response) {
-	a, now := k.ask, k.s.now()
-	k.s.w.off(k.limit)
+// handleResponse records a complete answer.
+func (k *client) handleResponse(m *fasthttp.Response) {
+	a, now := k.pending, k.s.now()
+	k.s.w.cancel(k.timeout)
 	verdict := oracle.Failed
 	switch m.StatusCode() {
 	case fasthttp.StatusOK:
@@ -623,22 +651,22 @@
 		verdict = oracle.Refused
 	}
 	if body := string(m.Body()); verdict == oracle.Served && !(strings.HasPrefix(body, a.ID+" ") && strings.HasSuffix(body, "\n")) {
-		k.s.book.ForeignAnswer(now, a.ID)
+		k.s.checker.ForeignAnswer(now, a.ID)
 	} else {
-		k.s.book.AnswerReceived(now, a.ID, verdict)
+		k.s.checker.AnswerReceived(now, a.ID, verdict)
 	}
 	if len(k.buf) > 0 {
-		k.s.book.ExtraBytes(now, a.ID)
+		k.s.checker.ExtraBytes(now, a.ID)
 	}
 	k.s.verdicts[verdict]++
-	delete(k.s.asking, k)
+	delete(k.s.unanswered, k)
 	k.s.settled++
-	k.uses++
-	k.ask = nil
+	k.answered++
+	k.pending = nil
 	if m.ConnectionClose() || a.Close {
-		k.gone = true
+		k.closed = true
 		k.c.peerClose(false)
 		return
 	}
-	k.s.idle = append(k.s.idle, k)
+	k.s.idleClients = append(k.s.idleClients, k)
 }
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -11,51 +11,51 @@
 	"time"
 )
 
-// Figures of the simulated network.
+// Properties of the simulated network.
 const (
-	leastLatency = 50 * time.Microsecond
-	usualLatency = 500 * time.Microsecond
-	spikeLatency = 4 * time.Millisecond
-	spikeShare   = 0.05
-	splitShare   = 0.2      // of messages that come in two parts
-	bufferBytes  = 16 << 10 // written and not yet read by the other side; more blocks the writer
+	minLatency       = 50 * time.Microsecond  // also the grid on which latencies lie
+	maxUsualLatency  = 500 * time.Microsecond // without a spike
+	maxLatency       = 4 * time.Millisecond   // with a spike
+	spikeProbability = 0.05
+	splitProbability = 0.2      // share of the messages that arrive in two parts
+	sendBufferBytes  = 16 << 10 // bytes that the peer has not received yet; a writer blocks above that
 )
 
-// peer is the other side of a connection: a model that acts in the world's steps.
+// peer is the model at the other end of a sidecar's connection. Its methods run in steps of the world.
 type peer interface {
-	data(c *conn, b []byte)    // bytes have come
-	ended(c *conn, reset bool) // the sidecar's side has closed, or it broke
-	opened(c *conn)            // a connection that the peer asked for stands
-	refused(c *conn)           // it does not come up
+	onData(c *conn, b []byte)    // bytes arrived from the sidecar
+	onClose(c *conn, reset bool) // the sidecar's end closed the connection, or reset it
+	onOpen(c *conn)              // the connection is established
+	onRefused(c *conn)           // a connection that the peer opened was not accepted
 }
 
-// conn is a connection between a sidecar and a peer. The sidecar's code uses it as
-// a net.Conn; the peer's side are its peer methods.
+// conn is a connection between a sidecar and a peer. The sidecar's code uses it as a net.Conn; the
+// peer uses peerWrite and peerClose.
 type conn struct {
-	w    *World
-	proc *Proc
-	peer peer
-	id   string
-	dice *rand.Rand // of its own: draws do not depend on what other connections do
-	cut  bool       // the line is silent: nothing passes until it is mended
-
-	// The sidecar's side; w.mu guards it.
-	in           []byte
-	eof, reset   bool
-	resetTold    bool // the kernel tells a reader of a reset once, and of an end from then on
-	closed       bool
-	readBy       time.Time
-	writeBy      time.Time
-	flying       int // bytes on their way to the peer
-	toPeer, toUs []segment
-	peerBusy     bool // an event for the first of toPeer stands
-	usBusy       bool
-	peerDone     bool   // the peer has ended its side
-	dialed       string // where to, if the sidecar made it
-	written      []byte // the newest message without an answer, for a planted bug
+	w           *World
+	proc        *Process
+	peer        peer
+	id          string
+	rng         *rand.Rand // one per connection, so that its draws do not depend on other connections
+	partitioned bool       // no segment is delivered until the partition heals
+
+	// The sidecar's end of the connection, guarded by w.mu.
+	received           []byte
+	eof, reset         bool
+	resetReported      bool // a reset is reported to a reader once; later reads return io.EOF, as with the kernel
+	closed             bool
+	readDeadline       time.Time
+	writeDeadline      time.Time
+	bytesInFlight      int // written by the sidecar and not yet delivered to the peer
+	toPeer, toSidecar  []segment
+	toPeerScheduled    bool   // an event is scheduled for the first segment of toPeer
+	toSidecarScheduled bool   // the same for toSidecar
+	peerClosed         bool   // the peer has closed its end
+	dialedAddress      string // the address that the sidecar dialed; empty for a connection that the peer opened
+	unanswered         []byte // the newest message that got no response yet, kept for an injected bug
 }
 
-// segment is what travels one way.
+// segment is a part of what one end sends to the other: bytes, an orderly close or a reset.
 type segment struct {
 	bytes []byte
 	fin   bool
@@ -63,166 +63,174 @@
 	at    time.Time
 }
 
-func (w *World) newConn(p *Proc, id string, other peer, seed uint64) *conn {
-	return &conn{w: w, proc: p, peer: other, id: id, dice: rand.New(rand.NewPCG(seed, hashOf(id)))}
+// newConn returns a connection that is not established yet. It draws from the seed and its id.
+func (w *World) newConn(p *Process, id string, other peer, seed uint64) *conn {
+	return &conn{w: w, proc: p, peer: other, id: id, rng: rand.New(rand.NewPCG(seed, hashOf(id)))}
 }
 
-func (c *conn) latency() time.Duration {
-	most := usualLatency
-	if c.dice.Float64() < spikeShare {
-		most = spikeLatency
+// randomLatency returns the time that one segment takes.
+func (c *conn) randomLatency() time.Duration {
+	limit := maxUsualLatency
+	if c.rng.Float64() < spikeProbability {
+		limit = maxLatency
 	}
-	// On a grid: some things then come in the same instant, and the scheduler picks.
-	return leastLatency * time.Duration(1+c.dice.Int64N(int64(most/leastLatency)))
+	// Latencies lie on a grid, so that some segments arrive at the same instant and the scheduler picks their order.
+	return minLatency * time.Duration(1+c.rng.Int64N(int64(limit/minLatency)))
 }
 
-// post puts a segment on its way; w.mu is held. Segments of one way keep their order.
-func (c *conn) post(queue *[]segment, s segment) {
-	s.at = time.Now().Add(c.latency())
+// enqueue appends a segment to a queue, with the time of its delivery. Segments of one direction keep
+// their order. The caller holds w.mu.
+func (c *conn) enqueue(queue *[]segment, s segment) {
+	s.at = time.Now().Add(c.randomLatency())
 	if n := len(*queue); n > 0 && s.at.Before((*queue)[n-1].at) {
 		s.at = (*queue)[n-1].at
 	}
-	if len(s.bytes) > 1 && c.dice.Float64() < splitShare {
-		cut := 1 + c.dice.IntN(len(s.bytes)-1)
-		first := s
-		first.bytes, s.bytes = s.bytes[:cut], s.bytes[cut:]
-		s.at = s.at.Add(c.latency())
-		*queue = append(*queue, first)
+	if len(s.bytes) > 1 && c.rng.Float64() < splitProbability {
+		splitAt := 1 + c.rng.IntN(len(s.bytes)-1)
+		firstPart := s
+		firstPart.bytes, s.bytes = s.bytes[:splitAt], s.bytes[splitAt:]
+		s.at = s.at.Add(c.randomLatency())
+		*queue = append(*queue, firstPart)
 	}
 	*queue = append(*queue, s)
 }
 
-// arm has the first segment of each way delivered; w.mu is held.
-func (c *conn) arm() {
-	if c.cut {
+// scheduleDelivery schedules the delivery of the first segment of each direction, unless that is done
+// already or the connection is partitioned. The caller holds w.mu.
+func (c *conn) scheduleDelivery() {
+	if c.partitioned {
 		return
 	}
-	if len(c.toPeer) > 0 && !c.peerBusy {
-		c.peerBusy = true
-		c.w.events = append(c.w.events, &event{key: c.id + "/out", at: c.toPeer[0].at, do: c.deliverOut})
+	if len(c.toPeer) > 0 && !c.toPeerScheduled {
+		c.toPeerScheduled = true
+		c.w.events = append(c.w.events, &event{key: c.id + "/out", at: c.toPeer[0].at, do: c.deliverToPeer})
 	}
-	if len(c.toUs) > 0 && !c.usBusy {
-		c.usBusy = true
-		c.w.events = append(c.w.events, &event{key: c.id + "/in", at: c.toUs[0].at, do: c.deliverIn})
+	if len(c.toSidecar) > 0 && !c.toSidecarScheduled {
+		c.toSidecarScheduled = true
+		c.w.events = append(c.w.events, &event{key: c.id + "/in", at: c.toSidecar[0].at, do: c.deliverToSidecar})
 	}
-	c.w.poke()
+	c.w.wakeScheduler()
 }
 
-func (c *conn) deliverOut() {
+// deliverToPeer delivers the first segment that the sidecar sent.
+func (c *conn) deliverToPeer() {
 	c.w.mu.Lock()
-	c.peerBusy = false
-	if c.cut || len(c.toPeer) == 0 {
+	c.toPeerScheduled = false
+	if c.partitioned || len(c.toPeer) == 0 {
 		c.w.mu.Unlock()
 		return
 	}
 	s := c.toPeer[0]
 	c.toPeer = c.toPeer[1:]
-	c.flying -= len(s.bytes)
-	done := c.peerDone
-	c.arm()
+	c.bytesInFlight -= len(s.bytes)
+	done := c.peerClosed
+	c.scheduleDelivery()
 	c.w.mu.Unlock()
 	switch {
 	case done:
 	case s.rst, s.fin:
-		c.peer.ended(c, s.rst)
+		c.peer.onClose(c, s.rst)
 	default:
-		c.peer.data(c, s.bytes)
+		c.peer.onData(c, s.bytes)
 	}
 }
 
-func (c *conn) deliverIn() {
+// deliverToSidecar delivers the first segment that the peer sent.
+func (c *conn) deliverToSidecar() {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.usBusy = false
-	if c.cut || len(c.toUs) == 0 {
+	c.toSidecarScheduled = false
+	if c.partitioned || len(c.toSidecar) == 0 {
 		return
 	}
-	s := c.toUs[0]
-	c.toUs = c.toUs[1:]
+	s := c.toSidecar[0]
+	c.toSidecar = c.toSidecar[1:]
 	switch {
 	case s.rst:
-		c.reset, c.in = true, nil
-		if c.proc.resend && c.dialed != "" && !c.closed && len(c.written) > 0 {
-			c.proc.sendAgain(c)
+		c.reset, c.received = true, nil
+		if c.proc.resendOnReset && c.dialedAddress != "" && !c.closed && len(c.unanswered) > 0 {
+			c.proc.resendUnanswered(c)
 		}
 	case s.fin:
 		c.eof = true
 	default:
-		c.in = append(c.in, s.bytes...)
-		c.written = nil // it is answered
+		c.received = append(c.received, s.bytes...)
+		c.unanswered = nil // any byte from the peer counts as the response
 	}
-	c.arm()
+	c.scheduleDelivery()
 }
 
-// peerWrite sends from the peer's side.
+// peerWrite sends text from the peer's end.
 func (c *conn) peerWrite(text string) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if !c.peerDone && text != "" {
-		c.post(&c.toUs, segment{bytes: []byte(text)})
-		c.arm()
+	if !c.peerClosed && text != "" {
+		c.enqueue(&c.toSidecar, segment{bytes: []byte(text)})
+		c.scheduleDelivery()
 	}
 }
 
-// peerClose ends the peer's side, in order or with a reset.
+// peerClose closes the peer's end, in order or with a reset.
 func (c *conn) peerClose(reset bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	if c.peerDone {
+	if c.peerClosed {
 		return
 	}
-	c.peerDone = true
-	c.post(&c.toUs, segment{fin: !reset, rst: reset})
-	c.arm()
+	c.peerClosed = true
+	c.enqueue(&c.toSidecar, segment{fin: !reset, rst: reset})
+	c.scheduleDelivery()
 }
 
-// silence cuts the line, or mends it: what was held comes then.
-func (c *conn) silence(cut bool) {
+// setPartitioned starts or heals a partition of the connection. Segments sent meanwhile are delivered
+// after it heals.
+func (c *conn) setPartitioned(partitioned bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	c.cut = cut
-	c.arm()
+	c.partitioned = partitioned
+	c.scheduleDelivery()
 }
 
-// errReset is what the kernel says of a connection that broke.
+// errReset is the error of reads and writes after a reset, as the kernel reports it.
 var errReset = &net.OpError{Op: "sim", Net: "tcp", Err: syscall.ECONNRESET}
 
-func past(limit, now time.Time) bool { return !limit.IsZero() && !limit.After(now) }
+// expired reports whether a deadline is set and has passed.
+func expired(limit, now time.Time) bool { return !limit.IsZero() && !limit.After(now) }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	c.w.park(c.id+"/read", func(now time.Time) bool {
-		return c.closed || c.reset || c.eof || len(c.in) > 0 || c.proc.dead || past(c.readBy, now)
-	}, func() time.Time { return c.readBy })
+		return c.closed || c.reset || c.eof || len(c.received) > 0 || c.proc.dead || expired(c.readDeadline, now)
+	}, func() time.Time { return c.readDeadline })
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	switch {
 	case c.closed, c.proc.dead, c.w.closed:
 		return 0, net.ErrClosed
-	case past(c.readBy, time.Now()):
+	case expired(c.readDeadline, time.Now()):
 		return 0, os.ErrDeadlineExceeded
-	case c.reset && !c.resetTold:
-		c.resetTold = true
+	case c.reset && !c.resetReported:
+		c.resetReported = true
 		return 0, errReset
-	case len(c.in) > 0:
-		n := copy(b, c.in)
-		c.in = c.in[n:]
+	case len(c.received) > 0:
+		n := copy(b, c.received)
+		c.received = c.received[n:]
 		return n, nil
 	}
 	return 0, io.EOF
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (n int, err error) {
 	for {
 		c.w.park(c.id+"/write", func(now time.Time) bool {
-			return c.closed || c.reset || c.proc.dead || past(c.writeBy, now) || c.flying < bufferBytes
-		}, func() time.Time { return c.writeBy })
+			return c.closed || c.reset || c.proc.dead || expired(c.writeDeadline, now) || c.bytesInFlight < sendBufferBytes
+		}, func() time.Time { return c.writeDeadline })
 		c.w.mu.Lock()
 		switch {
 		case c.closed, c.proc.dead, c.w.closed:
 			err = net.ErrClosed
-		case past(c.writeBy, time.Now()):
+		case expired(c.writeDeadline, time.Now()):
 			err = os.ErrDeadlineExceeded
 		case c.reset:
 			err = errReset
@@ -231,17 +239,17 @@
 			c.w.mu.Unlock()
 			return n, err
 		}
-		take := min(len(b)-n, bufferBytes-c.flying)
-		c.flying += take
-		if c.proc.resend && c.dialed != "" {
-			c.written = append(c.written, b[n:n+take]...)
+		size := min(len(b)-n, sendBufferBytes-c.bytesInFlight)
+		c.bytesInFlight += size
+		if c.proc.resendOnReset && c.dialedAddress != "" {
+			c.unanswered = append(c.unanswered, b[n:n+size]...)
 		}
-		if c.proc.doubleOnCancel && c.dialed == "" {
-			c.proc.newest, c.proc.newestText = c, slices.Clone(b[n:n+take])
+		if c.proc.repeatAnswerOnCancel && c.dialedAddress == "" {
+			c.proc.lastAnsweredConn, c.proc.lastAnswer = c, slices.Clone(b[n:n+size])
 		}
-		c.post(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+take]...)})
-		c.arm()
-		n += take
+		c.enqueue(&c.toPeer, segment{bytes: append([]byte(nil), b[n:n+size]...)})
+		c.scheduleDelivery()
+		n += size
 		c.w.mu.Unlock()
 		if n == len(b) {
 			return n, nil
@@ -249,7 +257,7 @@
 	}
 }
 
-// Close is net.Conn's. What has come and was not read makes it a reset.
+// Close implements net.Conn. As in TCP, bytes that were received and not read turn the close into a reset.
 func (c *conn) Close() error {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -257,140 +265,144 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if n := c.proc.newest; n != nil && !n.closed && c.dialed != "" && !c.eof && !c.reset {
-		n.post(&n.toPeer, segment{bytes: c.proc.newestText})
-		n.arm()
+	if n := c.proc.lastAnsweredConn; n != nil && !n.closed && c.dialedAddress != "" && !c.eof && !c.reset {
+		n.enqueue(&n.toPeer, segment{bytes: c.proc.lastAnswer})
+		n.scheduleDelivery()
 	}
-	if c.dialed != "" && c.flying > 0 {
-		c.w.met[CancelCrosses]++
+	if c.dialedAddress != "" && c.bytesInFlight > 0 {
+		c.w.rareEvents[CancelWhileSending]++
 	}
 	if !c.proc.dead {
-		c.post(&c.toPeer, segment{fin: len(c.in) == 0, rst: len(c.in) > 0})
-		c.arm()
+		c.enqueue(&c.toPeer, segment{fin: len(c.received) == 0, rst: len(c.received) > 0})
+		c.scheduleDelivery()
 	}
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
-// Fresh tells whether it stands and is silent.
+// Fresh reports whether the connection is open and nothing has arrived on it: httpwire asks before it
+// uses an idle connection.
 func (c *conn) Fresh() bool {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
-	return !c.closed && !c.reset && !c.eof && len(c.in) == 0
+	return !c.closed && !c.reset && !c.eof && len(c.received) == 0
 }
 
-// HungUp tells whether the other side has ended it, or broken it.
+// HungUp reports whether either end has closed or reset the connection.
 func (c *conn) HungUp() bool {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
 	return c.closed || c.reset || c.eof
 }
 
+// addr is the net.Addr of a simulated endpoint.
 type addr string
 
-// Network is net.Addr's.
+// Network implements net.Addr.
 func (addr) Network() string { return "tcp" }
 
-// String is net.Addr's.
+// String implements net.Addr.
 func (a addr) String() string { return string(a) }
 
-// LocalAddr is net.Conn's.
+// LocalAddr implements net.Conn.
 func (c *conn) LocalAddr() net.Addr { return addr(c.proc.address) }
 
-// RemoteAddr is net.Conn's.
+// RemoteAddr implements net.Conn. It returns the connection's id.
 func (c *conn) RemoteAddr() net.Addr { return addr(c.id) }
 
-// SetDeadline is net.Conn's.
+// SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
 	c.SetReadDeadline(t)
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline is net.Conn's.
+// SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.w.mu.Lock()
-	c.readBy = t
+	c.readDeadline = t
 	c.w.mu.Unlock()
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
-// SetWriteDeadline is net.Conn's.
+// SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.w.mu.Lock()
-	c.writeBy = t
+	c.writeDeadline = t
 	c.w.mu.Unlock()
-	c.w.poke()
+	c.w.wakeScheduler()
 	return nil
 }
 
-// listener is a sidecar's.
+// listener accepts the connections that callers open to a sidecar.
 type listener struct {
-	proc   *Proc
-	queue  []*conn
-	closed bool
+	proc    *Process
+	backlog []*conn
+	closed  bool
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	w := l.proc.w
-	w.park(l.proc.id+"/accept", func(time.Time) bool { return l.closed || l.proc.dead || len(l.queue) > 0 }, nil)
+	w.park(l.proc.id+"/accept", func(time.Time) bool { return l.closed || l.proc.dead || len(l.backlog) > 0 }, nil)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if l.closed || l.proc.dead || len(l.queue) == 0 {
+	if l.closed || l.proc.dead || len(l.backlog) == 0 {
 		return nil, net.ErrClosed
 	}
-	c := l.queue[0]
-	l.queue = l.queue[1:]
+	c := l.backlog[0]
+	l.backlog = l.backlog[1:]
 	l.proc.conns = append(l.proc.conns, c)
 	return c, nil
 }
 
-// Close is net.Listener's: what stands in its queue is reset.
+// Close implements net.Listener. Connections that were not accepted yet are reset.
 func (l *listener) Close() error {
 	w := l.proc.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	l.closed = true
-	for _, c := range l.queue {
+	for _, c := range l.backlog {
 		c.closed = true
-		c.post(&c.toPeer, segment{rst: true})
-		c.arm()
+		c.enqueue(&c.toPeer, segment{rst: true})
+		c.scheduleDelivery()
 	}
-	l.queue = nil
-	w.poke()
+	l.backlog = nil
+	w.wakeScheduler()
 	return nil
 }
 
-// Addr is net.Listener's.
+// Addr implements net.Listener.
 func (l *listener) Addr() net.Addr { return addr(l.proc.address) }
 
-// connect opens a connection from a peer to a sidecar. The peer hears how it went.
-func (w *World) connect(p *Proc, id string, from peer, seed uint64) *conn {
+// connect opens a connection from a peer to a sidecar. Later steps call the peer's onOpen or onRefused.
+func (w *World) connect(p *Process, id string, from peer, seed uint64) *conn {
 	c := w.newConn(p, id, from, seed)
-	w.after(id+"/syn", c.latency(), func() {
+	w.scheduleAfter(id+"/syn", c.randomLatency(), func() {
 		w.mu.Lock()
 		l := p.listener
 		up := l != nil && !l.closed && !p.dead
 		if up {
-			l.queue = append(l.queue, c)
+			l.backlog = append(l.backlog, c)
 		}
 		w.mu.Unlock()
-		w.after(id+"/ack", c.latency(), func() {
+		w.scheduleAfter(id+"/ack", c.randomLatency(), func() {
 			if up {
-				from.opened(c)
+				from.onOpen(c)
 			} else {
-				from.refused(c)
+				from.onRefused(c)
 			}
 		})
 	})
 	return c
 }
 
+// errRefused is the error of a dial to an address where nothing listens.
 var errRefused = errors.New("connection refused")
 
+// hashOf returns the FNV-1a hash of a text.
 func hashOf(text string) uint64 {
-	h := uint64(14695981039346656037) // FNV-1a
+	h := uint64(14695981039346656037) // FNV-1a offset basis
 	for _, b := range []byte(text) {
 		h = (h ^ uint64(b)) * 1099511628211
 	}
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -21,123 +21,125 @@
 	"heathgap/internal/operator"
 )
 
-// Figures of the simulated deployment.
+// Properties of the simulated deployment.
 const (
-	coldFor  = 4 * time.Second
-	coldFrom = 0.1
-	// More than so many times its present capacity, for so long, pushes a cold one over.
-	fallMultiple = 2.0
-	fallFor      = 300 * time.Millisecond
-	answerSlack  = 20 * time.Millisecond
-	drainGrace   = 300 * time.Millisecond
-	askEvery     = 5 * time.Second
-	toldAfter    = 6 * time.Second
-	deadline     = time.Second
-	// margin is what the network may add between a sidecar and who watches it: an
-	// answer and an attempt each on their way.
-	margin     = 4 * spikeLatency
-	settleMost = 20 * time.Second // of virtual time, after the last request
+	coldFor  = 4 * time.Second // an endpoint is cold for so long after its start
+	coldFrom = 0.1             // share of its capacity that an endpoint has at its start
+	// A cold endpoint is overloaded when it gets more than overloadMultiple times its present capacity for overloadFor.
+	overloadMultiple = 2.0
+	overloadFor      = 300 * time.Millisecond
+	answerSlack      = 20 * time.Millisecond  // an answer may be so much later than the caller's deadline
+	drainGrace       = 300 * time.Millisecond // attempts to a draining endpoint must end within it
+	pollInterval     = 5 * time.Second        // a sidecar that has sent no call for the list for so long counts as if it had the newest list
+	deliveredAfter   = 6 * time.Second        // a change of the list counts as delivered after so long, whether or not it arrived
+	deadline         = time.Second            // of each request
+	// networkMargin is the most that the network adds to the times that models see: the latency of an
+	// answer and of an attempt.
+	networkMargin = 4 * maxLatency
+	settleLimit   = 20 * time.Second // virtual time after the end of the script in which all requests must be settled
 )
 
-// Failure is a broken rule, or books that do not add up.
+// Failure is a violated rule, or internal counts of the engine that contradict each other.
 type Failure struct {
-	Rule string // a truth.Rule, "books" or "stuck"
-	Step int
-	At   time.Duration
+	Rule string        // an oracle.Rule; "books" for contradicting counts, "stuck" for a run that does not end
+	Step int           // number of steps taken so far
+	At   time.Duration // virtual time since the start of the run
 	What string
 }
 
-// Error tells it in a line.
+// Error implements error, in one line.
 func (f *Failure) Error() string {
 	return fmt.Sprintf("step %d at %v: %s: %s", f.Step, f.At, f.Rule, f.What)
 }
 
-// Result is what a run left.
+// Result is the outcome of a run.
 type Result struct {
-	Failure  *Failure // nil for a good run
-	Hash     uint64   // over all steps
-	Steps    int
-	Time     time.Duration
-	Asks     int
-	Faults   int
-	Verdicts [4]int // served, refused, failed, malformed
-	Attempts int
-	Met      map[Case]int // rare meetings of events
+	Failure    *Failure // nil if the run passed
+	Hash       uint64   // of all steps, in order
+	Steps      int
+	Time       time.Duration // virtual time that the run took
+	Requests   int
+	Faults     int
+	Verdicts   [4]int            // by oracle.Verdict: served, refused, failed, malformed
+	Attempts   int               // attempts that arrived at endpoints
+	RareEvents map[RareEvent]int // how often each coincidence came about
 }
 
-// Options are those of a run.
-type Options struct {
-	Wait    func()            // synctest.Wait: the run must be in a bubble
-	Trace   io.Writer         // a line a step; nil for none
+// Options hold what a run needs beside its script.
+type Options struct { // synctest.Wait: the run must be in a bubble of testing/synctest
+	Wait    func()            // receives one line per step; nil for none
+	Trace   io.Writer         // receives the logs of the sidecars; nil for none
 	Log     io.Writer         // of the sidecars; nil for none
-	Decider lifecycle.Decider // nil for the module
-	Bug     func(p *Proc)     // plants a bug into a process; nil for none
+	Decider lifecycle.Decider // the decision module to use; nil for the real one
+	Bug     func(p *Process)  // injects a bug into each process that starts; nil for none
 }
 
-// simulation is one run.
+// simulation holds the models and the state of one run.
 type simulation struct {
-	w         *World
-	script    Script
-	opts      Options
-	book      *oracle.Checker
-	classes   map[string]decide.Class
-	keys      *keyMemory
-	work      time.Duration
-	endpoints []*endpoint // by place; the one that stands there now
-	routes    map[string]peer
-	born      int
-	list      *discovery
-	sidecars  []*sidecar
-	idle      []*client
-	clients   map[string]bool // connections by their ids
-	settled   int
-	unreached int
-	asking    map[*client]bool // those that have asked and heard nothing yet
-	seen      map[string]bool  // requests of which an attempt has come to an endpoint
-	verdicts  [4]int
+	w            *World
+	script       Script
+	opts         Options
+	checker      *oracle.Checker
+	classes      map[string]decide.Class
+	keys         *keyStore
+	meanWork     time.Duration   // mean time that an endpoint works on a request
+	endpoints    []*endpoint     // the present process at each index; a cold process replaces a crashed one
+	routes       map[string]peer // listening peers by address
+	namesGiven   int             // number of endpoint names given out
+	discovery    *discovery
+	sidecars     []*sidecar
+	idleClients  []*client        // connected clients without a pending request
+	clientIDs    map[string]bool  // ids of all connections from clients so far
+	settled      int              // requests with a final outcome
+	notConnected int              // requests whose connection was not established; they are settled too
+	unanswered   map[*client]bool // clients whose request has no outcome yet
+	arrived      map[string]bool  // ids of requests of which an attempt has reached an endpoint
+	verdicts     [4]int           // as in Result
 }
 
 // sidecar is one sidecar over all its starts.
 type sidecar struct {
-	name   string
-	starts int
-	proc   *Proc
-	run    *lifecycle.Sidecar // nil until it has started
+	name     string
+	starts   int
+	proc     *Process
+	instance *lifecycle.Sidecar // the present process's; nil until it has started
 }
 
-// name is the sidecar's, without its start.
-func (p *Proc) name() string {
+// sidecarName returns the name of the process's sidecar, without the number of the start.
+func (p *Process) sidecarName() string {
 	name, _, _ := strings.Cut(p.id, ".")
 	return name
 }
 
+// now is the virtual time since the start of the run.
 func (s *simulation) now() time.Duration { return s.w.now() }
 
-// patience is how long clients wait past a request's time.
-func (s *simulation) patience() time.Duration { return answerSlack + margin + 4*spikeLatency }
+// clientMargin is how long clients wait for an answer past a request's deadline.
+func (s *simulation) clientMargin() time.Duration { return answerSlack + networkMargin + 4*maxLatency }
 
-// dice are a source of their own for what is named: draws do not depend on others.
-func (s *simulation) dice(parts ...string) *rand.Rand {
+// rngFor returns a random source for one purpose, named by parts, so that its draws do not depend on
+// other draws.
+func (s *simulation) rngFor(parts ...string) *rand.Rand {
 	return rand.New(rand.NewPCG(s.script.Seed, hashOf(strings.Join(parts, "/"))))
 }
 
-// Run plays a script. It must be called in a bubble of testing/synctest.
+// Run runs a script. It must be called in a bubble of testing/synctest.
 func Run(script Script, opts Options) Result {
 	s := &simulation{
-		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, work: script.Work,
-		book: oracle.New(oracle.Conf{
-			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: askEvery, DeliveredAfter: toldAfter, Margin: margin,
+		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, meanWork: script.Work,
+		checker: oracle.New(oracle.Conf{
+			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: pollInterval, DeliveredAfter: deliveredAfter, Margin: networkMargin,
 		}),
-		keys: &keyMemory{window: script.Window, seen: map[string]*keyRun{}}, routes: map[string]peer{},
+		keys: &keyStore{window: script.Window, runs: map[string]*keyedRun{}}, routes: map[string]peer{},
 		classes: map[string]decide.Class{
 			"look": {Effect: decide.Safe, Deadline: deadline}, "pay": {Effect: decide.Keyed, Deadline: deadline},
 			"burn": {Effect: decide.Unsafe, Deadline: deadline},
 		},
-		clients: map[string]bool{}, seen: map[string]bool{}, asking: map[*client]bool{},
+		clientIDs: map[string]bool{}, arrived: map[string]bool{}, unanswered: map[*client]bool{},
 	}
-	s.list = newDiscovery(s)
-	s.routes["discovery:1"], s.routes["discovery:2"] = s.list, s.list
-	s.book.SetDiscoveryUp(0, true)
+	s.discovery = newDiscovery(s)
+	s.routes["discovery:1"], s.routes["discovery:2"] = s.discovery, s.discovery
+	s.checker.SetDiscoveryUp(0, true)
 	for n := range script.Endpoints {
 		s.startEndpoint(n, "", false)
 	}
@@ -146,112 +148,114 @@
 		s.sidecars = append(s.sidecars, sc)
 		s.start(sc)
 	}
-	for _, a := range script.Asks {
-		s.w.after("ask/"+a.ID, a.At, func() { s.ask(a) })
+	for _, a := range script.Requests {
+		s.w.scheduleAfter("ask/"+a.ID, a.At, func() { s.sendRequest(a) })
 	}
 	for i, f := range script.Faults {
-		s.w.after(fmt.Sprintf("fault/%d", i), f.At, func() { s.strike(i, f) })
+		s.w.scheduleAfter(fmt.Sprintf("fault/%d", i), f.At, func() { s.injectFault(i, f) })
 	}
-	s.w.check = s.checkAll
-	err := s.w.run(s.done)
+	s.w.check = s.checkInvariants
+	err := s.w.run(s.finished)
 	result := Result{
-		Hash: s.w.sum.Sum64(), Steps: s.w.steps, Time: s.now(), Asks: len(script.Asks), Faults: len(script.Faults),
-		Verdicts: s.verdicts, Met: s.w.met,
+		Hash: s.w.traceHash.Sum64(), Steps: s.w.steps, Time: s.now(), Requests: len(script.Requests), Faults: len(script.Faults),
+		Verdicts: s.verdicts, RareEvents: s.w.rareEvents,
 	}
-	for _, t := range s.book.Close().Sidecars {
-		result.Attempts += t.Arrivals
+	for _, tally := range s.checker.Close().Sidecars {
+		result.Attempts += tally.Arrivals
 	}
 	if err != nil && !errors.As(err, &result.Failure) {
 		result.Failure = &Failure{Rule: "stuck", Step: s.w.steps, At: s.now(), What: err.Error()}
 	}
-	s.endAll()
+	s.shutdown()
 	return result
 }
 
-// done tells whether all is settled.
-func (s *simulation) done() bool {
-	return s.now() >= s.script.Duration && s.settled >= len(s.script.Asks) || s.now() > s.script.Duration+settleMost
+// finished reports whether the script is over and all its requests are settled, or the time for that has passed.
+func (s *simulation) finished() bool {
+	return s.now() >= s.script.Duration && s.settled >= len(s.script.Requests) || s.now() > s.script.Duration+settleLimit
 }
 
-// endAll ends all processes and lets their goroutines go.
-func (s *simulation) endAll() {
+// shutdown ends all processes and releases their goroutines.
+func (s *simulation) shutdown() {
 	for _, sc := range s.sidecars {
 		sc.proc.kill()
-		if sc.run != nil {
-			sc.run.Abandon()
+		if sc.instance != nil {
+			sc.instance.Abandon()
 		}
 	}
-	s.w.close()
-	time.Sleep(serverTail)
+	s.w.releaseAll()
+	time.Sleep(serverShutdownTime)
 }
 
-// serverTail is how long a goroutine of fasthttp's server, which looks after its
-// workers, goes on sleeping past the server's end (10 s in its version 1.79).
-const serverTail = 11 * time.Second
+// serverShutdownTime is longer than the goroutine that manages the workers of a fasthttp server sleeps
+// after the server has ended (10 s in version 1.79).
+const serverShutdownTime = 11 * time.Second
 
-// checkAll looks after each step whether all rules hold and the books add up.
-func (s *simulation) checkAll() error {
-	account := s.book.Close()
-	if len(account.Violations) > 0 {
-		b := account.Violations[0]
-		return &Failure{Rule: string(b.Rule), Step: s.w.steps, At: s.now(), What: b.What}
+// checkInvariants checks after each step that no rule is violated and that the engine's counts agree.
+func (s *simulation) checkInvariants() error {
+	report := s.checker.Close()
+	if len(report.Violations) > 0 {
+		violation := report.Violations[0]
+		return &Failure{Rule: string(violation.Rule), Step: s.w.steps, At: s.now(), What: violation.What}
 	}
 	for _, sc := range s.sidecars {
-		if sc.run == nil || sc.proc.dead {
+		if sc.instance == nil || sc.proc.dead {
 			continue
 		}
-		if err := sc.run.Audit(); err != nil {
+		if err := sc.instance.Audit(); err != nil {
 			return &Failure{Rule: "books", Step: s.w.steps, At: s.now(), What: sc.proc.id + ": " + err.Error()}
 		}
 	}
-	if s.now() > s.script.Duration+settleMost {
+	if s.now() > s.script.Duration+settleLimit {
 		return &Failure{Rule: "stuck", Step: s.w.steps, At: s.now(),
-			What: fmt.Sprintf("%d of %d requests are settled", s.settled, len(s.script.Asks))}
+			What: fmt.Sprintf("%d of %d requests are settled", s.settled, len(s.script.Requests))}
 	}
 	return nil
 }
 
-// startEndpoint starts an endpoint at a place; under its old name, or a new one.
-func (s *simulation) startEndpoint(place int, name string, cold bool) {
+// startEndpoint starts an endpoint at an index: under the given name, with the address that the index
+// has, or under a new name and address if name is empty.
+func (s *simulation) startEndpoint(index int, name string, cold bool) {
 	address := name
 	if name == "" {
-		s.born++
-		name = fmt.Sprintf("e%d", s.born)
-		address = fmt.Sprintf("10.0.0.%d:80", s.born)
+		s.namesGiven++
+		name = fmt.Sprintf("e%d", s.namesGiven)
+		address = fmt.Sprintf("10.0.0.%d:80", s.namesGiven)
 	} else {
-		address = s.endpoints[place].address
+		address = s.endpoints[index].address
 	}
-	st, err := servermodel.New(servermodel.Conf{
-		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: fallMultiple, FallFor: fallFor,
+	server, err := servermodel.New(servermodel.Conf{
+		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: overloadMultiple, FallFor: overloadFor,
 	}, s.now(), cold)
 	if err != nil {
-		panic(err) // the figures are right
+		panic(err) // the configuration is valid
 	}
-	e := &endpoint{s: s, name: name, address: address, station: st, inboxes: map[*conn]*inbox{}, busy: map[*conn]*task{}}
-	if place < len(s.endpoints) {
-		e.number = s.endpoints[place].number + 1000
-		s.endpoints[place] = e
+	e := &endpoint{s: s, name: name, address: address, server: server, parsers: map[*conn]*requestParser{}, tasks: map[*conn]*task{}}
+	if index < len(s.endpoints) {
+		e.serverEvents = s.endpoints[index].serverEvents + 1000
+		s.endpoints[index] = e
 	} else {
 		s.endpoints = append(s.endpoints, e)
 	}
 	s.routes[address] = e
-	s.list.set(s.lineOf(e, "SERVING", cold))
+	s.discovery.publish(s.entryFor(e, "SERVING", cold))
 }
 
-func (s *simulation) lineOf(e *endpoint, status string, cold bool) listLine {
-	l := listLine{Name: e.name, Address: e.address, Zone: "z", Group: 1, Status: status, Weight: 1}
+// entryFor returns the endpoint's entry in the list of discovery.
+func (s *simulation) entryFor(e *endpoint, status string, cold bool) listEntry {
+	l := listEntry{Name: e.name, Address: e.address, Zone: "z", Group: 1, Status: status, Weight: 1}
 	if cold {
 		l.Since = time.Now().UnixMilli()
 	}
 	return l
 }
 
-// start starts a sidecar's process.
+// start starts a new process of a sidecar.
 func (s *simulation) start(sc *sidecar) {
 	sc.starts++
 	id := fmt.Sprintf("%s.%d", sc.name, sc.starts)
-	s.book.SidecarStarted(s.now(), sc.name, 0)
-	proc := s.w.newProc(id, sc.name+":7070", s.script.Seed, func(address string) peer {
+	s.checker.SidecarStarted(s.now(), sc.name, 0)
+	proc := s.w.newProcess(id, sc.name+":7070", s.script.Seed, func(address string) peer {
 		if p := s.routes[address]; p != nil {
 			if e, ok := p.(*endpoint); ok && e.dead {
 				return nil
@@ -260,13 +264,13 @@
 		}
 		return nil
 	})
-	sc.proc, sc.run = proc, nil
+	sc.proc, sc.instance = proc, nil
 	if s.opts.Bug != nil {
 		s.opts.Bug(proc)
 	}
-	conf, err := config.Parse(s.config(sc), func(string) string { return "" })
+	conf, err := config.Parse(s.sidecarConfig(sc), func(string) string { return "" })
 	if err != nil {
-		panic(err) // the lab's own text
+		panic(err) // sidecarConfig writes a valid configuration
 	}
 	log := zerolog.Nop()
 	if s.opts.Log != nil {
@@ -274,12 +278,13 @@
 	}
 	run, err := lifecycle.Start(conf, log, lifecycle.Options{Operator: operator.Default(), Decider: s.opts.Decider, Env: proc})
 	if err != nil {
-		panic(err) // nothing can be in its way
+		panic(err) // the simulated environment gives no reason to fail
 	}
-	sc.run = run
+	sc.instance = run
 }
 
-func (s *simulation) config(sc *sidecar) []byte {
+// sidecarConfig returns the configuration file of a sidecar's next process.
+func (s *simulation) sidecarConfig(sc *sidecar) []byte {
 	class := func(name, effect string, worth float64) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 200.0, "deadline": millis(deadline),
 			"window": millis(s.script.Window), "worth": worth, "late_share": 0.5}
@@ -288,14 +293,14 @@
 		"name": sc.name, "listen": sc.name + ":7070", "discovery": "discovery:1",
 		"seed":   strconv.FormatUint(s.script.Seed*1009+uint64(sc.starts)*31+hashOf(sc.name)%1000, 16),
 		"limits": map[string]any{"memory_mb": 32, "sockets": 256},
-		"known":  s.list.list(0),
+		"known":  s.discovery.changesSince(0),
 		"settings": map[string]any{
 			"me": slices.Index(s.sidecars, sc), "replicas_of_me": s.script.Sidecars, "az": "z", "tier": 0, "stages": []string{"one"},
 			"tick": 2.0, "membership_mode": "subscribe", "weights": "silent", "over_share_worth": 0.1,
 			"bounds": map[string]any{"cancel": true, "second_copies": true, "retry_after": true, "max_attempts": 4,
 				"max_retry_after": 2000.0, "connect_timeout": 300.0, "conn_idle": 3000.0, "most_held": 200},
-			"rules": map[string]any{"answer_slack": millis(answerSlack), "ask_every": millis(askEvery), "cold": millis(coldFor),
-				"cold_from": coldFrom, "drain_grace": millis(drainGrace), "fall_multiple": fallMultiple, "overload_for": millis(fallFor)},
+			"rules": map[string]any{"answer_slack": millis(answerSlack), "ask_every": millis(pollInterval), "cold": millis(coldFor),
+				"cold_from": coldFrom, "drain_grace": millis(drainGrace), "fall_multiple": overloadMultiple, "overload_for": millis(overloadFor)},
 			"profiles": []any{class("look", "repeatable", 1), class("pay", "by_key", 3), class("burn", "once", 3)},
 		},
 	})
@@ -305,24 +310,26 @@
 	return text
 }
 
+// millis returns a duration in milliseconds, the unit of the settings.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// ask has a client ask: on an idle connection, or on one of its own.
-func (s *simulation) ask(a Ask) {
-	s.idle = slices.DeleteFunc(s.idle, func(k *client) bool { return k.gone })
-	if n := len(s.idle); n > 0 && !a.Fresh {
-		i := s.dice("idle", a.ID).IntN(n)
-		k := s.idle[i]
-		s.idle = slices.Delete(s.idle, i, i+1)
-		k.ask = &a
+// sendRequest has a client send a request, on an idle connection if there is one and the request does
+// not need a connection of its own.
+func (s *simulation) sendRequest(a Request) {
+	s.idleClients = slices.DeleteFunc(s.idleClients, func(k *client) bool { return k.closed })
+	if n := len(s.idleClients); n > 0 && !a.Fresh {
+		i := s.rngFor("idle", a.ID).IntN(n)
+		k := s.idleClients[i]
+		s.idleClients = slices.Delete(s.idleClients, i, i+1)
+		k.pending = &a
 		k.write()
 		return
 	}
-	s.connect(&a)
+	s.sendOnNewConn(&a)
 }
 
-// connect asks on a new connection, of any sidecar that stands.
-func (s *simulation) connect(a *Ask) {
+// sendOnNewConn has a new client send a request, to any sidecar that runs.
+func (s *simulation) sendOnNewConn(a *Request) {
 	var up []*sidecar
 	for _, sc := range s.sidecars {
 		if !sc.proc.dead {
@@ -330,106 +337,108 @@
 		}
 	}
 	if len(up) == 0 {
-		s.unreached++
+		s.notConnected++
 		s.settled++
 		return
 	}
 	id := "c/" + a.ID
-	for s.clients[id] { // it crossed the end of a connection, and is sent once more
+	for s.clientIDs[id] { // the request was sent before, on a connection that the sidecar was closing
 		id += "+"
 	}
-	s.clients[id] = true
-	k := &client{s: s, ask: a}
-	k.c = s.w.connect(up[s.dice("front", a.ID).IntN(len(up))].proc, id, k, s.script.Seed)
+	s.clientIDs[id] = true
+	k := &client{s: s, pending: a}
+	k.c = s.w.connect(up[s.rngFor("front", a.ID).IntN(len(up))].proc, id, k, s.script.Seed)
 }
 
-// strike begins a fault, and has it end.
-func (s *simulation) strike(number int, f Fault) {
-	later := func(do func()) { s.w.after(fmt.Sprintf("fault/%d/end", number), f.For, do) }
+// injectFault starts the nth fault of the script and schedules its end. It has no effect on an endpoint
+// that is dead, draining or gone.
+func (s *simulation) injectFault(n int, f Fault) {
+	later := func(do func()) { s.w.scheduleAfter(fmt.Sprintf("fault/%d/end", n), f.For, do) }
 	switch f.Kind {
-	case Cold:
+	case ColdJoin:
 		s.startEndpoint(len(s.endpoints), "", true)
 		return
-	case ListDown:
-		s.list.setDown(true)
-		later(func() { s.list.setDown(false) })
+	case DiscoveryDown:
+		s.discovery.setDown(true)
+		later(func() { s.discovery.setDown(false) })
 		return
 	case Kill, Stop, Reload:
-		s.strikeSidecar(f, later)
+		s.injectSidecarFault(f, later)
 		return
 	}
-	place := f.Target % len(s.endpoints)
-	e := s.endpoints[place]
-	if e.dead || s.list.lines[e.name].Status != "SERVING" {
+	index := f.Target % len(s.endpoints)
+	e := s.endpoints[index]
+	if e.dead || s.discovery.entries[e.name].Status != "SERVING" {
 		return
 	}
 	switch f.Kind {
 	case Crash:
 		e.kill()
 		later(func() {
-			if s.endpoints[place] == e {
-				s.startEndpoint(place, e.name, true)
+			if s.endpoints[index] == e {
+				s.startEndpoint(index, e.name, true)
 			}
 		})
 	case Drain:
-		s.list.set(s.lineOf(e, "DRAINING", false))
+		s.discovery.publish(s.entryFor(e, "DRAINING", false))
 		later(func() {
 			e.kill()
-			s.list.set(s.lineOf(e, "DELETED", false))
+			s.discovery.publish(s.entryFor(e, "DELETED", false))
 		})
 	case Stall:
-		e.pause(true)
-		later(func() { e.pause(false) })
-	case CutOff:
-		e.cutMachine(true)
-		later(func() { e.cutMachine(false) })
-	case Late:
+		e.setPaused(true)
+		later(func() { e.setPaused(false) })
+	case Partition:
+		e.setPartitioned(true)
+		later(func() { e.setPartitioned(false) })
+	case SlowConnect:
 		e.slowToConnect = true
 		later(func() { e.slowToConnect = false })
 	default:
-		e.trouble = f.Kind
-		later(func() { e.trouble = "" })
+		e.fault = f.Kind
+		later(func() { e.fault = "" })
 	}
 }
 
-func (s *simulation) strikeSidecar(f Fault, later func(func())) {
+// injectSidecarFault starts a fault of a sidecar. It has no effect on a sidecar that does not run.
+func (s *simulation) injectSidecarFault(f Fault, later func(func())) {
 	sc := s.sidecars[f.Target%len(s.sidecars)]
-	proc, run := sc.proc, sc.run
-	if proc.dead || run == nil {
+	proc, instance := sc.proc, sc.instance
+	if proc.dead || instance == nil {
 		return
 	}
 	switch f.Kind {
 	case Reload:
-		for _, w := range s.list.waiting {
+		for _, w := range s.discovery.watchers {
 			if w.c.proc == proc {
-				s.w.met[ReloadDuringCall]++
+				s.w.rareEvents[ReloadDuringWatch]++
 			}
 		}
-		proc.Go("reload", func() { run.MoveDiscovery("discovery:2") })
+		proc.Go("reload", func() { instance.MoveDiscovery("discovery:2") })
 	case Kill:
-		s.end(proc, run)
+		s.killSidecar(proc, instance)
 		later(func() { s.start(sc) })
 	case Stop:
-		// Like the platform: SIGTERM, and SIGKILL when even the slowest answer is due.
-		again := func() {
+		// As the platform does: SIGTERM, then SIGKILL when even the last answer is overdue.
+		restart := func() {
 			if !proc.dead {
-				s.end(proc, run)
+				s.killSidecar(proc, instance)
 				s.start(sc)
 			}
 		}
 		proc.Go("stop", func() {
-			run.Stop()
-			s.w.after(proc.id+"/exit", 0, again)
+			instance.Stop()
+			s.w.scheduleAfter(proc.id+"/exit", 0, restart)
 		})
-		s.w.after(proc.id+"/sigkill", deadline+700*time.Millisecond, again)
+		s.w.scheduleAfter(proc.id+"/sigkill", deadline+700*time.Millisecond, restart)
 	}
 }
 
-// end ends a process at once.
-func (s *simulation) end(p *Proc, run *lifecycle.Sidecar) {
-	for k := range s.asking {
-		if k.c.proc == p && k.ask != nil && !s.seen[k.ask.ID] {
-			s.w.met[KillBeforeSend]++
+// killSidecar ends a process at once, as SIGKILL does.
+func (s *simulation) killSidecar(p *Process, run *lifecycle.Sidecar) {
+	for k := range s.unanswered {
+		if k.c.proc == p && k.pending != nil && !s.arrived[k.pending.ID] {
+			s.w.rareEvents[KillBeforeSend]++
 		}
 	}
 	p.kill()
--- a/internal/sim/script.go
+++ b/internal/sim/script.go
@@ -7,110 +7,111 @@
 	"time"
 )
 
-// Kind is a kind of fault.
-type Kind string
+// FaultKind is a kind of fault, as saved scripts name it.
+type FaultKind string
 
-// The kinds. What lasts ends after For.
+// The kinds of faults. One that lasts ends after Fault.For.
 const (
-	Crash    Kind = "crash"    // an endpoint dies, and comes back cold under its name
-	Cold     Kind = "cold"     // a cold endpoint joins, under a name of its own
-	Drain    Kind = "drain"    // an endpoint drains, and leaves
-	Stall    Kind = "stall"    // an endpoint stops working
-	Errors   Kind = "errors"   // an endpoint fails all it gets, at once
-	Refuse   Kind = "refuse"   // an endpoint turns all away
-	Hang     Kind = "hang"     // an endpoint never answers
-	Half     Kind = "half"     // an endpoint breaks off within answers
-	Garbage  Kind = "garbage"  // an endpoint answers with nonsense
-	CutOff   Kind = "cut_off"  // a machine is silent
-	Late     Kind = "late"     // connections to an endpoint come up late
-	Kill     Kind = "kill"     // a sidecar is killed, and starts again from nothing
-	Stop     Kind = "stop"     // a sidecar gets SIGTERM, and starts again when it has ended
-	ListDown Kind = "listdown" // discovery is down
-	Reload   Kind = "reload"   // a sidecar is told another discovery's address, with the same list
+	Crash         FaultKind = "crash"    // an endpoint dies, and starts again cold under its name after For
+	ColdJoin      FaultKind = "cold"     // a cold endpoint joins under a new name
+	Drain         FaultKind = "drain"    // an endpoint drains, and leaves after For
+	Stall         FaultKind = "stall"    // an endpoint stops working on its requests
+	Errors        FaultKind = "errors"   // an endpoint answers every request with an error at once
+	Refuse        FaultKind = "refuse"   // an endpoint rejects every request
+	Hang          FaultKind = "hang"     // an endpoint never answers
+	Truncate      FaultKind = "half"     // an endpoint truncates its answers
+	Garbage       FaultKind = "garbage"  // an endpoint answers with bytes that are not HTTP
+	Partition     FaultKind = "cut_off"  // an endpoint's machine is unreachable; its connections are reset when that ends
+	SlowConnect   FaultKind = "late"     // connections to an endpoint are established late
+	Kill          FaultKind = "kill"     // a sidecar is killed, and starts again without state after For
+	Stop          FaultKind = "stop"     // a sidecar gets SIGTERM, and starts again when it has ended
+	DiscoveryDown FaultKind = "listdown" // discovery does not answer
+	Reload        FaultKind = "reload"   // a sidecar is given another address of discovery, which has the same list
 )
 
-var endpointKinds = []Kind{Crash, Cold, Drain, Stall, Errors, Refuse, Hang, Half, Garbage, CutOff}
-var otherKinds = []Kind{Kill, Stop, ListDown, Reload}
+// The kinds from which GenerateScript picks; SlowConnect is generated separately.
+var endpointFaults = []FaultKind{Crash, ColdJoin, Drain, Stall, Errors, Refuse, Hang, Truncate, Garbage, Partition}
+var otherFaults = []FaultKind{Kill, Stop, DiscoveryDown, Reload}
 
 // Fault is one fault of a script.
 type Fault struct {
-	Kind   Kind
-	At     time.Duration
-	For    time.Duration
-	Target int // endpoint or sidecar, modulo how many there are
+	Kind   FaultKind
+	At     time.Duration // since the start of the run
+	For    time.Duration // how long it lasts
+	Target int           // index of an endpoint or sidecar, modulo their number
 }
 
-// Ask is one request of a script.
-type Ask struct {
+// Request is one request of a script.
+type Request struct {
 	ID    string
-	Class string
-	Key   string
-	At    time.Duration
-	Leave time.Duration // after which its client leaves; 0 for never
-	Close bool          // its connection ends with it
-	Fresh bool          // on a connection of its own
+	Class string        // "look" (safe), "pay" (keyed) or "burn" (unsafe)
+	Key   string        // idempotency key; empty for none
+	At    time.Duration // since the start of the run
+	Leave time.Duration // the client leaves so long after it sent the request; 0 for never
+	Close bool          // the client closes the connection after the answer
+	Fresh bool          // the client opens a connection for it, also when one is idle
 }
 
-// Script is all that happens in a run but what the scheduler picks: that follows from
-// Seed. A failing script can be made smaller and kept.
+// Script is everything that happens in a run except the scheduler's choices, which follow from Seed.
+// A failing script can be shrunk and saved.
 type Script struct {
 	Seed      uint64
 	Sidecars  int
 	Endpoints int
-	Duration  time.Duration
-	Window    time.Duration // in which keys are known
-	Work      time.Duration // of a request, on average
-	Asks      []Ask
+	Duration  time.Duration // requests and faults start within it
+	Window    time.Duration // how long endpoints remember idempotency keys
+	Work      time.Duration // mean time that an endpoint works on a request
+	Requests  []Request     `json:"Asks"` // in the order of their times
 	Faults    []Fault
 }
 
-// Sizes of drawn scripts.
+// Sizes of generated scripts. A constant named ...Every is the n of "in one script of n".
 const (
-	mostSidecars  = 3
-	leastBackends = 3
-	mostBackends  = 6
-	leastAsks     = 40
-	moreAsks      = 80
-	heavyAsks     = 300 // of one script in heavyEvery, which also has a cold arrival
-	heavyEvery    = 5
-	mostFaults    = 10
-	stormEvery    = 4 // one script in so many has all four kinds of trouble at once
-	cutDrainEvery = 6 // one script in so many has an endpoint drain whose machine is cut off
-	lateEvery     = 4 // one script in so many has connections to all endpoints come up late, from some time on
-	scriptTime    = 6 * time.Second
-	grid          = time.Millisecond // requests and faults begin on it, so that some meet in an instant
-	lightWork     = 15 * time.Millisecond
-	heavyWork     = 50 * time.Millisecond
-	longWindow    = 3 * time.Second
-	shortWindow   = 600 * time.Millisecond // of one script in three: repeats must stay within it
+	maxSidecars           = 3
+	minEndpoints          = 3
+	maxEndpoints          = 6
+	minRequests           = 40
+	extraRequests         = 80  // at most so many more than minRequests
+	heavyRequests         = 300 // in one script of heavyEvery, in which a cold endpoint joins too
+	heavyEvery            = 5
+	maxFaults             = 10
+	overlapEvery          = 4 // overlappingFaults adds a fault of each of the four groups
+	partitionedDrainEvery = 6 // an endpoint drains while its machine is unreachable
+	slowConnectEvery      = 4 // connections to all endpoints are established late, each from some time on
+	scriptDuration        = 6 * time.Second
+	timeGrid              = time.Millisecond // requests and faults start on this grid, so that some start at the same instant
+	lightWork             = 15 * time.Millisecond
+	heavyWork             = 50 * time.Millisecond
+	longWindow            = 3 * time.Second
+	shortWindow           = 600 * time.Millisecond // in one script of three: repeats under a key must stay within it
 )
 
-// drawTime draws a time on the grid.
-func drawTime(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most/grid))) * grid
+// randomTime returns a time on the grid, below limit.
+func randomTime(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit/timeGrid))) * timeGrid
 }
 
-// GenerateScript draws a script from a seed.
+// GenerateScript generates the script of a seed.
 func GenerateScript(seed uint64) Script {
 	r := rand.New(rand.NewPCG(seed, 12))
 	s := Script{
-		Seed: seed, Sidecars: 1 + r.IntN(mostSidecars), Duration: scriptTime,
-		Endpoints: leastBackends + r.IntN(mostBackends-leastBackends+1), Window: longWindow, Work: lightWork,
+		Seed: seed, Sidecars: 1 + r.IntN(maxSidecars), Duration: scriptDuration,
+		Endpoints: minEndpoints + r.IntN(maxEndpoints-minEndpoints+1), Window: longWindow, Work: lightWork,
 	}
-	asks := leastAsks + r.IntN(moreAsks)
+	asks := minRequests + r.IntN(extraRequests)
 	if r.IntN(heavyEvery) == 0 {
-		asks, s.Work = heavyAsks, heavyWork
-		s.Faults = append(s.Faults, Fault{Kind: Cold, At: drawTime(r, s.Duration/2)})
+		asks, s.Work = heavyRequests, heavyWork
+		s.Faults = append(s.Faults, Fault{Kind: ColdJoin, At: randomTime(r, s.Duration/2)})
 	}
 	if r.IntN(3) == 0 {
 		s.Window = shortWindow
 	}
 	for n := range asks {
-		a := Ask{ID: fmt.Sprintf("r%03d", n), At: drawTime(r, s.Duration)}
-		switch k := r.IntN(10); {
-		case k < 5:
+		a := Request{ID: fmt.Sprintf("r%03d", n), At: randomTime(r, s.Duration)}
+		switch n := r.IntN(10); {
+		case n < 5:
 			a.Class = "look"
-		case k < 8:
+		case n < 8:
 			a.Class, a.Key = "pay", "k"+a.ID
 		default:
 			a.Class = "burn"
@@ -120,75 +121,75 @@
 		}
 		a.Close = r.IntN(10) == 0
 		a.Fresh = r.IntN(4) == 0
-		s.Asks = append(s.Asks, a)
+		s.Requests = append(s.Requests, a)
 	}
-	// Bursts: some requests come in the same instant as others.
-	for n := range s.Asks {
+	// Bursts: one request in five starts at the same time as another.
+	for n := range s.Requests {
 		if r.IntN(5) == 0 {
-			s.Asks[n].At = s.Asks[r.IntN(len(s.Asks))].At
+			s.Requests[n].At = s.Requests[r.IntN(len(s.Requests))].At
 		}
 	}
-	slices.SortStableFunc(s.Asks, func(a, b Ask) int { return int(a.At - b.At) })
-	for range r.IntN(mostFaults + 1) {
-		kinds := endpointKinds
+	slices.SortStableFunc(s.Requests, func(a, b Request) int { return int(a.At - b.At) })
+	for range r.IntN(maxFaults + 1) {
+		kinds := endpointFaults
 		if r.IntN(3) == 0 {
-			kinds = otherKinds
+			kinds = otherFaults
 		}
 		s.Faults = append(s.Faults, Fault{
-			Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(mostBackends),
-			At: drawTime(r, s.Duration), For: grid + drawTime(r, longestFault),
+			Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(maxEndpoints),
+			At: randomTime(r, s.Duration), For: timeGrid + randomTime(r, maxFaultDuration),
 		})
 	}
-	if r.IntN(stormEvery) == 0 {
-		s.Faults = append(s.Faults, storm(r, s.Duration)...)
+	if r.IntN(overlapEvery) == 0 {
+		s.Faults = append(s.Faults, overlappingFaults(r, s.Duration)...)
 	}
-	if r.IntN(cutDrainEvery) == 0 {
-		// Dials to a machine that is cut off hang: the drain comes meanwhile.
-		cut := Fault{Kind: CutOff, Target: r.IntN(mostBackends), At: drawTime(r, s.Duration), For: longestFault}
-		drain := Fault{Kind: Drain, Target: cut.Target, At: cut.At + drawTime(r, longestFault/2), For: longestFault}
-		s.Faults = append(s.Faults, cut, drain)
+	if r.IntN(partitionedDrainEvery) == 0 {
+		// Dials to an unreachable machine hang, and the endpoint drains in the meantime.
+		partition := Fault{Kind: Partition, Target: r.IntN(maxEndpoints), At: randomTime(r, s.Duration), For: maxFaultDuration}
+		drain := Fault{Kind: Drain, Target: partition.Target, At: partition.At + randomTime(r, maxFaultDuration/2), For: maxFaultDuration}
+		s.Faults = append(s.Faults, partition, drain)
 	}
-	// From a source of its own, so that the rest of a seed's script stays as it was.
-	if own := rand.New(rand.NewPCG(seed, 13)); own.IntN(lateEvery) == 0 {
+	// These faults have their own random source, so that they do not change the rest of a seed's script.
+	if rng := rand.New(rand.NewPCG(seed, 13)); rng.IntN(slowConnectEvery) == 0 {
 		for target := range s.Endpoints {
-			s.Faults = append(s.Faults, Fault{Kind: Late, Target: target, At: drawTime(own, s.Duration/2), For: s.Duration})
+			s.Faults = append(s.Faults, Fault{Kind: SlowConnect, Target: target, At: randomTime(rng, s.Duration/2), For: s.Duration})
 		}
 	}
 	slices.SortStableFunc(s.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return s
 }
 
-// longestFault bounds how long a fault lasts.
-const longestFault = 2 * time.Second
+// maxFaultDuration is the longest time that a generated fault lasts, except SlowConnect.
+const maxFaultDuration = 2 * time.Second
 
-// storm draws a restart, a failure, a stall and a cold arrival that meet.
-func storm(r *rand.Rand, long time.Duration) (faults []Fault) {
-	meet := drawTime(r, long-longestFault) + longestFault/2
-	for _, kinds := range [][]Kind{{Kill, Stop}, {Errors, Half, Garbage, Refuse}, {Stall, Hang, CutOff}, {Cold, Crash}} {
-		before := drawTime(r, longestFault/2)
+// overlappingFaults generates a restart, a failure, a stall and a cold start that are under way at the same time.
+func overlappingFaults(rng *rand.Rand, duration time.Duration) (faults []Fault) {
+	meet := randomTime(rng, duration-maxFaultDuration) + maxFaultDuration/2
+	for _, kinds := range [][]FaultKind{{Kill, Stop}, {Errors, Truncate, Garbage, Refuse}, {Stall, Hang, Partition}, {ColdJoin, Crash}} {
+		before := randomTime(rng, maxFaultDuration/2)
 		faults = append(faults, Fault{
-			Kind: kinds[r.IntN(len(kinds))], Target: r.IntN(mostBackends), At: meet - before, For: before + drawTime(r, longestFault/2),
+			Kind: kinds[rng.IntN(len(kinds))], Target: rng.IntN(maxEndpoints), At: meet - before, For: before + randomTime(rng, maxFaultDuration/2),
 		})
 	}
 	return faults
 }
 
-// Overlap tells whether a restart, a failure, a stall and a cold arrival are all
-// under way at one time.
-func (s *Script) Overlap() bool {
-	sorts := map[Kind]int{
-		Kill: 0, Stop: 0, Errors: 1, Half: 1, Garbage: 1, Refuse: 1, Stall: 2, Hang: 2, CutOff: 2, Cold: 3, Crash: 3,
+// HasOverlap reports whether a restart, a failure, a stall and a cold start are all under way at the
+// same time.
+func (s *Script) HasOverlap() bool {
+	groups := map[FaultKind]int{
+		Kill: 0, Stop: 0, Errors: 1, Truncate: 1, Garbage: 1, Refuse: 1, Stall: 2, Hang: 2, Partition: 2, ColdJoin: 3, Crash: 3,
 	}
-	for _, at := range s.Faults {
+	for _, start := range s.Faults {
 		seen := [4]bool{}
 		for _, f := range s.Faults {
-			sort, counts := sorts[f.Kind]
+			group, counts := groups[f.Kind]
 			end := f.At + f.For
-			if f.Kind == Cold || f.Kind == Crash {
-				end += coldFor // it is cold for so long after
+			if f.Kind == ColdJoin || f.Kind == Crash {
+				end += coldFor // it stays cold for so long after it starts
 			}
-			if counts && f.At <= at.At && at.At <= end {
-				seen[sort] = true
+			if counts && f.At <= start.At && start.At <= end {
+				seen[group] = true
 			}
 		}
 		if seen == [4]bool{true, true, true, true} {
--- a/internal/sim/shrink.go
+++ b/internal/sim/shrink.go
@@ -7,36 +7,36 @@
 	"slices"
 )
 
-// Shrink makes a failing script smaller for as long as it fails by the same rule:
-// without some of its faults, requests, sidecars and endpoints, and shorter. fails
-// plays a script and returns its failure.
+// Shrink reduces a failing script while it still violates the same rule: it removes faults, requests,
+// sidecars and endpoints, and shortens the run. fails runs a script and returns its failure, nil if it
+// passed.
 func Shrink(script Script, fails func(Script) *Failure) Script {
-	first := fails(script)
-	if first == nil {
+	original := fails(script)
+	if original == nil {
 		return script
 	}
-	still := func(s Script) bool {
+	stillFails := func(s Script) bool {
 		f := fails(s)
-		return f != nil && f.Rule == first.Rule
+		return f != nil && f.Rule == original.Rule
 	}
 	for smaller := true; smaller; {
 		smaller = false
-		for _, next := range []func(Script, func(Script) bool) (Script, bool){fewerAsks, fewerFaults, fewerMachines, shorter} {
+		for _, next := range []func(Script, func(Script) bool) (Script, bool){fewerRequests, fewerFaults, fewerProcesses, shorterDuration} {
 			var done bool
-			script, done = next(script, still)
+			script, done = next(script, stillFails)
 			smaller = smaller || done
 		}
 	}
 	return script
 }
 
-// fewerAsks drops requests, half of them at a time at first, then ever fewer.
-func fewerAsks(s Script, still func(Script) bool) (_ Script, smaller bool) {
-	for size := (len(s.Asks) + 1) / 2; size > 0; size /= 2 {
-		for from := 0; from < len(s.Asks); {
+// fewerRequests tries to remove requests, first half of them at a time, then ever smaller parts.
+func fewerRequests(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
+	for size := (len(s.Requests) + 1) / 2; size > 0; size /= 2 {
+		for from := 0; from < len(s.Requests); {
 			try := s
-			try.Asks = slices.Delete(slices.Clone(s.Asks), from, min(from+size, len(s.Asks)))
-			if still(try) {
+			try.Requests = slices.Delete(slices.Clone(s.Requests), from, min(from+size, len(s.Requests)))
+			if stillFails(try) {
 				s, smaller = try, true
 			} else {
 				from += size
@@ -46,11 +46,12 @@
 	return s, smaller
 }
 
-func fewerFaults(s Script, still func(Script) bool) (_ Script, smaller bool) {
+// fewerFaults tries to remove each fault.
+func fewerFaults(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for i := 0; i < len(s.Faults); {
 		try := s
 		try.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
-		if still(try) {
+		if stillFails(try) {
 			s, smaller = try, true
 		} else {
 			i++
@@ -59,14 +60,15 @@
 	return s, smaller
 }
 
-func fewerMachines(s Script, still func(Script) bool) (_ Script, smaller bool) {
+// fewerProcesses tries to run with fewer sidecars and fewer endpoints.
+func fewerProcesses(s Script, stillFails func(Script) bool) (_ Script, smaller bool) {
 	for _, n := range []func(*Script) *int{
 		func(s *Script) *int { return &s.Sidecars }, func(s *Script) *int { return &s.Endpoints },
 	} {
 		for *n(&s) > 1 {
 			try := s
 			*n(&try)--
-			if !still(try) {
+			if !stillFails(try) {
 				break
 			}
 			s, smaller = try, true
@@ -75,29 +77,29 @@
 	return s, smaller
 }
 
-// shorter ends the run after the last thing that begins in it.
-func shorter(s Script, still func(Script) bool) (Script, bool) {
+// shorterDuration tries to end the run after the last request or fault of the script.
+func shorterDuration(s Script, stillFails func(Script) bool) (Script, bool) {
 	try := s
-	try.Duration = grid
-	for _, a := range s.Asks {
-		try.Duration = max(try.Duration, a.At+grid)
+	try.Duration = timeGrid
+	for _, a := range s.Requests {
+		try.Duration = max(try.Duration, a.At+timeGrid)
 	}
 	for _, f := range s.Faults {
-		try.Duration = max(try.Duration, f.At+f.For+grid)
+		try.Duration = max(try.Duration, f.At+f.For+timeGrid)
 	}
-	if try.Duration < s.Duration && still(try) {
+	if try.Duration < s.Duration && stillFails(try) {
 		return try, true
 	}
 	return s, false
 }
 
-// SavedFailure is a script that was kept because it once failed.
+// SavedFailure is a script that failed once and is saved as a test case.
 type SavedFailure struct {
-	Why    string // what it found
+	Reason string `json:"Why"` // the failure that the script caused when it was saved
 	Script Script
 }
 
-// LoadSavedFailure reads one.
+// LoadSavedFailure reads a saved script. It returns an error for one without requests, sidecars or endpoints.
 func LoadSavedFailure(path string) (SavedFailure, error) {
 	var k SavedFailure
 	text, err := os.ReadFile(path)
@@ -107,13 +109,13 @@
 	if err := json.Unmarshal(text, &k); err != nil {
 		return k, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(k.Script.Asks) == 0 || k.Script.Sidecars < 1 || k.Script.Endpoints < 1 {
+	if len(k.Script.Requests) == 0 || k.Script.Sidecars < 1 || k.Script.Endpoints < 1 {
 		return k, fmt.Errorf("%s: no script: it needs requests, sidecars and endpoints", path)
 	}
 	return k, nil
 }
 
-// Save writes one.
+// Save writes the script as JSON.
 func (k SavedFailure) Save(path string) error {
 	text, err := json.MarshalIndent(k, "", " ")
 	if err != nil {
