--- a/decide/limit.go
+++ b/decide/limit.go
@@ -11,15 +11,15 @@
 
 const (
 	maxSlowdown        = 1.35 // above this ratio of latency to its baseline the limit falls
-	minPerEndpoint     = 2.0  // lowest attempts in flight for each ready endpoint and tier
-	initialPerEndpoint = 3.0  // the same at the start of an instance
-	// The highest the same may become: without a bound, a long overload would raise the limit slowly until
-	// endpoints collapse.
+	minPerEndpoint     = 2.0  // lowest limit on attempts in flight for each ready endpoint and tier
+	initialPerEndpoint = 3.0  // that limit at the start of an instance
+	// The highest value of that limit: without a bound, a long overload would raise it slowly until endpoints
+	// collapse.
 	maxPerEndpoint     = 6.0
 	minLimit           = 4               // this many attempts are always allowed
 	limitStepPerSecond = 0.06            // part of the limit by which it moves in a second
 	slowdownGain       = 0.03            // weight of the newest outcome in the smoothed slowdown
-	slowdownTime       = 3 * time.Second // its time constant, where outcomes are few
+	slowdownTime       = 3 * time.Second // time constant of that smoothing, where outcomes are few
 	bindingShare       = 0.8             // the limit rises only if at least this part of it is in flight
 	crowdedFactor      = 1.25            // one endpoint may have this many times its even part of the limit
 )
@@ -27,13 +27,15 @@
 // admission queues first attempts that exceed the limit. Without a limit, first attempts, which cost no
 // token, would overload a full tier (docs/design.md).
 type admission struct {
-	inFlight     int        // attempts that count as in flight; see setCounted
-	queue        []*request // queued requests, highest value first, then oldest
-	perEndpoint  float64    // limit on attempts in flight for each ready endpoint
-	updatedAt    Time       // time of the newest outcome that counts
-	slowdown     float64    // smoothed logarithm of an attempt's latency over its class's baseline
-	unplaced     float64    // smoothed part of the requests that found no slot in time
-	slotDeniedAt Time       // when a load report last left no slot for its request
+	inFlight int // attempts that count as in flight; see setCounted
+	// Queued requests, highest value first, then oldest. A value that giveUpAt lowers does not move its
+	// request.
+	queue        []*request
+	perEndpoint  float64 // this instance's limit on attempts in flight for each ready endpoint
+	updatedAt    Time    // time of the newest outcome that counts
+	slowdown     float64 // smoothed logarithm of an attempt's latency over its class's baseline
+	unplaced     float64 // smoothed part of the requests that found no slot in time
+	slotDeniedAt Time    // when a load report last left no slot for its request
 }
 
 // limit is how many attempts may be in flight. It is proportional to the capacity of the ready endpoints,
@@ -59,7 +61,9 @@
 	return b.limit() > 0 && float64(b.admission.inFlight) >= bindingShare*b.limit()
 }
 
-// tierShare is this instance's part of one attempt in flight in each tier that works on a request.
+// tierShare converts a limit on attempts in flight for each endpoint and tier into this instance's limit for
+// each endpoint. An attempt is in flight while any of the Depth+1 tiers from here down works on it, and all
+// Peers send to the same endpoints.
 func (b *Balancer) tierShare() float64 {
 	return float64(b.settings.Depth+1) / float64(b.settings.Peers)
 }
@@ -111,9 +115,10 @@
 	b.probeForQueued()
 }
 
-// giveUpAt returns when a queued request is given up: when it can hardly meet its aim any more. Where probes
-// decide, late answers earn something and few requests find no slot, the request stays queued, at a lower
-// value, until it can hardly meet its deadline.
+// giveUpAt returns when a queued request is given up: when it can hardly meet its aim any more. If that time
+// has come where probes decide, late answers earn something and few requests find no slot, giveUpAt marks the
+// request as late, once: this lowers its value, but not its place in the queue, and sets a timer. A late
+// request is given up when it can hardly meet its deadline.
 func (b *Balancer) giveUpAt(r *request) Time {
 	expected := r.class.latency.expected(r.work)
 	at := r.aimAt - expected
@@ -131,7 +136,7 @@
 	return at
 }
 
-// sendQueued sends the queued requests that may go now, highest value first.
+// sendQueued sends the queued requests that may go now, in the order of the queue.
 func (b *Balancer) sendQueued() {
 	queue := b.admission.queue
 	b.admission.queue = nil // dispatch may add a retry to it
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -44,10 +44,10 @@
 	started      Time     // start of its process, or the end of its ban
 	listed       Endpoint // as it was listed last
 	inFlight     int
-	payoff       float64 // smoothed: 1 if served within the aim, less when slower, 0 on failure
+	payoff       float64 // smoothed score: 1 if served in fullPayoffLatency, less when slower, 0 on failure
 	payoffAt     Time    // when payoff was last changed
-	cold         int     // -1 while it may be cold, else 0
-	hasOutcome   bool    // an attempt or a probe of it has ended
+	cold         int     // -1 while it may be cold, else 0: orderReady puts cold ones first
+	hasOutcome   bool    // an attempt sent to it has ended, or a probe of it has failed but not by a rejection
 	servedSentAt Time    // when the newest attempt that it has served was sent
 	evidence     evidence
 	absentSince  Time    // when it was reported gone, where that does not bind; else 0
--- a/decide/payoff.go
+++ b/decide/payoff.go
@@ -9,12 +9,12 @@
 // smoothed score of its attempts.
 
 const (
-	minPayoff          = 0.05             // lower bound, so that a bad endpoint is still picked now and then
-	payoffGain         = 0.15             // weight of the newest outcome in the smoothed payoff
-	errorsAlikeGain    = 0.1              // weight of the newest retry after an error in errorsAlike
-	minErrorRetries    = 0.1              // at least this part of the errors is retried
-	driftTime          = 8 * time.Second  // time constant of an idle endpoint's drift to the mean payoff
-	meanAgePerEndpoint = time.Millisecond // the sums may be this old for each ready endpoint
+	minPayoff            = 0.05             // lower bound: a bad endpoint is still picked now and then
+	payoffGain           = 0.15             // weight of the newest outcome in the smoothed payoff
+	errorsAlikeGain      = 0.1              // weight of the newest retry after an error in errorsAlike
+	minErrorRetries      = 0.1              // at least this part of the errors is retried
+	driftTime            = 8 * time.Second  // time constant of an idle endpoint's drift to the mean payoff
+	maxSumAgePerEndpoint = time.Millisecond // see refreshed
 )
 
 // payoff returns an endpoint's payoff. While the endpoint has nothing in flight, its payoff drifts towards
@@ -29,11 +29,13 @@
 	return max(minPayoff, e.payoff)
 }
 
-// refreshed returns the endpoint set with its sums brought up to date. They may be as old as
-// meanAgePerEndpoint for each ready endpoint, which bounds what recomputing costs.
+// refreshed returns the endpoint set with meanPayoff, capacity and weightedCapacity brought up to date. They
+// may be as old as maxSumAgePerEndpoint for each ready endpoint, which bounds what recomputing costs; a
+// meanPayoff of 0 forces it. An endpoint that has reached its full capacity stops counting as cold, and ready
+// is then ordered anew.
 func (b *Balancer) refreshed() *endpointSet {
 	set := &b.endpoints
-	if set.meanPayoff > 0 && b.now-set.refreshedAt < time.Duration(len(set.ready))*meanAgePerEndpoint {
+	if set.meanPayoff > 0 && b.now-set.refreshedAt < time.Duration(len(set.ready))*maxSumAgePerEndpoint {
 		return set
 	}
 	set.meanPayoff, set.capacity, set.weightedCapacity, set.refreshedAt = 1, 0, 0, b.now
@@ -71,7 +73,7 @@
 		b.endpoints.served, b.endpoints.servedAt =
 			b.endpoints.served*decay(b.now-b.endpoints.servedAt, rateTime)+1, b.now
 		a.to.servedSentAt = max(a.to.servedSentAt, a.sentAt)
-		a.to.evidence.recordAnswer(b.now)
+		a.to.evidence.recordServed(b.now)
 		r.class.latency.observe(b.now, r.work, e.Latency, b.limitBinds())
 		if b.probesFirst() { // the endpoint had a free slot: the time is all work, without queueing
 			r.class.latency.covariance, r.class.latency.workVariance = 0, 0
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -211,9 +211,9 @@
 	b.forgetIfDone(r)
 }
 
-// retryAfter returns how long a refused client should wait before it tries again, at random: within the time
-// in which an answer is still useful, or, if that has passed, from half of MaxRetryAfter to all of it. It is
-// 0 where no advice is allowed.
+// retryAfter returns how long a refused client should wait before it tries again: a random part of the time
+// in which an answer is still useful, at most MaxRetryAfter; if that time has passed, a random time from half
+// of MaxRetryAfter to all of it. It is 0 where no advice is allowed.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	l := &b.settings.Limits
 	if !l.RetryAfter {
@@ -249,8 +249,8 @@
 	if len(r.attempts) > 0 {
 		b.hedgeOverdue(r)
 	}
-	late := b.now >= r.deadline-b.settings.Tick || len(r.attempts) == 0 && b.now >= b.giveUpAt(r)
-	if !late || r.unsettled > 0 {
+	expired := b.now >= r.deadline-b.settings.Tick || len(r.attempts) == 0 && b.now >= b.giveUpAt(r)
+	if !expired || r.unsettled > 0 {
 		return
 	}
 	reason := NoTimeLeft
--- a/decide/staleness.go
+++ b/decide/staleness.go
@@ -7,7 +7,7 @@
 )
 
 // A stale list: polls have failed for so long that changes of the list count as delivered though they have
-// not come. By then any endpoint may be gone or draining. Endpoints that have answered without a long gap
+// not come. By then any endpoint may be gone or draining. Endpoints that have served without a long gap
 // since the list was last known to be current have not been away, so new work goes to them alone until the
 // list is current again.
 
@@ -18,18 +18,20 @@
 	// An attempt may begin later than it was decided on, because the process may be delayed.
 	sendMargin = 250 * time.Millisecond
 
-	// An endpoint that has not answered for longer may have been away and listed as gone.
-	maxAnswerGap  = 4 * time.Second
-	maxFailureGap = 1 * time.Second  // the same if a connection to it failed meanwhile
-	maxAcceptAge  = deliveredAfter   // who served a request sent since then can't count as draining
-	answersPerGap = 6                // mean answers within maxAnswerGap that keep an endpoint proven
-	provenTime    = 10 * time.Second // after answering for so long, its return counts as delivered
+	// An endpoint that has served no attempt for longer may have been away and listed as gone.
+	maxServedGap  = 4 * time.Second
+	maxFailureGap = 1 * time.Second // the same if a connection to it failed meanwhile
+	// An endpoint is proven only if it has served an attempt that was sent within this time: then it can't
+	// count as draining yet.
+	maxAcceptAge = deliveredAfter
+	servedPerGap = 6                // mean served attempts in maxServedGap that keep an endpoint proven
+	provenTime   = 10 * time.Second // once it has served for so long, its return counts as delivered
 )
 
-// evidence is what an endpoint's answers show of it while the list may be stale.
+// evidence is what the outcomes of attempts show of an endpoint while the list may be stale.
 type evidence struct {
-	lastAnswer    Time // when it answered last
-	steadySince   Time // since when no gap between answers was long enough for it to have been away
+	lastServed    Time // when it last served an attempt
+	steadySince   Time // since when no gap between served attempts was so long that it may have been away
 	lastFailure   Time // when a connection to it failed last
 	lastRejection Time // when it rejected an attempt last
 }
@@ -44,17 +46,17 @@
 	}
 }
 
-// recordAnswer records that the endpoint has answered. If the gap since its last answer was so long that it
-// may have been away, steadySince starts anew.
-func (v *evidence) recordAnswer(now Time) {
-	gap := maxAnswerGap
-	if v.lastFailure > v.lastAnswer {
+// recordServed records that the endpoint has served an attempt; no other answer counts. If the gap since it
+// last did was so long that it may have been away, steadySince starts anew.
+func (v *evidence) recordServed(now Time) {
+	gap := maxServedGap
+	if v.lastFailure > v.lastServed {
 		gap = maxFailureGap
 	}
-	if v.lastAnswer == 0 || now-v.lastAnswer > gap {
+	if v.lastServed == 0 || now-v.lastServed > gap {
 		v.steadySince = now
 	}
-	v.lastAnswer = now
+	v.lastServed = now
 }
 
 // markListMissed records that changes of the list since a time may have been missed, and when they count as
@@ -74,15 +76,15 @@
 	return set.missedSince > 0 && b.now >= set.deliveredBy+b.settings.Rules.DrainGrace/2
 }
 
-// proven reports whether an endpoint has answered without a long gap since the list was last known to be
+// proven reports whether an endpoint has served without a long gap since the list was last known to be
 // current, or for so long that any earlier change that took it off the list has been reversed.
 func (b *Balancer) proven(e *endpoint) bool {
 	v := &e.evidence
-	if v.lastAnswer <= max(v.lastFailure, v.lastRejection) || b.now-v.lastAnswer > maxAnswerGap ||
+	if v.lastServed <= max(v.lastFailure, v.lastRejection) || b.now-v.lastServed > maxServedGap ||
 		b.now-e.servedSentAt > maxAcceptAge {
 		return false
 	}
-	return v.steadySince <= b.endpoints.missedSince+maxAnswerGap || b.now-v.steadySince >= provenTime
+	return v.steadySince <= b.endpoints.missedSince+maxServedGap || b.now-v.steadySince >= provenTime
 }
 
 // trust says which endpoints may get new work: all, unless the list is stale.
@@ -100,7 +102,7 @@
 }
 
 // trustFor returns which endpoints a request may go to. While the list is stale these are the proven ones; if
-// none is proven, the one that answered last; if none has answered, all. Where probes decide, a stale list
+// none is proven, the one that served last; if none has served, all. Where probes decide, a stale list
 // changes nothing, because most instances see too little traffic to prove any endpoint.
 func (b *Balancer) trustFor(r *request) trust {
 	switch {
@@ -109,17 +111,17 @@
 	case slices.ContainsFunc(b.endpoints.ready, b.proven):
 		return trust{proven: true}
 	}
-	return trust{only: b.lastToAnswer(r)}
+	return trust{only: b.lastToServe(r)}
 }
 
-// lastToAnswer returns the endpoint that answered last, among those that the request has not tried, that may
-// take it and that have not failed since they answered; nil for none.
-func (b *Balancer) lastToAnswer(r *request) *endpoint {
+// lastToServe returns the endpoint that served last, among those that the request has not tried, that may
+// take it and that have neither failed nor rejected an attempt since they served; nil for none.
+func (b *Balancer) lastToServe(r *request) *endpoint {
 	var last *endpoint
 	for _, e := range b.endpoints.ready {
 		v := &e.evidence
-		if v.lastAnswer <= max(v.lastFailure, v.lastRejection) || last != nil &&
-			v.lastAnswer <= last.evidence.lastAnswer {
+		if v.lastServed <= max(v.lastFailure, v.lastRejection) || last != nil &&
+			v.lastServed <= last.evidence.lastServed {
 			continue
 		}
 		if !r.tried(e) && b.mayTake(r, e) && b.hasColdCredit(e) {
@@ -136,7 +138,7 @@
 	if b.endpoints.missedSince == 0 {
 		return b.endpoints.pickWidth
 	}
-	return max(minPickWidth, int(b.servedRate()*maxAnswerGap.Seconds()/answersPerGap))
+	return max(minPickWidth, int(b.servedRate()*maxServedGap.Seconds()/servedPerGap))
 }
 
 // sendBy returns when an attempt must have begun, because its endpoint may count as gone or draining from
--- a/decide/staleness_test.go
+++ b/decide/staleness_test.go
@@ -51,7 +51,7 @@
 	s.event(Event{Kind: ListChanged})
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	missed, id, used := s.now, RequestID(0), map[EndpointID]bool{}
-	for ; s.now < missed+maxAnswerGap; s.after(90 * ms) {
+	for ; s.now < missed+maxServedGap; s.after(90 * ms) {
 		id++
 		used[s.serve(id)] = true
 	}
@@ -100,14 +100,14 @@
 	}{
 		"never used":                              {nil, 0, 0, false},
 		"all the time":                            {steady(90*time.Second, now, time.Second), 0, now, true},
-		"from soon after the start":               {steady(missed+maxAnswerGap, now, time.Second), 0, now, true},
+		"from soon after the start":               {steady(missed+maxServedGap, now, time.Second), 0, now, true},
 		"from later on":                           {steady(now-provenTime+ms, now, time.Second), 0, now, false},
 		"from later on, for long enough":          {steady(now-provenTime, now, time.Second), 0, now, true},
-		"with a gap":                              {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxAnswerGap+ms, now, time.Second)...), 0, now, false},
-		"with a gap that is short enough":         {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxAnswerGap, now, time.Second)...), 0, now, true},
+		"with a gap":                              {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxServedGap+ms, now, time.Second)...), 0, now, false},
+		"with a gap that is short enough":         {append(steady(90*time.Second, 113*time.Second, time.Second), steady(113*time.Second+maxServedGap, now, time.Second)...), 0, now, true},
 		"with a connection that failed":           {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+maxFailureGap+ms, now, time.Second)...), 115*time.Second + ms, now, false},
 		"with one that failed between two others": {append(steady(90*time.Second, 115*time.Second, time.Second), steady(115*time.Second+maxFailureGap, now, time.Second)...), 115*time.Second + ms, now, true},
-		"not lately":                              {steady(90*time.Second, now-maxAnswerGap-ms, time.Second), 0, now, false},
+		"not lately":                              {steady(90*time.Second, now-maxServedGap-ms, time.Second), 0, now, false},
 		"with answers to old requests alone":      {steady(90*time.Second, now, time.Second), 0, now - maxAcceptAge - ms, false},
 	} {
 		b, err := New(pollingSettings(), 1)
@@ -119,7 +119,7 @@
 			if c.failed > 0 && at > c.failed {
 				e.evidence.lastFailure = c.failed
 			}
-			e.evidence.recordAnswer(at)
+			e.evidence.recordServed(at)
 		}
 		b.now, b.endpoints.missedSince = now, missed
 		if got := b.proven(e); got != c.want {
@@ -179,8 +179,8 @@
 	}
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	use(deliveredAfter + s.b.settings.Rules.DrainGrace/2)
-	want := int(time.Second/each) * int(maxAnswerGap/time.Second) / answersPerGap
-	if n := use(maxAnswerGap); n < want*9/10 || n > want {
+	want := int(time.Second/each) * int(maxServedGap/time.Second) / servedPerGap
+	if n := use(maxServedGap); n < want*9/10 || n > want {
 		t.Errorf("%d endpoints are used once the list is stale, want about %d", n, want)
 	}
 }
@@ -224,8 +224,8 @@
 	s := start(t, pollingSettings(), listed(3)...)
 	s.event(Event{Kind: ListChanged})
 	latest := func(id RequestID) EndpointID {
-		s.b.endpoints.byID[1].evidence.lastAnswer = s.now - 3*time.Minute
-		s.b.endpoints.byID[2].evidence.lastAnswer = s.now - 2*time.Minute
+		s.b.endpoints.byID[1].evidence.lastServed = s.now - 3*time.Minute
+		s.b.endpoints.byID[2].evidence.lastServed = s.now - 2*time.Minute
 		return s.sendOne(id).Endpoint
 	}
 	s.after(10 * time.Minute)
@@ -260,7 +260,7 @@
 	s.event(Event{Kind: ListMissed, Since: s.now})
 	s.after(time.Minute).tick()
 	e := s.b.endpoints.byID[1]
-	e.servedSentAt, e.evidence = s.now, evidence{lastAnswer: s.now, steadySince: s.now - time.Minute}
+	e.servedSentAt, e.evidence = s.now, evidence{lastServed: s.now, steadySince: s.now - time.Minute}
 	if trusted := s.b.trustFor(nil); !s.b.proven(e) || !s.b.listStale() || trusted != (trust{}) {
 		t.Errorf("proven %v, stale %v, new work may go to %+v; want all endpoints", s.b.proven(e), s.b.listStale(), trusted)
 	}
@@ -348,7 +348,7 @@
 			balancer.now = now
 			for n := range c.proven {
 				e := balancer.endpoints.ready[count-1-n]
-				e.servedSentAt, e.evidence = now, evidence{lastAnswer: now, steadySince: now - 30*time.Second}
+				e.servedSentAt, e.evidence = now, evidence{lastServed: now, steadySince: now - 30*time.Second}
 			}
 			r := &request{}
 			for b.Loop() {
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -77,10 +77,12 @@
 }
 
 // timerTolerance is how much too early the external timer may come, because clocks are coarser than the
-// heap's times. If such an early event were taken for one of an older timer, no timer would be left.
+// heap's times. An event that comes so shortly before the external timer is due is taken for that timer:
+// otherwise arm would go on counting on a timer that has come already, and set no new one.
 const timerTolerance = time.Microsecond
 
-// arm appends a SetTimer if the earliest timer is due before the external timer that is set.
+// arm appends a SetTimer for the earliest timer, unless an external timer is set that is due no later. An
+// external timer whose time has come counts as no longer set.
 func (q *timerQueue) arm(now Time, actions []Action) []Action {
 	if q.armed > 0 && q.armed <= now+timerTolerance {
 		q.armed = 0
--- a/simwire/codec.go
+++ b/simwire/codec.go
@@ -21,7 +21,7 @@
 // hintBit marks that the cost hint of a request is valid.
 const hintBit = 1
 
-// row holds the values of one message after its name.
+// row holds the values of one message after its name, or of one line of a list.
 type row struct {
 	name   string
 	values []*fastjson.Value
--- a/simwire/host.go
+++ b/simwire/host.go
@@ -156,7 +156,7 @@
 func (h *Host) message(now decide.Time, v *fastjson.Value) error {
 	values, err := v.Array()
 	if err != nil || len(values) == 0 {
-		return fmt.Errorf("a message is an array that begins with its name, not %s", v.Type())
+		return fmt.Errorf("a message is a non-empty array that begins with its name; this one is of type %s", v.Type())
 	}
 	kind, err := values[0].StringBytes()
 	if err != nil {
@@ -189,8 +189,8 @@
 	if inst == nil {
 		return fmt.Errorf("no such instance is running")
 	}
-	known, err := h.decode(row, &inst.report)
-	if err != nil || !known {
+	deliver, err := h.decode(row, &inst.report)
+	if err != nil || !deliver {
 		return err
 	}
 	return h.step(now, inst)
