--- a/internal/httpwire/answer.go
+++ b/internal/httpwire/answer.go
@@ -39,7 +39,7 @@
 	RetryAfter time.Duration // how long a refused caller should wait before a retry; 0 for no advice
 	Reason     string        // what is wrong with a malformed request
 	CloseAfter bool          // the caller's connection is closed after it
-	MayHaveRun bool          // the request may have run at an endpoint
+	MayHaveRun bool          // the request may have run at an endpoint; meaningful only if it has a claim on its key
 	Reserved   int           // bytes reserved in the memory budget, to be released once the answer is written
 	Stream     *AnswerStream // the rest of a long body, of which Body is the beginning; nil if Body is complete
 }
@@ -318,8 +318,8 @@
 	return n, err
 }
 
-// chunkedBody is a body in chunks, with the trailer, which is skipped. A read that fails changes nothing: another
-// process can continue from remaining and lineEndPending.
+// chunkedBody is a body in chunks, with the trailer, which is skipped. Until the last chunk, remaining and
+// lineEndPending say where the next read continues, in this process or another one, also after a read that failed.
 type chunkedBody struct {
 	r              *bufio.Reader
 	remaining      int  // bytes of the current chunk that have not come
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -130,9 +130,11 @@
 	makeRoomInterval = 50 * time.Millisecond  // between searches for connections that can be closed
 	minIdleTime      = 200 * time.Millisecond // a connection must have been idle for that long before it may be closed
 	crowdDivisor     = 2                      // at most 1/2 of the limit is closed at once while others wait in the backlog
-	incompleteTime   = time.Second            // while connections are scarce, a request must have come completely within that time
-	backlogPoll      = 20 * time.Millisecond  // how long a closing listener waits for each further connection in the backlog
-	backlogTimeout   = 100 * time.Millisecond // upper bound for all of them: new callers may keep coming
+	// A request must have come completely within that time while connections are scarce, or if it began to come just as
+	// its idle connection was being closed.
+	incompleteTime = time.Second
+	backlogPoll    = 20 * time.Millisecond  // how long a closing listener waits for each further connection in the backlog
+	backlogTimeout = 100 * time.Millisecond // upper bound for all of them: new callers may keep coming
 )
 
 // Accept waits for the next connection. It fails only when the listener is closed: on any other error the server would
@@ -212,7 +214,8 @@
 	return waits && err == nil
 }
 
-// makeRoom closes connections until there are no more than the soft limit.
+// makeRoom closes connections beyond the soft limit where it can, and runs again every makeRoomInterval while there are
+// too many.
 func (l *Callers) makeRoom() {
 	all := l.all()
 	l.mu.Lock()
@@ -347,9 +350,9 @@
 	pipelinedBytes int           // number of bytes that came after the current request, kept or not
 	peerEnded      bool          // the caller has closed it, it failed, or it floods: no answer can be lost by closing it
 	watchDone      chan struct{} // closed when the watch has ended; nil without a watch
-	closed         bool
-	closedAt       time.Time
-	lingerStopped  bool // lingering was ended early
+	closed         bool          // Close was called; the connection may still linger
+	closedAt       time.Time     // when Close was called first
+	lingerStopped  bool          // lingering was ended early
 
 	descriptor   syscall.RawConn // set with its first pending request; nil if the connection has no descriptor
 	disconnected atomic.Bool     // its caller was seen to have disconnected
@@ -532,7 +535,7 @@
 	}
 }
 
-// readReason returns the reason for a failed read; c.mu is held.
+// readReason returns the reason with which the connection ends after a failed read; c.mu is held.
 func (c *CallerConn) readReason(err error) Reason {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) && c.busy:
@@ -545,7 +548,8 @@
 	return ReasonPeerReset
 }
 
-// Write implements net.Conn for the server. A caller may read slowly, but must accept some bytes within pieceStall.
+// Write implements net.Conn for the server. A caller may read slowly, but must accept all of b within pieceStall. Once
+// the connection is detached, bytes that are not yet written are recorded in unsent instead.
 func (c *CallerConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.detached {
@@ -797,7 +801,8 @@
 	return true
 }
 
-// hungUp asks the kernel for that. Unread bytes don't hide a disconnect from POLLRDHUP, as they do from a read.
+// hungUp asks the kernel whether the caller has closed or reset the connection. Unread bytes don't hide that from
+// POLLRDHUP, as they do from a read.
 func (c *CallerConn) hungUp() bool {
 	if reporter, ok := c.Conn.(interface{ HungUp() bool }); ok { // simulated connections know it themselves
 		return reporter.HungUp()
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -40,7 +40,7 @@
 	readTimeout = 2500 * time.Millisecond
 	idleTimeout = 15 * time.Second // callers reuse connections; those that they have forgotten are closed in the end
 
-	spareWorkers = 256 // more than there can be connections of callers: fasthttp must never refuse a connection itself
+	spareWorkers = 256 // part of the server's Concurrency, see newServer
 )
 
 // Sidecar is a running sidecar.
@@ -59,7 +59,7 @@
 	engineDone chan struct{} // closed when the engine has stopped
 	serverErr  chan error    // the error with which the server ended
 
-	stayTime time.Duration // how long a sidecar serves as before after the signal to stop
+	stayTime time.Duration // how long the sidecar goes on serving as before once the signal to stop has come
 }
 
 // Decider creates the decision module of a sidecar.
@@ -163,8 +163,9 @@
 	return s, nil
 }
 
-// newServer returns the HTTP server for callers. The server must have no limits of its own: an answer 429 or 503 of its
-// making would be a refusal that the decision module has not decided.
+// newServer returns the HTTP server for callers. Callers limits their connections. Concurrency is far above that limit,
+// since a worker ends a little later than its connection: the server must never run out of workers and answer 503 by
+// itself, which would be a refusal that the decision module has not decided.
 func newServer(engine *pipeline.Engine, conf *config.Config) *fasthttp.Server {
 	return &fasthttp.Server{
 		Handler:                      engine.Handle,
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// divideLimits limits this process to its part of the limits.
+// divideLimits sets the limits of this process to the configured ones divided by shares.
 func (s *Sidecar) divideLimits(shares int) {
 	s.callers.SetLimit(s.conf.CallerConns / shares)
 	s.engine.SetConnShare(shares)
@@ -147,14 +147,15 @@
 	listener net.Listener
 }
 
-// StopAccepting stops accepting. Requests on open connections are served, and each answer closes its connection.
+// StopAccepting stops accepting. Requests on open connections are served, each answer closes its connection, and this
+// process keeps to its part of the limits from now on. It also returns free memory to the system.
 func (s successorHandler) StopAccepting() {
 	s.upgrade.replaced.Store(true)
 	s.callers.Pause()
 	s.engine.Drain(true)
 	s.divideLimits(upgradeProcesses)
 	s.log.Info().Msg("a successor serves")
-	go debug.FreeOSMemory()
+	go debug.FreeOSMemory() // in a goroutine, because it runs a whole garbage collection
 }
 
 // PeerEnded resumes accepting if the successor has ended and this process is not stopping.
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -59,8 +59,8 @@
 type discoveryMoved struct{ address string }
 
 // handle ends the running watch and fetches the full list from the new discovery, since each discovery numbers its versions
-// itself. Until that list arrives, requests and the balancer use the present one. In a large fleet the first call comes after a
-// random delay, because all its sidecars move at once.
+// itself. Until that list arrives, requests and the balancer use the present one. In a large fleet that polls, the first call
+// comes after a random delay, because all its sidecars move at once.
 func (m discoveryMoved) handle(e *Engine) {
 	if m.address == e.watch.address {
 		return
@@ -71,7 +71,7 @@
 	e.backoff = 0 // it counts the failures of the former discovery
 	e.watch = newWatch(m.address, e.watch.times)
 	spread := decide.MoveSpread(e.conf.Settings.Peers)
-	if spread == 0 || !e.conf.Settings.MustPoll { // where lists are pushed, a change counts as delivered 4 s after a reload
+	if spread == 0 || !e.conf.Settings.MustPoll { // no delay where peers are too few to overrun discovery, or where lists are pushed
 		e.startWatch()
 		return
 	}
@@ -127,7 +127,8 @@
 	return &merged
 }
 
-// startWatch starts a watch unless one is running.
+// startWatch starts the goroutine of the present watch, unless that is running. An older watch of the same discovery may run
+// beside it.
 func (e *Engine) startWatch() {
 	if e.watch.running {
 		return
@@ -137,8 +138,10 @@
 	e.env.Go("discovery", func() { e.runWatch(w) })
 }
 
-// runWatch makes watch calls until one fails or the watch is ended. A call that broke or timed out is followed at once by check
-// calls, which ask for what it missed: that counts as delivered soon, whether or not it is received.
+// runWatch makes calls to discovery until the watch is ended or calls fail for good: fetches while no list is known, then watch
+// calls. A call that broke or timed out is followed by up to maxChecks further ones, each after a random pause of at most
+// checkSpread: fetches while no list is known, else check calls. They ask at once for what was missed, because that counts as
+// delivered soon, whether or not it is received.
 func (e *Engine) runWatch(w *watch) {
 	var missedSince time.Time // changes that discovery has had since then have not been received
 	for checks := 0; ; {
@@ -176,7 +179,7 @@
 				checks++ // an answer that stopped halfway has taken the time of one check call
 				missedSince = e.env.Now().Add(-w.times.body)
 			case timedOut && !known && w.times.hedge > 0:
-				checks = maxChecks // a hedged fetch is in progress
+				checks = maxChecks // no further call here: another fetch was sent beside this one after times.hedge
 			}
 			if checks++; reachable && answerLost(err) && checks <= maxChecks && w.pause(e.env, e.env.RandomDuration(checkSpread)) {
 				continue
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -120,7 +120,7 @@
 	return e
 }
 
-// Run owns the balancer until the context ends.
+// Run is the owner: it handles events, timeouts and the module's timer until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	defer close(e.stopped)
 	e.sweepAt = e.clock.Now() + sweepInterval
--- a/internal/pipeline/handover_test.go
+++ b/internal/pipeline/handover_test.go
@@ -57,13 +57,13 @@
 		banned    int
 	}{
 		"the same discovery": {
-			Handover{List: list, From: "here", Of: []string{"look"}, Seen: []uint64{1}, Banned: []string{"theirs"}},
+			Handover{List: list, From: "here", Classes: []string{"look"}, Seen: []uint64{1}, Banned: []string{"theirs"}},
 			"after=40&wait_ms=100", []string{"both", "theirs"}, true, 1},
 		"another discovery": {
-			Handover{List: list, From: "127.0.0.1:9", Of: []string{"look"}, Banned: []string{"both"}},
+			Handover{List: list, From: "127.0.0.1:9", Classes: []string{"look"}, Banned: []string{"both"}},
 			"", []string{"both", "own"}, true, 1},
 		"other classes": {
-			Handover{List: list, From: "127.0.0.1:9", Of: []string{"pay", "burn"}, Banned: []string{"both"}},
+			Handover{List: list, From: "127.0.0.1:9", Classes: []string{"pay", "burn"}, Banned: []string{"both"}},
 			"after=5&wait_ms=100", []string{"both", "own"}, false, 0},
 		"an older build": {
 			Handover{List: list}, "", []string{"both", "theirs"}, true, 0},
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -93,13 +93,13 @@
 
 // listStaleness measures for how long discovery may have had changes that were not received.
 type listStaleness struct {
-	since       decide.Time // 0 if the newest call was answered
+	since       decide.Time // 0 while the list is current
 	deliveredBy decide.Time // when those changes count as delivered
 	logged      bool        // that the list is stale has been logged
 }
 
 // markListStale records that changes which discovery has had since a time may not have been received, and when they count as
-// delivered. The record stays until a call is answered.
+// delivered. The record stays until markListCurrent.
 func (e *Engine) markListStale(since, deliveredBy decide.Time) {
 	if e.staleness.since == 0 {
 		e.staleness = listStaleness{since: since, deliveredBy: deliveredBy}
@@ -108,7 +108,8 @@
 	e.updateStaleness()
 }
 
-// markListCurrent records that a call was answered with every change that discovery had.
+// markListCurrent records that the list has every change that discovery had: a call was answered, or one has waited for so long
+// that discovery would have answered it with a change.
 func (e *Engine) markListCurrent() {
 	if e.staleness.logged {
 		e.log.Info().Int64("version", e.listVersion).Int64("stale_ms", (e.clock.Now() - e.staleness.deliveredBy).Milliseconds()).
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -85,14 +85,14 @@
 	c.done <- err
 }
 
-// Handover is the state that a process hands over to its successor, as JSON under these field names.
+// Handover is the state that a process hands over to its successor, as JSON under these field names; Classes is called Of there.
 type Handover struct {
-	List   httpwire.List // the list as last known
-	From   string        // address of the discovery that sent the list: each discovery numbers its versions itself
-	Of     []string      // the classes of the predecessor's settings
-	Seen   []uint64      // hashes of names that have been listed
-	Banned []string      // endpoints banned by hand
-	Lifted []string      // endpoints whose bans have ended recently: they may still be cold
+	List    httpwire.List // the list as last known
+	From    string        // address of the discovery that sent the list: each discovery numbers its versions itself
+	Classes []string      `json:"Of"` // the classes of the predecessor's settings
+	Seen    []uint64      // hashes of names that have been listed
+	Banned  []string      // endpoints banned by hand
+	Lifted  []string      // endpoints whose bans have ended recently: they may still be cold
 }
 
 // ExportHandover returns the state for a successor as JSON.
@@ -122,7 +122,7 @@
 	})
 	r.reply <- Handover{
 		List: httpwire.List{Index: e.listVersion, Whole: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
-		From: e.watch.address, Of: e.conf.ClassNames(),
+		From: e.watch.address, Classes: e.conf.ClassNames(),
 		Lifted: endpoints.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
 	}
 }
@@ -135,15 +135,16 @@
 	}
 	// Guards against a list, bans and a version that belong to another customer, whose sidecar had the same name and address
 	// before.
-	if e.conf.IsForeign(handover.Of) {
-		e.log.Warn().Strs("its_classes", handover.Of).Msg("the predecessor served other classes, nothing that it knew is taken over")
+	if e.conf.IsForeign(handover.Classes) {
+		e.log.Warn().Strs("its_classes", handover.Classes).Msg("the predecessor served other classes, nothing that it knew is taken over")
 		return nil
 	}
 	e.handover = &handover
 	return nil
 }
 
-// applyHandover applies a predecessor's bans, and the names that it knows to have been listed.
+// applyHandover applies a predecessor's bans, the recent ends of bans, and the names that it knows to have been listed. A ban that
+// ended recently is set and ended again: the module then counts the endpoint as just restarted.
 func (e *Engine) applyHandover(handover *Handover) {
 	for _, hash := range handover.Seen {
 		e.endpoints.MarkSeenHash(hash)
@@ -166,10 +167,11 @@
 	}
 }
 
-// SetConnShare limits the connections to endpoints to one of so many parts of the usual limit, while two processes share it.
+// SetConnShare limits the connections to endpoints to the usual limit divided by parts, while the processes of an upgrade share
+// that limit.
 func (e *Engine) SetConnShare(parts int) { e.post(connShare{parts}) }
 
-// connShare is the event that limits the connections to endpoints to one of so many parts.
+// connShare is the event that divides the usual limit on connections to endpoints by parts.
 type connShare struct{ parts int }
 
 func (s connShare) handle(e *Engine) { e.pool.SetLimit(e.conf.EndpointConns / s.parts) }
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -25,7 +25,7 @@
 	if answer.Stream == nil { // a streamed answer is counted when the stream ends
 		e.metrics.Count(r.Message.Class, endOfVerdict[answer.Verdict])
 	}
-	if r.MayWrite != nil { // what becomes of the claim on its key depends on this
+	if r.MayWrite != nil { // it has a claim on its key, and Claim.Finish needs to know whether it may have run
 		answer.MayHaveRun = answer.Verdict == httpwire.Served || mayHaveRun(r)
 	}
 	r.Answer <- answer
@@ -94,7 +94,7 @@
 	case s.end == httpwire.AnswerBrokenOff:
 		endReason, counted = httpwire.ReasonBroken, metrics.Failed
 	case s.end == httpwire.AnswerHandedOver:
-		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // the process that resumes it counts how it ends
+		endReason, counted = httpwire.ReasonHandedOver, metrics.CallerLeft // counted here like a caller that left; the process that resumes it counts how it ends
 	case s.end == httpwire.AnswerCallerGone:
 		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
 	case s.reply.Close:
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -16,7 +16,7 @@
 type Endpoint struct {
 	httpwire.ListedEndpoint
 	ID     decide.EndpointID
-	Listed bool
+	Listed bool       // it is in the registry: listed, or reported gone but still usable
 	idle   []idleLink // ordered by when they became idle; the most recent is last
 
 	closedFrom atomic.Int64 // module time from which no new request may be written to it; 0 for no such time
@@ -161,8 +161,9 @@
 	}
 }
 
-// add registers a name. Its id is the same in every sidecar unless the ids of two names collide: balancers order endpoints by
-// id, each from another starting point.
+// add registers a name. A banned name gets the id that its ban keeps. Others get the hash of the name, so that an id is the same
+// in every sidecar unless two collide: balancers order endpoints by id and begin at different places of that order, so that
+// they pick the same endpoint less often.
 func (t *Endpoints) add(name string) *Endpoint {
 	id, banned := t.banned[name]
 	if !banned {
--- a/internal/state/pool.go
+++ b/internal/state/pool.go
@@ -28,7 +28,7 @@
 	open        int
 	idleTimeout decide.Time            // idle connections are closed after this time
 	withIdle    map[*Endpoint]struct{} // endpoints that have idle connections
-	onEnd       func(e *Endpoint, l *httpwire.Link, why httpwire.Reason)
+	onEnd       func(e *Endpoint, l *httpwire.Link, reason httpwire.Reason)
 }
 
 // NewPool returns an empty pool for at most limit connections. onEnd is called for each connection that ends.
@@ -73,7 +73,7 @@
 	return nil, true
 }
 
-// Put returns a connection that may carry another exchange. It is closed if its endpoint has left the list.
+// Put puts a connection back that may carry another exchange. It is closed if its endpoint has left the registry.
 func (p *Pool) Put(e *Endpoint, l *httpwire.Link, now decide.Time) {
 	if !e.Listed {
 		p.Drop(e, l, httpwire.ReasonUnlisted)
@@ -83,7 +83,7 @@
 	p.withIdle[e] = struct{}{}
 }
 
-// Drop closes a connection that was taken. The link is nil if the dial failed.
+// Drop closes a connection that is not, or no longer, among the idle ones. The link is nil if the dial failed.
 func (p *Pool) Drop(e *Endpoint, l *httpwire.Link, reason httpwire.Reason) {
 	if l != nil {
 		l.Close()
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -105,8 +105,8 @@
 	return a, b, nil
 }
 
-// SocketPath returns the path of the Unix socket on which the processes of a sidecar meet, in a directory that they
-// share.
+// SocketPath returns the path of the Unix socket through which a successor connects to its predecessor, in a directory
+// that they share.
 func SocketPath(dir, name, listen string) string {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + listen))
@@ -135,7 +135,7 @@
 	mu      sync.Mutex
 	out     *json.Encoder
 	seq     int
-	waiting map[int]chan struct{} // closed by Applied messages, by Seq
+	waiting map[int]chan struct{} // by the Seq of a Ban: closed when its Applied message comes
 	stopped chan struct{}         // closed when the predecessor has stopped accepting
 	ended   chan struct{}         // closed when the other process has ended
 }
@@ -251,14 +251,14 @@
 
 // Run handles the messages of the other process until that ends.
 func (p *Peer) Run(h Handler) {
-	stopped := false
+	yielded := false
 	for {
 		var m message
 		if err := p.in.Decode(&m); err != nil {
 			p.conn.Close()
 			p.reader.closeUnclaimed()
 			close(p.ended)
-			h.PeerEnded(stopped)
+			h.PeerEnded(yielded)
 			return
 		}
 		switch {
@@ -269,8 +269,8 @@
 			if caller, endpoint, err := p.reader.takeConns(); err == nil {
 				h.ResumeAnswer(m.Answer, caller, endpoint)
 			}
-		case m.StopAccepting && !stopped:
-			stopped = true
+		case m.StopAccepting && !yielded:
+			yielded = true
 			h.StopAccepting()
 			p.send(message{Stopped: true})
 		case m.Stopped:
@@ -386,8 +386,8 @@
 	busy     bool
 }
 
-// AcceptSuccessor waits for successors at path, one at a time; a file at path is replaced. onSuccessor is called for
-// each one and returns the state to send and the handler of its messages.
+// AcceptSuccessor starts to accept successors at path, one at a time, and returns; a file at path is replaced.
+// onSuccessor is called for each one and returns the state to send and the handler of its messages.
 func AcceptSuccessor(path string, listener syscall.Conn, onSuccessor func(*Peer) (state []byte, h Handler, err error)) (*SuccessorListener, error) {
 	// The socket is created under another name and renamed: at every moment a successor finds a socket at path.
 	temporary := path + ".new"
