--- a/decide/membership.go
+++ b/decide/membership.go
@@ -47,7 +47,7 @@
 	payoff       float64 // smoothed score: 1 if served in fullPayoffLatency, less when slower, 0 on failure
 	payoffAt     Time    // when payoff was last changed
 	cold         int     // -1 while it may be cold, else 0: orderReady puts cold ones first
-	hasOutcome   bool    // an attempt sent to it has ended, or a probe of it has failed but not by a rejection
+	hasOutcome   bool    // an attempt sent to it has ended, or a probe failed other than by a rejection
 	servedSentAt Time    // when the newest attempt that it has served was sent
 	evidence     evidence
 	absentSince  Time    // when it was reported gone, where that does not bind; else 0
