--- a/internal/lab/consistency/consistency.go
+++ b/internal/lab/consistency/consistency.go
@@ -57,145 +57,145 @@
 	LostVersion = "lost"        // a version that was told is not there any more
 )
 
-const mostBreaks = 50
+const maxViolations = 50
 
-// closely is how far apart two words may be that leave no time for another stance between them: under half of the shortest
+// maxReportGap is how far apart two words may be that leave no time for another stance between them: under half of the shortest
 // lease that a rig plays.
-const closely = 200 * time.Millisecond
+const maxReportGap = 200 * time.Millisecond
 
 // Checker is the account of a run.
 type Checker struct {
-	conf     Conf
-	forbids  map[uint64]Forbidden
-	said     map[string][]StatusReport
-	names    []string
-	acts     []Action
-	leaders  map[uint64]string
-	told     []uint64
-	breaks   []Violation
-	starts   map[string][]time.Duration // of a process: what it said before counts no more
-	recorded int
+	conf          Conf
+	forbidden     map[uint64]Forbidden
+	reports       map[string][]StatusReport
+	processes     []string
+	actions       []Action
+	leaders       map[uint64]string
+	agreed        []uint64
+	violations    []Violation
+	starts        map[string][]time.Duration // of a process: what it said before counts no more
+	numViolations int
 }
 
 // New returns an empty book.
 func New(conf Conf) *Checker {
-	return &Checker{conf: conf, forbids: map[uint64]Forbidden{}, said: map[string][]StatusReport{}, leaders: map[uint64]string{},
+	return &Checker{conf: conf, forbidden: map[uint64]Forbidden{}, reports: map[string][]StatusReport{}, leaders: map[uint64]string{},
 		starts: map[string][]time.Duration{}}
 }
 
 // RecordVersion books what a version forbids. RecordVersion 0 forbids nothing.
-func (b *Checker) RecordVersion(number uint64, f Forbidden) { b.forbids[number] = f }
+func (c *Checker) RecordVersion(number uint64, f Forbidden) { c.forbidden[number] = f }
 
 // RecordAgreed books that somebody was told that a version is agreed on.
-func (b *Checker) RecordAgreed(number uint64) { b.told = append(b.told, number) }
+func (c *Checker) RecordAgreed(number uint64) { c.agreed = append(c.agreed, number) }
 
 // RecordStart books a start of a process.
-func (b *Checker) RecordStart(at time.Duration, name string) {
-	b.starts[name] = append(b.starts[name], at)
+func (c *Checker) RecordStart(at time.Duration, process string) {
+	c.starts[process] = append(c.starts[process], at)
 }
 
 // RecordStatus books what a process said.
-func (b *Checker) RecordStatus(name string, s StatusReport) {
-	if _, known := b.said[name]; !known {
-		b.names = append(b.names, name)
+func (c *Checker) RecordStatus(process string, s StatusReport) {
+	if _, known := c.reports[process]; !known {
+		c.processes = append(c.processes, process)
 	}
-	said := b.said[name]
+	reports := c.reports[process]
 	s.AnsweredAt = max(s.AnsweredAt, s.At)
-	if n := len(said); n > 0 && s.Active < said[n-1].Active && !b.startedBetween(name, said[n-1].At, s.At) {
-		b.broken(GoesBack, s.At, "%s acts on version %d after version %d", name, s.Active, said[n-1].Active)
+	if n := len(reports); n > 0 && s.Active < reports[n-1].Active && !c.startedBetween(process, reports[n-1].At, s.At) {
+		c.recordViolation(GoesBack, s.At, "%s acts on version %d after version %d", process, s.Active, reports[n-1].Active)
 	}
-	b.said[name] = append(said, s)
+	c.reports[process] = append(reports, s)
 }
 
-func (b *Checker) startedBetween(name string, from, to time.Duration) bool {
-	return slices.ContainsFunc(b.starts[name], func(at time.Duration) bool { return at >= from && at <= to })
+func (c *Checker) startedBetween(process string, from, to time.Duration) bool {
+	return slices.ContainsFunc(c.starts[process], func(at time.Duration) bool { return at >= from && at <= to })
 }
 
 // RecordAction books an act.
-func (b *Checker) RecordAction(a Action) { b.acts = append(b.acts, a) }
+func (c *Checker) RecordAction(a Action) { c.actions = append(c.actions, a) }
 
 // RecordLeader books that a process is said to lead in a term.
-func (b *Checker) RecordLeader(at time.Duration, term uint64, name string) {
-	if name == "" || term == 0 {
+func (c *Checker) RecordLeader(at time.Duration, term uint64, process string) {
+	if process == "" || term == 0 {
 		return
 	}
-	if other := b.leaders[term]; other != "" && other != name {
-		b.broken(TwoLeaders, at, "%s and %s lead in term %d", other, name, term)
+	if other := c.leaders[term]; other != "" && other != process {
+		c.recordViolation(TwoLeaders, at, "%s and %s lead in term %d", other, process, term)
 	}
-	b.leaders[term] = name
+	c.leaders[term] = process
 }
 
-func (b *Checker) broken(rule string, at time.Duration, format string, args ...any) {
-	if b.recorded++; len(b.breaks) < mostBreaks {
-		b.breaks = append(b.breaks, Violation{rule, at, fmt.Sprintf(format, args...)})
+func (c *Checker) recordViolation(rule string, at time.Duration, format string, args ...any) {
+	if c.numViolations++; len(c.violations) < maxViolations {
+		c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-// forbidden tells whether a version that a process vouches for forbids an act.
-func (b *Checker) forbidden(s *StatusReport, a *Action) bool {
+// forbiddenInEffect tells whether a version that a process vouches for forbids an act.
+func (c *Checker) forbiddenInEffect(s *StatusReport, a *Action) bool {
 	if s.Cautious {
 		return false // it vouches for nothing: it only does less itself
 	}
-	return b.forbids[s.Active].hold(a) || b.forbids[s.Next].hold(a)
+	return c.forbidden[s.Active].forbids(a) || c.forbidden[s.Next].forbids(a)
 }
 
-func (f Forbidden) hold(a *Action) bool {
+func (f Forbidden) forbids(a *Action) bool {
 	return a.Resend && f.Resend || !a.Resend && slices.Contains(f.Banned, a.Endpoint)
 }
 
-// barred tells whether a process, by its own word, must not do an act: cautious, it sends nothing again, and keeps the bans
+// forbiddenToItself tells whether a process, by its own word, must not do an act: cautious, it sends nothing again, and keeps the bans
 // that it has heard of.
-func (b *Checker) barred(s *StatusReport, a *Action) bool {
+func (c *Checker) forbiddenToItself(s *StatusReport, a *Action) bool {
 	if s.Cautious {
-		return a.Resend || b.forbids[s.Active].hold(a)
+		return a.Resend || c.forbidden[s.Active].forbids(a)
 	}
-	return b.forbidden(s, a)
+	return c.forbiddenInEffect(s, a)
 }
 
-// since tells from when on what a process says has met a condition that it still meets past a time: its first word of an
+// heldSince tells from when on what a process says has met a condition that it still meets past a time: its first word of an
 // unbroken stretch. ok is false when it did not meet it then.
-func (b *Checker) since(name string, at time.Duration, meets func(s *StatusReport) bool) (from time.Duration, ok bool) {
-	said := b.said[name]
-	next, _ := slices.BinarySearchFunc(said, at, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
-	if next == len(said) || next == 0 || !meets(&said[next]) || !meets(&said[next-1]) ||
-		b.startedBetween(name, said[next-1].At, said[next].At) {
+func (c *Checker) heldSince(process string, at time.Duration, holds func(s *StatusReport) bool) (from time.Duration, ok bool) {
+	reports := c.reports[process]
+	next, _ := slices.BinarySearchFunc(reports, at, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
+	if next == len(reports) || next == 0 || !holds(&reports[next]) || !holds(&reports[next-1]) ||
+		c.startedBetween(process, reports[next-1].At, reports[next].At) {
 		return 0, false
 	}
 	i := next - 1
-	for i > 0 && meets(&said[i-1]) && !b.startedBetween(name, said[i-1].At, said[i].At) {
+	for i > 0 && holds(&reports[i-1]) && !c.startedBetween(process, reports[i-1].At, reports[i].At) {
 		i--
 	}
-	return said[i].AnsweredAt, said[i].AnsweredAt <= at
+	return reports[i].AnsweredAt, reports[i].AnsweredAt <= at
 }
 
 // allowedFrom tells from when on the process of an act allowed it for sure, by its own word: its first such word of the
 // stretch in which it acted, and the act itself where that stretch shows only after it. It is 0 where neither the word
 // before the act nor the one after it allows it.
-func (b *Checker) allowedFrom(a *Action) time.Duration {
-	said := b.said[a.Process]
-	i, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
-	if i == len(said) || b.barred(&said[i], a) {
+func (c *Checker) allowedFrom(a *Action) time.Duration {
+	reports := c.reports[a.Process]
+	i, _ := slices.BinarySearchFunc(reports, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
+	if i == len(reports) || c.forbiddenToItself(&reports[i], a) {
 		i-- // a lease may have ended in between
 	}
-	if i < 0 || b.barred(&said[i], a) {
+	if i < 0 || c.forbiddenToItself(&reports[i], a) {
 		return 0
 	}
-	for i > 0 && !b.barred(&said[i-1], a) && !b.startedBetween(a.Process, said[i-1].At, said[i].At) {
+	for i > 0 && !c.forbiddenToItself(&reports[i-1], a) && !c.startedBetween(a.Process, reports[i-1].At, reports[i].At) {
 		i--
 	}
-	return min(said[i].AnsweredAt, a.At)
+	return min(reports[i].AnsweredAt, a.At)
 }
 
-// settled tells whether a process said the same before an act and after it, in words that follow each other closely: else
+// sameStatusAround tells whether a process said the same before an act and after it, in words that follow each other closely: else
 // it may have been allowed in between.
-func (b *Checker) settled(a *Action) bool {
-	said := b.said[a.Process]
-	i, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
-	if i == 0 || i == len(said) {
+func (c *Checker) sameStatusAround(a *Action) bool {
+	reports := c.reports[a.Process]
+	i, _ := slices.BinarySearchFunc(reports, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
+	if i == 0 || i == len(reports) {
 		return false
 	}
-	x, y := said[i-1], said[i]
-	return x.Cautious == y.Cautious && x.Active == y.Active && x.Next == y.Next && y.At-x.AnsweredAt <= closely
+	x, y := reports[i-1], reports[i]
+	return x.Cautious == y.Cautious && x.Active == y.Active && x.Next == y.Next && y.At-x.AnsweredAt <= maxReportGap
 }
 
 // Report is what a run came to.
@@ -213,14 +213,14 @@
 
 // unaware tells whether a process sent to a banned endpoint that was cut off before it heard of the ban: it can't know, and
 // goes on serving. What it had heard before still binds it.
-func (b *Checker) unaware(a *Action) bool {
-	said := b.said[a.Process]
-	next, _ := slices.BinarySearchFunc(said, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
-	if a.Resend || next == len(said) || next == 0 && !said[0].Cautious {
+func (c *Checker) unaware(a *Action) bool {
+	reports := c.reports[a.Process]
+	next, _ := slices.BinarySearchFunc(reports, a.At, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
+	if a.Resend || next == len(reports) || next == 0 && !reports[0].Cautious {
 		return false
 	}
-	for _, s := range said[max(0, next-1) : next+1] {
-		if s.Cautious && !slices.Contains(b.forbids[s.Active].Banned, a.Endpoint) {
+	for _, s := range reports[max(0, next-1) : next+1] {
+		if s.Cautious && !slices.Contains(c.forbidden[s.Active].Banned, a.Endpoint) {
 			return true
 		}
 	}
@@ -228,79 +228,79 @@
 }
 
 // Close judges the run. present tells which versions the crew still has in the end, by number.
-func (b *Checker) Close(present map[uint64]bool) Report {
-	r := Report{Actions: len(b.acts)}
-	for i := range b.acts {
-		a := &b.acts[i]
-		if b.unaware(a) {
+func (c *Checker) Close(present map[uint64]bool) Report {
+	r := Report{Actions: len(c.actions)}
+	for i := range c.actions {
+		a := &c.actions[i]
+		if c.unaware(a) {
 			r.Unaware++
 			continue
 		}
-		if from, ok := b.since(a.Process, a.At, func(s *StatusReport) bool { return b.barred(s, a) }); ok && a.At-from > b.conf.Margin && b.settled(a) {
-			b.broken(AgainstSelf, a.At, "%s did %s %v after it had said that it does not", a.Process, a.What, a.At-from)
+		if since, ok := c.heldSince(a.Process, a.At, func(s *StatusReport) bool { return c.forbiddenToItself(s, a) }); ok && a.At-since > c.conf.Margin && c.sameStatusAround(a) {
+			c.recordViolation(AgainstSelf, a.At, "%s did %s %v after it had said that it does not", a.Process, a.What, a.At-since)
 		}
 		// Two contradict each other from when the one allows what the other forbids. What a process says of itself can
 		// only shorten that if it says that it allows the act.
-		allowed := b.allowedFrom(a)
-		against := false
-		for _, name := range b.names {
-			from, ok := b.since(name, a.At, func(s *StatusReport) bool { return b.forbidden(s, a) })
-			if !ok || name == a.Process {
+		allowedFrom := c.allowedFrom(a)
+		forbidden := false
+		for _, process := range c.processes {
+			since, ok := c.heldSince(process, a.At, func(s *StatusReport) bool { return c.forbiddenInEffect(s, a) })
+			if !ok || process == a.Process {
 				continue
 			}
-			against = true
-			long := a.At - max(from, allowed)
-			if r.Longest = max(r.Longest, long); long > b.conf.MaxContradiction+b.conf.Margin {
-				b.broken(Contradicts, a.At, "%s did %s, %s has held that forbidden for %v", a.Process, a.What, name, long)
+			forbidden = true
+			contradicted := a.At - max(since, allowedFrom)
+			if r.Longest = max(r.Longest, contradicted); contradicted > c.conf.MaxContradiction+c.conf.Margin {
+				c.recordViolation(Contradicts, a.At, "%s did %s, %s has held that forbidden for %v", a.Process, a.What, process, contradicted)
 			}
 		}
-		if against {
+		if forbidden {
 			r.AgainstOthers++
 		}
 	}
-	b.checkApart()
-	for _, number := range b.told {
+	c.checkVersionsFarApart()
+	for _, number := range c.agreed {
 		if present != nil && !present[number] {
-			b.broken(LostVersion, 0, "version %d was told and is gone", number)
+			c.recordViolation(LostVersion, 0, "version %d was told and is gone", number)
 		}
 	}
-	r.Violations, r.NumViolations = b.breaks, b.recorded
+	r.Violations, r.NumViolations = c.violations, c.numViolations
 	return r
 }
 
-// checkApart looks for members that vouch for versions that are no neighbours: one that others had left behind for good
+// checkVersionsFarApart looks for members that vouch for versions that are no neighbours: one that others had left behind for good
 // longer ago than is allowed.
-func (b *Checker) checkApart() {
-	var all []struct {
+func (c *Checker) checkVersionsFarApart() {
+	var reports []struct {
 		StatusReport
 		name string
 	}
-	for _, name := range b.names {
-		for _, s := range b.said[name] {
-			all = append(all, struct {
+	for _, name := range c.processes {
+		for _, s := range c.reports[name] {
+			reports = append(reports, struct {
 				StatusReport
 				name string
 			}{s, name})
 		}
 	}
-	slices.SortStableFunc(all, func(x, y struct {
+	slices.SortStableFunc(reports, func(x, y struct {
 		StatusReport
 		name string
 	}) int {
 		return cmp.Compare(x.At, y.At)
 	})
-	first := map[uint64]time.Duration{} // when each version was first acted on alone
+	aloneSince := map[uint64]time.Duration{} // when each version was first acted on alone
 	highest := uint64(0)
-	for _, s := range all {
+	for _, s := range reports {
 		if s.Cautious {
 			continue
 		}
 		if s.Next == 0 && s.Active > highest {
 			highest = s.Active
-			first[highest] = s.At
+			aloneSince[highest] = s.At
 		}
-		if at, ok := first[highest]; ok && s.Active < highest && s.Next != highest && s.At-at > b.conf.MaxContradiction+b.conf.Margin {
-			b.broken(FarApart, s.At, "%s acts on version %d, %v after version %d alone was acted on", s.name, s.Active, s.At-at, highest)
+		if at, ok := aloneSince[highest]; ok && s.Active < highest && s.Next != highest && s.At-at > c.conf.MaxContradiction+c.conf.Margin {
+			c.recordViolation(FarApart, s.At, "%s acts on version %d, %v after version %d alone was acted on", s.name, s.Active, s.At-at, highest)
 			return
 		}
 	}
--- a/internal/lab/emulated/control.go
+++ b/internal/lab/emulated/control.go
@@ -55,20 +55,20 @@
 	// Members are those it is about; none are all of this process.
 	Members []string `json:"members,omitempty"`
 	// Regions are the two sides of a cut.
-	Regions [2]string `json:"regions,omitempty"`
-	Orders  float64   `json:"orders,omitempty"`
+	Regions   [2]string `json:"regions,omitempty"`
+	KeyedRate float64   `json:"orders,omitempty"`
 }
 
 // The commands.
 const (
-	Kill      = "kill"   // the member is gone in this moment, with what it held, and says nothing
-	Leave     = "leave"  // the member ends in order, as at a SIGTERM
-	Restart   = "begin"  // a member that is gone starts as a new process of its name
-	Partition = "cut"    // nothing goes between two regions, and connections stand still
-	Heal      = "mend"   // it goes again
-	Order     = "order"  // so many keyed requests a second and member from now on
-	Sample    = "sample" // tell what each member acts on and what it has cost so far
-	End       = "end"    // all members are gone, and the process ends
+	Kill         = "kill"   // the member is gone in this moment, with what it held, and says nothing
+	Leave        = "leave"  // the member ends in order, as at a SIGTERM
+	Restart      = "begin"  // a member that is gone starts as a new process of its name
+	Partition    = "cut"    // nothing goes between two regions, and connections stand still
+	Heal         = "mend"   // it goes again
+	SetKeyedRate = "order"  // so many keyed requests a second and member from now on
+	Sample       = "sample" // tell what each member acts on and what it has cost so far
+	End          = "end"    // all members are gone, and the process ends
 )
 
 // Output is what a process says: an event, the answer to a command, or that all members have started.
--- a/internal/lab/emulated/true_test.go
+++ b/internal/lab/emulated/cost_test.go
@@ -35,68 +35,68 @@
 //
 // A part of it: -run 'TestTrue/lease_1s/holdings_off'.
 var (
-	trueFlag    = flag.Bool("hollow.true", false, "measure what 60 hollow members cost the leader beside 60 real ones")
-	trueRuns    = flag.Int("hollow.runs", 3, "so many times each")
-	trueMembers = flag.Int("hollow.members", 60, "so many members")
+	costFlag    = flag.Bool("hollow.true", false, "measure what 60 hollow members cost the leader beside 60 real ones")
+	costRuns    = flag.Int("hollow.runs", 3, "so many times each")
+	costMembers = flag.Int("hollow.members", 60, "so many members")
 )
 
 // Figures of the measurement.
 const (
-	trueKeepers  = 5
-	trueOrders   = 5.0 // a second and member
-	trueTakes    = 20 * time.Millisecond
-	trueSettles  = 5 * time.Minute // for all to be in and all shards to be whole, at the longest lease
-	trueBeats    = 24              // renewals that are measured at least: three leases
-	trueLeast    = 20 * time.Second
-	trueMost     = 1.1 // the most that the costs may differ, as a ratio, and the inverse
-	clockTick    = 10 * time.Millisecond
-	trueTimeouts = 5 * time.Second
-	trueTries    = 4
-	trueLooks    = 200 * time.Millisecond
+	costVoters        = 5
+	costKeyedRate     = 5.0 // a second and member
+	costKeyedDuration = 20 * time.Millisecond
+	costSettleTimeout = 5 * time.Minute // for all to be in and all shards to be whole, at the longest lease
+	costRenewals      = 24              // renewals that are measured at least: three leases
+	costMinDuration   = 20 * time.Second
+	costMaxRatio      = 1.1 // the most that the costs may differ, as a ratio, and the inverse
+	clockTick         = 10 * time.Millisecond
+	costCallTimeout   = 5 * time.Second
+	costTries         = 4
+	costPollInterval  = 200 * time.Millisecond
 )
 
-// side is one crew of real keepers, with members that are real processes or hollow ones.
-type side struct {
-	t       *testing.T
-	real    bool
-	dir     string
-	bin     string
-	start   Start
-	orders  float64
-	procs   map[string]*exec.Cmd
-	listens map[string]string // for callers, of real sidecars
-	lines   map[string]*peerrpc.Client
-	end     *httptest.Server
-	hollow  *exec.Cmd
-	tell    io.WriteCloser
-	hears   *bufio.Scanner
-	asked   atomic.Int64
-	denied  atomic.Int64
+// costCluster is one crew of real keepers, with members that are real processes or hollow ones.
+type costCluster struct {
+	t               *testing.T
+	real            bool
+	dir             string
+	bin             string
+	start           Start
+	keyedRate       float64
+	procs           map[string]*exec.Cmd
+	callerAddresses map[string]string // for callers, of real sidecars
+	clients         map[string]*peerrpc.Client
+	endpoint        *httptest.Server
+	emulated        *exec.Cmd
+	input           io.WriteCloser
+	output          *bufio.Scanner
+	keyedRequests   atomic.Int64
+	keyedRefused    atomic.Int64
 }
 
 // cost is what was measured.
 type cost struct {
-	name             string
-	cpu, read, wrote float64 // of the leader; bytes of all that it reads and writes
-	used             used    // by the members
-	members          string  // the same, for people
-	renewals         float64 // of all members
-	asked, denied    int64
-	seats            int // of the leader
-	load             string
-	took             time.Duration
+	name                        string
+	cpu, read, wrote            float64     // of the leader; bytes of all that it reads and writes
+	memberCosts                 memberCosts // by the members
+	memberText                  string      // the same, for people
+	renewals                    float64     // of all members
+	keyedRequests, keyedRefused int64
+	replicas                    int // of the leader
+	load                        string
+	took                        time.Duration
 }
 
-// state is how a crew stands.
-type state struct {
-	leader       string
-	epoch, table uint64
-	seats        int // of the leader
-	whole        bool
+// clusterState is how a crew stands.
+type clusterState struct {
+	leader           string
+	epoch, placement uint64
+	replicas         int // of the leader
+	settled          bool
 }
 
-func TestTrue(t *testing.T) {
-	if !*trueFlag {
+func TestCostMatchesRealMembers(t *testing.T) {
+	if !*costFlag {
 		t.Skip("by flag alone: it takes minutes, and a quiet machine")
 	}
 	bin := t.TempDir()
@@ -108,17 +108,17 @@
 	for _, lease := range []time.Duration{time.Second, 15 * time.Second} {
 		t.Run("lease "+lease.String(), func(t *testing.T) {
 			for _, c := range []struct {
-				name   string
-				copies int
-				orders float64
-			}{{"holdings off", 0, 0}, {"copies 2", 2, 0}, {"copies 2 with orders", 2, trueOrders}} {
+				name      string
+				copies    int
+				keyedRate float64
+			}{{"holdings off", 0, 0}, {"copies 2", 2, 0}, {"copies 2 with orders", 2, costKeyedRate}} {
 				t.Run(c.name, func(t *testing.T) {
 					var cpu, in, out []float64
-					for n := range *trueRuns {
-						r, h := measureWhole(t, bin, lease, c.copies, c.orders)
+					for n := range *costRuns {
+						r, h := measureValid(t, bin, lease, c.copies, c.keyedRate)
 						for _, m := range []*cost{r, h} {
 							t.Logf("run %d, %s: leader %.2f ms of processor a second, %.0f B/s read, %.0f B/s written, %d seats; members: %.0f renewals a second of all, %s; orders %d, denied %d",
-								n+1, m.name, 1000*m.cpu, m.read, m.wrote, m.seats, m.renewals, m.members, m.asked, m.denied)
+								n+1, m.name, 1000*m.cpu, m.read, m.wrote, m.replicas, m.renewals, m.memberText, m.keyedRequests, m.keyedRefused)
 						}
 						cpu, in, out = append(cpu, h.cpu/r.cpu), append(in, h.read/r.read), append(out, h.wrote/r.wrote)
 						t.Logf("run %d: hollow/real: processor %.3f, read %.3f, written %.3f; over %v, at a load average of %s",
@@ -126,7 +126,7 @@
 					}
 					for what, ratios := range map[string][]float64{"processor": cpu, "bytes read": in, "bytes written": out} {
 						slices.Sort(ratios)
-						if median := ratios[len(ratios)/2]; median > trueMost || median < 1/trueMost {
+						if median := ratios[len(ratios)/2]; median > costMaxRatio || median < 1/costMaxRatio {
 							t.Errorf("%s: hollow members cost the leader %.3f of what real ones do (median of %.3f)", what, median, ratios)
 						}
 					}
@@ -136,44 +136,44 @@
 	}
 }
 
-// measureWhole measures again where a measurement is void.
-func measureWhole(t *testing.T, bin string, lease time.Duration, copies int, orders float64) (real, hollow *cost) {
+// measureValid measures again where a measurement is void.
+func measureValid(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64) (real, emulated *cost) {
 	t.Helper()
-	for range trueTries {
-		if real, hollow = measure(t, bin, lease, copies, orders); real != nil {
-			return real, hollow
+	for range costTries {
+		if real, emulated = measure(t, bin, lease, copies, keyedRate); real != nil {
+			return real, emulated
 		}
 	}
-	t.Fatalf("%d measurements are void: the machine is too busy", trueTries)
+	t.Fatalf("%d measurements are void: the machine is too busy", costTries)
 	return nil, nil
 }
 
 // measure starts both crews, waits until they are at rest, and measures their leaders over the same time: what else the machine has
 // to do then strikes both alike. It returns nil where another keeper came to lead, or members came or went meanwhile.
-func measure(t *testing.T, bin string, lease time.Duration, copies int, orders float64) (real, hollow *cost) {
+func measure(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64) (real, emulated *cost) {
 	t.Helper()
-	var sides [2]*side
-	for i := range sides {
-		s := newSide(t, bin, lease, copies, orders, i == 0)
+	var clusters [2]*costCluster
+	for i := range clusters {
+		s := newCostCluster(t, bin, lease, copies, keyedRate, i == 0)
 		defer s.close()
-		sides[i] = s
+		clusters[i] = s
 	}
-	var was [2]state
+	var was [2]clusterState
 	var first, costs [2]*cost
-	for i, s := range sides {
+	for i, s := range clusters {
 		was[i] = s.settle()
-		defer s.order()()
+		defer s.sendKeyedRequests()()
 	}
 	began := time.Now()
-	for i, s := range sides {
+	for i, s := range clusters {
 		first[i] = s.cost(was[i])
 	}
-	time.Sleep(max(trueLeast, trueBeats*lease/cluster.HeartbeatsPerLease)) // measured for so long
+	time.Sleep(max(costMinDuration, costRenewals*lease/cluster.HeartbeatsPerLease)) // measured for so long
 	took := time.Since(began)
-	for i, s := range sides {
+	for i, s := range clusters {
 		costs[i] = s.cost(was[i]).since(first[i], took)
 	}
-	for i, s := range sides {
+	for i, s := range clusters {
 		if now := s.state(); now.leader != was[i].leader || now.epoch != was[i].epoch {
 			t.Logf("void, %s: leader %s, epoch %d before, %s, %d after; load average %s", costs[i].name, was[i].leader, was[i].epoch, now.leader, now.epoch, costs[i].load)
 			return nil, nil
@@ -182,46 +182,46 @@
 	return costs[0], costs[1]
 }
 
-// newSide starts a crew.
-func newSide(t *testing.T, bin string, lease time.Duration, copies int, orders float64, real bool) *side {
+// newCostCluster starts a crew.
+func newCostCluster(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64, real bool) *costCluster {
 	t.Helper()
-	s := &side{t: t, real: real, dir: t.TempDir(), bin: bin, orders: orders,
-		procs: map[string]*exec.Cmd{}, listens: map[string]string{}, lines: map[string]*peerrpc.Client{}}
+	s := &costCluster{t: t, real: real, dir: t.TempDir(), bin: bin, keyedRate: keyedRate,
+		procs: map[string]*exec.Cmd{}, callerAddresses: map[string]string{}, clients: map[string]*peerrpc.Client{}}
 	s.start = Start{
 		Cluster: "true", Lease: lease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: lease + lease/10 + time.Second,
-		FixedClasses: []string{LookClass}, Copies: copies, Keep: 2 * time.Minute, LostAfter: 10 * time.Second, KeyedDuration: trueTakes, Seed: 1,
+		FixedClasses: []string{LookClass}, Copies: copies, Keep: 2 * time.Minute, LostAfter: 10 * time.Second, KeyedDuration: costKeyedDuration, Seed: 1,
 	}
-	for i := range trueKeepers {
-		s.start.Voters = append(s.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
+	for i := range costVoters {
+		s.start.Voters = append(s.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: freeAddress(t)})
 	}
-	for i := range *trueMembers {
-		s.start.Members = append(s.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
+	for i := range *costMembers {
+		s.start.Members = append(s.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: freeAddress(t)})
 	}
-	s.end = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		time.Sleep(trueTakes)
+	s.endpoint = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		time.Sleep(costKeyedDuration)
 		w.Write([]byte("done")) //nolint:errcheck // its client shows
 	}))
 	for _, k := range s.start.Voters {
 		s.startReal(k)
-		s.lines[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", k.Address)
+		s.clients[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", k.Address)
 	}
 	if !real {
-		s.startHollow() // to begin anew, each at its own time
+		s.startEmulated() // to begin anew, each at its own time
 		s.await(Command{ID: 3, Do: Leave}, func(l Output) bool { return l.ID == 3 })
 	}
 	// Members come up at drawn times over two beats, the same for both sides: what a leader answers together costs it less, and who
 	// comes up together asks together for long.
-	dice := rand.New(rand.NewPCG(s.start.Seed, 0))
+	rng := rand.New(rand.NewPCG(s.start.Seed, 0))
 	due := time.Now()
 	for i, m := range s.start.Members {
-		due = due.Add(time.Duration(dice.Int64N(4*int64(lease)/cluster.HeartbeatsPerLease) / int64(*trueMembers))) // half of that is the mean
+		due = due.Add(time.Duration(rng.Int64N(4*int64(lease)/cluster.HeartbeatsPerLease) / int64(*costMembers))) // half of that is the mean
 		time.Sleep(time.Until(due))
 		if real {
 			s.startReal(m)
 			continue
 		}
 		// Its answer is read on the way to the next one that is waited for.
-		if err := json.NewEncoder(s.tell).Encode(Command{ID: 10 + i, Do: Restart, Members: []string{m.Name}}); err != nil {
+		if err := json.NewEncoder(s.input).Encode(Command{ID: 10 + i, Do: Restart, Members: []string{m.Name}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -229,12 +229,12 @@
 }
 
 // cost is what its leader and its members have cost so far.
-func (s *side) cost(at state) *cost {
+func (s *costCluster) cost(at clusterState) *cost {
 	s.t.Helper()
 	pid := s.procs[at.leader].Process.Pid
 	c := &cost{name: map[bool]string{true: "real", false: "hollow"}[s.real], cpu: cpuOf(s.t, pid).Seconds(),
-		read: ioOf(s.t, pid, "rchar"), wrote: ioOf(s.t, pid, "wchar"), used: s.members(), seats: at.seats}
-	c.asked, c.denied = s.orderCounts()
+		read: ioOf(s.t, pid, "rchar"), wrote: ioOf(s.t, pid, "wchar"), memberCosts: s.memberCosts(), replicas: at.replicas}
+	c.keyedRequests, c.keyedRefused = s.keyedCounts()
 	c.renewals = s.renewals()
 	load, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -246,28 +246,28 @@
 
 // since is what it has cost a second after another look.
 func (c *cost) since(first *cost, took time.Duration) *cost {
-	out, n := *c, float64(*trueMembers)
+	out, n := *c, float64(*costMembers)
 	out.took = took.Round(time.Millisecond)
 	out.cpu, out.read, out.wrote = (c.cpu-first.cpu)/took.Seconds(), (c.read-first.read)/took.Seconds(), (c.wrote-first.wrote)/took.Seconds()
 	out.renewals = (c.renewals - first.renewals) / took.Seconds()
-	out.asked, out.denied = c.asked-first.asked, c.denied-first.denied
-	out.members = fmt.Sprintf("%.2f ms of processor a second, %.2f MB, %.1f goroutines, %.1f descriptors, each",
-		1000*(c.used.cpu-first.used.cpu).Seconds()/took.Seconds()/n, c.used.rss/(1<<20)/n, c.used.goroutines/n, c.used.descriptors/n)
+	out.keyedRequests, out.keyedRefused = c.keyedRequests-first.keyedRequests, c.keyedRefused-first.keyedRefused
+	out.memberText = fmt.Sprintf("%.2f ms of processor a second, %.2f MB, %.1f goroutines, %.1f descriptors, each",
+		1000*(c.memberCosts.cpu-first.memberCosts.cpu).Seconds()/took.Seconds()/n, c.memberCosts.rss/(1<<20)/n, c.memberCosts.goroutines/n, c.memberCosts.descriptors/n)
 	return &out
 }
 
 // startReal starts a sidecar as a process.
-func (s *side) startReal(p Peer) {
+func (s *costCluster) startReal(p Peer) {
 	s.t.Helper()
 	dir := filepath.Join(s.dir, p.Name)
 	if err := os.MkdirAll(filepath.Join(dir, "data"), 0o700); err != nil {
 		s.t.Fatal(err)
 	}
-	s.listens[p.Name] = free(s.t)
+	s.callerAddresses[p.Name] = freeAddress(s.t)
 	conf, err := json.Marshal(map[string]any{
-		"name": p.Name, "listen": s.listens[p.Name], "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
+		"name": p.Name, "listen": s.callerAddresses[p.Name], "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
 		"known": map[string]any{"index": 1, "snapshot": true, "endpoints": []any{
-			map[string]any{"name": "e-1", "address": s.end.Listener.Addr().String(), "zone": "a", "group": 1, "status": "SERVING"}}},
+			map[string]any{"name": "e-1", "address": s.endpoint.Listener.Addr().String(), "zone": "a", "group": 1, "status": "SERVING"}}},
 	})
 	if err != nil {
 		s.t.Fatal(err)
@@ -306,39 +306,39 @@
 	s.procs[p.Name] = cmd
 }
 
-// startHollow starts all members in one process.
-func (s *side) startHollow() {
+// startEmulated starts all members in one process.
+func (s *costCluster) startEmulated() {
 	s.t.Helper()
-	s.hollow = exec.Command(filepath.Join(s.bin, "heathlab"), "hollow")
-	s.hollow.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	in, err := s.hollow.StdinPipe()
+	s.emulated = exec.Command(filepath.Join(s.bin, "heathlab"), "hollow")
+	s.emulated.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	in, err := s.emulated.StdinPipe()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	out, err := s.hollow.StdoutPipe()
+	out, err := s.emulated.StdoutPipe()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	if err := s.hollow.Start(); err != nil {
+	if err := s.emulated.Start(); err != nil {
 		s.t.Fatal(err)
 	}
-	s.tell, s.hears = in, bufio.NewScanner(out)
-	s.hears.Buffer(nil, mostLine)
+	s.input, s.output = in, bufio.NewScanner(out)
+	s.output.Buffer(nil, maxLineBytes)
 	s.await(s.start, func(l Output) bool { return l.Ready })
 }
 
 // await tells the hollow process something and returns the answer.
-func (s *side) await(told any, is func(Output) bool) Output {
+func (s *costCluster) await(message any, matches func(Output) bool) Output {
 	s.t.Helper()
-	if err := json.NewEncoder(s.tell).Encode(told); err != nil {
+	if err := json.NewEncoder(s.input).Encode(message); err != nil {
 		s.t.Fatal(err)
 	}
-	for s.hears.Scan() {
+	for s.output.Scan() {
 		var l Output
-		if err := json.Unmarshal(s.hears.Bytes(), &l); err != nil || l.Error != "" {
+		if err := json.Unmarshal(s.output.Bytes(), &l); err != nil || l.Error != "" {
 			s.t.Fatal(err, l.Error)
 		}
-		if is(l) {
+		if matches(l) {
 			return l
 		}
 	}
@@ -346,31 +346,31 @@
 	return Output{}
 }
 
-func (s *side) sample() *Usage {
+func (s *costCluster) sample() *Usage {
 	return s.await(Command{ID: 1, Do: Sample}, func(l Output) bool { return l.Sample != nil }).Sample
 }
 
 // state asks who leads, and what it knows.
-func (s *side) state() (now state) {
-	for name, line := range s.lines {
+func (s *costCluster) state() (now clusterState) {
+	for name, client := range s.clients {
 		var st voter.Status
-		if line.Call("status", struct{}{}, &st, trueTimeouts) != nil || st.Leader != name || st.Ledger == nil {
+		if client.Call("status", struct{}{}, &st, costCallTimeout) != nil || st.Leader != name || st.Ledger == nil {
 			continue
 		}
 		l := st.Ledger
-		now = state{leader: name, epoch: l.Epoch, whole: len(l.Members) == trueKeepers+*trueMembers && (s.start.Copies == 0) == (l.Placement == nil)}
+		now = clusterState{leader: name, epoch: l.Epoch, settled: len(l.Members) == costVoters+*costMembers && (s.start.Copies == 0) == (l.Placement == nil)}
 		if l.Placement == nil {
 			return now
 		}
-		now.table, now.seats = l.Placement.Number, seatsOf(l, name)
+		now.placement, now.replicas = l.Placement.Number, replicasOf(l, name)
 		for _, shard := range l.Placement.Shards {
 			ready := 0
-			for _, seat := range shard.Replicas {
-				if seat.Ready {
+			for _, replica := range shard.Replicas {
+				if replica.Ready {
 					ready++
 				}
 			}
-			now.whole = now.whole && ready == s.start.Copies && len(shard.Replicas) == ready
+			now.settled = now.settled && ready == s.start.Copies && len(shard.Replicas) == ready
 		}
 		return now
 	}
@@ -378,30 +378,30 @@
 }
 
 // settle waits until all are in and all shards are whole, and nothing has changed for some questions of each.
-func (s *side) settle() state {
+func (s *costCluster) settle() clusterState {
 	s.t.Helper()
-	var last state
+	var last clusterState
 	since := time.Now()
-	for limit := time.Now().Add(trueSettles); time.Now().Before(limit); time.Sleep(trueLooks) {
+	for limit := time.Now().Add(costSettleTimeout); time.Now().Before(limit); time.Sleep(costPollInterval) {
 		now := s.state()
-		if now != last || !now.whole {
+		if now != last || !now.settled {
 			last, since = now, time.Now()
 		}
 		if time.Since(since) > max(3*time.Second, 4*s.start.Lease/cluster.HeartbeatsPerLease) {
 			return now
 		}
 	}
-	s.t.Fatalf("not at rest after %v: %+v", trueSettles, last)
+	s.t.Fatalf("not at rest after %v: %+v", costSettleTimeout, last)
 	return last
 }
 
-// order has members make orders until it is told to stop.
-func (s *side) order() (stop func()) {
-	if s.orders == 0 {
+// sendKeyedRequests has members make orders until it is told to stop.
+func (s *costCluster) sendKeyedRequests() (stop func()) {
+	if s.keyedRate == 0 {
 		return func() {}
 	}
 	if !s.real {
-		s.await(Command{ID: 2, Do: Order, Orders: s.orders}, func(l Output) bool { return l.ID == 2 })
+		s.await(Command{ID: 2, Do: SetKeyedRate, KeyedRate: s.keyedRate}, func(l Output) bool { return l.ID == 2 })
 		return func() {}
 	}
 	halt := make(chan struct{})
@@ -409,7 +409,7 @@
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	for i, m := range s.start.Members {
 		all.Go(func() {
-			ticker := time.NewTicker(time.Duration(float64(time.Second) / s.orders))
+			ticker := time.NewTicker(time.Duration(float64(time.Second) / s.keyedRate))
 			defer ticker.Stop()
 			for n := 0; ; n++ {
 				select {
@@ -418,8 +418,8 @@
 				case <-ticker.C:
 				}
 				all.Go(func() {
-					s.asked.Add(1)
-					q, err := http.NewRequest(http.MethodPost, "http://"+s.listens[m.Name]+"/"+OrderClass+"/x", strings.NewReader("one"))
+					s.keyedRequests.Add(1)
+					q, err := http.NewRequest(http.MethodPost, "http://"+s.callerAddresses[m.Name]+"/"+OrderClass+"/x", strings.NewReader("one"))
 					if err != nil {
 						s.t.Error(err)
 						return
@@ -434,7 +434,7 @@
 						a.Body.Close()
 					}
 					if err != nil || a.StatusCode != http.StatusOK {
-						s.denied.Add(1)
+						s.keyedRefused.Add(1)
 					}
 				})
 			}
@@ -447,18 +447,18 @@
 	}
 }
 
-func (s *side) orderCounts() (asked, denied int64) {
+func (s *costCluster) keyedCounts() (requests, refused int64) {
 	if s.real {
-		return s.asked.Load(), s.denied.Load()
+		return s.keyedRequests.Load(), s.keyedRefused.Load()
 	}
 	for _, m := range s.sample().Members {
-		asked, denied = asked+m.KeyedRequests, denied+m.KeyedRefused
+		requests, refused = requests+m.KeyedRequests, refused+m.KeyedRefused
 	}
-	return asked, denied
+	return requests, refused
 }
 
 // renewals are those of all members so far.
-func (s *side) renewals() (sum float64) {
+func (s *costCluster) renewals() (sum float64) {
 	s.t.Helper()
 	if !s.real {
 		for _, m := range s.sample().Members {
@@ -467,28 +467,28 @@
 		return sum
 	}
 	for _, m := range s.start.Members {
-		line := peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", m.Address)
+		client := peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", m.Address)
 		var a member.Status
-		if err := line.Call("acting", struct{}{}, &a, trueTimeouts); err != nil {
+		if err := client.Call("acting", struct{}{}, &a, costCallTimeout); err != nil {
 			s.t.Fatal(err)
 		}
-		line.Close()
+		client.Close()
 		sum += float64(a.Renewals)
 	}
 	return sum
 }
 
-// used is what all members take together.
-type used struct {
+// memberCosts is what all members take together.
+type memberCosts struct {
 	cpu                          time.Duration
 	rss, goroutines, descriptors float64
 }
 
-func (s *side) members() (u used) {
+func (s *costCluster) memberCosts() (u memberCosts) {
 	s.t.Helper()
 	if !s.real {
 		m := s.sample()
-		return used{m.CPU, float64(m.RSSBytes), float64(m.Goroutines), float64(m.Descriptors)}
+		return memberCosts{m.CPU, float64(m.RSSBytes), float64(m.Goroutines), float64(m.Descriptors)}
 	}
 	for _, m := range s.start.Members {
 		pid := s.procs[m.Name].Process.Pid
@@ -549,11 +549,11 @@
 }
 
 // close ends all that was started, each by its own id.
-func (s *side) close() {
-	if s.hollow != nil {
-		s.tell.Close()
-		s.hollow.Process.Kill() //nolint:errcheck // it may have ended
-		s.hollow.Wait()         //nolint:errcheck // it was killed
+func (s *costCluster) close() {
+	if s.emulated != nil {
+		s.input.Close()
+		s.emulated.Process.Kill() //nolint:errcheck // it may have ended
+		s.emulated.Wait()         //nolint:errcheck // it was killed
 	}
 	for _, p := range s.procs {
 		p.Process.Kill() //nolint:errcheck // likewise
@@ -561,8 +561,8 @@
 	for _, p := range s.procs {
 		p.Wait() //nolint:errcheck // likewise
 	}
-	for _, l := range s.lines {
+	for _, l := range s.clients {
 		l.Close()
 	}
-	s.end.Close()
+	s.endpoint.Close()
 }
--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -36,9 +36,9 @@
 	next int
 }{}
 
-// free returns an address that nobody listens at, off 127.0.0.1, from which the kernel makes connections: so none of them takes
+// freeAddress returns an address that nobody listens at, off 127.0.0.1, from which the kernel makes connections: so none of them takes
 // its port before something listens there.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	testNet.Lock()
 	defer testNet.Unlock()
@@ -53,8 +53,8 @@
 	return l.Addr().String()
 }
 
-// told is a process of hollow members in this one, and what it says.
-type told struct {
+// testProcess is a process of hollow members in this one, and what it says.
+type testProcess struct {
 	t     *testing.T
 	in    *json.Encoder
 	close func()
@@ -69,12 +69,12 @@
 	id      int
 }
 
-// run starts one; it ends with the test.
-func run(t *testing.T, start any) *told {
+// startProcess starts one; it ends with the test.
+func startProcess(t *testing.T, start any) *testProcess {
 	t.Helper()
 	inRead, inWrite := io.Pipe()
 	outRead, outWrite := io.Pipe()
-	p := &told{t: t, in: json.NewEncoder(inWrite), close: func() { inWrite.Close() }, ended: make(chan error, 1), answers: map[int]Output{}}
+	p := &testProcess{t: t, in: json.NewEncoder(inWrite), close: func() { inWrite.Close() }, ended: make(chan error, 1), answers: map[int]Output{}}
 	p.changed = sync.NewCond(&p.mu)
 	go func() {
 		err := Run(inRead, outWrite, zerolog.Nop())
@@ -86,13 +86,13 @@
 	go func() {
 		defer close(read)
 		lines := bufio.NewScanner(outRead)
-		lines.Buffer(nil, mostLine)
+		lines.Buffer(nil, maxLineBytes)
 		for lines.Scan() {
 			var l Output
 			if err := json.Unmarshal(lines.Bytes(), &l); err != nil {
 				t.Error(err)
 			}
-			p.hear(l)
+			p.receive(l)
 		}
 	}()
 	p.in.Encode(start) //nolint:errcheck // its end tells
@@ -103,7 +103,7 @@
 	return p
 }
 
-func (p *told) hear(l Output) {
+func (p *testProcess) receive(l Output) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -120,7 +120,7 @@
 }
 
 // await waits until something holds of what it has said.
-func (p *told) await(what string, holds func() bool) {
+func (p *testProcess) await(what string, holds func() bool) {
 	p.t.Helper()
 	timer := time.AfterFunc(testWait, p.changed.Broadcast)
 	defer timer.Stop()
@@ -135,8 +135,8 @@
 	}
 }
 
-// say gives a command and returns the answer.
-func (p *told) say(c Command) Output {
+// do gives a command and returns the answer.
+func (p *testProcess) do(c Command) Output {
 	p.t.Helper()
 	p.mu.Lock()
 	p.id++
@@ -151,23 +151,23 @@
 	return p.answers[c.ID]
 }
 
-// good is say, of a command that is carried out.
-func (p *told) good(c Command) Output {
+// mustDo is say, of a command that is carried out.
+func (p *testProcess) mustDo(c Command) Output {
 	p.t.Helper()
-	l := p.say(c)
+	l := p.do(c)
 	if l.Error != "" {
 		p.t.Fatalf("%+v: %s", c, l.Error)
 	}
 	return l
 }
 
-func (p *told) sample() *Usage {
+func (p *testProcess) sample() *Usage {
 	p.t.Helper()
-	return p.good(Command{Do: Sample}).Sample
+	return p.mustDo(Command{Do: Sample}).Sample
 }
 
 // last returns each member's last event; the lock is held.
-func (p *told) last() map[string]MemberState {
+func (p *testProcess) last() map[string]MemberState {
 	out := map[string]MemberState{}
 	for _, e := range p.events {
 		out[e.Member] = e
@@ -176,7 +176,7 @@
 }
 
 // awaitAll waits until the last event of each member holds.
-func (p *told) awaitAll(what string, n int, holds func(MemberState) bool) {
+func (p *testProcess) awaitAll(what string, n int, holds func(MemberState) bool) {
 	p.t.Helper()
 	p.await(what, func() bool {
 		good := 0
@@ -189,33 +189,33 @@
 	})
 }
 
-// theCrew is real keepers in this process, and the start of a process of hollow members beside them.
-type theCrew struct {
-	t     *testing.T
-	start Start
-	lines []*peerrpc.Client
+// testCluster is real keepers in this process, and the start of a process of hollow members beside them.
+type testCluster struct {
+	t       *testing.T
+	start   Start
+	clients []*peerrpc.Client
 }
 
-// form starts keepers and draws up members.
-func form(t *testing.T, keepers, members, copies int) *theCrew {
+// startCluster starts keepers and draws up members.
+func startCluster(t *testing.T, voters, members, copies int) *testCluster {
 	t.Helper()
-	c := &theCrew{t: t, start: Start{
+	c := &testCluster{t: t, start: Start{
 		Cluster: "hollow", Lease: testLease, Drift: 0.01, Slack: 200 * time.Millisecond, ContradictAtMost: 2500 * time.Millisecond,
 		FixedClasses: []string{LookClass}, Copies: copies, Keep: time.Minute, LostAfter: 5 * time.Second, Seed: 1,
 	}}
-	for i := range keepers {
-		c.start.Voters = append(c.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: free(t)})
+	for i := range voters {
+		c.start.Voters = append(c.start.Voters, Peer{Name: fmt.Sprintf("k%d", i+1), Zone: zone(i), Address: freeAddress(t)})
 	}
 	for i := range members {
-		c.start.Members = append(c.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: free(t)})
+		c.start.Members = append(c.start.Members, Peer{Name: fmt.Sprintf("m%d", i+1), Zone: zone(i), Address: freeAddress(t)})
 	}
 	var starting sync.WaitGroup
 	for _, k := range c.start.Voters {
 		dir := t.TempDir()
 		starting.Go(func() {
-			table := c.start.table(k)
+			table := c.start.clusterConfig(k)
 			table.DataDir = dir
-			conf, err := conf(k)
+			conf, err := sidecarConfig(k)
 			if err != nil {
 				t.Error(err)
 				return
@@ -227,7 +227,7 @@
 			}
 			t.Cleanup(m.Stop)
 		})
-		c.lines = append(c.lines, peerrpc.NewClient(env.Real{}, c.start.Cluster, "test", k.Address))
+		c.clients = append(c.clients, peerrpc.NewClient(env.Real{}, c.start.Cluster, "test", k.Address))
 	}
 	starting.Wait()
 	if t.Failed() {
@@ -240,12 +240,12 @@
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 // ledger is what the leader knows.
-func (c *theCrew) ledger() *cluster.Ledger {
+func (c *testCluster) ledger() *cluster.Ledger {
 	c.t.Helper()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
-		for i, line := range c.lines {
+		for i, client := range c.clients {
 			var s voter.Status
-			if line.Call("status", struct{}{}, &s, time.Second) == nil && s.Leader == c.start.Voters[i].Name && s.Ledger != nil {
+			if client.Call("status", struct{}{}, &s, time.Second) == nil && s.Leader == c.start.Voters[i].Name && s.Ledger != nil {
 				return s.Ledger
 			}
 		}
@@ -255,7 +255,7 @@
 }
 
 // awaitLedger waits until something holds of what the leader knows.
-func (c *theCrew) awaitLedger(what string, holds func(l *cluster.Ledger) bool) *cluster.Ledger {
+func (c *testCluster) awaitLedger(what string, holds func(l *cluster.Ledger) bool) *cluster.Ledger {
 	c.t.Helper()
 	var l *cluster.Ledger
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// awaitWhole waits until all shards have all copies, nothing has been copied elsewhere for a while, and nobody has come or gone.
-func (c *theCrew) awaitWhole() *cluster.Ledger {
+// awaitReplicated waits until all shards have all copies, nothing has been copied elsewhere for a while, and nobody has come or gone.
+func (c *testCluster) awaitReplicated() *cluster.Ledger {
 	c.t.Helper()
 	since, epoch, table := time.Now(), uint64(0), uint64(0)
 	return c.awaitLedger("all shards are whole", func(l *cluster.Ledger) bool {
@@ -280,8 +280,8 @@
 		}
 		for i := range l.Placement.Shards {
 			ready := 0
-			for _, seat := range l.Placement.Shards[i].Replicas {
-				if seat.Ready {
+			for _, replica := range l.Placement.Shards[i].Replicas {
+				if replica.Ready {
 					ready++
 				}
 			}
@@ -294,15 +294,15 @@
 }
 
 // propose has a version proposed.
-func (c *theCrew) propose(doc versions.Document) uint64 {
+func (c *testCluster) propose(doc versions.Document) uint64 {
 	c.t.Helper()
 	id := voter.NewID()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
-		for _, line := range c.lines {
-			var told voter.ProposeResult
+		for _, client := range c.clients {
+			var result voter.ProposeResult
 			p := cluster.Proposal{ID: id, Parent: c.ledger().Active.Number, Author: "test", Doc: doc}
-			if err := line.Call("propose", p, &told, time.Second); err == nil && told.Number > 0 {
-				return told.Number
+			if err := client.Call("propose", p, &result, time.Second); err == nil && result.Number > 0 {
+				return result.Number
 			}
 		}
 	}
@@ -320,19 +320,19 @@
 }
 
 // All get leases, and a version is acted on by all, as each event tells: first beside the one before, then alone.
-func TestAllActOnAVersion(t *testing.T) {
+func TestVersionTakesEffectOnAll(t *testing.T) {
 	const members = 20
-	c := form(t, 3, members, 0)
-	p := run(t, c.start)
+	c := startCluster(t, 3, members, 0)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	p.await("ready", func() bool { return p.ready })
 	number := c.propose(versions.Document{MaxAttempts: 1})
 	p.awaitAll("the version", members, func(s MemberState) bool { return s.Active == number && s.Next == 0 && !s.Cautious })
 	p.mu.Lock()
-	both, before := map[string]bool{}, map[string]MemberState{}
+	acceptedBoth, before := map[string]bool{}, map[string]MemberState{}
 	for _, e := range p.events {
 		if e.Active == 0 && e.Next == number {
-			both[e.Member] = true
+			acceptedBoth[e.Member] = true
 		}
 		b, had := before[e.Member]
 		if before[e.Member] = e; had && (b.At > e.At || b.Active == e.Active && b.Next == e.Next && b.Cautious == e.Cautious) {
@@ -340,8 +340,8 @@
 		}
 	}
 	p.mu.Unlock()
-	if len(both) != members {
-		t.Errorf("%d of %d members have told that they act on both", len(both), members)
+	if len(acceptedBoth) != members {
+		t.Errorf("%d of %d members have told that they act on both", len(acceptedBoth), members)
 	}
 	s := p.sample()
 	if s.CPU <= 0 || s.RSSBytes < 1<<20 || s.Goroutines < 2*members || s.Descriptors < 2*members || s.At <= 0 {
@@ -352,7 +352,7 @@
 			t.Errorf("%s: %+v", name, m)
 		}
 	}
-	p.good(Command{Do: End})
+	p.mustDo(Command{Do: End})
 	if err := <-p.ended; err != nil {
 		t.Error(err)
 	}
@@ -363,15 +363,15 @@
 
 // A member that is killed is gone at once and has said nothing: the keepers wait for its lease. It begins as another process of
 // its name at its address.
-func TestKillAndBegin(t *testing.T) {
+func TestKillAndRestart(t *testing.T) {
 	t.Parallel()
-	c := form(t, 3, 6, 0)
-	p := run(t, c.start)
+	c := startCluster(t, 3, 6, 0)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", 6, func(s MemberState) bool { return !s.Cautious })
 	before := c.ledger().Members["m1"]
 	renewals := p.sample().Members["m1"].Renewals
-	struck := time.Now()
-	p.good(Command{Do: Kill, Members: []string{"m1"}})
+	killed := time.Now()
+	p.mustDo(Command{Do: Kill, Members: []string{"m1"}})
 	if listens(before.Address) {
 		t.Error("it still listens")
 	}
@@ -381,26 +381,26 @@
 	}
 	c.awaitLedger("it is counted out", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 })
 	// Its last word was at most a beat, or one that was late by as much, before: a word that it leaves would end it at once.
-	if after := time.Since(struck); after < testLease/2 {
+	if after := time.Since(killed); after < testLease/2 {
 		t.Errorf("counted out %v after its end, before its lease's", after)
 	}
-	if l := p.say(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it is gone") {
+	if l := p.do(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it is gone") {
 		t.Errorf("%+v", l)
 	}
-	p.good(Command{Do: Restart, Members: []string{"m1"}})
+	p.mustDo(Command{Do: Restart, Members: []string{"m1"}})
 	p.awaitAll("its lease", 6, func(s MemberState) bool { return !s.Cautious && !s.Gone })
 	if now := c.ledger().Members["m1"]; now.Token == before.Token || now.Address != before.Address {
 		t.Errorf("%+v after %+v", now, before)
 	}
-	if l := p.say(Command{Do: Restart, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it runs already") {
+	if l := p.do(Command{Do: Restart, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it runs already") {
 		t.Errorf("%+v", l)
 	}
 }
 
 // Members of a region that is cut off lose their leases, the others don't; what is mended goes again.
-func TestCutAndMend(t *testing.T) {
+func TestPartitionAndHeal(t *testing.T) {
 	t.Parallel()
-	c := form(t, 3, 6, 0)
+	c := startCluster(t, 3, 6, 0)
 	c.start.RegionDelay = 5 * time.Millisecond
 	c.start.Regions = map[string]string{}
 	for _, k := range c.start.Voters {
@@ -409,9 +409,9 @@
 	for i, m := range c.start.Members {
 		c.start.Regions[m.Address] = []string{"north", "south"}[i%2]
 	}
-	p := run(t, c.start)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", 6, func(s MemberState) bool { return !s.Cautious })
-	p.good(Command{Do: Partition, Regions: [2]string{"south", "north"}})
+	p.mustDo(Command{Do: Partition, Regions: [2]string{"south", "north"}})
 	south := func(name string) bool { return name == "m2" || name == "m4" || name == "m6" }
 	p.await("the south is cautious", func() bool {
 		n := 0
@@ -428,14 +428,14 @@
 			t.Errorf("%s is in", name)
 		}
 	}
-	p.good(Command{Do: Heal, Regions: [2]string{"north", "south"}})
+	p.mustDo(Command{Do: Heal, Regions: [2]string{"north", "south"}})
 	p.awaitAll("leases again", 6, func(s MemberState) bool { return !s.Cautious })
 	c.awaitLedger("all are in", func(l *cluster.Ledger) bool { return len(l.Members) == 9 })
 	for _, bad := range []Command{
 		{Do: Partition, Regions: [2]string{"north", "west"}}, {Do: Partition}, {Do: Heal, Regions: [2]string{"north", "north"}}, {Do: Sample, Members: []string{"m9"}},
-		{Do: Order, Orders: 1}, {Do: Order, Orders: -1},
+		{Do: SetKeyedRate, KeyedRate: 1}, {Do: SetKeyedRate, KeyedRate: -1},
 	} {
-		if l := p.say(bad); l.Error == "" || strings.Contains(l.Error, "\n") {
+		if l := p.do(bad); l.Error == "" || strings.Contains(l.Error, "\n") {
 			t.Errorf("%+v: %+v", bad, l)
 		}
 	}
@@ -443,19 +443,19 @@
 
 // Bytes are those of the messages, as the server that takes them counts, with their heads. Who leaves says so, and who is killed
 // does not.
-func TestBytesAndLastWords(t *testing.T) {
-	s, err := peerrpc.Listen(env.Real{}, free(t), "hollow")
+func TestTrafficAndLeaveMessage(t *testing.T) {
+	s, err := peerrpc.Listen(env.Real{}, freeAddress(t), "hollow")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	var asked, leaving atomic.Int64
+	var renewals, leaving atomic.Int64
 	s.Serve(env.Real{}, map[string]peerrpc.Handler{"renew": func(from string, body []byte) (any, error) {
 		var r cluster.Renewal
 		if err := peerrpc.Decode(body, &r); err != nil || r.Name != from || r.Leaving && !r.Decommissioning {
 			t.Errorf("%+v of %s, %v", r, from, err)
 		}
-		asked.Add(1)
+		renewals.Add(1)
 		if r.Leaving {
 			leaving.Add(1)
 		}
@@ -465,14 +465,14 @@
 		Voters: []Peer{{Name: "k1", Address: s.Address()}}}
 	const members = 5
 	for i := range members {
-		start.Members = append(start.Members, Peer{Name: fmt.Sprintf("m%d", i), Zone: zone(i), Address: free(t)})
+		start.Members = append(start.Members, Peer{Name: fmt.Sprintf("m%d", i), Zone: zone(i), Address: freeAddress(t)})
 	}
-	p := run(t, start)
+	p := startProcess(t, start)
 	p.await("ready", func() bool { return p.ready })
-	for limit := time.Now().Add(testWait); asked.Load() < 100 && time.Now().Before(limit); time.Sleep(testPause) {
+	for limit := time.Now().Add(testWait); renewals.Load() < 100 && time.Now().Before(limit); time.Sleep(testPause) {
 	}
-	p.good(Command{Do: Leave}) // the last word of each is answered
-	n, sum := asked.Load(), MemberUsage{}
+	p.mustDo(Command{Do: Leave}) // the last word of each is answered
+	n, sum := renewals.Load(), MemberUsage{}
 	for _, m := range p.sample().Members {
 		sum.In, sum.Out, sum.ToVoters, sum.FromVoters = sum.In+m.In, sum.Out+m.Out, sum.ToVoters+m.ToVoters, sum.FromVoters+m.FromVoters
 		sum.LostRenewals += m.LostRenewals
@@ -494,21 +494,21 @@
 	if leaving.Load() != members {
 		t.Errorf("%d of %d members have said that they leave", leaving.Load(), members)
 	}
-	p.good(Command{Do: Restart})
+	p.mustDo(Command{Do: Restart})
 	p.awaitAll("they are back", members, func(s MemberState) bool { return !s.Gone })
-	p.good(Command{Do: Kill})
-	p.good(Command{Do: End})
+	p.mustDo(Command{Do: Kill})
+	p.mustDo(Command{Do: End})
 	<-p.ended // what was left of them has ended
 	if leaving.Load() != members {
 		t.Error("a member that was killed has said that it leaves")
 	}
 }
 
-// seatsOf is in how many shards a member has one.
-func seatsOf(l *cluster.Ledger, name string) (n int) {
+// replicasOf is in how many shards a member has one.
+func replicasOf(l *cluster.Ledger, name string) (n int) {
 	for _, shard := range l.Placement.Shards {
-		for _, seat := range shard.Replicas {
-			if seat.Incarnation.Name == name {
+		for _, replica := range shard.Replicas {
+			if replica.Incarnation.Name == name {
 				n++
 			}
 		}
@@ -518,21 +518,21 @@
 
 // Keyed requests are claimed and end, at their rate, and stop. A member that leaves ends those under way, and others have what it
 // held.
-func TestOrdersAndLeave(t *testing.T) {
+func TestKeyedRequestsAndLeave(t *testing.T) {
 	t.Parallel()
 	const members = 9
-	c := form(t, 3, members, 2)
+	c := startCluster(t, 3, members, 2)
 	c.start.KeyedDuration = 10 * time.Millisecond
-	p := run(t, c.start)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
-	if seatsOf(c.awaitWhole(), "m1") == 0 {
+	if replicasOf(c.awaitReplicated(), "m1") == 0 {
 		t.Fatal("m1 has no seats, and this test shows nothing")
 	}
 	idle := p.sample().Members
 	if idle["m1"].KeyedRequests != 0 {
 		t.Errorf("%+v", idle["m1"])
 	}
-	p.good(Command{Do: Order, Orders: 20})
+	p.mustDo(Command{Do: SetKeyedRate, KeyedRate: 20})
 	for limit := time.Now().Add(testWait); ; time.Sleep(testPause) {
 		least := int64(1 << 60)
 		for _, m := range p.sample().Members {
@@ -545,9 +545,9 @@
 			t.Fatalf("of a member's orders only %d were carried out", least)
 		}
 	}
-	p.good(Command{Do: Order, Orders: 0})
-	p.good(Command{Do: Leave, Members: []string{"m1"}})
-	l := c.awaitLedger("it has left", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 && seatsOf(l, "m1") == 0 })
+	p.mustDo(Command{Do: SetKeyedRate, KeyedRate: 0})
+	p.mustDo(Command{Do: Leave, Members: []string{"m1"}})
+	l := c.awaitLedger("it has left", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 && replicasOf(l, "m1") == 0 })
 	for i, shard := range l.Placement.Shards {
 		if shard.Lost > 0 {
 			t.Errorf("shard %d was lost", i)
@@ -569,19 +569,19 @@
 	if least := carried * 100; out < least || in < least {
 		t.Errorf("%d bytes out and %d in, of %d orders: they have not gone to others", out, in, carried)
 	}
-	if p.good(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != asked {
+	if p.mustDo(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != asked {
 		t.Error("it has begun with orders, that were to end")
 	}
 	p.awaitAll("its lease", members, func(s MemberState) bool { return !s.Cautious && !s.Gone })
 }
 
 // Each planted fault shows.
-func TestPlantedFaults(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	t.Parallel()
 	const members = 8
-	c := form(t, 3, members, 2)
+	c := startCluster(t, 3, members, 2)
 	c.start.Faults = map[string]Fault{"m1": IgnoresVersions, "m2": RenewsTooOften, "m3": LosesState}
-	p := run(t, c.start)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	number := c.propose(versions.Document{MaxAttempts: 1})
 	c.awaitLedger("the version is active", func(l *cluster.Ledger) bool { return l.Active.Number == number })
@@ -601,35 +601,35 @@
 		}
 	}
 	p.mu.Unlock()
-	var says member.Status
-	line := peerrpc.NewClient(env.Real{}, "hollow", "test", c.start.Members[0].Address)
-	defer line.Close()
-	if err := line.Call("acting", struct{}{}, &says, testWait); err != nil || says.Active != number {
-		t.Errorf("it says %+v, %v", says, err)
+	var status member.Status
+	client := peerrpc.NewClient(env.Real{}, "hollow", "test", c.start.Members[0].Address)
+	defer client.Close()
+	if err := client.Call("acting", struct{}{}, &status, testWait); err != nil || status.Active != number {
+		t.Errorf("it says %+v, %v", status, err)
 	}
-	c.awaitWhole()
+	c.awaitReplicated()
 	// Over so many renewals, or over the next so many where seats were still on their way meanwhile: then all are told tables.
-	const beats = 24
+	const minRenewals = 24
 	first, limit := p.sample().Members, time.Now().Add(testWait)
 	for {
 		now := p.sample().Members
 		since := func(name string) (renewals, heard float64) {
 			return float64(now[name].Renewals - first[name].Renewals), float64(now[name].FromVoters - first[name].FromVoters)
 		}
-		honest, told := since("m4")
-		if honest < beats {
+		honest, honestBytes := since("m4")
+		if honest < minRenewals {
 			time.Sleep(testPause)
 			continue
 		}
-		hasty, _ := since("m2")
-		forgetful, whole := since("m3")
-		fast, long := hasty > 1.6*honest && hasty < 2.4*honest, whole/forgetful > 10*told/honest
-		if fast && long {
+		tooOften, _ := since("m2")
+		stateless, statelessBytes := since("m3")
+		renewsOften, receivesMore := tooOften > 1.6*honest && tooOften < 2.4*honest, statelessBytes/stateless > 10*honestBytes/honest
+		if renewsOften && receivesMore {
 			return
 		}
 		if time.Now().After(limit) {
 			t.Fatalf("another member asks %v times and is told %.0f bytes a time; the hasty one asks %v times, the forgetful one is told %.0f",
-				honest, told/honest, hasty, whole/forgetful)
+				honest, honestBytes/honest, tooOften, statelessBytes/stateless)
 		}
 		first = now
 	}
@@ -640,10 +640,10 @@
 	good := func() Start {
 		return Start{
 			Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
-			Members: []Peer{{Name: "m1", Zone: "a", Address: free(t)}, {Name: "m2", Zone: "b", Address: free(t)}},
+			Members: []Peer{{Name: "m1", Zone: "a", Address: freeAddress(t)}, {Name: "m2", Zone: "b", Address: freeAddress(t)}},
 		}
 	}
-	for want, spoil := range map[string]func(*Start){
+	for want, change := range map[string]func(*Start){
 		"keepers: 0":                   func(s *Start) { s.Voters = nil },
 		"members: 0":                   func(s *Start) { s.Members = nil },
 		"members[1].address: \"\", of": func(s *Start) { s.Members[1].Address = "" },
@@ -669,8 +669,8 @@
 		"m2: crew.address: listen tcp": func(s *Start) { s.Members[1].Address = "192.0.2.1:9" }, // not this machine's
 	} {
 		s := good()
-		spoil(&s)
-		p := run(t, s)
+		change(&s)
+		p := startProcess(t, s)
 		err := <-p.ended
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%v, want %q", err, want)
@@ -711,8 +711,8 @@
 		"command: json: unknown field":            map[string]any{"id": 1, "do": "kill", "who": "m1"},
 	} {
 		s := Start{Cluster: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
-			Members: []Peer{{Name: "m1", Address: free(t)}}}
-		p := run(t, s)
+			Members: []Peer{{Name: "m1", Address: freeAddress(t)}}}
+		p := startProcess(t, s)
 		p.await("ready", func() bool { return p.ready })
 		if err := p.in.Encode(command); err != nil {
 			t.Fatal(err)
@@ -730,8 +730,8 @@
 // The end of standard input is the members' end, and no fault.
 func TestEndOfInput(t *testing.T) {
 	s := Start{Cluster: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
-		Members: []Peer{{Name: "m1", Address: free(t)}}}
-	p := run(t, s)
+		Members: []Peer{{Name: "m1", Address: freeAddress(t)}}}
+	p := startProcess(t, s)
 	p.await("ready", func() bool { return p.ready })
 	p.close()
 	if err := <-p.ended; err != nil {
--- a/internal/lab/emulated/world_test.go
+++ b/internal/lab/emulated/env_test.go
@@ -18,10 +18,10 @@
 
 const testDelay = 30 * time.Millisecond
 
-// twoRegions returns a world in the north, an address in the south, what it accepts there, and the way between.
-func twoRegions(t *testing.T, delay time.Duration) (w *world, address string, accepted chan net.Conn, way *way) {
+// newTwoRegions returns a world in the north, an address in the south, what it accepts there, and the way between.
+func newTwoRegions(t *testing.T, delay time.Duration) (e *memberEnv, address string, accepted chan net.Conn, path *regionPath) {
 	t.Helper()
-	l, err := net.Listen("tcp", free(t))
+	l, err := net.Listen("tcp", freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,15 +37,15 @@
 		}
 	}()
 	address = l.Addr().String()
-	ways := newWays(map[string]string{address: "south"}, delay)
-	w = newWorld(ways, "north", map[string]bool{address: true}, &traffic{}, "", 0)
-	t.Cleanup(w.end)
-	return w, address, accepted, ways.between("south", "north")
+	paths := newRegionPaths(map[string]string{address: "south"}, delay)
+	e = newMemberEnv(paths, "north", map[string]bool{address: true}, &trafficCounters{}, "", 0)
+	t.Cleanup(e.kill)
+	return e, address, accepted, paths.between("south", "north")
 }
 
-func dial(t *testing.T, w *world, address string) net.Conn {
+func dial(t *testing.T, e *memberEnv, address string) net.Conn {
 	t.Helper()
-	c, err := w.Dial(context.Background(), address, testWait)
+	c, err := e.Dial(context.Background(), address, testWait)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,14 +53,14 @@
 }
 
 // What goes between regions comes late, each way, in order and whole; a long message is late once, not once a piece.
-func TestFarIsLate(t *testing.T) {
-	w, address, accepted, _ := twoRegions(t, testDelay)
+func TestRegionDelay(t *testing.T) {
+	e, address, accepted, _ := newTwoRegions(t, testDelay)
 	began := time.Now()
-	c := dial(t, w, address)
+	c := dial(t, e, address)
 	if took := time.Since(began); took < 2*testDelay {
 		t.Errorf("dialed after %v", took)
 	}
-	there := <-accepted
+	remote := <-accepted
 	began = time.Now()
 	text := bytes.Repeat([]byte("0123456789abcdef"), 40*pieceSize/16)
 	go func() {
@@ -69,17 +69,17 @@
 		}
 	}()
 	got := make([]byte, len(text))
-	if _, err := io.ReadFull(there, got[:1]); err != nil || time.Since(began) < testDelay {
+	if _, err := io.ReadFull(remote, got[:1]); err != nil || time.Since(began) < testDelay {
 		t.Errorf("%v after %v", err, time.Since(began))
 	}
-	if _, err := io.ReadFull(there, got[1:]); err != nil || !bytes.Equal(got, text) {
+	if _, err := io.ReadFull(remote, got[1:]); err != nil || !bytes.Equal(got, text) {
 		t.Errorf("%v, or other bytes", err)
 	}
 	if took := time.Since(began); took > 20*testDelay {
 		t.Errorf("40 pieces took %v: each was late by itself", took)
 	}
 	began = time.Now()
-	go there.Write(text) //nolint:errcheck // likewise
+	go remote.Write(text) //nolint:errcheck // likewise
 	clear(got)
 	if _, err := io.ReadFull(c, got[:1]); err != nil || time.Since(began) < testDelay {
 		t.Errorf("%v after %v", err, time.Since(began))
@@ -90,26 +90,26 @@
 	if took := time.Since(began); took > 20*testDelay {
 		t.Errorf("40 pieces took %v: each was late by itself", took)
 	}
-	if in, out := w.spent.ofKeeper.Load(), w.spent.toKeeper.Load(); in != int64(len(text)) || out != int64(len(text)) {
+	if in, out := e.traffic.fromVoters.Load(), e.traffic.toVoters.Load(); in != int64(len(text)) || out != int64(len(text)) {
 		t.Errorf("counted %d in, %d out, of %d", in, out, len(text))
 	}
 }
 
 // A cut holds bytes and dials; they come when it is mended, and a dial whose time is over has failed.
-func TestCutHolds(t *testing.T) {
-	w, address, accepted, way := twoRegions(t, time.Millisecond)
-	c := dial(t, w, address)
-	there := <-accepted
-	way.set(true)
+func TestPartitionHoldsBytes(t *testing.T) {
+	e, address, accepted, path := newTwoRegions(t, time.Millisecond)
+	c := dial(t, e, address)
+	remote := <-accepted
+	path.setPartitioned(true)
 	if _, err := c.Write([]byte("held")); err != nil {
 		t.Error(err)
 	}
-	if _, err := there.Write([]byte("back")); err != nil {
+	if _, err := remote.Write([]byte("back")); err != nil {
 		t.Error(err)
 	}
 	got := make([]byte, 4)
-	there.SetReadDeadline(time.Now().Add(testDelay))
-	if n, err := there.Read(got); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+	remote.SetReadDeadline(time.Now().Add(testDelay))
+	if n, err := remote.Read(got); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("%q, %v across a cut", got[:n], err)
 	}
 	c.SetReadDeadline(time.Now().Add(testDelay))
@@ -117,23 +117,23 @@
 		t.Errorf("%q, %v across a cut", got[:n], err)
 	}
 	began := time.Now()
-	_, err := w.Dial(context.Background(), address, testDelay)
+	_, err := e.Dial(context.Background(), address, testDelay)
 	var timed net.Error
 	if took := time.Since(began); !errors.As(err, &timed) || !timed.Timeout() || took < testDelay {
 		t.Errorf("%v after %v", err, took)
 	}
 	dialed := make(chan error, 1)
 	go func() {
-		c, err := w.Dial(context.Background(), address, testWait)
+		c, err := e.Dial(context.Background(), address, testWait)
 		if err == nil {
 			c.Close()
 		}
 		dialed <- err
 	}()
-	way.set(true) // again: one mend ends it all the same
-	way.set(false)
-	there.SetReadDeadline(time.Now().Add(testWait))
-	if _, err := io.ReadFull(there, got); err != nil || string(got) != "held" {
+	path.setPartitioned(true) // again: one mend ends it all the same
+	path.setPartitioned(false)
+	remote.SetReadDeadline(time.Now().Add(testWait))
+	if _, err := io.ReadFull(remote, got); err != nil || string(got) != "held" {
 		t.Errorf("%q, %v", got, err)
 	}
 	c.SetReadDeadline(time.Now().Add(testWait))
@@ -146,76 +146,76 @@
 }
 
 // What a member has written before it closed a connection, or was killed, is on its way all the same.
-func TestCloseIsBehindWhatWasWritten(t *testing.T) {
-	for name, end := range map[string]func(*world, net.Conn){
-		"closed": func(_ *world, c net.Conn) { c.Close() }, "killed": func(w *world, _ net.Conn) { w.end() },
+func TestCloseDeliversWrittenBytes(t *testing.T) {
+	for name, end := range map[string]func(*memberEnv, net.Conn){
+		"closed": func(_ *memberEnv, c net.Conn) { c.Close() }, "killed": func(w *memberEnv, _ net.Conn) { w.kill() },
 	} {
-		w, address, accepted, way := twoRegions(t, time.Millisecond)
-		c := dial(t, w, address)
-		there := <-accepted
-		way.set(true)
+		e, address, accepted, path := newTwoRegions(t, time.Millisecond)
+		c := dial(t, e, address)
+		remote := <-accepted
+		path.setPartitioned(true)
 		if _, err := c.Write([]byte("last")); err != nil {
 			t.Error(name, err)
 		}
-		end(w, c)
+		end(e, c)
 		if _, err := c.Write([]byte("more")); err == nil {
 			t.Error(name, "it still writes")
 		}
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 			t.Error(name, err)
 		}
-		way.set(false)
-		there.SetReadDeadline(time.Now().Add(testWait))
-		if got, err := io.ReadAll(there); err != nil || string(got) != "last" {
+		path.setPartitioned(false)
+		remote.SetReadDeadline(time.Now().Add(testWait))
+		if got, err := io.ReadAll(remote); err != nil || string(got) != "last" {
 			t.Errorf("%s: %q, %v", name, got, err)
 		}
-		if n := w.open(); n != 0 {
+		if n := e.openConns(); n != 0 {
 			t.Errorf("%s: %d connections are open", name, n)
 		}
 	}
 }
 
 // httpwire asks of an idle connection whether it still stands, near and far.
-func TestFreshNearAndFar(t *testing.T) {
-	w, address, accepted, _ := twoRegions(t, time.Millisecond)
-	near := newWorld(w.ways, "south", nil, &traffic{}, "", 0)
-	for name, world := range map[string]*world{"far": w, "near": near} {
+func TestFreshWithinAndBetweenRegions(t *testing.T) {
+	e, address, accepted, _ := newTwoRegions(t, time.Millisecond)
+	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
+	for name, e := range map[string]*memberEnv{"far": e, "near": near} {
 		for what, end := range map[string]func(net.Conn){
 			"it was closed": func(c net.Conn) { c.Close() },
 			"something came": func(c net.Conn) {
 				c.Write([]byte("x")) //nolint:errcheck // what comes tells
 			},
 		} {
-			l, err := httpwire.Dial(context.Background(), world, address, testWait)
+			l, err := httpwire.Dial(context.Background(), e, address, testWait)
 			if err != nil {
 				t.Fatal(err)
 			}
-			there := <-accepted
+			remote := <-accepted
 			if !l.Usable() {
 				t.Errorf("%s: not fresh", name)
 			}
-			end(there)
+			end(remote)
 			for limit := time.Now().Add(testWait); l.Usable(); time.Sleep(testPause) {
 				if time.Now().After(limit) {
 					t.Fatalf("%s: fresh though %s", name, what)
 				}
 			}
 			l.Close()
-			there.Close()
+			remote.Close()
 		}
 	}
 }
 
 // A connection inside a region costs no goroutine; both goroutines of one between regions end with it.
 func TestGoroutinesOfConnections(t *testing.T) {
-	w, address, accepted, _ := twoRegions(t, time.Millisecond)
-	near := newWorld(w.ways, "south", nil, &traffic{}, "", 0)
+	e, address, accepted, _ := newTwoRegions(t, time.Millisecond)
+	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
 	const conns = 50
-	count := func(w *world) (before, with, after int) {
+	count := func(e *memberEnv) (before, with, after int) {
 		before = runtime.NumGoroutine()
 		var all []net.Conn
 		for range conns {
-			all = append(all, dial(t, w, address), <-accepted)
+			all = append(all, dial(t, e, address), <-accepted)
 		}
 		with = runtime.NumGoroutine()
 		for _, c := range all {
@@ -231,16 +231,16 @@
 	if before, with, _ := count(near); with > before+5 {
 		t.Errorf("near: %d goroutines, %d with %d connections", before, with, conns)
 	}
-	if before, with, after := count(w); with < before+2*conns-5 || after > before+5 {
+	if before, with, after := count(e); with < before+2*conns-5 || after > before+5 {
 		t.Errorf("far: %d goroutines, %d with %d connections, %d afterwards", before, with, conns, after)
 	}
 }
 
 // A world that is over: nobody reaches it, it reaches nobody, and no lease holds there.
-func TestWorldEnds(t *testing.T) {
-	w, address, accepted, _ := twoRegions(t, 0)
-	near := newWorld(w.ways, "south", nil, &traffic{}, "", 0)
-	l, err := near.Listen(free(t))
+func TestMemberEnvKill(t *testing.T) {
+	e, address, accepted, _ := newTwoRegions(t, 0)
+	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
+	l, err := near.Listen(freeAddress(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -254,12 +254,12 @@
 		t.Fatal(err)
 	}
 	c := dial(t, near, address)
-	there := <-accepted
-	if near.open() != 2 {
-		t.Errorf("%d connections", near.open())
+	remote := <-accepted
+	if near.openConns() != 2 {
+		t.Errorf("%d connections", near.openConns())
 	}
-	near.end()
-	for _, peer := range []net.Conn{out, there} {
+	near.kill()
+	for _, peer := range []net.Conn{out, remote} {
 		peer.SetReadDeadline(time.Now().Add(testWait))
 		if n, err := peer.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%d, %v", n, err)
@@ -273,20 +273,20 @@
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
 	}
-	if _, err := near.Dial(context.Background(), address, testWait); !errors.Is(err, errOver) {
+	if _, err := near.Dial(context.Background(), address, testWait); !errors.Is(err, errKilled) {
 		t.Error(err)
 	}
-	if _, err := near.Listen(free(t)); !errors.Is(err, errOver) {
+	if _, err := near.Listen(freeAddress(t)); !errors.Is(err, errKilled) {
 		t.Error(err)
 	}
-	if near.BootTime() < (env.Real{}).BootTime()+afterlife/2 {
+	if near.BootTime() < (env.Real{}).BootTime()+clockJump/2 {
 		t.Error("a lease may still hold")
 	}
 }
 
 // A member's goroutine that asks for the lease has a thread of its own, so that the kernel wakes it by itself. Guards against
 // another name of that goroutine in internal/cluster/member, by which hollow members would cost too little.
-func TestLeaseHasAThread(t *testing.T) {
+func TestLeaseGoroutineHasThread(t *testing.T) {
 	threads := func() int {
 		t.Helper()
 		files, err := os.ReadDir("/proc/self/task")
@@ -299,9 +299,9 @@
 	before := threads()
 	s := Start{Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}}}
 	for i := range members {
-		s.Members = append(s.Members, Peer{Name: fmt.Sprintf("m%d", i), Address: free(t)})
+		s.Members = append(s.Members, Peer{Name: fmt.Sprintf("m%d", i), Address: freeAddress(t)})
 	}
-	p := run(t, s)
+	p := startProcess(t, s)
 	p.await("ready", func() bool { return p.ready })
 	for limit := time.Now().Add(testWait); threads() < members; time.Sleep(testPause) {
 		if time.Now().After(limit) {
@@ -312,7 +312,7 @@
 
 // The timer between two questions for the lease is the kernel's own for each member, and ends with it. Guards against another time
 // there in internal/cluster/member, by which hollow members would ask together.
-func TestLeaseHasATimer(t *testing.T) {
+func TestRenewalHasKernelTimer(t *testing.T) {
 	timers := func() (n int) {
 		t.Helper()
 		files, err := os.ReadDir("/proc/self/fd")
@@ -336,22 +336,22 @@
 	}
 	const members = 3
 	before := timers()
-	c := form(t, 3, members, 0)
-	p := run(t, c.start)
+	c := startCluster(t, 3, members, 0)
+	p := startProcess(t, c.start)
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	await(before + members)
-	p.good(Command{Do: Kill, Members: []string{"m1"}})
-	p.good(Command{Do: Leave, Members: []string{"m2"}})
+	p.mustDo(Command{Do: Kill, Members: []string{"m1"}})
+	p.mustDo(Command{Do: Leave, Members: []string{"m2"}})
 	await(before + 1)
 }
 
 // A timer goes off once each time that it is set, not before; the one between questions at half the time where they are hasty.
 func TestTimer(t *testing.T) {
-	const beat = 40 * time.Millisecond
-	w := newWorld(newWays(nil, 0), "", nil, &traffic{}, "", beat)
-	tick := w.NewTimer(0)
+	const renewInterval = 40 * time.Millisecond
+	e := newMemberEnv(newRegionPaths(nil, 0), "", nil, &trafficCounters{}, "", renewInterval)
+	tick := e.NewTimer(0)
 	<-tick.C()
-	for _, d := range []time.Duration{beat, beat, beat / 3, beat} {
+	for _, d := range []time.Duration{renewInterval, renewInterval, renewInterval / 3, renewInterval} {
 		began := time.Now()
 		tick.Reset(d)
 		at := <-tick.C()
@@ -359,19 +359,19 @@
 			t.Errorf("after %v, want %v", took, d)
 		}
 	}
-	w.fault = RenewsTooOften
-	least := time.Duration(1 << 62)
+	e.fault = RenewsTooOften
+	shortest := time.Duration(1 << 62)
 	for range 20 {
 		began := time.Now()
-		tick.Reset(beat)
+		tick.Reset(renewInterval)
 		took := (<-tick.C()).Sub(began)
-		least = min(least, took)
+		shortest = min(shortest, took)
 	}
-	if least < beat/2 || least >= beat {
-		t.Errorf("hasty after %v, want %v", least, beat/2)
+	if shortest < renewInterval/2 || shortest >= renewInterval {
+		t.Errorf("hasty after %v, want %v", shortest, renewInterval/2)
 	}
 	tick.Stop()
-	if tick.(*timer).alarm.set(beat) {
+	if tick.(*timer).kernel.set(renewInterval) {
 		t.Error("a timer that was stopped can be set")
 	}
 }
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -22,30 +22,30 @@
 
 // Figures of a process.
 const (
-	lookEvery = 10 * time.Millisecond // an event is late by that at most, when the process does not lag
-	lagEvery  = 10 * time.Millisecond
-	mostLine  = 16 << 20        // bytes of a line that it is told
-	buryTime  = 2 * time.Second // for what is left of members to end, at its end
+	stateInterval  = 10 * time.Millisecond // an event is late by that at most, when the process does not lag
+	lagInterval    = 10 * time.Millisecond
+	maxLineBytes   = 16 << 20        // bytes of a line that it is told
+	cleanupTimeout = 2 * time.Second // for what is left of members to end, at its end
 )
 
 // process is a process of hollow members.
 type process struct {
-	start   *Start
-	log     zerolog.Logger
-	ways    *ways
-	keepers map[string]bool // addresses
-	members []*hollow
-	byName  map[string]*hollow
-	regions map[string]bool
-	buried  sync.WaitGroup // what is left of members that were killed
-	halt    chan struct{}
+	start          *Start
+	log            zerolog.Logger
+	paths          *regionPaths
+	voterAddresses map[string]bool // addresses
+	members        []*emulatedMember
+	byName         map[string]*emulatedMember
+	regions        map[string]bool
+	cleanup        sync.WaitGroup // what is left of members that were killed
+	done           chan struct{}
 
-	saying sync.Mutex
-	out    *json.Encoder
+	outMu sync.Mutex
+	out   *json.Encoder
 
 	lag struct {
 		sync.Mutex
-		most time.Duration // since the last sample
+		max time.Duration // since the last sample
 	}
 }
 
@@ -56,12 +56,12 @@
 // (a real sidecar runs on one), and GOGC at 100 as a real one has, so that its memory shows what members cost and not a
 // collector that was told to rest. There is no limit of memory: a hundred sidecars' would never bind.
 func Run(in io.Reader, out io.Writer, log zerolog.Logger) error {
-	p := &process{log: log, byName: map[string]*hollow{}, keepers: map[string]bool{}, regions: map[string]bool{}, halt: make(chan struct{}),
+	p := &process{log: log, byName: map[string]*emulatedMember{}, voterAddresses: map[string]bool{}, regions: map[string]bool{}, done: make(chan struct{}),
 		out: json.NewEncoder(out)}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(make([]byte, 0, 64<<10), mostLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	if err := p.run(lines); err != nil {
-		p.say(Output{Error: err.Error()})
+		p.write(Output{Error: err.Error()})
 		return err
 	}
 	return nil
@@ -75,36 +75,36 @@
 	if err := decode(lines.Bytes(), p.start); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	if err := p.start.check(); err != nil {
+	if err := p.start.validate(); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	regions := p.start.regions()
-	p.ways = newWays(regions, p.start.RegionDelay)
+	regions := p.start.regionsByAddress()
+	p.paths = newRegionPaths(regions, p.start.RegionDelay)
 	for _, r := range regions {
 		p.regions[r] = r != ""
 	}
-	for _, k := range p.start.Voters {
-		p.keepers[k.Address] = true
+	for _, v := range p.start.Voters {
+		p.voterAddresses[v.Address] = true
 	}
-	for _, place := range p.start.Members {
-		h := &hollow{process: p, place: place, fault: p.start.Faults[place.Name]}
-		h.setRate(p.start.KeyedRate)
-		p.members, p.byName[place.Name] = append(p.members, h), h
+	for _, peer := range p.start.Members {
+		m := &emulatedMember{process: p, peer: peer, fault: p.start.Faults[peer.Name]}
+		m.setRate(p.start.KeyedRate)
+		p.members, p.byName[peer.Name] = append(p.members, m), m
 	}
-	defer p.end()
+	defer p.killAll()
 	if err := p.begin(p.members); err != nil {
 		return fmt.Errorf("start: %w", err)
 	}
-	go p.watch()
-	go p.clock()
-	p.say(Output{Ready: true})
+	go p.checkStates()
+	go p.measureLag()
+	p.write(Output{Ready: true})
 	for lines.Scan() {
 		var c Command
 		if err := decode(lines.Bytes(), &c); err != nil {
 			return fmt.Errorf("command: %w", err)
 		}
-		over, err := p.do(&c)
-		if over || err != nil {
+		last, err := p.do(&c)
+		if last || err != nil {
 			return err
 		}
 	}
@@ -121,25 +121,25 @@
 	return nil
 }
 
-// say writes a line. Whoever leads the process reads them all: else it stands still.
-func (p *process) say(l Output) {
-	p.saying.Lock()
-	defer p.saying.Unlock()
-	p.out.Encode(l) //nolint:errcheck // nobody is there to be told; the end of standard input ends it
+// write writes a line. Whoever leads the process reads them all: else it stands still.
+func (p *process) write(o Output) {
+	p.outMu.Lock()
+	defer p.outMu.Unlock()
+	p.out.Encode(o) //nolint:errcheck // nobody is there to be told; the end of standard input ends it
 }
 
-// end has all members gone.
-func (p *process) end() {
-	close(p.halt)
-	for _, h := range p.members {
-		h.kill() //nolint:errcheck // it is gone already
+// killAll has all members gone.
+func (p *process) killAll() {
+	close(p.done)
+	for _, m := range p.members {
+		m.kill() //nolint:errcheck // it is gone already
 	}
 	done := make(chan struct{})
 	go func() {
-		p.buried.Wait()
+		p.cleanup.Wait()
 		close(done)
 	}()
-	timer := time.NewTimer(buryTime)
+	timer := time.NewTimer(cleanupTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -147,26 +147,26 @@
 	}
 }
 
-// each does something for members at once, and joins what went wrong.
-func each(members []*hollow, do func(*hollow) error) error {
-	faults := make([]error, len(members))
-	var all sync.WaitGroup
-	for i, h := range members {
-		all.Go(func() {
-			if err := do(h); err != nil {
-				faults[i] = fmt.Errorf("%s: %w", h.place.Name, err)
+// forEach does something for members at once, and joins what went wrong.
+func forEach(members []*emulatedMember, do func(*emulatedMember) error) error {
+	errs := make([]error, len(members))
+	var running sync.WaitGroup
+	for i, m := range members {
+		running.Go(func() {
+			if err := do(m); err != nil {
+				errs[i] = fmt.Errorf("%s: %w", m.peer.Name, err)
 			}
 		})
 	}
-	all.Wait()
-	return brief(faults)
+	running.Wait()
+	return summarize(errs)
 }
 
-// brief is one line of what went wrong.
-func brief(faults []error) error {
+// summarize is one line of what went wrong.
+func summarize(errs []error) error {
 	var first error
 	more := 0
-	for _, err := range faults {
+	for _, err := range errs {
 		switch {
 		case err == nil:
 		case first == nil:
@@ -182,14 +182,14 @@
 }
 
 // begin starts members and waits until they listen. One that can't is gone.
-func (p *process) begin(members []*hollow) error {
-	return each(members, func(h *hollow) error {
-		l, err := h.begin()
+func (p *process) begin(members []*emulatedMember) error {
+	return forEach(members, func(m *emulatedMember) error {
+		inst, err := m.begin()
 		if err != nil {
 			return err
 		}
-		if err = l.awaitListening(); err != nil {
-			h.kill() //nolint:errcheck // it was killed meanwhile
+		if err = inst.awaitListening(); err != nil {
+			m.kill() //nolint:errcheck // it was killed meanwhile
 		}
 		return err
 	})
@@ -197,41 +197,41 @@
 
 // do carries out a command and answers it; over tells that it was the last. What takes time goes on beside further commands.
 // An error ends the process: who says what it does not know can't be heeded.
-func (p *process) do(c *Command) (over bool, err error) {
+func (p *process) do(c *Command) (last bool, err error) {
 	answer := func(err error) {
-		l := Output{ID: c.ID}
+		o := Output{ID: c.ID}
 		if err != nil {
-			l.Error = fmt.Sprintf("%s: %v", c.Do, err)
+			o.Error = fmt.Sprintf("%s: %v", c.Do, err)
 		}
-		p.say(l)
+		p.write(o)
 	}
-	members, err := p.named(c.Members)
+	members, err := p.membersNamed(c.Members)
 	if err != nil {
 		answer(err)
 		return false, nil
 	}
 	switch c.Do {
 	case Kill:
-		var faults []error
-		for _, h := range members {
-			if err := h.kill(); err != nil {
-				faults = append(faults, fmt.Errorf("%s: %w", h.place.Name, err))
+		var errs []error
+		for _, m := range members {
+			if err := m.kill(); err != nil {
+				errs = append(errs, fmt.Errorf("%s: %w", m.peer.Name, err))
 			}
 		}
-		answer(brief(faults))
+		answer(summarize(errs))
 	case Leave:
-		go func() { answer(each(members, (*hollow).leave)) }()
+		go func() { answer(forEach(members, (*emulatedMember).leave)) }()
 	case Restart:
 		go func() { answer(p.begin(members)) }()
 	case Partition, Heal:
-		answer(p.cut(c.Regions, c.Do == Partition))
-	case Order:
-		if err := p.start.checkRate(c.Orders); err != nil {
+		answer(p.partitioned(c.Regions, c.Do == Partition))
+	case SetKeyedRate:
+		if err := p.start.validateKeyedRate(c.KeyedRate); err != nil {
 			answer(err)
 			break
 		}
-		for _, h := range members {
-			h.setRate(c.Orders)
+		for _, m := range members {
+			m.setRate(c.KeyedRate)
 		}
 		answer(nil)
 	case Sample:
@@ -240,34 +240,34 @@
 			answer(err)
 			break
 		}
-		p.say(Output{ID: c.ID, Sample: s})
+		p.write(Output{ID: c.ID, Sample: s})
 	case End:
 		answer(nil)
 		return true, nil
 	default:
 		return true, fmt.Errorf("command %d: do: %q; allowed: %s", c.ID, c.Do,
-			strings.Join([]string{Kill, Leave, Restart, Partition, Heal, Order, Sample, End}, ", "))
+			strings.Join([]string{Kill, Leave, Restart, Partition, Heal, SetKeyedRate, Sample, End}, ", "))
 	}
 	return false, nil
 }
 
-// named are the members of such names; all for none.
-func (p *process) named(names []string) ([]*hollow, error) {
+// membersNamed are the members of such names; all for none.
+func (p *process) membersNamed(names []string) ([]*emulatedMember, error) {
 	if len(names) == 0 {
 		return p.members, nil
 	}
-	var out []*hollow
+	var out []*emulatedMember
 	for _, name := range names {
-		h := p.byName[name]
-		if h == nil {
+		m := p.byName[name]
+		if m == nil {
 			return nil, fmt.Errorf("%s: no member of this process", name)
 		}
-		out = append(out, h)
+		out = append(out, m)
 	}
 	return out, nil
 }
 
-func (p *process) cut(regions [2]string, cut bool) error {
+func (p *process) partitioned(regions [2]string, partitioned bool) error {
 	for _, r := range regions {
 		if !p.regions[r] {
 			return fmt.Errorf("region %q: nothing stands there", r)
@@ -276,53 +276,53 @@
 	if regions[0] == regions[1] {
 		return fmt.Errorf("regions: %q twice; allowed: two", regions[0])
 	}
-	p.ways.between(regions[0], regions[1]).set(cut)
+	p.paths.between(regions[0], regions[1]).setPartitioned(partitioned)
 	return nil
 }
 
-// watch looks at all members again and again. A look is a load of a pointer and of the clock.
-func (p *process) watch() {
-	ticker := time.NewTicker(lookEvery)
+// checkStates looks at all members again and again. A look is a load of a pointer and of the clock.
+func (p *process) checkStates() {
+	ticker := time.NewTicker(stateInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-p.halt:
+		case <-p.done:
 			return
 		case <-ticker.C:
 		}
-		for _, h := range p.members {
-			h.look()
+		for _, m := range p.members {
+			m.checkState()
 		}
 	}
 }
 
-// clock measures by how much this process's own timers come late.
-func (p *process) clock() {
-	timer := time.NewTimer(lagEvery)
+// measureLag measures by how much this process's own timers come late.
+func (p *process) measureLag() {
+	timer := time.NewTimer(lagInterval)
 	defer timer.Stop()
 	for {
-		due := time.Now().Add(lagEvery)
-		timer.Reset(lagEvery)
+		due := time.Now().Add(lagInterval)
+		timer.Reset(lagInterval)
 		select {
-		case <-p.halt:
+		case <-p.done:
 			return
 		case <-timer.C:
 		}
 		late := time.Since(due)
 		p.lag.Lock()
-		p.lag.most = max(p.lag.most, late)
+		p.lag.max = max(p.lag.max, late)
 		p.lag.Unlock()
 	}
 }
 
 // sample tells what the process, and these members of it, have cost.
-func (p *process) sample(members []*hollow) (*Usage, error) {
+func (p *process) sample(members []*emulatedMember) (*Usage, error) {
 	s := &Usage{At: (env.Real{}).BootTime(), Members: map[string]MemberUsage{}}
-	for _, h := range members {
-		s.Members[h.place.Name] = h.sample()
+	for _, m := range members {
+		s.Members[m.peer.Name] = m.usage()
 	}
 	p.lag.Lock()
-	s.Lag, p.lag.most = p.lag.most, 0
+	s.Lag, p.lag.max = p.lag.max, 0
 	p.lag.Unlock()
 	return s, s.measure()
 }
--- a/internal/lab/emulated/start.go
+++ b/internal/lab/emulated/start.go
@@ -25,14 +25,14 @@
 
 // Figures of a hollow member's settings.
 const (
-	maxAttempts   = 2
-	classDeadline = 800 * time.Millisecond
-	orderWindow   = 3 * time.Second
-	mostEntries   = 200_000  // as in an operator's file that names none
-	mostBody      = 16 << 10 // likewise
-	longestDelay  = 10 * time.Second
-	mostRate      = 1000.0 // orders a second and member: above what one connection of theirs brings
-	longestOrder  = time.Minute
+	maxAttempts      = 2
+	classDeadline    = 800 * time.Millisecond
+	orderWindow      = 3 * time.Second
+	maxEntries       = 200_000  // as in an operator's file that names none
+	maxBody          = 16 << 10 // likewise
+	maxRegionDelay   = 10 * time.Second
+	maxKeyedRate     = 1000.0 // orders a second and member: above what one connection of theirs brings
+	maxKeyedDuration = time.Minute
 )
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -55,9 +55,9 @@
 	}
 }
 
-// conf is the configuration of a member: what a real sidecar reads from its file. Nothing listens for callers, and there is no
+// sidecarConfig is the configuration of a member: what a real sidecar reads from its file. Nothing listens for callers, and there is no
 // discovery.
-func conf(p Peer) (*config.Config, error) {
+func sidecarConfig(p Peer) (*config.Config, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": p.Name, "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
 	})
@@ -67,23 +67,23 @@
 	return config.Parse(text, func(string) string { return "" })
 }
 
-// table is the [crew] of a member.
-func (s *Start) table(p Peer) operator.Cluster {
+// clusterConfig is the [crew] of a member.
+func (s *Start) clusterConfig(p Peer) operator.Cluster {
 	t := operator.Cluster{
-		Name: s.Cluster, Address: p.Address, Params: s.terms(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
+		Name: s.Cluster, Address: p.Address, Params: s.params(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
 	}
-	for _, k := range s.Voters {
-		t.Voters[k.Name] = k.Address
+	for _, v := range s.Voters {
+		t.Voters[v.Name] = v.Address
 	}
 	if s.Copies > 0 {
 		t.Holdings = operator.Holdings{
-			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MaxEntries: mostEntries, MaxBody: mostBody,
+			Classes: map[string]operator.WhenAlone{OrderClass: operator.RefuseAlone}, MaxEntries: maxEntries, MaxBody: maxBody,
 		}
 	}
 	return t
 }
 
-func (s *Start) terms() cluster.Params {
+func (s *Start) params() cluster.Params {
 	t := cluster.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
 	if s.Copies > 0 {
 		t.Holdings = clusterparams.Holdings{Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
@@ -92,23 +92,23 @@
 }
 
 // regionOf is where an address stands; empty where nobody says.
-func (s *Start) region(p Peer) string { return cmp.Or(s.Regions[p.Address], p.Region) }
+func (s *Start) regionOf(p Peer) string { return cmp.Or(s.Regions[p.Address], p.Region) }
 
-// regions are those of all addresses that are known.
-func (s *Start) regions() map[string]string {
+// regionsByAddress are those of all addresses that are known.
+func (s *Start) regionsByAddress() map[string]string {
 	all := maps.Clone(s.Regions)
 	if all == nil {
 		all = map[string]string{}
 	}
 	for _, p := range slices.Concat(s.Voters, s.Members) {
-		all[p.Address] = s.region(p)
+		all[p.Address] = s.regionOf(p)
 	}
 	return all
 }
 
-// check tells the first thing that is wrong, by its name in the line of JSON.
-func (s *Start) check() error {
-	t := s.terms()
+// validate tells the first thing that is wrong, by its name in the line of JSON.
+func (s *Start) validate() error {
+	t := s.params()
 	switch {
 	case s.Cluster == "":
 		return errors.New("crew: missing; allowed: the crew's name")
@@ -126,16 +126,16 @@
 		return fmt.Errorf("keep_ns: %v; allowed: %v to %v", s.Keep, max(clusterparams.MinKeep, orderWindow), clusterparams.MaxKeep)
 	case s.Copies > 0 && (s.LostAfter < clusterparams.MinLostAfter || s.LostAfter > clusterparams.MaxLostAfter):
 		return fmt.Errorf("lost_after_ns: %v; allowed: %v to %v", s.LostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter)
-	case s.RegionDelay < 0 || s.RegionDelay > longestDelay:
-		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, longestDelay)
-	case s.KeyedDuration < 0 || s.KeyedDuration > longestOrder:
-		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.KeyedDuration, longestOrder)
+	case s.RegionDelay < 0 || s.RegionDelay > maxRegionDelay:
+		return fmt.Errorf("region_delay_ns: %v; allowed: 0 to %v", s.RegionDelay, maxRegionDelay)
+	case s.KeyedDuration < 0 || s.KeyedDuration > maxKeyedDuration:
+		return fmt.Errorf("order_takes_ns: %v; allowed: 0 to %v", s.KeyedDuration, maxKeyedDuration)
 	case len(s.Voters) == 0 || len(s.Voters) > clusterparams.MaxVoters:
 		return fmt.Errorf("keepers: %d; allowed: 1 to %d", len(s.Voters), clusterparams.MaxVoters)
 	case len(s.Members) == 0 || len(s.Members) > clusterparams.MaxMembers:
 		return fmt.Errorf("members: %d; allowed: 1 to %d", len(s.Members), clusterparams.MaxMembers)
 	}
-	if err := s.checkRate(s.KeyedRate); err != nil {
+	if err := s.validateKeyedRate(s.KeyedRate); err != nil {
 		return err
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
@@ -171,12 +171,12 @@
 	return nil
 }
 
-func (s *Start) checkRate(orders float64) error {
+func (s *Start) validateKeyedRate(rate float64) error {
 	switch {
-	case !(orders >= 0 && orders <= mostRate):
-		return fmt.Errorf("orders: %v; allowed: 0 to %v", orders, mostRate)
-	case orders > 0 && s.Copies == 0:
-		return fmt.Errorf("orders: %v; allowed: with copies, for nothing is held without", orders)
+	case !(rate >= 0 && rate <= maxKeyedRate):
+		return fmt.Errorf("orders: %v; allowed: 0 to %v", rate, maxKeyedRate)
+	case rate > 0 && s.Copies == 0:
+		return fmt.Errorf("orders: %v; allowed: with copies, for nothing is held without", rate)
 	}
 	return nil
 }
--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -14,34 +14,34 @@
 // of a process each go off by themselves. It is the one that is set anew, by the time between two questions.
 type timer struct {
 	env.Timer
-	world *world
-	alarm *alarm // nil until then
+	env    *memberEnv
+	kernel *kernelTimer // nil until then
 }
 
 // Reset is env.Timer's.
 func (t *timer) Reset(d time.Duration) {
-	if d == t.world.beat {
-		if t.world.fault == RenewsTooOften {
+	if d == t.env.renewInterval {
+		if t.env.fault == RenewsTooOften {
 			d /= 2
 		}
-		if t.alarm == nil {
-			t.alarm = newAlarm()
+		if t.kernel == nil {
+			t.kernel = newKernelTimer()
 		}
 	}
-	if t.alarm != nil && t.alarm.set(d) {
+	if t.kernel != nil && t.kernel.set(d) {
 		return
 	}
-	if t.alarm != nil {
-		t.alarm.file.Close()
-		t.alarm = nil
+	if t.kernel != nil {
+		t.kernel.file.Close()
+		t.kernel = nil
 	}
 	t.Timer.Reset(d) // not yet, or no descriptors are left
 }
 
 // C is where the time comes.
 func (t *timer) C() <-chan time.Time {
-	if t.alarm != nil {
-		return t.alarm.c
+	if t.kernel != nil {
+		return t.kernel.c
 	}
 	return t.Timer.C()
 }
@@ -49,41 +49,41 @@
 // Stop is env.Timer's.
 func (t *timer) Stop() {
 	t.Timer.Stop()
-	if t.alarm != nil {
-		t.alarm.file.Close()
+	if t.kernel != nil {
+		t.kernel.file.Close()
 	}
 }
 
-// alarm is a timer of the kernel's, and the goroutine that reads it until its file is closed.
-type alarm struct {
+// kernelTimer is a timer of the kernel's, and the goroutine that reads it until its file is closed.
+type kernelTimer struct {
 	file *os.File
 	c    chan time.Time
 }
 
-func newAlarm() *alarm {
+func newKernelTimer() *kernelTimer {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
 		return nil
 	}
-	a := &alarm{file: os.NewFile(uintptr(fd), "timerfd"), c: make(chan time.Time, 1)}
+	k := &kernelTimer{file: os.NewFile(uintptr(fd), "timerfd"), c: make(chan time.Time, 1)}
 	go func() {
 		var count [8]byte
 		for {
-			if _, err := a.file.Read(count[:]); err != nil {
+			if _, err := k.file.Read(count[:]); err != nil {
 				return
 			}
 			select {
-			case a.c <- time.Now():
+			case k.c <- time.Now():
 			default:
 			}
 		}
 	}()
-	return a
+	return k
 }
 
 // set has it go off once.
-func (a *alarm) set(d time.Duration) bool {
-	raw, err := a.file.SyscallConn()
+func (k *kernelTimer) set(d time.Duration) bool {
+	raw, err := k.file.SyscallConn()
 	if err != nil {
 		return false
 	}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -31,8 +31,8 @@
 // Rules are all rules, in the order of a record.
 var Rules = []Rule{LostRequest, AnsweredTwice, SentAfterAnswer, DuplicateEffect, SentToDrained, OverloadedCold}
 
-// mostBreaks bounds the breaks that are kept with their words; all are counted.
-const mostBreaks = 100
+// maxViolations bounds the breaks that are kept with their words; all are counted.
+const maxViolations = 100
 
 // Violation is one case of a broken rule.
 type Violation struct {
@@ -98,52 +98,52 @@
 
 // Checker is the account.
 type Checker struct {
-	conf     Conf
-	requests map[string]*request
-	order    []*request // by when they were asked, for Fold
-	tallies  map[string]*Tally
-	notices  notices
-	counts   map[Rule]int
-	breaks   []Violation
-	unknown  int // attempts for requests that no client sent
-	keyed    map[string]int
-	repeats  int // effects that clients doubled themselves, by asking again under one key
+	conf            Conf
+	requests        map[string]*request
+	byStart         []*request // by when they were asked, for Fold
+	tallies         map[string]*Tally
+	listState       listState
+	violationCounts map[Rule]int
+	violations      []Violation
+	unknownAttempts int // attempts for requests that no client sent
+	runsByKey       map[string]int
+	clientRepeats   int // effects that clients doubled themselves, by asking again under one key
 }
 
 // New returns an empty book.
 func New(conf Conf) *Checker {
 	return &Checker{
 		conf: conf, requests: map[string]*request{}, tallies: map[string]*Tally{},
-		notices: newNotices(conf), counts: map[Rule]int{}, keyed: map[string]int{},
+		listState: newListState(conf), violationCounts: map[Rule]int{}, runsByKey: map[string]int{},
 	}
 }
 
-func (b *Checker) broken(rule Rule, at time.Duration, format string, args ...any) {
-	b.counts[rule]++
-	if len(b.breaks) < mostBreaks {
-		b.breaks = append(b.breaks, Violation{rule, at, fmt.Sprintf(format, args...)})
+func (c *Checker) recordViolation(rule Rule, at time.Duration, format string, args ...any) {
+	c.violationCounts[rule]++
+	if len(c.violations) < maxViolations {
+		c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 	}
 }
 
-func (b *Checker) tally(sidecar string) *Tally {
-	t := b.tallies[sidecar]
+func (c *Checker) tally(sidecar string) *Tally {
+	t := c.tallies[sidecar]
 	if t == nil {
 		t = &Tally{}
-		b.tallies[sidecar] = t
+		c.tallies[sidecar] = t
 	}
 	return t
 }
 
 // RequestBegun books a request that a client is about to write.
-func (b *Checker) RequestBegun(r Request) {
-	q := &request{Request: r, tally: b.tally(r.Sidecar)}
-	b.requests[r.ID] = q
-	b.order = append(b.order, q)
+func (c *Checker) RequestBegun(r Request) {
+	q := &request{Request: r, tally: c.tally(r.Sidecar)}
+	c.requests[r.ID] = q
+	c.byStart = append(c.byStart, q)
 }
 
 // RequestWritten books that a request was written whole.
-func (b *Checker) RequestWritten(id string) {
-	if q := b.requests[id]; q != nil && !q.written {
+func (c *Checker) RequestWritten(id string) {
+	if q := c.requests[id]; q != nil && !q.written {
 		q.written = true
 		q.tally.Requests++
 	}
@@ -152,8 +152,8 @@
 // RetractRequest takes back a request that could not be written whole, or whose
 // connection a sidecar closed as it crossed: true if no attempt for it has come to
 // an endpoint, so that the client may send it once more.
-func (b *Checker) RetractRequest(id string) bool {
-	q := b.requests[id]
+func (c *Checker) RetractRequest(id string) bool {
+	q := c.requests[id]
 	if q == nil || q.arrived {
 		return false
 	}
@@ -161,15 +161,15 @@
 		q.tally.Requests--
 	}
 	q.ended = true
-	delete(b.requests, id)
+	delete(c.requests, id)
 	return true
 }
 
 // AnswerReceived books a whole answer.
-func (b *Checker) AnswerReceived(at time.Duration, id string, v Verdict) {
-	q := b.requests[id]
+func (c *Checker) AnswerReceived(at time.Duration, id string, v Verdict) {
+	q := c.requests[id]
 	if q == nil || q.answered {
-		b.broken(AnsweredTwice, at, "request %s: answered once more", id)
+		c.recordViolation(AnsweredTwice, at, "request %s: answered once more", id)
 		return
 	}
 	q.answered = true
@@ -178,49 +178,49 @@
 	}
 	q.ended, q.endAt = true, at
 	q.tally.Answers[v]++
-	if late := at - q.Deadline - b.conf.AnswerSlack - b.conf.Margin; late > 0 {
-		b.broken(LostRequest, at, "request %s at %s: answered %v too late", id, q.Sidecar, late)
+	if late := at - q.Deadline - c.conf.AnswerSlack - c.conf.Margin; late > 0 {
+		c.recordViolation(LostRequest, at, "request %s at %s: answered %v too late", id, q.Sidecar, late)
 	}
 }
 
 // ExtraBytes books bytes behind a whole answer that belong to no request.
-func (b *Checker) ExtraBytes(at time.Duration, id string) {
-	b.broken(AnsweredTwice, at, "request %s: more came behind its answer", id)
+func (c *Checker) ExtraBytes(at time.Duration, id string) {
+	c.recordViolation(AnsweredTwice, at, "request %s: more came behind its answer", id)
 }
 
 // ForeignAnswer books a whole answer that no endpoint made for the request.
-func (b *Checker) ForeignAnswer(at time.Duration, id string) {
-	b.AnswerReceived(at, id, Failed)
-	b.broken(LostRequest, at, "request %s: served with what was made for another", id)
+func (c *Checker) ForeignAnswer(at time.Duration, id string) {
+	c.AnswerReceived(at, id, Failed)
+	c.recordViolation(LostRequest, at, "request %s: served with what was made for another", id)
 }
 
 // Unanswered books that a connection ended without a whole answer, or that none
 // had come when the client's time and all slack was over.
-func (b *Checker) Unanswered(at time.Duration, id string) {
-	q := b.requests[id]
+func (c *Checker) Unanswered(at time.Duration, id string) {
+	q := c.requests[id]
 	if q == nil || q.ended {
 		return
 	}
 	q.ended, q.endAt = true, at
 	q.tally.ClientLeft++
-	b.broken(LostRequest, at, "request %s at %s: no answer", id, q.Sidecar)
+	c.recordViolation(LostRequest, at, "request %s at %s: no answer", id, q.Sidecar)
 }
 
 // ClientLeft books that a client has gone by itself.
-func (b *Checker) ClientLeft(at time.Duration, id string) {
-	if q := b.requests[id]; q != nil && !q.ended {
+func (c *Checker) ClientLeft(at time.Duration, id string) {
+	if q := c.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		q.endAt = q.Deadline + b.conf.AnswerSlack // its sidecar need not notice before
+		q.endAt = q.Deadline + c.conf.AnswerSlack // its sidecar need not notice before
 		q.tally.ClientLeft++
 	}
 }
 
 // RequestInterrupted books that a request ended with its sidecar, which the lab had stopped: a
 // loss for the client, and no broken rule.
-func (b *Checker) RequestInterrupted(at time.Duration, id string) {
-	if q := b.requests[id]; q != nil && !q.ended {
+func (c *Checker) RequestInterrupted(at time.Duration, id string) {
+	if q := c.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		q.endAt = q.Deadline + b.conf.AnswerSlack
+		q.endAt = q.Deadline + c.conf.AnswerSlack
 		q.tally.Interrupted++
 	}
 }
@@ -236,21 +236,21 @@
 }
 
 // AttemptArrived books an attempt. It returns false for one that no client sent.
-func (b *Checker) AttemptArrived(a Arrival) bool {
-	q := b.requests[a.ID]
+func (c *Checker) AttemptArrived(a Arrival) bool {
+	q := c.requests[a.ID]
 	if q == nil {
-		b.unknown++
+		c.unknownAttempts++
 		return false
 	}
 	q.arrived = true
 	q.tally.Arrivals++
-	b.checkDrained(q, a)
-	limit := q.Deadline + b.conf.AnswerSlack
+	c.checkSentToDrained(q, a)
+	limit := q.Deadline + c.conf.AnswerSlack
 	if q.ended {
 		limit = min(limit, q.endAt)
 	}
-	if late := a.FirstByte - limit - b.conf.Margin; late > 0 {
-		b.broken(SentAfterAnswer, a.FirstByte, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
+	if late := a.FirstByte - limit - c.conf.Margin; late > 0 {
+		c.recordViolation(SentAfterAnswer, a.FirstByte, "request %s: sent to %s %v after its end", a.ID, a.Endpoint, late)
 	}
 	if !a.Accepted {
 		q.tally.Rejected++
@@ -259,62 +259,62 @@
 	q.tally.Runs++
 	if !a.Repeat {
 		q.runs++
-		b.checkDoubled(q, a)
+		c.checkDuplicateEffect(q, a)
 	}
 	return true
 }
 
-// checkDoubled looks whether an effect has happened twice: by one request, or by
+// checkDuplicateEffect looks whether an effect has happened twice: by one request, or by
 // several that clients sent under one key, which is their own doing.
-func (b *Checker) checkDoubled(q *request, a Arrival) {
+func (c *Checker) checkDuplicateEffect(q *request, a Arrival) {
 	switch q.Effect {
 	case decide.Unsafe:
 		if q.runs > 1 {
-			b.broken(DuplicateEffect, a.LastByte, "request %s: ran once more, at %s", a.ID, a.Endpoint)
+			c.recordViolation(DuplicateEffect, a.LastByte, "request %s: ran once more, at %s", a.ID, a.Endpoint)
 		}
 	case decide.Keyed:
 		if q.runs > 1 {
-			b.broken(DuplicateEffect, a.LastByte, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
+			c.recordViolation(DuplicateEffect, a.LastByte, "request %s: ran once more under key %s, at %s", a.ID, q.Key, a.Endpoint)
 			return
 		}
-		b.keyed[q.Key]++
-		if b.keyed[q.Key] > 1 {
-			b.repeats++
+		c.runsByKey[q.Key]++
+		if c.runsByKey[q.Key] > 1 {
+			c.clientRepeats++
 		}
 	}
 }
 
-// checkDrained looks whether the sidecar counts as told that the endpoint drains, or is gone.
-func (b *Checker) checkDrained(q *request, a Arrival) {
-	at, bound := b.notices.boundSince(q.Sidecar, a.Endpoint, a.FirstByte)
+// checkSentToDrained looks whether the sidecar counts as told that the endpoint drains, or is gone.
+func (c *Checker) checkSentToDrained(q *request, a Arrival) {
+	at, bound := c.listState.withdrawnSince(q.Sidecar, a.Endpoint, a.FirstByte)
 	if !bound {
 		return
 	}
-	if late := a.FirstByte - at - b.conf.DrainGrace - b.conf.Margin; late > 0 {
-		b.broken(SentToDrained, a.FirstByte, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
+	if late := a.FirstByte - at - c.conf.DrainGrace - c.conf.Margin; late > 0 {
+		c.recordViolation(SentToDrained, a.FirstByte, "request %s: sent by %s to %s %v after the grace", a.ID, q.Sidecar, a.Endpoint, late)
 	}
 }
 
 // EndpointOverloaded books that a cold endpoint was pushed over.
-func (b *Checker) EndpointOverloaded(at time.Duration, endpoint string) {
-	b.broken(OverloadedCold, at, "endpoint %s: sent too much for too long while it was cold", endpoint)
+func (c *Checker) EndpointOverloaded(at time.Duration, endpoint string) {
+	c.recordViolation(OverloadedCold, at, "endpoint %s: sent too much for too long while it was cold", endpoint)
 }
 
-// linger is how long a request is kept after its time: what is sent for it by then
+// retention is how long a request is kept after its time: what is sent for it by then
 // is still held against it.
-const linger = 10 * time.Second
+const retention = 10 * time.Second
 
 // Prune forgets the requests of which nothing can come any more.
-func (b *Checker) Prune(now time.Duration) {
+func (c *Checker) Prune(now time.Duration) {
 	n := 0
-	for n < len(b.order) && b.order[n].Deadline+linger < now {
-		q := b.order[n]
-		if b.requests[q.ID] == q {
-			delete(b.requests, q.ID)
+	for n < len(c.byStart) && c.byStart[n].Deadline+retention < now {
+		q := c.byStart[n]
+		if c.requests[q.ID] == q {
+			delete(c.requests, q.ID)
 		}
 		n++
 	}
-	b.order = b.order[n:]
+	c.byStart = c.byStart[n:]
 }
 
 // Report is what the book says.
@@ -328,23 +328,23 @@
 }
 
 // Close returns the account.
-func (b *Checker) Close() Report {
-	a := Report{Rules: map[Rule]int{}, Violations: b.breaks, Sidecars: b.tallies, Unknown: b.unknown, Repeats: b.repeats}
+func (c *Checker) Close() Report {
+	r := Report{Rules: map[Rule]int{}, Violations: c.violations, Sidecars: c.tallies, Unknown: c.unknownAttempts, Repeats: c.clientRepeats}
 	for _, rule := range Rules {
-		a.Rules[rule] = b.counts[rule]
+		r.Rules[rule] = c.violationCounts[rule]
 	}
-	for _, q := range b.order {
+	for _, q := range c.byStart {
 		if q.written && !q.ended {
-			a.Open++
+			r.Open++
 		}
 	}
-	return a
+	return r
 }
 
 // NumViolations is how many rules were broken in all.
-func (a *Report) NumViolations() int {
+func (r *Report) NumViolations() int {
 	n := 0
-	for _, count := range a.Rules {
+	for _, count := range r.Rules {
 		n += count
 	}
 	return n
@@ -352,8 +352,8 @@
 
 // Balance tells what of an account does not add up: each request written to a
 // sidecar has one end.
-func (a *Report) Balance() error {
-	for name, t := range a.Sidecars {
+func (r *Report) Balance() error {
+	for name, t := range r.Sidecars {
 		ends := t.ClientLeft + t.Interrupted
 		for _, n := range t.Answers {
 			ends += n
@@ -362,11 +362,11 @@
 			return fmt.Errorf("sidecar %s: asked %d, ended %d: %+v", name, t.Requests, ends, *t)
 		}
 	}
-	if a.Open > 0 {
-		return fmt.Errorf("%d requests have no end", a.Open)
+	if r.Open > 0 {
+		return fmt.Errorf("%d requests have no end", r.Open)
 	}
-	if a.Unknown > 0 {
-		return fmt.Errorf("%d attempts for requests that no client sent", a.Unknown)
+	if r.Unknown > 0 {
+		return fmt.Errorf("%d attempts for requests that no client sent", r.Unknown)
 	}
 	return nil
 }
--- a/internal/lab/oracle/service.go
+++ b/internal/lab/oracle/service.go
@@ -8,9 +8,9 @@
 
 // Bounds of recorded latencies: a microsecond to a minute, three digits.
 const (
-	leastLatency = int64(time.Microsecond)
-	mostLatency  = int64(time.Minute)
-	latencyFigs  = 3
+	minLatency    = int64(time.Microsecond)
+	maxLatency    = int64(time.Minute)
+	latencyDigits = 3
 )
 
 // LogicalRequest is what a client wanted, however often it had to ask for it.
@@ -43,9 +43,9 @@
 
 // group is a class, or a tenant.
 type group struct {
-	asked, served, inTime int
-	earned, wanted        float64
-	took                  *hdrhistogram.Histogram
+	requests, served, inTime int
+	earned, wanted           float64
+	latencies                *hdrhistogram.Histogram
 }
 
 // Second is one second of a run, by when requests were due.
@@ -73,21 +73,21 @@
 }
 
 func newGroup() group {
-	return group{took: hdrhistogram.New(leastLatency, mostLatency, latencyFigs)}
+	return group{latencies: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
 // Ended adds what a client wanted, once it is settled.
-func (s *Service) Ended(w LogicalRequest) {
-	worth := s.worth[w.Class]
+func (s *Service) Ended(r LogicalRequest) {
+	worth := s.worth[r.Class]
 	earned := 0.0
-	inTime := w.Served && w.Took <= worth.Aim
+	inTime := r.Served && r.Took <= worth.Aim
 	switch {
 	case inTime:
 		earned = worth.Full
-	case w.Served && w.Took <= worth.Deadline:
+	case r.Served && r.Took <= worth.Deadline:
 		earned = worth.Full * worth.Late
 	}
-	second := int(w.Due / time.Second)
+	second := int(r.Due / time.Second)
 	for len(s.series) <= second {
 		s.series = append(s.series, Second{})
 	}
@@ -95,31 +95,31 @@
 	at.Requests++
 	at.Wanted += worth.Full
 	at.Earned += earned
-	if w.Served {
+	if r.Served {
 		at.Served++
 	}
 	if inTime {
 		at.InTime++
 	}
-	if w.Due < s.from {
+	if r.Due < s.from {
 		return
 	}
-	s.tries += w.Tries
-	for _, g := range []*group{&s.all, member(s.classes, w.Class), member(s.tenants, w.Tenant)} {
-		g.asked++
+	s.tries += r.Tries
+	for _, g := range []*group{&s.all, groupOf(s.classes, r.Class), groupOf(s.tenants, r.Tenant)} {
+		g.requests++
 		g.wanted += worth.Full
 		g.earned += earned
 		if inTime {
 			g.inTime++
 		}
-		if w.Served {
+		if r.Served {
 			g.served++
-			g.took.RecordValue(min(max(int64(w.Took), leastLatency), mostLatency)) //nolint:errcheck // it is within bounds
+			g.latencies.RecordValue(min(max(int64(r.Took), minLatency), maxLatency)) //nolint:errcheck // it is within bounds
 		}
 	}
 }
 
-func member(groups map[string]*group, name string) *group {
+func groupOf(groups map[string]*group, name string) *group {
 	g := groups[name]
 	if g == nil {
 		fresh := newGroup()
@@ -129,30 +129,30 @@
 	return g
 }
 
-func (g *group) figures() Stats {
-	f := Stats{Requests: g.asked, Served: g.served, InTime: g.inTime, Service: share(g.earned, g.wanted)}
-	f.P50 = toMS(g.took.ValueAtQuantile(50))
-	f.P99 = toMS(g.took.ValueAtQuantile(99))
+func (g *group) stats() Stats {
+	f := Stats{Requests: g.requests, Served: g.served, InTime: g.inTime, Service: ratio(g.earned, g.wanted)}
+	f.P50 = toMS(g.latencies.ValueAtQuantile(50))
+	f.P99 = toMS(g.latencies.ValueAtQuantile(99))
 	return f
 }
 
 func toMS(ns int64) float64 { return float64(ns/1000) / 1000 }
 
-func share(part, whole float64) float64 {
-	if whole == 0 {
+func ratio(part, total float64) float64 {
+	if total == 0 {
 		return 0
 	}
-	return part / whole
+	return part / total
 }
 
 // All are the figures of all requests.
-func (s *Service) All() Stats { return s.all.figures() }
+func (s *Service) All() Stats { return s.all.stats() }
 
 // Classes are the figures by class.
-func (s *Service) Classes() map[string]Stats { return figuresOf(s.classes) }
+func (s *Service) Classes() map[string]Stats { return statsOf(s.classes) }
 
 // Tenants are the figures by tenant.
-func (s *Service) Tenants() map[string]Stats { return figuresOf(s.tenants) }
+func (s *Service) Tenants() map[string]Stats { return statsOf(s.tenants) }
 
 // Series are the seconds of the run, those before the count begins included.
 func (s *Service) Series() []Second { return s.series }
@@ -160,10 +160,10 @@
 // Tries is how often sidecars were asked for what counts.
 func (s *Service) Tries() int { return s.tries }
 
-func figuresOf(groups map[string]*group) map[string]Stats {
+func statsOf(groups map[string]*group) map[string]Stats {
 	out := map[string]Stats{}
 	for name, g := range groups {
-		out[name] = g.figures()
+		out[name] = g.stats()
 	}
 	return out
 }
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -9,13 +9,13 @@
 type Shared struct {
 	mu      sync.Mutex
 	origin  time.Time
-	book    *Checker
+	checker *Checker
 	service *Service
 }
 
 // NewShared guards a book and a service.
-func NewShared(b *Checker, s *Service) *Shared {
-	return &Shared{origin: time.Now(), book: b, service: s}
+func NewShared(checker *Checker, service *Service) *Shared {
+	return &Shared{origin: time.Now(), checker: checker, service: service}
 }
 
 // Now is the time on the run's clock.
@@ -25,17 +25,17 @@
 func (s *Shared) Began() time.Time { return s.origin }
 
 // Do books something.
-func (s *Shared) Do(entry func(b *Checker)) {
+func (s *Shared) Do(record func(b *Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	entry(s.book)
+	record(s.checker)
 }
 
 // Ended adds what a client wanted.
-func (s *Shared) Ended(w LogicalRequest) {
+func (s *Shared) Ended(r LogicalRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.service.Ended(w)
+	s.service.Ended(r)
 }
 
 // Service hands the sums out, for reading only.
