--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -179,13 +179,13 @@
 func (p *testProcess) awaitAll(what string, n int, holds func(MemberState) bool) {
 	p.t.Helper()
 	p.await(what, func() bool {
-		good := 0
+		matching := 0
 		for _, s := range p.last() {
 			if holds(s) {
-				good++
+				matching++
 			}
 		}
-		return good == n
+		return matching == n
 	})
 }
 
--- a/internal/lab/emulated/env.go
+++ b/internal/lab/emulated/env.go
@@ -158,7 +158,7 @@
 	return nil, errKilled
 }
 
-func (e *memberEnv) untrack(c net.Conn) {
+func (e *memberEnv) release(c net.Conn) {
 	e.mu.Lock()
 	delete(e.conns, c)
 	e.mu.Unlock()
@@ -171,9 +171,9 @@
 	return len(e.conns)
 }
 
-// kill brings it down in one moment: nobody can connect, nothing more is said or heard, as when a process is killed. What has
+// terminate brings it down in one moment: nobody can connect, nothing more is said or heard, as when a process is killed. What has
 // left before is on its way.
-func (e *memberEnv) kill() {
+func (e *memberEnv) terminate() {
 	e.mu.Lock()
 	e.ended.Store(true)
 	l, conns := e.listener, e.conns
@@ -218,7 +218,7 @@
 
 // Close is net.Conn's.
 func (c *conn) Close() error {
-	c.env.untrack(c)
+	c.env.release(c)
 	return c.Conn.Close()
 }
 
--- a/internal/lab/emulated/env_test.go
+++ b/internal/lab/emulated/env_test.go
@@ -39,7 +39,7 @@
 	address = l.Addr().String()
 	paths := newRegionPaths(map[string]string{address: "south"}, delay)
 	e = newMemberEnv(paths, "north", map[string]bool{address: true}, &trafficCounters{}, "", 0)
-	t.Cleanup(e.kill)
+	t.Cleanup(e.terminate)
 	return e, address, accepted, paths.between("south", "north")
 }
 
@@ -148,7 +148,7 @@
 // What a member has written before it closed a connection, or was killed, is on its way all the same.
 func TestCloseDeliversWrittenBytes(t *testing.T) {
 	for name, end := range map[string]func(*memberEnv, net.Conn){
-		"closed": func(_ *memberEnv, c net.Conn) { c.Close() }, "killed": func(w *memberEnv, _ net.Conn) { w.kill() },
+		"closed": func(_ *memberEnv, c net.Conn) { c.Close() }, "killed": func(w *memberEnv, _ net.Conn) { w.terminate() },
 	} {
 		e, address, accepted, path := newTwoRegions(t, time.Millisecond)
 		c := dial(t, e, address)
@@ -258,7 +258,7 @@
 	if near.openConns() != 2 {
 		t.Errorf("%d connections", near.openConns())
 	}
-	near.kill()
+	near.terminate()
 	for _, peer := range []net.Conn{out, remote} {
 		peer.SetReadDeadline(time.Now().Add(testWait))
 		if n, err := peer.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -56,7 +56,7 @@
 	stopKeyed     chan struct{} // closed when no order begins any more
 	stopKeyedOnce sync.Once
 	stopOnce      sync.Once
-	keyed         sync.WaitGroup // who makes them, and those under way
+	keyedWG       sync.WaitGroup // who makes them, and those under way
 	inFlight      atomic.Int64
 	sendingKeyed  bool // guarded by the hollow's mu, as the two that follow
 	leaving       bool
@@ -164,7 +164,7 @@
 	}
 	m.addToPast(inst)
 	m.instance = nil
-	inst.env.kill()
+	inst.env.terminate()
 	if !inst.ended {
 		m.reportEnd(inst)
 	}
@@ -200,7 +200,7 @@
 	inst.stopKeyedOnce.Do(func() { close(inst.stopKeyed) })
 	answered := make(chan struct{})
 	go func() {
-		inst.keyed.Wait()
+		inst.keyedWG.Wait()
 		close(answered)
 	}()
 	timer := time.NewTimer(keyedDrainTimeout)
@@ -227,7 +227,7 @@
 	}
 	m.addToPast(inst)
 	m.instance = nil
-	inst.env.kill()
+	inst.env.terminate()
 	return nil
 }
 
@@ -289,7 +289,7 @@
 	}
 	inst.sendingKeyed = true
 	rng := m.newRand(inst, "orders")
-	inst.keyed.Go(func() { m.sendKeyedRequests(inst, rng) })
+	inst.keyedWG.Go(func() { m.sendKeyedRequests(inst, rng) })
 }
 
 // newRand are those of a life for one use, under the seed.
@@ -338,7 +338,7 @@
 		m.keyedRefused.Add(1)
 		return
 	}
-	inst.keyed.Go(func() {
+	inst.keyedWG.Go(func() {
 		defer inst.inFlight.Add(-1)
 		if !m.process.runKeyedRequest(inst.member, key) {
 			m.keyedRefused.Add(1)
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -45,7 +45,7 @@
 
 	lag struct {
 		sync.Mutex
-		max time.Duration // since the last sample
+		worst time.Duration // since the last sample
 	}
 }
 
@@ -310,7 +310,7 @@
 		}
 		late := time.Since(due)
 		p.lag.Lock()
-		p.lag.max = max(p.lag.max, late)
+		p.lag.worst = max(p.lag.worst, late)
 		p.lag.Unlock()
 	}
 }
@@ -322,7 +322,7 @@
 		s.Members[m.peer.Name] = m.usage()
 	}
 	p.lag.Lock()
-	s.Lag, p.lag.max = p.lag.max, 0
+	s.Lag, p.lag.worst = p.lag.worst, 0
 	p.lag.Unlock()
 	return s, s.measure()
 }
--- a/internal/lab/emulated/regionconn.go
+++ b/internal/lab/emulated/regionconn.go
@@ -319,7 +319,7 @@
 // Close is net.Conn's. What was written is on its way still.
 func (c *regionConn) Close() error {
 	c.once[0].Do(func() {
-		c.env.untrack(c)
+		c.env.release(c)
 		close(c.closed)
 		select {
 		case c.out <- piece{due: time.Now().Add(c.path.delay), err: net.ErrClosed}:
--- a/internal/lab/oracle/liststate.go
+++ b/internal/lab/oracle/liststate.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// What sidecars count as told of the list. A change is told when discovery has written it to the sidecar; it counts as told, whether
-// or not it came, Conf.ToldAfter after discovery had it and could be reached, or, where the sidecar neither watches nor asks,
-// Conf.AskEvery after its last call. A watch that discovery has taken may wait for longer: what it has to tell counts as told
-// watchSlack after the wait.
+// This file decides when a sidecar must know of a change of the endpoint list. A change is delivered when discovery has written it to
+// the sidecar. It counts as delivered, even if it was not, at the earlier of two times: Conf.DeliveredAfter after discovery had the
+// change and could be reached; and, while the sidecar has no call for the list open, Conf.AskEvery after the end of its last call (or
+// after discovery had the change and could be reached, if that was later). A watch that discovery has accepted may wait longer than
+// Conf.DeliveredAfter: the change then counts as delivered watchSlack after the end of that wait.
 
-// watchSlack is how long after its wait a watch's answer may come.
+// watchSlack is how long after the end of its wait the answer to a watch may arrive.
 const watchSlack = 2 * time.Second
 
-// listChange is a change of an endpoint's line in the list.
+// listChange is a change of one endpoint's entry in the list.
 type listChange struct {
-	at      time.Duration // discovery has it
+	at      time.Duration // when discovery had it
 	version int64
-	serves  bool // else it drains, or is gone
+	serves  bool // false: it drains or was removed
 }
 
-// listState is who has been told of which version of the list.
+// listState holds the changes of the list and which version each sidecar has received.
 type listState struct {
 	conf     Conf
-	changes  map[string][]listChange // of each endpoint, as they came
-	sidecars map[string]*sidecarList
-	upSince  time.Duration // since when discovery can be reached; below 0 while it can't
+	changes  map[string][]listChange // by endpoint, oldest first
+	sidecars map[string]*sidecarList // by name
+	upSince  time.Duration           // since when discovery can be reached; negative while it can't
 }
 
-// sidecarList is a sidecar as a reader of the list.
+// sidecarList holds what one sidecar has received of the list and its calls for it.
 type sidecarList struct {
-	delivered   []delivery    // versions that have been written to it, both growing
-	openCalls   int           // calls at work
-	lastCallEnd time.Duration // end of the newest call
-	watchUntil  time.Duration // when the wait of a watch that discovery has taken is over; 0 without one
+	delivered   []delivery    // what was written to it; times and versions only grow
+	openCalls   int           // calls for the list that have not ended
+	lastCallEnd time.Duration // end of the last call
+	watchUntil  time.Duration // when the wait of the watch that discovery has accepted ends; 0 without one
 }
 
-// delivery is a version that was written to a sidecar.
+// delivery is a version of the list that was written to a sidecar.
 type delivery struct {
 	at      time.Duration
 	version int64
@@ -46,32 +47,33 @@
 	return listState{conf: conf, changes: map[string][]listChange{}, sidecars: map[string]*sidecarList{}}
 }
 
-func (n *listState) listOf(sidecar string) *sidecarList {
-	r := n.sidecars[sidecar]
-	if r == nil {
-		r = &sidecarList{}
-		n.sidecars[sidecar] = r
+func (s *listState) listOf(sidecar string) *sidecarList {
+	list := s.sidecars[sidecar]
+	if list == nil {
+		list = &sidecarList{}
+		s.sidecars[sidecar] = list
 	}
-	return r
+	return list
 }
 
-// recordDelivery books that everything up to a version was written to a sidecar.
-func (r *sidecarList) recordDelivery(at time.Duration, version int64) {
-	if k := len(r.delivered); k == 0 || r.delivered[k-1].version < version {
-		r.delivered = append(r.delivered, delivery{at, version})
+// recordDelivery records that all changes up to a version were written to the sidecar.
+func (list *sidecarList) recordDelivery(at time.Duration, version int64) {
+	if k := len(list.delivered); k == 0 || list.delivered[k-1].version < version {
+		list.delivered = append(list.delivered, delivery{at, version})
 	}
 }
 
-// withdrawnSince is since when a sidecar counts as told that an endpoint drains or is gone; false while it does not.
-func (n *listState) withdrawnSince(sidecar, endpoint string, now time.Duration) (since time.Duration, known bool) {
-	r := n.listOf(sidecar)
-	for _, l := range n.changes[endpoint] {
-		at, delivered := n.deliveredAt(r, l)
+// withdrawnSince returns since when a sidecar knows, or counts as knowing, that an endpoint drains or was removed. known is false if
+// at time now the newest change that it knows of has the endpoint serve, or if it knows of none.
+func (s *listState) withdrawnSince(sidecar, endpoint string, now time.Duration) (since time.Duration, known bool) {
+	list := s.listOf(sidecar)
+	for _, change := range s.changes[endpoint] {
+		at, delivered := s.deliveredAt(list, change)
 		if !delivered || at > now {
-			break // what is newer is told later
+			break // newer changes are delivered later
 		}
 		switch {
-		case l.serves:
+		case change.serves:
 			known = false
 		case !known:
 			since, known = at, true
@@ -80,66 +82,68 @@
 	return since, known
 }
 
-// deliveredAt is when a sidecar was told, or counts as told, of a change; false if nothing has told it yet.
-func (n *listState) deliveredAt(r *sidecarList, l listChange) (at time.Duration, delivered bool) {
-	i := sort.Search(len(r.delivered), func(i int) bool { return r.delivered[i].version >= l.version })
-	if delivered = i < len(r.delivered); delivered {
-		at = max(l.at, r.delivered[i].at)
+// deliveredAt returns when a change was delivered to a sidecar or counts as delivered; false if it neither was nor counts so yet.
+func (s *listState) deliveredAt(list *sidecarList, change listChange) (at time.Duration, delivered bool) {
+	i := sort.Search(len(list.delivered), func(i int) bool { return list.delivered[i].version >= change.version })
+	if delivered = i < len(list.delivered); delivered {
+		at = max(change.at, list.delivered[i].at)
 	}
-	if n.upSince < 0 {
+	if s.upSince < 0 {
 		return at, delivered
 	}
-	from := max(l.at, n.upSince)
-	if n.conf.DeliveredAfter > 0 {
-		after := from + n.conf.DeliveredAfter
-		if r.watchUntil > 0 {
-			after = max(after, r.watchUntil+watchSlack)
+	from := max(change.at, s.upSince)
+	if s.conf.DeliveredAfter > 0 {
+		assumed := from + s.conf.DeliveredAfter
+		if list.watchUntil > 0 {
+			assumed = max(assumed, list.watchUntil+watchSlack)
 		}
-		if !delivered || after < at {
-			at, delivered = after, true
+		if !delivered || assumed < at {
+			at, delivered = assumed, true
 		}
 	}
-	if n.conf.AskEvery > 0 && r.openCalls == 0 {
-		if after := max(from, r.lastCallEnd) + n.conf.AskEvery; !delivered || after < at {
-			at, delivered = after, true
+	if s.conf.AskEvery > 0 && list.openCalls == 0 {
+		if assumed := max(from, list.lastCallEnd) + s.conf.AskEvery; !delivered || assumed < at {
+			at, delivered = assumed, true
 		}
 	}
 	return at, delivered
 }
 
-// ListPublished books that discovery has a new version of the list, in which an endpoint serves, or drains or is gone.
+// ListPublished records that discovery has a new version of the list, in which an endpoint serves if serves is true; else
+// it drains or was removed.
 func (c *Checker) ListPublished(at time.Duration, version int64, endpoint string, serves bool) {
 	c.listState.changes[endpoint] = append(c.listState.changes[endpoint], listChange{at, version, serves})
 }
 
-// ListDelivered books that discovery has written all that it had up to a version to a sidecar.
+// ListDelivered records that discovery has written all changes up to a version to a sidecar.
 func (c *Checker) ListDelivered(at time.Duration, sidecar string, version int64) {
 	c.listState.listOf(sidecar).recordDelivery(at, version)
 }
 
-// ListCallBegun books that a sidecar's call for the list begins, and Called that it ended, however it did.
+// ListCallBegun records that a sidecar's call for the list begins.
 func (c *Checker) ListCallBegun(sidecar string) { c.listState.listOf(sidecar).openCalls++ }
 
-// ListCallEnded is the counterpart of Calls.
+// ListCallEnded records that a sidecar's call for the list ended, with or without success.
 func (c *Checker) ListCallEnded(at time.Duration, sidecar string) {
-	r := c.listState.listOf(sidecar)
-	r.openCalls, r.lastCallEnd, r.watchUntil = max(0, r.openCalls-1), max(r.lastCallEnd, at), 0
+	list := c.listState.listOf(sidecar)
+	list.openCalls, list.lastCallEnd, list.watchUntil = max(0, list.openCalls-1), max(list.lastCallEnd, at), 0
 }
 
-// WatchAccepted books that discovery has taken a sidecar's watch, which waits until then.
+// WatchAccepted records that discovery has accepted a sidecar's watch, which waits until the given time.
 func (c *Checker) WatchAccepted(sidecar string, until time.Duration) {
-	r := c.listState.listOf(sidecar)
-	r.watchUntil = max(r.watchUntil, until)
+	list := c.listState.listOf(sidecar)
+	list.watchUntil = max(list.watchUntil, until)
 }
 
-// SetDiscoveryUp books that discovery can be reached from now on, or that it can't.
+// SetDiscoveryUp records whether discovery can be reached from now on.
 func (c *Checker) SetDiscoveryUp(at time.Duration, up bool) {
 	if c.listState.upSince = at; !up {
 		c.listState.upSince = -1
 	}
 }
 
-// SidecarStarted books that a sidecar has started with the list as it was in a version: what a former process was told is gone.
+// SidecarStarted records that a sidecar has started with the list of a version. What was delivered to an earlier process under the
+// same name no longer counts.
 func (c *Checker) SidecarStarted(at time.Duration, sidecar string, version int64) {
 	c.listState.sidecars[sidecar] = &sidecarList{lastCallEnd: at, delivered: []delivery{{at, version}}}
 }
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -1,10 +1,11 @@
-// Package oracle is the lab's book: an account of what clients asked and heard and
-// of what reached endpoints, kept without reading anything that a sidecar says. From
-// it follow the four rules and the service.
+// Package oracle is the lab's checker. It records what clients sent and received and
+// which attempts reached endpoints, without reading anything that a sidecar reports
+// about itself. From these records it checks the rules that sidecars must keep and
+// computes the service that clients got.
 //
-// The book is pure: it has no clock and does no I/O. Times count from the start of
-// a run and only grow, give or take what goroutines are late by. One goroutine at a
-// time may use it; Shared guards one that many use.
+// The checker is pure: it has no clock and does no I/O. Times count from the start of
+// a run and only grow, apart from the delay of the goroutines that record them. Checker
+// is not safe for concurrent use; Shared guards one that several goroutines use.
 package oracle
 
 import (
@@ -14,43 +15,43 @@
 	"heathgap/decide"
 )
 
-// Rule names what can be broken.
+// Rule names a rule that a sidecar can violate.
 type Rule string
 
-// The rules. The first three are parts of one: each request taken has exactly one
-// final answer, in time, and nothing is sent for it after that.
+// The rules. The first three are parts of one rule: each accepted request gets exactly
+// one final answer, in time, and no attempt is sent for it afterwards.
 const (
-	LostRequest     Rule = "lost"           // no whole answer in time, though the client was there
+	LostRequest     Rule = "lost"           // no complete answer in time, although the client was still waiting
 	AnsweredTwice   Rule = "answered_twice" // a second answer to one request
 	SentAfterAnswer Rule = "sent_after"     // an attempt reached an endpoint after the final answer
-	DuplicateEffect Rule = "doubled"        // an effect that may not happen twice did
-	SentToDrained   Rule = "drained"        // new work for an endpoint that was told to drain
-	OverloadedCold  Rule = "pushed_over"    // a cold endpoint was pushed over
+	DuplicateEffect Rule = "doubled"        // an effect that must happen at most once happened again
+	SentToDrained   Rule = "drained"        // a request was sent to a draining or removed endpoint after the grace period
+	OverloadedCold  Rule = "pushed_over"    // an endpoint was overloaded while it was cold
 )
 
-// Rules are all rules, in the order of a record.
+// Rules lists all rules, in the order of a run's record.
 var Rules = []Rule{LostRequest, AnsweredTwice, SentAfterAnswer, DuplicateEffect, SentToDrained, OverloadedCold}
 
-// maxViolations bounds the breaks that are kept with their words; all are counted.
+// maxViolations bounds the violations that are kept with a description; all are counted.
 const maxViolations = 100
 
-// Violation is one case of a broken rule.
+// Violation is one case in which a rule was violated.
 type Violation struct {
 	Rule Rule          `json:"rule"`
 	At   time.Duration `json:"at_ns"`
 	What string        `json:"what"`
 }
 
-// Conf holds the figures of the rules.
+// Conf holds the time limits of the rules.
 type Conf struct {
-	AnswerSlack    time.Duration // an answer may be so much later than the client's time
-	DrainGrace     time.Duration // sends to a draining endpoint end within it
-	AskEvery       time.Duration // a sidecar that has not asked for so long counts as told
-	DeliveredAfter time.Duration // what discovery has counts as told after so long, whether or not it came; 0 for never
-	Margin         time.Duration // added to each limit in time: sockets and goroutines are late by some
+	AnswerSlack    time.Duration // how long after the client's deadline an answer may come
+	DrainGrace     time.Duration // how long after it learned of the drain a sidecar may send to a draining endpoint
+	AskEvery       time.Duration // poll interval: a change counts as delivered so long after a sidecar's last list call; 0 for never
+	DeliveredAfter time.Duration // a published change counts as delivered after this time even if it was not; 0 for never
+	Margin         time.Duration // added to each time limit, for delays of sockets and goroutines
 }
 
-// Verdict is a client's final answer.
+// Verdict is the kind of final answer that a client received.
 type Verdict uint8
 
 // The verdicts.
@@ -62,55 +63,55 @@
 	verdicts
 )
 
-// Request is what a client asks of a sidecar, once.
+// Request is a request that a client sends to a sidecar once.
 type Request struct {
 	ID       string
 	Sidecar  string
 	Tier     int
 	Effect   decide.Effect
 	Key      string
-	Deadline time.Duration // when the client's time is up
+	Deadline time.Duration // when the client stops waiting
 }
 
-// Tally counts what one sidecar was asked and what came of it.
+// Tally counts the requests to one sidecar and their outcomes.
 type Tally struct {
-	Requests    int           `json:"asked"` // written whole to it
+	Requests    int           `json:"asked"` // written completely to it
 	Answers     [verdicts]int `json:"answers"`
-	ClientLeft  int           `json:"left"`       // its client went, or its time was up without an answer
-	Interrupted int           `json:"cut"`        // ended with the sidecar, which the lab had stopped
-	Arrivals    int           `json:"arrivals"`   // attempts that came whole to endpoints
-	Runs        int           `json:"runs"`       // of them, those that ran
-	Rejected    int           `json:"turned_off"` // of them, those turned away
+	ClientLeft  int           `json:"left"`       // the client left, or got no complete answer before its connection ended or its time was up
+	Interrupted int           `json:"cut"`        // ended because the lab stopped the sidecar
+	Arrivals    int           `json:"arrivals"`   // attempts that reached endpoints completely
+	Runs        int           `json:"runs"`       // arrivals that endpoints ran
+	Rejected    int           `json:"turned_off"` // arrivals that endpoints rejected
 }
 
-// request is one that is open, or ended lately enough that something of it may
-// still come.
+// request is a request that is open, or that ended so recently that attempts or bytes
+// of it may still arrive.
 type request struct {
 	Request
 	tally    *Tally
 	written  bool
 	answered bool
-	ended    bool          // by whatever
-	endAt    time.Duration // the answer, or when the client's time was up
-	arrived  bool          // an attempt has come to an endpoint
-	runs     int           // with an effect of their own
+	ended    bool          // for whatever reason
+	endAt    time.Duration // when it ended; attempts that arrive later violate SentAfterAnswer
+	arrived  bool          // an attempt has reached an endpoint
+	runs     int           // runs that had an effect, repeats of a known key excluded
 }
 
-// Checker is the account.
+// Checker holds the records of a run and the violations found so far.
 type Checker struct {
 	conf            Conf
 	requests        map[string]*request
-	byStart         []*request // by when they were asked, for Fold
+	byStart         []*request // in the order in which they were sent, for Prune
 	tallies         map[string]*Tally
 	listState       listState
 	violationCounts map[Rule]int
 	violations      []Violation
 	unknownAttempts int // attempts for requests that no client sent
 	runsByKey       map[string]int
-	clientRepeats   int // effects that clients doubled themselves, by asking again under one key
+	clientRepeats   int // effects that clients duplicated themselves, by sending one key again
 }
 
-// New returns an empty book.
+// New returns a checker without records.
 func New(conf Conf) *Checker {
 	return &Checker{
 		conf: conf, requests: map[string]*request{}, tallies: map[string]*Tally{},
@@ -134,14 +135,14 @@
 	return t
 }
 
-// RequestBegun books a request that a client is about to write.
+// RequestBegun records a request that a client is about to write.
 func (c *Checker) RequestBegun(r Request) {
 	q := &request{Request: r, tally: c.tally(r.Sidecar)}
 	c.requests[r.ID] = q
 	c.byStart = append(c.byStart, q)
 }
 
-// RequestWritten books that a request was written whole.
+// RequestWritten records that a request was written completely.
 func (c *Checker) RequestWritten(id string) {
 	if q := c.requests[id]; q != nil && !q.written {
 		q.written = true
@@ -149,9 +150,9 @@
 	}
 }
 
-// RetractRequest takes back a request that could not be written whole, or whose
-// connection a sidecar closed as it crossed: true if no attempt for it has come to
-// an endpoint, so that the client may send it once more.
+// RetractRequest removes a request that could not be written completely, or whose
+// connection the sidecar closed while the request was on its way. It returns true if no
+// attempt for it has reached an endpoint, so that the client may send it again.
 func (c *Checker) RetractRequest(id string) bool {
 	q := c.requests[id]
 	if q == nil || q.arrived {
@@ -165,7 +166,7 @@
 	return true
 }
 
-// AnswerReceived books a whole answer.
+// AnswerReceived records a complete answer.
 func (c *Checker) AnswerReceived(at time.Duration, id string, v Verdict) {
 	q := c.requests[id]
 	if q == nil || q.answered {
@@ -174,7 +175,7 @@
 	}
 	q.answered = true
 	if q.ended {
-		return // its client had gone
+		return // its client had left
 	}
 	q.ended, q.endAt = true, at
 	q.tally.Answers[v]++
@@ -183,19 +184,19 @@
 	}
 }
 
-// ExtraBytes books bytes behind a whole answer that belong to no request.
+// ExtraBytes records bytes after a complete answer that belong to no request.
 func (c *Checker) ExtraBytes(at time.Duration, id string) {
 	c.recordViolation(AnsweredTwice, at, "request %s: more came behind its answer", id)
 }
 
-// ForeignAnswer books a whole answer that no endpoint made for the request.
+// ForeignAnswer records a complete answer that no endpoint made for this request.
 func (c *Checker) ForeignAnswer(at time.Duration, id string) {
 	c.AnswerReceived(at, id, Failed)
 	c.recordViolation(LostRequest, at, "request %s: served with what was made for another", id)
 }
 
-// Unanswered books that a connection ended without a whole answer, or that none
-// had come when the client's time and all slack was over.
+// Unanswered records that a connection ended without a complete answer, or that no
+// complete answer had come when the client's deadline and all slack had passed.
 func (c *Checker) Unanswered(at time.Duration, id string) {
 	q := c.requests[id]
 	if q == nil || q.ended {
@@ -206,17 +207,17 @@
 	c.recordViolation(LostRequest, at, "request %s at %s: no answer", id, q.Sidecar)
 }
 
-// ClientLeft books that a client has gone by itself.
+// ClientLeft records that a client gave up its request by itself.
 func (c *Checker) ClientLeft(at time.Duration, id string) {
 	if q := c.requests[id]; q != nil && !q.ended {
 		q.ended = true
-		q.endAt = q.Deadline + c.conf.AnswerSlack // its sidecar need not notice before
+		q.endAt = q.Deadline + c.conf.AnswerSlack // the sidecar need not notice earlier
 		q.tally.ClientLeft++
 	}
 }
 
-// RequestInterrupted books that a request ended with its sidecar, which the lab had stopped: a
-// loss for the client, and no broken rule.
+// RequestInterrupted records that a request ended because the lab stopped its sidecar. The
+// client loses its request, but no rule is violated.
 func (c *Checker) RequestInterrupted(at time.Duration, id string) {
 	if q := c.requests[id]; q != nil && !q.ended {
 		q.ended = true
@@ -225,17 +226,18 @@
 	}
 }
 
-// Arrival is an attempt that came whole to an endpoint.
+// Arrival is an attempt that reached an endpoint completely.
 type Arrival struct {
 	ID        string
 	Endpoint  string
-	FirstByte time.Duration // its first byte
-	LastByte  time.Duration // its last byte
-	Accepted  bool          // it was not turned away
-	Repeat    bool          // its key was known: it has no effect of its own
+	FirstByte time.Duration // when its first byte arrived
+	LastByte  time.Duration // when its last byte arrived
+	Accepted  bool          // the endpoint did not reject it
+	Repeat    bool          // the endpoint knew its key, so it had no effect of its own
 }
 
-// AttemptArrived books an attempt. It returns false for one that no client sent.
+// AttemptArrived records an attempt and checks the rules on it. It returns false for an
+// attempt whose request no client sent.
 func (c *Checker) AttemptArrived(a Arrival) bool {
 	q := c.requests[a.ID]
 	if q == nil {
@@ -264,8 +266,9 @@
 	return true
 }
 
-// checkDuplicateEffect looks whether an effect has happened twice: by one request, or by
-// several that clients sent under one key, which is their own doing.
+// checkDuplicateEffect checks whether an effect has happened twice. Two runs of one unsafe
+// or keyed request are a violation; runs of several requests that clients sent under one
+// key are counted as repeats by the clients.
 func (c *Checker) checkDuplicateEffect(q *request, a Arrival) {
 	switch q.Effect {
 	case decide.Unsafe:
@@ -284,7 +287,8 @@
 	}
 }
 
-// checkSentToDrained looks whether the sidecar counts as told that the endpoint drains, or is gone.
+// checkSentToDrained checks whether an attempt began after the grace period of an endpoint that drains or was removed,
+// counted from when the sidecar learned of it or counts as having learned of it.
 func (c *Checker) checkSentToDrained(q *request, a Arrival) {
 	at, bound := c.listState.withdrawnSince(q.Sidecar, a.Endpoint, a.FirstByte)
 	if !bound {
@@ -295,16 +299,17 @@
 	}
 }
 
-// EndpointOverloaded books that a cold endpoint was pushed over.
+// EndpointOverloaded records that an endpoint was overloaded while it was cold.
 func (c *Checker) EndpointOverloaded(at time.Duration, endpoint string) {
 	c.recordViolation(OverloadedCold, at, "endpoint %s: sent too much for too long while it was cold", endpoint)
 }
 
-// retention is how long a request is kept after its time: what is sent for it by then
-// is still held against it.
+// retention is how long a request is kept after its deadline. Attempts that arrive for it
+// until then are still checked.
 const retention = 10 * time.Second
 
-// Prune forgets the requests of which nothing can come any more.
+// Prune deletes the requests whose deadline passed more than retention ago, so that the
+// records do not grow for as long as a run lasts.
 func (c *Checker) Prune(now time.Duration) {
 	n := 0
 	for n < len(c.byStart) && c.byStart[n].Deadline+retention < now {
@@ -317,17 +322,17 @@
 	c.byStart = c.byStart[n:]
 }
 
-// Report is what the book says.
+// Report is the result of a run's checks.
 type Report struct {
 	Rules      map[Rule]int      `json:"rules"`
-	Violations []Violation       `json:"breaks"`   // the first hundred
-	Sidecars   map[string]*Tally `json:"sidecars"` // what each was asked
-	Open       int               `json:"open"`     // requests without an end
-	Unknown    int               `json:"unknown"`  // attempts that no client sent
-	Repeats    int               `json:"repeats"`  // effects that clients doubled by their own repeats
+	Violations []Violation       `json:"breaks"`   // the first maxViolations of them
+	Sidecars   map[string]*Tally `json:"sidecars"` // by name
+	Open       int               `json:"open"`     // requests that were written and have no outcome
+	Unknown    int               `json:"unknown"`  // attempts for requests that no client sent
+	Repeats    int               `json:"repeats"`  // effects that clients duplicated by sending one key again
 }
 
-// Close returns the account.
+// Close returns the report. It counts the requests that are still open.
 func (c *Checker) Close() Report {
 	r := Report{Rules: map[Rule]int{}, Violations: c.violations, Sidecars: c.tallies, Unknown: c.unknownAttempts, Repeats: c.clientRepeats}
 	for _, rule := range Rules {
@@ -341,7 +346,7 @@
 	return r
 }
 
-// NumViolations is how many rules were broken in all.
+// NumViolations returns the number of violations of all rules.
 func (r *Report) NumViolations() int {
 	n := 0
 	for _, count := range r.Rules {
@@ -350,8 +355,8 @@
 	return n
 }
 
-// Balance tells what of an account does not add up: each request written to a
-// sidecar has one end.
+// Balance returns an error if the counts do not add up: each request written to a
+// sidecar must have exactly one outcome, and each attempt must belong to a request.
 func (r *Report) Balance() error {
 	for name, t := range r.Sidecars {
 		ends := t.ClientLeft + t.Interrupted
--- a/internal/lab/oracle/service.go
+++ b/internal/lab/oracle/service.go
@@ -6,34 +6,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of recorded latencies: a microsecond to a minute, three digits.
+// Bounds of recorded latencies, in nanoseconds, and their precision in significant decimal digits.
 const (
 	minLatency    = int64(time.Microsecond)
 	maxLatency    = int64(time.Minute)
 	latencyDigits = 3
 )
 
-// LogicalRequest is what a client wanted, however often it had to ask for it.
+// LogicalRequest is what a client wants, over all the requests that it sends for it.
 type LogicalRequest struct {
 	Class, Tenant string
-	Due           time.Duration // when it was to be asked, whenever that was
+	Due           time.Duration // when its first request was planned, even if it was sent later
 	Took          time.Duration // from Due to the answer that served it
 	Served        bool
-	Tries         int
+	Tries         int // requests sent for it
 }
 
-// Worth says what a class's answers earn.
+// Worth is what the answers of a class are worth, by their latency.
 type Worth struct {
-	Full     float64       // within Aim
-	Late     float64       // part of it, within Deadline
-	Aim      time.Duration // from when it was due
+	Full     float64       // of an answer within Aim
+	Late     float64       // the fraction of Full that an answer within Deadline earns
+	Aim      time.Duration // from Due, as Deadline
 	Deadline time.Duration
 }
 
-// Service adds up what clients wanted and got.
+// Service sums up what clients wanted and what they got.
 type Service struct {
-	worth   map[string]Worth
-	from    time.Duration // what was due before does not count
+	worth   map[string]Worth // by class
+	from    time.Duration    // logical requests due earlier count in series only
 	classes map[string]*group
 	tenants map[string]*group
 	series  []Second
@@ -41,14 +41,14 @@
 	all     group
 }
 
-// group is a class, or a tenant.
+// group holds the sums of a class, of a tenant or of all requests.
 type group struct {
 	requests, served, inTime int
 	earned, wanted           float64
 	latencies                *hdrhistogram.Histogram
 }
 
-// Second is one second of a run, by when requests were due.
+// Second sums up the logical requests that were due in one second of a run. Earned and Wanted are worths.
 type Second struct {
 	Requests int     `json:"asked"`
 	Served   int     `json:"served"`
@@ -57,17 +57,17 @@
 	Wanted   float64 `json:"wanted"`
 }
 
-// Stats are those of a class or a tenant.
+// Stats are the statistics of a class, of a tenant or of all requests. P50 and P99 are in milliseconds.
 type Stats struct {
 	Requests int     `json:"asked"`
 	Served   int     `json:"served"`
 	InTime   int     `json:"in_time"` // within the class's aim
-	Service  float64 `json:"service"` // worth earned over worth asked
-	P50      float64 `json:"p50_ms"`  // of what was served, from when it was due
+	Service  float64 `json:"service"` // worth earned divided by worth wanted
+	P50      float64 `json:"p50_ms"`  // latency of served requests, from Due
 	P99      float64 `json:"p99_ms"`
 }
 
-// NewService returns an empty sum; worths are by class.
+// NewService returns an empty Service. worth is by class; logical requests that are due before from count in Series only.
 func NewService(worth map[string]Worth, from time.Duration) *Service {
 	return &Service{worth: worth, from: from, classes: map[string]*group{}, tenants: map[string]*group{}, all: newGroup()}
 }
@@ -76,7 +76,7 @@
 	return group{latencies: hdrhistogram.New(minLatency, maxLatency, latencyDigits)}
 }
 
-// Ended adds what a client wanted, once it is settled.
+// Ended adds a logical request whose outcome is known.
 func (s *Service) Ended(r LogicalRequest) {
 	worth := s.worth[r.Class]
 	earned := 0.0
@@ -136,8 +136,10 @@
 	return f
 }
 
+// toMS converts nanoseconds to milliseconds, rounded down to a microsecond.
 func toMS(ns int64) float64 { return float64(ns/1000) / 1000 }
 
+// ratio returns part divided by total, and 0 where total is 0.
 func ratio(part, total float64) float64 {
 	if total == 0 {
 		return 0
@@ -145,19 +147,19 @@
 	return part / total
 }
 
-// All are the figures of all requests.
+// All returns the statistics of all logical requests.
 func (s *Service) All() Stats { return s.all.stats() }
 
-// Classes are the figures by class.
+// Classes returns the statistics by class.
 func (s *Service) Classes() map[string]Stats { return statsOf(s.classes) }
 
-// Tenants are the figures by tenant.
+// Tenants returns the statistics by tenant.
 func (s *Service) Tenants() map[string]Stats { return statsOf(s.tenants) }
 
-// Series are the seconds of the run, those before the count begins included.
+// Series returns all seconds of the run, including those before the time from which requests count.
 func (s *Service) Series() []Second { return s.series }
 
-// Tries is how often sidecars were asked for what counts.
+// Tries returns how many requests were sent to sidecars for the logical requests that count.
 func (s *Service) Tries() int { return s.tries }
 
 func statsOf(groups map[string]*group) map[string]Stats {
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Shared is a book and a service that many goroutines use, with the run's clock.
+// Shared lets many goroutines use a Checker and a Service, and holds the run's clock.
 type Shared struct {
 	mu      sync.Mutex
 	origin  time.Time
@@ -13,32 +13,32 @@
 	service *Service
 }
 
-// NewShared guards a book and a service.
-func NewShared(checker *Checker, service *Service) *Shared {
-	return &Shared{origin: time.Now(), checker: checker, service: service}
+// NewShared returns a Shared for a checker and a service. The run's clock starts at 0.
+func NewShared(c *Checker, s *Service) *Shared {
+	return &Shared{origin: time.Now(), checker: c, service: s}
 }
 
-// Now is the time on the run's clock.
+// Now returns the time on the run's clock.
 func (s *Shared) Now() time.Duration { return time.Since(s.origin) }
 
-// Began is when the run's clock was 0.
+// Began returns when the run's clock was 0.
 func (s *Shared) Began() time.Time { return s.origin }
 
-// Do books something.
+// Do calls record with the checker while it holds the lock.
 func (s *Shared) Do(record func(b *Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record(s.checker)
 }
 
-// Ended adds what a client wanted.
+// Ended adds a logical request whose outcome is known to the service.
 func (s *Shared) Ended(r LogicalRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.service.Ended(r)
 }
 
-// Service hands the sums out, for reading only.
+// Service calls read with the service while it holds the lock. read must not change it.
 func (s *Shared) Service(read func(*Service)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
