--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -384,7 +384,7 @@
 	if after := time.Since(killed); after < testLease/2 {
 		t.Errorf("counted out %v after its end, before its lease's", after)
 	}
-	if l := p.do(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it is gone") {
+	if l := p.do(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: the member is not running") {
 		t.Errorf("%+v", l)
 	}
 	p.mustDo(Command{Do: Restart, Members: []string{"m1"}})
@@ -392,7 +392,7 @@
 	if now := c.ledger().Members["m1"]; now.Token == before.Token || now.Address != before.Address {
 		t.Errorf("%+v after %+v", now, before)
 	}
-	if l := p.do(Command{Do: Restart, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: it runs already") {
+	if l := p.do(Command{Do: Restart, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: the member is already running") {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/lab/emulated/env.go
+++ b/internal/lab/emulated/env.go
@@ -13,30 +13,30 @@
 	"heathgap/internal/env"
 )
 
-// memberEnv is the world of one start of a hollow member: the machine's own, of which it counts the bytes at the member's sockets,
-// holds up what goes between regions, and which ends whole, as a process does that is killed.
+// memberEnv is the environment (env.Env) of one start of an emulated member. It is the machine's own environment, but counts the bytes
+// at the member's sockets, delays or holds what goes between regions, and can end at once as a process does that is killed.
 //
-// A connection inside a region is the kernel's with a count beside it: no goroutine and no copy more than a real member has.
-// What goes between regions is held up by who dialed, both ways: an accepted connection does not tell where its other end
-// stands, and each connection has one end that dialed. A process that is not hollow has relays for that.
+// A connection inside a region is the kernel's connection with a byte counter: it takes no goroutine and no copy more than that of a
+// real member. On a connection between regions, the side that dialed delays and holds the bytes of both directions, because an accepted
+// connection does not show in which region its other end is. A process that is not emulated uses relays for that.
 type memberEnv struct {
 	env.Real
 	paths          *regionPaths
 	region         string
-	voterAddresses map[string]bool // addresses
+	voterAddresses map[string]bool
 	traffic        *trafficCounters
 	fault          Fault
-	renewInterval  time.Duration // between two questions for the lease
+	renewInterval  time.Duration // between two renewals of the lease
 
-	listening chan struct{} // closed once it listens
+	listening chan struct{} // closed once the member listens
 
 	mu       sync.Mutex
-	ended    atomic.Bool // it has been brought down
+	ended    atomic.Bool // terminate was called
 	listener net.Listener
-	conns    map[net.Conn]struct{} // that are open at the member
+	conns    map[net.Conn]struct{} // open at the member
 }
 
-// trafficCounters is what has gone through a member's sockets, over all its starts.
+// trafficCounters counts the bytes through a member's sockets, over all its starts. Those to and from voters are included in out and in.
 type trafficCounters struct{ in, out, toVoters, fromVoters atomic.Int64 }
 
 func (t *trafficCounters) addRead(n int, voter bool) {
@@ -60,11 +60,11 @@
 
 var errKilled = errors.New("this process has been killed")
 
-// clockJump is by how far the clock of leases goes ahead in a world that is over, above the longest lease: what is left of the
-// member there holds none, and has nothing to wait for.
+// clockJump is by how much the clock of leases jumps ahead when an environment is terminated. It is longer than the longest lease: the
+// goroutines of the member that are still ending then hold no lease and have nothing to wait for.
 const clockJump = time.Hour
 
-// BootTime is env.Env's.
+// BootTime implements env.Env.
 func (e *memberEnv) BootTime() time.Duration {
 	if e.ended.Load() {
 		return e.Real.BootTime() + clockJump
@@ -72,29 +72,30 @@
 	return e.Real.BootTime()
 }
 
-// NewTimer is env.Env's.
+// NewTimer implements env.Env.
 func (e *memberEnv) NewTimer(d time.Duration) env.Timer {
 	return &timer{Timer: e.Real.NewTimer(d), env: e}
 }
 
-// leaseGoroutine is what a member calls the goroutine that asks for its lease.
+// leaseGoroutine is the name that a member gives the goroutine that renews its lease.
 const leaseGoroutine = "lease"
 
-// Go is env.Env's. The goroutine that asks for the lease gets a thread of its own, as it has in a process of its own: the kernel
-// wakes each member by itself. Without, members whose questions the leader has once answered together are woken together ever
-// after, the leader answers them together again, and 60 of them cost it 0.62 to 0.76 of what 60 real ones do.
+// Go implements env.Env. The goroutine that renews the lease gets a thread of its own, so that the kernel wakes each member
+// independently, as it does members in separate processes. Without these threads, members whose renewals the leader once answered
+// together are woken together from then on, the leader answers them together again, and 60 emulated members cost it only 0.62 to 0.76
+// of what 60 real ones cost.
 func (e *memberEnv) Go(name string, f func()) {
 	if name != leaseGoroutine {
 		e.Real.Go(name, f)
 		return
 	}
 	go func() {
-		runtime.LockOSThread() // until its end, which ends the thread
+		runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 		f()
 	}()
 }
 
-// Listen is env.Env's.
+// Listen implements env.Env.
 func (e *memberEnv) Listen(address string) (net.Listener, error) {
 	l, err := e.Real.Listen(address)
 	if err != nil {
@@ -111,12 +112,13 @@
 	return &listener{l, e}, nil
 }
 
+// listener wraps the connections that it accepts, so that they are counted and end with the environment.
 type listener struct {
 	net.Listener
 	env *memberEnv
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -125,7 +127,7 @@
 	return l.env.track(&conn{Conn: c, env: l.env})
 }
 
-// Dial is env.Env's.
+// Dial implements env.Env. A connection to an address in another region is delayed and held as the path to that region says.
 func (e *memberEnv) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	if e.ended.Load() {
 		return nil, errKilled
@@ -145,7 +147,7 @@
 	return e.track(&conn{Conn: c, env: e, voter: voter})
 }
 
-// track books a connection until it is closed.
+// track adds a connection to those that terminate closes. If the environment has ended, it closes the connection.
 func (e *memberEnv) track(c net.Conn) (net.Conn, error) {
 	e.mu.Lock()
 	if !e.ended.Load() {
@@ -158,21 +160,22 @@
 	return nil, errKilled
 }
 
+// release removes a connection that is being closed.
 func (e *memberEnv) release(c net.Conn) {
 	e.mu.Lock()
 	delete(e.conns, c)
 	e.mu.Unlock()
 }
 
-// openConns is how many connections stand.
+// openConns returns the number of open connections.
 func (e *memberEnv) openConns() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.conns)
 }
 
-// terminate brings it down in one moment: nobody can connect, nothing more is said or heard, as when a process is killed. What has
-// left before is on its way.
+// terminate ends the environment at once, as when a process is killed: nobody can connect to it, and nothing more is sent or received.
+// What was written before still arrives.
 func (e *memberEnv) terminate() {
 	e.mu.Lock()
 	e.ended.Store(true)
@@ -187,22 +190,22 @@
 	}
 }
 
-// conn is a connection whose bytes are counted. It has no more of the kernel's connection than is named here: what goes past
-// Read and Write would not be counted.
+// conn is a connection whose bytes are counted. It passes on no methods of the kernel's connection beyond those of net.Conn and
+// SyscallConn: bytes that bypassed Read and Write (as by io.ReaderFrom) would not be counted.
 type conn struct {
 	net.Conn
 	env   *memberEnv
-	voter bool // its other end is a keeper that the member dialed
+	voter bool // the member dialed it and its other end is a voter
 }
 
-// Read is net.Conn's.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.env.traffic.addRead(n, c.voter)
 	return n, err
 }
 
-// Write is net.Conn's.
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	if c.env.fault == LosesState && c.voter {
 		return writeWithoutState(b, c.write)
@@ -216,11 +219,11 @@
 	return n, err
 }
 
-// Close is net.Conn's.
+// Close implements net.Conn.
 func (c *conn) Close() error {
 	c.env.release(c)
 	return c.Conn.Close()
 }
 
-// SyscallConn is syscall.Conn's: httpwire looks there whether an idle connection still stands.
+// SyscallConn implements syscall.Conn. httpwire uses it to check whether an idle connection is still usable.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
--- a/internal/lab/emulated/faults.go
+++ b/internal/lab/emulated/faults.go
@@ -8,21 +8,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The planted faults stand in the member's world and in what is told of it; the member's own code is the product's.
+// The injected faults are in the member's environment and in the reports on it. The member's own code is the product's, unchanged.
 
-// What a question for the lease looks like on the wire (internal/peerrpc, crew.Renewal).
+// The format of a renewal request on the wire (internal/peerrpc, cluster.Renewal). Field numbers are keys of CBOR maps.
 const (
 	renewPath       = "POST /crew/1/renew "
 	lengthField     = "Content-Length: "
-	bodyField       = 3  // of a message
-	placementField  = 19 // of a renewal: the number of the table that the member has
-	membershipField = 20 // the epoch of the members that it knows
+	bodyField       = 3  // of the RPC message: the encoded renewal
+	placementField  = 19 // of the renewal: the number of the placement that the member has
+	membershipField = 20 // of the renewal: the epoch of the membership that the member knows
 )
 
-var errNotRenewal = errors.New("forgetful: a renewal does not look as it did when this was written")
+var errNotRenewal = errors.New("forgetful: the renewal request does not have the format that this fault expects")
 
-// writeWithoutState writes a message; of one that asks for the lease, without the words by which the member says what it has. It tells
-// the member that all it wrote went out.
+// writeWithoutState writes a message. From a renewal request it first removes the fields that name the placement and the membership
+// that the member has. It returns the full length of the original message, so that the member takes all of it as sent.
 func writeWithoutState(message []byte, write func([]byte) (int, error)) (int, error) {
 	if !bytes.HasPrefix(message, []byte(renewPath)) {
 		return write(message)
@@ -52,12 +52,15 @@
 	return len(message), nil
 }
 
-// versionPin is what an unheeding member acts on: the version of its first lease, whatever it hears and says later.
+// versionPin is the version that a member with the fault IgnoresVersions applies: the one of its first lease, whichever versions it
+// receives and reports later.
 type versionPin struct {
 	isSet   bool
 	version uint64
 }
 
+// apply returns a member's state with the pinned version in place of the version that the member reports. The first state with a
+// lease sets the pin.
 func (p *versionPin) apply(s MemberState) MemberState {
 	if !p.isSet && !s.Cautious {
 		p.isSet, p.version = true, s.Active
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -16,20 +16,20 @@
 	"heathgap/internal/httpwire"
 )
 
-// Figures of a hollow member's life.
+// Times and bounds of an emulated member.
 const (
-	listenTimeout     = 5 * time.Second       // for a start to listen
-	keyedDrainTimeout = 3 * time.Second       // for orders under way to end when their member leaves
-	outcomeSlack      = 50 * time.Millisecond // for an order's outcome above what is left of its time, as in the pipeline
-	maxKeyedInFlight  = 256                   // of a member at a time; one more counts as refused
-	// startSpread is over how long the starts of members that begin together are drawn: 60 sidecars' processes that are started at
-	// once come up within 86 to 257 ms on 8 cores. Members that all begin in one moment ask in one moment ever after, and the leader
-	// answers them together, at less cost.
+	listenTimeout     = 5 * time.Second       // for a member to listen after its start
+	keyedDrainTimeout = 3 * time.Second       // for keyed requests in flight to end when their member leaves
+	outcomeSlack      = 50 * time.Millisecond // for recording an outcome, on top of the request's remaining time, as in the pipeline
+	maxKeyedInFlight  = 256                   // per member; a keyed request above it counts as refused
+	// startSpread is the time over which the starts of members that begin together are spread at random. 60 sidecar processes that
+	// are started at once come up within 86 to 257 ms on 8 cores. Members that all begin at one moment would renew their leases at one
+	// moment from then on, and the leader would answer them together, at less cost than real ones.
 	startSpread       = 150 * time.Millisecond
-	rateCheckInterval = 500 * time.Millisecond // a new rate of orders binds by then
+	rateCheckInterval = 500 * time.Millisecond // how long a new rate of keyed requests may take until it applies
 )
 
-// emulatedMember is one member over all its starts.
+// emulatedMember is one emulated member over all its starts.
 type emulatedMember struct {
 	process       *process
 	peer          Peer
@@ -37,41 +37,41 @@
 	traffic       trafficCounters
 	keyedRequests atomic.Int64
 	keyedRefused  atomic.Int64
-	keyedRate     atomic.Uint64 // of orders: a float64's bits
+	keyedRate     atomic.Uint64 // per second: the bits of a float64
 
-	mu         sync.Mutex // guards what follows
-	instance   *instance  // nil while it is gone
-	pastStatus member.Status
+	mu         sync.Mutex    // guards what follows
+	instance   *instance     // nil while the member does not run
+	pastStatus member.Status // sums of the counters of ended instances
 	starts     int
 	pin        versionPin
-	state      MemberState // as last told, but for epoch and time, which are those of the last look
+	state      MemberState // as last reported, except Epoch and At, which are those of the last check
 }
 
-// instance is one start of a member.
+// instance is a member from one start to the end that follows it.
 type instance struct {
 	env           *memberEnv
-	started       chan struct{} // closed when member and err stand
+	started       chan struct{} // closed when member and err are set
 	member        *member.Member
 	err           error
-	stopKeyed     chan struct{} // closed when no order begins any more
+	stopKeyed     chan struct{} // closed when no keyed request may begin any more
 	stopKeyedOnce sync.Once
 	stopOnce      sync.Once
-	keyedWG       sync.WaitGroup // who makes them, and those under way
+	keyedWG       sync.WaitGroup // the goroutine that makes keyed requests, and those in flight
 	inFlight      atomic.Int64
-	sendingKeyed  bool // guarded by the hollow's mu, as the two that follow
+	sendingKeyed  bool // guarded by emulatedMember.mu, as the two that follow
 	leaving       bool
-	ended         bool // it acts no more
-	number        int
+	ended         bool // its end was reported
+	number        int  // 1 for the first start of its member
 }
 
-var errNotRunning = errors.New("it is gone")
+var errNotRunning = errors.New("the member is not running")
 
-// begin starts it. The life that it returns listens at once, or tells why not.
+// begin starts the member. The instance starts at a random time within startSpread; awaitListening waits for it.
 func (m *emulatedMember) begin() (*instance, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.instance != nil {
-		return nil, errors.New("it runs already")
+		return nil, errors.New("the member is already running")
 	}
 	start := m.process.start
 	conf, err := sidecarConfig(m.peer)
@@ -95,7 +95,7 @@
 	return inst, nil
 }
 
-// awaitListening waits until it can be reached.
+// awaitListening waits until the member listens, and returns an error if it could not start or does not listen within listenTimeout.
 func (inst *instance) awaitListening() error {
 	timer := time.NewTimer(listenTimeout)
 	defer timer.Stop()
@@ -105,11 +105,11 @@
 	case <-inst.started:
 		return inst.err
 	case <-timer.C:
-		return fmt.Errorf("it does not listen after %v", listenTimeout)
+		return fmt.Errorf("the member does not listen after %v", listenTimeout)
 	}
 }
 
-// checkState tells what it acts on, if that has changed. A change shows with the first look after it.
+// checkState reports the member's state if it has changed. A change is reported by the first check after it.
 func (m *emulatedMember) checkState() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,11 +118,12 @@
 	}
 }
 
+// checkStateOf is checkState for an instance that has not ended. The lock is held.
 func (m *emulatedMember) checkStateOf(inst *instance) {
 	select {
 	case <-inst.started:
 	default:
-		return // cautious, as was told with its start
+		return // still cautious, as begin reported
 	}
 	if inst.member == nil {
 		return
@@ -135,7 +136,8 @@
 	m.reportState(s)
 }
 
-// reportState books a stance, and says it if it is another one. The lock is held, so that nothing of a life is said after its end.
+// reportState stores a state and reports it if it differs from the last one in more than Epoch. The lock is held, so that no state of
+// an instance is reported after its end.
 func (m *emulatedMember) reportState(s MemberState) {
 	s.At, s.Member = (env.Real{}).BootTime(), m.peer.Name
 	before := m.state
@@ -146,7 +148,7 @@
 	m.process.write(Output{Event: &s})
 }
 
-// reportEnd books the end of a life. The lock is held.
+// reportEnd reports that an instance has ended. The lock is held.
 func (m *emulatedMember) reportEnd(inst *instance) {
 	inst.ended = true
 	last := m.state
@@ -154,7 +156,8 @@
 	m.reportState(last)
 }
 
-// kill ends it in this moment. What is left of the member, in a world that is over, ends behind that.
+// kill ends the member at once, as a SIGKILL does. Its goroutines, in an environment that is terminated, end afterwards in the
+// background.
 func (m *emulatedMember) kill() error {
 	m.mu.Lock()
 	inst := m.instance
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// stop ends its member, once.
+// stop stops the product's member of the instance, once.
 func (inst *instance) stop() {
 	inst.stopKeyedOnce.Do(func() { close(inst.stopKeyed) })
 	<-inst.started
@@ -182,8 +185,8 @@
 	}
 }
 
-// leave ends it in order, as a sidecar does at a SIGTERM: it says that it will leave, answers what is under way, acts no more, and
-// then waits, not for long, until others have what it holds.
+// leave ends the member in order, as a sidecar does at a SIGTERM: it announces that it leaves, finishes the keyed requests in flight,
+// reports its end, and then stops, which waits a limited time until other members have its replicas.
 func (m *emulatedMember) leave() error {
 	m.mu.Lock()
 	inst := m.instance
@@ -231,7 +234,7 @@
 	return nil
 }
 
-// addToPast adds a life's figures to those of the ones before.
+// addToPast adds the counters of an instance that ends to those of earlier ones.
 func (m *emulatedMember) addToPast(inst *instance) {
 	a := inst.status()
 	m.pastStatus.Renewals += a.Renewals
@@ -239,6 +242,7 @@
 	m.pastStatus.Lost += a.Lost
 }
 
+// status returns the status of the member; zero while it has not started.
 func (inst *instance) status() (a member.Status) {
 	select {
 	case <-inst.started:
@@ -250,7 +254,7 @@
 	return a
 }
 
-// usage is what it has cost.
+// usage returns what the member has cost so far, after it has reported a changed state.
 func (m *emulatedMember) usage() MemberUsage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,7 +276,7 @@
 	return s
 }
 
-// setRate has it make so many orders a second.
+// setRate sets the number of keyed requests that the member makes per second.
 func (m *emulatedMember) setRate(rate float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -282,7 +286,8 @@
 	}
 }
 
-// startKeyedRequests has a life make orders, if there are any to make. The lock is held.
+// startKeyedRequests starts the goroutine that makes an instance's keyed requests, if the rate is above 0 and it does not run yet. The
+// lock is held.
 func (m *emulatedMember) startKeyedRequests(inst *instance) {
 	if inst.sendingKeyed || inst.leaving || math.Float64frombits(m.keyedRate.Load()) == 0 {
 		return
@@ -292,14 +297,15 @@
 	inst.keyedWG.Go(func() { m.sendKeyedRequests(inst, rng) })
 }
 
-// newRand are those of a life for one use, under the seed.
+// newRand returns a random generator for one use by an instance. It depends on the seed of the run, the use, the member's name and the
+// number of its start.
 func (m *emulatedMember) newRand(inst *instance, use string) *rand.Rand {
 	name := fnv.New64a()
 	name.Write([]byte(use + " of " + m.peer.Name))
 	return rand.New(rand.NewPCG(m.process.start.Seed^name.Sum64(), uint64(inst.number)))
 }
 
-// sendKeyedRequests makes orders at drawn times until the life's end.
+// sendKeyedRequests makes keyed requests at random (exponentially distributed) intervals until the instance's stopKeyed is closed.
 func (m *emulatedMember) sendKeyedRequests(inst *instance, rng *rand.Rand) {
 	select {
 	case <-inst.started:
@@ -311,13 +317,13 @@
 	}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	// Each order is due a drawn time after the one before was: one that is late does not put off the next.
+	// Each request is due a random time after the previous one was due, so that a late request does not delay the next.
 	for due := time.Now(); ; {
 		gap := 2 * rateCheckInterval
 		if rate := math.Float64frombits(m.keyedRate.Load()); rate > 0 {
 			gap = time.Duration(min(rng.ExpFloat64()/rate*float64(time.Second), float64(gap)))
 		}
-		due = due.Add(min(gap, rateCheckInterval)) // such gaps have no memory: after rateTime another is drawn
+		due = due.Add(min(gap, rateCheckInterval)) // exponential gaps have no memory: a longer one is drawn anew after rateCheckInterval
 		timer.Reset(time.Until(due))
 		select {
 		case <-inst.stopKeyed:
@@ -330,7 +336,7 @@
 	}
 }
 
-// sendKeyedRequest makes one, unless too many are under way.
+// sendKeyedRequest makes one keyed request, unless too many are in flight: then it counts as refused.
 func (m *emulatedMember) sendKeyedRequest(inst *instance, key string) {
 	m.keyedRequests.Add(1)
 	if inst.inFlight.Add(1) > maxKeyedInFlight {
@@ -346,13 +352,13 @@
 	})
 }
 
-// runKeyedRequest carries one keyed request as the pipeline does, with a wait in the endpoint's place. It tells whether the caller would
-// have had its answer.
+// runKeyedRequest runs one keyed request as the pipeline does: it claims the key, waits for as long as an endpoint would take, and
+// records the outcome. It reports whether a caller would have received the answer.
 func (p *process) runKeyedRequest(m *member.Member, key string) bool {
 	began := time.Now()
 	request := &httpwire.Request{Class: OrderClass, Key: key, Remaining: classDeadline, Method: "POST", URI: "/" + OrderClass + "/x", Body: []byte(key)}
 	var fingerprint [16]byte
-	copy(fingerprint[:], key[max(0, len(key)-len(fingerprint)):]) // drawn, as the hash of a request would be
+	copy(fingerprint[:], key[max(0, len(key)-len(fingerprint)):]) // random, as the hash of a request would be
 	claimed := m.Holdings().Claim(request, fingerprint, request.Remaining)
 	if claimed.Claim == nil || claimed.Answer != nil {
 		return false
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -20,25 +20,25 @@
 	"heathgap/internal/env"
 )
 
-// Figures of a process.
+// Intervals and bounds of a process.
 const (
-	stateInterval  = 10 * time.Millisecond // an event is late by that at most, when the process does not lag
+	stateInterval  = 10 * time.Millisecond // the greatest delay of an event, while the process does not lag
 	lagInterval    = 10 * time.Millisecond
-	maxLineBytes   = 16 << 20        // bytes of a line that it is told
-	cleanupTimeout = 2 * time.Second // for what is left of members to end, at its end
+	maxLineBytes   = 16 << 20        // of a line on standard input
+	cleanupTimeout = 2 * time.Second // for killed members to end, when the process ends
 )
 
-// process is a process of hollow members.
+// process runs the emulated members of one process.
 type process struct {
 	start          *Start
 	log            zerolog.Logger
 	paths          *regionPaths
-	voterAddresses map[string]bool // addresses
+	voterAddresses map[string]bool
 	members        []*emulatedMember
 	byName         map[string]*emulatedMember
-	regions        map[string]bool
-	cleanup        sync.WaitGroup // what is left of members that were killed
-	done           chan struct{}
+	regions        map[string]bool // that an address of the run is in
+	cleanup        sync.WaitGroup  // goroutines that stop members that were killed
+	done           chan struct{}   // closed when the process ends
 
 	outMu sync.Mutex
 	out   *json.Encoder
@@ -49,12 +49,14 @@
 	}
 }
 
-// Run is a process of hollow members: it is told on in, and says on out. It ends with the command to, or when in ends, and
-// whoever it runs then is gone in that moment. Its error is what it was told wrongly, or what it could not start.
+// Run runs a process of emulated members. It reads Start and the commands from in and writes an Output per line to out. It returns at
+// the command End or when in ends; members that still run are then killed. It returns an error for an invalid line, or if a member
+// could not start, and writes that error to out as well.
 //
-// It runs with the runtime's defaults: GOMAXPROCS of all processors, since a hundred members on one would wait for one another
-// (a real sidecar runs on one), and GOGC at 100 as a real one has, so that its memory shows what members cost and not a
-// collector that was told to rest. There is no limit of memory: a hundred sidecars' would never bind.
+// The process should run with the defaults of the Go runtime. GOMAXPROCS is the number of processors (a real sidecar uses one),
+// since a hundred members on one processor would wait for one another. GOGC is 100 as in a real sidecar, so that the memory shows
+// what members cost and is not larger for a garbage collector that runs less often. There is no memory limit: one for a hundred
+// sidecars would never be reached.
 func Run(in io.Reader, out io.Writer, log zerolog.Logger) error {
 	p := &process{log: log, byName: map[string]*emulatedMember{}, voterAddresses: map[string]bool{}, regions: map[string]bool{}, done: make(chan struct{}),
 		out: json.NewEncoder(out)}
@@ -67,6 +69,7 @@
 	return nil
 }
 
+// run reads Start, starts the members and carries out commands until one of them, an error or the end of the input ends the process.
 func (p *process) run(lines *bufio.Scanner) error {
 	if !lines.Scan() {
 		return errors.Join(errors.New("start: missing; allowed: a line of JSON that says what to start"), lines.Err())
@@ -111,28 +114,28 @@
 	return lines.Err()
 }
 
-// decode reads one line of JSON that has nothing unknown.
+// decode decodes one line of JSON. Unknown fields are errors.
 func decode(line []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(line))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("%w; allowed: what internal/lab/emulated says of it", err)
+		return fmt.Errorf("%w; allowed: the fields that internal/lab/emulated defines", err)
 	}
 	return nil
 }
 
-// write writes a line. Whoever leads the process reads them all: else it stands still.
+// write writes a line. The parent must read all lines: otherwise writes block and the process stops.
 func (p *process) write(o Output) {
 	p.outMu.Lock()
 	defer p.outMu.Unlock()
-	p.out.Encode(o) //nolint:errcheck // nobody is there to be told; the end of standard input ends it
+	p.out.Encode(o) //nolint:errcheck // without a parent nobody can be told, and the end of standard input ends the process
 }
 
-// killAll has all members gone.
+// killAll kills all members and waits, for up to cleanupTimeout, until they have ended.
 func (p *process) killAll() {
 	close(p.done)
 	for _, m := range p.members {
-		m.kill() //nolint:errcheck // it is gone already
+		m.kill() //nolint:errcheck // it has ended already
 	}
 	done := make(chan struct{})
 	go func() {
@@ -147,7 +150,7 @@
 	}
 }
 
-// forEach does something for members at once, and joins what went wrong.
+// forEach calls do for all members concurrently and returns a summary of the errors.
 func forEach(members []*emulatedMember, do func(*emulatedMember) error) error {
 	errs := make([]error, len(members))
 	var running sync.WaitGroup
@@ -162,7 +165,7 @@
 	return summarize(errs)
 }
 
-// summarize is one line of what went wrong.
+// summarize returns the first error with the number of further ones, in one line; nil if there is none.
 func summarize(errs []error) error {
 	var first error
 	more := 0
@@ -176,12 +179,12 @@
 		}
 	}
 	if more > 0 {
-		return fmt.Errorf("%w; and %d members more", first, more)
+		return fmt.Errorf("%w; and %d more members", first, more)
 	}
 	return first
 }
 
-// begin starts members and waits until they listen. One that can't is gone.
+// begin starts members and waits until they listen. It kills those that don't.
 func (p *process) begin(members []*emulatedMember) error {
 	return forEach(members, func(m *emulatedMember) error {
 		inst, err := m.begin()
@@ -189,14 +192,14 @@
 			return err
 		}
 		if err = inst.awaitListening(); err != nil {
-			m.kill() //nolint:errcheck // it was killed meanwhile
+			m.kill() //nolint:errcheck // it was killed in the meantime
 		}
 		return err
 	})
 }
 
-// do carries out a command and answers it; over tells that it was the last. What takes time goes on beside further commands.
-// An error ends the process: who says what it does not know can't be heeded.
+// do carries out a command and answers it. last reports that it was the last command. Commands that take time run concurrently with
+// further commands. An unknown command is an error that ends the process, since what its parent wants can't be known.
 func (p *process) do(c *Command) (last bool, err error) {
 	answer := func(err error) {
 		o := Output{ID: c.ID}
@@ -251,7 +254,7 @@
 	return false, nil
 }
 
-// membersNamed are the members of such names; all for none.
+// membersNamed returns the members with the given names; all members if no name is given.
 func (p *process) membersNamed(names []string) ([]*emulatedMember, error) {
 	if len(names) == 0 {
 		return p.members, nil
@@ -270,7 +273,7 @@
 func (p *process) partitioned(regions [2]string, partitioned bool) error {
 	for _, r := range regions {
 		if !p.regions[r] {
-			return fmt.Errorf("region %q: nothing stands there", r)
+			return fmt.Errorf("region %q: no address of the run is in it", r)
 		}
 	}
 	if regions[0] == regions[1] {
@@ -280,7 +283,8 @@
 	return nil
 }
 
-// checkStates looks at all members again and again. A look is a load of a pointer and of the clock.
+// checkStates reports changes of the members' states until the process ends. It polls: a check costs the loads of a pointer and of the
+// clock.
 func (p *process) checkStates() {
 	ticker := time.NewTicker(stateInterval)
 	defer ticker.Stop()
@@ -296,7 +300,7 @@
 	}
 }
 
-// measureLag measures by how much this process's own timers come late.
+// measureLag measures by how much the timers of this process expire late.
 func (p *process) measureLag() {
 	timer := time.NewTimer(lagInterval)
 	defer timer.Stop()
@@ -315,7 +319,7 @@
 	}
 }
 
-// sample tells what the process, and these members of it, have cost.
+// sample returns what the process and the given members of it have cost, and resets the greatest lag.
 func (p *process) sample(members []*emulatedMember) (*Usage, error) {
 	s := &Usage{At: (env.Real{}).BootTime(), Members: map[string]MemberUsage{}}
 	for _, m := range members {
@@ -327,7 +331,7 @@
 	return s, s.measure()
 }
 
-// measure fills in what the process takes of the machine.
+// measure fills in what the process uses: processor time, memory, file descriptors and goroutines.
 func (s *Usage) measure() error {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
@@ -351,7 +355,7 @@
 	if err != nil {
 		return err
 	}
-	s.Descriptors = len(files) - 1 // one is that of the folder
+	s.Descriptors = len(files) - 1 // one is that of the directory itself
 	s.Goroutines = runtime.NumGoroutine()
 	return nil
 }
--- a/internal/lab/emulated/regionconn.go
+++ b/internal/lab/emulated/regionconn.go
@@ -9,38 +9,38 @@
 	"time"
 )
 
-// Bounds of what goes between regions.
+// Bounds of connections between regions.
 const (
-	maxPiecesInFlight = 64       // pieces of a connection each way; one exchange at a time makes a few
+	maxPiecesInFlight = 64       // per connection and direction; a connection carries one exchange at a time, which takes a few
 	pieceSize         = 32 << 10 // bytes
-	// closedDrainTime is how long bytes of a connection that has been closed, or whose process is gone, go on being on their way across
-	// a cut: a kernel gives up about then.
+	// closedDrainTime is how long the bytes of a connection whose member closed it or was killed may still wait for the end of a
+	// partition. A kernel gives up after about that time.
 	closedDrainTime = 15 * time.Second
-	writeTimeout    = 5 * time.Second // for a piece to be taken by the other end's kernel
+	writeTimeout    = 5 * time.Second // for writing a piece to the kernel's connection
 )
 
-// regionPaths are those between the regions of a run.
+// regionPaths holds the paths between the regions of a run.
 type regionPaths struct {
 	regions map[string]string // by address
 	delay   time.Duration
 
 	mu     sync.Mutex
-	byEnds map[[2]string]*regionPath
+	byEnds map[[2]string]*regionPath // by the names of the two regions, in order
 }
 
 func newRegionPaths(regions map[string]string, delay time.Duration) *regionPaths {
 	return &regionPaths{regions: regions, delay: delay, byEnds: map[[2]string]*regionPath{}}
 }
 
-// regionPath is that between two regions, in both directions.
+// regionPath is the network path between two regions, for both directions.
 type regionPath struct {
 	delay time.Duration
 
 	mu     sync.Mutex
-	healed chan struct{} // closed while nothing cuts it
+	healed chan struct{} // closed while the regions are not partitioned
 }
 
-// between returns the way of two regions.
+// between returns the path between two regions.
 func (p *regionPaths) between(a, b string) *regionPath {
 	if a > b {
 		a, b = b, a
@@ -56,7 +56,7 @@
 	return p.byEnds[ends]
 }
 
-// pathTo returns the way from a region to an address; nil inside one, and where nobody has said where the address stands.
+// pathTo returns the path from a region to an address; nil if both are in one region, or if the region of either is not known.
 func (p *regionPaths) pathTo(region, address string) *regionPath {
 	remote := p.regions[address]
 	if region == "" || remote == "" || remote == region {
@@ -65,7 +65,7 @@
 	return p.between(region, remote)
 }
 
-// setPartitioned cuts it or mends it.
+// setPartitioned starts or ends a partition.
 func (p *regionPath) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,14 +81,15 @@
 	}
 }
 
-// untilHealed is closed once nothing cuts it.
+// untilHealed returns a channel that is closed once the regions are not partitioned.
 func (p *regionPath) untilHealed() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.healed
 }
 
-// wait waits until something that left, or will have come, at a time is through; false if an end comes first.
+// wait waits until due, and then until the regions are not partitioned. It returns false if one of the channels in ends (at most two)
+// is closed first.
 func (p *regionPath) wait(due time.Time, ends ...<-chan struct{}) bool {
 	var a, b <-chan struct{}
 	switch len(ends) {
@@ -122,34 +123,35 @@
 	return false
 }
 
-// piece is some bytes on their way, and what ended them.
+// piece is some bytes that are due to arrive at a time, with the error that ended the stream after them, if any.
 type piece struct {
 	due  time.Time
 	data []byte
 	err  error
 }
 
-// regionConn is a connection to another region. Its two goroutines end with its kernel's connection: when the other end closes it,
-// or lateFor after this one has.
+// regionConn is a connection to another region. Its two goroutines end with the kernel's connection: when the other end closes it, or
+// at the latest closedDrainTime after this end did.
 type regionConn struct {
 	kernel net.Conn
 	env    *memberEnv
 	path   *regionPath
 	voter  bool
 
-	out           chan piece // a piece with an error is the connection's end
-	in            chan piece
-	closed        chan struct{} // by the member
-	kernelClosed  chan struct{} // the kernel's connection is closed
-	once          [2]sync.Once
+	out           chan piece    // to the other end; a piece with an error ends the connection
+	in            chan piece    // from the other end
+	closed        chan struct{} // closed when the member closes the connection
+	kernelClosed  chan struct{} // closed with the kernel's connection
+	once          [2]sync.Once  // of Close and of closeKernel
 	readDeadline  deadline
 	writeDeadline deadline
 
-	mu   sync.Mutex // of who reads
-	next *piece     // has come, or is on its way
+	mu   sync.Mutex // held by Read and Fresh
+	next *piece     // the first piece of in that Read has not returned completely; it may not be due yet
 }
 
-// dialRegion opens a connection across a way. While that is cut it waits, until its time is over.
+// dialRegion opens a connection over a path. It takes the delay of both directions, and waits while the regions are partitioned until
+// the timeout.
 func dialRegion(ctx context.Context, e *memberEnv, path *regionPath, address string, timeout time.Duration, voter bool) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -174,7 +176,7 @@
 	return c, nil
 }
 
-// sendLoop carries what the member writes.
+// sendLoop writes what the member has written to the kernel's connection, when it is due. It closes the kernel's connection at its end.
 func (c *regionConn) sendLoop() {
 	defer c.closeKernel()
 	for {
@@ -187,7 +189,7 @@
 		if !c.path.wait(p.due, c.kernelClosed) || p.err != nil {
 			return
 		}
-		c.kernel.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // the write tells
+		c.kernel.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // the write returns the error
 		n, err := c.kernel.Write(p.data)
 		c.env.traffic.addWritten(n, c.voter)
 		if err != nil {
@@ -196,7 +198,7 @@
 	}
 }
 
-// receiveLoop carries what the other end writes. Its read ends with the kernel's connection.
+// receiveLoop queues what the other end writes for the member. Its read ends with the kernel's connection.
 func (c *regionConn) receiveLoop() {
 	for {
 		data := make([]byte, pieceSize)
@@ -204,7 +206,7 @@
 		c.env.traffic.addRead(n, c.voter)
 		select {
 		case c.in <- piece{time.Now().Add(c.path.delay), data[:n], err}:
-		case <-c.closed: // nobody reads it
+		case <-c.closed: // the member reads no more
 		case <-c.kernelClosed:
 			return
 		}
@@ -214,7 +216,7 @@
 	}
 }
 
-// closeKernel closes the kernel's connection.
+// closeKernel closes the kernel's connection, once.
 func (c *regionConn) closeKernel() {
 	c.once[1].Do(func() {
 		close(c.kernelClosed)
@@ -222,7 +224,7 @@
 	})
 }
 
-// Read is net.Conn's.
+// Read implements net.Conn. It returns bytes when they are due and the regions are not partitioned.
 func (c *regionConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,7 +248,7 @@
 		}
 		return 0, os.ErrDeadlineExceeded
 	}
-	if len(c.next.data) == 0 && c.next.err != nil { // it stays: so does what it tells
+	if len(c.next.data) == 0 && c.next.err != nil { // the piece stays, so that each further Read returns the error
 		return 0, c.next.err
 	}
 	n := copy(b, c.next.data)
@@ -256,7 +258,7 @@
 	return n, nil
 }
 
-// Write is net.Conn's. It returns when the bytes are on their way.
+// Write implements net.Conn. It returns when the bytes are queued.
 func (c *regionConn) Write(b []byte) (int, error) {
 	if c.env.fault == LosesState && c.voter {
 		return writeWithoutState(b, c.write)
@@ -264,6 +266,7 @@
 	return c.write(b)
 }
 
+// write queues a copy of the bytes for sendLoop.
 func (c *regionConn) write(b []byte) (int, error) {
 	expired := c.writeDeadline.expired()
 	select {
@@ -287,7 +290,8 @@
 	}
 }
 
-// Fresh is what httpwire asks of a connection that knows by itself: nothing has come, not even an end.
+// Fresh reports whether neither bytes nor the end of the stream have arrived. httpwire calls it, where a connection has it, to check an
+// idle connection.
 func (c *regionConn) Fresh() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -316,7 +320,7 @@
 	}
 }
 
-// Close is net.Conn's. What was written is on its way still.
+// Close implements net.Conn. What was written before still arrives, within closedDrainTime.
 func (c *regionConn) Close() error {
 	c.once[0].Do(func() {
 		c.env.release(c)
@@ -324,58 +328,59 @@
 		select {
 		case c.out <- piece{due: time.Now().Add(c.path.delay), err: net.ErrClosed}:
 			time.AfterFunc(closedDrainTime, c.closeKernel)
-		default: // more on its way than any exchange brings
+		default: // the queue is full, which no exchange causes
 			c.closeKernel()
 		}
 	})
 	return nil
 }
 
-// LocalAddr is net.Conn's.
+// LocalAddr implements net.Conn.
 func (c *regionConn) LocalAddr() net.Addr { return c.kernel.LocalAddr() }
 
-// RemoteAddr is net.Conn's.
+// RemoteAddr implements net.Conn.
 func (c *regionConn) RemoteAddr() net.Addr { return c.kernel.RemoteAddr() }
 
-// SetDeadline is net.Conn's.
+// SetDeadline implements net.Conn.
 func (c *regionConn) SetDeadline(t time.Time) error {
 	c.readDeadline.set(t)
 	c.writeDeadline.set(t)
 	return nil
 }
 
-// SetReadDeadline is net.Conn's.
+// SetReadDeadline implements net.Conn.
 func (c *regionConn) SetReadDeadline(t time.Time) error {
 	c.readDeadline.set(t)
 	return nil
 }
 
-// SetWriteDeadline is net.Conn's.
+// SetWriteDeadline implements net.Conn.
 func (c *regionConn) SetWriteDeadline(t time.Time) error {
 	c.writeDeadline.set(t)
 	return nil
 }
 
-// deadline is a moment after which a read or write ends; its zero value is none, once it has been set.
+// deadline is a time after which a read or write fails. It must be set before its first use; the zero time means no deadline.
 type deadline struct {
 	mu     sync.Mutex
 	timer  *time.Timer
-	passed chan struct{} // closed when it has passed
+	passed chan struct{} // closed when the deadline has passed
 }
 
-// expired is closed when the deadline that holds now has passed. A deadline that is set while somebody waits binds with the next
-// read or write, unless it is sooner: then at once.
+// expired returns a channel that is closed when the current deadline has passed. Where the current deadline has not passed, set moves
+// the time at which this same channel is closed, also for a read or write that is waiting on it.
 func (d *deadline) expired() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.passed
 }
 
+// set sets the deadline to t; the zero time means none.
 func (d *deadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.timer != nil && !d.timer.Stop() || d.passed == nil {
-		d.passed = make(chan struct{}) // the one before has passed, or is about to
+		d.passed = make(chan struct{}) // the timer of the previous deadline has expired and closes the old channel
 	}
 	d.timer = nil
 	if t.IsZero() {
--- a/internal/lab/emulated/start.go
+++ b/internal/lab/emulated/start.go
@@ -16,29 +16,31 @@
 	"heathgap/internal/operator"
 )
 
-// The classes of a hollow member's settings, as those of the crew's rig. Versions may name them, but for the fixed ones.
+// The classes of an emulated member's settings, the same as in the cluster runs of the test harness. A version may change the rules of
+// those that are not in Start.FixedClasses.
 const (
 	LookClass  = "look"  // repeatable
 	PayClass   = "pay"   // repeatable, unless a version says otherwise
-	OrderClass = "order" // by key; held where there are holdings
+	OrderClass = "order" // by key; claimed in the holdings if there are any
 )
 
-// Figures of a hollow member's settings.
+// Settings of an emulated member, and bounds of Start.
 const (
 	maxAttempts      = 2
 	classDeadline    = 800 * time.Millisecond
 	orderWindow      = 3 * time.Second
-	maxEntries       = 200_000  // as in an operator's file that names none
-	maxBody          = 16 << 10 // likewise
+	maxEntries       = 200_000  // the default of an operator's file
+	maxBody          = 16 << 10 // the same
 	maxRegionDelay   = 10 * time.Second
-	maxKeyedRate     = 1000.0 // orders a second and member: above what one connection of theirs brings
+	maxKeyedRate     = 1000.0 // keyed requests per second and member: more than one of its connections carries
 	maxKeyedDuration = time.Minute
 )
 
+// millis returns a duration in milliseconds, the unit of the settings.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Settings are the settings of a sidecar of such a crew, as they stand in its configuration: of hollow members, and for real
-// ones beside them.
+// Settings returns the settings of a sidecar in a zone, as in its configuration file. Emulated members use them, and so do the real
+// sidecars that run beside them.
 func Settings(zone string) map[string]any {
 	class := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "group": "all", "aim": 300.0, "deadline": millis(classDeadline), "worth": 1.0}
@@ -55,8 +57,8 @@
 	}
 }
 
-// sidecarConfig is the configuration of a member: what a real sidecar reads from its file. Nothing listens for callers, and there is no
-// discovery.
+// sidecarConfig returns the configuration of a member, which a real sidecar reads from its file. Its addresses for callers and for
+// discovery are placeholders: an emulated member listens for no callers and uses no discovery.
 func sidecarConfig(p Peer) (*config.Config, error) {
 	text, err := json.Marshal(map[string]any{
 		"name": p.Name, "listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": Settings(p.Zone),
@@ -67,7 +69,7 @@
 	return config.Parse(text, func(string) string { return "" })
 }
 
-// clusterConfig is the [crew] of a member.
+// clusterConfig returns the settings that a real member reads from the tables [crew] and [holdings] of its operator file.
 func (s *Start) clusterConfig(p Peer) operator.Cluster {
 	t := operator.Cluster{
 		Name: s.Cluster, Address: p.Address, Params: s.params(), ContradictAtMost: s.ContradictAtMost, Voters: map[string]string{}, Routes: map[string]string{},
@@ -83,6 +85,7 @@
 	return t
 }
 
+// params returns the cluster parameters.
 func (s *Start) params() cluster.Params {
 	t := cluster.Params{Lease: s.Lease, Drift: s.Drift, Slack: s.Slack, FixedClasses: s.FixedClasses}
 	if s.Copies > 0 {
@@ -91,10 +94,10 @@
 	return t
 }
 
-// regionOf is where an address stands; empty where nobody says.
+// regionOf returns the region of a process; empty if it has none.
 func (s *Start) regionOf(p Peer) string { return cmp.Or(s.Regions[p.Address], p.Region) }
 
-// regionsByAddress are those of all addresses that are known.
+// regionsByAddress returns the region of each known address: of Start.Regions, of the voters and of the members.
 func (s *Start) regionsByAddress() map[string]string {
 	all := maps.Clone(s.Regions)
 	if all == nil {
@@ -106,7 +109,7 @@
 	return all
 }
 
-// validate tells the first thing that is wrong, by its name in the line of JSON.
+// validate returns an error for the first invalid field, under its name in the JSON line.
 func (s *Start) validate() error {
 	t := s.params()
 	switch {
@@ -153,7 +156,7 @@
 		case names[p.Name] || addresses[p.Address]:
 			return fmt.Errorf("%s: %s at %s, a second time; allowed: each name and address once", where, p.Name, p.Address)
 		case s.Copies > 1 && p.Zone == "" && i >= len(s.Voters):
-			return fmt.Errorf("%s.zone: missing, of %s; copies stand in different ones", where, p.Name)
+			return fmt.Errorf("%s.zone: missing, of %s; the copies of a shard are in different zones", where, p.Name)
 		}
 		names[p.Name], addresses[p.Address] = true, true
 	}
@@ -165,18 +168,20 @@
 		case !slices.ContainsFunc(s.Members, func(p Peer) bool { return p.Name == name }):
 			return fmt.Errorf("planted.%s: no member of this process", name)
 		case fault == LosesState && s.Copies == 0:
-			return fmt.Errorf("planted.%s: %s; allowed: with copies, for without there is no table", name, fault)
+			return fmt.Errorf("planted.%s: %s; allowed: only with copies, since without them there is no placement", name, fault)
 		}
 	}
 	return nil
 }
 
+// validateKeyedRate returns an error for a rate of keyed requests (per second and member) that is out of bounds, or above 0 without
+// holdings.
 func (s *Start) validateKeyedRate(rate float64) error {
 	switch {
 	case !(rate >= 0 && rate <= maxKeyedRate):
 		return fmt.Errorf("orders: %v; allowed: 0 to %v", rate, maxKeyedRate)
 	case rate > 0 && s.Copies == 0:
-		return fmt.Errorf("orders: %v; allowed: with copies, for nothing is held without", rate)
+		return fmt.Errorf("orders: %v; allowed: with copies, since without them no key can be claimed", rate)
 	}
 	return nil
 }
--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -9,16 +9,16 @@
 	"heathgap/internal/env"
 )
 
-// timer is a timer of a member. The one between two questions for the lease goes by the kernel's clock: the runtime waits for its
-// timers in whole milliseconds, so that the timers of many members in one process go off together, a millisecond apart, where those
-// of a process each go off by themselves. It is the one that is set anew, by the time between two questions.
+// timer is a timer of a member. The timer between two renewals of the lease uses a timer of the kernel: the Go runtime waits for its
+// timers in whole milliseconds, so the timers of many members in one process would expire together, a millisecond apart, while those
+// of separate processes expire independently. The renewal timer is recognized by the duration to which it is reset.
 type timer struct {
 	env.Timer
 	env    *memberEnv
-	kernel *kernelTimer // nil until then
+	kernel *kernelTimer // nil until the timer is reset to the renewal interval
 }
 
-// Reset is env.Timer's.
+// Reset implements env.Timer. A reset to the renewal interval switches the timer to the kernel's for good, unless the kernel refuses.
 func (t *timer) Reset(d time.Duration) {
 	if d == t.env.renewInterval {
 		if t.env.fault == RenewsTooOften {
@@ -35,10 +35,10 @@
 		t.kernel.file.Close()
 		t.kernel = nil
 	}
-	t.Timer.Reset(d) // not yet, or no descriptors are left
+	t.Timer.Reset(d) // not the renewal timer, or no file descriptor is left
 }
 
-// C is where the time comes.
+// C implements env.Timer.
 func (t *timer) C() <-chan time.Time {
 	if t.kernel != nil {
 		return t.kernel.c
@@ -46,7 +46,7 @@
 	return t.Timer.C()
 }
 
-// Stop is env.Timer's.
+// Stop implements env.Timer. It ends the kernel's timer.
 func (t *timer) Stop() {
 	t.Timer.Stop()
 	if t.kernel != nil {
@@ -54,12 +54,13 @@
 	}
 }
 
-// kernelTimer is a timer of the kernel's, and the goroutine that reads it until its file is closed.
+// kernelTimer is a timer of the kernel (timerfd) with a goroutine that reads it until its file is closed.
 type kernelTimer struct {
 	file *os.File
 	c    chan time.Time
 }
 
+// newKernelTimer returns a timer that is not set, or nil if the kernel gives none.
 func newKernelTimer() *kernelTimer {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return k
 }
 
-// set has it go off once.
+// set makes the timer expire once after d. It returns false if the timer could not be set.
 func (k *kernelTimer) set(d time.Duration) bool {
 	raw, err := k.file.SyscallConn()
 	if err != nil {
