--- a/internal/lab/consistency/consistency_test.go
+++ b/internal/lab/consistency/consistency_test.go
@@ -7,10 +7,10 @@
 
 const ms = time.Millisecond
 
-// Each rule breaks when it should, and not before.
+// Each violation is reported under its rule, and a similar case that is allowed is not reported.
 func TestViolations(t *testing.T) {
 	conf := Conf{MaxContradiction: 100 * ms, Margin: 10 * ms}
-	reportAll := func(c *Checker, name string, s StatusReport) { // said again and again, as a poll hears it
+	reportAll := func(c *Checker, name string, s StatusReport) { // the same report every 20 ms for a second, as from a poll
 		for at := time.Duration(0); at <= time.Second; at += 20 * ms {
 			s.At = at
 			c.RecordStatus(name, s)
@@ -33,15 +33,15 @@
 			reportAll(c, "b", StatusReport{Active: 1})
 			c.RecordAction(resend(500 * ms))
 		}, Contradicts},
-		"prepared counts": {func(c *Checker) {
+		"forbidden by the next version": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Next: 1})
 			c.RecordAction(resend(500 * ms))
 		}, Contradicts},
-		"who is cautious vouches for nothing": {func(c *Checker) {
+		"a cautious member guarantees nothing to others": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Cautious: true})
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"a start ends what was said before": {func(c *Checker) {
+		"a start ends the reports before it": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1})
 			c.RecordStart(470*ms, "b")
 			c.RecordAction(resend(500 * ms))
@@ -50,7 +50,7 @@
 			reportAll(c, "b", StatusReport{Active: 1})
 			c.RecordAction(Action{At: 500 * ms, Process: "a", Endpoint: "e"})
 		}, Contradicts},
-		"loosened a moment ago": {func(c *Checker) {
+		"allowed a moment ago": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 			for at := time.Duration(0); at <= time.Second; at += 20 * ms {
 				s := StatusReport{At: at, Active: 1}
@@ -61,30 +61,30 @@
 			}
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"loosened, and cut off right after": {func(c *Checker) {
+		"allowed, and partitioned right after": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 			c.RecordStatus("a", StatusReport{At: 440 * ms, Active: 1})
 			c.RecordStatus("a", StatusReport{At: 480 * ms, Active: 2})
 			c.RecordStatus("a", StatusReport{At: 520 * ms, Active: 2, Cautious: true})
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"stopped, and loosened before it is asked again": {func(c *Checker) {
+		"stopped, and allowed before the next report": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 			c.RecordStatus("a", StatusReport{At: 20 * ms, Active: 1})
 			c.RecordStatus("a", StatusReport{At: 520 * ms, Active: 2})
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"allowed between two words that are far apart": {func(c *Checker) {
+		"allowed between two reports that are far apart": {func(c *Checker) {
 			c.RecordStatus("a", StatusReport{At: 20 * ms, Cautious: true})
 			c.RecordStatus("a", StatusReport{At: 520 * ms, Active: 1})
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"loosened for long, and still done": {func(c *Checker) {
+		"allowed for long at the process, and still forbidden by another": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 			reportAll(c, "a", StatusReport{Active: 2})
 			c.RecordAction(resend(500 * ms))
 		}, Contradicts},
-		"loosened, and started anew": {func(c *Checker) {
+		"allowed, and started again": {func(c *Checker) {
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 			c.RecordStatus("a", StatusReport{At: 0, Active: 1})
 			c.RecordStart(450*ms, "a")
@@ -97,7 +97,7 @@
 			c.RecordStatus("a", StatusReport{At: 520 * ms, Active: 1})
 			c.RecordAction(resend(500 * ms))
 		}, ""},
-		"cautious, and does it": {func(c *Checker) {
+		"resent while cautious": {func(c *Checker) {
 			reportAll(c, "a", StatusReport{Cautious: true})
 			c.RecordAction(resend(500 * ms))
 		}, AgainstSelf},
@@ -105,24 +105,24 @@
 			reportAll(c, "b", StatusReport{Active: 1})
 			c.RecordAction(Action{At: 500 * ms, Process: "a", Endpoint: "f"})
 		}, ""},
-		"against its own word": {func(c *Checker) {
+		"against its own report": {func(c *Checker) {
 			reportAll(c, "a", StatusReport{Active: 1})
 			c.RecordAction(resend(500 * ms))
 		}, AgainstSelf},
-		"goes back": {func(c *Checker) {
+		"an older version without a start": {func(c *Checker) {
 			c.RecordStatus("a", StatusReport{At: 1, Active: 1})
 			c.RecordStatus("a", StatusReport{At: 2})
 		}, GoesBack},
-		"begins anew": {func(c *Checker) {
+		"an older version after a start": {func(c *Checker) {
 			c.RecordStatus("a", StatusReport{At: 1, Active: 1})
 			c.RecordStart(2, "a")
 			c.RecordStatus("a", StatusReport{At: 3, Cautious: true})
 		}, ""},
-		"far apart": {func(c *Checker) {
+		"versions far apart": {func(c *Checker) {
 			reportAll(c, "a", StatusReport{Active: 2})
 			reportAll(c, "b", StatusReport{Active: 1})
 		}, FarApart},
-		"neighbours": {func(c *Checker) {
+		"neighboring versions": {func(c *Checker) {
 			reportAll(c, "a", StatusReport{Active: 2})
 			reportAll(c, "b", StatusReport{Active: 1, Next: 2})
 		}, ""},
@@ -130,7 +130,7 @@
 			c.RecordLeader(1, 3, "a")
 			c.RecordLeader(2, 3, "b")
 		}, TwoLeaders},
-		"lost": {func(c *Checker) { c.RecordAgreed(9) }, LostVersion},
+		"agreed version lost": {func(c *Checker) { c.RecordAgreed(9) }, LostVersion},
 	} {
 		c := New(conf)
 		c.RecordVersion(1, Forbidden{Resend: true, Banned: []string{"e"}})
--- a/internal/lab/emulated/cost_test.go
+++ b/internal/lab/emulated/cost_test.go
@@ -28,34 +28,34 @@
 	"heathgap/internal/peerrpc"
 )
 
-// A hollow member is true if it costs the leader what a real one does. Measuring that takes minutes and a machine that has
-// little else to do, so it is done by flag:
+// TestCostMatchesRealMembers guards against emulated members that cost the leader less or more than real ones: scale tests with them
+// would then show a wrong cost. It measures for minutes and needs a machine that has little else to do, so it runs by flag only:
 //
-//	go test ./internal/lab/emulated -run TestTrue -hollow.true -hollow.runs 3 -timeout 2h -v
+//	go test ./internal/lab/emulated -run TestCostMatchesRealMembers -hollow.true -hollow.runs 3 -timeout 2h -v
 //
-// A part of it: -run 'TestTrue/lease_1s/holdings_off'.
+// To run a part of it: -run 'TestCostMatchesRealMembers/lease_1s/holdings_off'.
 var (
-	costFlag    = flag.Bool("hollow.true", false, "measure what 60 hollow members cost the leader beside 60 real ones")
-	costRuns    = flag.Int("hollow.runs", 3, "so many times each")
-	costMembers = flag.Int("hollow.members", 60, "so many members")
+	costFlag    = flag.Bool("hollow.true", false, "measure what emulated members cost the leader beside as many real ones")
+	costRuns    = flag.Int("hollow.runs", 3, "number of measurements of each case")
+	costMembers = flag.Int("hollow.members", 60, "number of members of each kind")
 )
 
-// Figures of the measurement.
+// Parameters of the measurement.
 const (
 	costVoters        = 5
-	costKeyedRate     = 5.0 // a second and member
+	costKeyedRate     = 5.0 // keyed requests per second and member
 	costKeyedDuration = 20 * time.Millisecond
-	costSettleTimeout = 5 * time.Minute // for all to be in and all shards to be whole, at the longest lease
-	costRenewals      = 24              // renewals that are measured at least: three leases
+	costSettleTimeout = 5 * time.Minute // for all members to join and all shards to have all replicas, at the longest lease
+	costRenewals      = 24              // the fewest renewals of each member in a measurement: three leases
 	costMinDuration   = 20 * time.Second
-	costMaxRatio      = 1.1 // the most that the costs may differ, as a ratio, and the inverse
+	costMaxRatio      = 1.1 // bound of the ratio of the costs, and of its inverse
 	clockTick         = 10 * time.Millisecond
 	costCallTimeout   = 5 * time.Second
 	costTries         = 4
 	costPollInterval  = 200 * time.Millisecond
 )
 
-// costCluster is one crew of real keepers, with members that are real processes or hollow ones.
+// costCluster is a cluster of real voters whose other members are either all real processes or all emulated.
 type costCluster struct {
 	t               *testing.T
 	real            bool
@@ -64,7 +64,7 @@
 	start           Start
 	keyedRate       float64
 	procs           map[string]*exec.Cmd
-	callerAddresses map[string]string // for callers, of real sidecars
+	callerAddresses map[string]string // where real sidecars listen for callers, by name
 	clients         map[string]*peerrpc.Client
 	endpoint        *httptest.Server
 	emulated        *exec.Cmd
@@ -74,12 +74,12 @@
 	keyedRefused    atomic.Int64
 }
 
-// cost is what was measured.
+// cost is what the leader and the members of a cluster have used, in total or, from since, per second.
 type cost struct {
 	name                        string
-	cpu, read, wrote            float64     // of the leader; bytes of all that it reads and writes
-	memberCosts                 memberCosts // by the members
-	memberText                  string      // the same, for people
+	cpu, read, wrote            float64     // of the leader: seconds of processor time, and bytes of all that it reads and writes
+	memberCosts                 memberCosts // of all members together
+	memberText                  string      // memberCosts per member, for people
 	renewals                    float64     // of all members
 	keyedRequests, keyedRefused int64
 	replicas                    int // of the leader
@@ -87,7 +87,8 @@
 	took                        time.Duration
 }
 
-// clusterState is how a crew stands.
+// clusterState is the state of a cluster by its leader's report. settled means that all members have joined and all shards have all
+// replicas.
 type clusterState struct {
 	leader           string
 	epoch, placement uint64
@@ -97,7 +98,7 @@
 
 func TestCostMatchesRealMembers(t *testing.T) {
 	if !*costFlag {
-		t.Skip("by flag alone: it takes minutes, and a quiet machine")
+		t.Skip("runs only with -hollow.true: it takes minutes and needs an idle machine")
 	}
 	bin := t.TempDir()
 	for _, name := range []string{"heathgap-crew", "heathlab"} {
@@ -117,17 +118,17 @@
 					for n := range *costRuns {
 						r, h := measureValid(t, bin, lease, c.copies, c.keyedRate)
 						for _, m := range []*cost{r, h} {
-							t.Logf("run %d, %s: leader %.2f ms of processor a second, %.0f B/s read, %.0f B/s written, %d seats; members: %.0f renewals a second of all, %s; orders %d, denied %d",
+							t.Logf("run %d, %s: leader %.2f ms of processor time per second, %.0f B/s read, %.0f B/s written, %d replicas; members: %.0f renewals per second in all, %s; keyed requests %d, refused %d",
 								n+1, m.name, 1000*m.cpu, m.read, m.wrote, m.replicas, m.renewals, m.memberText, m.keyedRequests, m.keyedRefused)
 						}
 						cpu, in, out = append(cpu, h.cpu/r.cpu), append(in, h.read/r.read), append(out, h.wrote/r.wrote)
-						t.Logf("run %d: hollow/real: processor %.3f, read %.3f, written %.3f; over %v, at a load average of %s",
+						t.Logf("run %d: emulated/real: processor time %.3f, read %.3f, written %.3f; over %v, at a load average of %s",
 							n+1, h.cpu/r.cpu, h.read/r.read, h.wrote/r.wrote, r.took, h.load)
 					}
 					for what, ratios := range map[string][]float64{"processor": cpu, "bytes read": in, "bytes written": out} {
 						slices.Sort(ratios)
 						if median := ratios[len(ratios)/2]; median > costMaxRatio || median < 1/costMaxRatio {
-							t.Errorf("%s: hollow members cost the leader %.3f of what real ones do (median of %.3f)", what, median, ratios)
+							t.Errorf("%s: emulated members cost the leader %.3f times what real ones do (median of %.3f)", what, median, ratios)
 						}
 					}
 				})
@@ -136,7 +137,7 @@
 	}
 }
 
-// measureValid measures again where a measurement is void.
+// measureValid repeats a measurement that is void, up to costTries times in all.
 func measureValid(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64) (real, emulated *cost) {
 	t.Helper()
 	for range costTries {
@@ -148,8 +149,8 @@
 	return nil, nil
 }
 
-// measure starts both crews, waits until they are at rest, and measures their leaders over the same time: what else the machine has
-// to do then strikes both alike. It returns nil where another keeper came to lead, or members came or went meanwhile.
+// measure starts both clusters, waits until they are settled, and measures both leaders over the same time, so that other load of the
+// machine affects both alike. It returns nil if another voter became leader or members joined or left meanwhile.
 func measure(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64) (real, emulated *cost) {
 	t.Helper()
 	var clusters [2]*costCluster
@@ -168,7 +169,7 @@
 	for i, s := range clusters {
 		first[i] = s.cost(was[i])
 	}
-	time.Sleep(max(costMinDuration, costRenewals*lease/cluster.HeartbeatsPerLease)) // measured for so long
+	time.Sleep(max(costMinDuration, costRenewals*lease/cluster.HeartbeatsPerLease)) // the measured time
 	took := time.Since(began)
 	for i, s := range clusters {
 		costs[i] = s.cost(was[i]).since(first[i], took)
@@ -182,7 +183,7 @@
 	return costs[0], costs[1]
 }
 
-// newCostCluster starts a crew.
+// newCostCluster starts the voters and the members of a cluster.
 func newCostCluster(t *testing.T, bin string, lease time.Duration, copies int, keyedRate float64, real bool) *costCluster {
 	t.Helper()
 	s := &costCluster{t: t, real: real, dir: t.TempDir(), bin: bin, keyedRate: keyedRate,
@@ -199,28 +200,28 @@
 	}
 	s.endpoint = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(costKeyedDuration)
-		w.Write([]byte("done")) //nolint:errcheck // its client shows
+		w.Write([]byte("done")) //nolint:errcheck // its client notices a failure
 	}))
 	for _, k := range s.start.Voters {
 		s.startReal(k)
 		s.clients[k.Name] = peerrpc.NewClient(env.Real{}, s.start.Cluster, "test", k.Address)
 	}
 	if !real {
-		s.startEmulated() // to begin anew, each at its own time
+		s.startEmulated() // all members leave at once, so that each can be started again at its own time
 		s.await(Command{ID: 3, Do: Leave}, func(l Output) bool { return l.ID == 3 })
 	}
-	// Members come up at drawn times over two beats, the same for both sides: what a leader answers together costs it less, and who
-	// comes up together asks together for long.
+	// Members start at random times over two heartbeats, the same times for both clusters. Members that start together renew together
+	// for a long time, and renewals that the leader answers together cost it less.
 	rng := rand.New(rand.NewPCG(s.start.Seed, 0))
 	due := time.Now()
 	for i, m := range s.start.Members {
-		due = due.Add(time.Duration(rng.Int64N(4*int64(lease)/cluster.HeartbeatsPerLease) / int64(*costMembers))) // half of that is the mean
+		due = due.Add(time.Duration(rng.Int64N(4*int64(lease)/cluster.HeartbeatsPerLease) / int64(*costMembers))) // the mean is half of the bound
 		time.Sleep(time.Until(due))
 		if real {
 			s.startReal(m)
 			continue
 		}
-		// Its answer is read on the way to the next one that is waited for.
+		// A later await reads and skips its answer.
 		if err := json.NewEncoder(s.input).Encode(Command{ID: 10 + i, Do: Restart, Members: []string{m.Name}}); err != nil {
 			t.Fatal(err)
 		}
@@ -228,11 +229,11 @@
 	return s
 }
 
-// cost is what its leader and its members have cost so far.
+// cost returns what the leader and the members have used so far.
 func (s *costCluster) cost(at clusterState) *cost {
 	s.t.Helper()
 	pid := s.procs[at.leader].Process.Pid
-	c := &cost{name: map[bool]string{true: "real", false: "hollow"}[s.real], cpu: cpuOf(s.t, pid).Seconds(),
+	c := &cost{name: map[bool]string{true: "real", false: "emulated"}[s.real], cpu: cpuOf(s.t, pid).Seconds(),
 		read: ioOf(s.t, pid, "rchar"), wrote: ioOf(s.t, pid, "wchar"), memberCosts: s.memberCosts(), replicas: at.replicas}
 	c.keyedRequests, c.keyedRefused = s.keyedCounts()
 	c.renewals = s.renewals()
@@ -244,19 +245,19 @@
 	return c
 }
 
-// since is what it has cost a second after another look.
+// since returns what was used per second since an earlier measurement, which was took ago.
 func (c *cost) since(first *cost, took time.Duration) *cost {
 	out, n := *c, float64(*costMembers)
 	out.took = took.Round(time.Millisecond)
 	out.cpu, out.read, out.wrote = (c.cpu-first.cpu)/took.Seconds(), (c.read-first.read)/took.Seconds(), (c.wrote-first.wrote)/took.Seconds()
 	out.renewals = (c.renewals - first.renewals) / took.Seconds()
 	out.keyedRequests, out.keyedRefused = c.keyedRequests-first.keyedRequests, c.keyedRefused-first.keyedRefused
-	out.memberText = fmt.Sprintf("%.2f ms of processor a second, %.2f MB, %.1f goroutines, %.1f descriptors, each",
+	out.memberText = fmt.Sprintf("%.2f ms of processor time per second, %.2f MB, %.1f goroutines, %.1f descriptors, each",
 		1000*(c.memberCosts.cpu-first.memberCosts.cpu).Seconds()/took.Seconds()/n, c.memberCosts.rss/(1<<20)/n, c.memberCosts.goroutines/n, c.memberCosts.descriptors/n)
 	return &out
 }
 
-// startReal starts a sidecar as a process.
+// startReal starts a voter or a member as a real process.
 func (s *costCluster) startReal(p Peer) {
 	s.t.Helper()
 	dir := filepath.Join(s.dir, p.Name)
@@ -306,7 +307,7 @@
 	s.procs[p.Name] = cmd
 }
 
-// startEmulated starts all members in one process.
+// startEmulated starts all members in one process, as emulated ones.
 func (s *costCluster) startEmulated() {
 	s.t.Helper()
 	s.emulated = exec.Command(filepath.Join(s.bin, "heathlab"), "hollow")
@@ -327,7 +328,7 @@
 	s.await(s.start, func(l Output) bool { return l.Ready })
 }
 
-// await tells the hollow process something and returns the answer.
+// await sends the emulated process a message and returns the first output that matches. An error in any output fails the test.
 func (s *costCluster) await(message any, matches func(Output) bool) Output {
 	s.t.Helper()
 	if err := json.NewEncoder(s.input).Encode(message); err != nil {
@@ -342,7 +343,7 @@
 			return l
 		}
 	}
-	s.t.Fatal("the hollow process has ended")
+	s.t.Fatal("the process of emulated members has ended")
 	return Output{}
 }
 
@@ -350,7 +351,7 @@
 	return s.await(Command{ID: 1, Do: Sample}, func(l Output) bool { return l.Sample != nil }).Sample
 }
 
-// state asks who leads, and what it knows.
+// state asks the voters which of them leads, and returns the state of the cluster by the leader's ledger.
 func (s *costCluster) state() (now clusterState) {
 	for name, client := range s.clients {
 		var st voter.Status
@@ -377,7 +378,7 @@
 	return now
 }
 
-// settle waits until all are in and all shards are whole, and nothing has changed for some questions of each.
+// settle waits until the cluster is settled and its state has not changed for some heartbeats.
 func (s *costCluster) settle() clusterState {
 	s.t.Helper()
 	var last clusterState
@@ -391,11 +392,12 @@
 			return now
 		}
 	}
-	s.t.Fatalf("not at rest after %v: %+v", costSettleTimeout, last)
+	s.t.Fatalf("the cluster has not settled after %v: %+v", costSettleTimeout, last)
 	return last
 }
 
-// sendKeyedRequests has members make orders until it is told to stop.
+// sendKeyedRequests sends keyed requests to real members until stop is called. Emulated members make their own, and continue until the
+// cluster is closed.
 func (s *costCluster) sendKeyedRequests() (stop func()) {
 	if s.keyedRate == 0 {
 		return func() {}
@@ -424,13 +426,13 @@
 						s.t.Error(err)
 						return
 					}
-					key := fmt.Sprintf("%s-1-%016x%016x", m.Name, i, n) // as long as a hollow member's
+					key := fmt.Sprintf("%s-1-%016x%016x", m.Name, i, n) // as long as the key of an emulated member
 					q.Header.Set("X-Txn", key)
 					q.Header.Set("X-Remaining", "0.8")
 					q.Header.Set("Idempotency-Key", key)
 					a, err := client.Do(q)
 					if err == nil {
-						io.Copy(io.Discard, a.Body) //nolint:errcheck // its status counts
+						io.Copy(io.Discard, a.Body) //nolint:errcheck // only its status counts
 						a.Body.Close()
 					}
 					if err != nil || a.StatusCode != http.StatusOK {
@@ -457,7 +459,7 @@
 	return requests, refused
 }
 
-// renewals are those of all members so far.
+// renewals returns the number of renewals of all members so far.
 func (s *costCluster) renewals() (sum float64) {
 	s.t.Helper()
 	if !s.real {
@@ -478,7 +480,7 @@
 	return sum
 }
 
-// memberCosts is what all members take together.
+// memberCosts is what all members use together.
 type memberCosts struct {
 	cpu                          time.Duration
 	rss, goroutines, descriptors float64
@@ -500,17 +502,17 @@
 		}
 		u.descriptors += float64(len(files))
 	}
-	return u // nobody tells a real one's goroutines
+	return u // a real member does not report its goroutines
 }
 
-// cpuOf is what a process has had of processors.
+// cpuOf returns the processor time that a process has used.
 func cpuOf(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// What follows the name, which is in brackets: field 3 on; 14 and 15 are times.
+	// The fields after the name, which is in brackets, begin with field 3. Fields 14 and 15 are user and system time.
 	fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
 	sum := 0
 	for _, f := range fields[11:13] {
@@ -523,12 +525,13 @@
 	return time.Duration(sum) * clockTick
 }
 
-// ioOf is what a process has read or written, with sockets.
+// ioOf returns how many bytes a process has read or written, sockets included.
 func ioOf(t *testing.T, pid int, field string) float64 {
 	t.Helper()
 	return fieldOf(t, fmt.Sprintf("/proc/%d/io", pid), field)
 }
 
+// fieldOf returns the number in a line "field: number" of a file.
 func fieldOf(t *testing.T, path, field string) float64 {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -548,7 +551,7 @@
 	return 0
 }
 
-// close ends all that was started, each by its own id.
+// close ends all processes that were started, each by its own process id.
 func (s *costCluster) close() {
 	if s.emulated != nil {
 		s.input.Close()
--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -24,10 +24,10 @@
 	"heathgap/internal/versions"
 )
 
-// Figures of the tests.
+// Times of the tests.
 const (
 	testLease = time.Second
-	testWait  = 20 * time.Second // for what surely comes, on a busy machine
+	testWait  = 20 * time.Second // for what must happen, on a busy machine
 	testPause = 5 * time.Millisecond
 )
 
@@ -36,8 +36,8 @@
 	next int
 }{}
 
-// freeAddress returns an address that nobody listens at, off 127.0.0.1, from which the kernel makes connections: so none of them takes
-// its port before something listens there.
+// freeAddress returns an address that nobody listens at. Its host is not 127.0.0.1, from which the kernel opens connections, so none of
+// these takes the port before the test listens there.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	testNet.Lock()
@@ -53,7 +53,7 @@
 	return l.Addr().String()
 }
 
-// testProcess is a process of hollow members in this one, and what it says.
+// testProcess runs a process of emulated members inside the test process, and holds its output.
 type testProcess struct {
 	t     *testing.T
 	in    *json.Encoder
@@ -65,11 +65,11 @@
 	events  []MemberState
 	answers map[int]Output
 	ready   bool
-	failed  string // a line with an error and no id
+	failed  string // the error of a line without id
 	id      int
 }
 
-// startProcess starts one; it ends with the test.
+// startProcess starts a process of emulated members, which ends with the test.
 func startProcess(t *testing.T, start any) *testProcess {
 	t.Helper()
 	inRead, inWrite := io.Pipe()
@@ -95,7 +95,7 @@
 			p.receive(l)
 		}
 	}()
-	p.in.Encode(start) //nolint:errcheck // its end tells
+	p.in.Encode(start) //nolint:errcheck // the process reports what is wrong
 	t.Cleanup(func() {
 		inWrite.Close()
 		<-read
@@ -103,6 +103,7 @@
 	return p
 }
 
+// receive stores a line that the process wrote.
 func (p *testProcess) receive(l Output) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +120,7 @@
 	p.changed.Broadcast()
 }
 
-// await waits until something holds of what it has said.
+// await waits until holds returns true. It is called, with the lock held, after each line that the process writes.
 func (p *testProcess) await(what string, holds func() bool) {
 	p.t.Helper()
 	timer := time.AfterFunc(testWait, p.changed.Broadcast)
@@ -135,7 +136,7 @@
 	}
 }
 
-// do gives a command and returns the answer.
+// do sends a command and returns the answer.
 func (p *testProcess) do(c Command) Output {
 	p.t.Helper()
 	p.mu.Lock()
@@ -151,7 +152,7 @@
 	return p.answers[c.ID]
 }
 
-// mustDo is say, of a command that is carried out.
+// mustDo is do for a command that must succeed.
 func (p *testProcess) mustDo(c Command) Output {
 	p.t.Helper()
 	l := p.do(c)
@@ -175,7 +176,7 @@
 	return out
 }
 
-// awaitAll waits until the last event of each member holds.
+// awaitAll waits until holds is true for the last events of exactly n members.
 func (p *testProcess) awaitAll(what string, n int, holds func(MemberState) bool) {
 	p.t.Helper()
 	p.await(what, func() bool {
@@ -189,14 +190,14 @@
 	})
 }
 
-// testCluster is real keepers in this process, and the start of a process of hollow members beside them.
+// testCluster holds real voters in the test process, and the Start of a process of emulated members beside them.
 type testCluster struct {
 	t       *testing.T
 	start   Start
 	clients []*peerrpc.Client
 }
 
-// startCluster starts keepers and draws up members.
+// startCluster starts the voters and names the members.
 func startCluster(t *testing.T, voters, members, copies int) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t, start: Start{
@@ -233,13 +234,13 @@
 	if t.Failed() {
 		t.FailNow()
 	}
-	c.ledger() // it has formed
+	c.ledger() // waits until the voters have formed the cluster
 	return c
 }
 
 func zone(i int) string { return string(rune('a' + i%3)) }
 
-// ledger is what the leader knows.
+// ledger returns the leader's ledger.
 func (c *testCluster) ledger() *cluster.Ledger {
 	c.t.Helper()
 	for limit := time.Now().Add(testWait); time.Now().Before(limit); time.Sleep(testPause) {
@@ -250,11 +251,11 @@
 			}
 		}
 	}
-	c.t.Fatal("no keeper leads")
+	c.t.Fatal("no voter leads")
 	return nil
 }
 
-// awaitLedger waits until something holds of what the leader knows.
+// awaitLedger waits until holds is true for the leader's ledger, and returns it.
 func (c *testCluster) awaitLedger(what string, holds func(l *cluster.Ledger) bool) *cluster.Ledger {
 	c.t.Helper()
 	var l *cluster.Ledger
@@ -267,11 +268,12 @@
 	return nil
 }
 
-// awaitReplicated waits until all shards have all copies, nothing has been copied elsewhere for a while, and nobody has come or gone.
+// awaitReplicated waits until all shards have all their replicas ready, and neither the placement nor the membership has changed for
+// half a lease.
 func (c *testCluster) awaitReplicated() *cluster.Ledger {
 	c.t.Helper()
 	since, epoch, table := time.Now(), uint64(0), uint64(0)
-	return c.awaitLedger("all shards are whole", func(l *cluster.Ledger) bool {
+	return c.awaitLedger("all shards have all replicas", func(l *cluster.Ledger) bool {
 		if l.Placement == nil {
 			return false
 		}
@@ -293,7 +295,7 @@
 	})
 }
 
-// propose has a version proposed.
+// propose proposes a version and returns its number.
 func (c *testCluster) propose(doc versions.Document) uint64 {
 	c.t.Helper()
 	id := voter.NewID()
@@ -306,11 +308,11 @@
 			}
 		}
 	}
-	c.t.Fatal("no keeper takes the proposal")
+	c.t.Fatal("no voter accepts the proposal")
 	return 0
 }
 
-// listens tells whether somebody does at an address.
+// listens reports whether somebody listens at an address.
 func listens(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err == nil {
@@ -319,7 +321,8 @@
 	return err == nil
 }
 
-// All get leases, and a version is acted on by all, as each event tells: first beside the one before, then alone.
+// All members get leases, and a new version takes effect at all of them. The events show it first together with the version before,
+// then alone.
 func TestVersionTakesEffectOnAll(t *testing.T) {
 	const members = 20
 	c := startCluster(t, 3, members, 0)
@@ -341,7 +344,7 @@
 	}
 	p.mu.Unlock()
 	if len(acceptedBoth) != members {
-		t.Errorf("%d of %d members have told that they act on both", len(acceptedBoth), members)
+		t.Errorf("%d of %d members have reported both versions in effect together", len(acceptedBoth), members)
 	}
 	s := p.sample()
 	if s.CPU <= 0 || s.RSSBytes < 1<<20 || s.Goroutines < 2*members || s.Descriptors < 2*members || s.At <= 0 {
@@ -361,8 +364,8 @@
 	}
 }
 
-// A member that is killed is gone at once and has said nothing: the keepers wait for its lease. It begins as another process of
-// its name at its address.
+// A member that is killed ends at once and sends nothing more, so the voters remove it only when its lease has expired. It starts again
+// as another process with the same name and address. Guards against a kill that sends the message of a member that leaves.
 func TestKillAndRestart(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 3, 6, 0)
@@ -373,16 +376,17 @@
 	killed := time.Now()
 	p.mustDo(Command{Do: Kill, Members: []string{"m1"}})
 	if listens(before.Address) {
-		t.Error("it still listens")
+		t.Error("a killed member still listens")
 	}
 	p.await("its end", func() bool { return p.last()["m1"].Gone })
 	if s := p.sample().Members["m1"]; s.Conns != 0 || !s.State.Gone || s.Renewals < renewals {
 		t.Errorf("%+v", s)
 	}
-	c.awaitLedger("it is counted out", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 })
-	// Its last word was at most a beat, or one that was late by as much, before: a word that it leaves would end it at once.
+	c.awaitLedger("m1 is removed from the cluster", func(l *cluster.Ledger) bool { return l.Members["m1"].Token == 0 })
+	// Its last renewal was at most a heartbeat before, or a late one up to a heartbeat more. A message that it leaves would have removed
+	// it at once.
 	if after := time.Since(killed); after < testLease/2 {
-		t.Errorf("counted out %v after its end, before its lease's", after)
+		t.Errorf("removed %v after the kill, before its lease can have expired", after)
 	}
 	if l := p.do(Command{Do: Kill, Members: []string{"m1"}}); !strings.Contains(l.Error, "m1: the member is not running") {
 		t.Errorf("%+v", l)
@@ -397,7 +401,8 @@
 	}
 }
 
-// Members of a region that is cut off lose their leases, the others don't; what is mended goes again.
+// Members of a partitioned region lose their leases and are removed, the others are not. After the partition is healed all have leases
+// again. Commands that are invalid get an error in one line.
 func TestPartitionAndHeal(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 3, 6, 0)
@@ -422,15 +427,15 @@
 		}
 		return n == 3
 	})
-	l := c.awaitLedger("the south is counted out", func(l *cluster.Ledger) bool { return len(l.Members) == 6 })
+	l := c.awaitLedger("the members of the south are removed", func(l *cluster.Ledger) bool { return len(l.Members) == 6 })
 	for name := range l.Members {
 		if south(name) {
-			t.Errorf("%s is in", name)
+			t.Errorf("%s is still in the cluster", name)
 		}
 	}
 	p.mustDo(Command{Do: Heal, Regions: [2]string{"north", "south"}})
 	p.awaitAll("leases again", 6, func(s MemberState) bool { return !s.Cautious })
-	c.awaitLedger("all are in", func(l *cluster.Ledger) bool { return len(l.Members) == 9 })
+	c.awaitLedger("all members have joined", func(l *cluster.Ledger) bool { return len(l.Members) == 9 })
 	for _, bad := range []Command{
 		{Do: Partition, Regions: [2]string{"north", "west"}}, {Do: Partition}, {Do: Heal, Regions: [2]string{"north", "north"}}, {Do: Sample, Members: []string{"m9"}},
 		{Do: SetKeyedRate, KeyedRate: 1}, {Do: SetKeyedRate, KeyedRate: -1},
@@ -441,8 +446,8 @@
 	}
 }
 
-// Bytes are those of the messages, as the server that takes them counts, with their heads. Who leaves says so, and who is killed
-// does not.
+// The bytes that a member's sockets count are those of its messages as the server counts them, plus the HTTP heads. A member that leaves
+// announces it in a last renewal, and one that is killed does not.
 func TestTrafficAndLeaveMessage(t *testing.T) {
 	s, err := peerrpc.Listen(env.Real{}, freeAddress(t), "hollow")
 	if err != nil {
@@ -459,7 +464,7 @@
 		if r.Leaving {
 			leaving.Add(1)
 		}
-		return voter.RenewResult{}, nil // neither a lease nor who leads
+		return voter.RenewResult{}, nil // neither a grant nor the name of the leader
 	}})
 	start := Start{Cluster: "hollow", Lease: 400 * time.Millisecond, ContradictAtMost: time.Second, Copies: 2, Keep: time.Minute, LostAfter: time.Second,
 		Voters: []Peer{{Name: "k1", Address: s.Address()}}}
@@ -471,40 +476,40 @@
 	p.await("ready", func() bool { return p.ready })
 	for limit := time.Now().Add(testWait); renewals.Load() < 100 && time.Now().Before(limit); time.Sleep(testPause) {
 	}
-	p.mustDo(Command{Do: Leave}) // the last word of each is answered
+	p.mustDo(Command{Do: Leave}) // returns when the last renewal of each member is answered
 	n, sum := renewals.Load(), MemberUsage{}
 	for _, m := range p.sample().Members {
 		sum.In, sum.Out, sum.ToVoters, sum.FromVoters = sum.In+m.In, sum.Out+m.Out, sum.ToVoters+m.ToVoters, sum.FromVoters+m.FromVoters
 		sum.LostRenewals += m.LostRenewals
 	}
 	if size := s.BytesIn.Load() / max(1, n); n < 100 || size < 10 || size > 90 {
-		t.Fatalf("%d messages of %d bytes; the heads counted on here have a length of two digits", n, size)
+		t.Fatalf("%d messages of %d bytes; the heads that this test computes need at least 100 messages, of a length with two digits", n, size)
 	}
 	request := int64(len("POST /crew/1/renew HTTP/1.1\r\nHost: " + s.Address() + "\r\nContent-Length: 12\r\n\r\n"))
 	answer := int64(len("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
 	if want := s.BytesIn.Load() + n*request; sum.ToVoters != want || sum.Out != want {
-		t.Errorf("%d bytes out, %d to keepers, want %d", sum.Out, sum.ToVoters, want)
+		t.Errorf("%d bytes out, %d to voters, want %d", sum.Out, sum.ToVoters, want)
 	}
 	if want := s.BytesOut.Load() + n*answer; sum.FromVoters != want || sum.In != want {
-		t.Errorf("%d bytes in, %d of keepers, want %d", sum.In, sum.FromVoters, want)
+		t.Errorf("%d bytes in, %d from voters, want %d", sum.In, sum.FromVoters, want)
 	}
 	if sum.LostRenewals == 0 {
-		t.Error("nobody led, and no member has counted it")
+		t.Error("no voter led, but no member counted a lost renewal")
 	}
 	if leaving.Load() != members {
-		t.Errorf("%d of %d members have said that they leave", leaving.Load(), members)
+		t.Errorf("%d of %d members have announced that they leave", leaving.Load(), members)
 	}
 	p.mustDo(Command{Do: Restart})
 	p.awaitAll("they are back", members, func(s MemberState) bool { return !s.Gone })
 	p.mustDo(Command{Do: Kill})
 	p.mustDo(Command{Do: End})
-	<-p.ended // what was left of them has ended
+	<-p.ended // the goroutines of the killed members have ended too
 	if leaving.Load() != members {
-		t.Error("a member that was killed has said that it leaves")
+		t.Error("a member that was killed has announced that it leaves")
 	}
 }
 
-// replicasOf is in how many shards a member has one.
+// replicasOf returns the number of shards of which a member has a replica.
 func replicasOf(l *cluster.Ledger, name string) (n int) {
 	for _, shard := range l.Placement.Shards {
 		for _, replica := range shard.Replicas {
@@ -516,8 +521,8 @@
 	return n
 }
 
-// Keyed requests are claimed and end, at their rate, and stop. A member that leaves ends those under way, and others have what it
-// held.
+// Members make keyed requests while the rate is above 0. A member that leaves finishes those in flight, and other members have its
+// replicas before it is removed: no shard is lost.
 func TestKeyedRequestsAndLeave(t *testing.T) {
 	t.Parallel()
 	const members = 9
@@ -526,7 +531,7 @@
 	p := startProcess(t, c.start)
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	if replicasOf(c.awaitReplicated(), "m1") == 0 {
-		t.Fatal("m1 has no seats, and this test shows nothing")
+		t.Fatal("m1 has no replicas, so this test would show nothing")
 	}
 	idle := p.sample().Members
 	if idle["m1"].KeyedRequests != 0 {
@@ -538,11 +543,11 @@
 		for _, m := range p.sample().Members {
 			least = min(least, m.KeyedRequests-m.KeyedRefused)
 		}
-		if least >= 10 { // some are refused on a machine that is busy beyond their time
+		if least >= 10 { // on a busy machine some exceed their deadline and are refused
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("of a member's orders only %d were carried out", least)
+			t.Fatalf("a member has finished only %d keyed requests", least)
 		}
 	}
 	p.mustDo(Command{Do: SetKeyedRate, KeyedRate: 0})
@@ -555,7 +560,7 @@
 	}
 	p.await("its end", func() bool { return p.last()["m1"].Gone })
 	if listens(c.start.Members[0].Address) {
-		t.Error("it still listens")
+		t.Error("a member that has left still listens")
 	}
 	now := p.sample().Members
 	asked, carried, out, in := now["m1"].KeyedRequests, int64(0), int64(0), int64(0)
@@ -564,18 +569,20 @@
 		out += m.Out - m.ToVoters - idle[name].Out + idle[name].ToVoters
 		in += m.In - m.FromVoters - idle[name].In + idle[name].FromVoters
 	}
-	// A claim and an outcome go to a primary and from there to a copy, each of some 100 bytes and its head; most of them are
-	// members, not keepers.
+	// A claim and an outcome go to a primary and from there to another replica, each in a message of some 100 bytes and its head. Most of
+	// these replicas are at members that are not voters.
 	if least := carried * 100; out < least || in < least {
-		t.Errorf("%d bytes out and %d in, of %d orders: they have not gone to others", out, in, carried)
+		t.Errorf("%d bytes out and %d in, for %d keyed requests: they have not been sent to other members", out, in, carried)
 	}
 	if p.mustDo(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != asked {
-		t.Error("it has begun with orders, that were to end")
+		t.Error("a member that was started again makes keyed requests although the rate is 0")
 	}
 	p.awaitAll("its lease", members, func(s MemberState) bool { return !s.Cautious && !s.Gone })
 }
 
-// Each planted fault shows.
+// Each injected fault has its effect: a member that ignores versions keeps its first one in its events but reports the new one to
+// others, one renews about twice as often, and one receives far more bytes per renewal. Guards against faults that do nothing, with
+// which the checks would seem to work.
 func TestInjectedFaults(t *testing.T) {
 	t.Parallel()
 	const members = 8
@@ -585,7 +592,7 @@
 	p.awaitAll("leases", members, func(s MemberState) bool { return !s.Cautious })
 	number := c.propose(versions.Document{MaxAttempts: 1})
 	c.awaitLedger("the version is active", func(l *cluster.Ledger) bool { return l.Active.Number == number })
-	p.await("all others act on it", func() bool {
+	p.await("the version is in effect at all other members", func() bool {
 		n := 0
 		for _, s := range p.last() {
 			if s.Active == number {
@@ -597,7 +604,7 @@
 	p.mu.Lock()
 	for _, e := range p.events {
 		if e.Member == "m1" && (e.Active != 0 || e.Next != 0) {
-			t.Errorf("the unheeding member heeds: %+v", e)
+			t.Errorf("the member that ignores versions applies one: %+v", e)
 		}
 	}
 	p.mu.Unlock()
@@ -605,10 +612,10 @@
 	client := peerrpc.NewClient(env.Real{}, "hollow", "test", c.start.Members[0].Address)
 	defer client.Close()
 	if err := client.Call("acting", struct{}{}, &status, testWait); err != nil || status.Active != number {
-		t.Errorf("it says %+v, %v", status, err)
+		t.Errorf("the member that ignores versions reports %+v, %v", status, err)
 	}
 	c.awaitReplicated()
-	// Over so many renewals, or over the next so many where seats were still on their way meanwhile: then all are told tables.
+	// Compares over minRenewals renewals, and over as many again if it fails: while replicas still move, all members receive placements.
 	const minRenewals = 24
 	first, limit := p.sample().Members, time.Now().Add(testWait)
 	for {
@@ -628,14 +635,14 @@
 			return
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("another member asks %v times and is told %.0f bytes a time; the hasty one asks %v times, the forgetful one is told %.0f",
+			t.Fatalf("a member without a fault renews %v times and receives %.0f bytes each; the one with RenewsTooOften renews %v times, the one with LosesState receives %.0f bytes",
 				honest, honestBytes/honest, tooOften, statelessBytes/stateless)
 		}
 		first = now
 	}
 }
 
-// What is told wrongly is one line and an error, and nothing has started.
+// An invalid Start is reported as an error in one line that names the field, and no member is left running.
 func TestBadStart(t *testing.T) {
 	good := func() Start {
 		return Start{
@@ -666,7 +673,7 @@
 		"order_takes_ns: -1ns":         func(s *Start) { s.KeyedDuration = -1 },
 		"drift: 1;":                    func(s *Start) { s.Drift = 1 },
 		"slack_ns: -1ns":               func(s *Start) { s.Slack = -1 },
-		"m2: crew.address: listen tcp": func(s *Start) { s.Members[1].Address = "192.0.2.1:9" }, // not this machine's
+		"m2: crew.address: listen tcp": func(s *Start) { s.Members[1].Address = "192.0.2.1:9" }, // not an address of this machine
 	} {
 		s := good()
 		change(&s)
@@ -699,12 +706,12 @@
 			err = Run(strings.NewReader(""), &out, zerolog.Nop())
 		}
 		if err == nil || !strings.HasPrefix(err.Error(), want) || strings.Count(out.String(), "\n") != 1 {
-			t.Errorf("%v, want %q; said %q", err, want, out.String())
+			t.Errorf("%v, want %q; output %q", err, want, out.String())
 		}
 	}
 }
 
-// A command that is not known ends the process, and all members with it.
+// An unknown command or field ends the process with an error, and all its members.
 func TestUnknownCommand(t *testing.T) {
 	for want, command := range map[string]any{
 		`command 1: do: "sleep"; allowed: kill, `: Command{ID: 1, Do: "sleep"},
@@ -727,7 +734,7 @@
 	}
 }
 
-// The end of standard input is the members' end, and no fault.
+// The end of standard input ends the process and its members without an error.
 func TestEndOfInput(t *testing.T) {
 	s := Start{Cluster: "hollow", Lease: 200 * time.Millisecond, ContradictAtMost: time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}},
 		Members: []Peer{{Name: "m1", Address: freeAddress(t)}}}
--- a/internal/lab/emulated/env_test.go
+++ b/internal/lab/emulated/env_test.go
@@ -18,7 +18,8 @@
 
 const testDelay = 30 * time.Millisecond
 
-// newTwoRegions returns a world in the north, an address in the south, what it accepts there, and the way between.
+// newTwoRegions returns an environment in the region north, an address in the region south that accepts connections, the accepted
+// connections, and the path between the regions.
 func newTwoRegions(t *testing.T, delay time.Duration) (e *memberEnv, address string, accepted chan net.Conn, path *regionPath) {
 	t.Helper()
 	l, err := net.Listen("tcp", freeAddress(t))
@@ -52,20 +53,21 @@
 	return c
 }
 
-// What goes between regions comes late, each way, in order and whole; a long message is late once, not once a piece.
+// Bytes between regions arrive late in both directions, in order and completely. Guards against a delay that is added for each piece
+// of a long message.
 func TestRegionDelay(t *testing.T) {
 	e, address, accepted, _ := newTwoRegions(t, testDelay)
 	began := time.Now()
 	c := dial(t, e, address)
 	if took := time.Since(began); took < 2*testDelay {
-		t.Errorf("dialed after %v", took)
+		t.Errorf("dialed within %v", took)
 	}
 	remote := <-accepted
 	began = time.Now()
 	text := bytes.Repeat([]byte("0123456789abcdef"), 40*pieceSize/16)
 	go func() {
 		for i := range 40 {
-			c.Write(text[i*pieceSize : (i+1)*pieceSize]) //nolint:errcheck // what comes tells
+			c.Write(text[i*pieceSize : (i+1)*pieceSize]) //nolint:errcheck // the reader notices
 		}
 	}()
 	got := make([]byte, len(text))
@@ -95,7 +97,7 @@
 	}
 }
 
-// A cut holds bytes and dials; they come when it is mended, and a dial whose time is over has failed.
+// A partition holds bytes and dials. They go through when it is healed, and a dial times out if that is too late.
 func TestPartitionHoldsBytes(t *testing.T) {
 	e, address, accepted, path := newTwoRegions(t, time.Millisecond)
 	c := dial(t, e, address)
@@ -130,7 +132,7 @@
 		}
 		dialed <- err
 	}()
-	path.setPartitioned(true) // again: one mend ends it all the same
+	path.setPartitioned(true) // a second time: one healing ends it all the same
 	path.setPartitioned(false)
 	remote.SetReadDeadline(time.Now().Add(testWait))
 	if _, err := io.ReadFull(remote, got); err != nil || string(got) != "held" {
@@ -145,7 +147,7 @@
 	}
 }
 
-// What a member has written before it closed a connection, or was killed, is on its way all the same.
+// What a member has written before it closed a connection or was killed still arrives, as in a real network.
 func TestCloseDeliversWrittenBytes(t *testing.T) {
 	for name, end := range map[string]func(*memberEnv, net.Conn){
 		"closed": func(_ *memberEnv, c net.Conn) { c.Close() }, "killed": func(w *memberEnv, _ net.Conn) { w.terminate() },
@@ -159,7 +161,7 @@
 		}
 		end(e, c)
 		if _, err := c.Write([]byte("more")); err == nil {
-			t.Error(name, "it still writes")
+			t.Error(name, "a write succeeds after the end")
 		}
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 			t.Error(name, err)
@@ -175,7 +177,7 @@
 	}
 }
 
-// httpwire asks of an idle connection whether it still stands, near and far.
+// httpwire can check whether an idle connection is still usable, within a region and between regions.
 func TestFreshWithinAndBetweenRegions(t *testing.T) {
 	e, address, accepted, _ := newTwoRegions(t, time.Millisecond)
 	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
@@ -183,7 +185,7 @@
 		for what, end := range map[string]func(net.Conn){
 			"it was closed": func(c net.Conn) { c.Close() },
 			"something came": func(c net.Conn) {
-				c.Write([]byte("x")) //nolint:errcheck // what comes tells
+				c.Write([]byte("x")) //nolint:errcheck // the reader notices
 			},
 		} {
 			l, err := httpwire.Dial(context.Background(), e, address, testWait)
@@ -192,12 +194,12 @@
 			}
 			remote := <-accepted
 			if !l.Usable() {
-				t.Errorf("%s: not fresh", name)
+				t.Errorf("%s: a new connection is not usable", name)
 			}
 			end(remote)
 			for limit := time.Now().Add(testWait); l.Usable(); time.Sleep(testPause) {
 				if time.Now().After(limit) {
-					t.Fatalf("%s: fresh though %s", name, what)
+					t.Fatalf("%s: usable although %s", name, what)
 				}
 			}
 			l.Close()
@@ -206,7 +208,7 @@
 	}
 }
 
-// A connection inside a region costs no goroutine; both goroutines of one between regions end with it.
+// A connection inside a region takes no goroutine. Both goroutines of a connection between regions end with it.
 func TestGoroutinesOfConnections(t *testing.T) {
 	e, address, accepted, _ := newTwoRegions(t, time.Millisecond)
 	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
@@ -236,7 +238,7 @@
 	}
 }
 
-// A world that is over: nobody reaches it, it reaches nobody, and no lease holds there.
+// After terminate nobody can reach the environment, it can reach nobody, and by its clock no lease is valid.
 func TestMemberEnvKill(t *testing.T) {
 	e, address, accepted, _ := newTwoRegions(t, 0)
 	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
@@ -280,12 +282,12 @@
 		t.Error(err)
 	}
 	if near.BootTime() < (env.Real{}).BootTime()+clockJump/2 {
-		t.Error("a lease may still hold")
+		t.Error("a lease may still be valid")
 	}
 }
 
-// A member's goroutine that asks for the lease has a thread of its own, so that the kernel wakes it by itself. Guards against
-// another name of that goroutine in internal/cluster/member, by which hollow members would cost too little.
+// A member's goroutine that renews the lease has a thread of its own, so that the kernel wakes each member independently. Guards
+// against a renaming of that goroutine in internal/cluster/member: emulated members would then cost the leader too little.
 func TestLeaseGoroutineHasThread(t *testing.T) {
 	threads := func() int {
 		t.Helper()
@@ -295,7 +297,7 @@
 		}
 		return len(files)
 	}
-	const members = 40 // above the threads that a test has already and may use anew
+	const members = 40 // more than the threads that the test process has already and may reuse
 	before := threads()
 	s := Start{Cluster: "hollow", Lease: time.Second, ContradictAtMost: 2 * time.Second, Voters: []Peer{{Name: "k1", Address: "127.0.0.1:9"}}}
 	for i := range members {
@@ -310,8 +312,8 @@
 	}
 }
 
-// The timer between two questions for the lease is the kernel's own for each member, and ends with it. Guards against another time
-// there in internal/cluster/member, by which hollow members would ask together.
+// The timer between two renewals of the lease is a kernel timer for each member, and ends with the member. Guards against another
+// renewal interval in internal/cluster/member: the timer would not be recognized, and emulated members would renew together.
 func TestRenewalHasKernelTimer(t *testing.T) {
 	timers := func() (n int) {
 		t.Helper()
@@ -345,7 +347,8 @@
 	await(before + 1)
 }
 
-// A timer goes off once each time that it is set, not before; the one between questions at half the time where they are hasty.
+// A timer expires once each time that it is set, and not early. With the fault RenewsTooOften the renewal timer expires after half the
+// interval.
 func TestTimer(t *testing.T) {
 	const renewInterval = 40 * time.Millisecond
 	e := newMemberEnv(newRegionPaths(nil, 0), "", nil, &trafficCounters{}, "", renewInterval)
@@ -368,7 +371,7 @@
 		shortest = min(shortest, took)
 	}
 	if shortest < renewInterval/2 || shortest >= renewInterval {
-		t.Errorf("hasty after %v, want %v", shortest, renewInterval/2)
+		t.Errorf("with RenewsTooOften after %v, want %v", shortest, renewInterval/2)
 	}
 	tick.Stop()
 	if tick.(*timer).kernel.set(renewInterval) {
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -227,7 +227,7 @@
 	case Restart:
 		go func() { answer(p.begin(members)) }()
 	case Partition, Heal:
-		answer(p.partitioned(c.Regions, c.Do == Partition))
+		answer(p.setPartition(c.Regions, c.Do == Partition))
 	case SetKeyedRate:
 		if err := p.start.validateKeyedRate(c.KeyedRate); err != nil {
 			answer(err)
@@ -270,7 +270,8 @@
 	return out, nil
 }
 
-func (p *process) partitioned(regions [2]string, partitioned bool) error {
+// setPartition starts or ends a partition between two regions.
+func (p *process) setPartition(regions [2]string, partitioned bool) error {
 	for _, r := range regions {
 		if !p.regions[r] {
 			return fmt.Errorf("region %q: no address of the run is in it", r)
