--- a/internal/lab/consistency/consistency.go
+++ b/internal/lab/consistency/consistency.go
@@ -110,6 +110,7 @@
 	c.reports[process] = append(reports, s)
 }
 
+// startedBetween reports whether a process started between two times, which are included.
 func (c *Checker) startedBetween(process string, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.starts[process], func(at time.Duration) bool { return at >= from && at <= to })
 }
@@ -129,6 +130,7 @@
 	c.leaders[term] = process
 }
 
+// recordViolation counts a violation, and keeps its description if it is among the first maxViolations.
 func (c *Checker) recordViolation(rule string, at time.Duration, format string, args ...any) {
 	if c.numViolations++; len(c.violations) < maxViolations {
 		c.violations = append(c.violations, Violation{rule, at, fmt.Sprintf(format, args...)})
@@ -209,7 +211,8 @@
 type Report struct {
 	Violations    []Violation
 	NumViolations int // in all; Violations holds the first of them
-	// Longest is the longest time for which an action was allowed by its process while a version in effect at another forbade it.
+	// Longest is the longest time for which a version in effect at another member had forbidden an action. It counts from when the
+	// acting process was allowed the action, if that was later.
 	Longest time.Duration
 	Actions int // recorded
 	// AgainstOthers counts actions that a version in effect at another member forbade, including those within the allowed time.
@@ -219,7 +222,7 @@
 	Unaware int
 }
 
-// unaware reports whether an action is a request to a banned endpoint by a process that was cut off before it learned of the ban. Such
+// unaware reports whether an action is a request to a banned endpoint by a process that was partitioned before it learned of the ban. Such
 // a process can't know of the ban and goes on serving. It must still keep to the bans that it knew before.
 func (c *Checker) unaware(a *Action) bool {
 	reports := c.reports[a.Process]
--- a/internal/lab/emulated/cost_test.go
+++ b/internal/lab/emulated/cost_test.go
@@ -406,20 +406,20 @@
 		s.await(Command{ID: 2, Do: SetKeyedRate, KeyedRate: s.keyedRate}, func(l Output) bool { return l.ID == 2 })
 		return func() {}
 	}
-	halt := make(chan struct{})
-	var all sync.WaitGroup
+	stopped := make(chan struct{})
+	var running sync.WaitGroup
 	client := &http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 	for i, m := range s.start.Members {
-		all.Go(func() {
+		running.Go(func() {
 			ticker := time.NewTicker(time.Duration(float64(time.Second) / s.keyedRate))
 			defer ticker.Stop()
 			for n := 0; ; n++ {
 				select {
-				case <-halt:
+				case <-stopped:
 					return
 				case <-ticker.C:
 				}
-				all.Go(func() {
+				running.Go(func() {
 					s.keyedRequests.Add(1)
 					q, err := http.NewRequest(http.MethodPost, "http://"+s.callerAddresses[m.Name]+"/"+OrderClass+"/x", strings.NewReader("one"))
 					if err != nil {
@@ -443,12 +443,13 @@
 		})
 	}
 	return func() {
-		close(halt)
-		all.Wait()
+		close(stopped)
+		running.Wait()
 		client.CloseIdleConnections()
 	}
 }
 
+// keyedCounts returns how many keyed requests were made so far, and how many of them were refused.
 func (s *costCluster) keyedCounts() (requests, refused int64) {
 	if s.real {
 		return s.keyedRequests.Load(), s.keyedRefused.Load()
@@ -486,6 +487,7 @@
 	rss, goroutines, descriptors float64
 }
 
+// memberCosts returns what the members use: of emulated members the values of their process, of real ones the sums over theirs.
 func (s *costCluster) memberCosts() (u memberCosts) {
 	s.t.Helper()
 	if !s.real {
--- a/internal/lab/emulated/emulated_test.go
+++ b/internal/lab/emulated/emulated_test.go
@@ -238,6 +238,7 @@
 	return c
 }
 
+// zone returns one of three zones in turn.
 func zone(i int) string { return string(rune('a' + i%3)) }
 
 // ledger returns the leader's ledger.
@@ -539,15 +540,15 @@
 	}
 	p.mustDo(Command{Do: SetKeyedRate, KeyedRate: 20})
 	for limit := time.Now().Add(testWait); ; time.Sleep(testPause) {
-		least := int64(1 << 60)
+		fewest := int64(1 << 60)
 		for _, m := range p.sample().Members {
-			least = min(least, m.KeyedRequests-m.KeyedRefused)
+			fewest = min(fewest, m.KeyedRequests-m.KeyedRefused)
 		}
-		if least >= 10 { // on a busy machine some exceed their deadline and are refused
+		if fewest >= 10 { // on a busy machine some exceed their deadline and are refused
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("a member has finished only %d keyed requests", least)
+			t.Fatalf("a member has finished only %d keyed requests", fewest)
 		}
 	}
 	p.mustDo(Command{Do: SetKeyedRate, KeyedRate: 0})
@@ -563,18 +564,18 @@
 		t.Error("a member that has left still listens")
 	}
 	now := p.sample().Members
-	asked, carried, out, in := now["m1"].KeyedRequests, int64(0), int64(0), int64(0)
+	requests, finished, out, in := now["m1"].KeyedRequests, int64(0), int64(0), int64(0)
 	for name, m := range now {
-		carried += m.KeyedRequests - m.KeyedRefused
+		finished += m.KeyedRequests - m.KeyedRefused
 		out += m.Out - m.ToVoters - idle[name].Out + idle[name].ToVoters
 		in += m.In - m.FromVoters - idle[name].In + idle[name].FromVoters
 	}
 	// A claim and an outcome go to a primary and from there to another replica, each in a message of some 100 bytes and its head. Most of
 	// these replicas are at members that are not voters.
-	if least := carried * 100; out < least || in < least {
-		t.Errorf("%d bytes out and %d in, for %d keyed requests: they have not been sent to other members", out, in, carried)
+	if least := finished * 100; out < least || in < least {
+		t.Errorf("%d bytes out and %d in, for %d keyed requests: they have not been sent to other members", out, in, finished)
 	}
-	if p.mustDo(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != asked {
+	if p.mustDo(Command{Do: Restart, Members: []string{"m1"}}); p.sample().Members["m1"].KeyedRequests != requests {
 		t.Error("a member that was started again makes keyed requests although the rate is 0")
 	}
 	p.awaitAll("its lease", members, func(s MemberState) bool { return !s.Cautious && !s.Gone })
@@ -620,7 +621,7 @@
 	first, limit := p.sample().Members, time.Now().Add(testWait)
 	for {
 		now := p.sample().Members
-		since := func(name string) (renewals, heard float64) {
+		since := func(name string) (renewals, received float64) {
 			return float64(now[name].Renewals - first[name].Renewals), float64(now[name].FromVoters - first[name].FromVoters)
 		}
 		honest, honestBytes := since("m4")
--- a/internal/lab/emulated/env.go
+++ b/internal/lab/emulated/env.go
@@ -39,6 +39,7 @@
 // trafficCounters counts the bytes through a member's sockets, over all its starts. Those to and from voters are included in out and in.
 type trafficCounters struct{ in, out, toVoters, fromVoters atomic.Int64 }
 
+// addRead adds n received bytes; voter says that a voter sent them.
 func (t *trafficCounters) addRead(n int, voter bool) {
 	t.in.Add(int64(n))
 	if voter {
@@ -46,6 +47,7 @@
 	}
 }
 
+// addWritten adds n sent bytes; voter says that they go to a voter.
 func (t *trafficCounters) addWritten(n int, voter bool) {
 	t.out.Add(int64(n))
 	if voter {
--- a/internal/lab/emulated/env_test.go
+++ b/internal/lab/emulated/env_test.go
@@ -112,11 +112,11 @@
 	got := make([]byte, 4)
 	remote.SetReadDeadline(time.Now().Add(testDelay))
 	if n, err := remote.Read(got); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%q, %v across a cut", got[:n], err)
+		t.Errorf("%q, %v across a partition", got[:n], err)
 	}
 	c.SetReadDeadline(time.Now().Add(testDelay))
 	if n, err := c.Read(got); n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%q, %v across a cut", got[:n], err)
+		t.Errorf("%q, %v across a partition", got[:n], err)
 	}
 	began := time.Now()
 	_, err := e.Dial(context.Background(), address, testDelay)
@@ -239,7 +239,7 @@
 }
 
 // After terminate nobody can reach the environment, it can reach nobody, and by its clock no lease is valid.
-func TestMemberEnvKill(t *testing.T) {
+func TestMemberEnvTerminate(t *testing.T) {
 	e, address, accepted, _ := newTwoRegions(t, 0)
 	near := newMemberEnv(e.paths, "south", nil, &trafficCounters{}, "", 0)
 	l, err := near.Listen(freeAddress(t))
@@ -374,7 +374,7 @@
 		t.Errorf("with RenewsTooOften after %v, want %v", shortest, renewInterval/2)
 	}
 	tick.Stop()
-	if tick.(*timer).kernel.set(renewInterval) {
+	if tick.(*timer).kernelTimer.set(renewInterval) {
 		t.Error("a timer that was stopped can be set")
 	}
 }
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -128,8 +128,8 @@
 	if inst.member == nil {
 		return
 	}
-	a := inst.member.Status()
-	s := MemberState{Active: a.Active, Next: a.Next, Epoch: a.Epoch, Cautious: a.Cautious}
+	status := inst.member.Status()
+	s := MemberState{Active: status.Active, Next: status.Next, Epoch: status.Epoch, Cautious: status.Cautious}
 	if m.fault == IgnoresVersions {
 		s = m.pin.apply(s)
 	}
@@ -236,14 +236,14 @@
 
 // addToPast adds the counters of an instance that ends to those of earlier ones.
 func (m *emulatedMember) addToPast(inst *instance) {
-	a := inst.status()
-	m.pastStatus.Renewals += a.Renewals
-	m.pastStatus.Refused += a.Refused
-	m.pastStatus.Lost += a.Lost
+	status := inst.status()
+	m.pastStatus.Renewals += status.Renewals
+	m.pastStatus.Refused += status.Refused
+	m.pastStatus.Lost += status.Lost
 }
 
 // status returns the status of the member; zero while it has not started.
-func (inst *instance) status() (a member.Status) {
+func (inst *instance) status() (s member.Status) {
 	select {
 	case <-inst.started:
 		if inst.member != nil {
@@ -251,7 +251,7 @@
 		}
 	default:
 	}
-	return a
+	return s
 }
 
 // usage returns what the member has cost so far, after it has reported a changed state.
--- a/internal/lab/emulated/regionconn.go
+++ b/internal/lab/emulated/regionconn.go
@@ -89,7 +89,8 @@
 }
 
 // wait waits until due, and then until the regions are not partitioned. It returns false if one of the channels in ends (at most two)
-// is closed first.
+// is closed first. It returns true without waiting if due has passed and the regions are not partitioned, even if such a channel is
+// closed already.
 func (p *regionPath) wait(due time.Time, ends ...<-chan struct{}) bool {
 	var a, b <-chan struct{}
 	switch len(ends) {
@@ -133,10 +134,10 @@
 // regionConn is a connection to another region. Its two goroutines end with the kernel's connection: when the other end closes it, or
 // at the latest closedDrainTime after this end did.
 type regionConn struct {
-	kernel net.Conn
-	env    *memberEnv
-	path   *regionPath
-	voter  bool
+	kernelConn net.Conn
+	env        *memberEnv
+	path       *regionPath
+	voter      bool
 
 	out           chan piece    // to the other end; a piece with an error ends the connection
 	in            chan piece    // from the other end
@@ -167,7 +168,7 @@
 		kernel.Close()
 		return nil, timeoutErr
 	}
-	c := &regionConn{kernel: kernel, env: e, path: path, voter: voter, out: make(chan piece, maxPiecesInFlight), in: make(chan piece, maxPiecesInFlight),
+	c := &regionConn{kernelConn: kernel, env: e, path: path, voter: voter, out: make(chan piece, maxPiecesInFlight), in: make(chan piece, maxPiecesInFlight),
 		closed: make(chan struct{}), kernelClosed: make(chan struct{})}
 	c.readDeadline.set(time.Time{})
 	c.writeDeadline.set(time.Time{})
@@ -189,8 +190,8 @@
 		if !c.path.wait(p.due, c.kernelClosed) || p.err != nil {
 			return
 		}
-		c.kernel.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // the write returns the error
-		n, err := c.kernel.Write(p.data)
+		c.kernelConn.SetWriteDeadline(time.Now().Add(writeTimeout)) //nolint:errcheck // the write returns the error
+		n, err := c.kernelConn.Write(p.data)
 		c.env.traffic.addWritten(n, c.voter)
 		if err != nil {
 			return
@@ -202,7 +203,7 @@
 func (c *regionConn) receiveLoop() {
 	for {
 		data := make([]byte, pieceSize)
-		n, err := c.kernel.Read(data)
+		n, err := c.kernelConn.Read(data)
 		c.env.traffic.addRead(n, c.voter)
 		select {
 		case c.in <- piece{time.Now().Add(c.path.delay), data[:n], err}:
@@ -220,7 +221,7 @@
 func (c *regionConn) closeKernel() {
 	c.once[1].Do(func() {
 		close(c.kernelClosed)
-		c.kernel.Close()
+		c.kernelConn.Close()
 	})
 }
 
@@ -306,9 +307,9 @@
 			return true
 		}
 	}
-	passed := make(chan struct{})
-	close(passed)
-	return !c.path.wait(c.next.due, passed)
+	noWait := make(chan struct{})
+	close(noWait) // so that wait returns at once
+	return !c.path.wait(c.next.due, noWait)
 }
 
 func (c *regionConn) isClosed() bool {
@@ -336,10 +337,10 @@
 }
 
 // LocalAddr implements net.Conn.
-func (c *regionConn) LocalAddr() net.Addr { return c.kernel.LocalAddr() }
+func (c *regionConn) LocalAddr() net.Addr { return c.kernelConn.LocalAddr() }
 
 // RemoteAddr implements net.Conn.
-func (c *regionConn) RemoteAddr() net.Addr { return c.kernel.RemoteAddr() }
+func (c *regionConn) RemoteAddr() net.Addr { return c.kernelConn.RemoteAddr() }
 
 // SetDeadline implements net.Conn.
 func (c *regionConn) SetDeadline(t time.Time) error {
--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -14,8 +14,8 @@
 // of separate processes expire independently. The renewal timer is recognized by the duration to which it is reset.
 type timer struct {
 	env.Timer
-	env    *memberEnv
-	kernel *kernelTimer // nil until the timer is reset to the renewal interval
+	env         *memberEnv
+	kernelTimer *kernelTimer // nil until the timer is reset to the renewal interval
 }
 
 // Reset implements env.Timer. A reset to the renewal interval switches the timer to the kernel's for good, unless the kernel refuses.
@@ -24,24 +24,24 @@
 		if t.env.fault == RenewsTooOften {
 			d /= 2
 		}
-		if t.kernel == nil {
-			t.kernel = newKernelTimer()
+		if t.kernelTimer == nil {
+			t.kernelTimer = newKernelTimer()
 		}
 	}
-	if t.kernel != nil && t.kernel.set(d) {
+	if t.kernelTimer != nil && t.kernelTimer.set(d) {
 		return
 	}
-	if t.kernel != nil {
-		t.kernel.file.Close()
-		t.kernel = nil
+	if t.kernelTimer != nil {
+		t.kernelTimer.file.Close()
+		t.kernelTimer = nil
 	}
 	t.Timer.Reset(d) // not the renewal timer, or no file descriptor is left
 }
 
 // C implements env.Timer.
 func (t *timer) C() <-chan time.Time {
-	if t.kernel != nil {
-		return t.kernel.c
+	if t.kernelTimer != nil {
+		return t.kernelTimer.c
 	}
 	return t.Timer.C()
 }
@@ -49,8 +49,8 @@
 // Stop implements env.Timer. It ends the kernel's timer.
 func (t *timer) Stop() {
 	t.Timer.Stop()
-	if t.kernel != nil {
-		t.kernel.file.Close()
+	if t.kernelTimer != nil {
+		t.kernelTimer.file.Close()
 	}
 }
 
--- a/internal/lab/oracle/liststate.go
+++ b/internal/lab/oracle/liststate.go
@@ -47,6 +47,7 @@
 	return listState{conf: conf, changes: map[string][]listChange{}, sidecars: map[string]*sidecarList{}}
 }
 
+// listOf returns the entry of a sidecar, which it creates if there is none.
 func (s *listState) listOf(sidecar string) *sidecarList {
 	list := s.sidecars[sidecar]
 	if list == nil {
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -119,6 +119,7 @@
 	}
 }
 
+// recordViolation counts a violation, and keeps its description if it is among the first maxViolations.
 func (c *Checker) recordViolation(rule Rule, at time.Duration, format string, args ...any) {
 	c.violationCounts[rule]++
 	if len(c.violations) < maxViolations {
@@ -126,6 +127,7 @@
 	}
 }
 
+// tally returns the counts of a sidecar, which it creates if there are none.
 func (c *Checker) tally(sidecar string) *Tally {
 	t := c.tallies[sidecar]
 	if t == nil {
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -17,6 +17,7 @@
 	c.RequestWritten(id)
 }
 
+// attemptArrives records an attempt that the endpoint e accepted.
 func attemptArrives(c *Checker, id string, at time.Duration) {
 	c.AttemptArrived(Arrival{ID: id, Endpoint: "e", FirstByte: at, LastByte: at + ms, Accepted: true})
 }
--- a/internal/lab/oracle/service.go
+++ b/internal/lab/oracle/service.go
@@ -119,6 +119,7 @@
 	}
 }
 
+// groupOf returns the group of a name, which it creates if there is none.
 func groupOf(groups map[string]*group, name string) *group {
 	g := groups[name]
 	if g == nil {
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -25,13 +25,13 @@
 func (s *Shared) Began() time.Time { return s.origin }
 
 // Do calls record with the checker while it holds the lock.
-func (s *Shared) Do(record func(b *Checker)) {
+func (s *Shared) Do(record func(c *Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	record(s.checker)
 }
 
-// Ended adds a logical request whose outcome is known to the service.
+// Ended adds to the service a logical request whose outcome is known.
 func (s *Shared) Ended(r LogicalRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
