--- a/internal/lab/emulated/regionconn.go
+++ b/internal/lab/emulated/regionconn.go
@@ -160,15 +160,15 @@
 	if !path.wait(time.Now().Add(path.delay), ctx.Done()) {
 		return nil, timeoutErr
 	}
-	kernel, err := e.Real.Dial(ctx, address, timeout)
+	kernelConn, err := e.Real.Dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
 	}
 	if !path.wait(time.Now().Add(path.delay), ctx.Done()) {
-		kernel.Close()
+		kernelConn.Close()
 		return nil, timeoutErr
 	}
-	c := &regionConn{kernelConn: kernel, env: e, path: path, voter: voter, out: make(chan piece, maxPiecesInFlight), in: make(chan piece, maxPiecesInFlight),
+	c := &regionConn{kernelConn: kernelConn, env: e, path: path, voter: voter, out: make(chan piece, maxPiecesInFlight), in: make(chan piece, maxPiecesInFlight),
 		closed: make(chan struct{}), kernelClosed: make(chan struct{})}
 	c.readDeadline.set(time.Time{})
 	c.writeDeadline.set(time.Time{})
