--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -9,81 +9,82 @@
 	"heathgap/internal/env"
 )
 
-// timer is a timer of a member. The one between two questions for the lease goes by the kernel's clock: the runtime waits for its
-// timers in whole milliseconds, so that the timers of many members in one process go off together, a millisecond apart, where those
-// of a process each go off by themselves. It is the one that is set anew, by the time between two questions.
+// timer is a timer of a member. The timer between two renewals of the lease uses a timer of the kernel: the Go runtime waits for its
+// timers in whole milliseconds, so the timers of many members in one process would expire together, a millisecond apart, while those
+// of separate processes expire independently. The renewal timer is recognized by the duration to which it is reset.
 type timer struct {
 	env.Timer
-	world *world
-	alarm *alarm // nil until then
+	env         *memberEnv
+	kernelTimer *kernelTimer // nil until the timer is reset to the renewal interval
 }
 
-// Reset is env.Timer's.
+// Reset implements env.Timer. A reset to the renewal interval switches the timer to the kernel's for good, unless the kernel refuses.
 func (t *timer) Reset(d time.Duration) {
-	if d == t.world.beat {
-		if t.world.fault == RenewsTooOften {
+	if d == t.env.renewInterval {
+		if t.env.fault == RenewsTooOften {
 			d /= 2
 		}
-		if t.alarm == nil {
-			t.alarm = newAlarm()
+		if t.kernelTimer == nil {
+			t.kernelTimer = newKernelTimer()
 		}
 	}
-	if t.alarm != nil && t.alarm.set(d) {
+	if t.kernelTimer != nil && t.kernelTimer.set(d) {
 		return
 	}
-	if t.alarm != nil {
-		t.alarm.file.Close()
-		t.alarm = nil
+	if t.kernelTimer != nil {
+		t.kernelTimer.file.Close()
+		t.kernelTimer = nil
 	}
-	t.Timer.Reset(d) // not yet, or no descriptors are left
+	t.Timer.Reset(d) // not the renewal timer, or no file descriptor is left
 }
 
-// C is where the time comes.
+// C implements env.Timer.
 func (t *timer) C() <-chan time.Time {
-	if t.alarm != nil {
-		return t.alarm.c
+	if t.kernelTimer != nil {
+		return t.kernelTimer.c
 	}
 	return t.Timer.C()
 }
 
-// Stop is env.Timer's.
+// Stop implements env.Timer. It ends the kernel's timer.
 func (t *timer) Stop() {
 	t.Timer.Stop()
-	if t.alarm != nil {
-		t.alarm.file.Close()
+	if t.kernelTimer != nil {
+		t.kernelTimer.file.Close()
 	}
 }
 
-// alarm is a timer of the kernel's, and the goroutine that reads it until its file is closed.
-type alarm struct {
+// kernelTimer is a timer of the kernel (timerfd) with a goroutine that reads it until its file is closed.
+type kernelTimer struct {
 	file *os.File
 	c    chan time.Time
 }
 
-func newAlarm() *alarm {
+// newKernelTimer returns a timer that is not set, or nil if the kernel gives none.
+func newKernelTimer() *kernelTimer {
 	fd, err := unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC)
 	if err != nil {
 		return nil
 	}
-	a := &alarm{file: os.NewFile(uintptr(fd), "timerfd"), c: make(chan time.Time, 1)}
+	k := &kernelTimer{file: os.NewFile(uintptr(fd), "timerfd"), c: make(chan time.Time, 1)}
 	go func() {
 		var count [8]byte
 		for {
-			if _, err := a.file.Read(count[:]); err != nil {
+			if _, err := k.file.Read(count[:]); err != nil {
 				return
 			}
 			select {
-			case a.c <- time.Now():
+			case k.c <- time.Now():
 			default:
 			}
 		}
 	}()
-	return a
+	return k
 }
 
-// set has it go off once.
-func (a *alarm) set(d time.Duration) bool {
-	raw, err := a.file.SyscallConn()
+// set makes the timer expire once after d. It returns false if the timer could not be set.
+func (k *kernelTimer) set(d time.Duration) bool {
+	raw, err := k.file.SyscallConn()
 	if err != nil {
 		return false
 	}
