--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -42,20 +42,20 @@
 // Discovery is the list of one tier: one service for all its sidecars, each of
 // which has an address of its own there, so that the book knows who was told what.
 type Discovery struct {
-	book *oracle.Shared
+	checker *oracle.Shared
 
-	mu      sync.Mutex
-	index   int64
-	lines   map[string]Line
-	order   []string         // names, by when they were listed
-	changed map[string]int64 // the version in which each name changed last
-	former  map[string][]versionedLine
-	told    map[string]int64 // the version that each sidecar was told last
-	down    bool
-	crowded time.Duration // each new call is refused after it: there are too many callers; 0 while there are not
-	lag     time.Duration // before each answer
-	news    chan struct{} // closed at each change
-	servers []*http.Server
+	mu          sync.Mutex
+	index       int64
+	lines       map[string]Line
+	order       []string         // names, by when they were listed
+	changed     map[string]int64 // the version in which each name changed last
+	history     map[string][]versionedLine
+	delivered   map[string]int64 // the version that each sidecar was told last
+	down        bool
+	refuseAfter time.Duration // each new call is refused after it: there are too many callers; 0 while there are not
+	lag         time.Duration // before each answer
+	updated     chan struct{} // closed at each change
+	servers     []*http.Server
 }
 
 // versionedLine is a line as it was from a version on.
@@ -65,10 +65,10 @@
 }
 
 // NewDiscovery returns an empty list.
-func NewDiscovery(book *oracle.Shared) *Discovery {
+func NewDiscovery(checker *oracle.Shared) *Discovery {
 	return &Discovery{
-		book: book, lines: map[string]Line{}, changed: map[string]int64{}, former: map[string][]versionedLine{},
-		told: map[string]int64{}, news: make(chan struct{}),
+		checker: checker, lines: map[string]Line{}, changed: map[string]int64{}, history: map[string][]versionedLine{},
+		delivered: map[string]int64{}, updated: make(chan struct{}),
 	}
 }
 
@@ -82,20 +82,20 @@
 			d.order = append(d.order, l.Name)
 		}
 		d.lines[l.Name], d.changed[l.Name] = l, d.index
-		d.former[l.Name] = append(d.former[l.Name], versionedLine{l, d.index})
+		d.history[l.Name] = append(d.history[l.Name], versionedLine{l, d.index})
 	}
-	now := d.book.Now()
-	d.book.Do(func(b *oracle.Checker) {
+	now := d.checker.Now()
+	d.checker.Do(func(b *oracle.Checker) {
 		for _, l := range lines {
 			b.ListPublished(now, d.index, l.Name, l.Status == Serving)
 		}
 	})
-	d.wake()
+	d.notify()
 }
 
-func (d *Discovery) wake() {
-	close(d.news)
-	d.news = make(chan struct{})
+func (d *Discovery) notify() {
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
 // SetDown has calls fail from now on, or not; those that wait fail at once.
@@ -103,17 +103,17 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.down = down
-	d.book.Do(func(b *oracle.Checker) { b.SetDiscoveryUp(d.book.Now(), !down) })
-	d.wake()
+	d.checker.Do(func(b *oracle.Checker) { b.SetDiscoveryUp(d.checker.Now(), !down) })
+	d.notify()
 }
 
 // SetOverloaded has each call that begins from now on refused after a time, as by a discovery with too many callers, and watches that
 // wait go on waiting; 0 ends it. Discovery counts as reachable meanwhile.
-func (d *Discovery) SetOverloaded(patience time.Duration) {
+func (d *Discovery) SetOverloaded(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.crowded = patience
-	d.wake()
+	d.refuseAfter = delay
+	d.notify()
 }
 
 // SetLag delays each answer from now on.
@@ -127,21 +127,21 @@
 func (d *Discovery) Listed() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.answer(0)
+	return d.listAfter(0)
 }
 
 // LastDelivered is the whole list as a sidecar was told it last: what the platform hands it at its next start.
 func (d *Discovery) LastDelivered(sidecar string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	version, known := d.told[sidecar]
+	version, known := d.delivered[sidecar]
 	if !known {
-		d.told[sidecar] = d.index
-		return d.answer(0)
+		d.delivered[sidecar] = d.index
+		return d.listAfter(0)
 	}
 	list := List{Index: version, Whole: true, Endpoints: []Line{}}
 	for _, name := range d.order {
-		lines := d.former[name]
+		lines := d.history[name]
 		n := sort.Search(len(lines), func(i int) bool { return lines[i].version > version })
 		if n > 0 && lines[n-1].Status != Deleted {
 			list.Endpoints = append(list.Endpoints, lines[n-1].Line)
@@ -150,8 +150,8 @@
 	return list
 }
 
-// answer is what is newer than a version: all of it for version 0.
-func (d *Discovery) answer(after int64) List {
+// listAfter is what is newer than a version: all of it for version 0.
+func (d *Discovery) listAfter(after int64) List {
 	list := List{Index: d.index, Whole: after == 0, Endpoints: []Line{}}
 	for _, name := range d.order {
 		l := d.lines[name]
@@ -188,29 +188,29 @@
 	}
 }
 
-// mostWait bounds a watch, as the protocol does.
-const mostWait = time.Minute
+// maxWait bounds a watch, as the protocol does.
+const maxWait = time.Minute
 
 // serve answers one call: at once for the whole list, and when there is news, or
 // after the time that it asks for, for a watch.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request, sidecar string) {
-	d.book.Do(func(b *oracle.Checker) { b.ListCallBegun(sidecar) })
-	defer func() { d.book.Do(func(b *oracle.Checker) { b.ListCallEnded(d.book.Now(), sidecar) }) }()
+	d.checker.Do(func(b *oracle.Checker) { b.ListCallBegun(sidecar) })
+	defer func() { d.checker.Do(func(b *oracle.Checker) { b.ListCallEnded(d.checker.Now(), sidecar) }) }()
 	if r.URL.Path != "/discovery/hosts" {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if patience := d.patience(); patience > 0 {
+	if patience := d.refusalDelay(); patience > 0 {
 		if pause(r, patience) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	if wait := min(time.Duration(ms)*time.Millisecond, mostWait); after > 0 {
-		d.book.Do(func(b *oracle.Checker) { b.WatchAccepted(sidecar, d.book.Now()+wait) })
-		if !d.waitNews(r, after, wait) {
+	if wait := min(time.Duration(ms)*time.Millisecond, maxWait); after > 0 {
+		d.checker.Do(func(b *oracle.Checker) { b.WatchAccepted(sidecar, d.checker.Now()+wait) })
+		if !d.waitForNewer(r, after, wait) {
 			return
 		}
 	}
@@ -224,13 +224,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	d.write(w, after, sidecar)
+	d.writeList(w, after, sidecar)
 }
 
-func (d *Discovery) patience() time.Duration {
+func (d *Discovery) refusalDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.crowded
+	return d.refuseAfter
 }
 
 // pause waits; false if the peer leaves.
@@ -243,13 +243,13 @@
 	}
 }
 
-// waitNews waits until there is something newer; false if the peer leaves.
-func (d *Discovery) waitNews(r *http.Request, after int64, most time.Duration) bool {
-	timer := time.NewTimer(most)
+// waitForNewer waits until there is something newer; false if the peer leaves.
+func (d *Discovery) waitForNewer(r *http.Request, after int64, maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
-		ready, news := d.down || d.index > after && d.crowded == 0, d.news
+		ready, news := d.down || d.index > after && d.refuseAfter == 0, d.updated
 		d.mu.Unlock()
 		if ready {
 			return true
@@ -264,10 +264,10 @@
 	}
 }
 
-// write answers with the list and books whom it has told what.
-func (d *Discovery) write(w http.ResponseWriter, after int64, sidecar string) {
+// writeList answers with the list and books whom it has told what.
+func (d *Discovery) writeList(w http.ResponseWriter, after int64, sidecar string) {
 	d.mu.Lock()
-	list := d.answer(after)
+	list := d.listAfter(after)
 	d.mu.Unlock()
 	var text bytes.Buffer
 	json.NewEncoder(&text).Encode(list) //nolint:errcheck // it holds nothing that can't be written
@@ -279,7 +279,7 @@
 		f.Flush()
 	}
 	d.mu.Lock()
-	d.told[sidecar] = max(d.told[sidecar], list.Index)
+	d.delivered[sidecar] = max(d.delivered[sidecar], list.Index)
 	d.mu.Unlock()
-	d.book.Do(func(b *oracle.Checker) { b.ListDelivered(d.book.Now(), sidecar, list.Index) })
+	d.checker.Do(func(b *oracle.Checker) { b.ListDelivered(d.checker.Now(), sidecar, list.Index) })
 }
--- a/internal/lab/fake/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -67,28 +67,28 @@
 // Endpoint is one process of a tier.
 type Endpoint struct {
 	conf     EndpointConf
-	book     *oracle.Shared
+	checker  *oracle.Shared
 	listener net.Listener
 	address  string
-	life     context.Context // ends with the process
-	die      context.CancelFunc
-
-	mu      sync.Mutex
-	station *servermodel.Server
-	timer   *time.Timer
-	trouble Trouble
-	share   float64 // of requests that Errors strikes
-	random  *rand.Rand
-	conns   map[net.Conn]struct{}
-	cut     chan struct{} // closed when a silent machine is back
+	ctx      context.Context // ends with the process
+	cancel   context.CancelFunc
+
+	mu        sync.Mutex
+	model     *servermodel.Server
+	timer     *time.Timer
+	trouble   Trouble
+	share     float64 // of requests that Errors strikes
+	random    *rand.Rand
+	conns     map[net.Conn]struct{}
+	partition chan struct{} // closed when a silent machine is back
 }
 
-// errDead is told of jobs whose endpoint has died or fallen over.
-var errDead = errors.New("the endpoint has died")
+// errDied is told of jobs whose endpoint has died or fallen over.
+var errDied = errors.New("the endpoint has died")
 
 // StartEndpoint starts one. Its address may be that of one that has just died.
-func StartEndpoint(conf EndpointConf, book *oracle.Shared) (*Endpoint, error) {
-	s, err := servermodel.New(conf.ServerModel, book.Now(), conf.Cold)
+func StartEndpoint(conf EndpointConf, checker *oracle.Shared) (*Endpoint, error) {
+	model, err := servermodel.New(conf.ServerModel, checker.Now(), conf.Cold)
 	if err != nil {
 		return nil, err
 	}
@@ -97,11 +97,11 @@
 		return nil, fmt.Errorf("endpoint %s: %w", conf.Name, err)
 	}
 	e := &Endpoint{
-		conf: conf, book: book, listener: listener, address: listener.Addr().String(), station: s,
+		conf: conf, checker: checker, listener: listener, address: listener.Addr().String(), model: model,
 		random: rand.New(rand.NewPCG(conf.Seed, 1)), conns: map[net.Conn]struct{}{},
 	}
-	e.life, e.die = context.WithCancel(context.Background())
-	e.timer = time.AfterFunc(time.Hour, e.work)
+	e.ctx, e.cancel = context.WithCancel(context.Background())
+	e.timer = time.AfterFunc(time.Hour, e.onTimer)
 	go e.accept()
 	return e, nil
 }
@@ -114,13 +114,13 @@
 
 // Kill ends it as a process that dies: its connections are reset, new ones refused.
 func (e *Endpoint) Kill() {
-	e.die()
+	e.cancel()
 	e.listener.Close()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.timer.Stop()
-	for _, j := range e.station.Clear() {
-		j.Data.(*job).finish(errDead)
+	for _, j := range e.model.Clear() {
+		j.Data.(*job).finish(errDied)
 	}
 	for conn := range e.conns {
 		reset(conn)
@@ -143,17 +143,17 @@
 	e.heal()
 	e.trouble, e.share = trouble, share
 	if trouble == Silent {
-		e.cut = make(chan struct{})
+		e.partition = make(chan struct{})
 	}
 }
 
 // heal brings a silent machine back: it resets what it had, as the peers may be gone.
 func (e *Endpoint) heal() {
-	if e.cut == nil {
+	if e.partition == nil {
 		return
 	}
-	close(e.cut)
-	e.cut = nil
+	close(e.partition)
+	e.partition = nil
 	for conn := range e.conns {
 		reset(conn)
 	}
@@ -161,42 +161,42 @@
 
 // Pause stops or resumes its work.
 func (e *Endpoint) Pause(paused bool) {
-	e.change(func(now time.Duration) { e.station.Pause(now, paused) })
+	e.update(func(now time.Duration) { e.model.Pause(now, paused) })
 }
 
 // SetSpeed sets the part of its speed that is left.
 func (e *Endpoint) SetSpeed(part float64) {
-	e.change(func(now time.Duration) { e.station.SetSpeed(now, part) })
+	e.update(func(now time.Duration) { e.model.SetSpeed(now, part) })
 }
 
-func (e *Endpoint) change(do func(now time.Duration)) {
+func (e *Endpoint) update(do func(now time.Duration)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.book.Now()
+	now := e.checker.Now()
 	e.finishDue(now)
 	do(now)
-	e.arm(now)
+	e.armTimer(now)
 }
 
-// work is the timer's: it hands out what is done.
-func (e *Endpoint) work() { e.change(func(time.Duration) {}) }
+// onTimer is the timer's: it hands out what is done.
+func (e *Endpoint) onTimer() { e.update(func(time.Duration) {}) }
 
 func (e *Endpoint) finishDue(now time.Duration) {
-	done, fell := e.station.Due(now)
-	if fell {
-		e.book.Do(func(b *oracle.Checker) { b.EndpointOverloaded(now, e.conf.Name) })
+	done, overloaded := e.model.Due(now)
+	if overloaded {
+		e.checker.Do(func(b *oracle.Checker) { b.EndpointOverloaded(now, e.conf.Name) })
 	}
 	for _, j := range done {
 		var err error
-		if fell {
-			err = errDead
+		if overloaded {
+			err = errDied
 		}
 		j.Data.(*job).finish(err)
 	}
 }
 
-func (e *Endpoint) arm(now time.Duration) {
-	if at, ok := e.station.Next(); ok && e.life.Err() == nil {
+func (e *Endpoint) armTimer(now time.Duration) {
+	if at, ok := e.model.Next(); ok && e.ctx.Err() == nil {
 		e.timer.Reset(max(0, at-now))
 	}
 }
@@ -208,24 +208,24 @@
 			return
 		}
 		e.mu.Lock()
-		if e.life.Err() != nil {
+		if e.ctx.Err() != nil {
 			e.mu.Unlock()
 			reset(conn)
 			return
 		}
 		e.conns[conn] = struct{}{}
-		full := e.conf.Connections > 0 && len(e.conns) > e.conf.Connections
+		overLimit := e.conf.Connections > 0 && len(e.conns) > e.conf.Connections
 		e.mu.Unlock()
-		go e.serve(conn, full)
+		go e.serve(conn, overLimit)
 	}
 }
 
-// message is a request as it came.
-type message struct {
-	class, id, key string
-	left           time.Duration
-	first, whole   time.Duration
-	closeAfter     bool
+// inboundRequest is a request as it came.
+type inboundRequest struct {
+	class, id, key      string
+	remaining           time.Duration
+	firstByte, lastByte time.Duration
+	closeAfter          bool
 }
 
 // job is a request at work at the station.
@@ -238,7 +238,7 @@
 
 // serve carries one connection: a goroutine reads requests ahead, so that a peer
 // that leaves is seen while one is at work.
-func (e *Endpoint) serve(conn net.Conn, full bool) {
+func (e *Endpoint) serve(conn net.Conn, overLimit bool) {
 	defer func() {
 		conn.Close()
 		e.mu.Lock()
@@ -246,12 +246,12 @@
 		e.mu.Unlock()
 	}()
 	gone := make(chan struct{})
-	messages := make(chan message)
-	go e.read(conn, messages, gone)
-	for fresh := true; ; fresh = false {
+	requests := make(chan inboundRequest)
+	go e.read(conn, requests, gone)
+	for newConn := true; ; newConn = false {
 		select {
-		case m := <-messages:
-			if !e.answer(conn, m, fresh, full, gone) {
+		case m := <-requests:
+			if !e.answer(conn, m, newConn, overLimit, gone) {
 				return
 			}
 		case <-gone:
@@ -261,7 +261,7 @@
 }
 
 // read reads requests until the connection ends.
-func (e *Endpoint) read(conn net.Conn, messages chan<- message, gone chan<- struct{}) {
+func (e *Endpoint) read(conn net.Conn, requests chan<- inboundRequest, gone chan<- struct{}) {
 	defer close(gone)
 	in := bufio.NewReader(conn)
 	var request fasthttp.Request
@@ -272,135 +272,135 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		m := message{first: e.book.Now()}
-		if e.waitIfCut() { // what came meanwhile never got there: the connection is reset
+		m := inboundRequest{firstByte: e.checker.Now()}
+		if e.waitIfPartitioned() { // what came meanwhile never got there: the connection is reset
 			return
 		}
 		if err := request.Read(in); err != nil {
 			return
 		}
-		m.whole = e.book.Now()
+		m.lastByte = e.checker.Now()
 		conn.SetReadDeadline(time.Time{})
 		path := string(request.URI().Path())
 		m.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 		m.id = string(request.Header.Peek("X-Txn"))
 		m.key = string(request.Header.Peek("Idempotency-Key"))
 		if s, err := strconv.ParseFloat(string(request.Header.Peek("X-Remaining")), 64); err == nil {
-			m.left = time.Duration(s * float64(time.Second))
+			m.remaining = time.Duration(s * float64(time.Second))
 		}
 		m.closeAfter = request.Header.ConnectionClose()
 		select {
-		case messages <- m:
-		case <-e.life.Done():
+		case requests <- m:
+		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
-// waitIfCut holds what has come, or is to go, while the machine is cut off, and
+// waitIfPartitioned holds what has come, or is to go, while the machine is cut off, and
 // tells whether it was.
-func (e *Endpoint) waitIfCut() bool {
+func (e *Endpoint) waitIfPartitioned() bool {
 	e.mu.Lock()
-	cut := e.cut
+	cut := e.partition
 	e.mu.Unlock()
 	if cut == nil {
 		return false
 	}
 	select {
 	case <-cut:
-	case <-e.life.Done():
+	case <-e.ctx.Done():
 	}
 	return true
 }
 
 // What endpoints answer.
 const (
-	turnedAway = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-	serverFail = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-	unknownID  = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
-	strangerID = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
+	rejectedAnswer    = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+	serverErrorAnswer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+	notFoundAnswer    = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+	badRequestAnswer  = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 )
 
 // answer works a request off; false ends the connection.
-func (e *Endpoint) answer(conn net.Conn, m message, fresh, full bool, gone <-chan struct{}) bool {
+func (e *Endpoint) answer(conn net.Conn, m inboundRequest, newConn, overLimit bool, gone <-chan struct{}) bool {
 	class, known := e.conf.Classes[m.class]
 	if m.id == "" || !known {
-		return write(conn, unknownID)
+		return writeText(conn, notFoundAnswer)
 	}
-	trouble, struck := e.present()
+	trouble, fails := e.currentTrouble()
 	switch {
-	case full || trouble == Refuses:
-		return e.turnAway(conn, m) && !full
+	case overLimit || trouble == Refuses:
+		return e.reject(conn, m) && !overLimit
 	case trouble == Silent:
-		e.waitIfCut() // it came as the machine was cut off
+		e.waitIfPartitioned() // it came as the machine was cut off
 		return false
 	}
-	var first, own *seenKey
+	var first, own *keyRun
 	if class.Keys != nil {
-		first, own = class.Keys.See(m.whole, m.key)
+		first, own = class.Keys.Observe(m.lastByte, m.key)
 	}
 	switch {
-	case struck: // it fails having run: its key is known from then on
-		own.end()
-		return e.arrived(m, true, first != nil) && write(conn, serverFail)
+	case fails: // it fails having run: its key is known from then on
+		own.finish()
+		return e.recordArrival(m, true, first != nil) && writeText(conn, serverErrorAnswer)
 	case first != nil:
 		return e.repeat(conn, m, first, gone)
 	}
-	j, taken := e.begin(m, class, fresh)
-	if !taken {
+	j, accepted := e.startJob(m, class, newConn)
+	if !accepted {
 		if own != nil {
 			class.Keys.Forget(own)
 		}
-		return e.turnAway(conn, m)
+		return e.reject(conn, m)
 	}
-	defer own.end()
-	if !e.arrived(m, true, false) {
-		return write(conn, strangerID)
+	defer own.finish()
+	if !e.recordArrival(m, true, false) {
+		return writeText(conn, badRequestAnswer)
 	}
 	if trouble == Hang {
 		e.wait(nil, gone)
 		return false
 	}
-	if err := e.carry(j, class, gone); err != nil {
+	if err := e.waitForJob(j, class, gone); err != nil {
 		return false
 	}
-	if !e.callNext(m, gone) {
-		return write(conn, serverFail)
+	if !e.callNextTier(m, gone) {
+		return writeText(conn, serverErrorAnswer)
 	}
-	return e.write(conn, trouble, m, "") && !m.closeAfter
+	return e.writeServed(conn, trouble, m, "") && !m.closeAfter
 }
 
-// present is the trouble of the moment, and whether it strikes this request.
-func (e *Endpoint) present() (Trouble, bool) {
+// currentTrouble is the trouble of the moment, and whether it strikes this request.
+func (e *Endpoint) currentTrouble() (Trouble, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.trouble, e.trouble == Errors && e.random.Float64() < e.share
 }
 
-// arrived books an attempt; false if no client sent it.
-func (e *Endpoint) arrived(m message, runs, repeat bool) (known bool) {
-	e.book.Do(func(b *oracle.Checker) {
+// recordArrival books an attempt; false if no client sent it.
+func (e *Endpoint) recordArrival(m inboundRequest, accepted, repeat bool) (known bool) {
+	e.checker.Do(func(b *oracle.Checker) {
 		known = b.AttemptArrived(oracle.Arrival{
-			ID: m.id, Endpoint: e.conf.Name, FirstByte: m.first, LastByte: m.whole, Accepted: runs, Repeat: repeat,
+			ID: m.id, Endpoint: e.conf.Name, FirstByte: m.firstByte, LastByte: m.lastByte, Accepted: accepted, Repeat: repeat,
 		})
 	})
 	return known
 }
 
-func (e *Endpoint) turnAway(conn net.Conn, m message) bool {
-	e.arrived(m, false, false)
-	return write(conn, turnedAway)
+func (e *Endpoint) reject(conn net.Conn, m inboundRequest) bool {
+	e.recordArrival(m, false, false)
+	return writeText(conn, rejectedAnswer)
 }
 
 // repeat answers a request whose key is known, once the run that it repeats ends.
-func (e *Endpoint) repeat(conn net.Conn, m message, first *seenKey, gone <-chan struct{}) bool {
-	if !e.arrived(m, true, true) {
-		return write(conn, strangerID)
+func (e *Endpoint) repeat(conn net.Conn, m inboundRequest, first *keyRun, gone <-chan struct{}) bool {
+	if !e.recordArrival(m, true, true) {
+		return writeText(conn, badRequestAnswer)
 	}
 	if !e.wait(first.done, gone) {
 		return false
 	}
-	return e.write(conn, NoTrouble, m, " repeat")
+	return e.writeServed(conn, NoTrouble, m, " repeat")
 }
 
 // wait waits for something; false if the peer goes or the endpoint dies first.
@@ -409,34 +409,34 @@
 	case <-what:
 		return true
 	case <-gone:
-	case <-e.life.Done():
+	case <-e.ctx.Done():
 	}
 	return false
 }
 
-// begin gives a request to the station.
-func (e *Endpoint) begin(m message, class ClassConf, fresh bool) (*job, bool) {
+// startJob gives a request to the station.
+func (e *Endpoint) startJob(m inboundRequest, class ClassConf, newConn bool) (*job, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	now := e.book.Now()
-	if e.life.Err() != nil {
+	now := e.checker.Now()
+	if e.ctx.Err() != nil {
 		return nil, false
 	}
 	e.finishDue(now)
 	j := &job{done: make(chan error, 1)}
 	j.Data = j
 	j.Work = time.Duration(e.random.ExpFloat64() * float64(class.Work))
-	if fresh {
+	if newConn {
 		j.Work += e.conf.Handshake
 	}
-	taken := e.station.Arrive(now, &j.Job) == servermodel.Accepted
-	e.arm(now)
-	return j, taken
+	accepted := e.model.Arrive(now, &j.Job) == servermodel.Accepted
+	e.armTimer(now)
+	return j, accepted
 }
 
-// carry waits for a job. What may be repeated is given up when its peer has gone;
+// waitForJob waits for a job. What may be repeated is given up when its peer has gone;
 // an effect goes on, whoever waits for it.
-func (e *Endpoint) carry(j *job, class ClassConf, gone <-chan struct{}) error {
+func (e *Endpoint) waitForJob(j *job, class ClassConf, gone <-chan struct{}) error {
 	select {
 	case err := <-j.done:
 		return err
@@ -446,22 +446,22 @@
 		return <-j.done
 	}
 	e.mu.Lock()
-	now := e.book.Now()
-	canceled := e.station.Cancel(now, &j.Job)
-	e.arm(now)
+	now := e.checker.Now()
+	canceled := e.model.Cancel(now, &j.Job)
+	e.armTimer(now)
 	e.mu.Unlock()
 	if !canceled {
 		return <-j.done
 	}
-	return errDead
+	return errDied
 }
 
-// callNext makes the calls of the next tier, one after the other.
-func (e *Endpoint) callNext(m message, gone <-chan struct{}) bool {
+// callNextTier makes the calls of the next tier, one after the other.
+func (e *Endpoint) callNextTier(m inboundRequest, gone <-chan struct{}) bool {
 	if e.conf.Call == nil {
 		return true
 	}
-	ctx, cancel := context.WithCancel(e.life)
+	ctx, cancel := context.WithCancel(e.ctx)
 	defer cancel()
 	ended := make(chan struct{})
 	defer close(ended)
@@ -477,17 +477,17 @@
 		if m.key != "" {
 			key = m.key + "/" + strconv.Itoa(i)
 		}
-		if !e.conf.Call(ctx, m.whole+m.left, key) {
+		if !e.conf.Call(ctx, m.lastByte+m.remaining, key) {
 			return false
 		}
 	}
 	return true
 }
 
-// write writes a served answer, as the trouble has it. Its body begins with the id
+// writeServed writes a served answer, as the trouble has it. Its body begins with the id
 // of the request, so that clients know an answer that is not theirs.
-func (e *Endpoint) write(conn net.Conn, trouble Trouble, m message, note string) bool {
-	if e.waitIfCut() {
+func (e *Endpoint) writeServed(conn net.Conn, trouble Trouble, m inboundRequest, note string) bool {
+	if e.waitIfPartitioned() {
 		return false
 	}
 	body := m.id + " " + e.conf.Name + note + "\n"
@@ -497,21 +497,21 @@
 	text := "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 	switch trouble {
 	case TruncatedAnswer:
-		write(conn, text[:len(text)-len(body)/2])
+		writeText(conn, text[:len(text)-len(body)/2])
 		return false
 	case Garbage:
-		write(conn, "what do you mean\r\n\r\n")
+		writeText(conn, "what do you mean\r\n\r\n")
 		return false
 	case ExtraBytes:
 		text += "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	}
-	return write(conn, text)
+	return writeText(conn, text)
 }
 
-const writeTime = 10 * time.Second // a peer that does not read ends its connection
+const writeTimeout = 10 * time.Second // a peer that does not read ends its connection
 
-func write(conn net.Conn, text string) bool {
-	conn.SetWriteDeadline(time.Now().Add(writeTime))
+func writeText(conn net.Conn, text string) bool {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := conn.Write([]byte(text))
 	return err == nil
 }
--- a/internal/lab/fake/fake_test.go
+++ b/internal/lab/fake/fake_test.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	ms       = time.Millisecond
-	patience = 20 * time.Second
+	ms          = time.Millisecond
+	testTimeout = 20 * time.Second
 )
 
-func newBook() *oracle.Shared {
+func newChecker() *oracle.Shared {
 	return oracle.NewShared(oracle.New(oracle.Conf{Margin: time.Minute}), oracle.NewService(nil, 0))
 }
 
-func newEndpoint(t *testing.T, book *oracle.Shared, change func(*EndpointConf)) *Endpoint {
+func newEndpoint(t *testing.T, checker *oracle.Shared, change func(*EndpointConf)) *Endpoint {
 	t.Helper()
 	conf := EndpointConf{
 		Name: "e", Address: "127.0.0.1:0", ServerModel: servermodel.Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 4},
@@ -39,7 +39,7 @@
 	if change != nil {
 		change(&conf)
 	}
-	e, err := StartEndpoint(conf, book)
+	e, err := StartEndpoint(conf, checker)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,13 +60,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// ask books a request and sends it.
-func (c *client) ask(book *oracle.Shared, class, id, key string, effect decide.Effect) {
-	book.Do(func(b *oracle.Checker) {
+// send books a request and sends it.
+func (c *client) send(checker *oracle.Shared, class, id, key string, effect decide.Effect) {
+	checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Deadline: time.Hour})
 		b.RequestWritten(id)
 	})
@@ -78,8 +78,8 @@
 		method, class, id, key)
 }
 
-// answer reads an answer; an error means that the connection ended.
-func (c *client) answer() (status int, body string, err error) {
+// readAnswer reads an answer; an error means that the connection ended.
+func (c *client) readAnswer() (status int, body string, err error) {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return 0, "", err
@@ -91,28 +91,28 @@
 	return r.StatusCode, string(text), err
 }
 
-func tally(book *oracle.Shared) (arrivals, runs, off int) {
-	book.Do(func(b *oracle.Checker) {
+func countArrivals(checker *oracle.Shared) (arrivals, runs, rejected int) {
+	checker.Do(func(b *oracle.Checker) {
 		if t := b.Close().Sidecars["s"]; t != nil {
-			arrivals, runs, off = t.Arrivals, t.Runs, t.Rejected
+			arrivals, runs, rejected = t.Arrivals, t.Runs, t.Rejected
 		}
 	})
-	return arrivals, runs, off
+	return arrivals, runs, rejected
 }
 
 func TestServes(t *testing.T) {
-	book := newBook()
-	e := newEndpoint(t, book, nil)
+	checker := newChecker()
+	e := newEndpoint(t, checker, nil)
 	c := dial(t, e)
 	for i := range 5 {
-		c.ask(book, "look", fmt.Sprint(i), "", decide.Safe)
-		status, body, err := c.answer()
+		c.send(checker, "look", fmt.Sprint(i), "", decide.Safe)
+		status, body, err := c.readAnswer()
 		if err != nil || status != 200 || !strings.HasPrefix(body, fmt.Sprintf("%d e\n", i)) || len(body) != 100 {
 			t.Fatalf("%d, %q, %v", status, body, err)
 		}
 	}
-	if arrivals, runs, off := tally(book); arrivals != 5 || runs != 5 || off != 0 {
-		t.Errorf("booked %d, %d, %d", arrivals, runs, off)
+	if arrivals, runs, rejected := countArrivals(checker); arrivals != 5 || runs != 5 || rejected != 0 {
+		t.Errorf("booked %d, %d, %d", arrivals, runs, rejected)
 	}
 }
 
@@ -130,20 +130,20 @@
 		ExtraBytes:      {200, "1 e\n", 1},
 	} {
 		t.Run(string(trouble), func(t *testing.T) {
-			book := newBook()
-			e := newEndpoint(t, book, nil)
+			checker := newChecker()
+			e := newEndpoint(t, checker, nil)
 			e.SetTrouble(trouble, 1)
 			conn := dial(t, e)
-			conn.ask(book, "look", "1", "", decide.Safe)
-			status, body, err := conn.answer()
+			conn.send(checker, "look", "1", "", decide.Safe)
+			status, body, err := conn.readAnswer()
 			if c.status == 0 && err == nil || c.status != 0 && (status != c.status || !strings.HasPrefix(body, c.body)) {
 				t.Errorf("%d, %q, %v", status, body, err)
 			}
-			if _, runs, _ := tally(book); runs != c.runs {
+			if _, runs, _ := countArrivals(checker); runs != c.runs {
 				t.Errorf("%d runs are booked, want %d", runs, c.runs)
 			}
 			if trouble == ExtraBytes {
-				if _, _, err := conn.answer(); err != nil {
+				if _, _, err := conn.readAnswer(); err != nil {
 					t.Errorf("no surplus answer: %v", err)
 				}
 			}
@@ -153,30 +153,30 @@
 
 // A silent machine neither reads nor writes until it is back; what it had is reset.
 func TestSilent(t *testing.T) {
-	book := newBook()
-	e := newEndpoint(t, book, nil)
+	checker := newChecker()
+	e := newEndpoint(t, checker, nil)
 	c := dial(t, e)
-	c.ask(book, "look", "1", "", decide.Safe)
-	if status, _, err := c.answer(); status != 200 {
+	c.send(checker, "look", "1", "", decide.Safe)
+	if status, _, err := c.readAnswer(); status != 200 {
 		t.Fatal(status, err)
 	}
 	e.SetTrouble(Silent, 1)
-	c.ask(book, "look", "2", "", decide.Safe)
+	c.send(checker, "look", "2", "", decide.Safe)
 	c.SetReadDeadline(time.Now().Add(50 * ms))
 	if _, err := c.in.Peek(1); err == nil {
 		t.Error("a silent machine answered")
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	e.SetTrouble(NoTrouble, 0)
-	if _, _, err := c.answer(); err == nil {
+	if _, _, err := c.readAnswer(); err == nil {
 		t.Error("a connection of before the silence still answers")
 	}
-	again := dial(t, e)
-	again.ask(book, "look", "3", "", decide.Safe)
-	if status, _, err := again.answer(); status != 200 {
+	second := dial(t, e)
+	second.send(checker, "look", "3", "", decide.Safe)
+	if status, _, err := second.readAnswer(); status != 200 {
 		t.Errorf("after the silence: %d, %v", status, err)
 	}
-	if arrivals, _, _ := tally(book); arrivals != 2 {
+	if arrivals, _, _ := countArrivals(checker); arrivals != 2 {
 		t.Errorf("%d arrivals are booked, want 2: what came in the silence never got there", arrivals)
 	}
 }
@@ -184,31 +184,31 @@
 // One that hangs takes requests and answers none; one that is killed resets them,
 // and starts again at its address.
 func TestHangAndKill(t *testing.T) {
-	book := newBook()
-	e := newEndpoint(t, book, nil)
+	checker := newChecker()
+	e := newEndpoint(t, checker, nil)
 	e.SetTrouble(Hang, 1)
 	c := dial(t, e)
-	c.ask(book, "burn", "1", "", decide.Unsafe)
-	eventually(t, "it runs", func() bool { _, runs, _ := tally(book); return runs == 1 })
+	c.send(checker, "burn", "1", "", decide.Unsafe)
+	eventually(t, "it runs", func() bool { _, runs, _ := countArrivals(checker); return runs == 1 })
 	e.Kill()
-	if _, _, err := c.answer(); err == nil {
+	if _, _, err := c.readAnswer(); err == nil {
 		t.Error("a killed endpoint answered")
 	}
 	if conn, err := net.Dial("tcp", e.Address()); err == nil {
 		conn.Close()
 		t.Error("a killed endpoint takes connections")
 	}
-	second := newEndpoint(t, book, func(c *EndpointConf) { c.Address = e.Address() })
+	second := newEndpoint(t, checker, func(c *EndpointConf) { c.Address = e.Address() })
 	c = dial(t, second)
-	c.ask(book, "look", "2", "", decide.Safe)
-	if status, _, err := c.answer(); status != 200 {
+	c.send(checker, "look", "2", "", decide.Safe)
+	if status, _, err := c.readAnswer(); status != 200 {
 		t.Errorf("at the same address: %d, %v", status, err)
 	}
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(ms) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(ms) {
 		if time.Now().After(end) {
 			t.Fatalf("never came: %s", what)
 		}
@@ -216,48 +216,48 @@
 }
 
 // Connections beyond the cap, and requests beyond slots and queue, are turned away.
-func TestBounds(t *testing.T) {
-	book := newBook()
-	e := newEndpoint(t, book, func(c *EndpointConf) {
+func TestCapacityLimits(t *testing.T) {
+	checker := newChecker()
+	e := newEndpoint(t, checker, func(c *EndpointConf) {
 		c.Connections, c.ServerModel = 2, servermodel.Conf{Cores: 1, Speed: 0.001, Slots: 1, Queue: 0}
 	})
 	first := dial(t, e)
-	first.ask(book, "burn", "1", "", decide.Unsafe)
-	eventually(t, "the first runs", func() bool { _, runs, _ := tally(book); return runs == 1 })
+	first.send(checker, "burn", "1", "", decide.Unsafe)
+	eventually(t, "the first runs", func() bool { _, runs, _ := countArrivals(checker); return runs == 1 })
 	second, third := dial(t, e), dial(t, e)
-	second.ask(book, "look", "2", "", decide.Safe)
-	if status, body, err := second.answer(); status != 503 || body != "turned away" {
+	second.send(checker, "look", "2", "", decide.Safe)
+	if status, body, err := second.readAnswer(); status != 503 || body != "turned away" {
 		t.Errorf("beyond its slots: %d, %q, %v", status, body, err)
 	}
-	third.ask(book, "look", "3", "", decide.Safe)
-	if status, body, err := third.answer(); status != 503 || body != "turned away" {
+	third.send(checker, "look", "3", "", decide.Safe)
+	if status, body, err := third.readAnswer(); status != 503 || body != "turned away" {
 		t.Errorf("beyond its connections: %d, %q, %v", status, body, err)
 	}
-	if _, _, err := third.answer(); err == nil {
+	if _, _, err := third.readAnswer(); err == nil {
 		t.Error("a connection beyond the cap stays")
 	}
-	if arrivals, runs, off := tally(book); arrivals != 3 || runs != 1 || off != 2 {
-		t.Errorf("booked %d, %d, %d", arrivals, runs, off)
+	if arrivals, runs, rejected := countArrivals(checker); arrivals != 3 || runs != 1 || rejected != 2 {
+		t.Errorf("booked %d, %d, %d", arrivals, runs, rejected)
 	}
 }
 
 // Within the window a key has one effect, whichever endpoint of the group it
 // comes to; a repeat is answered when the first run has ended.
 func TestKeysAcrossAGroup(t *testing.T) {
-	book := newBook()
+	checker := newChecker()
 	keys := NewKeyMemory(time.Minute)
-	share := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
-	a, b := newEndpoint(t, book, share), newEndpoint(t, book, share)
+	shareKeys := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
+	a, b := newEndpoint(t, checker, shareKeys), newEndpoint(t, checker, shareKeys)
 	first, second := dial(t, a), dial(t, b)
-	first.ask(book, "pay", "1", "k", decide.Keyed)
-	if status, body, err := first.answer(); status != 200 || strings.Contains(body, "repeat") {
+	first.send(checker, "pay", "1", "k", decide.Keyed)
+	if status, body, err := first.readAnswer(); status != 200 || strings.Contains(body, "repeat") {
 		t.Fatalf("%d, %q, %v", status, body, err)
 	}
-	second.ask(book, "pay", "2", "k", decide.Keyed)
-	if status, body, err := second.answer(); status != 200 || !strings.HasPrefix(body, "2 e repeat\n") {
+	second.send(checker, "pay", "2", "k", decide.Keyed)
+	if status, body, err := second.readAnswer(); status != 200 || !strings.HasPrefix(body, "2 e repeat\n") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *oracle.Checker) {
+	checker.Do(func(b *oracle.Checker) {
 		if a := b.Close(); a.NumViolations() > 0 || a.Repeats > 0 {
 			t.Errorf("%v", a.Violations)
 		}
@@ -265,22 +265,22 @@
 }
 
 // A run that failed has had its effect: a repeat elsewhere in the group has none.
-func TestFailedRunsAreKnown(t *testing.T) {
-	book := newBook()
+func TestFailedRunCountsAsEffect(t *testing.T) {
+	checker := newChecker()
 	keys := NewKeyMemory(time.Minute)
-	share := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
-	a, b := newEndpoint(t, book, share), newEndpoint(t, book, share)
+	shareKeys := func(c *EndpointConf) { c.Classes["pay"] = ClassConf{Effect: decide.Keyed, Work: ms, Keys: keys} }
+	a, b := newEndpoint(t, checker, shareKeys), newEndpoint(t, checker, shareKeys)
 	a.SetTrouble(Errors, 1)
 	first, second := dial(t, a), dial(t, b)
-	first.ask(book, "pay", "1", "k", decide.Keyed)
-	if status, _, err := first.answer(); status != 500 {
+	first.send(checker, "pay", "1", "k", decide.Keyed)
+	if status, _, err := first.readAnswer(); status != 500 {
 		t.Fatal(status, err)
 	}
 	fmt.Fprintf(second, "POST /pay/x HTTP/1.1\r\nHost: x\r\nX-Txn: 1\r\nIdempotency-Key: k\r\nContent-Length: 0\r\n\r\n")
-	if status, body, err := second.answer(); status != 200 || !strings.Contains(body, "repeat") {
+	if status, body, err := second.readAnswer(); status != 200 || !strings.Contains(body, "repeat") {
 		t.Errorf("%d, %q, %v", status, body, err)
 	}
-	book.Do(func(b *oracle.Checker) {
+	checker.Do(func(b *oracle.Checker) {
 		if a := b.Close(); a.NumViolations() > 0 {
 			t.Errorf("%v", a.Violations)
 		}
@@ -288,52 +288,52 @@
 }
 
 // The edge of the window: a repeat on it has no effect, one past it does.
-func TestKeysAtTheEdge(t *testing.T) {
+func TestKeyWindowEdge(t *testing.T) {
 	k := NewKeyMemory(time.Second)
-	if first, own := k.See(0, "k"); first != nil || own == nil {
+	if first, own := k.Observe(0, "k"); first != nil || own == nil {
 		t.Fatal("a new key is a repeat")
 	}
-	if first, _ := k.See(time.Second, "k"); first == nil {
+	if first, _ := k.Observe(time.Second, "k"); first == nil {
 		t.Error("on the edge: an effect of its own")
 	}
-	if first, own := k.See(time.Second+1, "k"); first != nil || own == nil {
+	if first, own := k.Observe(time.Second+1, "k"); first != nil || own == nil {
 		t.Error("past the edge: a repeat")
 	}
 	if len(k.seen) != 1 || len(k.order) != 1 {
 		t.Errorf("%d keys are kept, want the newest only", len(k.seen))
 	}
-	_, own := k.See(3*time.Second, "other")
+	_, own := k.Observe(3*time.Second, "other")
 	k.Forget(own)
-	if first, _ := k.See(3*time.Second, "other"); first != nil {
+	if first, _ := k.Observe(3*time.Second, "other"); first != nil {
 		t.Error("a run that was turned away counts")
 	}
 }
 
 // An endpoint of a tier that calls the next one fails if a call does.
 func TestCallsTheNextTier(t *testing.T) {
-	book := newBook()
+	checker := newChecker()
 	calls, fails := 0, false
-	e := newEndpoint(t, book, func(c *EndpointConf) {
+	e := newEndpoint(t, checker, func(c *EndpointConf) {
 		c.Calls, c.Call = 3, func(_ context.Context, until time.Duration, key string) bool {
 			calls++
 			return !fails && until > 0
 		}
 	})
 	c := dial(t, e)
-	c.ask(book, "look", "1", "", decide.Safe)
-	if status, _, err := c.answer(); status != 200 || calls != 3 {
+	c.send(checker, "look", "1", "", decide.Safe)
+	if status, _, err := c.readAnswer(); status != 200 || calls != 3 {
 		t.Errorf("%d after %d calls, %v", status, calls, err)
 	}
 	fails = true
-	c.ask(book, "look", "2", "", decide.Safe)
-	if status, _, err := c.answer(); status != 500 || calls != 4 {
+	c.send(checker, "look", "2", "", decide.Safe)
+	if status, _, err := c.readAnswer(); status != 500 || calls != 4 {
 		t.Errorf("%d after %d calls, %v; want 500 after the first", status, calls, err)
 	}
 }
 
 func fetch(t *testing.T, address, query string) (int, List) {
 	t.Helper()
-	client := http.Client{Timeout: patience}
+	client := http.Client{Timeout: testTimeout}
 	answer, err := client.Get("http://" + address + "/discovery/hosts" + query)
 	if err != nil {
 		t.Fatal(err)
@@ -351,8 +351,8 @@
 // Discovery tells the whole list, waits with what is new, fails when it is down,
 // and books who was told what.
 func TestDiscovery(t *testing.T) {
-	book := newBook()
-	d := NewDiscovery(book)
+	checker := newChecker()
+	d := NewDiscovery(checker)
 	t.Cleanup(d.Close)
 	a := Line{Name: "a", Address: "127.0.0.1:1", Status: Serving, Weight: 1}
 	b := Line{Name: "b", Address: "127.0.0.1:2", Status: Serving, Weight: 1}
@@ -387,10 +387,10 @@
 		t.Errorf("down: %d", status)
 	}
 	// What was told holds from then on: a later send to it is held against the sidecar.
-	book.Do(func(b *oracle.Checker) {
+	checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Deadline: time.Hour})
 		b.RequestWritten("1")
-		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", FirstByte: book.Now() + 2*time.Minute, Accepted: true})
+		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", FirstByte: checker.Now() + 2*time.Minute, Accepted: true})
 		if n := b.Close().Rules[oracle.SentToDrained]; n != 1 {
 			t.Errorf("%d sends past the drain are booked, want 1", n)
 		}
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -15,7 +15,7 @@
 // Proxy passes connections on.
 type Proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 	every    int // of so many answers one is written twice
 
 	mu      sync.Mutex
@@ -25,105 +25,105 @@
 }
 
 // Start starts one before a sidecar.
-func Start(listen, to string, every int) (*Proxy, error) {
+func Start(listen, target string, every int) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	l := &Proxy{listener: listener, to: to, every: every, conns: map[net.Conn]struct{}{}}
-	go l.accept()
-	return l, nil
+	p := &Proxy{listener: listener, target: target, every: every, conns: map[net.Conn]struct{}{}}
+	go p.accept()
+	return p, nil
 }
 
 // Address is where clients connect.
-func (l *Proxy) Address() string { return l.listener.Addr().String() }
+func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // Close ends it and its connections, and returns how many answers it doubled.
-func (l *Proxy) Close() int {
-	l.listener.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.conns {
+func (p *Proxy) Close() int {
+	p.listener.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		c.Close()
 	}
-	return l.Doubled
+	return p.Doubled
 }
 
-func (l *Proxy) accept() {
+func (p *Proxy) accept() {
 	for {
-		conn, err := l.listener.Accept()
+		conn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		l.keep(conn)
-		go l.serve(conn)
+		p.track(conn)
+		go p.serve(conn)
 	}
 }
 
-func (l *Proxy) keep(c net.Conn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns[c] = struct{}{}
+func (p *Proxy) track(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[c] = struct{}{}
 }
 
-func (l *Proxy) drop(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.conns, c)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.conns, c)
 }
 
-const patience = 30 * time.Second // for each message: nothing waits for ever
+const messageTimeout = 30 * time.Second // for each message: nothing waits for ever
 
 // serve passes requests of one connection on, one after the other.
-func (l *Proxy) serve(conn net.Conn) {
-	defer l.drop(conn)
-	out, err := net.DialTimeout("tcp", l.to, patience)
+func (p *Proxy) serve(conn net.Conn) {
+	defer p.untrack(conn)
+	sidecar, err := net.DialTimeout("tcp", p.target, messageTimeout)
 	if err != nil {
 		return
 	}
-	l.keep(out)
-	defer l.drop(out)
-	in, back := bufio.NewReader(conn), bufio.NewReader(out)
+	p.track(sidecar)
+	defer p.untrack(sidecar)
+	in, back := bufio.NewReader(conn), bufio.NewReader(sidecar)
 	var request fasthttp.Request
 	var answer fasthttp.Response
 	for {
-		conn.SetDeadline(time.Now().Add(patience))
-		out.SetDeadline(time.Now().Add(patience))
-		if request.Read(in) != nil || write(out, request.Write) != nil || answer.Read(back) != nil {
+		conn.SetDeadline(time.Now().Add(messageTimeout))
+		sidecar.SetDeadline(time.Now().Add(messageTimeout))
+		if request.Read(in) != nil || write(sidecar, request.Write) != nil || answer.Read(back) != nil {
 			return
 		}
-		text := bufio.NewWriter(conn)
+		w := bufio.NewWriter(conn)
 		times := 1
-		if l.twice() {
+		if p.nextIsDoubled() {
 			times = 2
 		}
 		for range times {
-			if answer.Write(text) != nil {
+			if answer.Write(w) != nil {
 				return
 			}
 		}
-		if text.Flush() != nil || answer.ConnectionClose() {
+		if w.Flush() != nil || answer.ConnectionClose() {
 			return
 		}
 	}
 }
 
-func write(conn net.Conn, to func(w *bufio.Writer) error) error {
+func write(conn net.Conn, encode func(w *bufio.Writer) error) error {
 	w := bufio.NewWriter(conn)
-	if err := to(w); err != nil {
+	if err := encode(w); err != nil {
 		return err
 	}
 	return w.Flush()
 }
 
-// twice tells whether the next answer is written twice.
-func (l *Proxy) twice() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.answers++
-	if l.answers%l.every == 0 {
-		l.Doubled++
+// nextIsDoubled tells whether the next answer is written twice.
+func (p *Proxy) nextIsDoubled() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.answers++
+	if p.answers%p.every == 0 {
+		p.Doubled++
 		return true
 	}
 	return false
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -36,24 +36,24 @@
 type SingleTarget struct{ target atomic.Pointer[Target] }
 
 // Set puts a target in place.
-func (o *SingleTarget) Set(t *Target) { o.target.Store(t) }
+func (s *SingleTarget) Set(t *Target) { s.target.Store(t) }
 
 // Pick returns it.
-func (o *SingleTarget) Pick() *Target { return o.target.Load() }
+func (s *SingleTarget) Pick() *Target { return s.target.Load() }
 
 // Times of clients.
 const (
-	dialTime  = time.Second
-	writeTime = 5 * time.Second
-	maxBody   = 4 << 20
-	redials   = 3 // a client whose connection is refused tries the front's next choices
+	dialTimeout   = time.Second
+	writeTimeout  = 5 * time.Second
+	maxAnswerBody = 4 << 20
+	maxDials      = 3 // a client whose connection is refused tries the front's next choices
 )
 
 // Client sends requests over connections that it keeps.
 type Client struct {
-	book  *oracle.Shared
-	front Front
-	grace time.Duration // waited past a request's time for its answer
+	checker *oracle.Shared
+	front   Front
+	grace   time.Duration // waited past a request's time for its answer
 
 	OnServed func(endpoint string) // is told of each served answer, if it is there; set before the first Send
 
@@ -63,8 +63,8 @@
 
 // NewClient returns a client; it waits so much longer than the rules allow before
 // it holds a missing answer against a sidecar.
-func NewClient(book *oracle.Shared, front Front, grace time.Duration) *Client {
-	return &Client{book: book, front: front, grace: grace}
+func NewClient(checker *oracle.Shared, front Front, grace time.Duration) *Client {
+	return &Client{checker: checker, front: front, grace: grace}
 }
 
 // conn is a connection to a sidecar.
@@ -108,14 +108,14 @@
 
 // Send sends a request once. If its connection ends as the request crosses that,
 // it is sent once more on a new one.
-func (c *Client) Send(ctx context.Context, a Request) Result {
-	for kept := true; ; kept = false {
-		conn := c.take(ctx, kept)
+func (c *Client) Send(ctx context.Context, req Request) Result {
+	for reuse := true; ; reuse = false {
+		conn := c.connection(ctx, reuse)
 		if conn == nil {
 			return Result{Ending: NotConnected}
 		}
-		again, result := c.exchange(ctx, conn, a)
-		if !again {
+		retry, result := c.exchange(ctx, conn, req)
+		if !retry {
 			return result
 		}
 	}
@@ -123,59 +123,59 @@
 
 // exchange writes a request and reads its answer; again tells that nothing came of
 // it and that it may be sent on a new connection.
-func (c *Client) exchange(ctx context.Context, conn *conn, a Request) (again bool, result Result) {
-	used := conn.lastID != ""
-	c.book.Do(func(b *oracle.Checker) {
+func (c *Client) exchange(ctx context.Context, conn *conn, req Request) (retry bool, result Result) {
+	reused := conn.lastID != ""
+	c.checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{
-			ID: a.ID, Sidecar: conn.target.Name, Tier: a.Tier, Effect: a.Effect, Key: a.Key, Deadline: a.Deadline,
+			ID: req.ID, Sidecar: conn.target.Name, Tier: req.Tier, Effect: req.Effect, Key: req.Key, Deadline: req.Deadline,
 		})
 	})
-	conn.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := conn.Write(encode(&a, a.Deadline-c.book.Now())); err != nil {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := conn.Write(encode(&req, req.Deadline-c.checker.Now())); err != nil {
 		conn.Close()
-		again := c.unwritten(a.ID)
-		return again && used, Result{Ending: NotConnected}
+		retry := c.retract(req.ID)
+		return retry && reused, Result{Ending: NotConnected}
 	}
-	c.book.Do(func(b *oracle.Checker) { b.RequestWritten(a.ID) })
-	until, leaves := a.Deadline+c.grace, a.Leave > 0 && a.Leave < a.Deadline
-	if leaves {
-		until = a.Leave
+	c.checker.Do(func(b *oracle.Checker) { b.RequestWritten(req.ID) })
+	until, leavesEarly := req.Deadline+c.grace, req.Leave > 0 && req.Leave < req.Deadline
+	if leavesEarly {
+		until = req.Leave
 	}
-	conn.SetReadDeadline(c.book.Began().Add(until))
+	conn.SetReadDeadline(c.checker.Began().Add(until))
 	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.in.Peek(1); err != nil {
-		if used && !errors.Is(err, os.ErrDeadlineExceeded) && !conn.target.Stopped.Load() && c.unwritten(a.ID) {
+		if reused && !errors.Is(err, os.ErrDeadlineExceeded) && !conn.target.Stopped.Load() && c.retract(req.ID) {
 			conn.Close()
 			return true, Result{}
 		}
-		return false, c.broken(conn, a.ID, err, leaves || ctx.Err() != nil)
+		return false, c.recordFailure(conn, req.ID, err, leavesEarly || ctx.Err() != nil)
 	}
 	var answer fasthttp.Response
-	if err := answer.ReadLimitBody(conn.in, maxBody); err != nil {
-		return false, c.broken(conn, a.ID, err, leaves || ctx.Err() != nil)
+	if err := answer.ReadLimitBody(conn.in, maxAnswerBody); err != nil {
+		return false, c.recordFailure(conn, req.ID, err, leavesEarly || ctx.Err() != nil)
 	}
-	return false, c.answered(conn, &a, &answer)
+	return false, c.recordAnswer(conn, &req, &answer)
 }
 
-func (c *Client) unwritten(id string) (again bool) {
-	c.book.Do(func(b *oracle.Checker) { again = b.RetractRequest(id) })
-	return again
+func (c *Client) retract(id string) (retracted bool) {
+	c.checker.Do(func(b *oracle.Checker) { retracted = b.RetractRequest(id) })
+	return retracted
 }
 
-// broken books a request whose connection has ended, or whose time has.
-func (c *Client) broken(conn *conn, id string, err error, leaves bool) Result {
-	now := c.book.Now()
+// recordFailure books a request whose connection has ended, or whose time has.
+func (c *Client) recordFailure(conn *conn, id string, err error, leavesEarly bool) Result {
+	now := c.checker.Now()
 	timeout := errors.Is(err, os.ErrDeadlineExceeded)
 	stopped := conn.target.Stopped.Load()
 	conn.Close()
 	result := Result{Ending: NoAnswer}
-	c.book.Do(func(b *oracle.Checker) {
+	c.checker.Do(func(b *oracle.Checker) {
 		switch {
 		case stopped:
 			result.Ending = SidecarStopped
 			b.RequestInterrupted(now, id)
-		case timeout && leaves:
+		case timeout && leavesEarly:
 			result.Ending = ClientLeft
 			b.ClientLeft(now, id)
 		default:
@@ -185,35 +185,35 @@
 	return result
 }
 
-// answered books a whole answer and keeps the connection.
-func (c *Client) answered(conn *conn, a *Request, answer *fasthttp.Response) Result {
-	now := c.book.Now()
+// recordAnswer books a whole answer and keeps the connection.
+func (c *Client) recordAnswer(conn *conn, req *Request, answer *fasthttp.Response) Result {
+	now := c.checker.Now()
 	result := Result{Ending: Answered, Verdict: verdictOf(answer.StatusCode())}
 	if s, err := strconv.ParseFloat(string(answer.Header.Peek(fasthttp.HeaderRetryAfter)), 64); err == nil && s > 0 {
 		result.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), a.ID+" ")
+	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), req.ID+" ")
 	if c.OnServed != nil && result.Verdict == oracle.Served && !foreign {
-		_, by, _ := strings.Cut(string(answer.Body()), " ")
-		by, _, _ = strings.Cut(by, "\n")
-		c.OnServed(by)
+		_, endpoint, _ := strings.Cut(string(answer.Body()), " ")
+		endpoint, _, _ = strings.Cut(endpoint, "\n")
+		c.OnServed(endpoint)
 	}
-	surplus := conn.in.Buffered() > 0
-	c.book.Do(func(b *oracle.Checker) {
+	extra := conn.in.Buffered() > 0
+	c.checker.Do(func(b *oracle.Checker) {
 		if foreign {
-			b.ForeignAnswer(now, a.ID)
+			b.ForeignAnswer(now, req.ID)
 		} else {
-			b.AnswerReceived(now, a.ID, result.Verdict)
+			b.AnswerReceived(now, req.ID, result.Verdict)
 		}
-		if surplus {
-			b.ExtraBytes(now, a.ID)
+		if extra {
+			b.ExtraBytes(now, req.ID)
 		}
 	})
 	if foreign {
 		result.Verdict = oracle.Failed
 	}
-	conn.lastID = a.ID
-	if answer.ConnectionClose() || a.Close || surplus || foreign {
+	conn.lastID = req.ID
+	if answer.ConnectionClose() || req.Close || extra || foreign {
 		conn.Close()
 		return result
 	}
@@ -235,9 +235,9 @@
 	return oracle.Failed
 }
 
-// take returns an idle connection, any of them, or a new one; nil if none comes up.
-func (c *Client) take(ctx context.Context, kept bool) *conn {
-	for kept {
+// connection returns an idle connection, any of them, or a new one; nil if none comes up.
+func (c *Client) connection(ctx context.Context, reuse bool) *conn {
+	for reuse {
 		c.mu.Lock()
 		n := len(c.idle)
 		if n == 0 {
@@ -249,83 +249,83 @@
 		c.idle[i] = c.idle[n-1]
 		c.idle = c.idle[:n-1]
 		c.mu.Unlock()
-		if c.fresh(conn) {
+		if c.usable(conn) {
 			return conn
 		}
 		conn.Close()
 	}
-	dialer := net.Dialer{Timeout: dialTime}
-	for range redials {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	for range maxDials {
 		target := c.front.Pick()
 		if target == nil {
 			return nil
 		}
-		plain, err := dialer.DialContext(ctx, "tcp", target.Address)
+		tcp, err := dialer.DialContext(ctx, "tcp", target.Address)
 		if err == nil {
-			return &conn{Conn: plain, in: bufio.NewReader(plain), target: target}
+			return &conn{Conn: tcp, in: bufio.NewReader(tcp), target: target}
 		}
 	}
 	return nil
 }
 
-// fresh looks whether an idle connection has ended, or has brought more than its
+// usable looks whether an idle connection has ended, or has brought more than its
 // answer, which is held against its sidecar.
-func (c *Client) fresh(k *conn) bool {
-	raw, err := k.Conn.(*net.TCPConn).SyscallConn()
+func (c *Client) usable(idle *conn) bool {
+	raw, err := idle.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent, surplus := false, false
+	open, extra := false, false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent, surplus = errors.Is(err, unix.EAGAIN), n > 0
+		open, extra = errors.Is(err, unix.EAGAIN), n > 0
 		return true
 	})
-	if surplus {
-		c.book.Do(func(b *oracle.Checker) { b.ExtraBytes(c.book.Now(), k.lastID) })
+	if extra {
+		c.checker.Do(func(b *oracle.Checker) { b.ExtraBytes(c.checker.Now(), idle.lastID) })
 	}
-	return err == nil && silent
+	return err == nil && open
 }
 
 // Close ends all idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		k.Close()
+	for _, idle := range c.idle {
+		idle.Close()
 	}
 	c.idle = nil
 }
 
 // encode writes a request, with what is left of its time.
-func encode(a *Request, left time.Duration) []byte {
+func encode(req *Request, remaining time.Duration) []byte {
 	method := "POST"
-	if a.Effect == decide.Safe {
+	if req.Effect == decide.Safe {
 		method = "GET"
 	}
-	b := make([]byte, 0, 256+a.Body)
+	b := make([]byte, 0, 256+req.Body)
 	add := func(parts ...string) {
 		for _, p := range parts {
 			b = append(b, p...)
 		}
 	}
-	add(method, " /", a.Class, "/", a.ID, " HTTP/1.1\r\nHost: lab\r\nX-Txn: ", a.ID, "\r\nX-Remaining: ",
-		strconv.FormatFloat(max(0, left.Seconds()), 'f', 6, 64), "\r\n")
-	if a.Tenant != "" {
-		add("X-Org: ", a.Tenant, "\r\n")
+	add(method, " /", req.Class, "/", req.ID, " HTTP/1.1\r\nHost: lab\r\nX-Txn: ", req.ID, "\r\nX-Remaining: ",
+		strconv.FormatFloat(max(0, remaining.Seconds()), 'f', 6, 64), "\r\n")
+	if req.Tenant != "" {
+		add("X-Org: ", req.Tenant, "\r\n")
 	}
-	if a.Key != "" {
-		add("Idempotency-Key: ", a.Key, "\r\n")
+	if req.Key != "" {
+		add("Idempotency-Key: ", req.Key, "\r\n")
 	}
-	if a.Repeat {
+	if req.Repeat {
 		add("X-Resent: 1\r\n")
 	}
-	if a.Close {
+	if req.Close {
 		add("Connection: close\r\n")
 	}
 	if method == "POST" {
-		add("Content-Length: ", strconv.Itoa(a.Body), "\r\n\r\n", strings.Repeat("x", a.Body))
+		add("Content-Length: ", strconv.Itoa(req.Body), "\r\n\r\n", strings.Repeat("x", req.Body))
 		return b
 	}
 	add("\r\n")
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -32,9 +32,9 @@
 	Deadline time.Duration
 }
 
-// mostOpen bounds the requests that clients have open: beyond it the lab itself
+// maxOpen bounds the requests that clients have open: beyond it the lab itself
 // is overrun, and the run void.
-const mostOpen = 50_000
+const maxOpen = 50_000
 
 // Driver sends a plan's requests when they are due.
 type Driver struct {
@@ -56,7 +56,7 @@
 // Run sends all requests and returns when the last has ended, or the context has
 // and those that are open have.
 func (d *Driver) Run(ctx context.Context) {
-	d.begin()
+	d.initLag()
 	for src := d.Plan.Arrivals(d.Seed); ; {
 		a, ok := src.Next()
 		if !ok {
@@ -66,14 +66,14 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if d.open.Add(1) > mostOpen {
+		if d.open.Add(1) > maxOpen {
 			d.overrun.Store(true)
 			d.open.Add(-1)
 			break
 		}
 		d.wait.Go(func() {
 			defer d.open.Add(-1)
-			d.want(ctx, a)
+			d.fulfill(ctx, a)
 		})
 	}
 	d.wait.Wait()
@@ -93,13 +93,13 @@
 			return
 		}
 	}
-	if rest := at - d.Checker.Now(); rest > 0 {
-		nap := unix.NsecToTimespec(int64(rest))
-		unix.Nanosleep(&nap, nil) //nolint:errcheck // woken early, the request is some microseconds early
+	if remaining := at - d.Checker.Now(); remaining > 0 {
+		sleep := unix.NsecToTimespec(int64(remaining))
+		unix.Nanosleep(&sleep, nil) //nolint:errcheck // woken early, the request is some microseconds early
 	}
 }
 
-func (d *Driver) begin() { d.lag = hdrhistogram.New(1, int64(time.Minute), 3) }
+func (d *Driver) initLag() { d.lag = hdrhistogram.New(1, int64(time.Minute), 3) }
 
 // Overrun tells whether the load could not be held open any more.
 func (d *Driver) Overrun() bool { return d.overrun.Load() }
@@ -111,60 +111,60 @@
 	return time.Duration(d.lag.ValueAtQuantile(quantile))
 }
 
-// want asks for one thing until it is served, the client's time is up, or it has
+// fulfill asks for one thing until it is served, the client's time is up, or it has
 // asked often enough.
-func (d *Driver) want(ctx context.Context, a Arrival) {
+func (d *Driver) fulfill(ctx context.Context, a Arrival) {
 	late := d.Checker.Now() - d.Base - a.At
 	d.mu.Lock()
 	d.lag.RecordValue(min(max(1, int64(late)), int64(time.Minute))) //nolint:errcheck // it is within bounds
 	d.mu.Unlock()
 	class := d.Classes[a.Class]
 	random := rand.New(rand.NewPCG(a.Seed, 3))
-	want := oracle.LogicalRequest{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
-	ask := d.ask(a, class, random)
+	logical := oracle.LogicalRequest{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
+	ask := d.firstRequest(a, class, random)
 	for {
-		ask.ID = fmt.Sprintf("%x.%d", a.Number, want.Tries)
-		ask.Repeat = want.Tries > 0
-		want.Tries++
+		ask.ID = fmt.Sprintf("%x.%d", a.Number, logical.Tries)
+		ask.Repeat = logical.Tries > 0
+		logical.Tries++
 		result := d.Client.Send(ctx, ask)
 		if result.Ending == Answered && result.Verdict == oracle.Served {
-			want.Served, want.Took = true, d.Checker.Now()-d.Base-a.At
+			logical.Served, logical.Took = true, d.Checker.Now()-d.Base-a.At
 			break
 		}
-		if !d.pauseToRepeat(ctx, &ask, want.Tries, result, random) {
+		if !d.waitToRetry(ctx, &ask, logical.Tries, result, random) {
 			break
 		}
 	}
-	d.Checker.Ended(want)
+	d.Checker.Ended(logical)
 }
 
-func (d *Driver) ask(a Arrival, class Class, random *rand.Rand) Request {
-	ask := Request{
+func (d *Driver) firstRequest(a Arrival, class Class, random *rand.Rand) Request {
+	req := Request{
 		Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Effect: class.Effect,
 		Deadline: d.Base + a.At + class.Deadline, Close: random.Float64() < d.Behavior.Churn, Body: d.Behavior.Body,
 	}
 	if class.Effect == decide.Keyed {
-		ask.Key = fmt.Sprintf("k%x", a.Number)
+		req.Key = fmt.Sprintf("k%x", a.Number)
 	}
 	if random.Float64() < d.Behavior.Impatient {
-		ask.Leave = d.Base + a.At + time.Duration(d.Behavior.LeaveAt*float64(class.Deadline))
+		req.Leave = d.Base + a.At + time.Duration(d.Behavior.LeaveAt*float64(class.Deadline))
 	}
-	return ask
+	return req
 }
 
-// pauseToRepeat waits before a client asks again; false if it does not.
-func (d *Driver) pauseToRepeat(ctx context.Context, ask *Request, tries int, r Result, random *rand.Rand) bool {
-	harmless := r.Ending == NotConnected || r.Ending == Answered && r.Verdict == oracle.Refused
+// waitToRetry waits before a client asks again; false if it does not.
+func (d *Driver) waitToRetry(ctx context.Context, req *Request, tries int, result Result, random *rand.Rand) bool {
+	neverRan := result.Ending == NotConnected || result.Ending == Answered && result.Verdict == oracle.Refused
 	switch {
-	case tries > d.Behavior.Retries, r.Ending == ClientLeft, r.Ending == Answered && r.Verdict == oracle.Malformed,
-		ask.Effect == decide.Unsafe && !harmless:
+	case tries > d.Behavior.Retries, result.Ending == ClientLeft, result.Ending == Answered && result.Verdict == oracle.Malformed,
+		req.Effect == decide.Unsafe && !neverRan:
 		return false
 	}
 	pause := time.Duration(float64(d.Behavior.Backoff<<min(tries-1, 10)) * (0.5 + random.Float64()))
-	pause = max(pause, r.RetryAfter)
-	end := ask.Deadline
-	if ask.Leave > 0 {
-		end = ask.Leave
+	pause = max(pause, result.RetryAfter)
+	end := req.Deadline
+	if req.Leave > 0 {
+		end = req.Leave
 	}
 	if d.Checker.Now()+pause >= end {
 		return false
--- a/internal/lab/load/rude.go
+++ b/internal/lab/load/malformed.go
@@ -13,11 +13,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// rudeTime is how long a bad client waits for a word or a close.
-const rudeTime = 6 * time.Second
+// malformedTimeout is how long a bad client waits for a word or a close.
+const malformedTimeout = 6 * time.Second
 
-// rudeTexts are what bad clients send: none is a request that may be served.
-var rudeTexts = []string{
+// malformedTexts are what bad clients send: none is a request that may be served.
+var malformedTexts = []string{
 	"what?\r\n\r\n",
 	"GET /nothing-of-the-kind/1 HTTP/1.1\r\nHost: lab\r\nX-Txn: rude\r\nX-Remaining: 1\r\n\r\n",
 	"GET / HTTP/1.1\r\nHost: lab\r\n\r\n",
@@ -48,7 +48,7 @@
 	random := rand.New(rand.NewPCG(seed, 4))
 	for {
 		pause := time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
-		text := rudeTexts[random.IntN(len(rudeTexts))]
+		text := malformedTexts[random.IntN(len(malformedTexts))]
 		select {
 		case <-ctx.Done():
 			wait.Wait()
@@ -60,7 +60,7 @@
 			continue
 		}
 		wait.Go(func() {
-			end := rudeOnce(target.Address, text)
+			end := sendMalformedOnce(target.Address, text)
 			mu.Lock()
 			defer mu.Unlock()
 			count.Sent++
@@ -69,15 +69,15 @@
 	}
 }
 
-// rudeOnce sends one text and returns which count its end belongs to.
-func rudeOnce(address, text string) func(*MalformedCounts) *int {
+// sendMalformedOnce sends one text and returns which count its end belongs to.
+func sendMalformedOnce(address, text string) func(*MalformedCounts) *int {
 	closed := func(r *MalformedCounts) *int { return &r.Closed }
-	conn, err := net.DialTimeout("tcp", address, dialTime)
+	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return closed
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(rudeTime))
+	conn.SetDeadline(time.Now().Add(malformedTimeout))
 	if _, err := io.WriteString(conn, text); err != nil {
 		return closed
 	}
@@ -89,7 +89,7 @@
 		}
 		return closed
 	}
-	if err := answer.ReadLimitBody(in, maxBody); err != nil {
+	if err := answer.ReadLimitBody(in, maxAnswerBody); err != nil {
 		return closed
 	}
 	if answer.StatusCode() == fasthttp.StatusBadRequest {
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -57,25 +57,25 @@
 	Seed   uint64 // for all else that is drawn for it
 }
 
-// level is the part of the rate that comes at a time.
-func (p *Plan) level(at time.Duration) float64 {
-	part := float64(at) / float64(p.Duration)
+// shapeFactor is the part of the rate that comes at a time.
+func (p *Plan) shapeFactor(at time.Duration) float64 {
+	elapsed := float64(at) / float64(p.Duration)
 	switch p.Shape {
 	case Ramp:
-		return p.Low + (1-p.Low)*part
+		return p.Low + (1-p.Low)*elapsed
 	case Surge:
-		if part < 1./3 || part >= 2./3 {
+		if elapsed < 1./3 || elapsed >= 2./3 {
 			return p.Low
 		}
 	case Wander:
-		turn := float64(at) / float64(p.Period)
-		return p.Low + (1-p.Low)*(1-math.Cos(2*math.Pi*turn))/2
+		cycles := float64(at) / float64(p.Period)
+		return p.Low + (1-p.Low)*(1-math.Cos(2*math.Pi*cycles))/2
 	}
 	return 1
 }
 
-// factor is what floods make of a tenant's requests at a time.
-func (p *Plan) factor(tenant string, at time.Duration) float64 {
+// floodFactor is what floods make of a tenant's requests at a time.
+func (p *Plan) floodFactor(tenant string, at time.Duration) float64 {
 	f := 1.0
 	for _, flood := range p.Floods {
 		if (flood.Tenant == "" || flood.Tenant == tenant) && at >= flood.At && at < flood.At+flood.For {
@@ -89,21 +89,21 @@
 func (p *Plan) RateAt(at time.Duration) float64 {
 	sum := 0.0
 	for _, t := range p.Tenants {
-		sum += t.Share * p.factor(t.Name, at)
+		sum += t.Share * p.floodFactor(t.Name, at)
 	}
-	return p.Rate * p.level(at) * sum / total(p.Tenants)
+	return p.Rate * p.shapeFactor(at) * sum / sumOfShares(p.Tenants)
 }
 
 // Peak bounds the rate from above at all times.
 func (p *Plan) Peak() float64 {
-	most := 1.0
+	factor := 1.0
 	for _, f := range p.Floods {
-		most *= max(1, f.Factor) // as if all were at once
+		factor *= max(1, f.Factor) // as if all were at once
 	}
-	return p.Rate * most
+	return p.Rate * factor
 }
 
-func total(shares []Share) float64 {
+func sumOfShares(shares []Share) float64 {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s.Share
@@ -138,22 +138,22 @@
 			continue
 		}
 		a := Arrival{At: s.at, Number: s.number, Seed: s.random.Uint64()}
-		a.Class = pick(s.random, s.plan.Classes, func(Share) float64 { return 1 })
-		a.Tenant = pick(s.random, s.plan.Tenants, func(t Share) float64 { return s.plan.factor(t.Name, s.at) })
+		a.Class = pickShare(s.random, s.plan.Classes, func(Share) float64 { return 1 })
+		a.Tenant = pickShare(s.random, s.plan.Tenants, func(t Share) float64 { return s.plan.floodFactor(t.Name, s.at) })
 		s.number++
 		return a, true
 	}
 }
 
-// pick draws a share's place by its size.
-func pick(random *rand.Rand, shares []Share, factor func(Share) float64) int {
+// pickShare draws a share's place by its size.
+func pickShare(random *rand.Rand, shares []Share, factor func(Share) float64) int {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s.Share * factor(s)
 	}
-	left := random.Float64() * sum
+	remaining := random.Float64() * sum
 	for i, s := range shares {
-		if left -= s.Share * factor(s); left < 0 {
+		if remaining -= s.Share * factor(s); remaining < 0 {
 			return i
 		}
 	}
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -22,8 +22,8 @@
 
 // Kind is what a policy does.
 type Kind struct {
-	About string
-	make  func(p *picker)
+	About     string
+	configure func(p *picker)
 }
 
 // Module is heathgap's own.
@@ -32,14 +32,14 @@
 // kinds are all policies but the module.
 var kinds = map[string]Kind{
 	"random":        {"each attempt to any endpoint; retries without a budget", func(p *picker) { p.pick = p.random }},
-	"round-robin":   {"endpoints in turn; retries without a budget", func(p *picker) { p.pick = p.inTurn }},
-	"least":         {"the endpoint with the fewest attempts out of this sidecar; retries without a budget", func(p *picker) { p.pick = p.least }},
-	"least-budget":  {"the fewest attempts out; a retry costs a token, and a served attempt earns a tenth", func(p *picker) { p.pick, p.tokens = p.least, burst }},
-	"no-retry":      {"the fewest attempts out, and no retry at all", func(p *picker) { p.pick, p.attempts = p.least, 1 }},
-	"lie-drop":      {"a liar: forgets 1 request in 100", func(p *picker) { p.pick, p.forget = p.least, 100 }},
-	"lie-double":    {"a liar: sends effects twice", func(p *picker) { p.pick, p.double = p.least, true }},
-	"lie-drain":     {"a liar: sends to draining endpoints as to others", func(p *picker) { p.pick, p.drained = p.inTurn, true }},
-	"lie-push-over": {"a liar: sends all to the endpoint that started last", func(p *picker) { p.pick = p.youngest }},
+	"round-robin":   {"endpoints in turn; retries without a budget", func(p *picker) { p.pick = p.roundRobin }},
+	"least":         {"the endpoint with the fewest attempts out of this sidecar; retries without a budget", func(p *picker) { p.pick = p.fewestInFlight }},
+	"least-budget":  {"the fewest attempts out; a retry costs a token, and a served attempt earns a tenth", func(p *picker) { p.pick, p.tokens = p.fewestInFlight, maxTokens }},
+	"no-retry":      {"the fewest attempts out, and no retry at all", func(p *picker) { p.pick, p.maxAttempts = p.fewestInFlight, 1 }},
+	"lie-drop":      {"a liar: forgets 1 request in 100", func(p *picker) { p.pick, p.dropEvery = p.fewestInFlight, 100 }},
+	"lie-double":    {"a liar: sends effects twice", func(p *picker) { p.pick, p.sendTwice = p.fewestInFlight, true }},
+	"lie-drain":     {"a liar: sends to draining endpoints as to others", func(p *picker) { p.pick, p.ignoreDrain = p.roundRobin, true }},
+	"lie-push-over": {"a liar: sends all to the endpoint that started last", func(p *picker) { p.pick = p.lastStarted }},
 }
 
 // Names are those of all policies, the module first, liars last.
@@ -75,52 +75,52 @@
 	}
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		p, err := newPicker(conf.Settings, conf.Seed, kind)
-		if err == nil && p.drained {
+		if err == nil && p.ignoreDrain {
 			conf.Settings.Rules.DrainGrace = 0 // the second look, where the first byte leaves, would keep the rule for it
 		}
 		return p, err
 	}, nil
 }
 
-// asked is a request that is open.
-type asked struct {
-	class    *decide.Class
-	until    decide.Time
-	attempts int
-	out      map[int]decide.EndpointID
-	mayRun   bool // an attempt may have run
+// openRequest is a request that is open.
+type openRequest struct {
+	class      *decide.Class
+	deadline   decide.Time
+	attempts   int
+	inFlight   map[int]decide.EndpointID
+	mayHaveRun bool // an attempt may have run
 }
 
 // picker is every policy: it picks an endpoint, and retries what may be retried
 // until the attempts are used up.
 type picker struct {
-	settings  decide.Settings
-	classes   map[string]*decide.Class
-	dice      *rand.Rand
-	now       decide.Time
-	endpoints []decide.Endpoint // as listed, draining ones included
-	out       map[decide.EndpointID]int
-	requests  map[decide.RequestID]*asked
-	turn      int
-	rewatch   decide.Time // when to ask for the list again; 0 for not
+	settings   decide.Settings
+	classes    map[string]*decide.Class
+	rng        *rand.Rand
+	now        decide.Time
+	endpoints  []decide.Endpoint // as listed, draining ones included
+	inFlight   map[decide.EndpointID]int
+	requests   map[decide.RequestID]*openRequest
+	nextInTurn int
+	rewatchAt  decide.Time // when to ask for the list again; 0 for not
 
-	pick     func(from []decide.Endpoint) decide.EndpointID
-	attempts int
-	tokens   float64 // below 0 for no budget
-	forget   int
-	double   bool
-	drained  bool
-	arrivals int
+	pick        func(from []decide.Endpoint) decide.EndpointID
+	maxAttempts int
+	tokens      float64 // below 0 for no budget
+	dropEvery   int
+	sendTwice   bool
+	ignoreDrain bool
+	arrivals    int
 }
 
 // The budget of retries, as the design has it, but for the floor refill.
 const (
-	burst  = 10.0 // tokens at the start, and at most
-	earned = 0.1  // for a served attempt
+	maxTokens       = 10.0 // tokens at the start, and at most
+	tokensPerServed = 0.1  // for a served attempt
 )
 
-// pay takes a token for a retry; false if there is none.
-func (p *picker) pay() bool {
+// spendToken takes a token for a retry; false if there is none.
+func (p *picker) spendToken() bool {
 	if p.tokens < 0 {
 		return true
 	}
@@ -131,29 +131,29 @@
 	return true
 }
 
-// earn books a served attempt.
-func (p *picker) earn() {
+// earnToken books a served attempt.
+func (p *picker) earnToken() {
 	if p.tokens >= 0 {
-		p.tokens = min(burst, p.tokens+earned)
+		p.tokens = min(maxTokens, p.tokens+tokensPerServed)
 	}
 }
 
-// relist is how long after a failed call for the list the next one comes.
-const relist = time.Second
+// rewatchDelay is how long after a failed call for the list the next one comes.
+const rewatchDelay = time.Second
 
 func newPicker(s decide.Settings, seed uint64, kind Kind) (*picker, error) {
 	if len(s.Classes) == 0 {
 		return nil, errors.New("classes: there are none")
 	}
 	p := &picker{
-		settings: s, classes: map[string]*decide.Class{}, dice: rand.New(rand.NewPCG(seed, 6)),
-		out:      map[decide.EndpointID]int{},
-		requests: map[decide.RequestID]*asked{}, attempts: max(1, s.Limits.MaxAttempts), tokens: -1,
+		settings: s, classes: map[string]*decide.Class{}, rng: rand.New(rand.NewPCG(seed, 6)),
+		inFlight: map[decide.EndpointID]int{},
+		requests: map[decide.RequestID]*openRequest{}, maxAttempts: max(1, s.Limits.MaxAttempts), tokens: -1,
 	}
 	for i := range s.Classes {
 		p.classes[s.Classes[i].Name] = &s.Classes[i]
 	}
-	kind.make(p)
+	kind.configure(p)
 	return p, nil
 }
 
@@ -167,149 +167,149 @@
 		}
 	case decide.ListReplaced, decide.ListRestored:
 		p.endpoints = nil
-		p.takeLines(ev.Endpoints)
+		p.applyLines(ev.Endpoints)
 	case decide.ListChanged:
-		p.takeLines(ev.Endpoints)
+		p.applyLines(ev.Endpoints)
 	case decide.ListFailed:
-		p.rewatch = now + relist
-		out = append(out, decide.Action{Kind: decide.SetTimer, After: relist})
+		p.rewatchAt = now + rewatchDelay
+		out = append(out, decide.Action{Kind: decide.SetTimer, After: rewatchDelay})
 	case decide.TimerDue:
-		if p.rewatch > 0 && p.rewatch <= now {
-			p.rewatch = 0
+		if p.rewatchAt > 0 && p.rewatchAt <= now {
+			p.rewatchAt = 0
 			out = append(out, decide.Action{Kind: decide.WatchList})
 		}
 	case decide.Arrived:
-		out = p.arrived(ev, out)
+		out = p.handleArrived(ev, out)
 	case decide.Finished:
-		out = p.finished(ev, out)
+		out = p.handleFinished(ev, out)
 	case decide.ClientLeft:
-		out = p.end(ev.Request, out)
+		out = p.endRequest(ev.Request, out)
 	}
 	return out
 }
 
-func (p *picker) takeLines(lines []decide.Endpoint) {
-	for _, l := range lines {
-		i := slices.IndexFunc(p.endpoints, func(e decide.Endpoint) bool { return e.ID == l.ID })
+func (p *picker) applyLines(lines []decide.Endpoint) {
+	for _, line := range lines {
+		i := slices.IndexFunc(p.endpoints, func(e decide.Endpoint) bool { return e.ID == line.ID })
 		switch {
-		case l.State == decide.Gone && i >= 0:
+		case line.State == decide.Gone && i >= 0:
 			p.endpoints = slices.Delete(p.endpoints, i, i+1)
-		case l.State == decide.Gone:
+		case line.State == decide.Gone:
 		case i >= 0:
-			p.endpoints[i] = l
+			p.endpoints[i] = line
 		default:
-			p.endpoints = append(p.endpoints, l)
+			p.endpoints = append(p.endpoints, line)
 		}
 	}
 }
 
-func (p *picker) arrived(ev *decide.Event, out []decide.Action) []decide.Action {
+func (p *picker) handleArrived(ev *decide.Event, out []decide.Action) []decide.Action {
 	p.arrivals++
-	q := &asked{class: p.classes[ev.Class], until: p.now + ev.Grace, out: map[int]decide.EndpointID{}}
+	q := &openRequest{class: p.classes[ev.Class], deadline: p.now + ev.Grace, inFlight: map[int]decide.EndpointID{}}
 	if q.class == nil {
 		return append(out, decide.Action{Kind: decide.Fail, Request: ev.Request})
 	}
 	p.requests[ev.Request] = q
-	if p.forget > 0 && p.arrivals%p.forget == 0 {
+	if p.dropEvery > 0 && p.arrivals%p.dropEvery == 0 {
 		return out
 	}
 	out = p.send(ev.Request, q, out)
-	if p.double && q.class.Effect == decide.Unsafe {
+	if p.sendTwice && q.class.Effect == decide.Unsafe {
 		out = p.send(ev.Request, q, out)
 	}
 	return out
 }
 
 // send sends one attempt, or ends a request that can't be sent.
-func (p *picker) send(id decide.RequestID, q *asked, out []decide.Action) []decide.Action {
-	from := slices.DeleteFunc(slices.Clone(p.endpoints), func(e decide.Endpoint) bool {
-		return e.State != decide.Active && !p.drained
+func (p *picker) send(id decide.RequestID, q *openRequest, out []decide.Action) []decide.Action {
+	candidates := slices.DeleteFunc(slices.Clone(p.endpoints), func(e decide.Endpoint) bool {
+		return e.State != decide.Active && !p.ignoreDrain
 	})
-	if len(from) == 0 || q.until <= p.now {
+	if len(candidates) == 0 || q.deadline <= p.now {
 		return p.giveUp(id, q, out)
 	}
-	to := p.pick(from)
-	q.out[q.attempts] = to
+	endpoint := p.pick(candidates)
+	q.inFlight[q.attempts] = endpoint
 	q.attempts++
-	p.out[to]++
-	return append(out, decide.Action{Kind: decide.Send, Request: id, Endpoint: to})
+	p.inFlight[endpoint]++
+	return append(out, decide.Action{Kind: decide.Send, Request: id, Endpoint: endpoint})
 }
 
-func (p *picker) finished(ev *decide.Event, out []decide.Action) []decide.Action {
+func (p *picker) handleFinished(ev *decide.Event, out []decide.Action) []decide.Action {
 	q := p.requests[ev.Request]
 	if q == nil {
 		return out
 	}
-	to := q.out[ev.Attempt]
-	delete(q.out, ev.Attempt)
-	if p.out[to]--; p.out[to] <= 0 {
-		delete(p.out, to)
+	endpoint := q.inFlight[ev.Attempt]
+	delete(q.inFlight, ev.Attempt)
+	if p.inFlight[endpoint]--; p.inFlight[endpoint] <= 0 {
+		delete(p.inFlight, endpoint)
 	}
 	if ev.Outcome == decide.Served {
-		p.earn()
+		p.earnToken()
 	}
-	q.mayRun = q.mayRun || !ev.Outcome.NeverRan()
+	q.mayHaveRun = q.mayHaveRun || !ev.Outcome.NeverRan()
 	switch {
 	case ev.RequestDone || ev.Outcome == decide.Served:
-		return p.end(ev.Request, out)
-	case len(q.out) > 0: // another attempt is out
+		return p.endRequest(ev.Request, out)
+	case len(q.inFlight) > 0: // another attempt is out
 		return out
-	case q.attempts < p.attempts && p.mayRepeat(q, ev.Outcome) && p.pay():
+	case q.attempts < p.maxAttempts && p.mayRetry(q, ev.Outcome) && p.spendToken():
 		return p.send(ev.Request, q, out)
 	}
 	return p.giveUp(ev.Request, q, out)
 }
 
-// mayRepeat tells whether a repeat can do no harm. Keyed requests are repeated only
+// mayRetry tells whether a repeat can do no harm. Keyed requests are repeated only
 // where nothing has run: a policy that knows no groups and windows can't do more.
-func (p *picker) mayRepeat(q *asked, o decide.Outcome) bool {
-	return q.class.Effect == decide.Safe && o != decide.TimedOut || !q.mayRun
+func (p *picker) mayRetry(q *openRequest, outcome decide.Outcome) bool {
+	return q.class.Effect == decide.Safe && outcome != decide.TimedOut || !q.mayHaveRun
 }
 
-func (p *picker) giveUp(id decide.RequestID, q *asked, out []decide.Action) []decide.Action {
+func (p *picker) giveUp(id decide.RequestID, q *openRequest, out []decide.Action) []decide.Action {
 	kind := decide.Fail
-	if !q.mayRun {
+	if !q.mayHaveRun {
 		kind = decide.Refuse
 	}
-	return p.end(id, append(out, decide.Action{Kind: kind, Request: id}))
+	return p.endRequest(id, append(out, decide.Action{Kind: kind, Request: id}))
 }
 
-// end forgets a request and calls off what is out for it.
-func (p *picker) end(id decide.RequestID, out []decide.Action) []decide.Action {
+// endRequest forgets a request and calls off what is out for it.
+func (p *picker) endRequest(id decide.RequestID, out []decide.Action) []decide.Action {
 	q := p.requests[id]
 	if q == nil {
 		return out
 	}
 	delete(p.requests, id)
-	for _, n := range slices.Sorted(maps.Keys(q.out)) {
-		if p.out[q.out[n]]--; p.out[q.out[n]] <= 0 {
-			delete(p.out, q.out[n])
+	for _, attempt := range slices.Sorted(maps.Keys(q.inFlight)) {
+		if p.inFlight[q.inFlight[attempt]]--; p.inFlight[q.inFlight[attempt]] <= 0 {
+			delete(p.inFlight, q.inFlight[attempt])
 		}
 		if p.settings.Limits.Cancel {
-			out = append(out, decide.Action{Kind: decide.Cancel, Request: id, Attempt: n})
+			out = append(out, decide.Action{Kind: decide.Cancel, Request: id, Attempt: attempt})
 		}
 	}
 	return out
 }
 
 func (p *picker) random(from []decide.Endpoint) decide.EndpointID {
-	return from[p.dice.IntN(len(from))].ID
+	return from[p.rng.IntN(len(from))].ID
 }
 
-func (p *picker) inTurn(from []decide.Endpoint) decide.EndpointID {
-	p.turn++
-	return from[p.turn%len(from)].ID
+func (p *picker) roundRobin(from []decide.Endpoint) decide.EndpointID {
+	p.nextInTurn++
+	return from[p.nextInTurn%len(from)].ID
 }
 
-// least picks among those with the fewest attempts out, by chance.
-func (p *picker) least(from []decide.Endpoint) decide.EndpointID {
+// fewestInFlight picks among those with the fewest attempts out, by chance.
+func (p *picker) fewestInFlight(from []decide.Endpoint) decide.EndpointID {
 	fewest, n := from[0].ID, 0
 	for _, e := range from {
-		switch out := p.out[e.ID]; {
-		case n == 0 || out < p.out[fewest]:
+		switch out := p.inFlight[e.ID]; {
+		case n == 0 || out < p.inFlight[fewest]:
 			fewest, n = e.ID, 1
-		case out == p.out[fewest]:
-			if n++; p.dice.IntN(n) == 0 {
+		case out == p.inFlight[fewest]:
+			if n++; p.rng.IntN(n) == 0 {
 				fewest = e.ID
 			}
 		}
@@ -317,6 +317,6 @@
 	return fewest
 }
 
-func (p *picker) youngest(from []decide.Endpoint) decide.EndpointID {
+func (p *picker) lastStarted(from []decide.Endpoint) decide.EndpointID {
 	return slices.MaxFunc(from, func(a, b decide.Endpoint) int { return cmp.Compare(a.Started, b.Started) }).ID
 }
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -31,11 +31,11 @@
 	}
 }
 
-type openRequest struct {
-	class       string
-	out         map[int]decide.EndpointID
-	sent        int
-	over, mayBe bool
+type trackedRequest struct {
+	class             string
+	inFlight          map[int]decide.EndpointID
+	sent              int
+	ended, mayHaveRun bool
 }
 
 func checkRules(t *rapid.T, name string) {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	requests := map[decide.RequestID]*openRequest{}
+	requests := map[decide.RequestID]*trackedRequest{}
 	state := map[decide.EndpointID]decide.EndpointState{}
 	now, last := decide.Time(0), decide.RequestID(0)
 	var handle func(ev decide.Event)
@@ -52,23 +52,23 @@
 			q := requests[a.Request]
 			switch a.Kind {
 			case decide.Send:
-				if q.over || state[a.Endpoint] != decide.Active {
-					t.Fatalf("sent to %d, which is %v, over %v", a.Endpoint, state[a.Endpoint], q.over)
+				if q.ended || state[a.Endpoint] != decide.Active {
+					t.Fatalf("sent to %d, which is %v, over %v", a.Endpoint, state[a.Endpoint], q.ended)
 				}
-				if q.class != "look" && (q.mayBe || len(q.out) > 0) {
+				if q.class != "look" && (q.mayHaveRun || len(q.inFlight) > 0) {
 					t.Fatalf("%s sent again though it may have run", q.class)
 				}
-				q.out[q.sent] = a.Endpoint
+				q.inFlight[q.sent] = a.Endpoint
 				q.sent++
 			case decide.Refuse, decide.Fail:
-				if q.over || a.Kind == decide.Refuse && q.mayBe {
+				if q.ended || a.Kind == decide.Refuse && q.mayHaveRun {
 					t.Fatalf("ended twice, or refused what may have run: %+v", a)
 				}
-				q.over = true
+				q.ended = true
 			}
 		}
 	}
-	list := func() {
+	publishList := func() {
 		var lines []decide.Endpoint
 		for id := range decide.EndpointID(4) {
 			state[id] = decide.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
@@ -77,14 +77,14 @@
 		handle(decide.Event{Kind: decide.ListChanged, Endpoints: lines})
 	}
 	handle(decide.Event{Kind: decide.Start})
-	list()
+	publishList()
 	for range rapid.IntRange(1, 100).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 50).Draw(t, "pause")) * ms
 		switch rapid.IntRange(0, 4).Draw(t, "kind") {
 		case 0, 1:
 			last++
 			class := rapid.SampledFrom([]string{"look", "pay", "burn"}).Draw(t, "class")
-			requests[last] = &openRequest{class: class, out: map[int]decide.EndpointID{}}
+			requests[last] = &trackedRequest{class: class, inFlight: map[int]decide.EndpointID{}}
 			handle(decide.Event{Kind: decide.Arrived, Request: last, Class: class, Grace: time.Second})
 		case 2, 3:
 			if last == 0 {
@@ -93,25 +93,25 @@
 			id := decide.RequestID(rapid.IntRange(1, int(last)).Draw(t, "request"))
 			q := requests[id]
 			n := q.sent - 1
-			if _, out := q.out[n]; !out {
+			if _, out := q.inFlight[n]; !out {
 				break
 			}
-			delete(q.out, n)
+			delete(q.inFlight, n)
 			o := decide.Outcome(rapid.IntRange(0, int(decide.NotSent)).Draw(t, "outcome"))
-			q.mayBe = q.mayBe || !o.NeverRan()
-			over := q.over || o == decide.Served
-			q.over = over
+			q.mayHaveRun = q.mayHaveRun || !o.NeverRan()
+			over := q.ended || o == decide.Served
+			q.ended = over
 			handle(decide.Event{Kind: decide.Finished, Request: id, Attempt: n, Outcome: o, RequestDone: over})
 		case 4:
-			list()
+			publishList()
 		}
 	}
 	for id, q := range requests {
-		if !q.over && len(q.out) == 0 {
+		if !q.ended && len(q.inFlight) == 0 {
 			t.Fatalf("request %d has neither an end nor an attempt out", id)
 		}
 	}
-	for id, n := range p.out {
+	for id, n := range p.inFlight {
 		if n <= 0 {
 			t.Fatalf("endpoint %d has %d out", id, n)
 		}
@@ -119,7 +119,7 @@
 }
 
 // The bucket holds retries to a tenth of what is served, beyond its burst.
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	sent := func(name string) int {
 		p, err := newPicker(settings(), 1, kinds[name])
 		if err != nil {
@@ -139,8 +139,8 @@
 	if n := sent("least"); n != 300 {
 		t.Errorf("without a budget: %d attempts, want 300", n)
 	}
-	if n := sent("least-budget"); n != 100+burst {
-		t.Errorf("with a budget: %d attempts, want %v", n, 100+burst)
+	if n := sent("least-budget"); n != 100+maxTokens {
+		t.Errorf("with a budget: %d attempts, want %v", n, 100+maxTokens)
 	}
 }
 
--- a/internal/lab/scenario/cluster.go
+++ b/internal/lab/scenario/cluster.go
@@ -52,9 +52,9 @@
 
 // Bounds of a crew's scenario.
 const (
-	mostCrew      = 30
-	mostCrewSteps = 64
-	mostCrewTime  = 30 * time.Minute
+	maxProcesses    = 30
+	maxClusterSteps = 64
+	maxClusterTime  = 30 * time.Minute
 )
 
 // LoadCluster reads a crew's scenario. The error tells all that is wrong, a line each.
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return decodeCrew(doc)
+	return decodeCluster(doc)
 }
 
 // ParseCluster reads one from a text; the name is for errors.
@@ -72,44 +72,44 @@
 	if err != nil {
 		return nil, err
 	}
-	return decodeCrew(doc)
+	return decodeCluster(doc)
 }
 
-// has tells whether somebody goes by a name.
-func (c *Cluster) has(who string) bool {
-	switch who {
+// isTarget tells whether somebody goes by a name.
+func (c *Cluster) isTarget(target string) bool {
+	switch target {
 	case "leader", "follower", "keepers", "all":
 		return true
 	}
-	return c.process(who)
+	return c.isProcess(target)
 }
 
-// process tells whether a process goes by a name.
-func (c *Cluster) process(who string) bool {
+// isProcess tells whether a process goes by a name.
+func (c *Cluster) isProcess(name string) bool {
 	var n int
-	if _, err := fmt.Sscanf(who, "k%d", &n); err == nil && who == fmt.Sprintf("k%d", n) {
+	if _, err := fmt.Sscanf(name, "k%d", &n); err == nil && name == fmt.Sprintf("k%d", n) {
 		return n >= 1 && n <= c.Voters
 	}
-	_, err := fmt.Sscanf(who, "m%d", &n)
-	return err == nil && who == fmt.Sprintf("m%d", n) && n >= 1 && n <= c.Members
+	_, err := fmt.Sscanf(name, "m%d", &n)
+	return err == nil && name == fmt.Sprintf("m%d", n) && n >= 1 && n <= c.Members
 }
 
-func decodeCrew(doc *tomlread.Doc) (*Cluster, error) {
+func decodeCluster(doc *tomlread.Doc) (*Cluster, error) {
 	t := doc.Root
 	t.Need("name", "a text")
 	c := &Cluster{
 		Name: t.Text("name", "crew"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
-		Voters: t.Int("keepers", 3, 1, 7), Members: t.Int("members", 2, 0, mostCrew-1),
+		Voters: t.Int("keepers", 3, 1, 7), Members: t.Int("members", 2, 0, maxProcesses-1),
 		Lease: t.Duration("lease", time.Second, 200*time.Millisecond, time.Minute), Drift: t.Float("drift", 0.01, 0, 0.1),
 		Slack:            t.Duration("slack", 200*time.Millisecond, 0, 10*time.Second),
 		ContradictAtMost: t.Duration("contradict_at_most", 1500*time.Millisecond, 200*time.Millisecond, 5*time.Minute),
-		Duration:         t.Duration("duration", 10*time.Second, time.Second, mostCrewTime),
-		Rate:             t.Float("rate", 40, 1, 1000), Random: t.Int("random", 0, 0, mostCrewSteps),
-		Proposals: t.Int("proposals", 0, 0, mostCrewSteps),
-		KeyedRate: t.Float("orders", 0, 0, 1000), Copies: t.Int("copies", 0, 0, clusterparams.MaxCopies), Zones: t.Int("zones", 3, 1, mostCrew),
+		Duration:         t.Duration("duration", 10*time.Second, time.Second, maxClusterTime),
+		Rate:             t.Float("rate", 40, 1, 1000), Random: t.Int("random", 0, 0, maxClusterSteps),
+		Proposals: t.Int("proposals", 0, 0, maxClusterSteps),
+		KeyedRate: t.Float("orders", 0, 0, 1000), Copies: t.Int("copies", 0, 0, clusterparams.MaxCopies), Zones: t.Int("zones", 3, 1, maxProcesses),
 	}
-	if c.Voters+c.Members > mostCrew {
-		t.Fail("members", fmt.Sprintf("%d keepers and %d members", c.Voters, c.Members), fmt.Sprintf("up to %d processes", mostCrew))
+	if c.Voters+c.Members > maxProcesses {
+		t.Fail("members", fmt.Sprintf("%d keepers and %d members", c.Voters, c.Members), fmt.Sprintf("up to %d processes", maxProcesses))
 	}
 	if c.Copies > c.Zones {
 		t.Fail("copies", fmt.Sprint(c.Copies), "as many as there are zones")
@@ -117,18 +117,18 @@
 	if c.Duration < 4*c.Lease {
 		t.Fail("duration", c.Duration.String(), "four leases or more")
 	}
-	for _, s := range t.Tables("step", mostCrewSteps) {
+	for _, s := range t.Tables("step", maxClusterSteps) {
 		s.Need("do", "propose, kill, term, stop, cut, wipe, reset, full, setback, restart, twin, older, delay")
 		step := ClusterStep{
-			At: s.Duration("at", 0, 0, mostCrewTime), Do: s.Enum("do", "propose", append([]string{"propose", "restart", "twin", "older", "delay"}, ClusterFaults...)...),
-			Who: s.Text("who", "leader"), Direction: s.Enum("way", "both", CutDirections...), For: s.Duration("for", time.Second, 0, mostCrewTime),
+			At: s.Duration("at", 0, 0, maxClusterTime), Do: s.Enum("do", "propose", append([]string{"propose", "restart", "twin", "older", "delay"}, ClusterFaults...)...),
+			Who: s.Text("who", "leader"), Direction: s.Enum("way", "both", CutDirections...), For: s.Duration("for", time.Second, 0, maxClusterTime),
 			Effect: s.Text("effect", ""), Ban: s.Text("ban", ""), ProposerDies: s.Bool("dies", false),
 			With: s.Text("with", ""), By: s.Duration("by", 100*time.Millisecond, 0, time.Minute),
 		}
-		if !c.has(step.Who) {
+		if !c.isTarget(step.Who) {
 			s.Fail("who", step.Who, fmt.Sprintf("leader, follower, keepers, all, k1 to k%d, m1 to m%d", c.Voters, c.Members))
 		}
-		if step.With != "" && !c.process(step.With) {
+		if step.With != "" && !c.isProcess(step.With) {
 			s.Fail("with", step.With, fmt.Sprintf("k1 to k%d, m1 to m%d", c.Voters, c.Members))
 		}
 		if (step.Do == "twin" || step.Do == "older") && (step.Who == "keepers" || step.Who == "all") {
--- a/internal/lab/scenario/cluster_test.go
+++ b/internal/lab/scenario/cluster_test.go
@@ -7,7 +7,7 @@
 )
 
 // The crews that come with heathgap are read, and a name that nobody has is refused: it would have struck the first keeper.
-func TestCrews(t *testing.T) {
+func TestRepositoryClusters(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/crews/*.toml")
 	if err != nil || len(paths) < 3 {
 		t.Fatalf("%q, %v", paths, err)
@@ -17,9 +17,9 @@
 			t.Error(err)
 		}
 	}
-	for who, good := range map[string]bool{"leader": true, "all": true, "k3": true, "m2": true, "k4": false, "m0": false, "m3": false, "m1x": false, "nobody": false} {
+	for who, valid := range map[string]bool{"leader": true, "all": true, "k3": true, "m2": true, "k4": false, "m0": false, "m3": false, "m1x": false, "nobody": false} {
 		_, err := ParseCluster("f.toml", []byte("name = \"x\"\n[[step]]\ndo = \"kill\"\nwho = \""+who+"\"\n"))
-		if (err == nil) != good || err != nil && !strings.Contains(err.Error(), "k1 to k3, m1 to m2") {
+		if (err == nil) != valid || err != nil && !strings.Contains(err.Error(), "k1 to k3, m1 to m2") {
 			t.Errorf("%s: %v", who, err)
 		}
 	}
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -20,13 +20,13 @@
 
 // Bounds that keep a run within one machine's descriptors and ports.
 const (
-	mostTiers     = 4
-	mostEndpoints = 3200
-	mostSidecars  = 32
-	mostClasses   = 32
-	mostTenants   = 200
-	mostFaults    = 200
-	longest       = time.Hour
+	maxTiers     = 4
+	maxEndpoints = 3200
+	maxSidecars  = 32
+	maxClasses   = 32
+	maxTenants   = 200
+	maxFaults    = 200
+	maxDuration  = time.Hour
 )
 
 // Scenario is one file.
@@ -135,7 +135,7 @@
 	Flood             Kind = "flood"             // Factor times the requests of Tenant, or of all
 )
 
-var kinds = []string{
+var faultKinds = []string{
 	string(Crash), string(Replace), string(Pause), string(Slow), string(Errors), string(Hang), string(Silent),
 	string(Refuse), string(TruncatedAnswer), string(Garbage), string(ExtraBytes), string(Drain), string(Release), string(Add),
 	string(SidecarKill), string(SidecarRestart), string(DiscoveryDown), string(DiscoveryLag),
@@ -183,7 +183,7 @@
 	s.Name = root.Text("name", "")
 	s.About = root.Text("about", s.Name)
 	s.Seed = uint64(root.Int("seed", 1, 0, 1<<53))
-	s.Duration = root.Duration("duration", time.Second, time.Second, longest)
+	s.Duration = root.Duration("duration", time.Second, time.Second, maxDuration)
 	s.Warmup = root.Duration("warmup", 0, 0, s.Duration)
 	s.Margin = root.Duration("margin", 50*time.Millisecond, 0, time.Minute)
 	s.MaxLag = root.Duration("most_lag", 10*time.Millisecond, time.Millisecond, time.Minute)
@@ -194,7 +194,7 @@
 	s.decodeTenants(root)
 	s.decodeTiers(root)
 	s.decodeLoad(root.Table("load"))
-	for _, t := range root.Tables("fault", mostFaults) {
+	for _, t := range root.Tables("fault", maxFaults) {
 		s.Faults = append(s.Faults, s.decodeFault(t))
 	}
 	if err := doc.Err(); err != nil {
@@ -237,7 +237,7 @@
 
 func (s *Scenario) decodeClasses(root *tomlread.Table) {
 	root.Need("class", "an array of tables")
-	for _, t := range root.Tables("class", mostClasses) {
+	for _, t := range root.Tables("class", maxClasses) {
 		t.Need("name", "a text")
 		t.Need("work", "a time with its unit")
 		c := Class{
@@ -266,7 +266,7 @@
 }
 
 func (s *Scenario) decodeTenants(root *tomlread.Table) {
-	for _, t := range root.Tables("tenant", mostTenants) {
+	for _, t := range root.Tables("tenant", maxTenants) {
 		t.Need("name", "a text")
 		s.Tenants = append(s.Tenants, Tenant{
 			Name:    t.Text("name", ""),
@@ -282,44 +282,44 @@
 
 func (s *Scenario) decodeTiers(root *tomlread.Table) {
 	root.Need("tier", "an array of tables")
-	tables := root.Tables("tier", mostTiers)
+	tables := root.Tables("tier", maxTiers)
 	for i, t := range tables {
 		t.Need("name", "a text")
 		t.Need("endpoints", "a whole number")
 		tier := Tier{
 			Name:        t.Text("name", ""),
-			Endpoints:   t.Int("endpoints", 1, 1, mostEndpoints),
+			Endpoints:   t.Int("endpoints", 1, 1, maxEndpoints),
 			Zones:       t.Texts("zones"),
-			Groups:      t.Int("groups", 1, 1, mostEndpoints),
+			Groups:      t.Int("groups", 1, 1, maxEndpoints),
 			WorkScale:   t.Float("work_scale", 1, 0.001, 1000),
 			Connections: t.Int("connections", 0, 0, 65536),
 			Handshake:   t.Duration("handshake", 0, 0, time.Second),
 			Body:        t.Int("body", 200, 0, 1<<20),
 			ListBy:      t.Enum("list_by", "subscribe", "subscribe", "push"),
 		}
-		tier.ServerModel = decodeStation(t, s.Rules)
+		tier.ServerModel = decodeServerModel(t, s.Rules)
 		if len(tier.Zones) == 0 {
 			tier.Zones = []string{"a"}
 		}
 		if i == 0 {
-			tier.Sidecars = t.Int("sidecars", 1, 1, mostSidecars)
+			tier.Sidecars = t.Int("sidecars", 1, 1, maxSidecars)
 		}
 		if i < len(tables)-1 {
 			tier.Calls = t.Int("calls", 1, 0, 16)
 			t.Need("call_class", "the name of a class")
 			tier.CallClass = t.Text("call_class", "")
-			if t.Has("call_class") && s.class(tier.CallClass) < 0 {
+			if t.Has("call_class") && s.classIndex(tier.CallClass) < 0 {
 				t.Fail("call_class", fmt.Sprintf("%q", tier.CallClass), "the name of a class")
 			}
-			if tier.Calls > 0 && tier.Endpoints > mostSidecars {
-				t.Fail("endpoints", fmt.Sprint(tier.Endpoints), fmt.Sprintf("up to %d where they call: each has a sidecar", mostSidecars))
+			if tier.Calls > 0 && tier.Endpoints > maxSidecars {
+				t.Fail("endpoints", fmt.Sprint(tier.Endpoints), fmt.Sprintf("up to %d where they call: each has a sidecar", maxSidecars))
 			}
 		}
 		s.Tiers = append(s.Tiers, tier)
 	}
 }
 
-func decodeStation(t *tomlread.Table, rules Rules) servermodel.Conf {
+func decodeServerModel(t *tomlread.Table, rules Rules) servermodel.Conf {
 	return servermodel.Conf{
 		Cores:        t.Float("cores", 2, 0.01, 1000),
 		Speed:        t.Float("speed", 1, 0.01, 1000),
@@ -334,12 +334,12 @@
 	}
 }
 
-func (s *Scenario) class(name string) int {
+func (s *Scenario) classIndex(name string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
 
 func (s *Scenario) decodeLoad(t *tomlread.Table) {
-	const mostOfCapacity = 20
+	const maxOfCapacity = 20
 	l := &s.Load
 	l.Shape = load.Shape(t.Enum("shape", "steady", "steady", "ramp", "surge", "wander"))
 	l.Low = t.Float("low", 0.5, 0, 1)
@@ -349,7 +349,7 @@
 			t.Skip("rate")
 			t.Fail("of_capacity", "beside rate", "one of the two")
 		}
-		l.Rate = t.Float("of_capacity", 0.5, 0.001, mostOfCapacity) * s.Capacity()
+		l.Rate = t.Float("of_capacity", 0.5, 0.001, maxOfCapacity) * s.Capacity()
 	} else {
 		t.Need("rate", fmt.Sprintf("requests a second up to %d, or of_capacity", MaxRate))
 		l.Rate = t.Float("rate", 1, 0.1, 1e9)
@@ -390,8 +390,8 @@
 	return float64(t.Endpoints) * t.ServerModel.Cores * t.ServerModel.Speed / (work / shares * t.WorkScale)
 }
 
-// takes says which keys a kind of fault has, beside kind and at.
-var takes = map[Kind][]string{
+// faultKeys says which keys a kind of fault has, beside kind and at.
+var faultKeys = map[Kind][]string{
 	Crash: {"for", "tier", "share", "count", "listed_after"}, Replace: {"for", "tier", "share", "count"},
 	Pause: {"for", "tier", "share", "count"}, Slow: {"for", "tier", "share", "count", "factor"},
 	Errors: {"for", "tier", "share", "count", "of_requests"}, Hang: {"for", "tier", "share", "count"},
@@ -408,7 +408,7 @@
 	t.Need("kind", "a kind of fault")
 	t.Need("at", "a time with its unit")
 	f := Fault{
-		Kind:   Kind(t.Enum("kind", "", kinds...)),
+		Kind:   Kind(t.Enum("kind", "", faultKinds...)),
 		At:     t.Duration("at", 0, 0, s.Duration),
 		Share:  1,
 		Of:     1,
@@ -417,7 +417,7 @@
 	if f.Kind == "" {
 		t.Skip("for", "tier", "share", "count", "of_requests", "factor", "lag", "listed_after", "tenant") // what it may have is unknown
 	}
-	for _, key := range takes[f.Kind] {
+	for _, key := range faultKeys[f.Kind] {
 		s.decodeFaultKey(t, &f, key)
 	}
 	if t.Has("share") && t.Has("count") {
@@ -427,11 +427,11 @@
 }
 
 func (s *Scenario) decodeFaultKey(t *tomlread.Table, f *Fault, key string) {
-	const mostFactor = 100
+	const maxFactor = 100
 	switch key {
 	case "for":
 		t.Need(key, "a time with its unit")
-		f.For = t.Duration(key, 0, 0, longest)
+		f.For = t.Duration(key, 0, 0, maxDuration)
 	case "tier":
 		f.Tier = max(0, s.decodeTierName(t, key))
 	case "share":
@@ -440,12 +440,12 @@
 		if f.Kind == Add {
 			t.Need(key, "a whole number")
 		}
-		f.Count = t.Int(key, 0, 1, mostEndpoints)
+		f.Count = t.Int(key, 0, 1, maxEndpoints)
 	case "of_requests":
 		f.Of = t.Float(key, 1, 0, 1)
 	case "factor":
 		t.Need(key, "a number")
-		f.Factor = t.Float(key, 1, 0.001, mostFactor)
+		f.Factor = t.Float(key, 1, 0.001, maxFactor)
 	case "lag":
 		t.Need(key, "a time with its unit")
 		f.Lag = t.Duration(key, 0, 0, time.Minute)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-const good = `name = "test"
+const validScenario = `name = "test"
 duration = "30s"
 [[class]]
 name = "look"
@@ -78,7 +78,7 @@
 }
 
 // Guards against faults of a file that are passed over, or told at another line.
-func TestRefused(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"wrong key":         {"work = \"4ms\"", "work = \"4ms\"\nwrok = 1", `f:6: class[0].wrok: unknown key`},
 		"unit missing":      {"at = \"5s\"", "at = 5", `f:24: fault[0].at: 5; allowed: a time from "0s" to "30s" with its unit`},
@@ -97,7 +97,7 @@
 		"no TOML":           {"[load]", "[load", `f:20: no TOML`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse("f", []byte(strings.Replace(good, c.from, c.to, 1)))
+			_, err := Parse("f", []byte(strings.Replace(validScenario, c.from, c.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("told\n%v\nwant\n%s", err, c.want)
 			}
@@ -106,18 +106,18 @@
 }
 
 // The same seed makes the same arrivals and faults, another seed others.
-func TestTimelineFollowsTheSeed(t *testing.T) {
-	s := parse(t, good)
-	if s.Hash(3) != s.Hash(3) || s.Hash(3) != parse(t, good).Hash(3) {
+func TestHashFollowsSeed(t *testing.T) {
+	s := parse(t, validScenario)
+	if s.Hash(3) != s.Hash(3) || s.Hash(3) != parse(t, validScenario).Hash(3) {
 		t.Error("one seed, two timelines")
 	}
 	if s.Hash(3) == s.Hash(4) {
 		t.Error("two seeds, one timeline")
 	}
-	if s.Hash(3) == parse(t, strings.Replace(good, "rate = 200", "rate = 201", 1)).Hash(3) {
+	if s.Hash(3) == parse(t, strings.Replace(validScenario, "rate = 200", "rate = 201", 1)).Hash(3) {
 		t.Error("the load does not count in the sum")
 	}
-	if s.Hash(3) == parse(t, strings.Replace(good, "share = 0.5", "share = 0.4", 1)).Hash(3) {
+	if s.Hash(3) == parse(t, strings.Replace(validScenario, "share = 0.5", "share = 0.4", 1)).Hash(3) {
 		t.Error("the faults do not count in the sum")
 	}
 }
@@ -125,7 +125,7 @@
 func TestTimeline(t *testing.T) {
 	var released, added []int
 	last := time.Duration(0)
-	for _, step := range parse(t, good).Timeline(1) {
+	for _, step := range parse(t, validScenario).Timeline(1) {
 		if step.At < last {
 			t.Errorf("%v after %v", step, last)
 		}
@@ -153,7 +153,7 @@
 
 // The arrivals have the plan's rate, shares and floods.
 func TestArrivals(t *testing.T) {
-	plan := parse(t, good).Plan()
+	plan := parse(t, validScenario).Plan()
 	calm, flooded, south := 0, 0, 0
 	for src := plan.Arrivals(1); ; {
 		a, ok := src.Next()
@@ -176,9 +176,9 @@
 	}
 }
 
-func TestSet(t *testing.T) {
+func TestSetKey(t *testing.T) {
 	for key, value := range map[string]string{"load.rate": "300", "tier.0.endpoints": "4", "rules.cold": `"2s"`} {
-		text, err := SetKey([]byte(good), key, value)
+		text, err := SetKey([]byte(validScenario), key, value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,16 +186,16 @@
 			t.Errorf("%s: %v", key, err)
 		}
 	}
-	text, err := SetKey([]byte(good), "load.rate", "300")
+	text, err := SetKey([]byte(validScenario), "load.rate", "300")
 	if err != nil || parse(t, string(text)).Load.Rate != 300 {
 		t.Errorf("the rate is not set: %v", err)
 	}
 	for _, key := range []string{"tier.7.endpoints", "name.first", "tier.0"} {
-		if _, err := SetKey([]byte(good), key, "1"); err == nil {
+		if _, err := SetKey([]byte(validScenario), key, "1"); err == nil {
 			t.Errorf("%s: set", key)
 		}
 	}
-	if _, err := SetKey([]byte(good), "load.rate", "many"); err == nil {
+	if _, err := SetKey([]byte(validScenario), "load.rate", "many"); err == nil {
 		t.Error("a value that is none was set")
 	}
 }
@@ -203,8 +203,8 @@
 // No text may end the process; what is taken can be played: its timeline names
 // places that there are, and its load is within bounds.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(strings.ReplaceAll(good, "\"", "'")))
+	f.Add([]byte(validScenario))
+	f.Add([]byte(strings.ReplaceAll(validScenario, "\"", "'")))
 	f.Add([]byte("name=\"x\"\nduration=\"1s\"\n[[tier]]\nname=\"a\"\nendpoints=1\n[load]\nof_capacity=1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("f", text)
--- a/internal/lab/scenario/set.go
+++ b/internal/lab/scenario/setkey.go
@@ -21,10 +21,10 @@
 		return nil, fmt.Errorf("%s: %q is no value of TOML: a text stands in quotes", key, value)
 	}
 	parts := strings.Split(key, ".")
-	var at any = values
+	var node any = values
 	for i, part := range parts {
 		last := i == len(parts)-1
-		switch table := at.(type) {
+		switch table := node.(type) {
 		case map[string]any:
 			if last {
 				table[part] = given.V
@@ -33,13 +33,13 @@
 			if table[part] == nil {
 				table[part] = map[string]any{}
 			}
-			at = table[part]
+			node = table[part]
 		case []any:
 			n, err := strconv.Atoi(part)
 			if err != nil || n < 0 || n >= len(table) || last {
 				return nil, fmt.Errorf("%s: %q is no place among %d, with a key behind it", key, part, len(table))
 			}
-			at = table[n]
+			node = table[n]
 		default:
 			return nil, fmt.Errorf("%s: there is no table before %q", key, part)
 		}
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -22,11 +22,11 @@
 
 // String is the step as a line of the record.
 func (s Step) String() string {
-	word := "begins"
+	state := "begins"
 	if s.Revert {
-		word = "ends"
+		state = "ends"
 	}
-	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, word, s.Tier, s.Slots)
+	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, state, s.Tier, s.Slots)
 }
 
 // Timeline draws the steps of a seed, in the order of their times.
@@ -50,11 +50,11 @@
 			sizes[f.Tier] += f.Count
 			steps = append(steps, Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: slots, Fault: f})
 		default:
-			of := s.Tiers[f.Tier].Endpoints
+			total := s.Tiers[f.Tier].Endpoints
 			if f.Kind == SidecarKill || f.Kind == SidecarRestart {
-				of = s.Tiers[0].Sidecars
+				total = s.Tiers[0].Sidecars
 			}
-			begin := Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: draw(random, of, f), Fault: f}
+			begin := Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: pickSlots(random, total, f), Fault: f}
 			end := begin
 			end.At, end.Revert = f.At+f.For, true
 			steps = append(steps, begin, end)
@@ -64,13 +64,13 @@
 	return steps
 }
 
-// draw picks the places that a fault strikes, in rising order.
-func draw(random *rand.Rand, of int, f Fault) []int {
+// pickSlots picks the places that a fault strikes, in rising order.
+func pickSlots(random *rand.Rand, total int, f Fault) []int {
 	n := f.Count
 	if n == 0 {
-		n = max(1, int(math.Round(f.Share*float64(of))))
+		n = max(1, int(math.Round(f.Share*float64(total))))
 	}
-	slots := random.Perm(of)[:min(n, of)]
+	slots := random.Perm(total)[:min(n, total)]
 	slices.Sort(slots)
 	return slots
 }
@@ -78,14 +78,14 @@
 // release drains and replaces a tier batch by batch, in an order that is drawn. A
 // batch begins when the one before it is replaced.
 func (s *Scenario) release(f Fault, random *rand.Rand) []Step {
-	of := s.Tiers[f.Tier].Endpoints
+	total := s.Tiers[f.Tier].Endpoints
 	size := f.Count
 	if size == 0 {
-		size = max(1, int(math.Round(f.Share*float64(of))))
+		size = max(1, int(math.Round(f.Share*float64(total))))
 	}
 	var steps []Step
 	at := f.At
-	for batch := range slices.Chunk(random.Perm(of), size) {
+	for batch := range slices.Chunk(random.Perm(total), size) {
 		slots := slices.Clone(batch)
 		slices.Sort(slots)
 		steps = append(steps,
--- a/internal/lab/scripted/steps.go
+++ b/internal/lab/scripted/peer.go
@@ -15,8 +15,8 @@
 // Steps: stand-ins that do one thing at a time, when the test says so. Where two events are to cross, the test is the
 // barrier: it does the one, hears that it has come, and then does the other.
 
-// stepTime bounds each step: far more than any should take.
-const stepTime = 20 * time.Second
+// stepTimeout bounds each step: far more than any should take.
+const stepTimeout = 20 * time.Second
 
 // Listener is an address at which the test takes connections one by one.
 type Listener struct {
@@ -32,8 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const waiting = 64 // connections that the test has not taken yet
-	d := &Listener{Address: listener.Addr().String(), t: t, conns: make(chan *net.TCPConn, waiting)}
+	const maxPending = 64 // connections that the test has not taken yet
+	l := &Listener{Address: listener.Addr().String(), t: t, conns: make(chan *net.TCPConn, maxPending)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
@@ -41,26 +41,26 @@
 			if err != nil {
 				return
 			}
-			d.conns <- conn.(*net.TCPConn)
+			l.conns <- conn.(*net.TCPConn)
 		}
 	}()
-	return d
+	return l
 }
 
 // Accept is the next connection that comes.
-func (d *Listener) Accept() *Peer {
-	d.t.Helper()
+func (l *Listener) Accept() *Peer {
+	l.t.Helper()
 	select {
-	case conn := <-d.conns:
-		return newPeer(d.t, conn)
-	case <-time.After(stepTime):
-		d.t.Fatalf("nobody came to %s", d.Address)
+	case conn := <-l.conns:
+		return newPeer(l.t, conn)
+	case <-time.After(stepTimeout):
+		l.t.Fatalf("nobody came to %s", l.Address)
 		return nil
 	}
 }
 
 // HasPending tells whether a connection has come that was not taken.
-func (d *Listener) HasPending() bool { return len(d.conns) > 0 }
+func (l *Listener) HasPending() bool { return len(l.conns) > 0 }
 
 // Peer is one side of a connection whose other side is under test.
 type Peer struct {
@@ -81,7 +81,7 @@
 
 func newPeer(t testing.TB, conn *net.TCPConn) *Peer {
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(stepTime)) //nolint:errcheck // the step that meets it fails
+	conn.SetDeadline(time.Now().Add(stepTimeout)) //nolint:errcheck // the step that meets it fails
 	return &Peer{TCPConn: conn, t: t, r: bufio.NewReader(conn)}
 }
 
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -26,16 +26,16 @@
 	Name    string
 	Address string
 
-	mu     sync.Mutex
-	seen   []*http.Request
-	bodies []string
-	behave http.HandlerFunc
+	mu      sync.Mutex
+	seen    []*http.Request
+	bodies  []string
+	handler http.HandlerFunc
 }
 
 // StartEndpoint starts one; behave may be nil.
-func StartEndpoint(t testing.TB, name string, behave http.HandlerFunc) *Endpoint {
+func StartEndpoint(t testing.TB, name string, handler http.HandlerFunc) *Endpoint {
 	t.Helper()
-	e := &Endpoint{Name: name, behave: behave}
+	e := &Endpoint{Name: name, handler: handler}
 	e.Address = serve(t, &http.Server{Handler: e})
 	return e
 }
@@ -59,8 +59,8 @@
 	e.seen = append(e.seen, r)
 	e.bodies = append(e.bodies, string(body))
 	e.mu.Unlock()
-	if e.behave != nil {
-		e.behave(w, r)
+	if e.handler != nil {
+		e.handler(w, r)
 		return
 	}
 	fmt.Fprint(w, e.Name)
@@ -138,13 +138,13 @@
 type Discovery struct {
 	Address string
 
-	mu     sync.Mutex
-	index  int
-	list   []byte
-	down   bool
-	broken string // answered in place of a list
-	asked  []string
-	news   chan struct{}
+	mu        sync.Mutex
+	index     int
+	list      []byte
+	down      bool
+	rawAnswer string // answered in place of a list
+	queries   []string
+	changed   chan struct{}
 }
 
 // StartDiscovery starts one that has nothing to tell yet.
@@ -156,19 +156,21 @@
 }
 
 // NewDiscovery is one that the test serves itself.
-func NewDiscovery() *Discovery { return &Discovery{news: make(chan struct{})} }
+func NewDiscovery() *Discovery { return &Discovery{changed: make(chan struct{})} }
 
-// set changes what it says, and ends the watches that wait.
-func (d *Discovery) set(change func()) {
+// update changes what it says, and ends the watches that wait.
+func (d *Discovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // SetText has it answer with a text, as of a version.
-func (d *Discovery) SetText(index int, text []byte) { d.set(func() { d.index, d.list = index, text }) }
+func (d *Discovery) SetText(index int, text []byte) {
+	d.update(func() { d.index, d.list = index, text })
+}
 
 // Publish has it answer with a whole list.
 func (d *Discovery) Publish(t testing.TB, index int, lines ...map[string]any) {
@@ -177,18 +179,18 @@
 }
 
 // SetDown has it answer 503 from now on, or not.
-func (d *Discovery) SetDown(down bool) { d.set(func() { d.down = down }) }
+func (d *Discovery) SetDown(down bool) { d.update(func() { d.down = down }) }
 
 // SetBroken has it answer with a text whatever it is asked; none for no such text.
-func (d *Discovery) SetBroken(text string) { d.set(func() { d.broken = text }) }
+func (d *Discovery) SetBroken(text string) { d.update(func() { d.rawAnswer = text }) }
 
 // ServeHTTP is http.Handler's.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	d.mu.Lock()
-	d.asked = append(d.asked, r.URL.RawQuery)
-	for !d.down && d.broken == "" && d.index <= after {
-		news := d.news
+	d.queries = append(d.queries, r.URL.RawQuery)
+	for !d.down && d.rawAnswer == "" && d.index <= after {
+		news := d.changed
 		d.mu.Unlock()
 		select {
 		case <-news:
@@ -201,8 +203,8 @@
 	switch {
 	case d.down:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case d.broken != "":
-		io.WriteString(w, d.broken) //nolint:errcheck // the peer may have gone
+	case d.rawAnswer != "":
+		io.WriteString(w, d.rawAnswer) //nolint:errcheck // the peer may have gone
 	default:
 		w.Write(d.list) //nolint:errcheck // the peer may have gone
 	}
@@ -215,18 +217,18 @@
 func (d *Discovery) Queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.asked...)
+	return append([]string(nil), d.queries...)
 }
 
-// hostsTaken counts the hosts that FreeAddress has dealt out.
-var hostsTaken atomic.Uint32
+// hostsUsed counts the hosts that FreeAddress has dealt out.
+var hostsUsed atomic.Uint32
 
 // FreeAddress is an address of loopback that nothing listens on, on a host of its own: on 127.0.0.1 the kernel may give the
 // port to a connection, or to another listener, before somebody listens there.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	const firstNet, nets, hostsOfNet = 100, 100, 250
-	pid, n := os.Getpid(), hostsTaken.Add(1)
+	pid, n := os.Getpid(), hostsUsed.Add(1)
 	return FreeAddressAt(t, fmt.Sprintf("127.%d.%d.%d", firstNet+pid%nets, pid/nets%hostsOfNet, 1+n%hostsOfNet))
 }
 
@@ -262,8 +264,8 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
-	const enough = 10 // more than any queue that holds one
-	for range enough {
+	const maxConns = 10 // more than any queue that holds one
+	for range maxConns {
 		conn, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 		if err != nil {
 			return address
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -42,7 +42,7 @@
 	Work   time.Duration // at full speed
 	Data   any           // the caller's
 	finish float64       // in the work of one running job, in seconds
-	place  int           // in running, or -1
+	index  int           // in running, or -1
 	queued bool
 }
 
@@ -56,27 +56,27 @@
 )
 
 const (
-	demandSpan = time.Second           // over which what it is sent is measured, for falls
-	demandBits = 10                    // parts of that span
-	coldStep   = 20 * time.Millisecond // how often the speed of a cold one is brought up
+	demandWindow = time.Second           // over which what it is sent is measured, for falls
+	demandParts  = 10                    // parts of that span
+	coldUpdate   = 20 * time.Millisecond // how often the speed of a cold one is brought up
 )
 
 // Server is one endpoint at work. Times are any that only grow.
 type Server struct {
-	conf    Conf
-	now     time.Duration
-	since   time.Duration // its start
-	cold    bool
-	paused  bool
-	slow    float64 // part of its speed that is left
-	running jobs
-	queue   []*Job
-	done    float64 // work that each running job has had so far, in seconds
+	conf        Conf
+	now         time.Duration
+	startedAt   time.Duration // its start
+	cold        bool
+	paused      bool
+	speedFactor float64 // part of its speed that is left
+	running     jobs
+	queue       []*Job
+	workPerJob  float64 // work that each running job has had so far, in seconds
 
-	demand     [demandBits]float64 // work that came, by parts of the span, in seconds
-	demandAt   time.Duration       // when the newest part began
-	pushedFrom time.Duration       // too much has come since; -1 for not
-	Falls      int                 // how often it fell over
+	demand          [demandParts]float64 // work that came, by parts of the span, in seconds
+	demandPartStart time.Duration        // when the newest part began
+	overloadedSince time.Duration        // too much has come since; -1 for not
+	Overloads       int                  // how often it fell over
 }
 
 // New returns a station that starts now, cold or warm.
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	return &Server{
-		conf: conf, now: now, since: now, demandAt: now, cold: cold && conf.ColdFor > 0, slow: 1, pushedFrom: -1,
+		conf: conf, now: now, startedAt: now, demandPartStart: now, cold: cold && conf.ColdFor > 0, speedFactor: 1, overloadedSince: -1,
 	}, nil
 }
 
@@ -97,8 +97,8 @@
 	if !s.cold {
 		return 1
 	}
-	warm := float64(s.now-s.since) / float64(s.conf.ColdFor)
-	return min(1, s.conf.ColdFrom+(1-s.conf.ColdFrom)*warm)
+	elapsed := float64(s.now-s.startedAt) / float64(s.conf.ColdFor)
+	return min(1, s.conf.ColdFrom+(1-s.conf.ColdFrom)*elapsed)
 }
 
 // rate is the work that each running job gets in a second, in seconds.
@@ -107,7 +107,7 @@
 	if n == 0 || s.paused {
 		return 0
 	}
-	rate := s.conf.Speed * s.slow * s.Share() * min(1, s.conf.Cores/float64(n))
+	rate := s.conf.Speed * s.speedFactor * s.Share() * min(1, s.conf.Cores/float64(n))
 	if s.conf.ChokeAbove > 0 && s.Held() > s.conf.ChokeAbove {
 		rate *= s.conf.ChokeTo
 	}
@@ -119,19 +119,19 @@
 	if now <= s.now {
 		return
 	}
-	s.done += s.rate() * (now - s.now).Seconds()
+	s.workPerJob += s.rate() * (now - s.now).Seconds()
 	s.now = now
-	if s.cold && now-s.since >= s.conf.ColdFor {
-		s.cold, s.pushedFrom = false, -1
+	if s.cold && now-s.startedAt >= s.conf.ColdFor {
+		s.cold, s.overloadedSince = false, -1
 	}
-	part := demandSpan / demandBits
-	if now-s.demandAt >= demandSpan+part {
-		s.demand, s.demandAt = [demandBits]float64{}, now
+	part := demandWindow / demandParts
+	if now-s.demandPartStart >= demandWindow+part {
+		s.demand, s.demandPartStart = [demandParts]float64{}, now
 	}
-	for now-s.demandAt >= part {
-		copy(s.demand[1:], s.demand[:demandBits-1])
+	for now-s.demandPartStart >= part {
+		copy(s.demand[1:], s.demand[:demandParts-1])
 		s.demand[0] = 0
-		s.demandAt += part
+		s.demandPartStart += part
 	}
 }
 
@@ -139,8 +139,8 @@
 func (s *Server) Arrive(now time.Duration, j *Job) Outcome {
 	s.advance(now)
 	s.demand[0] += j.Work.Seconds()
-	s.watchPush()
-	j.place = -1
+	s.trackOverload()
+	j.index = -1
 	switch {
 	case len(s.running) < s.conf.Slots:
 		s.start(j)
@@ -153,8 +153,8 @@
 	return Accepted
 }
 
-// watchPush notices since when a cold one is sent too much.
-func (s *Server) watchPush() {
+// trackOverload notices since when a cold one is sent too much.
+func (s *Server) trackOverload() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
 	}
@@ -162,21 +162,21 @@
 	for _, d := range s.demand {
 		sent += d
 	}
-	capacity := s.conf.Cores * s.conf.Speed * s.Share() * demandSpan.Seconds()
+	capacity := s.conf.Cores * s.conf.Speed * s.Share() * demandWindow.Seconds()
 	if sent <= s.conf.FallMultiple*capacity {
-		s.pushedFrom = -1
-	} else if s.pushedFrom < 0 {
-		s.pushedFrom = s.now
+		s.overloadedSince = -1
+	} else if s.overloadedSince < 0 {
+		s.overloadedSince = s.now
 	}
 }
 
 func (s *Server) start(j *Job) {
 	j.queued = false
-	j.finish = s.done + j.Work.Seconds()
+	j.finish = s.workPerJob + j.Work.Seconds()
 	heap.Push(&s.running, j)
 }
 
-func (s *Server) fill() {
+func (s *Server) startQueued() {
 	for len(s.queue) > 0 && len(s.running) < s.conf.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
@@ -196,37 +196,37 @@
 			}
 		}
 	}
-	if j.place < 0 || j.place >= len(s.running) || s.running[j.place] != j {
+	if j.index < 0 || j.index >= len(s.running) || s.running[j.index] != j {
 		return false
 	}
-	heap.Remove(&s.running, j.place)
-	s.fill()
+	heap.Remove(&s.running, j.index)
+	s.startQueued()
 	return true
 }
 
 // Due returns the jobs that are done by now. One that falls over hands back all
 // that it held, with fell set: none of it is done. It is as cold as at its start
 // then.
-func (s *Server) Due(now time.Duration) (jobs []*Job, fell bool) {
+func (s *Server) Due(now time.Duration) (jobs []*Job, overloaded bool) {
 	for {
-		next := s.finishAt()
+		next := s.nextFinish()
 		if next > now {
 			break
 		}
 		s.advance(next)
 		j := heap.Pop(&s.running).(*Job)
-		s.done = max(s.done, j.finish) // rounding must not make it wait for nothing
+		s.workPerJob = max(s.workPerJob, j.finish) // rounding must not make it wait for nothing
 		jobs = append(jobs, j)
-		s.fill()
+		s.startQueued()
 	}
 	s.advance(now)
-	s.watchPush()
-	if s.pushedFrom < 0 || now-s.pushedFrom < s.conf.FallFor {
+	s.trackOverload()
+	if s.overloadedSince < 0 || now-s.overloadedSince < s.conf.FallFor {
 		return jobs, false
 	}
-	s.Falls++
+	s.Overloads++
 	lost := s.Clear()
-	s.since, s.pushedFrom, s.demand = now, -1, [demandBits]float64{}
+	s.startedAt, s.overloadedSince, s.demand = now, -1, [demandParts]float64{}
 	return append(jobs, lost...), true
 }
 
@@ -234,7 +234,7 @@
 func (s *Server) Clear() []*Job {
 	lost := append([]*Job(s.running), s.queue...)
 	for _, j := range lost {
-		j.place, j.queued = -1, false
+		j.index, j.queued = -1, false
 	}
 	s.running, s.queue = nil, nil
 	return lost
@@ -249,29 +249,29 @@
 // SetSpeed sets the part of its speed that is left.
 func (s *Server) SetSpeed(now time.Duration, part float64) {
 	s.advance(now)
-	s.slow = part
+	s.speedFactor = part
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// finishAt is when the first running job is done at the present rate.
-func (s *Server) finishAt() time.Duration {
+// nextFinish is when the first running job is done at the present rate.
+func (s *Server) nextFinish() time.Duration {
 	rate := s.rate()
 	if len(s.running) == 0 || rate <= 0 {
 		return never
 	}
-	left := max(0, s.running[0].finish-s.done) / rate
-	if left > time.Hour.Seconds() {
+	remaining := max(0, s.running[0].finish-s.workPerJob) / rate
+	if remaining > time.Hour.Seconds() {
 		return never
 	}
-	return s.now + time.Duration(math.Ceil(left*1e9))
+	return s.now + time.Duration(math.Ceil(remaining*1e9))
 }
 
 // Next is when Due must be called; ok is false when nothing is to come.
 func (s *Server) Next() (at time.Duration, ok bool) {
-	at = s.finishAt()
-	if s.cold && (len(s.running) > 0 || s.pushedFrom >= 0) {
-		at = min(at, s.now+coldStep)
+	at = s.nextFinish()
+	if s.cold && (len(s.running) > 0 || s.overloadedSince >= 0) {
+		at = min(at, s.now+coldUpdate)
 	}
 	return at, at != never
 }
@@ -283,12 +283,12 @@
 func (h jobs) Less(a, b int) bool { return h[a].finish < h[b].finish }
 func (h jobs) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].place, h[b].place = a, b
+	h[a].index, h[b].index = a, b
 }
 
 func (h *jobs) Push(x any) {
 	j := x.(*Job)
-	j.place = len(*h)
+	j.index = len(*h)
 	*h = append(*h, j)
 }
 
@@ -296,6 +296,6 @@
 	old := *h
 	j := old[len(old)-1]
 	*h = old[:len(old)-1]
-	j.place = -1
+	j.index = -1
 	return j
 }
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func newStation(t testing.TB, c Conf, cold bool) *Server {
+func newServer(t testing.TB, c Conf, cold bool) *Server {
 	t.Helper()
 	s, err := New(c, 0, cold)
 	if err != nil {
@@ -18,8 +18,8 @@
 	return s
 }
 
-// drain runs a station until nothing is to come and returns when each job ended.
-func drain(s *Server) map[*Job]time.Duration {
+// runToEnd runs a station until nothing is to come and returns when each job ended.
+func runToEnd(s *Server) map[*Job]time.Duration {
 	ended := map[*Job]time.Duration{}
 	for {
 		at, ok := s.Next()
@@ -34,7 +34,7 @@
 }
 
 func TestCoresAreShared(t *testing.T) {
-	s := newStation(t, Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 1}, false)
+	s := newServer(t, Conf{Cores: 2, Speed: 1, Slots: 4, Queue: 1}, false)
 	jobs := make([]*Job, 6)
 	for i := range jobs {
 		jobs[i] = &Job{Work: 10 * ms}
@@ -46,7 +46,7 @@
 			t.Fatalf("job %d: %v", i, got)
 		}
 	}
-	ended := drain(s)
+	ended := runToEnd(s)
 	for i, want := range []time.Duration{20 * ms, 20 * ms, 20 * ms, 20 * ms, 30 * ms} {
 		if got := ended[jobs[i]].Round(ms / 10); got != want {
 			t.Errorf("job %d ended at %v, want %v", i, got, want)
@@ -55,13 +55,13 @@
 }
 
 func TestPauseSlowAndChoke(t *testing.T) {
-	s := newStation(t, Conf{Cores: 4, Speed: 1, Slots: 4, ChokeAbove: 2, ChokeTo: 0.5}, false)
+	s := newServer(t, Conf{Cores: 4, Speed: 1, Slots: 4, ChokeAbove: 2, ChokeTo: 0.5}, false)
 	j := &Job{Work: 10 * ms}
 	s.Arrive(0, j)
 	s.Pause(2*ms, true)
 	s.Pause(100*ms, false)
 	s.SetSpeed(100*ms, 0.5)
-	if ended := drain(s)[j].Round(ms / 10); ended != 116*ms {
+	if ended := runToEnd(s)[j].Round(ms / 10); ended != 116*ms {
 		t.Errorf("ended at %v, want 116ms: 2 at full speed, a pause, 16 at half", ended)
 	}
 	s.SetSpeed(200*ms, 1)
@@ -69,7 +69,7 @@
 	for _, h := range held {
 		s.Arrive(200*ms, h)
 	}
-	if ended := drain(s)[held[2]].Round(ms / 10); ended != 220*ms {
+	if ended := runToEnd(s)[held[2]].Round(ms / 10); ended != 220*ms {
 		t.Errorf("three, choked above two, ended at %v, want 220ms", ended)
 	}
 }
@@ -78,27 +78,27 @@
 func TestColdStart(t *testing.T) {
 	conf := Conf{Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: 0.25, ColdFor: 4 * time.Second,
 		FallMultiple: 2, FallFor: time.Second}
-	push := func(load float64, long time.Duration) *Server {
-		s := newStation(t, conf, true)
-		for now := time.Duration(0); now < long; now += 10 * ms {
+	overload := func(load float64, duration time.Duration) *Server {
+		s := newServer(t, conf, true)
+		for now := time.Duration(0); now < duration; now += 10 * ms {
 			s.Due(now)
 			s.Arrive(now, &Job{Work: time.Duration(load * float64(10*ms))})
 		}
 		return s
 	}
-	if s := push(0.4, 5*time.Second); s.Falls != 0 || s.Share() != 1 {
-		t.Errorf("under a small load: %d falls, share %v", s.Falls, s.Share())
+	if s := overload(0.4, 5*time.Second); s.Overloads != 0 || s.Share() != 1 {
+		t.Errorf("under a small load: %d falls, share %v", s.Overloads, s.Share())
 	}
-	if s := push(3, time.Second); s.Falls != 0 {
-		t.Errorf("pushed for less than the time: %d falls", s.Falls)
+	if s := overload(3, time.Second); s.Overloads != 0 {
+		t.Errorf("pushed for less than the time: %d falls", s.Overloads)
 	}
-	if s := push(3, 3*time.Second); s.Falls == 0 {
+	if s := overload(3, 3*time.Second); s.Overloads == 0 {
 		t.Error("pushed for longer: it did not fall")
 	}
 	j := &Job{Work: 10 * ms}
-	s := newStation(t, conf, true)
+	s := newServer(t, conf, true)
 	s.Arrive(0, j)
-	if ended := drain(s)[j]; ended < 35*ms || ended > 45*ms {
+	if ended := runToEnd(s)[j]; ended < 35*ms || ended > 45*ms {
 		t.Errorf("a cold one took %v for 10ms of work, want about 40ms", ended)
 	}
 }
@@ -115,7 +115,7 @@
 		}
 		now := time.Duration(0)
 		open := map[*Job]bool{}
-		var given []*Job
+		var arrived []*Job
 		end := func(j *Job) {
 			if !open[j] {
 				t.Fatal("a job ended that was not open")
@@ -130,12 +130,12 @@
 				if s.Arrive(now, j) == Accepted {
 					open[j] = true
 				}
-				given = append(given, j)
+				arrived = append(arrived, j)
 			case 2:
-				if len(given) == 0 {
+				if len(arrived) == 0 {
 					break
 				}
-				j := given[rapid.IntRange(0, len(given)-1).Draw(t, "which")]
+				j := arrived[rapid.IntRange(0, len(arrived)-1).Draw(t, "which")]
 				if s.Cancel(now, j) {
 					end(j)
 				}
@@ -155,7 +155,7 @@
 			}
 		}
 		s.Pause(now, false)
-		for j := range drain(s) {
+		for j := range runToEnd(s) {
 			end(j)
 		}
 		if len(open) > 0 {
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestRefusesBadConf(t *testing.T) {
+func TestInvalidConf(t *testing.T) {
 	for _, c := range []Conf{{}, {Cores: 1, Speed: 1}, {Cores: 1, Speed: 1, Slots: 1, Queue: -1},
 		{Cores: 1, Speed: 1, Slots: 1, ColdFor: time.Second}} {
 		if _, err := New(c, 0, false); err == nil {
--- a/internal/labcommand/crew.go
+++ b/internal/labcommand/crew.go
@@ -62,9 +62,9 @@
 	if !c.Quiet && !c.JSON {
 		opts.Progress = func(line string) { fmt.Fprintln(o, line) }
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	first, good := s.Seed, true
+	first, passed := s.Seed, true
 	if c.Seed != nil {
 		first = *c.Seed
 	}
@@ -73,7 +73,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		good = good && r.NumViolations == 0
+		passed = passed && r.NumViolations == 0
 		if c.JSON {
 			if err := json.NewEncoder(o).Encode(r); err != nil {
 				return err
@@ -86,8 +86,8 @@
 			fmt.Fprintln(o, "broken:", b)
 		}
 	}
-	if !good {
-		return errNotGood
+	if !passed {
+		return errRunFailed
 	}
 	return nil
 }
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -50,19 +50,19 @@
 	return command.Run(&heathlab{}, "heathlab", "An emulator of the fleet on loopback.", args, stdout, stderr)
 }
 
-// errNotGood ends a run that does not count, or broke a rule; its report has said
+// errRunFailed ends a run that does not count, or broke a rule; its report has said
 // what.
-var errNotGood = errors.New("the run is not good")
+var errRunFailed = errors.New("the run is not good")
 
-// ground is what each command that plays has in common.
-type ground struct {
+// commonOptions is what each command that plays has in common.
+type commonOptions struct {
 	Sidecar string `placeholder:"PATH" help:"The sidecar's program; heathgap beside this one if not given."`
 	Logs    string `placeholder:"DIR" help:"Keep the logs of sidecars there."`
 	Quiet   bool   `help:"Print no progress."`
 }
 
 // program is the sidecar's.
-func (g *ground) program() (string, error) {
+func (g *commonOptions) program() (string, error) {
 	if g.Sidecar != "" {
 		return g.Sidecar, nil
 	}
@@ -73,19 +73,19 @@
 	return filepath.Join(filepath.Dir(self), "heathgap"), nil
 }
 
-// play plays a scenario once, with a policy by its name.
-func (g *ground) play(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, name string) (*record.Record, error) {
+// runScenario plays a scenario once, with a policy by its name.
+func (g *commonOptions) runScenario(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, policyName string) (*record.Record, error) {
 	program, err := g.program()
 	if err != nil {
 		return nil, err
 	}
-	opts := harness.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
-	if name != policy.Module {
+	opts := harness.Options{Policy: policyName, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
+	if policyName != policy.Module {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		opts.Sidecar = func() *exec.Cmd { return exec.Command(self, "sidecar", "--policy", name) }
+		opts.Sidecar = func() *exec.Cmd { return exec.Command(self, "sidecar", "--policy", policyName) }
 	}
 	if g.Logs != "" {
 		if err := os.MkdirAll(g.Logs, 0o755); err != nil {
@@ -99,13 +99,13 @@
 	return harness.Run(ctx, s, seed, opts)
 }
 
-// interruptible ends with an interrupt: what plays is then ended in order.
-func interruptible() (context.Context, context.CancelFunc) {
+// interruptContext ends with an interrupt: what plays is then ended in order.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 type labRun struct {
-	ground
+	commonOptions
 	File   string  `arg:"" help:"The scenario."`
 	Seed   *uint64 `help:"In place of the scenario's."`
 	Policy string  `default:"heathgap" help:"What decides; see list."`
@@ -127,9 +127,9 @@
 		seed = *c.Seed
 	}
 	c.Quiet = c.Quiet || c.JSON
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	r, err := c.play(ctx, o, s, seed, c.Policy)
+	r, err := c.runScenario(ctx, o, s, seed, c.Policy)
 	if err != nil {
 		return err
 	}
@@ -146,7 +146,7 @@
 		report.Text(o, r)
 	}
 	if !r.Passed() {
-		return errNotGood
+		return errRunFailed
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 }
 
 type labBaseline struct {
-	ground
+	commonOptions
 	File     string   `arg:"" help:"The scenario."`
 	Seeds    int      `default:"5" help:"So many seeds, from the scenario's on."`
 	Policies []string `default:"heathgap,random,round-robin,least,least-budget,no-retry" help:"What decides, in turn."`
@@ -195,28 +195,28 @@
 			return err
 		}
 	}
-	cases := make([]labCase, len(c.Policies))
+	cases := make([]experimentCase, len(c.Policies))
 	for i, name := range c.Policies {
-		cases[i] = labCase{name: name, policy: name, scene: s}
+		cases[i] = experimentCase{name: name, policy: name, scenario: s}
 	}
-	return playCases(o, &c.ground, cases, c.Seeds, c.Metric, c.Out)
+	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
-// labCase is one side of an experiment.
-type labCase struct {
+// experimentCase is one side of an experiment.
+type experimentCase struct {
 	name, policy string
-	scene        *scenario.Scenario
+	scenario     *scenario.Scenario
 }
 
-func playCases(o *command.Out, g *ground, cases []labCase, seeds int, metric, dir string) error {
-	ctx, stop := interruptible()
+func runCases(o *command.Out, g *commonOptions, cases []experimentCase, seeds int, metric, dir string) error {
+	ctx, stop := interruptContext()
 	defer stop()
 	g.Quiet = true
 	sides := report.NewComparison()
 	for n := range seeds {
 		for _, c := range cases {
-			seed := c.scene.Seed + uint64(n)
-			r, err := g.play(ctx, o, c.scene, seed, c.policy)
+			seed := c.scenario.Seed + uint64(n)
+			r, err := g.runScenario(ctx, o, c.scenario, seed, c.policy)
 			if err != nil {
 				return err
 			}
@@ -236,7 +236,7 @@
 }
 
 type labSweep struct {
-	ground
+	commonOptions
 	File   string   `arg:"" help:"The scenario."`
 	Key    string   `arg:"" help:"The key, such as load.rate or tier.0.cores."`
 	Values []string `arg:"" help:"Its values, as they would stand in the file."`
@@ -255,7 +255,7 @@
 	if err != nil {
 		return err
 	}
-	var cases []labCase
+	var cases []experimentCase
 	for _, value := range c.Values {
 		changed, err := scenario.SetKey(text, c.Key, value)
 		if err != nil {
@@ -265,13 +265,13 @@
 		if err != nil {
 			return err
 		}
-		cases = append(cases, labCase{name: c.Key + "=" + value, policy: c.Policy, scene: s})
+		cases = append(cases, experimentCase{name: c.Key + "=" + value, policy: c.Policy, scenario: s})
 	}
-	return playCases(o, &c.ground, cases, c.Seeds, c.Metric, c.Out)
+	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
 type labOverhead struct {
-	ground
+	commonOptions
 	Rate float64       `default:"1000" help:"Requests a second, half of them through the sidecar."`
 	For  time.Duration `default:"10s" help:"How long."`
 }
@@ -281,11 +281,11 @@
 	if c.Rate <= 0 || c.Rate > scenario.MaxRate {
 		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MaxRate)
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	m, err := harness.MeasureOverhead(ctx, harness.OverheadConf{
 		Rate: c.Rate / 2, For: c.For, Endpoints: 4, Peers: 1, Classes: 1, Stages: 1, Seed: 1,
--- a/internal/labcommand/heathlab_test.go
+++ b/internal/labcommand/heathlab_test.go
@@ -14,8 +14,8 @@
 	"heathgap/internal/lab/record"
 )
 
-// build builds heathgap and heathlab side by side.
-func build(t *testing.T) string {
+// buildPrograms builds heathgap and heathlab side by side.
+func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	cmd := exec.Command("go", "build", "-o", dir+"/", "heathgap/cmd/heathgap", "heathgap/cmd/heathlab")
@@ -25,7 +25,7 @@
 	return dir
 }
 
-const short = `name = "short"
+const shortScenario = `name = "short"
 duration = "2s"
 margin = "300ms"
 most_lag = "5s"
@@ -40,7 +40,7 @@
 rate = 100
 `
 
-func write(t *testing.T, text string) string {
+func writeScenario(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -51,8 +51,8 @@
 
 // The programs as they are built: a run, its record, a comparison, and an interrupt.
 func TestPrograms(t *testing.T) {
-	bin := build(t)
-	path, out := write(t, short), t.TempDir()
+	bin := buildPrograms(t)
+	path, out := writeScenario(t, shortScenario), t.TempDir()
 	lab := func(args ...string) (string, error) {
 		text, err := exec.Command(filepath.Join(bin, "heathlab"), args...).CombinedOutput()
 		return string(text), err
@@ -110,7 +110,7 @@
 		t.Parallel()
 		dir := t.TempDir()
 		cmd := exec.Command(filepath.Join(bin, "heathlab"), "run",
-			write(t, strings.Replace(short, `"2s"`, `"60s"`, 1)), "--out", dir)
+			writeScenario(t, strings.Replace(shortScenario, `"2s"`, `"60s"`, 1)), "--out", dir)
 		progress, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -172,15 +172,15 @@
 	return string(text)
 }
 
-func run(args ...string) (int, string, string) {
+func runHeathlab(args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	code := Heathlab(args, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
 // What can't be played is refused before anything starts.
-func TestRefuses(t *testing.T) {
-	good, bad := write(t, short), write(t, strings.Replace(short, "work = ", "wrok = ", 1))
+func TestInvalidInput(t *testing.T) {
+	good, bad := writeScenario(t, shortScenario), writeScenario(t, strings.Replace(shortScenario, "work = ", "wrok = ", 1))
 	for name, c := range map[string]struct {
 		args []string
 		want string
@@ -194,12 +194,12 @@
 		"usage":          {[]string{"sweep"}, "expected"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if code, _, stderr := run(c.args...); code == 0 || !strings.Contains(stderr, c.want) {
+			if code, _, stderr := runHeathlab(c.args...); code == 0 || !strings.Contains(stderr, c.want) {
 				t.Errorf("%d: %q, want %q", code, stderr, c.want)
 			}
 		})
 	}
-	if code, stdout, _ := run("list", "../../lab/scenarios"); code != 0 || !strings.Contains(stdout, "retry_storm") || !strings.Contains(stdout, "least-budget") {
+	if code, stdout, _ := runHeathlab("list", "../../lab/scenarios"); code != 0 || !strings.Contains(stdout, "retry_storm") || !strings.Contains(stdout, "least-budget") {
 		t.Errorf("list: %d, %q", code, stdout)
 	}
 }
--- a/internal/labcommand/slopes.go
+++ b/internal/labcommand/measure.go
@@ -22,21 +22,21 @@
 
 // Bounds of what is measured: what one machine's descriptors, ports and patience hold.
 const (
-	mostListed   = 1000 // endpoints
-	mostClasses  = 1000
-	mostStages   = 64
-	mostPeers    = 100_000
-	mostOfATier  = 16 // stand-ins of a chain's tier
-	mostRuns     = 100
-	mostWatchers = 2000
-	mostReal     = 64 // sidecars that watch
-	mostChanges  = 100_000
-	longest      = time.Hour
-	mostDeadline = time.Minute
+	maxListed        = 1000 // endpoints
+	maxClasses       = 1000
+	maxStages        = 64
+	maxPeers         = 100_000
+	maxTierEndpoints = 16 // stand-ins of a chain's tier
+	maxRuns          = 100
+	maxWatchers      = 2000
+	maxRealSidecars  = 64 // sidecars that watch
+	maxChanges       = 100_000
+	maxDuration      = time.Hour
+	maxDeadline      = time.Minute
 )
 
-// measuring has sidecars started for a measurement.
-func (g *ground) measuring() (harness.Options, error) {
+// measureOptions has sidecars started for a measurement.
+func (g *commonOptions) measureOptions() (harness.Options, error) {
 	program, err := g.program()
 	if err != nil {
 		return harness.Options{}, err
@@ -50,11 +50,11 @@
 	return harness.Options{LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}, nil
 }
 
-// within checks the values of a flag.
-func within[T int | float64 | time.Duration](flag string, least, most T, values ...T) error {
+// checkRange checks the values of a flag.
+func checkRange[T int | float64 | time.Duration](flag string, minValue, maxValue T, values ...T) error {
 	for _, v := range values {
-		if !(v >= least && v <= most) {
-			return fmt.Errorf("--%s: %v; allowed: %v to %v", flag, v, least, most)
+		if !(v >= minValue && v <= maxValue) {
+			return fmt.Errorf("--%s: %v; allowed: %v to %v", flag, v, minValue, maxValue)
 		}
 	}
 	if len(values) == 0 {
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// rates checks values of --rate.
-func rates(most float64, values ...float64) error {
+// checkRates checks values of --rate.
+func checkRates(maxRate float64, values ...float64) error {
 	for _, v := range values {
-		if !(v > 0 && v <= most) {
-			return fmt.Errorf("--rate: %v; allowed: above 0, up to %v", v, most)
+		if !(v > 0 && v <= maxRate) {
+			return fmt.Errorf("--rate: %v; allowed: above 0, up to %v", v, maxRate)
 		}
 	}
 	if len(values) == 0 {
@@ -76,39 +76,39 @@
 	return nil
 }
 
-// repeated is how often a measurement is made, and for how long.
-type repeated struct {
+// repeatOptions is how often a measurement is made, and for how long.
+type repeatOptions struct {
 	For     time.Duration `default:"5s" help:"How long a run."`
 	Runs    int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
 	MostLag time.Duration `default:"10ms" help:"A run whose own load is later than this at the 99th percentile is void, and made again."`
 }
 
-func (r *repeated) check() error {
+func (r *repeatOptions) check() error {
 	return cmp.Or(
-		within("for", time.Second, longest, r.For), within("runs", 1, mostRuns, r.Runs),
-		within("most-lag", time.Microsecond, longest, r.MostLag),
+		checkRange("for", time.Second, maxDuration, r.For), checkRange("runs", 1, maxRuns, r.Runs),
+		checkRange("most-lag", time.Microsecond, maxDuration, r.MostLag),
 	)
 }
 
-// voidRuns is how often one run is made again before the machine counts as too busy.
-const voidRuns = 10
+// maxVoidRuns is how often one run is made again before the machine counts as too busy.
+const maxVoidRuns = 10
 
-// valid measures until the load's own lag is small: a run whose load lags tells of the lab and not of the sidecar. Each
+// measureValid measures until the load's own lag is small: a run whose load lags tells of the lab and not of the sidecar. Each
 // void run is told.
-func valid[T any](o *command.Out, most time.Duration, what string, measure func() (T, error), lag func(T) float64) (T, error) {
-	for range voidRuns {
+func measureValid[T any](o *command.Out, maxLag time.Duration, what string, measure func() (T, error), lag func(T) float64) (T, error) {
+	for range maxVoidRuns {
 		m, err := measure()
-		if err != nil || lag(m) <= float64(most)/float64(time.Millisecond) {
+		if err != nil || lag(m) <= float64(maxLag)/float64(time.Millisecond) {
 			return m, err
 		}
 		fmt.Fprintf(o, "%s: VOID: the load lagged by %.1f ms at the 99th percentile; load average %s\n", what, lag(m), loadAverage())
 	}
 	var none T
-	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v too little", what, voidRuns, most)
+	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v too little", what, maxVoidRuns, maxLag)
 }
 
-// here begins a report: a figure counts for nothing without its machine.
-func here(o *command.Out, format string, args ...any) {
+// printHeader begins a report: a figure counts for nothing without its machine.
+func printHeader(o *command.Out, format string, args ...any) {
 	m := harness.ThisMachine()
 	fmt.Fprintf(o, format+"\n", args...)
 	fmt.Fprintf(o, "machine: %d cores, %d MB, %s; load average %s\n", m.Cores, m.MemoryMB, m.Go, loadAverage())
@@ -124,27 +124,27 @@
 }
 
 // spread is the least, median and most of some runs.
-type spread struct{ least, median, most float64 }
+type spread struct{ min, median, max float64 }
 
 func spreadOf(runs []float64) spread {
 	s := slices.Sorted(slices.Values(runs))
 	n := len(s)
-	return spread{least: s[0], median: (s[(n-1)/2] + s[n/2]) / 2, most: s[n-1]}
+	return spread{min: s[0], median: (s[(n-1)/2] + s[n/2]) / 2, max: s[n-1]}
 }
 
-func (s spread) String() string { return fmt.Sprintf("%.4g/%.4g/%.4g", s.least, s.median, s.most) }
+func (s spread) String() string { return fmt.Sprintf("%.4g/%.4g/%.4g", s.min, s.median, s.max) }
 
-// figure is one that is measured at each size, with its runs there.
-type figure struct {
-	name string
-	runs [][]float64 // by size
-	fits bool        // a line is drawn through it
+// measurement is one that is measured at each size, with its runs there.
+type measurement struct {
+	name    string
+	runs    [][]float64 // by size
+	fitLine bool        // a line is drawn through it
 }
 
-// printFigures prints each figure at each size, least/median/most of its runs, and what a line through all sizes but the largest says of that.
-func printFigures(o *command.Out, x string, sizes []float64, figures []*figure) {
+// printMeasurements prints each figure at each size, least/median/most of its runs, and what a line through all sizes but the largest says of that.
+func printMeasurements(o *command.Out, x string, sizes []float64, measurements []*measurement) {
 	fmt.Fprintf(o, "least/median/most of runs; load average %s\n", loadAverage())
-	for _, f := range figures {
+	for _, f := range measurements {
 		fmt.Fprintf(o, "%s:", f.name)
 		medians := make([]float64, len(sizes))
 		for i, size := range sizes {
@@ -153,14 +153,14 @@
 			fmt.Fprintf(o, "  [%s %v] %v", x, size, s)
 		}
 		fmt.Fprintln(o)
-		if f.fits {
-			fmt.Fprintf(o, "    %s\n", foretold(sizes, medians))
+		if f.fitLine {
+			fmt.Fprintf(o, "    %s\n", predictLargest(sizes, medians))
 		}
 	}
 }
 
-// foretold draws a line through the medians of all sizes but the largest, and holds the largest against it.
-func foretold(sizes, medians []float64) string {
+// predictLargest draws a line through the medians of all sizes but the largest, and holds the largest against it.
+func predictLargest(sizes, medians []float64) string {
 	largest := 0
 	for i := range sizes {
 		if sizes[i] > sizes[largest] {
@@ -183,8 +183,8 @@
 }
 
 type labCall struct {
-	ground
-	repeated
+	commonOptions
+	repeatOptions
 	Rate      []float64 `default:"379" help:"Requests a second by each of the two ways."`
 	Endpoints []int     `default:"13" help:"Endpoints of the list; each takes calls."`
 	Peers     []int     `default:"0" help:"Instances that the sidecar is told of, itself included: the more, the fewer of the endpoints it uses. 0 for as many as endpoints."`
@@ -196,9 +196,9 @@
 // sizes is the flag that has several values, and a conf for each.
 func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.OverheadConf, err error) {
 	if err := cmp.Or(
-		c.check(), rates(scenario.MaxRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
-		within("peers", 0, mostPeers, c.Peers...), within("classes", 1, mostClasses, c.Classes...),
-		within("stages", 1, mostStages, c.Stages...),
+		c.check(), checkRates(scenario.MaxRate/2, c.Rate...), checkRange("endpoints", 1, maxListed, c.Endpoints...),
+		checkRange("peers", 0, maxPeers, c.Peers...), checkRange("classes", 1, maxClasses, c.Classes...),
+		checkRange("stages", 1, maxStages, c.Stages...),
 	); err != nil {
 		return "", nil, nil, err
 	}
@@ -245,26 +245,26 @@
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "call: rate %v, endpoints %v, peers %v, classes %v, stages %v, own %v; %d runs of %v",
+	printHeader(o, "call: rate %v, endpoints %v, peers %v, classes %v, stages %v, own %v; %d runs of %v",
 		c.Rate, c.Endpoints, c.Peers, c.Classes, c.Stages, c.Own, c.Runs, c.For)
 	names := []string{
 		"us of the sidecar's processor a request", "percent of a core", "added p50, ms", "added p99, ms", "straight p50, ms", "straight p99, ms",
 		"memory (VmHWM), MB", "descriptors", "endpoints used", "requests by each way", "the load's own lag p99, ms",
 	}
-	figures := make([]*figure, len(names))
+	measurements := make([]*measurement, len(names))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: i < 4 || i == 6 || i == 7}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: i < 4 || i == 6 || i == 7}
 	}
 	for run := range c.Runs {
 		for i, conf := range confs {
 			conf.Seed = uint64(run + 1)
-			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
+			m, err := measureValid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
 				func() (harness.Overhead, error) { return harness.MeasureOverhead(ctx, conf, opts) }, func(m harness.Overhead) float64 { return m.Lag })
 			if err != nil {
 				return err
@@ -273,7 +273,7 @@
 				m.CPU, m.CPU * float64(m.Requests) / c.For.Seconds() / 1e4, m.AddedP50(), m.AddedP99(), m.DirectP50, m.DirectP99, m.RSSMB,
 				float64(m.FDs), float64(m.EndpointsUsed), float64(m.Requests), m.Lag,
 			} {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			if !c.Quiet {
 				fmt.Fprintf(o, "run %d, %s %v: %.0f us a request, added p50 %.3f p99 %.3f ms, %.1f MB; load average %s\n",
@@ -281,13 +281,13 @@
 			}
 		}
 	}
-	printFigures(o, flag, sizes, figures)
+	printMeasurements(o, flag, sizes, measurements)
 	return nil
 }
 
 type labChain struct {
-	ground
-	repeated
+	commonOptions
+	repeatOptions
 	Deep      []int         `default:"1,3,7,13,21" help:"Tiers of services, each with a sidecar before it."`
 	Rate      float64       `default:"20" help:"Requests a second at the front, by each way."`
 	Endpoints int           `default:"2" help:"Stand-ins of each tier."`
@@ -304,39 +304,39 @@
 	share   float64
 }
 
-// failureOf reads a value of --fail.
-func failureOf(word string) (failure, error) {
-	name, text, shared := strings.Cut(word, ":")
-	f := failure{name: word, share: 1}
+// parseFailure reads a value of --fail.
+func parseFailure(value string) (failure, error) {
+	name, text, hasShare := strings.Cut(value, ":")
+	f := failure{name: value, share: 1}
 	switch trouble := fake.Trouble(name); trouble {
 	case fake.Hang, fake.Refuses, fake.Silent, fake.TruncatedAnswer, fake.Garbage:
 		f.trouble = trouble
 	case fake.Errors:
 		f.trouble = trouble
-		if !shared {
+		if !hasShare {
 			return f, nil
 		}
 		var err error
 		if f.share, err = strconv.ParseFloat(text, 64); err != nil || !(f.share > 0 && f.share <= 1) {
-			return f, fmt.Errorf("--fail: %q; allowed: errors: and a share above 0, up to 1", word)
+			return f, fmt.Errorf("--fail: %q; allowed: errors: and a share above 0, up to 1", value)
 		}
 		return f, nil
 	default:
 		if name != "none" {
-			return f, fmt.Errorf("--fail: %q; allowed: none, hang, refuses, silent, half, garbage, errors:SHARE", word)
+			return f, fmt.Errorf("--fail: %q; allowed: none, hang, refuses, silent, half, garbage, errors:SHARE", value)
 		}
 	}
-	if shared {
-		return f, fmt.Errorf("--fail: %q; allowed: a share with errors only", word)
+	if hasShare {
+		return f, fmt.Errorf("--fail: %q; allowed: a share with errors only", value)
 	}
 	return f, nil
 }
 
-func (c *labChain) failures() ([]failure, error) {
+func (c *labChain) parseFailures() ([]failure, error) {
 	if err := cmp.Or(
-		c.check(), within("deep", 1, harness.MaxDepth, c.Deep...), rates(scenario.MaxRate, c.Rate),
-		within("endpoints", 1, mostOfATier, c.Endpoints), within("deadline", 10*time.Millisecond, mostDeadline, c.Deadline),
-		within("peers", 1, mostPeers, c.Peers),
+		c.check(), checkRange("deep", 1, harness.MaxDepth, c.Deep...), checkRates(scenario.MaxRate, c.Rate),
+		checkRange("endpoints", 1, maxTierEndpoints, c.Endpoints), checkRange("deadline", 10*time.Millisecond, maxDeadline, c.Deadline),
+		checkRange("peers", 1, maxPeers, c.Peers),
 	); err != nil {
 		return nil, err
 	}
@@ -344,9 +344,9 @@
 		return nil, errors.New("--fail: nothing; allowed: one value or more")
 	}
 	all := make([]failure, len(c.Fail))
-	for i, word := range c.Fail {
+	for i, value := range c.Fail {
 		var err error
-		if all[i], err = failureOf(word); err != nil {
+		if all[i], err = parseFailure(value); err != nil {
 			return nil, err
 		}
 	}
@@ -355,56 +355,56 @@
 
 // Run plays each depth with each failure.
 func (c *labChain) Run(o *command.Out) error {
-	failures, err := c.failures()
+	failures, err := c.parseFailures()
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "chain: deep %v, %v a second, %d stand-ins a tier, deadline %v, peers %d, own %v; %d runs of %v",
+	printHeader(o, "chain: deep %v, %v a second, %d stand-ins a tier, deadline %v, peers %d, own %v; %d runs of %v",
 		c.Deep, c.Rate, c.Endpoints, c.Deadline, c.Peers, c.Own, c.Runs, c.For)
 	for _, f := range failures {
-		if err := c.play(ctx, o, f, opts); err != nil {
+		if err := c.measureDepths(ctx, o, f, opts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play plays all depths with one failure.
-func (c *labChain) play(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
+// measureDepths plays all depths with one failure.
+func (c *labChain) measureDepths(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
 	sizes := make([]float64, len(c.Deep))
 	names := []string{
 		"added p50, ms", "added p99, ms", "through p50, ms", "through p99, ms", "straight p50, ms", "straight p99, ms", "served of a hundred",
 		"attempts at the last tier for a request at the front", "us of all sidecars' processors for a request at the front",
 		"ms of the deadline that the last tier's sidecar was told, p50", "the load's own lag p99, ms",
 	}
-	well := f.trouble == fake.NoTrouble
-	figures := make([]*figure, len(names))
+	healthy := f.trouble == fake.NoTrouble
+	measurements := make([]*measurement, len(names))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: well && (i < 2 || i == 8 || i == 9)}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: healthy && (i < 2 || i == 8 || i == 9)}
 	}
 	fmt.Fprintf(o, "\nlast tier: %s\n", f.name)
 	for run := range c.Runs {
-		for i, deep := range c.Deep {
-			sizes[i] = float64(deep)
+		for i, depth := range c.Deep {
+			sizes[i] = float64(depth)
 			conf := harness.ChainConf{
-				Depth: deep, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, PerCaller: c.Own, CompareDirect: well,
+				Depth: depth, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, PerCaller: c.Own, CompareDirect: healthy,
 				Trouble: f.trouble, Share: f.share, Seed: uint64(run + 1),
 			}
-			if well {
+			if healthy {
 				conf.Rate = 2 * c.Rate
 			}
-			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, deep %d", run+1, deep),
+			m, err := measureValid(o, c.MostLag, fmt.Sprintf("run %d, deep %d", run+1, depth),
 				func() (*harness.Chain, error) { return harness.MeasureChain(ctx, conf, opts) }, func(m *harness.Chain) float64 { return m.Lag })
 			if err != nil {
 				return err
 			}
-			front, last := m.Front[1], m.Tiers[deep-1]
+			front, last := m.Front[1], m.Tiers[depth-1]
 			cpu := 0.0
 			for _, t := range m.Tiers {
 				cpu += t.CPU * float64(t.Requests)
@@ -414,10 +414,10 @@
 				front.P50 - m.Front[0].P50, front.P99 - m.Front[0].P99, front.P50, front.P99, m.Front[0].P50, m.Front[0].P99,
 				100 * float64(front.Served) / requests, float64(last.Attempts) / requests, cpu / requests, last.RemainingP50, m.Lag,
 			} {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			fmt.Fprintf(o, "run %d, deep %d: %d requests, %d served, rules broken %d, load average %s\n",
-				run+1, deep, front.Requests, front.Served, m.NumViolations, loadAverage())
+				run+1, depth, front.Requests, front.Served, m.NumViolations, loadAverage())
 			for _, b := range m.Violations {
 				fmt.Fprintf(o, "  broken: %s at %v: %s\n", b.Rule, b.At.Round(time.Millisecond), b.What)
 			}
@@ -429,10 +429,10 @@
 			}
 		}
 	}
-	if !well {
-		figures = append(figures[2:4], figures[6:]...)
+	if !healthy {
+		measurements = append(measurements[2:4], measurements[6:]...)
 	}
-	printFigures(o, "deep", sizes, figures)
+	printMeasurements(o, "deep", sizes, measurements)
 	return nil
 }
 
@@ -462,7 +462,7 @@
 }
 
 type labLists struct {
-	ground
+	commonOptions
 	Runs      int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
 	Endpoints []int         `default:"13,60,145,290,580" help:"Endpoints of the list."`
 	AtOnce    int           `default:"1" help:"Lines that change at once; lists with fewer endpoints are left out."`
@@ -477,9 +477,9 @@
 // sizes are the lists that have enough endpoints.
 func (c *labLists) sizes() ([]int, error) {
 	if err := cmp.Or(
-		within("runs", 1, mostRuns, c.Runs), within("endpoints", 1, mostListed, c.Endpoints...), within("at-once", 1, mostListed, c.AtOnce),
-		within("changes", 1, mostChanges, c.Changes), within("sidecars", 1, mostReal, c.Sidecars), within("hollow", 0, mostWatchers, c.Hollow),
-		within("peers", 1, mostPeers, c.Peers), within("idle", 0, longest, c.Idle),
+		checkRange("runs", 1, maxRuns, c.Runs), checkRange("endpoints", 1, maxListed, c.Endpoints...), checkRange("at-once", 1, maxListed, c.AtOnce),
+		checkRange("changes", 1, maxChanges, c.Changes), checkRange("sidecars", 1, maxRealSidecars, c.Sidecars), checkRange("hollow", 0, maxWatchers, c.Hollow),
+		checkRange("peers", 1, maxPeers, c.Peers), checkRange("idle", 0, maxDuration, c.Idle),
 	); err != nil {
 		return nil, err
 	}
@@ -496,13 +496,13 @@
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "lists: endpoints %v, %d at once, apart %v, %d changes, %d sidecars and %d hollow watchers, peers %d, idle %v; %d runs",
+	printHeader(o, "lists: endpoints %v, %d at once, apart %v, %d changes, %d sidecars and %d hollow watchers, peers %d, idle %v; %d runs",
 		endpoints, c.AtOnce, c.Apart, c.Changes, c.Sidecars, c.Hollow, c.Peers, c.Idle, c.Runs)
 	names := []string{
 		"us of a sidecar's processor a change", "calls of a sidecar a change", "answers of the agent a change and sidecar", "bytes asked a change and sidecar",
@@ -513,10 +513,10 @@
 	if c.Idle == 0 {
 		names = names[:12]
 	}
-	figures := make([]*figure, len(names))
+	measurements := make([]*measurement, len(names))
 	sizes := make([]float64, len(endpoints))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: i == 0 || i == 4 || i == 8 || i == 9}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: i == 0 || i == 4 || i == 8 || i == 9}
 	}
 	for run := range c.Runs {
 		for i, n := range endpoints {
@@ -532,13 +532,13 @@
 				m.CPU, m.Real.Calls, m.Real.Answers, m.Real.RequestBytes, m.Real.AnswerBytes, m.Real.LinesPerAnswer, m.Real.FullLists, m.Emulated.AnswerBytes, m.LabCPU,
 				m.Whole.AnswerBytes, m.DeliveryP50, m.DeliveryMax, m.Idle.Calls / idle, (m.Idle.RequestBytes + m.Idle.AnswerBytes) / idle, m.IdleCPU,
 			}[:len(names)] {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			if !c.Quiet {
 				fmt.Fprintf(o, "run %d, endpoints %d: %.0f us a change, %.0f bytes told; load average %s\n", run+1, n, m.CPU, m.Real.AnswerBytes, loadAverage())
 			}
 		}
 	}
-	printFigures(o, "endpoints", sizes, figures)
+	printMeasurements(o, "endpoints", sizes, measurements)
 	return nil
 }
--- a/internal/labcommand/slopes_test.go
+++ b/internal/labcommand/measure_test.go
@@ -13,7 +13,7 @@
 )
 
 // Bad input gets one line that names the flag and what is allowed, and an exit code that is not 0; nothing is started.
-func TestSlopesTurnDown(t *testing.T) {
+func TestMeasureFlagErrors(t *testing.T) {
 	tests := []struct {
 		args string
 		says string
@@ -84,25 +84,25 @@
 		{[]float64{3}, 3, 1},
 		{[]float64{10}, 10, 1},
 		{[]float64{10.1, 400, 2, 1}, 2, 3},
-		{slices.Repeat([]float64{11}, 2*voidRuns), -1, voidRuns},
+		{slices.Repeat([]float64{11}, 2*maxVoidRuns), -1, maxVoidRuns},
 	} {
 		var out bytes.Buffer
 		calls := 0
-		got, err := valid(&command.Out{Writer: &out}, 10*time.Millisecond, "run", func() (float64, error) {
+		got, err := measureValid(&command.Out{Writer: &out}, 10*time.Millisecond, "run", func() (float64, error) {
 			calls++
 			return c.lags[calls-1], nil
 		}, func(lag float64) float64 { return lag })
 		if calls != c.calls || (err != nil) != (c.want < 0) || err == nil && got != c.want {
 			t.Errorf("%v: %v, %v after %d runs; want %v after %d", c.lags, got, err, calls, c.want, c.calls)
 		}
-		if told := strings.Count(out.String(), "VOID"); err == nil && told != calls-1 {
-			t.Errorf("%v: %d void runs told of %d", c.lags, told, calls-1)
+		if reported := strings.Count(out.String(), "VOID"); err == nil && reported != calls-1 {
+			t.Errorf("%v: %d void runs told of %d", c.lags, reported, calls-1)
 		}
 	}
 }
 
 // The largest size is predicted by the others, wherever it stands, and never part of what predicts it.
-func TestForetold(t *testing.T) {
+func TestPredictLargest(t *testing.T) {
 	tests := []struct {
 		sizes, medians []float64
 		says           string
@@ -113,15 +113,15 @@
 		{[]float64{1}, []float64{2}, "no line: 0 different x"},
 	}
 	for _, c := range tests {
-		if got := foretold(c.sizes, c.medians); !strings.Contains(got, c.says) {
+		if got := predictLargest(c.sizes, c.medians); !strings.Contains(got, c.says) {
 			t.Errorf("%v %v: %q; want %q", c.sizes, c.medians, got, c.says)
 		}
 	}
 }
 
 // The three commands as they are built, each over two tiny sizes.
-func TestSlopes(t *testing.T) {
-	bin := build(t)
+func TestMeasureCommands(t *testing.T) {
+	bin := buildPrograms(t)
 	for _, c := range []struct {
 		args string
 		says []string
--- a/internal/labcommand/scale.go
+++ b/internal/labcommand/scale.go
@@ -37,13 +37,13 @@
 	if err != nil {
 		return err
 	}
-	beside := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
+	programPath := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
 	if c.Program == "" {
-		c.Program = beside("heathgap-crew")
+		c.Program = programPath("heathgap-crew")
 	}
 	opts := scale.Options{
 		Member:   func() *exec.Cmd { return exec.Command(c.Program) },
-		Plain:    func() *exec.Cmd { return exec.Command(beside("heathgap")) },
+		Plain:    func() *exec.Cmd { return exec.Command(programPath("heathgap")) },
 		Emulated: func() *exec.Cmd { return exec.Command(self, "hollow") },
 		LogDir:   c.Logs,
 	}
@@ -52,19 +52,19 @@
 	}
 	debug.SetGCPercent(labGC)
 	if len(c.Sizes) > 0 {
-		return c.grow(o, s, opts)
+		return c.runSizes(o, s, opts)
 	}
 	if c.Predict > 0 {
 		return errors.New("--predict: without --sizes there is nothing to predict from")
 	}
 	var runs []*scale.Record
-	good := true
+	passed := true
 	for i := range max(1, c.Runs) {
-		r, err := c.play(o, s, uint64(i), opts, fmt.Sprintf("%d", i+1))
+		r, err := c.runOnce(o, s, uint64(i), opts, fmt.Sprintf("%d", i+1))
 		if err != nil {
 			return err
 		}
-		runs, good = append(runs, r), good && r.Passed()
+		runs, passed = append(runs, r), passed && r.Passed()
 		if r.Partial {
 			break
 		}
@@ -72,15 +72,15 @@
 	if len(runs) > 1 && !c.JSON {
 		scale.WriteSpread(o, runs)
 	}
-	if !good {
-		return errNotGood
+	if !passed {
+		return errRunFailed
 	}
 	return nil
 }
 
-// play plays once, with the next seed but so many, and tells what came of it.
-func (c *labScale) play(o *command.Out, s *scale.Scenario, further uint64, opts scale.Options, folder string) (*scale.Record, error) {
-	ctx, stop := interruptible()
+// runOnce plays once, with the next seed but so many, and tells what came of it.
+func (c *labScale) runOnce(o *command.Out, s *scale.Scenario, seedOffset uint64, opts scale.Options, folder string) (*scale.Record, error) {
+	ctx, stop := interruptContext()
 	defer stop()
 	seed := s.Seed
 	if c.Seed != nil {
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 	}
-	r, err := scale.Run(ctx, s, seed+further, opts)
+	r, err := scale.Run(ctx, s, seed+seedOffset, opts)
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +112,8 @@
 	return r, nil
 }
 
-// grow plays the scenario at several sizes. Runs that are void, partial or broken count for no curve.
-func (c *labScale) grow(o *command.Out, s *scale.Scenario, opts scale.Options) error {
+// runSizes plays the scenario at several sizes. Runs that are void, partial or broken count for no curve.
+func (c *labScale) runSizes(o *command.Out, s *scale.Scenario, opts scale.Options) error {
 	var runs []*scale.Record
 	var predicted *scale.Record
 	sizes := c.Sizes
@@ -125,26 +125,26 @@
 		if err != nil {
 			return fmt.Errorf("--sizes: %w", err)
 		}
-		r, err := c.play(o, sized, 0, opts, fmt.Sprint(size))
+		r, err := c.runOnce(o, sized, 0, opts, fmt.Sprint(size))
 		if err != nil {
 			return err
 		}
 		switch {
 		case r.Partial || len(r.Void) > 0 || len(r.Broken) > 0:
-			return errNotGood
+			return errRunFailed
 		case i >= len(c.Sizes):
 			predicted = r
 		default:
 			runs = append(runs, r)
 		}
 	}
-	grown, err := scale.FitGrowth(runs, predicted)
+	growth, err := scale.FitGrowth(runs, predicted)
 	if err != nil {
 		return fmt.Errorf("--sizes: %w; three different ones at least", err)
 	}
 	if c.JSON {
-		return json.NewEncoder(o).Encode(map[string]any{"growth": grown})
+		return json.NewEncoder(o).Encode(map[string]any{"growth": growth})
 	}
-	scale.WriteGrowth(o, grown)
+	scale.WriteGrowth(o, growth)
 	return nil
 }
--- a/internal/labcommand/scale_test.go
+++ b/internal/labcommand/scale_test.go
@@ -7,7 +7,7 @@
 )
 
 // What is wrong with a scenario is told whole, and nothing starts; so is a plan that is too large.
-func TestScaleRefuses(t *testing.T) {
+func TestScaleInvalidInput(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
 		args  []string
@@ -19,7 +19,7 @@
 		"sizes":     {"name = \"x\"\n", []string{"--sizes", "3"}, []string{"--sizes: 3 sidecars"}},
 	} {
 		var out, errs bytes.Buffer
-		code := Heathlab(append([]string{"scale", write(t, c.text)}, c.args...), &out, &errs)
+		code := Heathlab(append([]string{"scale", writeScenario(t, c.text)}, c.args...), &out, &errs)
 		if code != 1 {
 			t.Errorf("%s: exit code %d", name, code)
 		}
