--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -13,16 +13,16 @@
 	"heathgap/internal/lab/oracle"
 )
 
-// Line is one endpoint of the list, as discovery writes it.
+// Line is one endpoint in a list, as discovery writes it.
 type Line struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
-	Status  string  `json:"status"` // SERVING, DRAINING, DELETED
+	Status  string  `json:"status"` // Serving, Draining or Deleted
 	Weight  float64 `json:"weight"`
-	Since   int64   `json:"since_ms"` // its start, Unix time; 0 for long ago
+	Since   int64   `json:"since_ms"` // the endpoint's start in Unix milliseconds; 0 for long ago
 }
 
 // The states of a line.
@@ -32,39 +32,40 @@
 	Deleted  = "DELETED"
 )
 
-// List is an answer of discovery.
+// List is an answer of discovery: a full list or changes.
 type List struct {
 	Index     int64  `json:"index"`
 	Whole     bool   `json:"snapshot"`
 	Endpoints []Line `json:"endpoints"`
 }
 
-// Discovery is the list of one tier: one service for all its sidecars, each of
-// which has an address of its own there, so that the book knows who was told what.
+// Discovery is a fake discovery with the list of one tier. Each sidecar has its own address there, so that the checker
+// knows which list was delivered to which sidecar.
 type Discovery struct {
 	checker *oracle.Shared
 
-	mu          sync.Mutex
-	index       int64
-	lines       map[string]Line
-	order       []string         // names, by when they were listed
-	changed     map[string]int64 // the version in which each name changed last
+	mu      sync.Mutex
+	index   int64
+	lines   map[string]Line
+	order   []string         // names, in the order in which they were first listed
+	changed map[string]int64 // the version in which each name last changed
+	// history has the earlier and current lines of each name, by rising version.
 	history     map[string][]versionedLine
-	delivered   map[string]int64 // the version that each sidecar was told last
+	delivered   map[string]int64 // the last version delivered to each sidecar
 	down        bool
-	refuseAfter time.Duration // each new call is refused after it: there are too many callers; 0 while there are not
-	lag         time.Duration // before each answer
-	updated     chan struct{} // closed at each change
+	refuseAfter time.Duration // how long after its beginning each new call is refused, as if there were too many callers; 0 for no refusals
+	lag         time.Duration // delay of each answer
+	updated     chan struct{} // closed and replaced at each change
 	servers     []*http.Server
 }
 
-// versionedLine is a line as it was from a version on.
+// versionedLine is a line and the version that it is valid from.
 type versionedLine struct {
 	Line
 	version int64
 }
 
-// NewDiscovery returns an empty list.
+// NewDiscovery returns a discovery with an empty list.
 func NewDiscovery(checker *oracle.Shared) *Discovery {
 	return &Discovery{
 		checker: checker, lines: map[string]Line{}, changed: map[string]int64{}, history: map[string][]versionedLine{},
@@ -72,7 +73,7 @@
 	}
 }
 
-// SetLines changes lines, all in one version.
+// SetLines adds or changes lines, all in one version.
 func (d *Discovery) SetLines(lines ...Line) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,12 +94,13 @@
 	d.notify()
 }
 
+// notify wakes the watches that wait.
 func (d *Discovery) notify() {
 	close(d.updated)
 	d.updated = make(chan struct{})
 }
 
-// SetDown has calls fail from now on, or not; those that wait fail at once.
+// SetDown makes calls fail from now on, or no longer. Watches that wait fail at once.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,8 +109,8 @@
 	d.notify()
 }
 
-// SetOverloaded has each call that begins from now on refused after a time, as by a discovery with too many callers, and watches that
-// wait go on waiting; 0 ends it. Discovery counts as reachable meanwhile.
+// SetOverloaded makes discovery refuse each call that begins from now on after a delay, as if it had too many callers;
+// 0 ends that. Watches that already wait go on waiting. For the checker, discovery still counts as reachable.
 func (d *Discovery) SetOverloaded(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,21 +118,22 @@
 	d.notify()
 }
 
-// SetLag delays each answer from now on.
+// SetLag sets the delay of each answer.
 func (d *Discovery) SetLag(lag time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lag = lag
 }
 
-// Listed returns the list as it is.
+// Listed returns the current full list.
 func (d *Discovery) Listed() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listAfter(0)
 }
 
-// LastDelivered is the whole list as a sidecar was told it last: what the platform hands it at its next start.
+// LastDelivered returns the full list of the version that was last delivered to a sidecar: the platform hands it to the
+// sidecar at its next start. For a sidecar without one it is the current list, which then counts as delivered.
 func (d *Discovery) LastDelivered(sidecar string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +153,7 @@
 	return list
 }
 
-// listAfter is what is newer than a version: all of it for version 0.
+// listAfter returns the lines that changed after a version, or the full list for version 0.
 func (d *Discovery) listAfter(after int64) List {
 	list := List{Index: d.index, Whole: after == 0, Endpoints: []Line{}}
 	for _, name := range d.order {
@@ -163,7 +166,7 @@
 	return list
 }
 
-// OpenFor opens the address of one sidecar.
+// OpenFor opens an address of discovery for one sidecar.
 func (d *Discovery) OpenFor(sidecar, host string) (address string, err error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -179,7 +182,7 @@
 	return listener.Addr().String(), nil
 }
 
-// Close ends all its addresses.
+// Close closes all addresses.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,11 +191,11 @@
 	}
 }
 
-// maxWait bounds a watch, as the protocol does.
+// maxWait bounds a watch, as in the protocol.
 const maxWait = time.Minute
 
-// serve answers one call: at once for the whole list, and when there is news, or
-// after the time that it asks for, for a watch.
+// serve answers one call. A call for the full list is answered at once; a watch when there is a newer version, or after
+// the time that it asks for.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request, sidecar string) {
 	d.checker.Do(func(b *oracle.Checker) { b.ListCallBegun(sidecar) })
 	defer func() { d.checker.Do(func(b *oracle.Checker) { b.ListCallEnded(d.checker.Now(), sidecar) }) }()
@@ -227,13 +230,14 @@
 	d.writeList(w, after, sidecar)
 }
 
+// refusalDelay returns the delay set by SetOverloaded.
 func (d *Discovery) refusalDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.refuseAfter
 }
 
-// pause waits; false if the peer leaves.
+// pause waits, and returns false if the peer leaves.
 func pause(r *http.Request, d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -243,7 +247,7 @@
 	}
 }
 
-// waitForNewer waits until there is something newer; false if the peer leaves.
+// waitForNewer waits for a version after a given one, for at most maxWait. It returns false if the peer leaves.
 func (d *Discovery) waitForNewer(r *http.Request, after int64, maxWait time.Duration) bool {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -264,13 +268,13 @@
 	}
 }
 
-// writeList answers with the list and books whom it has told what.
+// writeList writes the answer and reports to the checker what was delivered to whom.
 func (d *Discovery) writeList(w http.ResponseWriter, after int64, sidecar string) {
 	d.mu.Lock()
 	list := d.listAfter(after)
 	d.mu.Unlock()
 	var text bytes.Buffer
-	json.NewEncoder(&text).Encode(list) //nolint:errcheck // it holds nothing that can't be written
+	json.NewEncoder(&text).Encode(list) //nolint:errcheck // the list has nothing that can't be encoded
 	w.Header().Set("Content-Length", strconv.Itoa(text.Len()))
 	if _, err := w.Write(text.Bytes()); err != nil {
 		return
--- a/internal/lab/fake/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -1,6 +1,5 @@
-// Package fake holds the lab's stand-ins for what a sidecar meets: endpoints and
-// discovery. They speak the published protocol on sockets of 127.0.0.0/8, behave as
-// badly as they are told to, and tell the book of truth what came.
+// Package fake contains the lab's fake endpoints and fake discovery. They speak the published protocol on sockets of
+// 127.0.0.0/8, misbehave as they are told, and report to the checker what they received.
 package fake
 
 import (
@@ -25,68 +24,68 @@
 // Trouble is how an endpoint misbehaves.
 type Trouble string
 
-// The troubles. Those of one endpoint replace each other.
+// The troubles. An endpoint has one at a time.
 const (
 	NoTrouble       Trouble = ""
-	Errors          Trouble = "errors"  // answers 500 at once to a share of requests
-	Hang            Trouble = "hang"    // takes requests and never answers
-	Silent          Trouble = "silent"  // its machine is cut off: nothing is read or written
-	Refuses         Trouble = "refuses" // turns all away at once
-	TruncatedAnswer Trouble = "half"    // ends the connection within an answer
-	Garbage         Trouble = "garbage" // answers with what is no HTTP
-	ExtraBytes      Trouble = "surplus" // sends more than its answer
+	Errors          Trouble = "errors"  // answers 500 at once to a share of the requests
+	Hang            Trouble = "hang"    // accepts requests and never answers
+	Silent          Trouble = "silent"  // its machine is partitioned: nothing is read or written
+	Refuses         Trouble = "refuses" // rejects all requests at once
+	TruncatedAnswer Trouble = "half"    // closes the connection within an answer
+	Garbage         Trouble = "garbage" // answers with something that is not HTTP
+	ExtraBytes      Trouble = "surplus" // sends bytes after its answer
 )
 
-// Call makes one call of the next tier for a request, until the time that the request
-// has, and tells whether it was served. The key is empty for requests without one.
+// Call makes one call of the next tier on behalf of a request, until the request's deadline, and reports whether it was
+// served. The key is empty if the request has none.
 type Call func(ctx context.Context, until time.Duration, key string) bool
 
-// EndpointConf is what an endpoint is.
+// EndpointConf is the configuration of an endpoint.
 type EndpointConf struct {
 	Name        string
-	Address     string // with port 0 for any
+	Address     string // port 0 for any free port
 	ServerModel servermodel.Conf
 	Cold        bool
-	Connections int           // at once; more are turned away; 0 for no limit
-	Handshake   time.Duration // work that a new connection costs
-	IdleFor     time.Duration // idle connections end after it
-	BodyBytes   int           // of an answer, about
+	Connections int           // accepted at once; requests on further ones are rejected; 0 for no limit
+	Handshake   time.Duration // work that the first request of a connection adds
+	IdleFor     time.Duration // how long a connection may be idle before it is closed; 0 for no limit
+	BodyBytes   int           // least size of the body of a served answer
 	Seed        uint64
 	Classes     map[string]ClassConf
-	Calls       int  // of the next tier for a request
-	Call        Call // makes them; nil without any
+	Calls       int  // calls of the next tier for each request
+	Call        Call // makes one such call; nil for none
 }
 
 // ClassConf is a class as endpoints know it.
 type ClassConf struct {
 	Effect decide.Effect
-	Work   time.Duration // mean; drawn anew for each request
-	Keys   *KeyMemory    // of the endpoint's group; nil for classes that are not keyed
+	Work   time.Duration // mean of an exponential distribution
+	Keys   *KeyMemory    // shared by the endpoints of the effect group; nil for classes that are not keyed
 }
 
-// Endpoint is one process of a tier.
+// Endpoint is one fake endpoint process.
 type Endpoint struct {
 	conf     EndpointConf
 	checker  *oracle.Shared
 	listener net.Listener
 	address  string
-	ctx      context.Context // ends with the process
+	ctx      context.Context // ends when the process dies
 	cancel   context.CancelFunc
 
 	mu        sync.Mutex
 	model     *servermodel.Server
 	timer     *time.Timer
 	trouble   Trouble
-	share     float64 // of requests that Errors strikes
+	share     float64 // share of the requests that fail, with trouble Errors
 	random    *rand.Rand
 	conns     map[net.Conn]struct{}
-	partition chan struct{} // closed when a silent machine is back
+	partition chan struct{} // not nil while the machine is partitioned; closed when that ends
 }
 
-// errDied is told of jobs whose endpoint has died or fallen over.
+// errDied is the error of jobs whose endpoint has died, or was overloaded while cold.
 var errDied = errors.New("the endpoint has died")
 
-// StartEndpoint starts one. Its address may be that of one that has just died.
+// StartEndpoint starts an endpoint. Its address may be that of an endpoint that has just died.
 func StartEndpoint(conf EndpointConf, checker *oracle.Shared) (*Endpoint, error) {
 	model, err := servermodel.New(conf.ServerModel, checker.Now(), conf.Cold)
 	if err != nil {
@@ -106,13 +105,13 @@
 	return e, nil
 }
 
-// Name is the one that discovery lists.
+// Name returns the name in discovery's list.
 func (e *Endpoint) Name() string { return e.conf.Name }
 
-// Address is where it listens.
+// Address returns the address that the endpoint listens on.
 func (e *Endpoint) Address() string { return e.address }
 
-// Kill ends it as a process that dies: its connections are reset, new ones refused.
+// Kill ends the endpoint as if its process died: connections are reset, and new ones refused.
 func (e *Endpoint) Kill() {
 	e.cancel()
 	e.listener.Close()
@@ -128,15 +127,15 @@
 	e.heal()
 }
 
-// reset ends a connection with a reset in place of an orderly end.
+// reset closes a connection with a reset (RST) instead of an orderly end.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		tcp.SetLinger(0) //nolint:errcheck // it ends either way
+		tcp.SetLinger(0) //nolint:errcheck // the connection ends either way
 	}
 	conn.Close()
 }
 
-// SetTrouble changes its trouble; the share is that of requests that Errors strikes.
+// SetTrouble changes the trouble. The share is that of the requests that fail, with trouble Errors.
 func (e *Endpoint) SetTrouble(trouble Trouble, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,7 +146,7 @@
 	}
 }
 
-// heal brings a silent machine back: it resets what it had, as the peers may be gone.
+// heal ends a partition. It resets the connections, as the peers may have gone meanwhile.
 func (e *Endpoint) heal() {
 	if e.partition == nil {
 		return
@@ -159,16 +158,17 @@
 	}
 }
 
-// Pause stops or resumes its work.
+// Pause stops or resumes all work.
 func (e *Endpoint) Pause(paused bool) {
 	e.update(func(now time.Duration) { e.model.Pause(now, paused) })
 }
 
-// SetSpeed sets the part of its speed that is left.
+// SetSpeed sets the speed, as a part of the normal speed.
 func (e *Endpoint) SetSpeed(part float64) {
 	e.update(func(now time.Duration) { e.model.SetSpeed(now, part) })
 }
 
+// update brings the model up to date, changes it and sets the timer anew.
 func (e *Endpoint) update(do func(now time.Duration)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,9 +178,11 @@
 	e.armTimer(now)
 }
 
-// onTimer is the timer's: it hands out what is done.
+// onTimer finishes the jobs that are done by now.
 func (e *Endpoint) onTimer() { e.update(func(time.Duration) {}) }
 
+// finishDue finishes the jobs that are done. If the model was overloaded while cold, its jobs fail and the checker is
+// told.
 func (e *Endpoint) finishDue(now time.Duration) {
 	done, overloaded := e.model.Due(now)
 	if overloaded {
@@ -195,12 +197,14 @@
 	}
 }
 
+// armTimer sets the timer to the next event of the model.
 func (e *Endpoint) armTimer(now time.Duration) {
 	if at, ok := e.model.Next(); ok && e.ctx.Err() == nil {
 		e.timer.Reset(max(0, at-now))
 	}
 }
 
+// accept accepts connections until the endpoint dies.
 func (e *Endpoint) accept() {
 	for {
 		conn, err := e.listener.Accept()
@@ -220,7 +224,7 @@
 	}
 }
 
-// inboundRequest is a request as it came.
+// inboundRequest is a received request. Its times are on the checker's clock.
 type inboundRequest struct {
 	class, id, key      string
 	remaining           time.Duration
@@ -228,16 +232,16 @@
 	closeAfter          bool
 }
 
-// job is a request at work at the station.
+// job is a request that the server model works on.
 type job struct {
 	servermodel.Job
-	done chan error // its one end
+	done chan error // receives the job's result, once
 }
 
 func (j *job) finish(err error) { j.done <- err }
 
-// serve carries one connection: a goroutine reads requests ahead, so that a peer
-// that leaves is seen while one is at work.
+// serve handles one connection. A second goroutine reads requests ahead, so that the end of the connection is noticed
+// while a request is being handled.
 func (e *Endpoint) serve(conn net.Conn, overLimit bool) {
 	defer func() {
 		conn.Close()
@@ -273,7 +277,7 @@
 			return
 		}
 		m := inboundRequest{firstByte: e.checker.Now()}
-		if e.waitIfPartitioned() { // what came meanwhile never got there: the connection is reset
+		if e.waitIfPartitioned() { // the request never arrived: the connection is reset
 			return
 		}
 		if err := request.Read(in); err != nil {
@@ -297,8 +301,7 @@
 	}
 }
 
-// waitIfPartitioned holds what has come, or is to go, while the machine is cut off, and
-// tells whether it was.
+// waitIfPartitioned waits while the machine is partitioned, and reports whether it was.
 func (e *Endpoint) waitIfPartitioned() bool {
 	e.mu.Lock()
 	cut := e.partition
@@ -313,7 +316,7 @@
 	return true
 }
 
-// What endpoints answer.
+// Answers without a body.
 const (
 	rejectedAnswer    = "HTTP/1.1 503 Service Unavailable\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 	serverErrorAnswer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
@@ -321,7 +324,7 @@
 	badRequestAnswer  = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"
 )
 
-// answer works a request off; false ends the connection.
+// answer handles one request. It returns false if the connection must be closed.
 func (e *Endpoint) answer(conn net.Conn, m inboundRequest, newConn, overLimit bool, gone <-chan struct{}) bool {
 	class, known := e.conf.Classes[m.class]
 	if m.id == "" || !known {
@@ -332,7 +335,7 @@
 	case overLimit || trouble == Refuses:
 		return e.reject(conn, m) && !overLimit
 	case trouble == Silent:
-		e.waitIfPartitioned() // it came as the machine was cut off
+		e.waitIfPartitioned() // the partition began after the request was read
 		return false
 	}
 	var first, own *keyRun
@@ -340,7 +343,7 @@
 		first, own = class.Keys.Observe(m.lastByte, m.key)
 	}
 	switch {
-	case fails: // it fails having run: its key is known from then on
+	case fails: // the request fails after its effect: repeats of its key have none
 		own.finish()
 		return e.recordArrival(m, true, first != nil) && writeText(conn, serverErrorAnswer)
 	case first != nil:
@@ -370,14 +373,14 @@
 	return e.writeServed(conn, trouble, m, "") && !m.closeAfter
 }
 
-// currentTrouble is the trouble of the moment, and whether it strikes this request.
+// currentTrouble returns the trouble, and whether it makes this request fail.
 func (e *Endpoint) currentTrouble() (Trouble, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.trouble, e.trouble == Errors && e.random.Float64() < e.share
 }
 
-// recordArrival books an attempt; false if no client sent it.
+// recordArrival reports an attempt to the checker. It returns false if no client has sent such a request.
 func (e *Endpoint) recordArrival(m inboundRequest, accepted, repeat bool) (known bool) {
 	e.checker.Do(func(b *oracle.Checker) {
 		known = b.AttemptArrived(oracle.Arrival{
@@ -387,12 +390,13 @@
 	return known
 }
 
+// reject answers that the request was rejected before any effect.
 func (e *Endpoint) reject(conn net.Conn, m inboundRequest) bool {
 	e.recordArrival(m, false, false)
 	return writeText(conn, rejectedAnswer)
 }
 
-// repeat answers a request whose key is known, once the run that it repeats ends.
+// repeat answers a request whose key is known, once the run that it repeats has ended.
 func (e *Endpoint) repeat(conn net.Conn, m inboundRequest, first *keyRun, gone <-chan struct{}) bool {
 	if !e.recordArrival(m, true, true) {
 		return writeText(conn, badRequestAnswer)
@@ -403,7 +407,7 @@
 	return e.writeServed(conn, NoTrouble, m, " repeat")
 }
 
-// wait waits for something; false if the peer goes or the endpoint dies first.
+// wait waits until what is closed. It returns false if the peer leaves or the endpoint dies first.
 func (e *Endpoint) wait(what, gone <-chan struct{}) bool {
 	select {
 	case <-what:
@@ -414,7 +418,7 @@
 	return false
 }
 
-// startJob gives a request to the station.
+// startJob gives a request to the server model, and returns false if the model rejects it.
 func (e *Endpoint) startJob(m inboundRequest, class ClassConf, newConn bool) (*job, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -434,8 +438,8 @@
 	return j, accepted
 }
 
-// waitForJob waits for a job. What may be repeated is given up when its peer has gone;
-// an effect goes on, whoever waits for it.
+// waitForJob waits for a job. If the peer leaves meanwhile, a safe request is canceled; one with an effect goes on to
+// its end.
 func (e *Endpoint) waitForJob(j *job, class ClassConf, gone <-chan struct{}) error {
 	select {
 	case err := <-j.done:
@@ -456,7 +460,7 @@
 	return errDied
 }
 
-// callNextTier makes the calls of the next tier, one after the other.
+// callNextTier makes the calls of the next tier, one after the other. It returns false as soon as one fails.
 func (e *Endpoint) callNextTier(m inboundRequest, gone <-chan struct{}) bool {
 	if e.conf.Call == nil {
 		return true
@@ -484,8 +488,8 @@
 	return true
 }
 
-// writeServed writes a served answer, as the trouble has it. Its body begins with the id
-// of the request, so that clients know an answer that is not theirs.
+// writeServed writes an answer with status 200, spoiled as the trouble says. The body begins with the request's ID, so
+// that a client recognizes an answer to another request.
 func (e *Endpoint) writeServed(conn net.Conn, trouble Trouble, m inboundRequest, note string) bool {
 	if e.waitIfPartitioned() {
 		return false
@@ -508,7 +512,7 @@
 	return writeText(conn, text)
 }
 
-const writeTimeout = 10 * time.Second // a peer that does not read ends its connection
+const writeTimeout = 10 * time.Second // a peer that reads nothing for so long ends its connection
 
 func writeText(conn net.Conn, text string) bool {
 	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/internal/lab/fake/keys.go
+++ b/internal/lab/fake/keys.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// KeyMemory is the memory of keys that a group of endpoints shares: within the window
-// after a key was first seen, a request under it has no effect of its own.
+// KeyMemory remembers the keys that the endpoints of an effect group have received. Within the window after a key was
+// first seen, a request with that key has no effect of its own.
 type KeyMemory struct {
 	window time.Duration
 	mu     sync.Mutex
 	seen   map[string]*keyRun
-	order  []*keyRun // the oldest first
+	order  []*keyRun // in the order in which they were first seen
 }
 
-// keyRun is a key and the run that it stands for.
+// keyRun is a key with the run that had its effect.
 type keyRun struct {
 	key      string
-	lastByte time.Duration // the first run's last byte
-	done     chan struct{} // closed when that run has ended, or died with its endpoint
+	lastByte time.Duration // when the last byte of that run's request was received
+	done     chan struct{} // closed when that run has ended, or its endpoint has died
 	once     sync.Once
 }
 
@@ -27,8 +27,8 @@
 	return &KeyMemory{window: window, seen: map[string]*keyRun{}}
 }
 
-// Observe takes a key that has come. It returns the run that it repeats, or nil and
-// a run of its own, to be ended by its endpoint.
+// Observe records a received key. It returns the run that the request repeats, or nil and a new run, which the endpoint
+// must finish or forget.
 func (k *KeyMemory) Observe(now time.Duration, key string) (first, own *keyRun) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -47,7 +47,7 @@
 	return nil, own
 }
 
-// Forget takes back a run that was turned away after all.
+// Forget removes a run whose request was rejected in the end.
 func (k *KeyMemory) Forget(own *keyRun) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,7 +57,7 @@
 	own.finish()
 }
 
-// finish tells those that wait for the run. A nil run is none.
+// finish wakes the requests that wait for the run. The run may be nil.
 func (s *keyRun) finish() {
 	if s != nil {
 		s.once.Do(func() { close(s.done) })
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -1,6 +1,5 @@
-// Package faultproxy is a stand-in for a sidecar whose wire is faulty: it stands before a
-// real one and answers some requests twice. The lab shows by it that its book would
-// notice; what policies can do wrong, package policy does.
+// Package faultproxy contains an injected fault on the wire: a proxy in front of a real sidecar that writes some
+// answers twice. The lab uses it to show that its checker notices. Faults in decisions are in package policy.
 package faultproxy
 
 import (
@@ -12,19 +11,19 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Proxy passes connections on.
+// Proxy forwards connections to a sidecar.
 type Proxy struct {
 	listener net.Listener
 	target   string
-	every    int // of so many answers one is written twice
+	every    int // one of so many answers is written twice
 
 	mu      sync.Mutex
 	answers int
-	Doubled int // so many were
+	Doubled int // answers that were written twice
 	conns   map[net.Conn]struct{}
 }
 
-// Start starts one before a sidecar.
+// Start starts a proxy in front of the sidecar at target.
 func Start(listen, target string, every int) (*Proxy, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -35,10 +34,10 @@
 	return p, nil
 }
 
-// Address is where clients connect.
+// Address returns the address that clients connect to.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Close ends it and its connections, and returns how many answers it doubled.
+// Close closes the proxy and its connections, and returns how many answers it wrote twice.
 func (p *Proxy) Close() int {
 	p.listener.Close()
 	p.mu.Lock()
@@ -60,12 +59,14 @@
 	}
 }
 
+// track remembers a connection for Close.
 func (p *Proxy) track(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = struct{}{}
 }
 
+// untrack closes a connection and forgets it.
 func (p *Proxy) untrack(c net.Conn) {
 	c.Close()
 	p.mu.Lock()
@@ -73,9 +74,9 @@
 	delete(p.conns, c)
 }
 
-const messageTimeout = 30 * time.Second // for each message: nothing waits for ever
+const messageTimeout = 30 * time.Second // bounds each read and write, so that nothing waits forever
 
-// serve passes requests of one connection on, one after the other.
+// serve forwards the requests of one connection, one after the other.
 func (p *Proxy) serve(conn net.Conn) {
 	defer p.untrack(conn)
 	sidecar, err := net.DialTimeout("tcp", p.target, messageTimeout)
@@ -117,7 +118,7 @@
 	return w.Flush()
 }
 
-// nextIsDoubled tells whether the next answer is written twice.
+// nextIsDoubled counts an answer and reports whether it is to be written twice.
 func (p *Proxy) nextIsDoubled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -20,49 +20,51 @@
 	"heathgap/internal/lab/oracle"
 )
 
-// Target is one start of a sidecar. A sidecar that starts again is another target
-// of the same name.
+// Target is one process of a sidecar, from its start to its end. A sidecar that starts again is another Target of the
+// same name.
 type Target struct {
 	Name, Address string
-	Stopped       atomic.Bool // the lab has killed it: what it held is cut, not lost
+	Stopped       atomic.Bool // set when the lab kills or stops the process: its open requests then count as interrupted, not as lost
 }
 
-// Front deals out new connections. Its choice may be a sidecar that has died.
+// Front picks the sidecar for each new connection. It may pick one that has died.
 type Front interface {
 	Pick() *Target // nil if there is none
 }
 
-// SingleTarget is a front with one sidecar.
+// SingleTarget is a Front with at most one sidecar.
 type SingleTarget struct{ target atomic.Pointer[Target] }
 
-// Set puts a target in place.
+// Set replaces the target.
 func (s *SingleTarget) Set(t *Target) { s.target.Store(t) }
 
-// Pick returns it.
+// Pick returns the target, or nil if none was set.
 func (s *SingleTarget) Pick() *Target { return s.target.Load() }
 
-// Times of clients.
+// Timeouts and bounds of a client.
 const (
-	dialTimeout   = time.Second
-	writeTimeout  = 5 * time.Second
+	dialTimeout  = time.Second
+	writeTimeout = 5 * time.Second
+	// maxAnswerBody is in bytes.
 	maxAnswerBody = 4 << 20
-	maxDials      = 3 // a client whose connection is refused tries the front's next choices
+	maxDials      = 3 // connection attempts for a request: after a failed one, the client tries the next sidecar that the front picks
 )
 
-// Client sends requests over connections that it keeps.
+// Client sends requests to sidecars over connections that it reuses, and reports each request and its end to the
+// checker.
 type Client struct {
 	checker *oracle.Shared
 	front   Front
-	grace   time.Duration // waited past a request's time for its answer
+	grace   time.Duration // how long after a request's deadline the client still waits for its answer
 
-	OnServed func(endpoint string) // is told of each served answer, if it is there; set before the first Send
+	OnServed func(endpoint string) // if not nil, called for each served answer with the endpoint's name; set before the first Send
 
 	mu   sync.Mutex
 	idle []*conn
 }
 
-// NewClient returns a client; it waits so much longer than the rules allow before
-// it holds a missing answer against a sidecar.
+// NewClient returns a client that reports to checker. It waits for grace past a request's deadline before it reports
+// the answer as missing.
 func NewClient(checker *oracle.Shared, front Front, grace time.Duration) *Client {
 	return &Client{checker: checker, front: front, grace: grace}
 }
@@ -72,42 +74,44 @@
 	net.Conn
 	in     *bufio.Reader
 	target *Target
-	lastID string // of the request whose answer came last
+	lastID string // ID of the request that was answered last; empty on a new connection
 }
 
-// Request is one request to be sent.
+// Request is one request to send. Times are on the checker's clock.
 type Request struct {
 	ID, Class, Tenant, Key string
 	Tier                   int
 	Effect                 decide.Effect
-	Deadline               time.Duration // when its time is up
-	Leave                  time.Duration // when the client leaves before that; 0 for never
-	Repeat                 bool
-	Body                   int  // bytes
-	Close                  bool // the connection ends with it
+	Deadline               time.Duration // when the client stops waiting for the answer
+	Leave                  time.Duration // when the client leaves, if that is before Deadline; 0 for never
+	// Repeat marks a repeat by the client (header X-Resent).
+	Repeat bool
+	Body   int  // in bytes, of POST requests
+	Close  bool // the client asks to close the connection after the answer
 }
 
-// Ending a try ended.
+// Ending is how a try of a request ended.
 type Ending uint8
 
-// The ends of a try.
+// The endings of a try.
 const (
 	Answered       Ending = iota
-	NoAnswer              // lost
-	ClientLeft            // the client left
-	SidecarStopped        // the lab stopped the sidecar
-	NotConnected          // no sidecar took the connection
+	NoAnswer              // the connection ended, or the time was up, without a complete answer
+	ClientLeft            // the client left before the deadline
+	SidecarStopped        // the lab had stopped the sidecar
+	NotConnected          // no sidecar accepted the connection, or the request could not be written
 )
 
-// Result is what came of a try.
+// Result is the outcome of a try. Verdict and RetryAfter are set only if Ending is Answered.
 type Result struct {
 	Ending     Ending
 	Verdict    oracle.Verdict
 	RetryAfter time.Duration
 }
 
-// Send sends a request once. If its connection ends as the request crosses that,
-// it is sent once more on a new one.
+// Send sends a request once and waits for its answer. If a reused connection ends before any answer, and no endpoint
+// has received the request, Send repeats it once on a new connection: the sidecar may have closed the idle connection
+// just as the request was sent.
 func (c *Client) Send(ctx context.Context, req Request) Result {
 	for reuse := true; ; reuse = false {
 		conn := c.connection(ctx, reuse)
@@ -121,8 +125,8 @@
 	}
 }
 
-// exchange writes a request and reads its answer; again tells that nothing came of
-// it and that it may be sent on a new connection.
+// exchange writes a request on conn and reads its answer. It returns retry if the request had no effect and may be sent
+// again on a new connection.
 func (c *Client) exchange(ctx context.Context, conn *conn, req Request) (retry bool, result Result) {
 	reused := conn.lastID != ""
 	c.checker.Do(func(b *oracle.Checker) {
@@ -158,12 +162,13 @@
 	return false, c.recordAnswer(conn, &req, &answer)
 }
 
+// retract takes a request back from the checker. It returns false if an endpoint has received it.
 func (c *Client) retract(id string) (retracted bool) {
 	c.checker.Do(func(b *oracle.Checker) { retracted = b.RetractRequest(id) })
 	return retracted
 }
 
-// recordFailure books a request whose connection has ended, or whose time has.
+// recordFailure closes the connection and reports the request as interrupted, as left by the client or as unanswered.
 func (c *Client) recordFailure(conn *conn, id string, err error, leavesEarly bool) Result {
 	now := c.checker.Now()
 	timeout := errors.Is(err, os.ErrDeadlineExceeded)
@@ -185,7 +190,7 @@
 	return result
 }
 
-// recordAnswer books a whole answer and keeps the connection.
+// recordAnswer reports a complete answer and puts the connection back among the idle ones, unless it must be closed.
 func (c *Client) recordAnswer(conn *conn, req *Request, answer *fasthttp.Response) Result {
 	now := c.checker.Now()
 	result := Result{Ending: Answered, Verdict: verdictOf(answer.StatusCode())}
@@ -223,6 +228,7 @@
 	return result
 }
 
+// verdictOf maps the status of an answer to the checker's verdict.
 func verdictOf(status int) oracle.Verdict {
 	switch status {
 	case fasthttp.StatusOK:
@@ -235,7 +241,8 @@
 	return oracle.Failed
 }
 
-// connection returns an idle connection, any of them, or a new one; nil if none comes up.
+// connection returns a random idle connection if reuse is set and one is usable, else a new one. It returns nil if no
+// sidecar can be reached.
 func (c *Client) connection(ctx context.Context, reuse bool) *conn {
 	for reuse {
 		c.mu.Lock()
@@ -268,8 +275,8 @@
 	return nil
 }
 
-// usable looks whether an idle connection has ended, or has brought more than its
-// answer, which is held against its sidecar.
+// usable reports whether an idle connection is still open and has no unread bytes. Bytes after the last answer are
+// reported as a violation by the sidecar.
 func (c *Client) usable(idle *conn) bool {
 	raw, err := idle.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -288,7 +295,7 @@
 	return err == nil && open
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -298,7 +305,7 @@
 	c.idle = nil
 }
 
-// encode writes a request, with what is left of its time.
+// encode returns the request as HTTP/1.1 text; remaining is the time left until its deadline.
 func encode(req *Request, remaining time.Duration) []byte {
 	method := "POST"
 	if req.Effect == decide.Safe {
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -15,28 +15,28 @@
 	"heathgap/internal/lab/oracle"
 )
 
-// ClientBehavior are how clients behave.
+// ClientBehavior says how clients retry, leave and use connections.
 type ClientBehavior struct {
-	Retries   int           // asks again so often at most
-	Backoff   time.Duration // before the first of them, doubled for each, give or take half
-	Impatient float64       // share of clients that leave early
-	LeaveAt   float64       // part of their time after which these leave
-	Churn     float64       // share of requests that end their connection
-	Body      int           // bytes of a request that has a body
+	Retries   int           // at most so many retries of a logical request
+	Backoff   time.Duration // mean wait before the first retry, doubled for each further one; the wait varies by half either way
+	Impatient float64       // share of logical requests whose client leaves early
+	LeaveAt   float64       // part of the deadline after which those clients leave
+	Churn     float64       // share of logical requests whose connection is closed after each answer
+	Body      int           // bytes in the body of a POST request
 }
 
-// Class is a class as clients know it.
+// Class is a request class as clients know it.
 type Class struct {
 	Name     string
 	Effect   decide.Effect
 	Deadline time.Duration
 }
 
-// maxOpen bounds the requests that clients have open: beyond it the lab itself
-// is overrun, and the run void.
+// maxOpen bounds the logical requests that are open at once. Beyond it the lab itself is overloaded, and the run
+// doesn't count.
 const maxOpen = 50_000
 
-// Driver sends a plan's requests when they are due.
+// Driver sends the requests of a plan when they are due.
 type Driver struct {
 	Plan     *Plan
 	Seed     uint64
@@ -44,7 +44,7 @@
 	Behavior ClientBehavior
 	Client   *Client
 	Checker  *oracle.Shared
-	Base     time.Duration // on the book's clock: when the plan begins
+	Base     time.Duration // when the plan begins, on the checker's clock
 
 	open    atomic.Int64
 	overrun atomic.Bool
@@ -53,8 +53,8 @@
 	wait    sync.WaitGroup
 }
 
-// Run sends all requests and returns when the last has ended, or the context has
-// and those that are open have.
+// Run sends all requests of the plan. It returns when the last has ended or, once ctx is canceled, when the open ones
+// have ended.
 func (d *Driver) Run(ctx context.Context) {
 	d.initLag()
 	for src := d.Plan.Arrivals(d.Seed); ; {
@@ -79,12 +79,11 @@
 	d.wait.Wait()
 }
 
-// timerSlack is by how much the runtime's timers may be late: where the process waits
-// in epoll meanwhile, that counts whole milliseconds.
+// timerSlack is how late the runtime's timers may be: a process that waits in epoll does so in whole milliseconds.
 const timerSlack = 2 * time.Millisecond
 
-// waitUntil waits for a time on the book's clock: by a timer until shortly before it,
-// and for the rest in the kernel, which is exact to some 50 us.
+// waitUntil waits for a time on the checker's clock: by a timer until shortly before it, and for the rest in nanosleep,
+// which is exact to about 50 us.
 func (d *Driver) waitUntil(ctx context.Context, at time.Duration) {
 	if pause := at - d.Checker.Now() - timerSlack; pause > 0 {
 		select {
@@ -99,24 +98,25 @@
 	}
 }
 
+// initLag creates the histogram of lags; its maximum is a minute.
 func (d *Driver) initLag() { d.lag = hdrhistogram.New(1, int64(time.Minute), 3) }
 
-// Overrun tells whether the load could not be held open any more.
+// Overrun reports whether the run was stopped because more than maxOpen requests were open.
 func (d *Driver) Overrun() bool { return d.overrun.Load() }
 
-// Lag is how late requests were sent at a quantile (0 to 100).
+// Lag returns by how much requests were sent late, at a quantile from 0 to 100.
 func (d *Driver) Lag(quantile float64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return time.Duration(d.lag.ValueAtQuantile(quantile))
 }
 
-// fulfill asks for one thing until it is served, the client's time is up, or it has
-// asked often enough.
+// fulfill sends one logical request, with its retries, until it is served, its time is up or its client gives up, and
+// reports its end to the checker.
 func (d *Driver) fulfill(ctx context.Context, a Arrival) {
 	late := d.Checker.Now() - d.Base - a.At
 	d.mu.Lock()
-	d.lag.RecordValue(min(max(1, int64(late)), int64(time.Minute))) //nolint:errcheck // it is within bounds
+	d.lag.RecordValue(min(max(1, int64(late)), int64(time.Minute))) //nolint:errcheck // the value is within the histogram's bounds
 	d.mu.Unlock()
 	class := d.Classes[a.Class]
 	random := rand.New(rand.NewPCG(a.Seed, 3))
@@ -138,6 +138,7 @@
 	d.Checker.Ended(logical)
 }
 
+// firstRequest returns the first try of a logical request, without its ID.
 func (d *Driver) firstRequest(a Arrival, class Class, random *rand.Rand) Request {
 	req := Request{
 		Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Effect: class.Effect,
@@ -152,7 +153,8 @@
 	return req
 }
 
-// waitToRetry waits before a client asks again; false if it does not.
+// waitToRetry waits before a client's next try and returns true. It returns false if the client does not try again: its
+// retries or its time are used up, it has left, the request was malformed, or an unsafe request may have run.
 func (d *Driver) waitToRetry(ctx context.Context, req *Request, tries int, result Result, random *rand.Rand) bool {
 	neverRan := result.Ending == NotConnected || result.Ending == Answered && result.Verdict == oracle.Refused
 	switch {
--- a/internal/lab/load/malformed.go
+++ b/internal/lab/load/malformed.go
@@ -13,10 +13,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// malformedTimeout is how long a bad client waits for a word or a close.
+// malformedTimeout is how long a malformed-request client waits for an answer or for the end of its connection.
 const malformedTimeout = 6 * time.Second
 
-// malformedTexts are what bad clients send: none is a request that may be served.
+// malformedTexts are what malformed-request clients send. None of them is a request that may be served.
 var malformedTexts = []string{
 	"what?\r\n\r\n",
 	"GET /nothing-of-the-kind/1 HTTP/1.1\r\nHost: lab\r\nX-Txn: rude\r\nX-Remaining: 1\r\n\r\n",
@@ -29,16 +29,16 @@
 	"",
 }
 
-// MalformedCounts counts what became of bad clients.
+// MalformedCounts counts the outcomes of malformed requests.
 type MalformedCounts struct {
 	Sent     int `json:"sent"`
 	Refused  int `json:"answered_400"`
 	Closed   int `json:"closed"`
-	Silent   int `json:"no_word"` // neither an answer nor a close in time
+	Silent   int `json:"no_word"` // neither an answer nor the end of the connection within malformedTimeout
 	Answered int `json:"answered_otherwise"`
 }
 
-// SendMalformed sends bad requests at a rate until the context ends, and counts.
+// SendMalformed sends malformed requests at a mean rate until ctx ends, and returns the counts of their outcomes.
 func SendMalformed(ctx context.Context, front Front, perSecond float64, seed uint64) MalformedCounts {
 	var (
 		count MalformedCounts
@@ -69,7 +69,7 @@
 	}
 }
 
-// sendMalformedOnce sends one text and returns which count its end belongs to.
+// sendMalformedOnce sends one text and returns a function that selects the count for its outcome.
 func sendMalformedOnce(address, text string) func(*MalformedCounts) *int {
 	closed := func(r *MalformedCounts) *int { return &r.Closed }
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -1,6 +1,5 @@
-// Package load makes the lab's traffic: an open loop of requests that come when
-// they are due, whatever becomes of those before them, and the clients that send
-// them, lose patience, ask again and leave.
+// Package load generates the lab's traffic. Requests arrive in an open loop: each is sent when it is due, whatever
+// happened to those before it. Clients retry, lose patience and leave.
 package load
 
 import (
@@ -12,52 +11,52 @@
 	"time"
 )
 
-// Shape is how the rate goes over a run.
+// Shape is how the rate of requests changes over a run.
 type Shape string
 
 // The shapes.
 const (
 	Steady Shape = "steady"
-	Ramp   Shape = "ramp"   // from Low times the rate at the start up to all of it at the end
-	Surge  Shape = "surge"  // Low times the rate but for the middle third, which has all of it
-	Wander Shape = "wander" // between Low times the rate and all of it, up and down each Period
+	Ramp   Shape = "ramp"   // rises from Low times the rate to the full rate
+	Surge  Shape = "surge"  // the full rate in the middle third, Low times the rate before and after it
+	Wander Shape = "wander" // swings between Low times the rate and the full rate, once in each Period
 )
 
-// Share is a class or a tenant and its share of the requests.
+// Share is a class or tenant with its relative share of the requests.
 type Share struct {
 	Name  string
 	Share float64
 }
 
-// Flood multiplies the requests of one tenant, or of all, for a while.
+// Flood multiplies the requests of one tenant, or of all, for some time.
 type Flood struct {
-	Tenant  string // empty for all
+	Tenant  string // empty for all tenants
 	At, For time.Duration
 	Factor  float64
 }
 
-// Plan says what comes when. The same plan and seed make the same arrivals.
+// Plan describes the arrivals of a run. The same plan and seed give the same arrivals.
 type Plan struct {
-	Rate     float64 // requests a second, by shape the most of them
+	Rate     float64 // requests per second at the highest point of the shape, without floods
 	Shape    Shape
 	Low      float64
-	Period   time.Duration // of Wander
+	Period   time.Duration // used by Wander
 	Duration time.Duration
 	Classes  []Share
 	Tenants  []Share
 	Floods   []Flood
 }
 
-// Arrival is one request that is to be asked.
+// Arrival is one logical request of a plan.
 type Arrival struct {
-	At     time.Duration // when it is due
+	At     time.Duration // when it is due, from the beginning of the plan
 	Number int
-	Class  int // in the plan's Classes
+	Class  int // index in the plan's Classes; Tenant is one in Tenants
 	Tenant int
-	Seed   uint64 // for all else that is drawn for it
+	Seed   uint64 // for everything else that is picked at random for this request
 }
 
-// shapeFactor is the part of the rate that comes at a time.
+// shapeFactor returns the part of the full rate that the shape gives at a time.
 func (p *Plan) shapeFactor(at time.Duration) float64 {
 	elapsed := float64(at) / float64(p.Duration)
 	switch p.Shape {
@@ -74,7 +73,7 @@
 	return 1
 }
 
-// floodFactor is what floods make of a tenant's requests at a time.
+// floodFactor returns by how much floods multiply a tenant's requests at a time.
 func (p *Plan) floodFactor(tenant string, at time.Duration) float64 {
 	f := 1.0
 	for _, flood := range p.Floods {
@@ -85,7 +84,7 @@
 	return f
 }
 
-// RateAt is how many requests a second come at a time.
+// RateAt returns the rate at a time, in requests per second, floods included.
 func (p *Plan) RateAt(at time.Duration) float64 {
 	sum := 0.0
 	for _, t := range p.Tenants {
@@ -94,11 +93,11 @@
 	return p.Rate * p.shapeFactor(at) * sum / sumOfShares(p.Tenants)
 }
 
-// Peak bounds the rate from above at all times.
+// Peak returns a rate that RateAt never exceeds.
 func (p *Plan) Peak() float64 {
 	factor := 1.0
 	for _, f := range p.Floods {
-		factor *= max(1, f.Factor) // as if all were at once
+		factor *= max(1, f.Factor) // an upper bound: as if all floods were at the same time
 	}
 	return p.Rate * factor
 }
@@ -111,7 +110,7 @@
 	return sum
 }
 
-// Source draws a plan's arrivals one after the other.
+// Source generates a plan's arrivals one after the other.
 type Source struct {
 	plan   *Plan
 	random *rand.Rand
@@ -120,14 +119,13 @@
 	number int
 }
 
-// Arrivals begins a plan anew.
+// Arrivals returns a Source at the beginning of the plan.
 func (p *Plan) Arrivals(seed uint64) *Source {
 	return &Source{plan: p, random: rand.New(rand.NewPCG(seed, 2)), peak: p.Peak()}
 }
 
-// Next returns the next arrival; false when the plan is over. Times between
-// candidates are exponential at the peak's rate, and each candidate is kept with
-// the present rate's part of that (thinning).
+// Next returns the next arrival, or false after the end of the plan. It generates candidates as a Poisson process at
+// the peak rate and keeps each with probability RateAt/Peak (thinning).
 func (s *Source) Next() (Arrival, bool) {
 	for {
 		s.at += time.Duration(s.random.ExpFloat64() / s.peak * float64(time.Second))
@@ -145,7 +143,7 @@
 	}
 }
 
-// pickShare draws a share's place by its size.
+// pickShare picks an index at random, in proportion to the shares times their factors.
 func pickShare(random *rand.Rand, shares []Share, factor func(Share) float64) int {
 	sum := 0.0
 	for _, s := range shares {
@@ -160,7 +158,7 @@
 	return len(shares) - 1
 }
 
-// Hash is a sum over all arrivals of a seed.
+// Hash returns a hash of all arrivals that a seed gives.
 func (p *Plan) Hash(seed uint64) uint64 {
 	h := fnv.New64a()
 	for src := p.Arrivals(seed); ; {
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -1,7 +1,6 @@
-// Package policy holds small policies that stand in for heathgap's decisions: the
-// baselines that it is compared with, and liars that break one rule each, by which
-// the lab shows that its book would notice. They decide on the same events, and the
-// sidecar round them carries them out as it does the module's.
+// Package policy contains simple load-balancing policies that take the place of package decide in a sidecar: baselines
+// to compare heathgap with, and faulty policies that break one rule each, which show that the lab's checker notices.
+// They receive the same events, and the sidecar carries out their actions in the same way.
 package policy
 
 import (
@@ -20,16 +19,16 @@
 	"heathgap/internal/pipeline"
 )
 
-// Kind is what a policy does.
+// Kind describes a policy and configures a picker for it.
 type Kind struct {
 	About     string
 	configure func(p *picker)
 }
 
-// Module is heathgap's own.
+// Module is the name of heathgap's own decision module.
 const Module = "heathgap"
 
-// kinds are all policies but the module.
+// kinds are all policies except Module. Names of faulty policies begin with "lie-".
 var kinds = map[string]Kind{
 	"random":        {"each attempt to any endpoint; retries without a budget", func(p *picker) { p.pick = p.random }},
 	"round-robin":   {"endpoints in turn; retries without a budget", func(p *picker) { p.pick = p.roundRobin }},
@@ -42,7 +41,7 @@
 	"lie-push-over": {"a liar: sends all to the endpoint that started last", func(p *picker) { p.pick = p.lastStarted }},
 }
 
-// Names are those of all policies, the module first, liars last.
+// Names returns the names of all policies: the module first, faulty policies last.
 func Names() []string {
 	names := slices.Sorted(maps.Keys(kinds))
 	slices.SortStableFunc(names, func(a, b string) int {
@@ -51,12 +50,12 @@
 	return append([]string{Module}, names...)
 }
 
-// Baselines are the names of those that break no rule on purpose.
+// Baselines returns the names of the policies that break no rule on purpose.
 func Baselines() []string {
 	return slices.DeleteFunc(Names()[1:], func(name string) bool { return strings.HasPrefix(name, "lie-") })
 }
 
-// About tells what a policy does.
+// About returns a one-line description of a policy.
 func About(name string) string {
 	if name == Module {
 		return "the module's decisions"
@@ -64,7 +63,7 @@
 	return kinds[name].About
 }
 
-// ByName returns what makes a policy's decider in a sidecar.
+// ByName returns the constructor of a policy's decider for a sidecar.
 func ByName(name string) (lifecycle.Decider, error) {
 	if name == Module {
 		return lifecycle.Module, nil
@@ -76,50 +75,56 @@
 	return func(conf *config.Config) (pipeline.Decider, error) {
 		p, err := newPicker(conf.Settings, conf.Seed, kind)
 		if err == nil && p.ignoreDrain {
-			conf.Settings.Rules.DrainGrace = 0 // the second look, where the first byte leaves, would keep the rule for it
+			conf.Settings.Rules.DrainGrace = 0 // else the pipeline, which checks for drains again before the first byte of an attempt is sent, would enforce the rule for this policy
 		}
 		return p, err
 	}, nil
 }
 
-// openRequest is a request that is open.
+// openRequest is a request that has not ended.
 type openRequest struct {
-	class      *decide.Class
+	class *decide.Class
+	// deadline is when the request's time is up; inFlight holds the endpoint of each attempt in flight, by attempt
+	// number.
 	deadline   decide.Time
 	attempts   int
 	inFlight   map[int]decide.EndpointID
-	mayHaveRun bool // an attempt may have run
+	mayHaveRun bool // some attempt may have run
 }
 
-// picker is every policy: it picks an endpoint, and retries what may be retried
-// until the attempts are used up.
+// picker implements all policies. It picks an endpoint for each attempt, and retries what may be retried until the
+// attempts are used up.
 type picker struct {
-	settings   decide.Settings
-	classes    map[string]*decide.Class
-	rng        *rand.Rand
-	now        decide.Time
-	endpoints  []decide.Endpoint // as listed, draining ones included
+	settings  decide.Settings
+	classes   map[string]*decide.Class
+	rng       *rand.Rand
+	now       decide.Time
+	endpoints []decide.Endpoint // as listed, draining ones included
+	// inFlight counts the attempts in flight to each endpoint.
 	inFlight   map[decide.EndpointID]int
 	requests   map[decide.RequestID]*openRequest
 	nextInTurn int
-	rewatchAt  decide.Time // when to ask for the list again; 0 for not
+	rewatchAt  decide.Time // when to watch the list again after a failure; 0 for not at all
 
-	pick        func(from []decide.Endpoint) decide.EndpointID
+	pick func(from []decide.Endpoint) decide.EndpointID
+	// maxAttempts is per request.
 	maxAttempts int
-	tokens      float64 // below 0 for no budget
+	tokens      float64 // of the retry budget; below 0 for no budget
+	// dropEvery makes a faulty policy ignore each request of so many (0 for none); sendTwice makes it send unsafe
+	// requests twice; ignoreDrain makes it send to draining endpoints.
 	dropEvery   int
 	sendTwice   bool
 	ignoreDrain bool
 	arrivals    int
 }
 
-// The budget of retries, as the design has it, but for the floor refill.
+// The retry budget is that of the design, without its minimal refill.
 const (
-	maxTokens       = 10.0 // tokens at the start, and at most
-	tokensPerServed = 0.1  // for a served attempt
+	maxTokens       = 10.0 // tokens at the start, and the most that can be saved
+	tokensPerServed = 0.1  // added for each served attempt
 )
 
-// spendToken takes a token for a retry; false if there is none.
+// spendToken takes a token for a retry and returns false if there is none.
 func (p *picker) spendToken() bool {
 	if p.tokens < 0 {
 		return true
@@ -131,14 +136,14 @@
 	return true
 }
 
-// earnToken books a served attempt.
+// earnToken adds the share of a token that a served attempt earns.
 func (p *picker) earnToken() {
 	if p.tokens >= 0 {
 		p.tokens = min(maxTokens, p.tokens+tokensPerServed)
 	}
 }
 
-// rewatchDelay is how long after a failed call for the list the next one comes.
+// rewatchDelay is the time between a failed call for the list and the next call.
 const rewatchDelay = time.Second
 
 func newPicker(s decide.Settings, seed uint64, kind Kind) (*picker, error) {
@@ -157,7 +162,7 @@
 	return p, nil
 }
 
-// Handle decides on one event.
+// Handle decides on one event and appends its actions to out.
 func (p *picker) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
 	p.now = now
 	switch ev.Kind {
@@ -188,6 +193,7 @@
 	return out
 }
 
+// applyLines adds, replaces and removes endpoints by the lines of a list.
 func (p *picker) applyLines(lines []decide.Endpoint) {
 	for _, line := range lines {
 		i := slices.IndexFunc(p.endpoints, func(e decide.Endpoint) bool { return e.ID == line.ID })
@@ -203,6 +209,7 @@
 	}
 }
 
+// handleArrived opens a request and sends its first attempt.
 func (p *picker) handleArrived(ev *decide.Event, out []decide.Action) []decide.Action {
 	p.arrivals++
 	q := &openRequest{class: p.classes[ev.Class], deadline: p.now + ev.Grace, inFlight: map[int]decide.EndpointID{}}
@@ -220,7 +227,7 @@
 	return out
 }
 
-// send sends one attempt, or ends a request that can't be sent.
+// send sends one attempt, or ends the request if no endpoint may get it or its time is up.
 func (p *picker) send(id decide.RequestID, q *openRequest, out []decide.Action) []decide.Action {
 	candidates := slices.DeleteFunc(slices.Clone(p.endpoints), func(e decide.Endpoint) bool {
 		return e.State != decide.Active && !p.ignoreDrain
@@ -235,6 +242,7 @@
 	return append(out, decide.Action{Kind: decide.Send, Request: id, Endpoint: endpoint})
 }
 
+// handleFinished takes the outcome of an attempt and then ends the request, retries it, or waits for another attempt.
 func (p *picker) handleFinished(ev *decide.Event, out []decide.Action) []decide.Action {
 	q := p.requests[ev.Request]
 	if q == nil {
@@ -252,7 +260,7 @@
 	switch {
 	case ev.RequestDone || ev.Outcome == decide.Served:
 		return p.endRequest(ev.Request, out)
-	case len(q.inFlight) > 0: // another attempt is out
+	case len(q.inFlight) > 0: // another attempt is in flight
 		return out
 	case q.attempts < p.maxAttempts && p.mayRetry(q, ev.Outcome) && p.spendToken():
 		return p.send(ev.Request, q, out)
@@ -260,12 +268,13 @@
 	return p.giveUp(ev.Request, q, out)
 }
 
-// mayRetry tells whether a repeat can do no harm. Keyed requests are repeated only
-// where nothing has run: a policy that knows no groups and windows can't do more.
+// mayRetry reports whether a retry can do no harm. Keyed requests are retried only if no attempt may have run: these
+// policies know nothing of effect groups and windows, so they can't rely on the endpoints to drop the repeat.
 func (p *picker) mayRetry(q *openRequest, outcome decide.Outcome) bool {
 	return q.class.Effect == decide.Safe && outcome != decide.TimedOut || !q.mayHaveRun
 }
 
+// giveUp refuses a request if no attempt may have run, and fails it otherwise.
 func (p *picker) giveUp(id decide.RequestID, q *openRequest, out []decide.Action) []decide.Action {
 	kind := decide.Fail
 	if !q.mayHaveRun {
@@ -274,7 +283,7 @@
 	return p.endRequest(id, append(out, decide.Action{Kind: kind, Request: id}))
 }
 
-// endRequest forgets a request and calls off what is out for it.
+// endRequest forgets a request and cancels its attempts in flight.
 func (p *picker) endRequest(id decide.RequestID, out []decide.Action) []decide.Action {
 	q := p.requests[id]
 	if q == nil {
@@ -292,16 +301,18 @@
 	return out
 }
 
+// random picks any endpoint.
 func (p *picker) random(from []decide.Endpoint) decide.EndpointID {
 	return from[p.rng.IntN(len(from))].ID
 }
 
+// roundRobin picks the endpoints in turn.
 func (p *picker) roundRobin(from []decide.Endpoint) decide.EndpointID {
 	p.nextInTurn++
 	return from[p.nextInTurn%len(from)].ID
 }
 
-// fewestInFlight picks among those with the fewest attempts out, by chance.
+// fewestInFlight picks at random among the endpoints with the fewest attempts in flight.
 func (p *picker) fewestInFlight(from []decide.Endpoint) decide.EndpointID {
 	fewest, n := from[0].ID, 0
 	for _, e := range from {
@@ -317,6 +328,7 @@
 	return fewest
 }
 
+// lastStarted picks the endpoint that started last.
 func (p *picker) lastStarted(from []decide.Endpoint) decide.EndpointID {
 	return slices.MaxFunc(from, func(a, b decide.Endpoint) int { return cmp.Compare(a.Started, b.Started) }).ID
 }
--- a/internal/lab/scenario/cluster.go
+++ b/internal/lab/scenario/cluster.go
@@ -8,56 +8,57 @@
 	"heathgap/internal/tomlread"
 )
 
-// Cluster is a scenario of several processes that agree, and of what fails among them.
+// Cluster is a scenario of a cluster: several processes that agree on rules, and the faults among them.
 type Cluster struct {
 	Name             string
 	About            string
 	Seed             uint64
-	Voters           int // of the processes; the others are members alone
+	Voters           int // processes that are voters; Members is the number of further members
 	Members          int
 	Lease            time.Duration
 	Drift            float64
 	Slack            time.Duration
 	ContradictAtMost time.Duration
 	Duration         time.Duration
-	Rate             float64 // requests a second to each process
-	Random           int     // faults that are drawn from the seed
-	Proposals        int     // versions that are proposed at even times
-	KeyedRate        float64 // keyed requests a second, in all, whose clients repeat them elsewhere; 0 for none
-	Copies           int     // of what is held of them; 0 for no holdings
-	Zones            int     // that the processes stand in, in turn
+	Rate             float64 // requests per second to each process
+	Random           int     // faults that are generated from the seed
+	Proposals        int     // versions that are proposed at even intervals
+	KeyedRate        float64 // keyed requests per second over all processes, whose clients repeat them through other processes; 0 for none
+	Copies           int     // replication factor of the holdings; 0 for no holdings
+	Zones            int     // zones that the processes are assigned to in turn
 	Steps            []ClusterStep
 }
 
-// ClusterStep is a fault, or a proposal.
+// ClusterStep is a fault or a proposal at a time.
 type ClusterStep struct {
 	At           time.Duration
 	Do           string
-	Who          string // a process (k1, m2), "leader", "follower" (a keeper that does not lead), "keepers" or "all"
-	Direction    string // of a cut
+	Who          string // a process (k1, m2), "leader", "follower" (a voter that does not lead), "keepers" (all voters) or "all"
+	Direction    string // of a partition: one of CutDirections
 	For          time.Duration
-	Effect       string        // of a proposal: that of the probed class
-	Ban          string        // and the endpoint that it bans; empty for none
-	With         string        // of a cut or a delay: the one process whose ways to it are meant; empty for all
+	Effect       string        // of a proposal: the effect of the class that the harness sends requests of
+	Ban          string        // of a proposal: the endpoint that it bans; empty for none
+	With         string        // of a partition or delay: the one process whose connections with Who are affected; empty for all
 	By           time.Duration // of a delay
-	ProposerDies bool          // its proposer is gone before it hears anything
-	Drawn        bool          // from the seed
+	ProposerDies bool          // the proposer closes its connection before it receives an answer
+	Drawn        bool          // generated from the seed
 }
 
-// ClusterFaults are what can be done to a process, and CutDirections which way a cut goes: what comes to it, what it says, both.
+// ClusterFaults are the faults that a process may have. CutDirections say what a partition blocks: "in" what comes to
+// the process, "out" what it sends, "both" all.
 var (
 	ClusterFaults = []string{"kill", "term", "stop", "cut", "wipe", "reset", "full", "setback"}
 	CutDirections = []string{"both", "in", "out"}
 )
 
-// Bounds of a crew's scenario.
+// Bounds of a cluster scenario.
 const (
 	maxProcesses    = 30
 	maxClusterSteps = 64
 	maxClusterTime  = 30 * time.Minute
 )
 
-// LoadCluster reads a crew's scenario. The error tells all that is wrong, a line each.
+// LoadCluster reads and checks the file of a cluster scenario. The error has a line for each mistake in the file.
 func LoadCluster(path string) (*Cluster, error) {
 	doc, err := tomlread.Load(path)
 	if err != nil {
@@ -66,7 +67,7 @@
 	return decodeCluster(doc)
 }
 
-// ParseCluster reads one from a text; the name is for errors.
+// ParseCluster reads and checks a text; file is the name used in errors.
 func ParseCluster(file string, text []byte) (*Cluster, error) {
 	doc, err := tomlread.Parse(file, text)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return decodeCluster(doc)
 }
 
-// isTarget tells whether somebody goes by a name.
+// isTarget reports whether a step may name this target: a group of processes, a role or a process.
 func (c *Cluster) isTarget(target string) bool {
 	switch target {
 	case "leader", "follower", "keepers", "all":
@@ -84,7 +85,8 @@
 	return c.isProcess(target)
 }
 
-// isProcess tells whether a process goes by a name.
+// isProcess reports whether the cluster has a process of this name: k1, k2 and so on for voters, m1, m2 and so on for
+// the other members.
 func (c *Cluster) isProcess(name string) bool {
 	var n int
 	if _, err := fmt.Sscanf(name, "k%d", &n); err == nil && name == fmt.Sprintf("k%d", n) {
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,6 +1,5 @@
-// Package scenario reads the files that say what the lab plays: tiers, classes,
-// tenants, load and the faults on a timeline. It checks all of a file and tells
-// everything that is wrong with it at once.
+// Package scenario reads the files that describe the lab's runs: tiers, classes, tenants, load and a timeline of
+// faults. It checks a whole file and reports everything that is wrong with it at once.
 package scenario
 
 import (
@@ -14,11 +13,11 @@
 	"heathgap/internal/tomlread"
 )
 
-// MaxRate bounds the load, in requests a second: beyond it this lab has not been
-// shown to keep its own lag small (docs/results.md).
+// MaxRate bounds the load, in requests per second. Above it, this lab has not been shown to send its own requests on
+// time (docs/results.md).
 const MaxRate = 6000
 
-// Bounds that keep a run within one machine's descriptors and ports.
+// Bounds that keep a run within the descriptors and ports of one machine.
 const (
 	maxTiers     = 4
 	maxEndpoints = 3200
@@ -29,13 +28,13 @@
 	maxDuration  = time.Hour
 )
 
-// Scenario is one file.
+// Scenario is the content of one file.
 type Scenario struct {
 	Name     string
 	About    string
 	Seed     uint64
 	Duration time.Duration
-	Warmup   time.Duration // what is due before it does not count as service
+	Warmup   time.Duration // requests that are due before it don't count for the measured service
 	Rules    Rules
 	Limits   Limits
 	Tiers    []Tier
@@ -43,18 +42,18 @@
 	Tenants  []Tenant
 	Load     Load
 	Faults   []Fault
-	Margin   time.Duration // of the book's limits in time
-	MaxLag   time.Duration // a run whose own p99 lag is above it is void
-	Notice   time.Duration // until the front notices that a sidecar has died
+	Margin   time.Duration // tolerance of the checker's time limits
+	MaxLag   time.Duration // a run whose own requests were sent later than this, at the 99th percentile, doesn't count
+	Notice   time.Duration // how long the front goes on picking a sidecar that has died
 }
 
-// Rules are the figures of the rules, as sidecars are told them.
+// Rules are the parameters of the rules, as in the sidecars' settings.
 type Rules struct {
 	AnswerSlack, AskEvery, DeliveredAfter, Cold, DrainGrace, OverloadFor time.Duration
 	ColdFrom, FallMultiple                                               float64
 }
 
-// Limits are those of sidecars.
+// Limits are the limits in the sidecars' settings.
 type Limits struct {
 	MemoryMB, Sockets, MaxAttempts, MaxPending int
 	Cancel, Hedging, RetryAfter                bool
@@ -65,24 +64,26 @@
 type Tier struct {
 	Name        string
 	Endpoints   int
-	Sidecars    int // of the first tier; those of others belong to the endpoints before them
+	Sidecars    int // of the first tier; in later tiers, each endpoint of the tier before has a sidecar of its own
 	Zones       []string
-	Groups      int // endpoints are dealt out over so many groups of keys
+	Groups      int // number of cells that the endpoints are divided into
 	ServerModel servermodel.Conf
-	WorkScale   float64 // of the classes' work
+	WorkScale   float64 // factor of the classes' work
+	// Connections is the most that an endpoint accepts at once (0 for no limit), Handshake the work that a new
+	// connection costs, and Body the size of an answer in bytes.
 	Connections int
 	Handshake   time.Duration
 	Body        int
-	Calls       int    // of the next tier for a request
-	CallClass   string // their class
-	ListBy      string // "subscribe" or "push", as the settings' membership mode
+	Calls       int    // calls of the next tier for each request
+	CallClass   string // class of those calls
+	ListBy      string // "subscribe" or "push": the membership mode in the settings
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string
 	Effect           decide.Effect
-	Group            string // all, zone, cell
+	Group            string // effect group: all, zone or cell
 	Window           time.Duration
 	Aim, Deadline    time.Duration
 	Worth, LateShare float64
@@ -90,22 +91,22 @@
 	Work             time.Duration
 }
 
-// Tenant is a customer.
+// Tenant is a tenant with its share of the load.
 type Tenant struct {
 	Name    string
 	Share   float64
-	Allowed float64 // requests a second; 0 for no share
+	Allowed float64 // requests per second that are guaranteed to it; 0 for none
 	Portion float64
 }
 
-// Load is what clients do.
+// Load says how many requests clients send, and how the clients behave.
 type Load struct {
 	Rate          float64
 	Shape         load.Shape
 	Low           float64
 	Period        time.Duration
 	Behavior      load.ClientBehavior
-	MalformedRate float64 // bad clients a second
+	MalformedRate float64 // malformed requests per second
 }
 
 // Kind is a kind of fault.
@@ -113,26 +114,26 @@
 
 // The kinds.
 const (
-	Crash             Kind = "crash"           // endpoints die, and return after For at the same address
-	Replace           Kind = "replace"         // endpoints die, and others come after For under new names
-	Pause             Kind = "pause"           // endpoints stop working
+	Crash             Kind = "crash"           // endpoints die, and start again after For at the same address
+	Replace           Kind = "replace"         // endpoints die, and others under new names start after For
+	Pause             Kind = "pause"           // endpoints stop working for a while
 	Slow              Kind = "slow"            // endpoints work at Factor of their speed
-	Errors            Kind = "errors"          // endpoints fail Share of their requests at once
-	Hang              Kind = "hang"            // endpoints take requests and never answer
-	Silent            Kind = "silent"          // endpoints' machines are cut off
-	Refuse            Kind = "refuse"          // endpoints turn all away
+	Errors            Kind = "errors"          // endpoints fail a share (Of) of their requests at once
+	Hang              Kind = "hang"            // endpoints accept requests and never answer
+	Silent            Kind = "silent"          // the network of the endpoints' machines is partitioned
+	Refuse            Kind = "refuse"          // endpoints reject all requests
 	TruncatedAnswer   Kind = "half"            // endpoints break off within answers
-	Garbage           Kind = "garbage"         // endpoints answer with nonsense
-	ExtraBytes        Kind = "surplus"         // endpoints send more than their answers
+	Garbage           Kind = "garbage"         // endpoints answer with something that is not HTTP
+	ExtraBytes        Kind = "surplus"         // endpoints send bytes after their answers
 	Drain             Kind = "drain"           // endpoints drain, and leave after For
-	Release           Kind = "release"         // the tier is replaced, Share of it at a time, each drained for For
+	Release           Kind = "release"         // the tier is replaced, Share of it at a time; each batch drains for For
 	Add               Kind = "add"             // Count cold endpoints join
-	SidecarKill       Kind = "sidecar_kill"    // sidecars are killed and start again after For
+	SidecarKill       Kind = "sidecar_kill"    // sidecars are killed, and start again after For
 	SidecarRestart    Kind = "sidecar_restart" // sidecars get SIGTERM, end, and start again after For
 	DiscoveryDown     Kind = "discovery_down"
-	DiscoveryLag      Kind = "discovery_lag"     // Lag before each answer
-	DiscoveryOverload Kind = "discovery_crowded" // each new call is refused after Lag: there are too many callers
-	Flood             Kind = "flood"             // Factor times the requests of Tenant, or of all
+	DiscoveryLag      Kind = "discovery_lag"     // each answer of discovery is delayed by Lag
+	DiscoveryOverload Kind = "discovery_crowded" // discovery refuses each new call after Lag, as if it had too many callers
+	Flood             Kind = "flood"             // requests of Tenant, or of all tenants, times Factor
 )
 
 var faultKinds = []string{
@@ -147,17 +148,17 @@
 	Kind   Kind
 	At     time.Duration
 	For    time.Duration
-	Tier   int     // of endpoints
-	Share  float64 // of the endpoints or sidecars that are struck, or of requests (errors)
-	Of     float64 // errors: share of the endpoints
-	Count  int     // in place of Share
+	Tier   int     // index of the endpoints' tier
+	Share  float64 // share of the endpoints or sidecars that have the fault
+	Of     float64 // errors: share of an endpoint's requests that fail
+	Count  int     // number of endpoints or sidecars, instead of Share
 	Factor float64
 	Tenant string
 	Lag    time.Duration
-	Listed time.Duration // crash: after so long discovery lists them as gone; 0 for never
+	Listed time.Duration // crash: how long after it discovery lists the endpoints as gone; 0 for never
 }
 
-// Load reads and checks a file.
+// LoadFile reads and checks a file.
 func LoadFile(path string) (*Scenario, error) {
 	doc, err := tomlread.Load(path)
 	if err != nil {
@@ -166,7 +167,7 @@
 	return decode(doc)
 }
 
-// Parse reads and checks a text; the name is for errors.
+// Parse reads and checks a text; file is the name used in errors.
 func Parse(file string, text []byte) (*Scenario, error) {
 	doc, err := tomlread.Parse(file, text)
 	if err != nil {
@@ -334,6 +335,7 @@
 	}
 }
 
+// classIndex returns the index of a class, or -1.
 func (s *Scenario) classIndex(name string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == name })
 }
@@ -372,8 +374,8 @@
 	}
 }
 
-// Capacity is how many requests a second the first tier works off while all of it
-// is warm and well.
+// Capacity returns how many requests per second the first tier can serve while all its endpoints are warm and without
+// faults.
 func (s *Scenario) Capacity() float64 {
 	if len(s.Tiers) == 0 {
 		return 0
@@ -390,7 +392,7 @@
 	return float64(t.Endpoints) * t.ServerModel.Cores * t.ServerModel.Speed / (work / shares * t.WorkScale)
 }
 
-// faultKeys says which keys a kind of fault has, beside kind and at.
+// faultKeys are the keys that each kind of fault may have besides kind and at.
 var faultKeys = map[Kind][]string{
 	Crash: {"for", "tier", "share", "count", "listed_after"}, Replace: {"for", "tier", "share", "count"},
 	Pause: {"for", "tier", "share", "count"}, Slow: {"for", "tier", "share", "count", "factor"},
@@ -415,7 +417,7 @@
 		Factor: 1,
 	}
 	if f.Kind == "" {
-		t.Skip("for", "tier", "share", "count", "of_requests", "factor", "lag", "listed_after", "tenant") // what it may have is unknown
+		t.Skip("for", "tier", "share", "count", "of_requests", "factor", "lag", "listed_after", "tenant") // which keys an unknown kind has can't be told
 	}
 	for _, key := range faultKeys[f.Kind] {
 		s.decodeFaultKey(t, &f, key)
@@ -459,6 +461,7 @@
 	}
 }
 
+// decodeTierName returns the index of the named tier, and of the first tier if no name is given.
 func (s *Scenario) decodeTierName(t *tomlread.Table, key string) int {
 	name := t.Text(key, "")
 	names := make([]string, len(s.Tiers))
@@ -471,7 +474,7 @@
 	return -1
 }
 
-// Plan is the load as a plan of arrivals.
+// Plan returns the arrivals of the load, with the floods among the faults.
 func (s *Scenario) Plan() *load.Plan {
 	p := &load.Plan{
 		Rate: s.Load.Rate, Shape: s.Load.Shape, Low: s.Load.Low, Period: s.Load.Period, Duration: s.Duration,
--- a/internal/lab/scenario/setkey.go
+++ b/internal/lab/scenario/setkey.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// SetKey returns a scenario's text with one key changed. The key is dotted, with
-// places in arrays as numbers (tier.0.cores); its value stands as in a file. Errors
-// of the result name lines of the changed text, which the library writes anew.
+// SetKey returns a scenario's text with one key changed. The key is dotted, with indexes for elements of arrays
+// (tier.0.cores); the value is written as in a file. The text is encoded anew, so line numbers in errors of its parsing
+// are not those of the file.
 func SetKey(text []byte, key, value string) ([]byte, error) {
 	values := map[string]any{}
 	if err := toml.Unmarshal(text, &values); err != nil {
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Step is one thing that the lab does at a time. All that is drawn has been drawn:
-// the same scenario and seed make the same steps.
+// Step is one action of the lab at a time. Nothing in it is left to chance: the same scenario and seed give the same
+// steps.
 type Step struct {
 	At     time.Duration
 	Kind   Kind
 	Revert bool // the fault ends
 	Tier   int
-	Slots  []int // endpoints of the tier, or sidecars, by their place
+	Slots  []int // indexes of endpoints of the tier, or of sidecars
 	Fault  Fault
 }
 
-// String is the step as a line of the record.
+// String returns the step as a line of the record.
 func (s Step) String() string {
 	state := "begins"
 	if s.Revert {
@@ -29,17 +29,17 @@
 	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, state, s.Tier, s.Slots)
 }
 
-// Timeline draws the steps of a seed, in the order of their times.
+// Timeline returns the steps that a seed gives, in the order of their times.
 func (s *Scenario) Timeline(seed uint64) []Step {
 	random := rand.New(rand.NewPCG(seed, 5))
-	sizes := make([]int, len(s.Tiers)) // endpoints' places, those that were added included
+	sizes := make([]int, len(s.Tiers)) // the number of endpoints so far, with those that were added
 	for i, t := range s.Tiers {
 		sizes[i] = t.Endpoints
 	}
 	var steps []Step
 	for _, f := range s.Faults {
 		switch f.Kind {
-		case Flood: // the load's own
+		case Flood: // part of the load's plan
 		case Release:
 			steps = append(steps, s.release(f, random)...)
 		case Add:
@@ -64,7 +64,7 @@
 	return steps
 }
 
-// pickSlots picks the places that a fault strikes, in rising order.
+// pickSlots picks the endpoints or sidecars that have a fault, and returns their indexes in rising order.
 func pickSlots(random *rand.Rand, total int, f Fault) []int {
 	n := f.Count
 	if n == 0 {
@@ -75,8 +75,8 @@
 	return slots
 }
 
-// release drains and replaces a tier batch by batch, in an order that is drawn. A
-// batch begins when the one before it is replaced.
+// release drains and replaces the endpoints of a tier in batches, in a random order. A batch begins when the one before
+// has been replaced.
 func (s *Scenario) release(f Fault, random *rand.Rand) []Step {
 	total := s.Tiers[f.Tier].Endpoints
 	size := f.Count
@@ -96,7 +96,7 @@
 	return steps
 }
 
-// Hash is a sum over all that a seed draws beforehand: arrivals and faults.
+// Hash returns a hash of everything that a seed determines: arrivals and faults.
 func (s *Scenario) Hash(seed uint64) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%x", s.Plan().Hash(seed))
--- a/internal/lab/scripted/peer.go
+++ b/internal/lab/scripted/peer.go
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// Steps: stand-ins that do one thing at a time, when the test says so. Where two events are to cross, the test is the
-// barrier: it does the one, hears that it has come, and then does the other.
+// The types of this file do one thing at a time, when the test calls them. A test that needs two events in a certain
+// order causes the first, waits for its result and then causes the second.
 
-// stepTimeout bounds each step: far more than any should take.
+// stepTimeout bounds each step. It is far more than any step should take.
 const stepTimeout = 20 * time.Second
 
-// Listener is an address at which the test takes connections one by one.
+// Listener is an address at which the test accepts connections one by one.
 type Listener struct {
 	Address string
 	t       testing.TB
 	conns   chan *net.TCPConn
 }
 
-// Listen opens one on loopback; it ends with the test.
+// Listen opens a Listener on loopback. It is closed at the end of the test.
 func Listen(t testing.TB) *Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	const maxPending = 64 // connections that the test has not taken yet
+	const maxPending = 64 // connections that the test has not accepted yet
 	l := &Listener{Address: listener.Addr().String(), t: t, conns: make(chan *net.TCPConn, maxPending)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
@@ -47,7 +47,7 @@
 	return l
 }
 
-// Accept is the next connection that comes.
+// Accept returns the next connection, and fails the test if none comes within stepTimeout.
 func (l *Listener) Accept() *Peer {
 	l.t.Helper()
 	select {
@@ -59,17 +59,17 @@
 	}
 }
 
-// HasPending tells whether a connection has come that was not taken.
+// HasPending reports whether a connection has come that the test has not accepted.
 func (l *Listener) HasPending() bool { return len(l.conns) > 0 }
 
-// Peer is one side of a connection whose other side is under test.
+// Peer is the test's side of a connection; the other side is under test.
 type Peer struct {
 	*net.TCPConn
 	t testing.TB
 	r *bufio.Reader
 }
 
-// Connect makes a connection to what is under test.
+// Connect connects to an address of the program under test.
 func Connect(t testing.TB, address string) *Peer {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -81,11 +81,11 @@
 
 func newPeer(t testing.TB, conn *net.TCPConn) *Peer {
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(stepTimeout)) //nolint:errcheck // the step that meets it fails
+	conn.SetDeadline(time.Now().Add(stepTimeout)) //nolint:errcheck // if this fails, the step that needs the deadline fails
 	return &Peer{TCPConn: conn, t: t, r: bufio.NewReader(conn)}
 }
 
-// ReadRequest reads one request whole.
+// ReadRequest reads one complete request.
 func (p *Peer) ReadRequest() *http.Request {
 	p.t.Helper()
 	r, err := http.ReadRequest(p.r)
@@ -100,7 +100,7 @@
 	return r
 }
 
-// ReadAnswer reads one answer whole and returns its status and body; an answer that breaks off has status 0.
+// ReadAnswer reads one complete answer and returns its status and body. The status is 0 if the answer is incomplete.
 func (p *Peer) ReadAnswer() (int, string) {
 	m, err := http.ReadResponse(p.r, nil)
 	if err != nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Reset breaks the connection: on loopback the other side has been told when it returns.
+// Reset resets the connection. On loopback the other side has received the reset when this returns.
 func (p *Peer) Reset() {
 	p.t.Helper()
 	if err := errors.Join(p.SetLinger(0), p.Close()); err != nil {
@@ -129,13 +129,14 @@
 	}
 }
 
-// ReadToEnd reads to the end of the connection and returns what came; the error is nil if it ended in order.
+// ReadToEnd reads to the end of the connection and returns what came. The error is nil if the connection was closed in
+// order.
 func (p *Peer) ReadToEnd() (string, error) {
 	text, err := io.ReadAll(p.r)
 	return string(text), err
 }
 
-// OK is an answer 200 with a body.
+// OK returns an answer with status 200 and a body.
 func OK(body string) string {
 	return "HTTP/1.1 200 OK\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -1,7 +1,6 @@
-// Package scripted holds stand-ins for tests of single exchanges: an endpoint that
-// does to each request what a handler says, a discovery that says what it is given,
-// and addresses at which nothing answers. They speak the published protocol on
-// loopback and end with their test. What behaves by a model is in package standin.
+// Package scripted contains fakes for tests of single exchanges: an endpoint whose handler the test gives, a discovery
+// whose answers the test sets, and addresses that never answer. They speak the published protocol on loopback and end
+// with their test. Fakes that behave by a model are in package fake.
 package scripted
 
 import (
@@ -20,8 +19,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Endpoint answers 200 with its name unless its handler does something else, and
-// keeps what it was asked.
+// Endpoint is a fake endpoint. It answers 200 with its name unless it has a handler, and keeps the requests that it
+// received.
 type Endpoint struct {
 	Name    string
 	Address string
@@ -32,7 +31,7 @@
 	handler http.HandlerFunc
 }
 
-// StartEndpoint starts one; behave may be nil.
+// StartEndpoint starts an endpoint on loopback. The handler may be nil.
 func StartEndpoint(t testing.TB, name string, handler http.HandlerFunc) *Endpoint {
 	t.Helper()
 	e := &Endpoint{Name: name, handler: handler}
@@ -40,7 +39,7 @@
 	return e
 }
 
-// serve runs a server on a port of loopback until the test ends.
+// serve runs a server on a free port of loopback until the test ends, and returns its address.
 func serve(t testing.TB, server *http.Server) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,7 +51,7 @@
 	return listener.Addr().String()
 }
 
-// ServeHTTP is http.Handler's.
+// ServeHTTP implements http.Handler.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	e.mu.Lock()
@@ -66,25 +65,25 @@
 	fmt.Fprint(w, e.Name)
 }
 
-// Count is how many requests have come.
+// Count returns how many requests the endpoint has received.
 func (e *Endpoint) Count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.seen)
 }
 
-// Request returns a request that has come, and its body.
+// Request returns the n-th received request, from 0, and its body.
 func (e *Endpoint) Request(n int) (*http.Request, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.seen[n], e.bodies[n]
 }
 
-// Line is the endpoint as discovery lists it.
+// Line returns the endpoint's line in a list of discovery.
 func (e *Endpoint) Line() map[string]any { return Line(e.Name, e.Address) }
 
-// NeverAnswer never answers; it returns when the sidecar ends the connection, and tells so
-// to a channel that is not nil.
+// NeverAnswer returns a handler that never answers. It returns when the sidecar ends the connection, and then sends to
+// ended if that is not nil.
 func NeverAnswer(ended chan<- struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -94,7 +93,7 @@
 	}
 }
 
-// Raw answers with these bytes and ends the connection.
+// Raw returns a handler that writes a text as it is and closes the connection.
 func Raw(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -106,7 +105,7 @@
 	}
 }
 
-// Line is a line of a list, of an endpoint that serves.
+// Line returns a line of a list for an endpoint that is serving.
 func Line(name, address string) map[string]any {
 	return map[string]any{
 		"name": name, "address": address, "zone": "z", "type": "k", "group": 1,
@@ -114,12 +113,12 @@
 	}
 }
 
-// WholeList is a whole list of some version.
+// WholeList returns a full list with a version.
 func WholeList(index int, lines ...map[string]any) map[string]any {
 	return map[string]any{"index": index, "snapshot": true, "endpoints": append([]map[string]any{}, lines...)}
 }
 
-// Changes are changed lines as discovery writes them.
+// Changes returns an answer of discovery with changed lines only, as JSON.
 func Changes(t testing.TB, index int, lines ...map[string]any) []byte {
 	t.Helper()
 	return encode(t, map[string]any{"index": index, "snapshot": false, "endpoints": lines})
@@ -134,7 +133,7 @@
 	return text
 }
 
-// Discovery answers watches with what it was given.
+// Discovery is a fake discovery that answers watches with what the test has set.
 type Discovery struct {
 	Address string
 
@@ -142,12 +141,13 @@
 	index     int
 	list      []byte
 	down      bool
-	rawAnswer string // answered in place of a list
+	rawAnswer string // if not empty, answered instead of the list
 	queries   []string
-	changed   chan struct{}
+	// changed is closed when the answer changes.
+	changed chan struct{}
 }
 
-// StartDiscovery starts one that has nothing to tell yet.
+// StartDiscovery starts a discovery on loopback that has no list yet.
 func StartDiscovery(t testing.TB) *Discovery {
 	t.Helper()
 	d := NewDiscovery()
@@ -155,10 +155,10 @@
 	return d
 }
 
-// NewDiscovery is one that the test serves itself.
+// NewDiscovery returns a discovery that the test serves itself.
 func NewDiscovery() *Discovery { return &Discovery{changed: make(chan struct{})} }
 
-// update changes what it says, and ends the watches that wait.
+// update changes what discovery answers and wakes the watches that wait.
 func (d *Discovery) update(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,24 +167,24 @@
 	d.changed = make(chan struct{})
 }
 
-// SetText has it answer with a text, as of a version.
+// SetText makes discovery answer with a text, as the list of a version.
 func (d *Discovery) SetText(index int, text []byte) {
 	d.update(func() { d.index, d.list = index, text })
 }
 
-// Publish has it answer with a whole list.
+// Publish makes discovery answer with a full list.
 func (d *Discovery) Publish(t testing.TB, index int, lines ...map[string]any) {
 	t.Helper()
 	d.SetText(index, encode(t, WholeList(index, lines...)))
 }
 
-// SetDown has it answer 503 from now on, or not.
+// SetDown makes discovery answer 503 from now on, or no longer.
 func (d *Discovery) SetDown(down bool) { d.update(func() { d.down = down }) }
 
-// SetBroken has it answer with a text whatever it is asked; none for no such text.
+// SetBroken makes discovery answer every call with a text; an empty text ends that.
 func (d *Discovery) SetBroken(text string) { d.update(func() { d.rawAnswer = text }) }
 
-// ServeHTTP is http.Handler's.
+// ServeHTTP implements http.Handler.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	d.mu.Lock()
@@ -210,21 +210,21 @@
 	}
 }
 
-// NumCalls is how many calls have come.
+// NumCalls returns how many calls have come.
 func (d *Discovery) NumCalls() int { return len(d.Queries()) }
 
-// Queries returns the queries of all calls.
+// Queries returns the query strings of all calls.
 func (d *Discovery) Queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.queries...)
 }
 
-// hostsUsed counts the hosts that FreeAddress has dealt out.
+// hostsUsed counts the hosts that FreeAddress has given out.
 var hostsUsed atomic.Uint32
 
-// FreeAddress is an address of loopback that nothing listens on, on a host of its own: on 127.0.0.1 the kernel may give the
-// port to a connection, or to another listener, before somebody listens there.
+// FreeAddress returns an address of loopback that nothing listens on, on a host of its own: on 127.0.0.1 the kernel may
+// give the port to another connection or listener before the test listens there.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	const firstNet, nets, hostsOfNet = 100, 100, 250
@@ -232,8 +232,8 @@
 	return FreeAddressAt(t, fmt.Sprintf("127.%d.%d.%d", firstNet+pid%nets, pid/nets%hostsOfNet, 1+n%hostsOfNet))
 }
 
-// FreeAddressAt is one of a host of loopback. Where it is not 127.0.0.1 no connection that is made takes it, as the port of
-// its own side, before somebody listens there.
+// FreeAddressAt returns a free address on a host of loopback. Unless the host is 127.0.0.1, no outgoing connection
+// takes the port as its local port before the test listens there.
 func FreeAddressAt(t testing.TB, host string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", host+":0")
@@ -244,8 +244,8 @@
 	return listener.Addr().String()
 }
 
-// UnreachableAddress is an address of loopback at which connections never come up: its
-// queue holds one, and that is taken.
+// UnreachableAddress returns an address of loopback at which connections are never established: its accept queue holds
+// one connection, and is full.
 func UnreachableAddress(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -264,7 +264,7 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*unix.SockaddrInet4).Port)
-	const maxConns = 10 // more than any queue that holds one
+	const maxConns = 10 // more than any queue of that size holds
 	for range maxConns {
 		conn, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 		if err != nil {
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -1,6 +1,6 @@
-// Package servermodel models how an endpoint works off what it is given: cores shared
-// by what runs, slots, a queue, a cold start, choking, falling over when pushed. It
-// does no I/O and has no clock: time and jobs come in, and what is done goes out.
+// Package servermodel models how an endpoint works on requests: running jobs share the cores, and there are slots, a
+// queue, a cold start, a choke under many jobs, and a fall when a cold endpoint is overloaded. It does no I/O and has
+// no clock: callers pass the time in and receive the jobs that are done.
 package servermodel
 
 import (
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Conf says how an endpoint works.
+// Conf describes an endpoint.
 type Conf struct {
-	Cores        float64       // so many jobs run at full speed; more share them
-	Speed        float64       // work done in a second by a core, in seconds of work
-	Slots        int           // jobs that run at once
-	Queue        int           // jobs that wait for a slot; more are turned away
-	ChokeAbove   int           // with more jobs than this it works at ChokeTo; 0 for never
-	ChokeTo      float64       // part of its speed
-	ColdFrom     float64       // part of its capacity that a cold one begins with
-	ColdFor      time.Duration // and until when it has all of it; 0 for always warm
-	FallMultiple float64       // a cold one that is sent more than so many times its present capacity
-	FallFor      time.Duration // for so long falls over; 0 for never
+	Cores        float64       // as many jobs run at full speed; more share the cores
+	Speed        float64       // seconds of work that a core does in a second
+	Slots        int           // jobs that may run at once
+	Queue        int           // jobs that may wait for a slot; more are rejected
+	ChokeAbove   int           // with more jobs than this, running and waiting, the speed is multiplied by ChokeTo; 0 for never
+	ChokeTo      float64       // above 0, up to 1
+	ColdFrom     float64       // part of its capacity that a cold endpoint starts with
+	ColdFor      time.Duration // how long a cold endpoint takes until it has its full capacity; 0 for always warm
+	FallMultiple float64       // a cold endpoint is overloaded while it is sent more than this multiple of its present capacity
+	FallFor      time.Duration // a cold endpoint that is overloaded for this long loses all its jobs; 0 for never
 }
 
-// check is what New turns down.
+// check validates the configuration.
 func (c *Conf) check() error {
 	switch {
 	case !(c.Cores > 0), !(c.Speed > 0):
@@ -37,16 +37,16 @@
 	return nil
 }
 
-// Job is a request at work.
+// Job is a request that the model works on.
 type Job struct {
-	Work   time.Duration // at full speed
-	Data   any           // the caller's
-	finish float64       // in the work of one running job, in seconds
+	Work   time.Duration // duration of the job on a core of its own, at speed 1
+	Data   any           // for the caller's use
+	finish float64       // value of Server.workPerJob at which the job is done
 	index  int           // in running, or -1
 	queued bool
 }
 
-// Outcome is what has become of a job that was given.
+// Outcome says what Arrive did with a job.
 type Outcome uint8
 
 // The outcomes of Arrive.
@@ -55,31 +55,32 @@
 	Rejected
 )
 
+// Measuring the load of a cold endpoint.
 const (
-	demandWindow = time.Second           // over which what it is sent is measured, for falls
-	demandParts  = 10                    // parts of that span
-	coldUpdate   = 20 * time.Millisecond // how often the speed of a cold one is brought up
+	demandWindow = time.Second           // period over which the work that arrives is measured
+	demandParts  = 10                    // number of parts that the period is divided into
+	coldUpdate   = 20 * time.Millisecond // how often the speed of a cold endpoint is brought up to date
 )
 
-// Server is one endpoint at work. Times are any that only grow.
+// Server models one endpoint. The times that its methods are given must not decrease.
 type Server struct {
 	conf        Conf
 	now         time.Duration
-	startedAt   time.Duration // its start
+	startedAt   time.Duration // start, or last time that it was overloaded while cold
 	cold        bool
 	paused      bool
-	speedFactor float64 // part of its speed that is left
+	speedFactor float64 // factor of its speed, set by SetSpeed
 	running     jobs
 	queue       []*Job
-	workPerJob  float64 // work that each running job has had so far, in seconds
+	workPerJob  float64 // seconds of work that a job would have had by now if it had run since the start
 
-	demand          [demandParts]float64 // work that came, by parts of the span, in seconds
-	demandPartStart time.Duration        // when the newest part began
-	overloadedSince time.Duration        // too much has come since; -1 for not
-	Overloads       int                  // how often it fell over
+	demand          [demandParts]float64 // seconds of work that arrived, by part of the window, the newest first
+	demandPartStart time.Duration        // beginning of the newest part
+	overloadedSince time.Duration        // since when it has been sent too much; -1 if it is not
+	Overloads       int                  // how often it lost its jobs because it was overloaded while cold
 }
 
-// New returns a station that starts now, cold or warm.
+// New returns a server that starts now, cold or warm.
 func New(conf Conf, now time.Duration, cold bool) (*Server, error) {
 	if err := conf.check(); err != nil {
 		return nil, err
@@ -89,10 +90,10 @@
 	}, nil
 }
 
-// Held is how many jobs run or wait.
+// Held returns how many jobs run or wait.
 func (s *Server) Held() int { return len(s.running) + len(s.queue) }
 
-// Share is the part of its capacity that it has by now.
+// Share returns the part of its full capacity that the server has at present.
 func (s *Server) Share() float64 {
 	if !s.cold {
 		return 1
@@ -101,7 +102,7 @@
 	return min(1, s.conf.ColdFrom+(1-s.conf.ColdFrom)*elapsed)
 }
 
-// rate is the work that each running job gets in a second, in seconds.
+// rate returns how many seconds of work each running job gets per second.
 func (s *Server) rate() float64 {
 	n := len(s.running)
 	if n == 0 || s.paused {
@@ -114,7 +115,7 @@
 	return rate
 }
 
-// advance brings it to the present.
+// advance brings the state up to the given time, at the rate since the last call.
 func (s *Server) advance(now time.Duration) {
 	if now <= s.now {
 		return
@@ -135,7 +136,7 @@
 	}
 }
 
-// Arrive gives it a job.
+// Arrive gives the server a job.
 func (s *Server) Arrive(now time.Duration, j *Job) Outcome {
 	s.advance(now)
 	s.demand[0] += j.Work.Seconds()
@@ -153,7 +154,7 @@
 	return Accepted
 }
 
-// trackOverload notices since when a cold one is sent too much.
+// trackOverload notes since when a cold server has been sent more than it stands.
 func (s *Server) trackOverload() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
@@ -176,6 +177,7 @@
 	heap.Push(&s.running, j)
 }
 
+// startQueued starts waiting jobs while there are free slots.
 func (s *Server) startQueued() {
 	for len(s.queue) > 0 && len(s.running) < s.conf.Slots {
 		j := s.queue[0]
@@ -184,7 +186,7 @@
 	}
 }
 
-// Cancel takes a job back; false if it was done, or never taken.
+// Cancel removes a job. It returns false if the job is done or was never accepted.
 func (s *Server) Cancel(now time.Duration, j *Job) bool {
 	s.advance(now)
 	if j.queued {
@@ -204,9 +206,8 @@
 	return true
 }
 
-// Due returns the jobs that are done by now. One that falls over hands back all
-// that it held, with fell set: none of it is done. It is as cold as at its start
-// then.
+// Due returns the jobs that are done by now. If the server has been overloaded for too long while cold, Due sets
+// overloaded and also returns all jobs that the server held, unfinished; the server is then as cold as at its start.
 func (s *Server) Due(now time.Duration) (jobs []*Job, overloaded bool) {
 	for {
 		next := s.nextFinish()
@@ -215,7 +216,7 @@
 		}
 		s.advance(next)
 		j := heap.Pop(&s.running).(*Job)
-		s.workPerJob = max(s.workPerJob, j.finish) // rounding must not make it wait for nothing
+		s.workPerJob = max(s.workPerJob, j.finish) // rounding must not leave the next job unfinished
 		jobs = append(jobs, j)
 		s.startQueued()
 	}
@@ -230,7 +231,7 @@
 	return append(jobs, lost...), true
 }
 
-// Clear takes all jobs away: the process has died.
+// Clear removes and returns all jobs, as when the process dies.
 func (s *Server) Clear() []*Job {
 	lost := append([]*Job(s.running), s.queue...)
 	for _, j := range lost {
@@ -246,7 +247,7 @@
 	s.paused = paused
 }
 
-// SetSpeed sets the part of its speed that is left.
+// SetSpeed sets the speed, as a part of the configured speed.
 func (s *Server) SetSpeed(now time.Duration, part float64) {
 	s.advance(now)
 	s.speedFactor = part
@@ -254,7 +255,7 @@
 
 const never = time.Duration(math.MaxInt64)
 
-// nextFinish is when the first running job is done at the present rate.
+// nextFinish returns when the first running job will be done at the present rate.
 func (s *Server) nextFinish() time.Duration {
 	rate := s.rate()
 	if len(s.running) == 0 || rate <= 0 {
@@ -267,7 +268,7 @@
 	return s.now + time.Duration(math.Ceil(remaining*1e9))
 }
 
-// Next is when Due must be called; ok is false when nothing is to come.
+// Next returns when Due must be called next; ok is false if nothing will happen.
 func (s *Server) Next() (at time.Duration, ok bool) {
 	at = s.nextFinish()
 	if s.cold && (len(s.running) > 0 || s.overloadedSince >= 0) {
@@ -276,7 +277,7 @@
 	return at, at != never
 }
 
-// jobs are a heap, the first to finish on top.
+// jobs is a heap with the first job to finish on top.
 type jobs []*Job
 
 func (h jobs) Len() int           { return len(h) }
--- a/internal/labcommand/crew.go
+++ b/internal/labcommand/crew.go
@@ -13,7 +13,7 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// labCrew plays a crew of real processes with faults between them.
+// labCrew is the command `heathlab crew`: it runs a cluster of real processes with faults among them.
 type labCrew struct {
 	File    string        `arg:"" help:"The crew's scenario; those that come with heathgap stand in lab/crews."`
 	Seed    *uint64       `help:"In place of the scenario's."`
@@ -28,7 +28,7 @@
 	Quiet   bool          `help:"Print no progress."`
 }
 
-// Run plays; its exit code tells whether all held.
+// Run runs the scenario once for each seed. It returns an error if a run violated a rule.
 func (c *labCrew) Run(o *command.Out) error {
 	s, err := scenario.LoadCluster(c.File)
 	if err != nil {
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -1,4 +1,4 @@
-// Package labcommand is the command line of the lab.
+// Package labcommand implements the lab's command line.
 package labcommand
 
 import (
@@ -24,10 +24,10 @@
 	"heathgap/internal/operator"
 )
 
-// labGC has the lab's collector run rarely: its pauses would count as the load's lag.
+// labGC is the garbage collector's target percentage in the lab: it runs rarely, as its pauses would delay the load.
 const labGC = 800
 
-// heathlab is the command line of the lab.
+// heathlab is the lab's command line. Its fields are the commands.
 type heathlab struct {
 	Run      labRun      `cmd:"" help:"Play a scenario through real sidecars, and write its record."`
 	Baseline labBaseline `cmd:"" help:"Play a scenario with other policies in place of heathgap's decisions, seed by seed, and compare them."`
@@ -50,18 +50,17 @@
 	return command.Run(&heathlab{}, "heathlab", "An emulator of the fleet on loopback.", args, stdout, stderr)
 }
 
-// errRunFailed ends a run that does not count, or broke a rule; its report has said
-// what.
+// errRunFailed is returned for a run that doesn't count or violated a rule. Its report has already been printed.
 var errRunFailed = errors.New("the run is not good")
 
-// commonOptions is what each command that plays has in common.
+// commonOptions are the flags of all commands that start sidecars.
 type commonOptions struct {
 	Sidecar string `placeholder:"PATH" help:"The sidecar's program; heathgap beside this one if not given."`
 	Logs    string `placeholder:"DIR" help:"Keep the logs of sidecars there."`
 	Quiet   bool   `help:"Print no progress."`
 }
 
-// program is the sidecar's.
+// program returns the path of the sidecar's program.
 func (g *commonOptions) program() (string, error) {
 	if g.Sidecar != "" {
 		return g.Sidecar, nil
@@ -73,7 +72,7 @@
 	return filepath.Join(filepath.Dir(self), "heathgap"), nil
 }
 
-// runScenario plays a scenario once, with a policy by its name.
+// runScenario runs a scenario once, with the policy of the given name.
 func (g *commonOptions) runScenario(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, policyName string) (*record.Record, error) {
 	program, err := g.program()
 	if err != nil {
@@ -99,11 +98,12 @@
 	return harness.Run(ctx, s, seed, opts)
 }
 
-// interruptContext ends with an interrupt: what plays is then ended in order.
+// interruptContext returns a context that ends on SIGINT and SIGTERM, so that a run can be ended in order.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// labRun is the command `heathlab run`.
 type labRun struct {
 	commonOptions
 	File   string  `arg:"" help:"The scenario."`
@@ -113,7 +113,7 @@
 	JSON   bool    `name:"json" help:"Print the record."`
 }
 
-// Run plays once. Its exit code tells whether the run counts and all rules held.
+// Run runs a scenario once. It returns an error if the run doesn't count or violated a rule.
 func (c *labRun) Run(o *command.Out) error {
 	s, err := scenario.LoadFile(c.File)
 	if err != nil {
@@ -151,13 +151,14 @@
 	return nil
 }
 
+// labCompare is the command `heathlab compare`.
 type labCompare struct {
 	Files  []string `arg:"" name:"record" help:"Records; those of one policy, or of one --by, are one side."`
 	Metric string   `default:"service" help:"service, p50_ms, p99_ms, attempts_per_request, or class:NAME, tenant:NAME for their service."`
 	By     string   `default:"policy" enum:"policy,dir" help:"What makes a side: the policy, or the folder of the record."`
 }
 
-// Run compares the sides of records.
+// Run compares the sides that the records belong to.
 func (c *labCompare) Run(o *command.Out) error {
 	sides := report.NewComparison()
 	for _, path := range c.Files {
@@ -174,6 +175,7 @@
 	return sides.Print(o, c.Metric)
 }
 
+// labBaseline is the command `heathlab baseline`.
 type labBaseline struct {
 	commonOptions
 	File     string   `arg:"" help:"The scenario."`
@@ -183,8 +185,7 @@
 	Out      string   `placeholder:"DIR" help:"Keep records there."`
 }
 
-// Run plays all policies for each seed in turn, so that a slow moment of the
-// machine strikes them alike.
+// Run runs all policies for one seed after the other, so that a slow moment of the machine affects all policies alike.
 func (c *labBaseline) Run(o *command.Out) error {
 	s, err := scenario.LoadFile(c.File)
 	if err != nil {
@@ -202,12 +203,14 @@
 	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
-// experimentCase is one side of an experiment.
+// experimentCase is one side of a comparison: a scenario with a policy.
 type experimentCase struct {
 	name, policy string
 	scenario     *scenario.Scenario
 }
 
+// runCases runs all cases for each of the seeds in turn, prints a comparison by the metric, and writes the records to
+// dir if that is not empty.
 func runCases(o *command.Out, g *commonOptions, cases []experimentCase, seeds int, metric, dir string) error {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -235,6 +238,7 @@
 	return sides.Print(o, metric)
 }
 
+// labSweep is the command `heathlab sweep`.
 type labSweep struct {
 	commonOptions
 	File   string   `arg:"" help:"The scenario."`
@@ -246,7 +250,7 @@
 	Out    string   `placeholder:"DIR" help:"Keep records there."`
 }
 
-// Run plays the scenario with each value, for each seed in turn.
+// Run runs the scenario with each value of the key, for one seed after the other.
 func (c *labSweep) Run(o *command.Out) error {
 	if _, err := policy.ByName(c.Policy); err != nil {
 		return err
@@ -270,13 +274,14 @@
 	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
+// labOverhead is the command `heathlab overhead`.
 type labOverhead struct {
 	commonOptions
 	Rate float64       `default:"1000" help:"Requests a second, half of them through the sidecar."`
 	For  time.Duration `default:"10s" help:"How long."`
 }
 
-// Run measures once.
+// Run measures the overhead once and prints it.
 func (c *labOverhead) Run(o *command.Out) error {
 	if c.Rate <= 0 || c.Rate > scenario.MaxRate {
 		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MaxRate)
@@ -300,11 +305,12 @@
 	return nil
 }
 
+// labList is the command `heathlab list`.
 type labList struct {
 	Dir string `arg:"" optional:"" default:"lab/scenarios" help:"The folder of scenarios."`
 }
 
-// Run lists what can be played.
+// Run lists the scenarios of a folder, and the policies.
 func (c *labList) Run(o *command.Out) error {
 	paths, err := filepath.Glob(filepath.Join(c.Dir, "*.toml"))
 	if err != nil {
@@ -324,11 +330,12 @@
 	return nil
 }
 
+// labCheck is the command `heathlab check`.
 type labCheck struct {
 	Files []string `arg:"" name:"file" help:"Scenarios."`
 }
 
-// Run tells of each file what is wrong with it.
+// Run prints all mistakes of each file.
 func (c *labCheck) Run(o *command.Out) error {
 	return command.CheckAll(o, c.Files, func(path string) error {
 		_, err := scenario.LoadFile(path)
@@ -336,11 +343,12 @@
 	})
 }
 
+// labSidecar is the hidden command `heathlab sidecar`, a sidecar in which a policy decides.
 type labSidecar struct {
 	Policy string `required:"" help:"What decides."`
 }
 
-// Run is one sidecar.
+// Run runs the sidecar until it ends.
 func (c *labSidecar) Run() error {
 	decider, err := policy.ByName(c.Policy)
 	if err != nil {
--- a/internal/labcommand/hollow.go
+++ b/internal/labcommand/hollow.go
@@ -9,11 +9,12 @@
 	"heathgap/internal/lab/emulated"
 )
 
-// labHollow is a process of hollow members of a crew, which a run of `scale` starts.
+// labHollow is the hidden command `heathlab hollow`: a process of emulated members of a cluster, started by `heathlab
+// scale`.
 type labHollow struct{}
 
-// Run is told on standard input what to start and what to do, and ends with it; it says what comes of that on standard output.
-// The members' warnings go to standard error.
+// Run reads from standard input what to start and what to do, and ends when standard input does. It reports on standard
+// output, and logs the members' warnings to standard error.
 func (c *labHollow) Run(o *command.Out) error {
 	return emulated.Run(os.Stdin, o, zerolog.New(os.Stderr).Level(zerolog.WarnLevel).With().Timestamp().Logger())
 }
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -20,22 +20,22 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// Bounds of what is measured: what one machine's descriptors, ports and patience hold.
+// Bounds of what the commands call, chain and lists may measure, for the descriptors, ports and time of one machine.
 const (
-	maxListed        = 1000 // endpoints
+	maxListed        = 1000 // endpoints of the list
 	maxClasses       = 1000
 	maxStages        = 64
 	maxPeers         = 100_000
-	maxTierEndpoints = 16 // stand-ins of a chain's tier
+	maxTierEndpoints = 16 // fake endpoints in a tier of a chain
 	maxRuns          = 100
 	maxWatchers      = 2000
-	maxRealSidecars  = 64 // sidecars that watch
+	maxRealSidecars  = 64 // real sidecars that watch the list
 	maxChanges       = 100_000
 	maxDuration      = time.Hour
 	maxDeadline      = time.Minute
 )
 
-// measureOptions has sidecars started for a measurement.
+// measureOptions returns the harness options for a measurement, and prepares the process and the log folder for it.
 func (g *commonOptions) measureOptions() (harness.Options, error) {
 	program, err := g.program()
 	if err != nil {
@@ -50,7 +50,7 @@
 	return harness.Options{LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}, nil
 }
 
-// checkRange checks the values of a flag.
+// checkRange returns an error that names the flag if a value is out of range, or if there is none.
 func checkRange[T int | float64 | time.Duration](flag string, minValue, maxValue T, values ...T) error {
 	for _, v := range values {
 		if !(v >= minValue && v <= maxValue) {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// checkRates checks values of --rate.
+// checkRates checks the values of --rate, which must be above 0.
 func checkRates(maxRate float64, values ...float64) error {
 	for _, v := range values {
 		if !(v > 0 && v <= maxRate) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// repeatOptions is how often a measurement is made, and for how long.
+// repeatOptions are the flags for the length and number of a measurement's runs.
 type repeatOptions struct {
 	For     time.Duration `default:"5s" help:"How long a run."`
 	Runs    int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
@@ -90,11 +90,11 @@
 	)
 }
 
-// maxVoidRuns is how often one run is made again before the machine counts as too busy.
+// maxVoidRuns is how often one run is made before the machine counts as too busy.
 const maxVoidRuns = 10
 
-// measureValid measures until the load's own lag is small: a run whose load lags tells of the lab and not of the sidecar. Each
-// void run is told.
+// measureValid repeats a measurement until the load's own lag is small enough: otherwise the run would measure the lab
+// and not the sidecar. Each void run is reported.
 func measureValid[T any](o *command.Out, maxLag time.Duration, what string, measure func() (T, error), lag func(T) float64) (T, error) {
 	for range maxVoidRuns {
 		m, err := measure()
@@ -107,14 +107,14 @@
 	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v too little", what, maxVoidRuns, maxLag)
 }
 
-// printHeader begins a report: a figure counts for nothing without its machine.
+// printHeader begins a report with the parameters and the machine: without them, the measurements mean nothing.
 func printHeader(o *command.Out, format string, args ...any) {
 	m := harness.ThisMachine()
 	fmt.Fprintf(o, format+"\n", args...)
 	fmt.Fprintf(o, "machine: %d cores, %d MB, %s; load average %s\n", m.Cores, m.MemoryMB, m.Go, loadAverage())
 }
 
-// loadAverage is the machine's, over 1, 5 and 15 minutes: others may use it too.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes, as other processes may use the machine too.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -123,7 +123,7 @@
 	return strings.Join(strings.Fields(string(text))[:3], " ")
 }
 
-// spread is the least, median and most of some runs.
+// spread is the minimum, median and maximum of several runs.
 type spread struct{ min, median, max float64 }
 
 func spreadOf(runs []float64) spread {
@@ -134,14 +134,15 @@
 
 func (s spread) String() string { return fmt.Sprintf("%.4g/%.4g/%.4g", s.min, s.median, s.max) }
 
-// measurement is one that is measured at each size, with its runs there.
+// measurement is a measured quantity with its values by size and run.
 type measurement struct {
 	name    string
-	runs    [][]float64 // by size
-	fitLine bool        // a line is drawn through it
+	runs    [][]float64 // by size, then by run
+	fitLine bool        // print a line fitted through the medians
 }
 
-// printMeasurements prints each figure at each size, least/median/most of its runs, and what a line through all sizes but the largest says of that.
+// printMeasurements prints the minimum, median and maximum of each measurement at each size. For measurements with
+// fitLine it also prints how well a line through the smaller sizes predicts the largest.
 func printMeasurements(o *command.Out, x string, sizes []float64, measurements []*measurement) {
 	fmt.Fprintf(o, "least/median/most of runs; load average %s\n", loadAverage())
 	for _, f := range measurements {
@@ -159,7 +160,8 @@
 	}
 }
 
-// predictLargest draws a line through the medians of all sizes but the largest, and holds the largest against it.
+// predictLargest fits a line through the medians of all sizes but the largest, and compares its prediction with the
+// median at the largest.
 func predictLargest(sizes, medians []float64) string {
 	largest := 0
 	for i := range sizes {
@@ -182,6 +184,7 @@
 		line, at, line.Predict(at), medians[largest], 100*line.RelativeError(at, medians[largest]))
 }
 
+// labCall is the command `heathlab call`.
 type labCall struct {
 	commonOptions
 	repeatOptions
@@ -193,7 +196,8 @@
 	Own       bool      `default:"true" negatable:"" help:"The settings say that each caller has a sidecar of its own."`
 }
 
-// sizes is the flag that has several values, and a conf for each.
+// sizes returns the flag that has several values, those values, and a configuration for each. At most one flag may have
+// several.
 func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.OverheadConf, err error) {
 	if err := cmp.Or(
 		c.check(), checkRates(scenario.MaxRate/2, c.Rate...), checkRange("endpoints", 1, maxListed, c.Endpoints...),
@@ -239,7 +243,7 @@
 	return chosen.name, sizes, confs, nil
 }
 
-// Run measures each size, run by run in turn, so that a slow moment of the machine strikes all sizes alike.
+// Run measures all sizes in one run after the other, so that a slow moment of the machine affects all sizes alike.
 func (c *labCall) Run(o *command.Out) error {
 	flag, sizes, confs, err := c.sizes()
 	if err != nil {
@@ -285,6 +289,7 @@
 	return nil
 }
 
+// labChain is the command `heathlab chain`.
 type labChain struct {
 	commonOptions
 	repeatOptions
@@ -297,14 +302,14 @@
 	Fail      []string      `default:"none" help:"What the last tier does, in turn: none, hang, refuses, silent, half, garbage, errors:SHARE."`
 }
 
-// failure is what the last tier does.
+// failure is a value of --fail: what the last tier does.
 type failure struct {
 	name    string
 	trouble fake.Trouble
 	share   float64
 }
 
-// parseFailure reads a value of --fail.
+// parseFailure parses a value of --fail.
 func parseFailure(value string) (failure, error) {
 	name, text, hasShare := strings.Cut(value, ":")
 	f := failure{name: value, share: 1}
@@ -332,6 +337,7 @@
 	return f, nil
 }
 
+// parseFailures checks the flags and returns the parsed values of --fail.
 func (c *labChain) parseFailures() ([]failure, error) {
 	if err := cmp.Or(
 		c.check(), checkRange("deep", 1, harness.MaxDepth, c.Deep...), checkRates(scenario.MaxRate, c.Rate),
@@ -353,7 +359,7 @@
 	return all, nil
 }
 
-// Run plays each depth with each failure.
+// Run measures all depths with each failure.
 func (c *labChain) Run(o *command.Out) error {
 	failures, err := c.parseFailures()
 	if err != nil {
@@ -375,7 +381,7 @@
 	return nil
 }
 
-// measureDepths plays all depths with one failure.
+// measureDepths measures all depths with one failure of the last tier.
 func (c *labChain) measureDepths(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
 	sizes := make([]float64, len(c.Deep))
 	names := []string{
@@ -436,7 +442,7 @@
 	return nil
 }
 
-// printTiers prints what each tier was asked, and what came of it.
+// printTiers prints, for each tier, the requests that its sidecar received and their outcomes.
 func printTiers(o *command.Out, m *harness.Chain) {
 	requests := float64(max(1, m.Front[1].Requests))
 	fmt.Fprintln(o, "  tier  asked  attempts  per-ask  per-front  1.1^n  served refused failed left  retries  floors-paid>=  budget(start+floor+tenth)"+
@@ -449,7 +455,7 @@
 	}
 }
 
-// outcomes are those that there were, by name.
+// outcomes returns the counts above 0, by name.
 func outcomes(all map[string]int) string {
 	var parts []string
 	for name, n := range all {
@@ -461,6 +467,7 @@
 	return strings.Join(parts, " ")
 }
 
+// labLists is the command `heathlab lists`.
 type labLists struct {
 	commonOptions
 	Runs      int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
@@ -474,7 +481,7 @@
 	Idle      time.Duration `default:"0s" help:"Look so long at watches without changes, too."`
 }
 
-// sizes are the lists that have enough endpoints.
+// sizes checks the flags and returns the list sizes that have enough endpoints for --at-once.
 func (c *labLists) sizes() ([]int, error) {
 	if err := cmp.Or(
 		checkRange("runs", 1, maxRuns, c.Runs), checkRange("endpoints", 1, maxListed, c.Endpoints...), checkRange("at-once", 1, maxListed, c.AtOnce),
@@ -490,7 +497,7 @@
 	return sizes, nil
 }
 
-// Run measures each size, run by run in turn.
+// Run measures all list sizes in one run after the other.
 func (c *labLists) Run(o *command.Out) error {
 	endpoints, err := c.sizes()
 	if err != nil {
--- a/internal/labcommand/scale.go
+++ b/internal/labcommand/scale.go
@@ -13,7 +13,8 @@
 	"heathgap/internal/lab/scale"
 )
 
-// labScale plays a crew at the size that is expected, beside its limits.
+// labScale is the command `heathlab scale`: it runs a cluster of the expected size and checks the limits of its
+// scenario.
 type labScale struct {
 	File    string  `arg:"" help:"The scenario; those that come with heathgap stand in lab/scale."`
 	Seed    *uint64 `help:"In place of the scenario's."`
@@ -27,7 +28,7 @@
 	Quiet   bool    `help:"Print no progress on standard error."`
 }
 
-// Run plays; its exit code tells whether the runs count and their limits hold.
+// Run runs the scenario. It returns an error if a run doesn't count or exceeded a limit.
 func (c *labScale) Run(o *command.Out) error {
 	s, err := scale.Load(c.File)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// runOnce plays once, with the next seed but so many, and tells what came of it.
+// runOnce runs the scenario once, with a seed that is seedOffset above the first, and prints or writes the record.
 func (c *labScale) runOnce(o *command.Out, s *scale.Scenario, seedOffset uint64, opts scale.Options, folder string) (*scale.Record, error) {
 	ctx, stop := interruptContext()
 	defer stop()
@@ -112,7 +113,8 @@
 	return r, nil
 }
 
-// runSizes plays the scenario at several sizes. Runs that are void, partial or broken count for no curve.
+// runSizes runs the scenario at several sizes and prints how the measurements grow. A run that is void, partial or
+// exceeded a limit ends it with an error.
 func (c *labScale) runSizes(o *command.Out, s *scale.Scenario, opts scale.Options) error {
 	var runs []*scale.Record
 	var predicted *scale.Record
