--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -30,15 +30,15 @@
 
 // kinds are all policies except Module. Names of faulty policies begin with "lie-".
 var kinds = map[string]Kind{
-	"random":        {"each attempt to any endpoint; retries without a budget", func(p *picker) { p.pick = p.random }},
+	"random":        {"each attempt goes to a random endpoint; retries without a budget", func(p *picker) { p.pick = p.random }},
 	"round-robin":   {"endpoints in turn; retries without a budget", func(p *picker) { p.pick = p.roundRobin }},
-	"least":         {"the endpoint with the fewest attempts out of this sidecar; retries without a budget", func(p *picker) { p.pick = p.fewestInFlight }},
-	"least-budget":  {"the fewest attempts out; a retry costs a token, and a served attempt earns a tenth", func(p *picker) { p.pick, p.tokens = p.fewestInFlight, maxTokens }},
-	"no-retry":      {"the fewest attempts out, and no retry at all", func(p *picker) { p.pick, p.maxAttempts = p.fewestInFlight, 1 }},
-	"lie-drop":      {"a liar: forgets 1 request in 100", func(p *picker) { p.pick, p.dropEvery = p.fewestInFlight, 100 }},
-	"lie-double":    {"a liar: sends effects twice", func(p *picker) { p.pick, p.sendTwice = p.fewestInFlight, true }},
-	"lie-drain":     {"a liar: sends to draining endpoints as to others", func(p *picker) { p.pick, p.ignoreDrain = p.roundRobin, true }},
-	"lie-push-over": {"a liar: sends all to the endpoint that started last", func(p *picker) { p.pick = p.lastStarted }},
+	"least":         {"the endpoint with the fewest attempts in flight from this sidecar; retries without a budget", func(p *picker) { p.pick = p.fewestInFlight }},
+	"least-budget":  {"the fewest attempts in flight; a retry costs a token, and a served attempt earns a tenth of one", func(p *picker) { p.pick, p.tokens = p.fewestInFlight, maxTokens }},
+	"no-retry":      {"the fewest attempts in flight, and no retry at all", func(p *picker) { p.pick, p.maxAttempts = p.fewestInFlight, 1 }},
+	"lie-drop":      {"faulty: never answers 1 request in 100", func(p *picker) { p.pick, p.dropEvery = p.fewestInFlight, 100 }},
+	"lie-double":    {"faulty: sends unsafe requests twice", func(p *picker) { p.pick, p.sendTwice = p.fewestInFlight, true }},
+	"lie-drain":     {"faulty: sends to draining endpoints as to others", func(p *picker) { p.pick, p.ignoreDrain = p.roundRobin, true }},
+	"lie-push-over": {"faulty: sends all requests to the endpoint that started last", func(p *picker) { p.pick = p.lastStarted }},
 }
 
 // Names returns the names of all policies: the module first, faulty policies last.
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -95,7 +95,7 @@
 type Tenant struct {
 	Name    string
 	Share   float64
-	Allowed float64 // requests per second that are guaranteed to it; 0 for none
+	Allowed float64 // requests per second within the share of this tenant; 0 for no share
 	Portion float64
 }
 
--- a/internal/lab/scenario/setkey.go
+++ b/internal/lab/scenario/setkey.go
@@ -18,7 +18,7 @@
 	}
 	var given struct{ V any }
 	if err := toml.Unmarshal([]byte("V = "+value), &given); err != nil {
-		return nil, fmt.Errorf("%s: %q is no value of TOML: a text stands in quotes", key, value)
+		return nil, fmt.Errorf("%s: %q is not a TOML value; texts need quotes", key, value)
 	}
 	parts := strings.Split(key, ".")
 	var node any = values
@@ -37,11 +37,11 @@
 		case []any:
 			n, err := strconv.Atoi(part)
 			if err != nil || n < 0 || n >= len(table) || last {
-				return nil, fmt.Errorf("%s: %q is no place among %d, with a key behind it", key, part, len(table))
+				return nil, fmt.Errorf("%s: %q is not the index of one of %d elements, followed by a key", key, part, len(table))
 			}
 			node = table[n]
 		default:
-			return nil, fmt.Errorf("%s: there is no table before %q", key, part)
+			return nil, fmt.Errorf("%s: %q does not follow a table or an array of tables", key, part)
 		}
 	}
 	return nil, fmt.Errorf("%q: no key", key)
--- a/internal/lab/scripted/peer.go
+++ b/internal/lab/scripted/peer.go
@@ -54,7 +54,7 @@
 	case conn := <-l.conns:
 		return newPeer(l.t, conn)
 	case <-time.After(stepTimeout):
-		l.t.Fatalf("nobody came to %s", l.Address)
+		l.t.Fatalf("no connection came to %s", l.Address)
 		return nil
 	}
 }
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -272,6 +272,6 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 	}
-	t.Fatal("the queue of connections does not fill")
+	t.Fatal("the accept queue does not fill up")
 	return ""
 }
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -28,11 +28,11 @@
 func (c *Conf) check() error {
 	switch {
 	case !(c.Cores > 0), !(c.Speed > 0):
-		return fmt.Errorf("station: cores %v, speed %v: not above 0", c.Cores, c.Speed)
+		return fmt.Errorf("server model: cores %v, speed %v: not above 0", c.Cores, c.Speed)
 	case c.Slots < 1, c.Queue < 0:
-		return fmt.Errorf("station: slots %d, queue %d: below 1 and 0", c.Slots, c.Queue)
+		return fmt.Errorf("server model: slots %d, queue %d: slots below 1 or queue below 0", c.Slots, c.Queue)
 	case c.ColdFor > 0 && !(c.ColdFrom > 0 && c.ColdFrom <= 1):
-		return fmt.Errorf("station: cold from %v: not within 0 and 1", c.ColdFrom)
+		return fmt.Errorf("server model: capacity when cold %v: not above 0 and up to 1", c.ColdFrom)
 	}
 	return nil
 }
--- a/internal/labcommand/crew.go
+++ b/internal/labcommand/crew.go
@@ -15,15 +15,15 @@
 
 // labCrew is the command `heathlab crew`: it runs a cluster of real processes with faults among them.
 type labCrew struct {
-	File    string        `arg:"" help:"The crew's scenario; those that come with heathgap stand in lab/crews."`
-	Seed    *uint64       `help:"In place of the scenario's."`
-	Seeds   int           `default:"1" help:"So many seeds in turn, from that one on."`
-	Hold    time.Duration `help:"Play no steps: keep the crew up under load for so long, to try commands on."`
-	Dir     string        `placeholder:"DIR" help:"Keep the processes' files there."`
-	Logs    string        `placeholder:"DIR" help:"Keep their logs there."`
-	Program string        `placeholder:"PATH" help:"A member's program; heathgap-crew beside this one if not given."`
-	Older   string        `placeholder:"PATH" help:"A member's program of an older build, for steps that do \"older\"."`
-	Without bool          `help:"Start the processes without a crew: what a crew prevents shows."`
+	File    string        `arg:"" help:"The crew's scenario; those that come with heathgap are in lab/crews."`
+	Seed    *uint64       `help:"First seed, instead of the scenario's."`
+	Seeds   int           `default:"1" help:"Number of seeds to run in turn, from the first on."`
+	Hold    time.Duration `help:"Run no steps, but keep the crew up under load for this long, to try commands on."`
+	Dir     string        `placeholder:"DIR" help:"Folder to keep the processes' files in."`
+	Logs    string        `placeholder:"DIR" help:"Folder to keep the processes' logs in."`
+	Program string        `placeholder:"PATH" help:"A member's program; by default heathgap-crew in the folder of heathlab."`
+	Older   string        `placeholder:"PATH" help:"A member's program from an older build, for the step \"older\"."`
+	Without bool          `help:"Start the processes without a crew, to show what a crew prevents."`
 	JSON    bool          `name:"json" help:"Print records."`
 	Quiet   bool          `help:"Print no progress."`
 }
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -29,20 +29,20 @@
 
 // heathlab is the lab's command line. Its fields are the commands.
 type heathlab struct {
-	Run      labRun      `cmd:"" help:"Play a scenario through real sidecars, and write its record."`
-	Baseline labBaseline `cmd:"" help:"Play a scenario with other policies in place of heathgap's decisions, seed by seed, and compare them."`
-	Sweep    labSweep    `cmd:"" help:"Play a scenario with one key set to several values, seed by seed, and compare them."`
+	Run      labRun      `cmd:"" help:"Run a scenario with real sidecars, and write its record."`
+	Baseline labBaseline `cmd:"" help:"Run a scenario with other policies in place of heathgap's decisions, seed by seed, and compare them."`
+	Sweep    labSweep    `cmd:"" help:"Run a scenario with one key set to several values, seed by seed, and compare them."`
 	Compare  labCompare  `cmd:"" help:"Compare records, paired by seed."`
-	Crew     labCrew     `cmd:"" help:"Play a crew of processes that agree, with faults between them."`
-	Scale    labScale    `cmd:"" help:"Play a crew at the size that is expected, and tell which limits hold."`
-	Overhead labOverhead `cmd:"" help:"Measure what a sidecar adds to a request, beside the straight way."`
-	Call     labCall     `cmd:"" help:"Measure what a sidecar adds to a request and takes for it, over sizes, with a fit."`
-	Chain    labChain    `cmd:"" help:"Measure a chain of services, a sidecar before each, well and with a last tier that fails."`
-	Lists    labLists    `cmd:"" help:"Measure what a change of the list costs its watchers and discovery."`
+	Crew     labCrew     `cmd:"" help:"Run a crew: a cluster of processes that agree on rules, with faults among them."`
+	Scale    labScale    `cmd:"" help:"Run a crew of the expected size, and report which limits hold."`
+	Overhead labOverhead `cmd:"" help:"Measure what a sidecar adds to a request, compared with requests sent directly."`
+	Call     labCall     `cmd:"" help:"Measure the latency that a sidecar adds to a request and the resources that it takes, at several sizes, with a fitted line."`
+	Chain    labChain    `cmd:"" help:"Measure a chain of services with a sidecar before each, without faults and with a last tier that fails."`
+	Lists    labLists    `cmd:"" help:"Measure what a change of discovery's list costs its watchers and discovery."`
 	List     labList     `cmd:"" help:"List scenarios and policies."`
-	Check    labCheck    `cmd:"" help:"Tell all that is wrong with scenarios, and start nothing."`
-	Sidecar  labSidecar  `cmd:"" hidden:"" help:"Be one sidecar in which a policy decides."`
-	Hollow   labHollow   `cmd:"" hidden:"" help:"Be a process of hollow members of a crew."`
+	Check    labCheck    `cmd:"" help:"Report all mistakes in scenarios, without starting anything."`
+	Sidecar  labSidecar  `cmd:"" hidden:"" help:"Run one sidecar in which a policy decides."`
+	Hollow   labHollow   `cmd:"" hidden:"" help:"Run a process of emulated members of a crew."`
 }
 
 // Heathlab runs the command line of bin/heathlab and returns the exit code.
@@ -51,12 +51,12 @@
 }
 
 // errRunFailed is returned for a run that doesn't count or violated a rule. Its report has already been printed.
-var errRunFailed = errors.New("the run is not good")
+var errRunFailed = errors.New("the run does not count, or violated a rule or a limit")
 
 // commonOptions are the flags of all commands that start sidecars.
 type commonOptions struct {
-	Sidecar string `placeholder:"PATH" help:"The sidecar's program; heathgap beside this one if not given."`
-	Logs    string `placeholder:"DIR" help:"Keep the logs of sidecars there."`
+	Sidecar string `placeholder:"PATH" help:"The sidecar's program; by default heathgap in the folder of heathlab."`
+	Logs    string `placeholder:"DIR" help:"Folder to keep the logs of sidecars in."`
 	Quiet   bool   `help:"Print no progress."`
 }
 
@@ -107,9 +107,9 @@
 type labRun struct {
 	commonOptions
 	File   string  `arg:"" help:"The scenario."`
-	Seed   *uint64 `help:"In place of the scenario's."`
-	Policy string  `default:"heathgap" help:"What decides; see list."`
-	Out    string  `placeholder:"DIR" help:"Write record.json, report.html and plots there."`
+	Seed   *uint64 `help:"Seed to use instead of the scenario's."`
+	Policy string  `default:"heathgap" help:"The policy that decides; see the command list."`
+	Out    string  `placeholder:"DIR" help:"Folder to write record.json, report.html and plots to."`
 	JSON   bool    `name:"json" help:"Print the record."`
 }
 
@@ -153,9 +153,9 @@
 
 // labCompare is the command `heathlab compare`.
 type labCompare struct {
-	Files  []string `arg:"" name:"record" help:"Records; those of one policy, or of one --by, are one side."`
-	Metric string   `default:"service" help:"service, p50_ms, p99_ms, attempts_per_request, or class:NAME, tenant:NAME for their service."`
-	By     string   `default:"policy" enum:"policy,dir" help:"What makes a side: the policy, or the folder of the record."`
+	Files  []string `arg:"" name:"record" help:"Records. Those of one policy, or of one folder with --by dir, form one side."`
+	Metric string   `default:"service" help:"service, p50_ms, p99_ms, attempts_per_request, or class:NAME or tenant:NAME for the service of a class or tenant."`
+	By     string   `default:"policy" enum:"policy,dir" help:"What forms a side: the policy, or the folder of the record."`
 }
 
 // Run compares the sides that the records belong to.
@@ -179,10 +179,10 @@
 type labBaseline struct {
 	commonOptions
 	File     string   `arg:"" help:"The scenario."`
-	Seeds    int      `default:"5" help:"So many seeds, from the scenario's on."`
-	Policies []string `default:"heathgap,random,round-robin,least,least-budget,no-retry" help:"What decides, in turn."`
-	Metric   string   `default:"service" help:"As for compare."`
-	Out      string   `placeholder:"DIR" help:"Keep records there."`
+	Seeds    int      `default:"5" help:"Number of seeds, from the scenario's on."`
+	Policies []string `default:"heathgap,random,round-robin,least,least-budget,no-retry" help:"The policies to compare."`
+	Metric   string   `default:"service" help:"As for the command compare."`
+	Out      string   `placeholder:"DIR" help:"Folder to keep records in."`
 }
 
 // Run runs all policies for one seed after the other, so that a slow moment of the machine affects all policies alike.
@@ -243,11 +243,11 @@
 	commonOptions
 	File   string   `arg:"" help:"The scenario."`
 	Key    string   `arg:"" help:"The key, such as load.rate or tier.0.cores."`
-	Values []string `arg:"" help:"Its values, as they would stand in the file."`
-	Seeds  int      `default:"3" help:"So many seeds, from the scenario's on."`
-	Policy string   `default:"heathgap" help:"What decides."`
-	Metric string   `default:"service" help:"As for compare."`
-	Out    string   `placeholder:"DIR" help:"Keep records there."`
+	Values []string `arg:"" help:"Its values, written as in a file."`
+	Seeds  int      `default:"3" help:"Number of seeds, from the scenario's on."`
+	Policy string   `default:"heathgap" help:"The policy that decides."`
+	Metric string   `default:"service" help:"As for the command compare."`
+	Out    string   `placeholder:"DIR" help:"Folder to keep records in."`
 }
 
 // Run runs the scenario with each value of the key, for one seed after the other.
@@ -278,7 +278,7 @@
 type labOverhead struct {
 	commonOptions
 	Rate float64       `default:"1000" help:"Requests a second, half of them through the sidecar."`
-	For  time.Duration `default:"10s" help:"How long."`
+	For  time.Duration `default:"10s" help:"Duration of the measurement."`
 }
 
 // Run measures the overhead once and prints it.
@@ -345,7 +345,7 @@
 
 // labSidecar is the hidden command `heathlab sidecar`, a sidecar in which a policy decides.
 type labSidecar struct {
-	Policy string `required:"" help:"What decides."`
+	Policy string `required:"" help:"The policy that decides."`
 }
 
 // Run runs the sidecar until it ends.
@@ -355,7 +355,7 @@
 		return err
 	}
 	if code := lifecycle.Main(lifecycle.Options{Operator: operator.Default(), Decider: decider}); code != 0 {
-		return fmt.Errorf("the sidecar ended with %d", code)
+		return fmt.Errorf("the sidecar ended with exit code %d", code)
 	}
 	return nil
 }
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -78,9 +78,9 @@
 
 // repeatOptions are the flags for the length and number of a measurement's runs.
 type repeatOptions struct {
-	For     time.Duration `default:"5s" help:"How long a run."`
-	Runs    int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
-	MostLag time.Duration `default:"10ms" help:"A run whose own load is later than this at the 99th percentile is void, and made again."`
+	For     time.Duration `default:"5s" help:"Duration of a run."`
+	Runs    int           `default:"3" help:"Number of runs of each size; the minimum, median and maximum are printed."`
+	MostLag time.Duration `default:"10ms" help:"A run whose load was sent later than this at the 99th percentile is void, and is repeated."`
 }
 
 func (r *repeatOptions) check() error {
@@ -104,7 +104,7 @@
 		fmt.Fprintf(o, "%s: VOID: the load lagged by %.1f ms at the 99th percentile; load average %s\n", what, lag(m), loadAverage())
 	}
 	var none T
-	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v too little", what, maxVoidRuns, maxLag)
+	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v is too small", what, maxVoidRuns, maxLag)
 }
 
 // printHeader begins a report with the parameters and the machine: without them, the measurements mean nothing.
@@ -188,10 +188,10 @@
 type labCall struct {
 	commonOptions
 	repeatOptions
-	Rate      []float64 `default:"379" help:"Requests a second by each of the two ways."`
-	Endpoints []int     `default:"13" help:"Endpoints of the list; each takes calls."`
-	Peers     []int     `default:"0" help:"Instances that the sidecar is told of, itself included: the more, the fewer of the endpoints it uses. 0 for as many as endpoints."`
-	Classes   []int     `default:"1" help:"Classes in the settings; requests are of all in turn."`
+	Rate      []float64 `default:"379" help:"Requests a second on each of the two paths: direct and through the sidecar."`
+	Endpoints []int     `default:"13" help:"Endpoints of the list; each accepts calls."`
+	Peers     []int     `default:"0" help:"Sidecar instances in the settings, this one included: the more there are, the fewer endpoints each uses. 0 for as many as endpoints."`
+	Classes   []int     `default:"1" help:"Classes in the settings; requests have each in turn."`
 	Stages    []int     `default:"1" help:"Tiers that the settings name."`
 	Own       bool      `default:"true" negatable:"" help:"The settings say that each caller has a sidecar of its own."`
 }
@@ -294,12 +294,12 @@
 	commonOptions
 	repeatOptions
 	Deep      []int         `default:"1,3,7,13,21" help:"Tiers of services, each with a sidecar before it."`
-	Rate      float64       `default:"20" help:"Requests a second at the front, by each way."`
-	Endpoints int           `default:"2" help:"Stand-ins of each tier."`
-	Deadline  time.Duration `default:"2s" help:"That a request has at the front."`
-	Peers     int           `default:"1" help:"Instances of each tier that a sidecar is told of, itself included."`
+	Rate      float64       `default:"20" help:"Requests a second at the first tier, on each path."`
+	Endpoints int           `default:"2" help:"Fake endpoints of each tier."`
+	Deadline  time.Duration `default:"2s" help:"Deadline of a request at the first tier."`
+	Peers     int           `default:"1" help:"Sidecar instances of each tier in the settings, this one included."`
 	Own       bool          `default:"true" negatable:"" help:"The settings say that each caller has a sidecar of its own."`
-	Fail      []string      `default:"none" help:"What the last tier does, in turn: none, hang, refuses, silent, half, garbage, errors:SHARE."`
+	Fail      []string      `default:"none" help:"Faults of the last tier, one after the other: none, hang, refuses, silent, half, garbage, errors:SHARE."`
 }
 
 // failure is a value of --fail: what the last tier does.
@@ -470,15 +470,15 @@
 // labLists is the command `heathlab lists`.
 type labLists struct {
 	commonOptions
-	Runs      int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
+	Runs      int           `default:"3" help:"Number of runs of each size; the minimum, median and maximum are printed."`
 	Endpoints []int         `default:"13,60,145,290,580" help:"Endpoints of the list."`
-	AtOnce    int           `default:"1" help:"Lines that change at once; lists with fewer endpoints are left out."`
-	Apart     bool          `help:"Each of them in a version of its own."`
-	Changes   int           `default:"100" help:"How often that happens in a run."`
+	AtOnce    int           `default:"1" help:"Lines that change at once; lists with fewer endpoints are skipped."`
+	Apart     bool          `help:"Change each of these lines in a version of its own."`
+	Changes   int           `default:"100" help:"Changes in a run."`
 	Sidecars  int           `default:"2" help:"Real sidecars that watch."`
-	Hollow    int           `default:"50" help:"Watchers beside them that only speak the protocol."`
-	Peers     int           `default:"13" help:"Instances that sidecars are told of: their waits are longer the more there are."`
-	Idle      time.Duration `default:"0s" help:"Look so long at watches without changes, too."`
+	Hollow    int           `default:"50" help:"Emulated watchers, which only speak the protocol."`
+	Peers     int           `default:"13" help:"Sidecar instances in the settings: the more there are, the longer their watches wait."`
+	Idle      time.Duration `default:"0s" help:"Also measure watches without changes, for this long."`
 }
 
 // sizes checks the flags and returns the list sizes that have enough endpoints for --at-once.
--- a/internal/labcommand/scale.go
+++ b/internal/labcommand/scale.go
@@ -16,15 +16,15 @@
 // labScale is the command `heathlab scale`: it runs a cluster of the expected size and checks the limits of its
 // scenario.
 type labScale struct {
-	File    string  `arg:"" help:"The scenario; those that come with heathgap stand in lab/scale."`
-	Seed    *uint64 `help:"In place of the scenario's."`
-	Runs    int     `default:"1" help:"So many runs, of that seed and the next ones; tells their spread."`
-	Sizes   []int   `placeholder:"N,N,..." help:"Play it at each number of sidecars, without limits, and tell how figures grow with that."`
-	Predict int     `placeholder:"N" help:"With --sizes: play this number too, and tell beside it what the smaller ones predict of it."`
-	Out     string  `placeholder:"DIR" help:"Write record.json and plots there; of several runs each in a folder of its own."`
-	Logs    string  `placeholder:"DIR" help:"Keep the processes' logs there."`
-	Program string  `placeholder:"PATH" help:"A member's program; heathgap-crew beside this one if not given."`
-	JSON    bool    `name:"json" help:"Print records, one a line."`
+	File    string  `arg:"" help:"The scenario; those that come with heathgap are in lab/scale."`
+	Seed    *uint64 `help:"Seed to use instead of the scenario's."`
+	Runs    int     `default:"1" help:"Number of runs, with that seed and the next ones; prints the spread of their measurements."`
+	Sizes   []int   `placeholder:"N,N,..." help:"Run it at each of these numbers of sidecars, without limits, and print how the measurements grow with the number."`
+	Predict int     `placeholder:"N" help:"With --sizes: run at this number too, and print the measurements beside what the smaller sizes predict."`
+	Out     string  `placeholder:"DIR" help:"Folder to write record.json and plots to; with several runs, each has a folder of its own."`
+	Logs    string  `placeholder:"DIR" help:"Folder to keep the processes' logs in."`
+	Program string  `placeholder:"PATH" help:"A member's program; by default heathgap-crew in the folder of heathlab."`
+	JSON    bool    `name:"json" help:"Print records, one per line."`
 	Quiet   bool    `help:"Print no progress on standard error."`
 }
 
@@ -142,7 +142,7 @@
 	}
 	growth, err := scale.FitGrowth(runs, predicted)
 	if err != nil {
-		return fmt.Errorf("--sizes: %w; three different ones at least", err)
+		return fmt.Errorf("--sizes: %w; at least three different sizes are needed", err)
 	}
 	if c.JSON {
 		return json.NewEncoder(o).Encode(map[string]any{"growth": growth})
