--- a/internal/lab/fake/fake_test.go
+++ b/internal/lab/fake/fake_test.go
@@ -64,7 +64,7 @@
 	return &client{conn, bufio.NewReader(conn)}
 }
 
-// send books a request and sends it.
+// send reports a request to the checker and sends it.
 func (c *client) send(checker *oracle.Shared, class, id, key string, effect decide.Effect) {
 	checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{ID: id, Sidecar: "s", Effect: effect, Key: key, Deadline: time.Hour})
@@ -78,7 +78,7 @@
 		method, class, id, key)
 }
 
-// readAnswer reads an answer; an error means that the connection ended.
+// readAnswer reads an answer. An error means that the connection ended before a complete answer.
 func (c *client) readAnswer() (status int, body string, err error) {
 	r, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -91,6 +91,8 @@
 	return r.StatusCode, string(text), err
 }
 
+// countArrivals returns how many attempts the checker recorded for the sidecar "s", and how many of them ran or were
+// rejected.
 func countArrivals(checker *oracle.Shared) (arrivals, runs, rejected int) {
 	checker.Do(func(b *oracle.Checker) {
 		if t := b.Close().Sidecars["s"]; t != nil {
@@ -112,14 +114,14 @@
 		}
 	}
 	if arrivals, runs, rejected := countArrivals(checker); arrivals != 5 || runs != 5 || rejected != 0 {
-		t.Errorf("booked %d, %d, %d", arrivals, runs, rejected)
+		t.Errorf("recorded %d arrivals, %d runs, %d rejected", arrivals, runs, rejected)
 	}
 }
 
-// Each trouble looks on the wire as it should, and is booked as what it is.
+// Each trouble has the right effect on the connection, and the checker records whether the request ran.
 func TestTroubles(t *testing.T) {
 	for trouble, c := range map[Trouble]struct {
-		status int // 0 where the connection ends without a whole answer
+		status int // 0 if the connection ends without a complete answer
 		body   string
 		runs   int
 	}{
@@ -140,18 +142,18 @@
 				t.Errorf("%d, %q, %v", status, body, err)
 			}
 			if _, runs, _ := countArrivals(checker); runs != c.runs {
-				t.Errorf("%d runs are booked, want %d", runs, c.runs)
+				t.Errorf("%d runs are recorded, want %d", runs, c.runs)
 			}
 			if trouble == ExtraBytes {
 				if _, _, err := conn.readAnswer(); err != nil {
-					t.Errorf("no surplus answer: %v", err)
+					t.Errorf("no bytes after the answer: %v", err)
 				}
 			}
 		})
 	}
 }
 
-// A silent machine neither reads nor writes until it is back; what it had is reset.
+// A partitioned machine neither reads nor writes. When the partition ends, its connections are reset.
 func TestSilent(t *testing.T) {
 	checker := newChecker()
 	e := newEndpoint(t, checker, nil)
@@ -169,20 +171,20 @@
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	e.SetTrouble(NoTrouble, 0)
 	if _, _, err := c.readAnswer(); err == nil {
-		t.Error("a connection of before the silence still answers")
+		t.Error("a connection from before the partition still answers")
 	}
 	second := dial(t, e)
 	second.send(checker, "look", "3", "", decide.Safe)
 	if status, _, err := second.readAnswer(); status != 200 {
-		t.Errorf("after the silence: %d, %v", status, err)
+		t.Errorf("after the partition: %d, %v", status, err)
 	}
 	if arrivals, _, _ := countArrivals(checker); arrivals != 2 {
-		t.Errorf("%d arrivals are booked, want 2: what came in the silence never got there", arrivals)
+		t.Errorf("%d arrivals are recorded, want 2: what is sent during the partition never arrives", arrivals)
 	}
 }
 
-// One that hangs takes requests and answers none; one that is killed resets them,
-// and starts again at its address.
+// An endpoint that hangs answers no request. When it is killed, its connections are reset; another can start at its
+// address.
 func TestHangAndKill(t *testing.T) {
 	checker := newChecker()
 	e := newEndpoint(t, checker, nil)
@@ -196,7 +198,7 @@
 	}
 	if conn, err := net.Dial("tcp", e.Address()); err == nil {
 		conn.Close()
-		t.Error("a killed endpoint takes connections")
+		t.Error("a killed endpoint accepts connections")
 	}
 	second := newEndpoint(t, checker, func(c *EndpointConf) { c.Address = e.Address() })
 	c = dial(t, second)
@@ -215,7 +217,7 @@
 	}
 }
 
-// Connections beyond the cap, and requests beyond slots and queue, are turned away.
+// Connections above the limit are rejected, and so are requests without a slot or a place in the queue.
 func TestCapacityLimits(t *testing.T) {
 	checker := newChecker()
 	e := newEndpoint(t, checker, func(c *EndpointConf) {
@@ -227,22 +229,22 @@
 	second, third := dial(t, e), dial(t, e)
 	second.send(checker, "look", "2", "", decide.Safe)
 	if status, body, err := second.readAnswer(); status != 503 || body != "turned away" {
-		t.Errorf("beyond its slots: %d, %q, %v", status, body, err)
+		t.Errorf("above its slots: %d, %q, %v", status, body, err)
 	}
 	third.send(checker, "look", "3", "", decide.Safe)
 	if status, body, err := third.readAnswer(); status != 503 || body != "turned away" {
-		t.Errorf("beyond its connections: %d, %q, %v", status, body, err)
+		t.Errorf("above its connections: %d, %q, %v", status, body, err)
 	}
 	if _, _, err := third.readAnswer(); err == nil {
-		t.Error("a connection beyond the cap stays")
+		t.Error("a connection above the limit stays open")
 	}
 	if arrivals, runs, rejected := countArrivals(checker); arrivals != 3 || runs != 1 || rejected != 2 {
-		t.Errorf("booked %d, %d, %d", arrivals, runs, rejected)
+		t.Errorf("recorded %d arrivals, %d runs, %d rejected", arrivals, runs, rejected)
 	}
 }
 
-// Within the window a key has one effect, whichever endpoint of the group it
-// comes to; a repeat is answered when the first run has ended.
+// Within the window a key has one effect in the whole group of endpoints. A repeat is answered once the first run has
+// ended.
 func TestKeysAcrossAGroup(t *testing.T) {
 	checker := newChecker()
 	keys := NewKeyMemory(time.Minute)
@@ -264,7 +266,7 @@
 	})
 }
 
-// A run that failed has had its effect: a repeat elsewhere in the group has none.
+// A failed run counts as the key's effect: a repeat at another endpoint of the group has none.
 func TestFailedRunCountsAsEffect(t *testing.T) {
 	checker := newChecker()
 	keys := NewKeyMemory(time.Minute)
@@ -287,17 +289,17 @@
 	})
 }
 
-// The edge of the window: a repeat on it has no effect, one past it does.
+// A repeat exactly at the end of the window has no effect; one after it does.
 func TestKeyWindowEdge(t *testing.T) {
 	k := NewKeyMemory(time.Second)
 	if first, own := k.Observe(0, "k"); first != nil || own == nil {
-		t.Fatal("a new key is a repeat")
+		t.Fatal("a new key counts as a repeat")
 	}
 	if first, _ := k.Observe(time.Second, "k"); first == nil {
-		t.Error("on the edge: an effect of its own")
+		t.Error("at the end of the window: not a repeat")
 	}
 	if first, own := k.Observe(time.Second+1, "k"); first != nil || own == nil {
-		t.Error("past the edge: a repeat")
+		t.Error("after the window: still a repeat")
 	}
 	if len(k.seen) != 1 || len(k.order) != 1 {
 		t.Errorf("%d keys are kept, want the newest only", len(k.seen))
@@ -305,11 +307,11 @@
 	_, own := k.Observe(3*time.Second, "other")
 	k.Forget(own)
 	if first, _ := k.Observe(3*time.Second, "other"); first != nil {
-		t.Error("a run that was turned away counts")
+		t.Error("a run that was forgotten still counts")
 	}
 }
 
-// An endpoint of a tier that calls the next one fails if a call does.
+// An endpoint that calls the next tier fails a request as soon as one of its calls fails.
 func TestCallsTheNextTier(t *testing.T) {
 	checker := newChecker()
 	calls, fails := 0, false
@@ -348,8 +350,8 @@
 	return answer.StatusCode, list
 }
 
-// Discovery tells the whole list, waits with what is new, fails when it is down,
-// and books who was told what.
+// Discovery answers with the full list, answers watches when there are changes, fails while it is down, and reports to
+// the checker what was delivered to whom.
 func TestDiscovery(t *testing.T) {
 	checker := newChecker()
 	d := NewDiscovery(checker)
@@ -380,19 +382,19 @@
 	a.Status = Deleted
 	d.SetLines(a)
 	if _, list := fetch(t, address, ""); len(list.Endpoints) != 1 {
-		t.Errorf("the whole list names what is gone: %+v", list)
+		t.Errorf("the full list has an endpoint that is gone: %+v", list)
 	}
 	d.SetDown(true)
 	if status, _ := fetch(t, address, "?after=3&wait_ms=20000"); status != 503 {
 		t.Errorf("down: %d", status)
 	}
-	// What was told holds from then on: a later send to it is held against the sidecar.
+	// A delivered drain holds from then on: a later attempt to that endpoint is a violation by the sidecar.
 	checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{ID: "1", Sidecar: "s", Effect: decide.Safe, Deadline: time.Hour})
 		b.RequestWritten("1")
 		b.AttemptArrived(oracle.Arrival{ID: "1", Endpoint: "a", FirstByte: checker.Now() + 2*time.Minute, Accepted: true})
 		if n := b.Close().Rules[oracle.SentToDrained]; n != 1 {
-			t.Errorf("%d sends past the drain are booked, want 1", n)
+			t.Errorf("%d attempts after the drain are recorded, want 1", n)
 		}
 	})
 }
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -17,8 +17,8 @@
 
 const testTimeout = 20 * time.Second
 
-// newScriptedClient serves connections, each by the next script; a script is told the number
-// of the request on its connection and its id.
+// newScriptedClient returns a client of a fake sidecar that handles each connection by the next script. A script gets
+// the number of the request on its connection and its ID, and returns false to close the connection.
 func newScriptedClient(t *testing.T, scripts ...func(conn net.Conn, n int, id string) bool) *Client {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,23 +56,27 @@
 	return c
 }
 
+// writeServed writes a served answer to the request with the given ID.
 func writeServed(conn net.Conn, id string) {
 	body := id + " e\n"
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 }
 
+// serveAll is a script that serves every request.
 func serveAll(conn net.Conn, _ int, id string) bool { writeServed(conn, id); return true }
 
+// sendWithin sends a safe request with a deadline that is timeout from now.
 func (c *Client) sendWithin(id string, timeout time.Duration) Result {
 	return c.Send(context.Background(), Request{ID: id, Class: "look", Effect: decide.Safe, Deadline: c.checker.Now() + timeout})
 }
 
+// closeReport closes the checker and returns its report.
 func closeReport(c *Client) (a oracle.Report) {
 	c.checker.Do(func(b *oracle.Checker) { a = b.Close() })
 	return a
 }
 
-// Each way in which a request can end is told for what it is.
+// Each ending of a request gives the right result, and a missing or foreign answer counts as a lost request.
 func TestRequestEndings(t *testing.T) {
 	reply := func(text string) func(net.Conn, int, string) bool {
 		return func(conn net.Conn, _ int, _ string) bool { io.WriteString(conn, text); return false }
@@ -85,13 +89,13 @@
 		left    time.Duration
 		foreign bool
 	}{
-		"served":  {script: serveAll, result: Result{Ending: Answered}, left: testTimeout},
-		"refused": {script: reply("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, left: testTimeout},
-		"failed":  {script: reply("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{Ending: Answered, Verdict: oracle.Failed}, left: testTimeout},
-		"half":    {script: reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
-		"closed":  {script: reply(""), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
-		"mute":    {script: neverAnswer, result: Result{Ending: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
-		"foreign": {script: func(conn net.Conn, _ int, _ string) bool { writeServed(conn, "other"); return true }, result: Result{Ending: Answered, Verdict: oracle.Failed}, lost: 1, left: testTimeout},
+		"served":    {script: serveAll, result: Result{Ending: Answered}, left: testTimeout},
+		"refused":   {script: reply("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, left: testTimeout},
+		"failed":    {script: reply("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{Ending: Answered, Verdict: oracle.Failed}, left: testTimeout},
+		"truncated": {script: reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
+		"closed":    {script: reply(""), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
+		"no answer": {script: neverAnswer, result: Result{Ending: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
+		"foreign":   {script: func(conn net.Conn, _ int, _ string) bool { writeServed(conn, "other"); return true }, result: Result{Ending: Answered, Verdict: oracle.Failed}, lost: 1, left: testTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newScriptedClient(t, c.script)
@@ -100,14 +104,14 @@
 			}
 			a := closeReport(client)
 			if a.Rules[oracle.LostRequest] != c.lost || a.NumViolations() != c.lost || a.Balance() != nil {
-				t.Errorf("broken %v, balance %v", a.Violations, a.Balance())
+				t.Errorf("violations %v, balance %v", a.Violations, a.Balance())
 			}
 		})
 	}
 }
 
-// A connection that ends as a request crosses it: the client sends it once more on a
-// new one, and nothing is lost. On a new connection the same is a loss.
+// A sidecar may close an idle connection just as a request is sent on it. The client then sends the request again on a
+// new connection and nothing is lost; TestRequestEndings checks that on a new connection it is a loss.
 func TestConnectionEndsDuringRequest(t *testing.T) {
 	once := func(conn net.Conn, n int, id string) bool {
 		if n == 0 {
@@ -126,7 +130,8 @@
 	}
 }
 
-// More than an answer is noticed at once, or when the connection is to be used next.
+// Bytes after an answer are noticed, here when the connection is to be used again, as a request that was answered
+// twice.
 func TestExtraBytes(t *testing.T) {
 	var late atomic.Bool
 	c := newScriptedClient(t, func(conn net.Conn, n int, id string) bool {
@@ -142,16 +147,16 @@
 			t.Fatal("the second answer never came")
 		}
 	}
-	time.Sleep(20 * time.Millisecond) // it is on its way over loopback
+	time.Sleep(20 * time.Millisecond) // the second answer is on its way over loopback
 	if got := c.sendWithin("2", testTimeout); got.Ending != Answered {
 		t.Errorf("the next request: %+v", got)
 	}
 	if a := closeReport(c); a.Rules[oracle.AnsweredTwice] != 1 || a.NumViolations() != 1 {
-		t.Errorf("broken %v", a.Violations)
+		t.Errorf("violations %v", a.Violations)
 	}
 }
 
-// What a killed sidecar held is cut, and no rule is broken.
+// A request that a stopped sidecar held counts as interrupted and violates no rule.
 func TestSidecarStopped(t *testing.T) {
 	c := newScriptedClient(t, func(conn net.Conn, _ int, _ string) bool { return false })
 	c.front.Pick().Stopped.Store(true)
@@ -163,7 +168,7 @@
 	}
 }
 
-// Clients leave when they have lost patience, and do not ask again then.
+// A client that leaves early ends its request without a violation of a rule.
 func TestClientLeaves(t *testing.T) {
 	c := newScriptedClient(t, func(net.Conn, int, string) bool { time.Sleep(testTimeout); return false })
 	got := c.Send(context.Background(), Request{ID: "1", Class: "look", Effect: decide.Safe,
@@ -176,7 +181,7 @@
 	}
 }
 
-// A client asks again, later, as long as that may do good and its patience lasts.
+// Clients retry what was refused, and what failed if a retry can do no harm, until their retries are used up.
 func TestRetries(t *testing.T) {
 	refuse := func(conn net.Conn, _ int, _ string) bool {
 		io.WriteString(conn, "HTTP/1.1 503 x\r\nRetry-After: 0.02\r\nContent-Length: 0\r\n\r\n")
@@ -202,22 +207,23 @@
 				Plan: plan, Client: client, Checker: client.checker, Behavior: ClientBehavior{Retries: 2, Backoff: time.Millisecond},
 				Classes: []Class{{"look", c.effect, testTimeout}}, Base: client.checker.Now(),
 			}
-			// One arrival by hand: how many a plan has is its seed's.
+			// A single arrival made by hand: the number of arrivals of a plan depends on its seed.
 			d.runOne(t, Arrival{Seed: 1})
 			if n := closeReport(client).Sidecars["s"].Requests; n != c.tries {
-				t.Errorf("asked %d times, want %d", n, c.tries)
+				t.Errorf("%d requests sent, want %d", n, c.tries)
 			}
 		})
 	}
 }
 
+// runOne sends a single logical request with its retries.
 func (d *Driver) runOne(t *testing.T, a Arrival) {
 	t.Helper()
 	d.initLag()
 	d.fulfill(t.Context(), a)
 }
 
-// Bad clients are counted by what became of them.
+// Malformed requests are counted by their outcome: here an answer 400, or the end of the connection.
 func TestSendMalformed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// Whatever happens, a baseline ends each request once, sends nothing after that,
-// sends no effect again that may have run, and nothing to what drains.
+// Whatever happens, a baseline ends each request once, sends nothing for it afterwards, repeats no keyed or unsafe
+// request that may have run, and sends nothing to a draining endpoint.
 func TestBaselinesKeepTheRules(t *testing.T) {
 	for _, name := range Baselines() {
 		t.Run(name, func(t *testing.T) {
@@ -31,6 +31,7 @@
 	}
 }
 
+// trackedRequest is what the test knows of a request.
 type trackedRequest struct {
 	class             string
 	inFlight          map[int]decide.EndpointID
@@ -38,6 +39,7 @@
 	ended, mayHaveRun bool
 }
 
+// checkRules feeds random events to a policy and checks its actions.
 func checkRules(t *rapid.T, name string) {
 	p, err := newPicker(settings(), 1, kinds[name])
 	if err != nil {
@@ -53,7 +55,7 @@
 			switch a.Kind {
 			case decide.Send:
 				if q.ended || state[a.Endpoint] != decide.Active {
-					t.Fatalf("sent to %d, which is %v, over %v", a.Endpoint, state[a.Endpoint], q.ended)
+					t.Fatalf("sent to endpoint %d in state %v, request ended: %v", a.Endpoint, state[a.Endpoint], q.ended)
 				}
 				if q.class != "look" && (q.mayHaveRun || len(q.inFlight) > 0) {
 					t.Fatalf("%s sent again though it may have run", q.class)
@@ -108,17 +110,17 @@
 	}
 	for id, q := range requests {
 		if !q.ended && len(q.inFlight) == 0 {
-			t.Fatalf("request %d has neither an end nor an attempt out", id)
+			t.Fatalf("request %d has neither ended nor an attempt in flight", id)
 		}
 	}
 	for id, n := range p.inFlight {
 		if n <= 0 {
-			t.Fatalf("endpoint %d has %d out", id, n)
+			t.Fatalf("endpoint %d has %d attempts in flight", id, n)
 		}
 	}
 }
 
-// The bucket holds retries to a tenth of what is served, beyond its burst.
+// The budget limits retries to its tokens at the start as long as no attempt is served.
 func TestRetryBudget(t *testing.T) {
 	sent := func(name string) int {
 		p, err := newPicker(settings(), 1, kinds[name])
@@ -155,6 +157,6 @@
 		}
 	}
 	if _, err := ByName("none"); err == nil {
-		t.Error("an unknown policy is taken")
+		t.Error("an unknown policy is accepted")
 	}
 }
--- a/internal/lab/scenario/cluster_test.go
+++ b/internal/lab/scenario/cluster_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The crews that come with heathgap are read, and a name that nobody has is refused: it would have struck the first keeper.
+// The cluster scenarios of the repository are valid, and a step for an unknown process is an error: it would otherwise
+// apply to the first voter.
 func TestRepositoryClusters(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/crews/*.toml")
 	if err != nil || len(paths) < 3 {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -59,11 +59,11 @@
 	return s
 }
 
-// Every scenario of the repository is a good one.
+// All scenarios of the repository are valid and named like their files.
 func TestRepositoryScenarios(t *testing.T) {
 	paths, err := filepath.Glob("../../../lab/scenarios/*.toml")
 	if err != nil || len(paths) < 10 {
-		t.Fatalf("%d scenarios, %v; want ten at least", len(paths), err)
+		t.Fatalf("%d scenarios, %v; want at least ten", len(paths), err)
 	}
 	for _, path := range paths {
 		s, err := LoadFile(path)
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards against faults of a file that are passed over, or told at another line.
+// Guards against mistakes in a file that are not reported, or are reported for the wrong line.
 func TestParseErrors(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"wrong key":         {"work = \"4ms\"", "work = \"4ms\"\nwrok = 1", `f:6: class[0].wrok: unknown key`},
@@ -99,26 +99,26 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("f", []byte(strings.Replace(validScenario, c.from, c.to, 1)))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("told\n%v\nwant\n%s", err, c.want)
+				t.Errorf("got error\n%v\nwant\n%s", err, c.want)
 			}
 		})
 	}
 }
 
-// The same seed makes the same arrivals and faults, another seed others.
+// The same seed gives the same arrivals and faults, another seed gives others.
 func TestHashFollowsSeed(t *testing.T) {
 	s := parse(t, validScenario)
 	if s.Hash(3) != s.Hash(3) || s.Hash(3) != parse(t, validScenario).Hash(3) {
-		t.Error("one seed, two timelines")
+		t.Error("the same seed gives two hashes")
 	}
 	if s.Hash(3) == s.Hash(4) {
-		t.Error("two seeds, one timeline")
+		t.Error("two seeds give the same hash")
 	}
 	if s.Hash(3) == parse(t, strings.Replace(validScenario, "rate = 200", "rate = 201", 1)).Hash(3) {
-		t.Error("the load does not count in the sum")
+		t.Error("the hash does not depend on the load")
 	}
 	if s.Hash(3) == parse(t, strings.Replace(validScenario, "share = 0.5", "share = 0.4", 1)).Hash(3) {
-		t.Error("the faults do not count in the sum")
+		t.Error("the hash does not depend on the faults")
 	}
 }
 
@@ -140,7 +140,7 @@
 		}
 	}
 	if len(released) != 8 || len(added) != 2 || added[0] != 8 {
-		t.Errorf("released %v, added %v; want all eight once, and places 8 and 9", released, added)
+		t.Errorf("released %v, added %v; want all eight released once, and indexes 8 and 9 added", released, added)
 	}
 	seen := map[int]bool{}
 	for _, n := range released {
@@ -151,7 +151,7 @@
 	}
 }
 
-// The arrivals have the plan's rate, shares and floods.
+// The arrivals follow the plan's rate, shares and floods.
 func TestArrivals(t *testing.T) {
 	plan := parse(t, validScenario).Plan()
 	calm, flooded, south := 0, 0, 0
@@ -167,7 +167,7 @@
 		}
 		calm++
 	}
-	// 200 a second for 20 s; in the flood 50 of north and 750 of south, for 10 s.
+	// 200 per second for 20 s without a flood; in the flood, 50 per second of north and 750 of south for 10 s.
 	if calm < 3700 || calm > 4300 || flooded < 7700 || flooded > 8300 {
 		t.Errorf("%d arrivals while calm, %d in the flood; want about 4000 and 8000", calm, flooded)
 	}
@@ -192,16 +192,16 @@
 	}
 	for _, key := range []string{"tier.7.endpoints", "name.first", "tier.0"} {
 		if _, err := SetKey([]byte(validScenario), key, "1"); err == nil {
-			t.Errorf("%s: set", key)
+			t.Errorf("%s: an invalid key was set", key)
 		}
 	}
 	if _, err := SetKey([]byte(validScenario), "load.rate", "many"); err == nil {
-		t.Error("a value that is none was set")
+		t.Error("an invalid value was set")
 	}
 }
 
-// No text may end the process; what is taken can be played: its timeline names
-// places that there are, and its load is within bounds.
+// No text may crash the parser. A scenario that it accepts can be run: its timeline has only tiers that exist, and its
+// load is within bounds.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validScenario))
 	f.Add([]byte(strings.ReplaceAll(validScenario, "\"", "'")))
@@ -212,7 +212,7 @@
 			return
 		}
 		if s.Load.Rate > MaxRate || len(s.Tiers) == 0 || len(s.Classes) == 0 {
-			t.Fatalf("taken: %+v", s)
+			t.Fatalf("accepted: %+v", s)
 		}
 		for _, step := range s.Timeline(1) {
 			if step.Tier >= len(s.Tiers) {
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -18,7 +18,7 @@
 	return s
 }
 
-// runToEnd runs a station until nothing is to come and returns when each job ended.
+// runToEnd runs a server until nothing is left to do, and returns when each job ended.
 func runToEnd(s *Server) map[*Job]time.Duration {
 	ended := map[*Job]time.Duration{}
 	for {
@@ -70,11 +70,11 @@
 		s.Arrive(200*ms, h)
 	}
 	if ended := runToEnd(s)[held[2]].Round(ms / 10); ended != 220*ms {
-		t.Errorf("three, choked above two, ended at %v, want 220ms", ended)
+		t.Errorf("three jobs, choked above two, ended at %v, want 220ms", ended)
 	}
 }
 
-// A cold one works slowly, gets warm, and falls over only under a load that lasts.
+// A cold server works slowly, warms up, and loses its jobs only when it is overloaded for long enough.
 func TestColdStart(t *testing.T) {
 	conf := Conf{Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: 0.25, ColdFor: 4 * time.Second,
 		FallMultiple: 2, FallFor: time.Second}
@@ -87,24 +87,24 @@
 		return s
 	}
 	if s := overload(0.4, 5*time.Second); s.Overloads != 0 || s.Share() != 1 {
-		t.Errorf("under a small load: %d falls, share %v", s.Overloads, s.Share())
+		t.Errorf("under a small load: %d overloads, share %v", s.Overloads, s.Share())
 	}
 	if s := overload(3, time.Second); s.Overloads != 0 {
-		t.Errorf("pushed for less than the time: %d falls", s.Overloads)
+		t.Errorf("overloaded for less than FallFor: %d overloads counted", s.Overloads)
 	}
 	if s := overload(3, 3*time.Second); s.Overloads == 0 {
-		t.Error("pushed for longer: it did not fall")
+		t.Error("overloaded for longer than FallFor: no overload counted")
 	}
 	j := &Job{Work: 10 * ms}
 	s := newServer(t, conf, true)
 	s.Arrive(0, j)
 	if ended := runToEnd(s)[j]; ended < 35*ms || ended > 45*ms {
-		t.Errorf("a cold one took %v for 10ms of work, want about 40ms", ended)
+		t.Errorf("a cold server took %v for 10ms of work, want about 40ms", ended)
 	}
 }
 
-// Whatever comes in whatever order, each job taken is given back once, and no more
-// is held than there is room for.
+// Whatever happens in whatever order, each accepted job ends once, and the server holds no more jobs than it has slots
+// and places in the queue.
 func TestEachJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conf := Conf{Cores: 1.5, Speed: 1, Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
@@ -168,7 +168,7 @@
 	for _, c := range []Conf{{}, {Cores: 1, Speed: 1}, {Cores: 1, Speed: 1, Slots: 1, Queue: -1},
 		{Cores: 1, Speed: 1, Slots: 1, ColdFor: time.Second}} {
 		if _, err := New(c, 0, false); err == nil {
-			t.Errorf("%+v: taken", c)
+			t.Errorf("%+v: accepted", c)
 		}
 	}
 }
--- a/internal/labcommand/heathlab_test.go
+++ b/internal/labcommand/heathlab_test.go
@@ -14,7 +14,7 @@
 	"heathgap/internal/lab/record"
 )
 
-// buildPrograms builds heathgap and heathlab side by side.
+// buildPrograms builds heathgap and heathlab and returns their folder.
 func buildPrograms(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -49,7 +49,8 @@
 	return path
 }
 
-// The programs as they are built: a run, its record, a comparison, and an interrupt.
+// Runs the built programs: a run with its record, a comparison, experiments, and an interrupted run that must leave no
+// process behind.
 func TestPrograms(t *testing.T) {
 	bin := buildPrograms(t)
 	path, out := writeScenario(t, shortScenario), t.TempDir()
@@ -118,7 +119,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := progress.Read(make([]byte, 1)); err != nil { // the first line of progress
+		if _, err := progress.Read(make([]byte, 1)); err != nil { // the first byte of the progress report
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGINT)
@@ -142,8 +143,8 @@
 	})
 }
 
-// processesOf lists processes of a program that a process has started, or that have
-// lost their parent.
+// processesOf returns the IDs of processes that run a program and were started by the given parent, or have lost their
+// parent.
 func processesOf(t *testing.T, program string, parent int) (pids []string) {
 	t.Helper()
 	dirs, err := filepath.Glob("/proc/[0-9]*")
@@ -178,7 +179,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// What can't be played is refused before anything starts.
+// Invalid input is refused before anything starts.
 func TestInvalidInput(t *testing.T) {
 	good, bad := writeScenario(t, shortScenario), writeScenario(t, strings.Replace(shortScenario, "work = ", "wrok = ", 1))
 	for name, c := range map[string]struct {
--- a/internal/labcommand/measure_test.go
+++ b/internal/labcommand/measure_test.go
@@ -12,7 +12,8 @@
 	"heathgap/internal/command"
 )
 
-// Bad input gets one line that names the flag and what is allowed, and an exit code that is not 0; nothing is started.
+// Invalid flags give one line that names the flag and what is allowed, and an exit code other than 0. Nothing is
+// started.
 func TestMeasureFlagErrors(t *testing.T) {
 	tests := []struct {
 		args string
@@ -74,7 +75,8 @@
 	}
 }
 
-// A run whose load lags never counts; one that does not counts at once; without end it isn't made again.
+// A run whose load lags doesn't count and is repeated, but not without end. A run whose load doesn't lag counts at
+// once.
 func TestVoidRunsDoNotCount(t *testing.T) {
 	for _, c := range []struct {
 		lags  []float64 // ms
@@ -96,12 +98,12 @@
 			t.Errorf("%v: %v, %v after %d runs; want %v after %d", c.lags, got, err, calls, c.want, c.calls)
 		}
 		if reported := strings.Count(out.String(), "VOID"); err == nil && reported != calls-1 {
-			t.Errorf("%v: %d void runs told of %d", c.lags, reported, calls-1)
+			t.Errorf("%v: %d void runs reported of %d", c.lags, reported, calls-1)
 		}
 	}
 }
 
-// The largest size is predicted by the others, wherever it stands, and never part of what predicts it.
+// The prediction for the largest size uses only the other sizes, wherever the largest is in the list.
 func TestPredictLargest(t *testing.T) {
 	tests := []struct {
 		sizes, medians []float64
@@ -119,7 +121,7 @@
 	}
 }
 
-// The three commands as they are built, each over two tiny sizes.
+// Runs the three built commands, each with two small sizes.
 func TestMeasureCommands(t *testing.T) {
 	bin := buildPrograms(t)
 	for _, c := range []struct {
@@ -139,7 +141,7 @@
 			}
 			for _, says := range c.says {
 				if !strings.Contains(string(text), says) {
-					t.Errorf("does not say %q: %s", says, text)
+					t.Errorf("%q is missing in the output: %s", says, text)
 				}
 			}
 		})
--- a/internal/labcommand/scale_test.go
+++ b/internal/labcommand/scale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What is wrong with a scenario is told whole, and nothing starts; so is a plan that is too large.
+// All mistakes of a scenario are reported, and so is a plan with too many processes. Nothing is started.
 func TestScaleInvalidInput(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
