--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -48,8 +48,7 @@
 	requests := map[decide.RequestID]*trackedRequest{}
 	state := map[decide.EndpointID]decide.EndpointState{}
 	now, last := decide.Time(0), decide.RequestID(0)
-	var handle func(ev decide.Event)
-	handle = func(ev decide.Event) {
+	handle := func(ev decide.Event) {
 		for _, a := range p.Handle(now, &ev, nil) {
 			q := requests[a.Request]
 			switch a.Kind {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -108,7 +108,8 @@
 // The same seed gives the same arrivals and faults, another seed gives others.
 func TestHashFollowsSeed(t *testing.T) {
 	s := parse(t, validScenario)
-	if s.Hash(3) != s.Hash(3) || s.Hash(3) != parse(t, validScenario).Hash(3) {
+	first, again := s.Hash(3), s.Hash(3)
+	if first != again || first != s.Hash(3) || first != parse(t, validScenario).Hash(3) {
 		t.Error("the same seed gives two hashes")
 	}
 	if s.Hash(3) == s.Hash(4) {
