--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -44,16 +44,15 @@
 type Discovery struct {
 	checker *oracle.Shared
 
-	mu      sync.Mutex
-	index   int64
-	lines   map[string]Line
-	order   []string         // names, in the order in which they were first listed
-	changed map[string]int64 // the version in which each name last changed
-	// history has the earlier and current lines of each name, by rising version.
-	history     map[string][]versionedLine
-	delivered   map[string]int64 // the last version delivered to each sidecar
+	mu          sync.Mutex
+	index       int64
+	lines       map[string]Line
+	order       []string                   // names, in the order in which they were first listed
+	changed     map[string]int64           // the version in which each name last changed
+	history     map[string][]versionedLine // all lines that each name has had, by rising version
+	delivered   map[string]int64           // the last version delivered to each sidecar
 	down        bool
-	refuseAfter time.Duration // how long after its beginning each new call is refused, as if there were too many callers; 0 for no refusals
+	refuseAfter time.Duration // delay after which each new call is refused, as if there were too many callers; 0 for no refusals
 	lag         time.Duration // delay of each answer
 	updated     chan struct{} // closed and replaced at each change
 	servers     []*http.Server
@@ -205,8 +204,8 @@
 	}
 	after, _ := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	if patience := d.refusalDelay(); patience > 0 {
-		if pause(r, patience) {
+	if delay := d.refusalDelay(); delay > 0 {
+		if pause(r, delay) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
@@ -253,13 +252,13 @@
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
-		ready, news := d.down || d.index > after && d.refuseAfter == 0, d.updated
+		ready, updated := d.down || d.index > after && d.refuseAfter == 0, d.updated
 		d.mu.Unlock()
 		if ready {
 			return true
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-timer.C:
 			return true
 		case <-r.Context().Done():
--- a/internal/lab/fake/endpoint.go
+++ b/internal/lab/fake/endpoint.go
@@ -49,7 +49,7 @@
 	Connections int           // accepted at once; requests on further ones are rejected; 0 for no limit
 	Handshake   time.Duration // work that the first request of a connection adds
 	IdleFor     time.Duration // how long a connection may be idle before it is closed; 0 for no limit
-	BodyBytes   int           // least size of the body of a served answer
+	BodyBytes   int           // minimum size of the body of a served answer
 	Seed        uint64
 	Classes     map[string]ClassConf
 	Calls       int  // calls of the next tier for each request
@@ -158,7 +158,7 @@
 	}
 }
 
-// Pause stops or resumes all work.
+// Pause stops (true) or resumes (false) all work.
 func (e *Endpoint) Pause(paused bool) {
 	e.update(func(now time.Duration) { e.model.Pause(now, paused) })
 }
@@ -181,8 +181,8 @@
 // onTimer finishes the jobs that are done by now.
 func (e *Endpoint) onTimer() { e.update(func(time.Duration) {}) }
 
-// finishDue finishes the jobs that are done. If the model was overloaded while cold, its jobs fail and the checker is
-// told.
+// finishDue finishes the jobs that are done. If the model was overloaded while cold, all jobs fail, and the endpoint
+// reports the overload to the checker.
 func (e *Endpoint) finishDue(now time.Duration) {
 	done, overloaded := e.model.Due(now)
 	if overloaded {
@@ -304,13 +304,13 @@
 // waitIfPartitioned waits while the machine is partitioned, and reports whether it was.
 func (e *Endpoint) waitIfPartitioned() bool {
 	e.mu.Lock()
-	cut := e.partition
+	partition := e.partition
 	e.mu.Unlock()
-	if cut == nil {
+	if partition == nil {
 		return false
 	}
 	select {
-	case <-cut:
+	case <-partition:
 	case <-e.ctx.Done():
 	}
 	return true
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -32,7 +32,7 @@
 	Pick() *Target // nil if there is none
 }
 
-// SingleTarget is a Front with at most one sidecar.
+// SingleTarget is a Front with one sidecar, which may be replaced.
 type SingleTarget struct{ target atomic.Pointer[Target] }
 
 // Set replaces the target.
@@ -43,11 +43,10 @@
 
 // Timeouts and bounds of a client.
 const (
-	dialTimeout  = time.Second
-	writeTimeout = 5 * time.Second
-	// maxAnswerBody is in bytes.
-	maxAnswerBody = 4 << 20
-	maxDials      = 3 // connection attempts for a request: after a failed one, the client tries the next sidecar that the front picks
+	dialTimeout   = time.Second
+	writeTimeout  = 5 * time.Second
+	maxAnswerBody = 4 << 20 // bytes
+	maxDials      = 3       // connection attempts for a request: after a failed one, the client tries the next sidecar that the front picks
 )
 
 // Client sends requests to sidecars over connections that it reuses, and reports each request and its end to the
@@ -84,10 +83,9 @@
 	Effect                 decide.Effect
 	Deadline               time.Duration // when the client stops waiting for the answer
 	Leave                  time.Duration // when the client leaves, if that is before Deadline; 0 for never
-	// Repeat marks a repeat by the client (header X-Resent).
-	Repeat bool
-	Body   int  // in bytes, of POST requests
-	Close  bool // the client asks to close the connection after the answer
+	Repeat                 bool
+	Body                   int  // in bytes, of POST requests
+	Close                  bool // the client asks to close the connection after the answer
 }
 
 // Ending is how a try of a request ended.
--- a/internal/lab/load/client_test.go
+++ b/internal/lab/load/client_test.go
@@ -86,20 +86,20 @@
 		script  func(net.Conn, int, string) bool
 		result  Result
 		lost    int
-		left    time.Duration
+		timeout time.Duration
 		foreign bool
 	}{
-		"served":    {script: serveAll, result: Result{Ending: Answered}, left: testTimeout},
-		"refused":   {script: reply("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, left: testTimeout},
-		"failed":    {script: reply("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{Ending: Answered, Verdict: oracle.Failed}, left: testTimeout},
-		"truncated": {script: reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
-		"closed":    {script: reply(""), result: Result{Ending: NoAnswer}, lost: 1, left: testTimeout},
-		"no answer": {script: neverAnswer, result: Result{Ending: NoAnswer}, lost: 1, left: 30 * time.Millisecond},
-		"foreign":   {script: func(conn net.Conn, _ int, _ string) bool { writeServed(conn, "other"); return true }, result: Result{Ending: Answered, Verdict: oracle.Failed}, lost: 1, left: testTimeout},
+		"served":    {script: serveAll, result: Result{Ending: Answered}, timeout: testTimeout},
+		"refused":   {script: reply("HTTP/1.1 503 x\r\nRetry-After: 0.25\r\nContent-Length: 0\r\n\r\n"), result: Result{Answered, oracle.Refused, 250 * time.Millisecond}, timeout: testTimeout},
+		"failed":    {script: reply("HTTP/1.1 502 x\r\nContent-Length: 0\r\n\r\n"), result: Result{Ending: Answered, Verdict: oracle.Failed}, timeout: testTimeout},
+		"truncated": {script: reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx"), result: Result{Ending: NoAnswer}, lost: 1, timeout: testTimeout},
+		"closed":    {script: reply(""), result: Result{Ending: NoAnswer}, lost: 1, timeout: testTimeout},
+		"no answer": {script: neverAnswer, result: Result{Ending: NoAnswer}, lost: 1, timeout: 30 * time.Millisecond},
+		"foreign":   {script: func(conn net.Conn, _ int, _ string) bool { writeServed(conn, "other"); return true }, result: Result{Ending: Answered, Verdict: oracle.Failed}, lost: 1, timeout: testTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newScriptedClient(t, c.script)
-			if got := client.sendWithin("1", c.left); got != c.result {
+			if got := client.sendWithin("1", c.timeout); got != c.result {
 				t.Errorf("got %+v, want %+v", got, c.result)
 			}
 			a := closeReport(client)
--- a/internal/lab/load/driver.go
+++ b/internal/lab/load/driver.go
@@ -17,7 +17,7 @@
 
 // ClientBehavior says how clients retry, leave and use connections.
 type ClientBehavior struct {
-	Retries   int           // at most so many retries of a logical request
+	Retries   int           // most retries of a logical request
 	Backoff   time.Duration // mean wait before the first retry, doubled for each further one; the wait varies by half either way
 	Impatient float64       // share of logical requests whose client leaves early
 	LeaveAt   float64       // part of the deadline after which those clients leave
@@ -121,17 +121,17 @@
 	class := d.Classes[a.Class]
 	random := rand.New(rand.NewPCG(a.Seed, 3))
 	logical := oracle.LogicalRequest{Class: class.Name, Tenant: d.Plan.Tenants[a.Tenant].Name, Due: a.At}
-	ask := d.firstRequest(a, class, random)
+	req := d.firstRequest(a, class, random)
 	for {
-		ask.ID = fmt.Sprintf("%x.%d", a.Number, logical.Tries)
-		ask.Repeat = logical.Tries > 0
+		req.ID = fmt.Sprintf("%x.%d", a.Number, logical.Tries)
+		req.Repeat = logical.Tries > 0
 		logical.Tries++
-		result := d.Client.Send(ctx, ask)
+		result := d.Client.Send(ctx, req)
 		if result.Ending == Answered && result.Verdict == oracle.Served {
 			logical.Served, logical.Took = true, d.Checker.Now()-d.Base-a.At
 			break
 		}
-		if !d.waitToRetry(ctx, &ask, logical.Tries, result, random) {
+		if !d.waitToRetry(ctx, &req, logical.Tries, result, random) {
 			break
 		}
 	}
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -83,38 +83,32 @@
 
 // openRequest is a request that has not ended.
 type openRequest struct {
-	class *decide.Class
-	// deadline is when the request's time is up; inFlight holds the endpoint of each attempt in flight, by attempt
-	// number.
-	deadline   decide.Time
+	class      *decide.Class
+	deadline   decide.Time // when the request's time is up
 	attempts   int
-	inFlight   map[int]decide.EndpointID
-	mayHaveRun bool // some attempt may have run
+	inFlight   map[int]decide.EndpointID // by the number of the attempt
+	mayHaveRun bool                      // some attempt may have run
 }
 
 // picker implements all policies. It picks an endpoint for each attempt, and retries what may be retried until the
 // attempts are used up.
 type picker struct {
-	settings  decide.Settings
-	classes   map[string]*decide.Class
-	rng       *rand.Rand
-	now       decide.Time
-	endpoints []decide.Endpoint // as listed, draining ones included
-	// inFlight counts the attempts in flight to each endpoint.
-	inFlight   map[decide.EndpointID]int
+	settings   decide.Settings
+	classes    map[string]*decide.Class
+	rng        *rand.Rand
+	now        decide.Time
+	endpoints  []decide.Endpoint         // as listed, draining ones included
+	inFlight   map[decide.EndpointID]int // attempts in flight to each endpoint
 	requests   map[decide.RequestID]*openRequest
 	nextInTurn int
 	rewatchAt  decide.Time // when to watch the list again after a failure; 0 for not at all
 
-	pick func(from []decide.Endpoint) decide.EndpointID
-	// maxAttempts is per request.
-	maxAttempts int
+	pick        func(from []decide.Endpoint) decide.EndpointID
+	maxAttempts int     // for each request
 	tokens      float64 // of the retry budget; below 0 for no budget
-	// dropEvery makes a faulty policy ignore each request of so many (0 for none); sendTwice makes it send unsafe
-	// requests twice; ignoreDrain makes it send to draining endpoints.
-	dropEvery   int
-	sendTwice   bool
-	ignoreDrain bool
+	dropEvery   int     // injected fault: one of so many requests is ignored; 0 for none
+	sendTwice   bool    // injected fault: unsafe requests are sent twice
+	ignoreDrain bool    // injected fault: draining endpoints get requests, too
 	arrivals    int
 }
 
--- a/internal/lab/policy/policy_test.go
+++ b/internal/lab/policy/policy_test.go
@@ -100,9 +100,9 @@
 			delete(q.inFlight, n)
 			o := decide.Outcome(rapid.IntRange(0, int(decide.NotSent)).Draw(t, "outcome"))
 			q.mayHaveRun = q.mayHaveRun || !o.NeverRan()
-			over := q.ended || o == decide.Served
-			q.ended = over
-			handle(decide.Event{Kind: decide.Finished, Request: id, Attempt: n, Outcome: o, RequestDone: over})
+			ended := q.ended || o == decide.Served
+			q.ended = ended
+			handle(decide.Event{Kind: decide.Finished, Request: id, Attempt: n, Outcome: o, RequestDone: ended})
 		case 4:
 			publishList()
 		}
--- a/internal/lab/scenario/cluster.go
+++ b/internal/lab/scenario/cluster.go
@@ -13,12 +13,12 @@
 	Name             string
 	About            string
 	Seed             uint64
-	Voters           int // processes that are voters; Members is the number of further members
-	Members          int
-	Lease            time.Duration
+	Voters           int           // processes that are voters
+	Members          int           // further processes, which are members only
+	Lease            time.Duration // Lease, Drift and Slack are parameters of the cluster
 	Drift            float64
 	Slack            time.Duration
-	ContradictAtMost time.Duration
+	ContradictAtMost time.Duration // limit of the time in which members apply contradicting rules
 	Duration         time.Duration
 	Rate             float64 // requests per second to each process
 	Random           int     // faults that are generated from the seed
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -68,15 +68,13 @@
 	Zones       []string
 	Groups      int // number of cells that the endpoints are divided into
 	ServerModel servermodel.Conf
-	WorkScale   float64 // factor of the classes' work
-	// Connections is the most that an endpoint accepts at once (0 for no limit), Handshake the work that a new
-	// connection costs, and Body the size of an answer in bytes.
-	Connections int
-	Handshake   time.Duration
-	Body        int
-	Calls       int    // calls of the next tier for each request
-	CallClass   string // class of those calls
-	ListBy      string // "subscribe" or "push": the membership mode in the settings
+	WorkScale   float64       // factor of the classes' work
+	Connections int           // that an endpoint accepts at once; 0 for no limit
+	Handshake   time.Duration // work that a new connection costs an endpoint
+	Body        int           // bytes of an answer
+	Calls       int           // calls of the next tier for each request
+	CallClass   string        // class of those calls
+	ListBy      string        // "subscribe" or "push": the membership mode in the settings
 }
 
 // Class is a class of requests.
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -190,10 +190,10 @@
 	d.mu.Lock()
 	d.queries = append(d.queries, r.URL.RawQuery)
 	for !d.down && d.rawAnswer == "" && d.index <= after {
-		news := d.changed
+		changed := d.changed
 		d.mu.Unlock()
 		select {
-		case <-news:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -1,6 +1,7 @@
-// Package servermodel models how an endpoint works on requests: running jobs share the cores, and there are slots, a
-// queue, a cold start, a choke under many jobs, and a fall when a cold endpoint is overloaded. It does no I/O and has
-// no clock: callers pass the time in and receive the jobs that are done.
+// Package servermodel models how an endpoint works on requests. Running jobs share the cores; jobs without a slot wait in
+// a queue or are rejected. A cold endpoint is slow, and loses its jobs ("falls") when it is overloaded for too long. With
+// many jobs an endpoint may become slower ("choke"). The package does no I/O and has no clock: callers pass the time in
+// and receive the jobs that are done.
 package servermodel
 
 import (
@@ -12,7 +13,7 @@
 
 // Conf describes an endpoint.
 type Conf struct {
-	Cores        float64       // as many jobs run at full speed; more share the cores
+	Cores        float64       // so many jobs run at full speed at once; more share the cores
 	Speed        float64       // seconds of work that a core does in a second
 	Slots        int           // jobs that may run at once
 	Queue        int           // jobs that may wait for a slot; more are rejected
@@ -115,7 +116,7 @@
 	return rate
 }
 
-// advance brings the state up to the given time, at the rate since the last call.
+// advance brings the state up to the given time. Since the last call the running jobs have worked at the present rate.
 func (s *Server) advance(now time.Duration) {
 	if now <= s.now {
 		return
@@ -154,7 +155,7 @@
 	return Accepted
 }
 
-// trackOverload notes since when a cold server has been sent more than it stands.
+// trackOverload notes since when a cold server has been sent more work than FallMultiple allows.
 func (s *Server) trackOverload() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
@@ -241,7 +242,7 @@
 	return lost
 }
 
-// Pause stops or resumes all work.
+// Pause stops (true) or resumes (false) all work.
 func (s *Server) Pause(now time.Duration, paused bool) {
 	s.advance(now)
 	s.paused = paused
