--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -74,7 +74,7 @@
 	delete(p.conns, c)
 }
 
-const messageTimeout = 30 * time.Second // bounds each read and write, so that nothing waits forever
+const messageTimeout = 30 * time.Second // bounds dialing and each exchange of a request and its answer: nothing waits forever
 
 // serve forwards the requests of one connection, one after the other.
 func (p *Proxy) serve(conn net.Conn) {
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -243,7 +243,7 @@
 	return chosen.name, sizes, confs, nil
 }
 
-// Run measures all sizes in one run after the other, so that a slow moment of the machine affects all sizes alike.
+// Run measures every size once, then every size again, and so on: a slow moment of the machine affects all sizes alike.
 func (c *labCall) Run(o *command.Out) error {
 	flag, sizes, confs, err := c.sizes()
 	if err != nil {
@@ -497,7 +497,7 @@
 	return sizes, nil
 }
 
-// Run measures all list sizes in one run after the other.
+// Run measures every list size once, then every size again, and so on.
 func (c *labLists) Run(o *command.Out) error {
 	endpoints, err := c.sizes()
 	if err != nil {
