--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -20,51 +20,52 @@
 	"heathgap/internal/lab/oracle"
 )
 
-// Target is one start of a sidecar. A sidecar that starts again is another target
-// of the same name.
+// Target is one process of a sidecar, from its start to its end. A sidecar that starts again is another Target of the
+// same name.
 type Target struct {
 	Name, Address string
-	Stopped       atomic.Bool // the lab has killed it: what it held is cut, not lost
+	Stopped       atomic.Bool // set when the lab kills or stops the process: its open requests then count as interrupted, not as lost
 }
 
-// Front deals out new connections. Its choice may be a sidecar that has died.
+// Front picks the sidecar for each new connection. It may pick one that has died.
 type Front interface {
 	Pick() *Target // nil if there is none
 }
 
-// SingleTarget is a front with one sidecar.
+// SingleTarget is a Front with one sidecar, which may be replaced.
 type SingleTarget struct{ target atomic.Pointer[Target] }
 
-// Set puts a target in place.
-func (o *SingleTarget) Set(t *Target) { o.target.Store(t) }
+// Set replaces the target.
+func (s *SingleTarget) Set(t *Target) { s.target.Store(t) }
 
-// Pick returns it.
-func (o *SingleTarget) Pick() *Target { return o.target.Load() }
+// Pick returns the target, or nil if none was set.
+func (s *SingleTarget) Pick() *Target { return s.target.Load() }
 
-// Times of clients.
+// Timeouts and bounds of a client.
 const (
-	dialTime  = time.Second
-	writeTime = 5 * time.Second
-	maxBody   = 4 << 20
-	redials   = 3 // a client whose connection is refused tries the front's next choices
+	dialTimeout   = time.Second
+	writeTimeout  = 5 * time.Second
+	maxAnswerBody = 4 << 20 // bytes
+	maxDials      = 3       // connection attempts for a request: after a failed one, the client tries the next sidecar that the front picks
 )
 
-// Client sends requests over connections that it keeps.
+// Client sends requests to sidecars over connections that it reuses, and reports each request and its end to the
+// checker.
 type Client struct {
-	book  *oracle.Shared
-	front Front
-	grace time.Duration // waited past a request's time for its answer
+	checker *oracle.Shared
+	front   Front
+	grace   time.Duration // how long after a request's deadline the client still waits for its answer
 
-	OnServed func(endpoint string) // is told of each served answer, if it is there; set before the first Send
+	OnServed func(endpoint string) // if not nil, called for each served answer with the endpoint's name; set before the first Send
 
 	mu   sync.Mutex
 	idle []*conn
 }
 
-// NewClient returns a client; it waits so much longer than the rules allow before
-// it holds a missing answer against a sidecar.
-func NewClient(book *oracle.Shared, front Front, grace time.Duration) *Client {
-	return &Client{book: book, front: front, grace: grace}
+// NewClient returns a client that reports to checker. It waits for grace past a request's deadline before it reports
+// the answer as missing.
+func NewClient(checker *oracle.Shared, front Front, grace time.Duration) *Client {
+	return &Client{checker: checker, front: front, grace: grace}
 }
 
 // conn is a connection to a sidecar.
@@ -72,110 +73,112 @@
 	net.Conn
 	in     *bufio.Reader
 	target *Target
-	lastID string // of the request whose answer came last
+	lastID string // ID of the request that was answered last; empty on a new connection
 }
 
-// Request is one request to be sent.
+// Request is one request to send. Times are on the checker's clock.
 type Request struct {
 	ID, Class, Tenant, Key string
 	Tier                   int
 	Effect                 decide.Effect
-	Deadline               time.Duration // when its time is up
-	Leave                  time.Duration // when the client leaves before that; 0 for never
+	Deadline               time.Duration // when the client stops waiting for the answer
+	Leave                  time.Duration // when the client leaves, if that is before Deadline; 0 for never
 	Repeat                 bool
-	Body                   int  // bytes
-	Close                  bool // the connection ends with it
+	Body                   int  // in bytes, of POST requests
+	Close                  bool // the client asks to close the connection after the answer
 }
 
-// Ending a try ended.
+// Ending is how a try of a request ended.
 type Ending uint8
 
-// The ends of a try.
+// The endings of a try.
 const (
 	Answered       Ending = iota
-	NoAnswer              // lost
-	ClientLeft            // the client left
-	SidecarStopped        // the lab stopped the sidecar
-	NotConnected          // no sidecar took the connection
+	NoAnswer              // the connection ended, or the time was up, without a complete answer
+	ClientLeft            // the client left before the deadline
+	SidecarStopped        // the lab had stopped the sidecar
+	NotConnected          // no sidecar accepted the connection, or the request could not be written
 )
 
-// Result is what came of a try.
+// Result is the outcome of a try. Verdict and RetryAfter are set only if Ending is Answered.
 type Result struct {
 	Ending     Ending
 	Verdict    oracle.Verdict
 	RetryAfter time.Duration
 }
 
-// Send sends a request once. If its connection ends as the request crosses that,
-// it is sent once more on a new one.
-func (c *Client) Send(ctx context.Context, a Request) Result {
-	for kept := true; ; kept = false {
-		conn := c.take(ctx, kept)
+// Send sends a request once and waits for its answer. If a reused connection ends before any answer, and no endpoint
+// has received the request, Send repeats it once on a new connection: the sidecar may have closed the idle connection
+// just as the request was sent.
+func (c *Client) Send(ctx context.Context, req Request) Result {
+	for reuse := true; ; reuse = false {
+		conn := c.connection(ctx, reuse)
 		if conn == nil {
 			return Result{Ending: NotConnected}
 		}
-		again, result := c.exchange(ctx, conn, a)
-		if !again {
+		retry, result := c.exchange(ctx, conn, req)
+		if !retry {
 			return result
 		}
 	}
 }
 
-// exchange writes a request and reads its answer; again tells that nothing came of
-// it and that it may be sent on a new connection.
-func (c *Client) exchange(ctx context.Context, conn *conn, a Request) (again bool, result Result) {
-	used := conn.lastID != ""
-	c.book.Do(func(b *oracle.Checker) {
+// exchange writes a request on conn and reads its answer. It returns retry if the request had no effect and may be sent
+// again on a new connection.
+func (c *Client) exchange(ctx context.Context, conn *conn, req Request) (retry bool, result Result) {
+	reused := conn.lastID != ""
+	c.checker.Do(func(b *oracle.Checker) {
 		b.RequestBegun(oracle.Request{
-			ID: a.ID, Sidecar: conn.target.Name, Tier: a.Tier, Effect: a.Effect, Key: a.Key, Deadline: a.Deadline,
+			ID: req.ID, Sidecar: conn.target.Name, Tier: req.Tier, Effect: req.Effect, Key: req.Key, Deadline: req.Deadline,
 		})
 	})
-	conn.SetWriteDeadline(time.Now().Add(writeTime))
-	if _, err := conn.Write(encode(&a, a.Deadline-c.book.Now())); err != nil {
+	conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if _, err := conn.Write(encode(&req, req.Deadline-c.checker.Now())); err != nil {
 		conn.Close()
-		again := c.unwritten(a.ID)
-		return again && used, Result{Ending: NotConnected}
+		retry := c.retract(req.ID)
+		return retry && reused, Result{Ending: NotConnected}
 	}
-	c.book.Do(func(b *oracle.Checker) { b.RequestWritten(a.ID) })
-	until, leaves := a.Deadline+c.grace, a.Leave > 0 && a.Leave < a.Deadline
-	if leaves {
-		until = a.Leave
+	c.checker.Do(func(b *oracle.Checker) { b.RequestWritten(req.ID) })
+	until, leavesEarly := req.Deadline+c.grace, req.Leave > 0 && req.Leave < req.Deadline
+	if leavesEarly {
+		until = req.Leave
 	}
-	conn.SetReadDeadline(c.book.Began().Add(until))
+	conn.SetReadDeadline(c.checker.Began().Add(until))
 	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.in.Peek(1); err != nil {
-		if used && !errors.Is(err, os.ErrDeadlineExceeded) && !conn.target.Stopped.Load() && c.unwritten(a.ID) {
+		if reused && !errors.Is(err, os.ErrDeadlineExceeded) && !conn.target.Stopped.Load() && c.retract(req.ID) {
 			conn.Close()
 			return true, Result{}
 		}
-		return false, c.broken(conn, a.ID, err, leaves || ctx.Err() != nil)
+		return false, c.recordFailure(conn, req.ID, err, leavesEarly || ctx.Err() != nil)
 	}
 	var answer fasthttp.Response
-	if err := answer.ReadLimitBody(conn.in, maxBody); err != nil {
-		return false, c.broken(conn, a.ID, err, leaves || ctx.Err() != nil)
+	if err := answer.ReadLimitBody(conn.in, maxAnswerBody); err != nil {
+		return false, c.recordFailure(conn, req.ID, err, leavesEarly || ctx.Err() != nil)
 	}
-	return false, c.answered(conn, &a, &answer)
+	return false, c.recordAnswer(conn, &req, &answer)
 }
 
-func (c *Client) unwritten(id string) (again bool) {
-	c.book.Do(func(b *oracle.Checker) { again = b.RetractRequest(id) })
-	return again
+// retract takes a request back from the checker. It returns false if an endpoint has received it.
+func (c *Client) retract(id string) (retracted bool) {
+	c.checker.Do(func(b *oracle.Checker) { retracted = b.RetractRequest(id) })
+	return retracted
 }
 
-// broken books a request whose connection has ended, or whose time has.
-func (c *Client) broken(conn *conn, id string, err error, leaves bool) Result {
-	now := c.book.Now()
+// recordFailure closes the connection and reports the request as interrupted, as left by the client or as unanswered.
+func (c *Client) recordFailure(conn *conn, id string, err error, leavesEarly bool) Result {
+	now := c.checker.Now()
 	timeout := errors.Is(err, os.ErrDeadlineExceeded)
 	stopped := conn.target.Stopped.Load()
 	conn.Close()
 	result := Result{Ending: NoAnswer}
-	c.book.Do(func(b *oracle.Checker) {
+	c.checker.Do(func(b *oracle.Checker) {
 		switch {
 		case stopped:
 			result.Ending = SidecarStopped
 			b.RequestInterrupted(now, id)
-		case timeout && leaves:
+		case timeout && leavesEarly:
 			result.Ending = ClientLeft
 			b.ClientLeft(now, id)
 		default:
@@ -185,35 +188,35 @@
 	return result
 }
 
-// answered books a whole answer and keeps the connection.
-func (c *Client) answered(conn *conn, a *Request, answer *fasthttp.Response) Result {
-	now := c.book.Now()
+// recordAnswer reports a complete answer and puts the connection back among the idle ones, unless it must be closed.
+func (c *Client) recordAnswer(conn *conn, req *Request, answer *fasthttp.Response) Result {
+	now := c.checker.Now()
 	result := Result{Ending: Answered, Verdict: verdictOf(answer.StatusCode())}
 	if s, err := strconv.ParseFloat(string(answer.Header.Peek(fasthttp.HeaderRetryAfter)), 64); err == nil && s > 0 {
 		result.RetryAfter = time.Duration(s * float64(time.Second))
 	}
-	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), a.ID+" ")
+	foreign := result.Verdict == oracle.Served && !strings.HasPrefix(string(answer.Body()), req.ID+" ")
 	if c.OnServed != nil && result.Verdict == oracle.Served && !foreign {
-		_, by, _ := strings.Cut(string(answer.Body()), " ")
-		by, _, _ = strings.Cut(by, "\n")
-		c.OnServed(by)
+		_, endpoint, _ := strings.Cut(string(answer.Body()), " ")
+		endpoint, _, _ = strings.Cut(endpoint, "\n")
+		c.OnServed(endpoint)
 	}
-	surplus := conn.in.Buffered() > 0
-	c.book.Do(func(b *oracle.Checker) {
+	extra := conn.in.Buffered() > 0
+	c.checker.Do(func(b *oracle.Checker) {
 		if foreign {
-			b.ForeignAnswer(now, a.ID)
+			b.ForeignAnswer(now, req.ID)
 		} else {
-			b.AnswerReceived(now, a.ID, result.Verdict)
+			b.AnswerReceived(now, req.ID, result.Verdict)
 		}
-		if surplus {
-			b.ExtraBytes(now, a.ID)
+		if extra {
+			b.ExtraBytes(now, req.ID)
 		}
 	})
 	if foreign {
 		result.Verdict = oracle.Failed
 	}
-	conn.lastID = a.ID
-	if answer.ConnectionClose() || a.Close || surplus || foreign {
+	conn.lastID = req.ID
+	if answer.ConnectionClose() || req.Close || extra || foreign {
 		conn.Close()
 		return result
 	}
@@ -223,6 +226,7 @@
 	return result
 }
 
+// verdictOf maps the status of an answer to the checker's verdict.
 func verdictOf(status int) oracle.Verdict {
 	switch status {
 	case fasthttp.StatusOK:
@@ -235,9 +239,10 @@
 	return oracle.Failed
 }
 
-// take returns an idle connection, any of them, or a new one; nil if none comes up.
-func (c *Client) take(ctx context.Context, kept bool) *conn {
-	for kept {
+// connection returns a random idle connection if reuse is set and one is usable, else a new one. It returns nil if no
+// sidecar can be reached.
+func (c *Client) connection(ctx context.Context, reuse bool) *conn {
+	for reuse {
 		c.mu.Lock()
 		n := len(c.idle)
 		if n == 0 {
@@ -249,83 +254,83 @@
 		c.idle[i] = c.idle[n-1]
 		c.idle = c.idle[:n-1]
 		c.mu.Unlock()
-		if c.fresh(conn) {
+		if c.usable(conn) {
 			return conn
 		}
 		conn.Close()
 	}
-	dialer := net.Dialer{Timeout: dialTime}
-	for range redials {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	for range maxDials {
 		target := c.front.Pick()
 		if target == nil {
 			return nil
 		}
-		plain, err := dialer.DialContext(ctx, "tcp", target.Address)
+		tcp, err := dialer.DialContext(ctx, "tcp", target.Address)
 		if err == nil {
-			return &conn{Conn: plain, in: bufio.NewReader(plain), target: target}
+			return &conn{Conn: tcp, in: bufio.NewReader(tcp), target: target}
 		}
 	}
 	return nil
 }
 
-// fresh looks whether an idle connection has ended, or has brought more than its
-// answer, which is held against its sidecar.
-func (c *Client) fresh(k *conn) bool {
-	raw, err := k.Conn.(*net.TCPConn).SyscallConn()
+// usable reports whether an idle connection is still open and has no unread bytes. Bytes after the last answer are
+// reported as a violation by the sidecar.
+func (c *Client) usable(idle *conn) bool {
+	raw, err := idle.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent, surplus := false, false
+	open, extra := false, false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		n, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		silent, surplus = errors.Is(err, unix.EAGAIN), n > 0
+		open, extra = errors.Is(err, unix.EAGAIN), n > 0
 		return true
 	})
-	if surplus {
-		c.book.Do(func(b *oracle.Checker) { b.ExtraBytes(c.book.Now(), k.lastID) })
+	if extra {
+		c.checker.Do(func(b *oracle.Checker) { b.ExtraBytes(c.checker.Now(), idle.lastID) })
 	}
-	return err == nil && silent
+	return err == nil && open
 }
 
-// Close ends all idle connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range c.idle {
-		k.Close()
+	for _, idle := range c.idle {
+		idle.Close()
 	}
 	c.idle = nil
 }
 
-// encode writes a request, with what is left of its time.
-func encode(a *Request, left time.Duration) []byte {
+// encode returns the request as HTTP/1.1 text; remaining is the time left until its deadline.
+func encode(req *Request, remaining time.Duration) []byte {
 	method := "POST"
-	if a.Effect == decide.Safe {
+	if req.Effect == decide.Safe {
 		method = "GET"
 	}
-	b := make([]byte, 0, 256+a.Body)
+	b := make([]byte, 0, 256+req.Body)
 	add := func(parts ...string) {
 		for _, p := range parts {
 			b = append(b, p...)
 		}
 	}
-	add(method, " /", a.Class, "/", a.ID, " HTTP/1.1\r\nHost: lab\r\nX-Txn: ", a.ID, "\r\nX-Remaining: ",
-		strconv.FormatFloat(max(0, left.Seconds()), 'f', 6, 64), "\r\n")
-	if a.Tenant != "" {
-		add("X-Org: ", a.Tenant, "\r\n")
+	add(method, " /", req.Class, "/", req.ID, " HTTP/1.1\r\nHost: lab\r\nX-Txn: ", req.ID, "\r\nX-Remaining: ",
+		strconv.FormatFloat(max(0, remaining.Seconds()), 'f', 6, 64), "\r\n")
+	if req.Tenant != "" {
+		add("X-Org: ", req.Tenant, "\r\n")
 	}
-	if a.Key != "" {
-		add("Idempotency-Key: ", a.Key, "\r\n")
+	if req.Key != "" {
+		add("Idempotency-Key: ", req.Key, "\r\n")
 	}
-	if a.Repeat {
+	if req.Repeat {
 		add("X-Resent: 1\r\n")
 	}
-	if a.Close {
+	if req.Close {
 		add("Connection: close\r\n")
 	}
 	if method == "POST" {
-		add("Content-Length: ", strconv.Itoa(a.Body), "\r\n\r\n", strings.Repeat("x", a.Body))
+		add("Content-Length: ", strconv.Itoa(req.Body), "\r\n\r\n", strings.Repeat("x", req.Body))
 		return b
 	}
 	add("\r\n")
--- a/internal/lab/scenario/timeline.go
+++ b/internal/lab/scenario/timeline.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Step is one thing that the lab does at a time. All that is drawn has been drawn:
-// the same scenario and seed make the same steps.
+// Step is one action of the lab at a time. Nothing in it is left to chance: the same scenario and seed give the same
+// steps.
 type Step struct {
 	At     time.Duration
 	Kind   Kind
 	Revert bool // the fault ends
 	Tier   int
-	Slots  []int // endpoints of the tier, or sidecars, by their place
+	Slots  []int // indexes of endpoints of the tier, or of sidecars
 	Fault  Fault
 }
 
-// String is the step as a line of the record.
+// String returns the step as a line of the record.
 func (s Step) String() string {
-	word := "begins"
+	state := "begins"
 	if s.Revert {
-		word = "ends"
+		state = "ends"
 	}
-	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, word, s.Tier, s.Slots)
+	return fmt.Sprintf("%v %s %s, tier %d, %v", s.At, s.Kind, state, s.Tier, s.Slots)
 }
 
-// Timeline draws the steps of a seed, in the order of their times.
+// Timeline returns the steps that a seed gives, in the order of their times.
 func (s *Scenario) Timeline(seed uint64) []Step {
 	random := rand.New(rand.NewPCG(seed, 5))
-	sizes := make([]int, len(s.Tiers)) // endpoints' places, those that were added included
+	sizes := make([]int, len(s.Tiers)) // the number of endpoints so far, with those that were added
 	for i, t := range s.Tiers {
 		sizes[i] = t.Endpoints
 	}
 	var steps []Step
 	for _, f := range s.Faults {
 		switch f.Kind {
-		case Flood: // the load's own
+		case Flood: // part of the load's plan
 		case Release:
 			steps = append(steps, s.release(f, random)...)
 		case Add:
@@ -50,11 +50,11 @@
 			sizes[f.Tier] += f.Count
 			steps = append(steps, Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: slots, Fault: f})
 		default:
-			of := s.Tiers[f.Tier].Endpoints
+			total := s.Tiers[f.Tier].Endpoints
 			if f.Kind == SidecarKill || f.Kind == SidecarRestart {
-				of = s.Tiers[0].Sidecars
+				total = s.Tiers[0].Sidecars
 			}
-			begin := Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: draw(random, of, f), Fault: f}
+			begin := Step{At: f.At, Kind: f.Kind, Tier: f.Tier, Slots: pickSlots(random, total, f), Fault: f}
 			end := begin
 			end.At, end.Revert = f.At+f.For, true
 			steps = append(steps, begin, end)
@@ -64,28 +64,28 @@
 	return steps
 }
 
-// draw picks the places that a fault strikes, in rising order.
-func draw(random *rand.Rand, of int, f Fault) []int {
+// pickSlots picks the endpoints or sidecars that have a fault, and returns their indexes in rising order.
+func pickSlots(random *rand.Rand, total int, f Fault) []int {
 	n := f.Count
 	if n == 0 {
-		n = max(1, int(math.Round(f.Share*float64(of))))
+		n = max(1, int(math.Round(f.Share*float64(total))))
 	}
-	slots := random.Perm(of)[:min(n, of)]
+	slots := random.Perm(total)[:min(n, total)]
 	slices.Sort(slots)
 	return slots
 }
 
-// release drains and replaces a tier batch by batch, in an order that is drawn. A
-// batch begins when the one before it is replaced.
+// release drains and replaces the endpoints of a tier in batches, in a random order. A batch begins when the one before
+// has been replaced.
 func (s *Scenario) release(f Fault, random *rand.Rand) []Step {
-	of := s.Tiers[f.Tier].Endpoints
+	total := s.Tiers[f.Tier].Endpoints
 	size := f.Count
 	if size == 0 {
-		size = max(1, int(math.Round(f.Share*float64(of))))
+		size = max(1, int(math.Round(f.Share*float64(total))))
 	}
 	var steps []Step
 	at := f.At
-	for batch := range slices.Chunk(random.Perm(of), size) {
+	for batch := range slices.Chunk(random.Perm(total), size) {
 		slots := slices.Clone(batch)
 		slices.Sort(slots)
 		steps = append(steps,
@@ -96,7 +96,7 @@
 	return steps
 }
 
-// Hash is a sum over all that a seed draws beforehand: arrivals and faults.
+// Hash returns a hash of everything that a seed determines: arrivals and faults.
 func (s *Scenario) Hash(seed uint64) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%x", s.Plan().Hash(seed))
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -1,6 +1,7 @@
-// Package servermodel models how an endpoint works off what it is given: cores shared
-// by what runs, slots, a queue, a cold start, choking, falling over when pushed. It
-// does no I/O and has no clock: time and jobs come in, and what is done goes out.
+// Package servermodel models how an endpoint works on requests. Running jobs share the cores; jobs without a slot wait in
+// a queue or are rejected. A cold endpoint is slow, and loses its jobs ("falls") when it is overloaded for too long. With
+// many jobs an endpoint may become slower ("choke"). The package does no I/O and has no clock: callers pass the time in
+// and receive the jobs that are done.
 package servermodel
 
 import (
@@ -10,43 +11,43 @@
 	"time"
 )
 
-// Conf says how an endpoint works.
+// Conf describes an endpoint.
 type Conf struct {
-	Cores        float64       // so many jobs run at full speed; more share them
-	Speed        float64       // work done in a second by a core, in seconds of work
-	Slots        int           // jobs that run at once
-	Queue        int           // jobs that wait for a slot; more are turned away
-	ChokeAbove   int           // with more jobs than this it works at ChokeTo; 0 for never
-	ChokeTo      float64       // part of its speed
-	ColdFrom     float64       // part of its capacity that a cold one begins with
-	ColdFor      time.Duration // and until when it has all of it; 0 for always warm
-	FallMultiple float64       // a cold one that is sent more than so many times its present capacity
-	FallFor      time.Duration // for so long falls over; 0 for never
+	Cores        float64       // so many jobs run at full speed at once; more share the cores
+	Speed        float64       // seconds of work that a core does in a second
+	Slots        int           // jobs that may run at once
+	Queue        int           // jobs that may wait for a slot; more are rejected
+	ChokeAbove   int           // with more jobs than this, running and waiting, the speed is multiplied by ChokeTo; 0 for never
+	ChokeTo      float64       // above 0, up to 1
+	ColdFrom     float64       // part of its capacity that a cold endpoint starts with
+	ColdFor      time.Duration // how long a cold endpoint takes until it has its full capacity; 0 for always warm
+	FallMultiple float64       // a cold endpoint is overloaded while it is sent more than this multiple of its present capacity
+	FallFor      time.Duration // a cold endpoint that is overloaded for this long loses all its jobs; 0 for never
 }
 
-// check is what New turns down.
+// check validates the configuration.
 func (c *Conf) check() error {
 	switch {
 	case !(c.Cores > 0), !(c.Speed > 0):
-		return fmt.Errorf("station: cores %v, speed %v: not above 0", c.Cores, c.Speed)
+		return fmt.Errorf("server model: cores %v, speed %v: not above 0", c.Cores, c.Speed)
 	case c.Slots < 1, c.Queue < 0:
-		return fmt.Errorf("station: slots %d, queue %d: below 1 and 0", c.Slots, c.Queue)
+		return fmt.Errorf("server model: slots %d, queue %d: slots below 1 or queue below 0", c.Slots, c.Queue)
 	case c.ColdFor > 0 && !(c.ColdFrom > 0 && c.ColdFrom <= 1):
-		return fmt.Errorf("station: cold from %v: not within 0 and 1", c.ColdFrom)
+		return fmt.Errorf("server model: capacity when cold %v: not above 0 and up to 1", c.ColdFrom)
 	}
 	return nil
 }
 
-// Job is a request at work.
+// Job is a request that the model works on.
 type Job struct {
-	Work   time.Duration // at full speed
-	Data   any           // the caller's
-	finish float64       // in the work of one running job, in seconds
-	place  int           // in running, or -1
+	Work   time.Duration // duration of the job on a core of its own, at speed 1
+	Data   any           // for the caller's use
+	finish float64       // value of Server.workPerJob at which the job is done
+	index  int           // in running, or -1
 	queued bool
 }
 
-// Outcome is what has become of a job that was given.
+// Outcome says what Arrive did with a job.
 type Outcome uint8
 
 // The outcomes of Arrive.
@@ -55,92 +56,93 @@
 	Rejected
 )
 
+// Measuring the load of a cold endpoint.
 const (
-	demandSpan = time.Second           // over which what it is sent is measured, for falls
-	demandBits = 10                    // parts of that span
-	coldStep   = 20 * time.Millisecond // how often the speed of a cold one is brought up
+	demandWindow = time.Second           // period over which the work that arrives is measured
+	demandParts  = 10                    // number of parts that the period is divided into
+	coldUpdate   = 20 * time.Millisecond // how often the speed of a cold endpoint is brought up to date
 )
 
-// Server is one endpoint at work. Times are any that only grow.
+// Server models one endpoint. The times that its methods are given must not decrease.
 type Server struct {
-	conf    Conf
-	now     time.Duration
-	since   time.Duration // its start
-	cold    bool
-	paused  bool
-	slow    float64 // part of its speed that is left
-	running jobs
-	queue   []*Job
-	done    float64 // work that each running job has had so far, in seconds
+	conf        Conf
+	now         time.Duration
+	startedAt   time.Duration // start, or last time that it was overloaded while cold
+	cold        bool
+	paused      bool
+	speedFactor float64 // factor of its speed, set by SetSpeed
+	running     jobs
+	queue       []*Job
+	workPerJob  float64 // seconds of work that a job would have had by now if it had run since the start
 
-	demand     [demandBits]float64 // work that came, by parts of the span, in seconds
-	demandAt   time.Duration       // when the newest part began
-	pushedFrom time.Duration       // too much has come since; -1 for not
-	Falls      int                 // how often it fell over
+	demand          [demandParts]float64 // seconds of work that arrived, by part of the window, the newest first
+	demandPartStart time.Duration        // beginning of the newest part
+	overloadedSince time.Duration        // since when it has been sent too much; -1 if it is not
+	Overloads       int                  // how often it lost its jobs because it was overloaded while cold
 }
 
-// New returns a station that starts now, cold or warm.
+// New returns a server that starts now, cold or warm.
 func New(conf Conf, now time.Duration, cold bool) (*Server, error) {
 	if err := conf.check(); err != nil {
 		return nil, err
 	}
 	return &Server{
-		conf: conf, now: now, since: now, demandAt: now, cold: cold && conf.ColdFor > 0, slow: 1, pushedFrom: -1,
+		conf: conf, now: now, startedAt: now, demandPartStart: now, cold: cold && conf.ColdFor > 0, speedFactor: 1, overloadedSince: -1,
 	}, nil
 }
 
-// Held is how many jobs run or wait.
+// Held returns how many jobs run or wait.
 func (s *Server) Held() int { return len(s.running) + len(s.queue) }
 
-// Share is the part of its capacity that it has by now.
+// Share returns the part of its full capacity that the server has at present.
 func (s *Server) Share() float64 {
 	if !s.cold {
 		return 1
 	}
-	warm := float64(s.now-s.since) / float64(s.conf.ColdFor)
-	return min(1, s.conf.ColdFrom+(1-s.conf.ColdFrom)*warm)
+	elapsed := float64(s.now-s.startedAt) / float64(s.conf.ColdFor)
+	return min(1, s.conf.ColdFrom+(1-s.conf.ColdFrom)*elapsed)
 }
 
-// rate is the work that each running job gets in a second, in seconds.
+// rate returns how many seconds of work each running job gets per second.
 func (s *Server) rate() float64 {
 	n := len(s.running)
 	if n == 0 || s.paused {
 		return 0
 	}
-	rate := s.conf.Speed * s.slow * s.Share() * min(1, s.conf.Cores/float64(n))
+	rate := s.conf.Speed * s.speedFactor * s.Share() * min(1, s.conf.Cores/float64(n))
 	if s.conf.ChokeAbove > 0 && s.Held() > s.conf.ChokeAbove {
 		rate *= s.conf.ChokeTo
 	}
 	return rate
 }
 
-// advance brings it to the present.
+// advance brings the state up to the given time. Since the last call the running jobs have worked at the present rate.
 func (s *Server) advance(now time.Duration) {
 	if now <= s.now {
 		return
 	}
-	s.done += s.rate() * (now - s.now).Seconds()
+	s.workPerJob += s.rate() * (now - s.now).Seconds()
 	s.now = now
-	if s.cold && now-s.since >= s.conf.ColdFor {
-		s.cold, s.pushedFrom = false, -1
+	if s.cold && now-s.startedAt >= s.conf.ColdFor {
+		s.cold, s.overloadedSince = false, -1
 	}
-	part := demandSpan / demandBits
-	if now-s.demandAt >= demandSpan+part {
-		s.demand, s.demandAt = [demandBits]float64{}, now
+	part := demandWindow / demandParts
+	if now-s.demandPartStart >= demandWindow+part {
+		s.demand, s.demandPartStart = [demandParts]float64{}, now
 	}
-	for now-s.demandAt >= part {
-		copy(s.demand[1:], s.demand[:demandBits-1])
+	for now-s.demandPartStart >= part {
+		copy(s.demand[1:], s.demand[:demandParts-1])
 		s.demand[0] = 0
-		s.demandAt += part
+		s.demandPartStart += part
 	}
 }
 
-// Arrive gives it a job.
+// Arrive gives the server a job.
 func (s *Server) Arrive(now time.Duration, j *Job) Outcome {
 	s.advance(now)
 	s.demand[0] += j.Work.Seconds()
-	s.watchPush()
-	j.place = -1
+	s.trackOverload()
+	j.index = -1
 	switch {
 	case len(s.running) < s.conf.Slots:
 		s.start(j)
@@ -153,8 +155,8 @@
 	return Accepted
 }
 
-// watchPush notices since when a cold one is sent too much.
-func (s *Server) watchPush() {
+// trackOverload notes since when a cold server has been sent more work than FallMultiple allows.
+func (s *Server) trackOverload() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
 	}
@@ -162,21 +164,22 @@
 	for _, d := range s.demand {
 		sent += d
 	}
-	capacity := s.conf.Cores * s.conf.Speed * s.Share() * demandSpan.Seconds()
+	capacity := s.conf.Cores * s.conf.Speed * s.Share() * demandWindow.Seconds()
 	if sent <= s.conf.FallMultiple*capacity {
-		s.pushedFrom = -1
-	} else if s.pushedFrom < 0 {
-		s.pushedFrom = s.now
+		s.overloadedSince = -1
+	} else if s.overloadedSince < 0 {
+		s.overloadedSince = s.now
 	}
 }
 
 func (s *Server) start(j *Job) {
 	j.queued = false
-	j.finish = s.done + j.Work.Seconds()
+	j.finish = s.workPerJob + j.Work.Seconds()
 	heap.Push(&s.running, j)
 }
 
-func (s *Server) fill() {
+// startQueued starts waiting jobs while there are free slots.
+func (s *Server) startQueued() {
 	for len(s.queue) > 0 && len(s.running) < s.conf.Slots {
 		j := s.queue[0]
 		s.queue = s.queue[1:]
@@ -184,7 +187,7 @@
 	}
 }
 
-// Cancel takes a job back; false if it was done, or never taken.
+// Cancel removes a job. It returns false if the job is done or was never accepted.
 func (s *Server) Cancel(now time.Duration, j *Job) bool {
 	s.advance(now)
 	if j.queued {
@@ -196,99 +199,98 @@
 			}
 		}
 	}
-	if j.place < 0 || j.place >= len(s.running) || s.running[j.place] != j {
+	if j.index < 0 || j.index >= len(s.running) || s.running[j.index] != j {
 		return false
 	}
-	heap.Remove(&s.running, j.place)
-	s.fill()
+	heap.Remove(&s.running, j.index)
+	s.startQueued()
 	return true
 }
 
-// Due returns the jobs that are done by now. One that falls over hands back all
-// that it held, with fell set: none of it is done. It is as cold as at its start
-// then.
-func (s *Server) Due(now time.Duration) (jobs []*Job, fell bool) {
+// Due returns the jobs that are done by now. If the server has been overloaded for too long while cold, Due sets
+// overloaded and also returns all jobs that the server held, unfinished; the server is then as cold as at its start.
+func (s *Server) Due(now time.Duration) (jobs []*Job, overloaded bool) {
 	for {
-		next := s.finishAt()
+		next := s.nextFinish()
 		if next > now {
 			break
 		}
 		s.advance(next)
 		j := heap.Pop(&s.running).(*Job)
-		s.done = max(s.done, j.finish) // rounding must not make it wait for nothing
+		s.workPerJob = max(s.workPerJob, j.finish) // rounding must not leave the next job unfinished
 		jobs = append(jobs, j)
-		s.fill()
+		s.startQueued()
 	}
 	s.advance(now)
-	s.watchPush()
-	if s.pushedFrom < 0 || now-s.pushedFrom < s.conf.FallFor {
+	s.trackOverload()
+	if s.overloadedSince < 0 || now-s.overloadedSince < s.conf.FallFor {
 		return jobs, false
 	}
-	s.Falls++
+	s.Overloads++
 	lost := s.Clear()
-	s.since, s.pushedFrom, s.demand = now, -1, [demandBits]float64{}
+	s.startedAt, s.overloadedSince, s.demand = now, -1, [demandParts]float64{}
 	return append(jobs, lost...), true
 }
 
-// Clear takes all jobs away: the process has died.
+// Clear removes and returns all jobs, as when the process dies.
 func (s *Server) Clear() []*Job {
 	lost := append([]*Job(s.running), s.queue...)
 	for _, j := range lost {
-		j.place, j.queued = -1, false
+		j.index, j.queued = -1, false
 	}
 	s.running, s.queue = nil, nil
 	return lost
 }
 
-// Pause stops or resumes all work.
+// Pause stops (true) or resumes (false) all work.
 func (s *Server) Pause(now time.Duration, paused bool) {
 	s.advance(now)
 	s.paused = paused
 }
 
-// SetSpeed sets the part of its speed that is left.
+// SetSpeed sets the speed, as a part of the configured speed.
 func (s *Server) SetSpeed(now time.Duration, part float64) {
 	s.advance(now)
-	s.slow = part
+	s.speedFactor = part
 }
 
 const never = time.Duration(math.MaxInt64)
 
-// finishAt is when the first running job is done at the present rate.
-func (s *Server) finishAt() time.Duration {
+// nextFinish returns when the first running job will be done at the present rate.
+func (s *Server) nextFinish() time.Duration {
 	rate := s.rate()
 	if len(s.running) == 0 || rate <= 0 {
 		return never
 	}
-	left := max(0, s.running[0].finish-s.done) / rate
-	if left > time.Hour.Seconds() {
+	remaining := max(0, s.running[0].finish-s.workPerJob) / rate
+	if remaining > time.Hour.Seconds() {
 		return never
 	}
-	return s.now + time.Duration(math.Ceil(left*1e9))
+	return s.now + time.Duration(math.Ceil(remaining*1e9))
 }
 
-// Next is when Due must be called; ok is false when nothing is to come.
+// Next returns when Due must be called next; ok is false if nothing will happen.
 func (s *Server) Next() (at time.Duration, ok bool) {
-	at = s.finishAt()
-	if s.cold && (len(s.running) > 0 || s.pushedFrom >= 0) {
-		at = min(at, s.now+coldStep)
+	at = s.nextFinish()
+	if s.cold && (len(s.running) > 0 || s.overloadedSince >= 0) {
+		at = min(at, s.now+coldUpdate)
 	}
 	return at, at != never
 }
 
-// jobs are a heap, the first to finish on top.
+// jobs is a heap with the first job to finish on top.
 type jobs []*Job
 
 func (h jobs) Len() int           { return len(h) }
 func (h jobs) Less(a, b int) bool { return h[a].finish < h[b].finish }
 func (h jobs) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
-	h[a].place, h[b].place = a, b
+	h[a].index, h[b].index = a, b
 }
 
 func (h *jobs) Push(x any) {
 	j := x.(*Job)
-	j.place = len(*h)
+	j.index = len(*h)
 	*h = append(*h, j)
 }
 
@@ -296,6 +298,6 @@
 	old := *h
 	j := old[len(old)-1]
 	*h = old[:len(old)-1]
-	j.place = -1
+	j.index = -1
 	return j
 }
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -1,4 +1,4 @@
-// Package labcommand is the command line of the lab.
+// Package labcommand implements the lab's command line.
 package labcommand
 
 import (
@@ -24,25 +24,25 @@
 	"heathgap/internal/operator"
 )
 
-// labGC has the lab's collector run rarely: its pauses would count as the load's lag.
+// labGC is the garbage collector's target percentage in the lab: it runs rarely, as its pauses would delay the load.
 const labGC = 800
 
-// heathlab is the command line of the lab.
+// heathlab is the lab's command line. Its fields are the commands.
 type heathlab struct {
-	Run      labRun      `cmd:"" help:"Play a scenario through real sidecars, and write its record."`
-	Baseline labBaseline `cmd:"" help:"Play a scenario with other policies in place of heathgap's decisions, seed by seed, and compare them."`
-	Sweep    labSweep    `cmd:"" help:"Play a scenario with one key set to several values, seed by seed, and compare them."`
+	Run      labRun      `cmd:"" help:"Run a scenario with real sidecars, and write its record."`
+	Baseline labBaseline `cmd:"" help:"Run a scenario with other policies in place of heathgap's decisions, seed by seed, and compare them."`
+	Sweep    labSweep    `cmd:"" help:"Run a scenario with one key set to several values, seed by seed, and compare them."`
 	Compare  labCompare  `cmd:"" help:"Compare records, paired by seed."`
-	Crew     labCrew     `cmd:"" help:"Play a crew of processes that agree, with faults between them."`
-	Scale    labScale    `cmd:"" help:"Play a crew at the size that is expected, and tell which limits hold."`
-	Overhead labOverhead `cmd:"" help:"Measure what a sidecar adds to a request, beside the straight way."`
-	Call     labCall     `cmd:"" help:"Measure what a sidecar adds to a request and takes for it, over sizes, with a fit."`
-	Chain    labChain    `cmd:"" help:"Measure a chain of services, a sidecar before each, well and with a last tier that fails."`
-	Lists    labLists    `cmd:"" help:"Measure what a change of the list costs its watchers and discovery."`
+	Crew     labCrew     `cmd:"" help:"Run a crew: a cluster of processes that agree on rules, with faults among them."`
+	Scale    labScale    `cmd:"" help:"Run a crew of the expected size, and report which limits hold."`
+	Overhead labOverhead `cmd:"" help:"Measure what a sidecar adds to a request, compared with requests sent directly."`
+	Call     labCall     `cmd:"" help:"Measure the latency that a sidecar adds to a request and the resources that it takes, at several sizes, with a fitted line."`
+	Chain    labChain    `cmd:"" help:"Measure a chain of services with a sidecar before each, without faults and with a last tier that fails."`
+	Lists    labLists    `cmd:"" help:"Measure what a change of discovery's list costs its watchers and discovery."`
 	List     labList     `cmd:"" help:"List scenarios and policies."`
-	Check    labCheck    `cmd:"" help:"Tell all that is wrong with scenarios, and start nothing."`
-	Sidecar  labSidecar  `cmd:"" hidden:"" help:"Be one sidecar in which a policy decides."`
-	Hollow   labHollow   `cmd:"" hidden:"" help:"Be a process of hollow members of a crew."`
+	Check    labCheck    `cmd:"" help:"Report all mistakes in scenarios, without starting anything."`
+	Sidecar  labSidecar  `cmd:"" hidden:"" help:"Run one sidecar in which a policy decides."`
+	Hollow   labHollow   `cmd:"" hidden:"" help:"Run a process of emulated members of a crew."`
 }
 
 // Heathlab runs the command line of bin/heathlab and returns the exit code.
@@ -50,19 +50,18 @@
 	return command.Run(&heathlab{}, "heathlab", "An emulator of the fleet on loopback.", args, stdout, stderr)
 }
 
-// errNotGood ends a run that does not count, or broke a rule; its report has said
-// what.
-var errNotGood = errors.New("the run is not good")
+// errRunFailed is returned for a run that doesn't count or violated a rule. Its report has already been printed.
+var errRunFailed = errors.New("the run does not count, or violated a rule or a limit")
 
-// ground is what each command that plays has in common.
-type ground struct {
-	Sidecar string `placeholder:"PATH" help:"The sidecar's program; heathgap beside this one if not given."`
-	Logs    string `placeholder:"DIR" help:"Keep the logs of sidecars there."`
+// commonOptions are the flags of all commands that start sidecars.
+type commonOptions struct {
+	Sidecar string `placeholder:"PATH" help:"The sidecar's program; by default heathgap in the folder of heathlab."`
+	Logs    string `placeholder:"DIR" help:"Folder to keep the logs of sidecars in."`
 	Quiet   bool   `help:"Print no progress."`
 }
 
-// program is the sidecar's.
-func (g *ground) program() (string, error) {
+// program returns the path of the sidecar's program.
+func (g *commonOptions) program() (string, error) {
 	if g.Sidecar != "" {
 		return g.Sidecar, nil
 	}
@@ -73,19 +72,19 @@
 	return filepath.Join(filepath.Dir(self), "heathgap"), nil
 }
 
-// play plays a scenario once, with a policy by its name.
-func (g *ground) play(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, name string) (*record.Record, error) {
+// runScenario runs a scenario once, with the policy of the given name.
+func (g *commonOptions) runScenario(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, policyName string) (*record.Record, error) {
 	program, err := g.program()
 	if err != nil {
 		return nil, err
 	}
-	opts := harness.Options{Policy: name, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
-	if name != policy.Module {
+	opts := harness.Options{Policy: policyName, LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}
+	if policyName != policy.Module {
 		self, err := os.Executable()
 		if err != nil {
 			return nil, err
 		}
-		opts.Sidecar = func() *exec.Cmd { return exec.Command(self, "sidecar", "--policy", name) }
+		opts.Sidecar = func() *exec.Cmd { return exec.Command(self, "sidecar", "--policy", policyName) }
 	}
 	if g.Logs != "" {
 		if err := os.MkdirAll(g.Logs, 0o755); err != nil {
@@ -99,21 +98,22 @@
 	return harness.Run(ctx, s, seed, opts)
 }
 
-// interruptible ends with an interrupt: what plays is then ended in order.
-func interruptible() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that ends on SIGINT and SIGTERM, so that a run can be ended in order.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// labRun is the command `heathlab run`.
 type labRun struct {
-	ground
+	commonOptions
 	File   string  `arg:"" help:"The scenario."`
-	Seed   *uint64 `help:"In place of the scenario's."`
-	Policy string  `default:"heathgap" help:"What decides; see list."`
-	Out    string  `placeholder:"DIR" help:"Write record.json, report.html and plots there."`
+	Seed   *uint64 `help:"Seed to use instead of the scenario's."`
+	Policy string  `default:"heathgap" help:"The policy that decides; see the command list."`
+	Out    string  `placeholder:"DIR" help:"Folder to write record.json, report.html and plots to."`
 	JSON   bool    `name:"json" help:"Print the record."`
 }
 
-// Run plays once. Its exit code tells whether the run counts and all rules held.
+// Run runs a scenario once. It returns an error if the run doesn't count or violated a rule.
 func (c *labRun) Run(o *command.Out) error {
 	s, err := scenario.LoadFile(c.File)
 	if err != nil {
@@ -127,9 +127,9 @@
 		seed = *c.Seed
 	}
 	c.Quiet = c.Quiet || c.JSON
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	r, err := c.play(ctx, o, s, seed, c.Policy)
+	r, err := c.runScenario(ctx, o, s, seed, c.Policy)
 	if err != nil {
 		return err
 	}
@@ -146,18 +146,19 @@
 		report.Text(o, r)
 	}
 	if !r.Passed() {
-		return errNotGood
+		return errRunFailed
 	}
 	return nil
 }
 
+// labCompare is the command `heathlab compare`.
 type labCompare struct {
-	Files  []string `arg:"" name:"record" help:"Records; those of one policy, or of one --by, are one side."`
-	Metric string   `default:"service" help:"service, p50_ms, p99_ms, attempts_per_request, or class:NAME, tenant:NAME for their service."`
-	By     string   `default:"policy" enum:"policy,dir" help:"What makes a side: the policy, or the folder of the record."`
+	Files  []string `arg:"" name:"record" help:"Records. Those of one policy, or of one folder with --by dir, form one side."`
+	Metric string   `default:"service" help:"service, p50_ms, p99_ms, attempts_per_request, or class:NAME or tenant:NAME for the service of a class or tenant."`
+	By     string   `default:"policy" enum:"policy,dir" help:"What forms a side: the policy, or the folder of the record."`
 }
 
-// Run compares the sides of records.
+// Run compares the sides that the records belong to.
 func (c *labCompare) Run(o *command.Out) error {
 	sides := report.NewComparison()
 	for _, path := range c.Files {
@@ -174,17 +175,17 @@
 	return sides.Print(o, c.Metric)
 }
 
+// labBaseline is the command `heathlab baseline`.
 type labBaseline struct {
-	ground
+	commonOptions
 	File     string   `arg:"" help:"The scenario."`
-	Seeds    int      `default:"5" help:"So many seeds, from the scenario's on."`
-	Policies []string `default:"heathgap,random,round-robin,least,least-budget,no-retry" help:"What decides, in turn."`
-	Metric   string   `default:"service" help:"As for compare."`
-	Out      string   `placeholder:"DIR" help:"Keep records there."`
+	Seeds    int      `default:"5" help:"Number of seeds, from the scenario's on."`
+	Policies []string `default:"heathgap,random,round-robin,least,least-budget,no-retry" help:"The policies to compare."`
+	Metric   string   `default:"service" help:"As for the command compare."`
+	Out      string   `placeholder:"DIR" help:"Folder to keep records in."`
 }
 
-// Run plays all policies for each seed in turn, so that a slow moment of the
-// machine strikes them alike.
+// Run runs all policies for one seed after the other, so that a slow moment of the machine affects all policies alike.
 func (c *labBaseline) Run(o *command.Out) error {
 	s, err := scenario.LoadFile(c.File)
 	if err != nil {
@@ -195,28 +196,30 @@
 			return err
 		}
 	}
-	cases := make([]labCase, len(c.Policies))
+	cases := make([]experimentCase, len(c.Policies))
 	for i, name := range c.Policies {
-		cases[i] = labCase{name: name, policy: name, scene: s}
+		cases[i] = experimentCase{name: name, policy: name, scenario: s}
 	}
-	return playCases(o, &c.ground, cases, c.Seeds, c.Metric, c.Out)
+	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
-// labCase is one side of an experiment.
-type labCase struct {
+// experimentCase is one side of a comparison: a scenario with a policy.
+type experimentCase struct {
 	name, policy string
-	scene        *scenario.Scenario
+	scenario     *scenario.Scenario
 }
 
-func playCases(o *command.Out, g *ground, cases []labCase, seeds int, metric, dir string) error {
-	ctx, stop := interruptible()
+// runCases runs all cases for each of the seeds in turn, prints a comparison by the metric, and writes the records to
+// dir if that is not empty.
+func runCases(o *command.Out, g *commonOptions, cases []experimentCase, seeds int, metric, dir string) error {
+	ctx, stop := interruptContext()
 	defer stop()
 	g.Quiet = true
 	sides := report.NewComparison()
 	for n := range seeds {
 		for _, c := range cases {
-			seed := c.scene.Seed + uint64(n)
-			r, err := g.play(ctx, o, c.scene, seed, c.policy)
+			seed := c.scenario.Seed + uint64(n)
+			r, err := g.runScenario(ctx, o, c.scenario, seed, c.policy)
 			if err != nil {
 				return err
 			}
@@ -235,18 +238,19 @@
 	return sides.Print(o, metric)
 }
 
+// labSweep is the command `heathlab sweep`.
 type labSweep struct {
-	ground
+	commonOptions
 	File   string   `arg:"" help:"The scenario."`
 	Key    string   `arg:"" help:"The key, such as load.rate or tier.0.cores."`
-	Values []string `arg:"" help:"Its values, as they would stand in the file."`
-	Seeds  int      `default:"3" help:"So many seeds, from the scenario's on."`
-	Policy string   `default:"heathgap" help:"What decides."`
-	Metric string   `default:"service" help:"As for compare."`
-	Out    string   `placeholder:"DIR" help:"Keep records there."`
+	Values []string `arg:"" help:"Its values, written as in a file."`
+	Seeds  int      `default:"3" help:"Number of seeds, from the scenario's on."`
+	Policy string   `default:"heathgap" help:"The policy that decides."`
+	Metric string   `default:"service" help:"As for the command compare."`
+	Out    string   `placeholder:"DIR" help:"Folder to keep records in."`
 }
 
-// Run plays the scenario with each value, for each seed in turn.
+// Run runs the scenario with each value of the key, for one seed after the other.
 func (c *labSweep) Run(o *command.Out) error {
 	if _, err := policy.ByName(c.Policy); err != nil {
 		return err
@@ -255,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	var cases []labCase
+	var cases []experimentCase
 	for _, value := range c.Values {
 		changed, err := scenario.SetKey(text, c.Key, value)
 		if err != nil {
@@ -265,27 +269,28 @@
 		if err != nil {
 			return err
 		}
-		cases = append(cases, labCase{name: c.Key + "=" + value, policy: c.Policy, scene: s})
+		cases = append(cases, experimentCase{name: c.Key + "=" + value, policy: c.Policy, scenario: s})
 	}
-	return playCases(o, &c.ground, cases, c.Seeds, c.Metric, c.Out)
+	return runCases(o, &c.commonOptions, cases, c.Seeds, c.Metric, c.Out)
 }
 
+// labOverhead is the command `heathlab overhead`.
 type labOverhead struct {
-	ground
+	commonOptions
 	Rate float64       `default:"1000" help:"Requests a second, half of them through the sidecar."`
-	For  time.Duration `default:"10s" help:"How long."`
+	For  time.Duration `default:"10s" help:"Duration of the measurement."`
 }
 
-// Run measures once.
+// Run measures the overhead once and prints it.
 func (c *labOverhead) Run(o *command.Out) error {
 	if c.Rate <= 0 || c.Rate > scenario.MaxRate {
 		return fmt.Errorf("--rate: %v; allowed: above 0, up to %d", c.Rate, scenario.MaxRate)
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	m, err := harness.MeasureOverhead(ctx, harness.OverheadConf{
 		Rate: c.Rate / 2, For: c.For, Endpoints: 4, Peers: 1, Classes: 1, Stages: 1, Seed: 1,
@@ -300,11 +305,12 @@
 	return nil
 }
 
+// labList is the command `heathlab list`.
 type labList struct {
 	Dir string `arg:"" optional:"" default:"lab/scenarios" help:"The folder of scenarios."`
 }
 
-// Run lists what can be played.
+// Run lists the scenarios of a folder, and the policies.
 func (c *labList) Run(o *command.Out) error {
 	paths, err := filepath.Glob(filepath.Join(c.Dir, "*.toml"))
 	if err != nil {
@@ -324,11 +330,12 @@
 	return nil
 }
 
+// labCheck is the command `heathlab check`.
 type labCheck struct {
 	Files []string `arg:"" name:"file" help:"Scenarios."`
 }
 
-// Run tells of each file what is wrong with it.
+// Run prints all mistakes of each file.
 func (c *labCheck) Run(o *command.Out) error {
 	return command.CheckAll(o, c.Files, func(path string) error {
 		_, err := scenario.LoadFile(path)
@@ -336,18 +343,19 @@
 	})
 }
 
+// labSidecar is the hidden command `heathlab sidecar`, a sidecar in which a policy decides.
 type labSidecar struct {
-	Policy string `required:"" help:"What decides."`
+	Policy string `required:"" help:"The policy that decides."`
 }
 
-// Run is one sidecar.
+// Run runs the sidecar until it ends.
 func (c *labSidecar) Run() error {
 	decider, err := policy.ByName(c.Policy)
 	if err != nil {
 		return err
 	}
 	if code := lifecycle.Main(lifecycle.Options{Operator: operator.Default(), Decider: decider}); code != 0 {
-		return fmt.Errorf("the sidecar ended with %d", code)
+		return fmt.Errorf("the sidecar ended with exit code %d", code)
 	}
 	return nil
 }
--- a/internal/labcommand/slopes.go
+++ b/internal/labcommand/measure.go
@@ -20,23 +20,23 @@
 	"heathgap/internal/lab/scenario"
 )
 
-// Bounds of what is measured: what one machine's descriptors, ports and patience hold.
+// Bounds of what the commands call, chain and lists may measure, for the descriptors, ports and time of one machine.
 const (
-	mostListed   = 1000 // endpoints
-	mostClasses  = 1000
-	mostStages   = 64
-	mostPeers    = 100_000
-	mostOfATier  = 16 // stand-ins of a chain's tier
-	mostRuns     = 100
-	mostWatchers = 2000
-	mostReal     = 64 // sidecars that watch
-	mostChanges  = 100_000
-	longest      = time.Hour
-	mostDeadline = time.Minute
+	maxListed        = 1000 // endpoints of the list
+	maxClasses       = 1000
+	maxStages        = 64
+	maxPeers         = 100_000
+	maxTierEndpoints = 16 // fake endpoints in a tier of a chain
+	maxRuns          = 100
+	maxWatchers      = 2000
+	maxRealSidecars  = 64 // real sidecars that watch the list
+	maxChanges       = 100_000
+	maxDuration      = time.Hour
+	maxDeadline      = time.Minute
 )
 
-// measuring has sidecars started for a measurement.
-func (g *ground) measuring() (harness.Options, error) {
+// measureOptions returns the harness options for a measurement, and prepares the process and the log folder for it.
+func (g *commonOptions) measureOptions() (harness.Options, error) {
 	program, err := g.program()
 	if err != nil {
 		return harness.Options{}, err
@@ -50,11 +50,11 @@
 	return harness.Options{LogDir: g.Logs, Sidecar: func() *exec.Cmd { return exec.Command(program) }}, nil
 }
 
-// within checks the values of a flag.
-func within[T int | float64 | time.Duration](flag string, least, most T, values ...T) error {
+// checkRange returns an error that names the flag if a value is out of range, or if there is none.
+func checkRange[T int | float64 | time.Duration](flag string, minValue, maxValue T, values ...T) error {
 	for _, v := range values {
-		if !(v >= least && v <= most) {
-			return fmt.Errorf("--%s: %v; allowed: %v to %v", flag, v, least, most)
+		if !(v >= minValue && v <= maxValue) {
+			return fmt.Errorf("--%s: %v; allowed: %v to %v", flag, v, minValue, maxValue)
 		}
 	}
 	if len(values) == 0 {
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// rates checks values of --rate.
-func rates(most float64, values ...float64) error {
+// checkRates checks the values of --rate, which must be above 0.
+func checkRates(maxRate float64, values ...float64) error {
 	for _, v := range values {
-		if !(v > 0 && v <= most) {
-			return fmt.Errorf("--rate: %v; allowed: above 0, up to %v", v, most)
+		if !(v > 0 && v <= maxRate) {
+			return fmt.Errorf("--rate: %v; allowed: above 0, up to %v", v, maxRate)
 		}
 	}
 	if len(values) == 0 {
@@ -76,45 +76,45 @@
 	return nil
 }
 
-// repeated is how often a measurement is made, and for how long.
-type repeated struct {
-	For     time.Duration `default:"5s" help:"How long a run."`
-	Runs    int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
-	MostLag time.Duration `default:"10ms" help:"A run whose own load is later than this at the 99th percentile is void, and made again."`
+// repeatOptions are the flags for the length and number of a measurement's runs.
+type repeatOptions struct {
+	For     time.Duration `default:"5s" help:"Duration of a run."`
+	Runs    int           `default:"3" help:"Number of runs of each size; the minimum, median and maximum are printed."`
+	MostLag time.Duration `default:"10ms" help:"A run whose load was sent later than this at the 99th percentile is void, and is repeated."`
 }
 
-func (r *repeated) check() error {
+func (r *repeatOptions) check() error {
 	return cmp.Or(
-		within("for", time.Second, longest, r.For), within("runs", 1, mostRuns, r.Runs),
-		within("most-lag", time.Microsecond, longest, r.MostLag),
+		checkRange("for", time.Second, maxDuration, r.For), checkRange("runs", 1, maxRuns, r.Runs),
+		checkRange("most-lag", time.Microsecond, maxDuration, r.MostLag),
 	)
 }
 
-// voidRuns is how often one run is made again before the machine counts as too busy.
-const voidRuns = 10
+// maxVoidRuns is how often one run is made before the machine counts as too busy.
+const maxVoidRuns = 10
 
-// valid measures until the load's own lag is small: a run whose load lags tells of the lab and not of the sidecar. Each
-// void run is told.
-func valid[T any](o *command.Out, most time.Duration, what string, measure func() (T, error), lag func(T) float64) (T, error) {
-	for range voidRuns {
+// measureValid repeats a measurement until the load's own lag is small enough: otherwise the run would measure the lab
+// and not the sidecar. Each void run is reported.
+func measureValid[T any](o *command.Out, maxLag time.Duration, what string, measure func() (T, error), lag func(T) float64) (T, error) {
+	for range maxVoidRuns {
 		m, err := measure()
-		if err != nil || lag(m) <= float64(most)/float64(time.Millisecond) {
+		if err != nil || lag(m) <= float64(maxLag)/float64(time.Millisecond) {
 			return m, err
 		}
 		fmt.Fprintf(o, "%s: VOID: the load lagged by %.1f ms at the 99th percentile; load average %s\n", what, lag(m), loadAverage())
 	}
 	var none T
-	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v too little", what, voidRuns, most)
+	return none, fmt.Errorf("%s: void %d times: the machine is too busy, or --most-lag %v is too small", what, maxVoidRuns, maxLag)
 }
 
-// here begins a report: a figure counts for nothing without its machine.
-func here(o *command.Out, format string, args ...any) {
+// printHeader begins a report with the parameters and the machine: without them, the measurements mean nothing.
+func printHeader(o *command.Out, format string, args ...any) {
 	m := harness.ThisMachine()
 	fmt.Fprintf(o, format+"\n", args...)
 	fmt.Fprintf(o, "machine: %d cores, %d MB, %s; load average %s\n", m.Cores, m.MemoryMB, m.Go, loadAverage())
 }
 
-// loadAverage is the machine's, over 1, 5 and 15 minutes: others may use it too.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes, as other processes may use the machine too.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -123,28 +123,29 @@
 	return strings.Join(strings.Fields(string(text))[:3], " ")
 }
 
-// spread is the least, median and most of some runs.
-type spread struct{ least, median, most float64 }
+// spread is the minimum, median and maximum of several runs.
+type spread struct{ min, median, max float64 }
 
 func spreadOf(runs []float64) spread {
 	s := slices.Sorted(slices.Values(runs))
 	n := len(s)
-	return spread{least: s[0], median: (s[(n-1)/2] + s[n/2]) / 2, most: s[n-1]}
+	return spread{min: s[0], median: (s[(n-1)/2] + s[n/2]) / 2, max: s[n-1]}
 }
 
-func (s spread) String() string { return fmt.Sprintf("%.4g/%.4g/%.4g", s.least, s.median, s.most) }
+func (s spread) String() string { return fmt.Sprintf("%.4g/%.4g/%.4g", s.min, s.median, s.max) }
 
-// figure is one that is measured at each size, with its runs there.
-type figure struct {
-	name string
-	runs [][]float64 // by size
-	fits bool        // a line is drawn through it
+// measurement is a measured quantity with its values by size and run.
+type measurement struct {
+	name    string
+	runs    [][]float64 // by size, then by run
+	fitLine bool        // print a line fitted through the medians
 }
 
-// printFigures prints each figure at each size, least/median/most of its runs, and what a line through all sizes but the largest says of that.
-func printFigures(o *command.Out, x string, sizes []float64, figures []*figure) {
+// printMeasurements prints the minimum, median and maximum of each measurement at each size. For measurements with
+// fitLine it also prints how well a line through the smaller sizes predicts the largest.
+func printMeasurements(o *command.Out, x string, sizes []float64, measurements []*measurement) {
 	fmt.Fprintf(o, "least/median/most of runs; load average %s\n", loadAverage())
-	for _, f := range figures {
+	for _, f := range measurements {
 		fmt.Fprintf(o, "%s:", f.name)
 		medians := make([]float64, len(sizes))
 		for i, size := range sizes {
@@ -153,14 +154,15 @@
 			fmt.Fprintf(o, "  [%s %v] %v", x, size, s)
 		}
 		fmt.Fprintln(o)
-		if f.fits {
-			fmt.Fprintf(o, "    %s\n", foretold(sizes, medians))
+		if f.fitLine {
+			fmt.Fprintf(o, "    %s\n", predictLargest(sizes, medians))
 		}
 	}
 }
 
-// foretold draws a line through the medians of all sizes but the largest, and holds the largest against it.
-func foretold(sizes, medians []float64) string {
+// predictLargest fits a line through the medians of all sizes but the largest, and compares its prediction with the
+// median at the largest.
+func predictLargest(sizes, medians []float64) string {
 	largest := 0
 	for i := range sizes {
 		if sizes[i] > sizes[largest] {
@@ -182,23 +184,25 @@
 		line, at, line.Predict(at), medians[largest], 100*line.RelativeError(at, medians[largest]))
 }
 
+// labCall is the command `heathlab call`.
 type labCall struct {
-	ground
-	repeated
-	Rate      []float64 `default:"379" help:"Requests a second by each of the two ways."`
-	Endpoints []int     `default:"13" help:"Endpoints of the list; each takes calls."`
-	Peers     []int     `default:"0" help:"Instances that the sidecar is told of, itself included: the more, the fewer of the endpoints it uses. 0 for as many as endpoints."`
-	Classes   []int     `default:"1" help:"Classes in the settings; requests are of all in turn."`
+	commonOptions
+	repeatOptions
+	Rate      []float64 `default:"379" help:"Requests a second on each of the two paths: direct and through the sidecar."`
+	Endpoints []int     `default:"13" help:"Endpoints of the list; each accepts calls."`
+	Peers     []int     `default:"0" help:"Sidecar instances in the settings, this one included: the more there are, the fewer endpoints each uses. 0 for as many as endpoints."`
+	Classes   []int     `default:"1" help:"Classes in the settings; requests have each in turn."`
 	Stages    []int     `default:"1" help:"Tiers that the settings name."`
 	Own       bool      `default:"true" negatable:"" help:"The settings say that each caller has a sidecar of its own."`
 }
 
-// sizes is the flag that has several values, and a conf for each.
+// sizes returns the flag that has several values, those values, and a configuration for each. At most one flag may have
+// several.
 func (c *labCall) sizes() (flag string, sizes []float64, confs []harness.OverheadConf, err error) {
 	if err := cmp.Or(
-		c.check(), rates(scenario.MaxRate/2, c.Rate...), within("endpoints", 1, mostListed, c.Endpoints...),
-		within("peers", 0, mostPeers, c.Peers...), within("classes", 1, mostClasses, c.Classes...),
-		within("stages", 1, mostStages, c.Stages...),
+		c.check(), checkRates(scenario.MaxRate/2, c.Rate...), checkRange("endpoints", 1, maxListed, c.Endpoints...),
+		checkRange("peers", 0, maxPeers, c.Peers...), checkRange("classes", 1, maxClasses, c.Classes...),
+		checkRange("stages", 1, maxStages, c.Stages...),
 	); err != nil {
 		return "", nil, nil, err
 	}
@@ -239,32 +243,32 @@
 	return chosen.name, sizes, confs, nil
 }
 
-// Run measures each size, run by run in turn, so that a slow moment of the machine strikes all sizes alike.
+// Run measures every size once, then every size again, and so on: a slow moment of the machine affects all sizes alike.
 func (c *labCall) Run(o *command.Out) error {
 	flag, sizes, confs, err := c.sizes()
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "call: rate %v, endpoints %v, peers %v, classes %v, stages %v, own %v; %d runs of %v",
+	printHeader(o, "call: rate %v, endpoints %v, peers %v, classes %v, stages %v, own %v; %d runs of %v",
 		c.Rate, c.Endpoints, c.Peers, c.Classes, c.Stages, c.Own, c.Runs, c.For)
 	names := []string{
 		"us of the sidecar's processor a request", "percent of a core", "added p50, ms", "added p99, ms", "straight p50, ms", "straight p99, ms",
 		"memory (VmHWM), MB", "descriptors", "endpoints used", "requests by each way", "the load's own lag p99, ms",
 	}
-	figures := make([]*figure, len(names))
+	measurements := make([]*measurement, len(names))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: i < 4 || i == 6 || i == 7}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: i < 4 || i == 6 || i == 7}
 	}
 	for run := range c.Runs {
 		for i, conf := range confs {
 			conf.Seed = uint64(run + 1)
-			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
+			m, err := measureValid(o, c.MostLag, fmt.Sprintf("run %d, %s %v", run+1, flag, sizes[i]),
 				func() (harness.Overhead, error) { return harness.MeasureOverhead(ctx, conf, opts) }, func(m harness.Overhead) float64 { return m.Lag })
 			if err != nil {
 				return err
@@ -273,7 +277,7 @@
 				m.CPU, m.CPU * float64(m.Requests) / c.For.Seconds() / 1e4, m.AddedP50(), m.AddedP99(), m.DirectP50, m.DirectP99, m.RSSMB,
 				float64(m.FDs), float64(m.EndpointsUsed), float64(m.Requests), m.Lag,
 			} {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			if !c.Quiet {
 				fmt.Fprintf(o, "run %d, %s %v: %.0f us a request, added p50 %.3f p99 %.3f ms, %.1f MB; load average %s\n",
@@ -281,62 +285,64 @@
 			}
 		}
 	}
-	printFigures(o, flag, sizes, figures)
+	printMeasurements(o, flag, sizes, measurements)
 	return nil
 }
 
+// labChain is the command `heathlab chain`.
 type labChain struct {
-	ground
-	repeated
+	commonOptions
+	repeatOptions
 	Deep      []int         `default:"1,3,7,13,21" help:"Tiers of services, each with a sidecar before it."`
-	Rate      float64       `default:"20" help:"Requests a second at the front, by each way."`
-	Endpoints int           `default:"2" help:"Stand-ins of each tier."`
-	Deadline  time.Duration `default:"2s" help:"That a request has at the front."`
-	Peers     int           `default:"1" help:"Instances of each tier that a sidecar is told of, itself included."`
+	Rate      float64       `default:"20" help:"Requests a second at the first tier, on each path."`
+	Endpoints int           `default:"2" help:"Fake endpoints of each tier."`
+	Deadline  time.Duration `default:"2s" help:"Deadline of a request at the first tier."`
+	Peers     int           `default:"1" help:"Sidecar instances of each tier in the settings, this one included."`
 	Own       bool          `default:"true" negatable:"" help:"The settings say that each caller has a sidecar of its own."`
-	Fail      []string      `default:"none" help:"What the last tier does, in turn: none, hang, refuses, silent, half, garbage, errors:SHARE."`
+	Fail      []string      `default:"none" help:"Faults of the last tier, one after the other: none, hang, refuses, silent, half, garbage, errors:SHARE."`
 }
 
-// failure is what the last tier does.
+// failure is a value of --fail: what the last tier does.
 type failure struct {
 	name    string
 	trouble fake.Trouble
 	share   float64
 }
 
-// failureOf reads a value of --fail.
-func failureOf(word string) (failure, error) {
-	name, text, shared := strings.Cut(word, ":")
-	f := failure{name: word, share: 1}
+// parseFailure parses a value of --fail.
+func parseFailure(value string) (failure, error) {
+	name, text, hasShare := strings.Cut(value, ":")
+	f := failure{name: value, share: 1}
 	switch trouble := fake.Trouble(name); trouble {
 	case fake.Hang, fake.Refuses, fake.Silent, fake.TruncatedAnswer, fake.Garbage:
 		f.trouble = trouble
 	case fake.Errors:
 		f.trouble = trouble
-		if !shared {
+		if !hasShare {
 			return f, nil
 		}
 		var err error
 		if f.share, err = strconv.ParseFloat(text, 64); err != nil || !(f.share > 0 && f.share <= 1) {
-			return f, fmt.Errorf("--fail: %q; allowed: errors: and a share above 0, up to 1", word)
+			return f, fmt.Errorf("--fail: %q; allowed: errors: and a share above 0, up to 1", value)
 		}
 		return f, nil
 	default:
 		if name != "none" {
-			return f, fmt.Errorf("--fail: %q; allowed: none, hang, refuses, silent, half, garbage, errors:SHARE", word)
+			return f, fmt.Errorf("--fail: %q; allowed: none, hang, refuses, silent, half, garbage, errors:SHARE", value)
 		}
 	}
-	if shared {
-		return f, fmt.Errorf("--fail: %q; allowed: a share with errors only", word)
+	if hasShare {
+		return f, fmt.Errorf("--fail: %q; allowed: a share with errors only", value)
 	}
 	return f, nil
 }
 
-func (c *labChain) failures() ([]failure, error) {
+// parseFailures checks the flags and returns the parsed values of --fail.
+func (c *labChain) parseFailures() ([]failure, error) {
 	if err := cmp.Or(
-		c.check(), within("deep", 1, harness.MaxDepth, c.Deep...), rates(scenario.MaxRate, c.Rate),
-		within("endpoints", 1, mostOfATier, c.Endpoints), within("deadline", 10*time.Millisecond, mostDeadline, c.Deadline),
-		within("peers", 1, mostPeers, c.Peers),
+		c.check(), checkRange("deep", 1, harness.MaxDepth, c.Deep...), checkRates(scenario.MaxRate, c.Rate),
+		checkRange("endpoints", 1, maxTierEndpoints, c.Endpoints), checkRange("deadline", 10*time.Millisecond, maxDeadline, c.Deadline),
+		checkRange("peers", 1, maxPeers, c.Peers),
 	); err != nil {
 		return nil, err
 	}
@@ -344,67 +350,67 @@
 		return nil, errors.New("--fail: nothing; allowed: one value or more")
 	}
 	all := make([]failure, len(c.Fail))
-	for i, word := range c.Fail {
+	for i, value := range c.Fail {
 		var err error
-		if all[i], err = failureOf(word); err != nil {
+		if all[i], err = parseFailure(value); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-// Run plays each depth with each failure.
+// Run measures all depths with each failure.
 func (c *labChain) Run(o *command.Out) error {
-	failures, err := c.failures()
+	failures, err := c.parseFailures()
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "chain: deep %v, %v a second, %d stand-ins a tier, deadline %v, peers %d, own %v; %d runs of %v",
+	printHeader(o, "chain: deep %v, %v a second, %d stand-ins a tier, deadline %v, peers %d, own %v; %d runs of %v",
 		c.Deep, c.Rate, c.Endpoints, c.Deadline, c.Peers, c.Own, c.Runs, c.For)
 	for _, f := range failures {
-		if err := c.play(ctx, o, f, opts); err != nil {
+		if err := c.measureDepths(ctx, o, f, opts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// play plays all depths with one failure.
-func (c *labChain) play(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
+// measureDepths measures all depths with one failure of the last tier.
+func (c *labChain) measureDepths(ctx context.Context, o *command.Out, f failure, opts harness.Options) error {
 	sizes := make([]float64, len(c.Deep))
 	names := []string{
 		"added p50, ms", "added p99, ms", "through p50, ms", "through p99, ms", "straight p50, ms", "straight p99, ms", "served of a hundred",
 		"attempts at the last tier for a request at the front", "us of all sidecars' processors for a request at the front",
 		"ms of the deadline that the last tier's sidecar was told, p50", "the load's own lag p99, ms",
 	}
-	well := f.trouble == fake.NoTrouble
-	figures := make([]*figure, len(names))
+	healthy := f.trouble == fake.NoTrouble
+	measurements := make([]*measurement, len(names))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: well && (i < 2 || i == 8 || i == 9)}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: healthy && (i < 2 || i == 8 || i == 9)}
 	}
 	fmt.Fprintf(o, "\nlast tier: %s\n", f.name)
 	for run := range c.Runs {
-		for i, deep := range c.Deep {
-			sizes[i] = float64(deep)
+		for i, depth := range c.Deep {
+			sizes[i] = float64(depth)
 			conf := harness.ChainConf{
-				Depth: deep, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, PerCaller: c.Own, CompareDirect: well,
+				Depth: depth, Endpoints: c.Endpoints, Rate: c.Rate, For: c.For, Deadline: c.Deadline, Peers: c.Peers, PerCaller: c.Own, CompareDirect: healthy,
 				Trouble: f.trouble, Share: f.share, Seed: uint64(run + 1),
 			}
-			if well {
+			if healthy {
 				conf.Rate = 2 * c.Rate
 			}
-			m, err := valid(o, c.MostLag, fmt.Sprintf("run %d, deep %d", run+1, deep),
+			m, err := measureValid(o, c.MostLag, fmt.Sprintf("run %d, deep %d", run+1, depth),
 				func() (*harness.Chain, error) { return harness.MeasureChain(ctx, conf, opts) }, func(m *harness.Chain) float64 { return m.Lag })
 			if err != nil {
 				return err
 			}
-			front, last := m.Front[1], m.Tiers[deep-1]
+			front, last := m.Front[1], m.Tiers[depth-1]
 			cpu := 0.0
 			for _, t := range m.Tiers {
 				cpu += t.CPU * float64(t.Requests)
@@ -414,10 +420,10 @@
 				front.P50 - m.Front[0].P50, front.P99 - m.Front[0].P99, front.P50, front.P99, m.Front[0].P50, m.Front[0].P99,
 				100 * float64(front.Served) / requests, float64(last.Attempts) / requests, cpu / requests, last.RemainingP50, m.Lag,
 			} {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			fmt.Fprintf(o, "run %d, deep %d: %d requests, %d served, rules broken %d, load average %s\n",
-				run+1, deep, front.Requests, front.Served, m.NumViolations, loadAverage())
+				run+1, depth, front.Requests, front.Served, m.NumViolations, loadAverage())
 			for _, b := range m.Violations {
 				fmt.Fprintf(o, "  broken: %s at %v: %s\n", b.Rule, b.At.Round(time.Millisecond), b.What)
 			}
@@ -429,14 +435,14 @@
 			}
 		}
 	}
-	if !well {
-		figures = append(figures[2:4], figures[6:]...)
+	if !healthy {
+		measurements = append(measurements[2:4], measurements[6:]...)
 	}
-	printFigures(o, "deep", sizes, figures)
+	printMeasurements(o, "deep", sizes, measurements)
 	return nil
 }
 
-// printTiers prints what each tier was asked, and what came of it.
+// printTiers prints, for each tier, the requests that its sidecar received and their outcomes.
 func printTiers(o *command.Out, m *harness.Chain) {
 	requests := float64(max(1, m.Front[1].Requests))
 	fmt.Fprintln(o, "  tier  asked  attempts  per-ask  per-front  1.1^n  served refused failed left  retries  floors-paid>=  budget(start+floor+tenth)"+
@@ -449,7 +455,7 @@
 	}
 }
 
-// outcomes are those that there were, by name.
+// outcomes returns the counts above 0, by name.
 func outcomes(all map[string]int) string {
 	var parts []string
 	for name, n := range all {
@@ -461,25 +467,26 @@
 	return strings.Join(parts, " ")
 }
 
+// labLists is the command `heathlab lists`.
 type labLists struct {
-	ground
-	Runs      int           `default:"3" help:"So many runs of each size; figures are their least, median and most."`
+	commonOptions
+	Runs      int           `default:"3" help:"Number of runs of each size; the minimum, median and maximum are printed."`
 	Endpoints []int         `default:"13,60,145,290,580" help:"Endpoints of the list."`
-	AtOnce    int           `default:"1" help:"Lines that change at once; lists with fewer endpoints are left out."`
-	Apart     bool          `help:"Each of them in a version of its own."`
-	Changes   int           `default:"100" help:"How often that happens in a run."`
+	AtOnce    int           `default:"1" help:"Lines that change at once; lists with fewer endpoints are skipped."`
+	Apart     bool          `help:"Change each of these lines in a version of its own."`
+	Changes   int           `default:"100" help:"Changes in a run."`
 	Sidecars  int           `default:"2" help:"Real sidecars that watch."`
-	Hollow    int           `default:"50" help:"Watchers beside them that only speak the protocol."`
-	Peers     int           `default:"13" help:"Instances that sidecars are told of: their waits are longer the more there are."`
-	Idle      time.Duration `default:"0s" help:"Look so long at watches without changes, too."`
+	Hollow    int           `default:"50" help:"Emulated watchers, which only speak the protocol."`
+	Peers     int           `default:"13" help:"Sidecar instances in the settings: the more there are, the longer their watches wait."`
+	Idle      time.Duration `default:"0s" help:"Also measure watches without changes, for this long."`
 }
 
-// sizes are the lists that have enough endpoints.
+// sizes checks the flags and returns the list sizes that have enough endpoints for --at-once.
 func (c *labLists) sizes() ([]int, error) {
 	if err := cmp.Or(
-		within("runs", 1, mostRuns, c.Runs), within("endpoints", 1, mostListed, c.Endpoints...), within("at-once", 1, mostListed, c.AtOnce),
-		within("changes", 1, mostChanges, c.Changes), within("sidecars", 1, mostReal, c.Sidecars), within("hollow", 0, mostWatchers, c.Hollow),
-		within("peers", 1, mostPeers, c.Peers), within("idle", 0, longest, c.Idle),
+		checkRange("runs", 1, maxRuns, c.Runs), checkRange("endpoints", 1, maxListed, c.Endpoints...), checkRange("at-once", 1, maxListed, c.AtOnce),
+		checkRange("changes", 1, maxChanges, c.Changes), checkRange("sidecars", 1, maxRealSidecars, c.Sidecars), checkRange("hollow", 0, maxWatchers, c.Hollow),
+		checkRange("peers", 1, maxPeers, c.Peers), checkRange("idle", 0, maxDuration, c.Idle),
 	); err != nil {
 		return nil, err
 	}
@@ -490,19 +497,19 @@
 	return sizes, nil
 }
 
-// Run measures each size, run by run in turn.
+// Run measures every list size once, then every size again, and so on.
 func (c *labLists) Run(o *command.Out) error {
 	endpoints, err := c.sizes()
 	if err != nil {
 		return err
 	}
-	opts, err := c.measuring()
+	opts, err := c.measureOptions()
 	if err != nil {
 		return err
 	}
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	here(o, "lists: endpoints %v, %d at once, apart %v, %d changes, %d sidecars and %d hollow watchers, peers %d, idle %v; %d runs",
+	printHeader(o, "lists: endpoints %v, %d at once, apart %v, %d changes, %d sidecars and %d hollow watchers, peers %d, idle %v; %d runs",
 		endpoints, c.AtOnce, c.Apart, c.Changes, c.Sidecars, c.Hollow, c.Peers, c.Idle, c.Runs)
 	names := []string{
 		"us of a sidecar's processor a change", "calls of a sidecar a change", "answers of the agent a change and sidecar", "bytes asked a change and sidecar",
@@ -513,10 +520,10 @@
 	if c.Idle == 0 {
 		names = names[:12]
 	}
-	figures := make([]*figure, len(names))
+	measurements := make([]*measurement, len(names))
 	sizes := make([]float64, len(endpoints))
 	for i, name := range names {
-		figures[i] = &figure{name: name, runs: make([][]float64, len(sizes)), fits: i == 0 || i == 4 || i == 8 || i == 9}
+		measurements[i] = &measurement{name: name, runs: make([][]float64, len(sizes)), fitLine: i == 0 || i == 4 || i == 8 || i == 9}
 	}
 	for run := range c.Runs {
 		for i, n := range endpoints {
@@ -532,13 +539,13 @@
 				m.CPU, m.Real.Calls, m.Real.Answers, m.Real.RequestBytes, m.Real.AnswerBytes, m.Real.LinesPerAnswer, m.Real.FullLists, m.Emulated.AnswerBytes, m.LabCPU,
 				m.Whole.AnswerBytes, m.DeliveryP50, m.DeliveryMax, m.Idle.Calls / idle, (m.Idle.RequestBytes + m.Idle.AnswerBytes) / idle, m.IdleCPU,
 			}[:len(names)] {
-				figures[k].runs[i] = append(figures[k].runs[i], v)
+				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
 			if !c.Quiet {
 				fmt.Fprintf(o, "run %d, endpoints %d: %.0f us a change, %.0f bytes told; load average %s\n", run+1, n, m.CPU, m.Real.AnswerBytes, loadAverage())
 			}
 		}
 	}
-	printFigures(o, "endpoints", sizes, figures)
+	printMeasurements(o, "endpoints", sizes, measurements)
 	return nil
 }
--- a/internal/labcommand/scale.go
+++ b/internal/labcommand/scale.go
@@ -13,21 +13,22 @@
 	"heathgap/internal/lab/scale"
 )
 
-// labScale plays a crew at the size that is expected, beside its limits.
+// labScale is the command `heathlab scale`: it runs a cluster of the expected size and checks the limits of its
+// scenario.
 type labScale struct {
-	File    string  `arg:"" help:"The scenario; those that come with heathgap stand in lab/scale."`
-	Seed    *uint64 `help:"In place of the scenario's."`
-	Runs    int     `default:"1" help:"So many runs, of that seed and the next ones; tells their spread."`
-	Sizes   []int   `placeholder:"N,N,..." help:"Play it at each number of sidecars, without limits, and tell how figures grow with that."`
-	Predict int     `placeholder:"N" help:"With --sizes: play this number too, and tell beside it what the smaller ones predict of it."`
-	Out     string  `placeholder:"DIR" help:"Write record.json and plots there; of several runs each in a folder of its own."`
-	Logs    string  `placeholder:"DIR" help:"Keep the processes' logs there."`
-	Program string  `placeholder:"PATH" help:"A member's program; heathgap-crew beside this one if not given."`
-	JSON    bool    `name:"json" help:"Print records, one a line."`
+	File    string  `arg:"" help:"The scenario; those that come with heathgap are in lab/scale."`
+	Seed    *uint64 `help:"Seed to use instead of the scenario's."`
+	Runs    int     `default:"1" help:"Number of runs, with that seed and the next ones; prints the spread of their measurements."`
+	Sizes   []int   `placeholder:"N,N,..." help:"Run it at each of these numbers of sidecars, without limits, and print how the measurements grow with the number."`
+	Predict int     `placeholder:"N" help:"With --sizes: run at this number too, and print the measurements beside what the smaller sizes predict."`
+	Out     string  `placeholder:"DIR" help:"Folder to write record.json and plots to; with several runs, each has a folder of its own."`
+	Logs    string  `placeholder:"DIR" help:"Folder to keep the processes' logs in."`
+	Program string  `placeholder:"PATH" help:"A member's program; by default heathgap-crew in the folder of heathlab."`
+	JSON    bool    `name:"json" help:"Print records, one per line."`
 	Quiet   bool    `help:"Print no progress on standard error."`
 }
 
-// Run plays; its exit code tells whether the runs count and their limits hold.
+// Run runs the scenario. It returns an error if a run doesn't count or exceeded a limit.
 func (c *labScale) Run(o *command.Out) error {
 	s, err := scale.Load(c.File)
 	if err != nil {
@@ -37,13 +38,13 @@
 	if err != nil {
 		return err
 	}
-	beside := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
+	programPath := func(name string) string { return filepath.Join(filepath.Dir(self), name) }
 	if c.Program == "" {
-		c.Program = beside("heathgap-crew")
+		c.Program = programPath("heathgap-crew")
 	}
 	opts := scale.Options{
 		Member:   func() *exec.Cmd { return exec.Command(c.Program) },
-		Plain:    func() *exec.Cmd { return exec.Command(beside("heathgap")) },
+		Plain:    func() *exec.Cmd { return exec.Command(programPath("heathgap")) },
 		Emulated: func() *exec.Cmd { return exec.Command(self, "hollow") },
 		LogDir:   c.Logs,
 	}
@@ -52,19 +53,19 @@
 	}
 	debug.SetGCPercent(labGC)
 	if len(c.Sizes) > 0 {
-		return c.grow(o, s, opts)
+		return c.runSizes(o, s, opts)
 	}
 	if c.Predict > 0 {
 		return errors.New("--predict: without --sizes there is nothing to predict from")
 	}
 	var runs []*scale.Record
-	good := true
+	passed := true
 	for i := range max(1, c.Runs) {
-		r, err := c.play(o, s, uint64(i), opts, fmt.Sprintf("%d", i+1))
+		r, err := c.runOnce(o, s, uint64(i), opts, fmt.Sprintf("%d", i+1))
 		if err != nil {
 			return err
 		}
-		runs, good = append(runs, r), good && r.Passed()
+		runs, passed = append(runs, r), passed && r.Passed()
 		if r.Partial {
 			break
 		}
@@ -72,15 +73,15 @@
 	if len(runs) > 1 && !c.JSON {
 		scale.WriteSpread(o, runs)
 	}
-	if !good {
-		return errNotGood
+	if !passed {
+		return errRunFailed
 	}
 	return nil
 }
 
-// play plays once, with the next seed but so many, and tells what came of it.
-func (c *labScale) play(o *command.Out, s *scale.Scenario, further uint64, opts scale.Options, folder string) (*scale.Record, error) {
-	ctx, stop := interruptible()
+// runOnce runs the scenario once, with a seed that is seedOffset above the first, and prints or writes the record.
+func (c *labScale) runOnce(o *command.Out, s *scale.Scenario, seedOffset uint64, opts scale.Options, folder string) (*scale.Record, error) {
+	ctx, stop := interruptContext()
 	defer stop()
 	seed := s.Seed
 	if c.Seed != nil {
@@ -92,7 +93,7 @@
 			return nil, err
 		}
 	}
-	r, err := scale.Run(ctx, s, seed+further, opts)
+	r, err := scale.Run(ctx, s, seed+seedOffset, opts)
 	if err != nil {
 		return nil, err
 	}
@@ -112,8 +113,9 @@
 	return r, nil
 }
 
-// grow plays the scenario at several sizes. Runs that are void, partial or broken count for no curve.
-func (c *labScale) grow(o *command.Out, s *scale.Scenario, opts scale.Options) error {
+// runSizes runs the scenario at several sizes and prints how the measurements grow. A run that is void, partial or
+// exceeded a limit ends it with an error.
+func (c *labScale) runSizes(o *command.Out, s *scale.Scenario, opts scale.Options) error {
 	var runs []*scale.Record
 	var predicted *scale.Record
 	sizes := c.Sizes
@@ -125,26 +127,26 @@
 		if err != nil {
 			return fmt.Errorf("--sizes: %w", err)
 		}
-		r, err := c.play(o, sized, 0, opts, fmt.Sprint(size))
+		r, err := c.runOnce(o, sized, 0, opts, fmt.Sprint(size))
 		if err != nil {
 			return err
 		}
 		switch {
 		case r.Partial || len(r.Void) > 0 || len(r.Broken) > 0:
-			return errNotGood
+			return errRunFailed
 		case i >= len(c.Sizes):
 			predicted = r
 		default:
 			runs = append(runs, r)
 		}
 	}
-	grown, err := scale.FitGrowth(runs, predicted)
+	growth, err := scale.FitGrowth(runs, predicted)
 	if err != nil {
-		return fmt.Errorf("--sizes: %w; three different ones at least", err)
+		return fmt.Errorf("--sizes: %w; at least three different sizes are needed", err)
 	}
 	if c.JSON {
-		return json.NewEncoder(o).Encode(map[string]any{"growth": grown})
+		return json.NewEncoder(o).Encode(map[string]any{"growth": growth})
 	}
-	scale.WriteGrowth(o, grown)
+	scale.WriteGrowth(o, growth)
 	return nil
 }
