--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -36,22 +36,22 @@
 
 // Parameters of a cluster run.
 const (
-	numEndpoints      = 4
-	statusInterval    = 40 * time.Millisecond  // between two status requests to a process
-	rpcTimeout        = 500 * time.Millisecond // for one answer to the harness: the process may be stopped
-	probeInterval     = 200 * time.Millisecond // between two probes to a process: requests that all endpoints break off, to see whether they are sent again
-	probedClass       = "pay"
-	loadClass         = "look"
-	checkerMargin     = 250 * time.Millisecond  // that the checker allows for a status request, its answer and a busy machine
-	leaderTimeout     = 15 * time.Second        // for a cluster to form and to have a leader
-	proposeTimeout    = 2 * time.Second         // for one attempt of a proposal
-	maxAttempts       = 2                       // with two attempts a probe shows whether it may be sent again, at the price of one retry
-	afterAgreedDelay  = 1500 * time.Millisecond // after the last agreed version is in effect, before the checks
-	duplicateSuffix   = "'"                     // in the name of a duplicate: a second process that is started under the same member name
-	hangUpTimeout     = time.Millisecond        // a proposer that dies: its request has been sent, and no answer can have arrived
-	clusterDeadlineMS = 800.0                   // the deadline of all classes, in ms
-	outcomeLifetime   = 2 * time.Minute         // the holdings' setting keep: how long outcomes are kept
-	holdingsLostAfter = 10 * time.Second        // the holdings' setting lost_after
+	numEndpoints       = 4
+	statusInterval     = 40 * time.Millisecond  // between two status requests to a process
+	rpcTimeout         = 500 * time.Millisecond // for one answer to the harness: the process may be stopped
+	probeInterval      = 200 * time.Millisecond // between two probes to a process: requests that all endpoints break off, to see whether they are sent again
+	probedClass        = "pay"
+	loadClass          = "look"
+	checkerMargin      = 250 * time.Millisecond  // that the checker allows for a status request, its answer and a busy machine
+	leaderTimeout      = 15 * time.Second        // for a cluster to form and to have a leader
+	proposeTimeout     = 2 * time.Second         // for one attempt of a proposal
+	maxAttempts        = 2                       // with two attempts a probe shows whether it may be sent again, at the price of one retry
+	afterInEffectDelay = 1500 * time.Millisecond // after the last agreed version is in effect, before the checks
+	duplicateSuffix    = "'"                     // in the name of a duplicate: a second process that is started under the same member name
+	hangUpTimeout      = time.Millisecond        // a proposer that dies: its request has been sent, and no answer can have arrived
+	clusterDeadlineMS  = 800.0                   // the deadline of all classes, in ms
+	outcomeLifetime    = 2 * time.Minute         // the holdings' setting keep: how long outcomes are kept
+	holdingsLostAfter  = 10 * time.Second        // the holdings' setting lost_after
 )
 
 // ClusterOptions are the options of a cluster run.
@@ -974,7 +974,7 @@
 		left := len(r.pending)
 		r.mu.Unlock()
 		if left == 0 {
-			return r.sleepUntil(ctx, r.now()+afterAgreedDelay)
+			return r.sleepUntil(ctx, r.now()+afterInEffectDelay)
 		}
 		time.Sleep(statusInterval)
 	}
--- a/internal/lab/harness/hosts.go
+++ b/internal/lab/harness/hosts.go
@@ -21,7 +21,7 @@
 type hostAllocator struct {
 	mu     sync.Mutex
 	net    int            // second byte of the hosts' addresses
-	next   int            // number of the host that was tried last: third and fourth byte
+	last   int            // number of the host that was tried last: third and fourth byte
 	port   int            // the next port to allocate
 	guards []net.Listener // listeners at the guard ports, until close
 }
@@ -41,7 +41,7 @@
 
 func newHostAllocator() *hostAllocator {
 	pid := os.Getpid()
-	return &hostAllocator{net: firstNet + pid%numNets, next: (pid / numNets % 200) * hostsPerByte, port: firstPort}
+	return &hostAllocator{net: firstNet + pid%numNets, last: (pid / numNets % 200) * hostsPerByte, port: firstPort}
 }
 
 // acquire returns a host that no other run uses.
@@ -49,8 +49,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for range maxHosts {
-		h.next++
-		n := h.next % maxHosts
+		h.last++
+		n := h.last % maxHosts
 		host := fmt.Sprintf("127.%d.%d.%d", h.net, n/hostsPerByte, 1+n%hostsPerByte)
 		guard, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(guardPort)))
 		if errors.Is(err, syscall.EADDRINUSE) {
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -247,7 +247,7 @@
 var callCount atomic.Int64
 
 // call sends one call to the next tier and reports whether it was served.
-func (s *slot) call(ctx context.Context, until time.Duration, key string) bool {
+func (s *slot) call(ctx context.Context, deadline time.Duration, key string) bool {
 	class := s.tier.run.scenario.Classes[s.tier.run.callClass(s.tier.index)]
 	n := callCount.Add(1)
 	if class.Effect == decide.Keyed && key == "" {
@@ -255,7 +255,7 @@
 	}
 	result := s.client.Send(ctx, load.Request{
 		ID: fmt.Sprintf("call%x", n), Class: class.Name, Key: key, Tier: s.tier.index + 1,
-		Effect: class.Effect, Deadline: until,
+		Effect: class.Effect, Deadline: deadline,
 	})
 	return result.Ending == load.Answered && result.Verdict == oracle.Served
 }
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -820,21 +820,21 @@
 	e.addWithMax("keeper_cpu_worst", "a keeper's share of a core, worst 10 s of any", "%", most.CPUWorst, l.VoterCPU, most.Name)
 	e.addWithMax("keeper_mb", "its memory, at most", "MB", mb.MB, l.VoterMB, mb.Name)
 	// The leader's mean over all the time in which a voter led. This is what grows with the number of members.
-	var cpu, out time.Duration
+	var cpu, led time.Duration
 	written := int64(0)
 	for _, name := range e.scenario.voterNames() {
 		u := e.obs.Usage[name]
 		for i := 1; i < len(u); i++ {
 			a, b := u[i-1], u[i]
 			if a.Start == b.Start && a.At >= e.obs.Began && b.At <= e.obs.Ended && e.leaderAt(a.At) == name && e.leaderAt(b.At) == name {
-				cpu, out, written = cpu+b.CPU-a.CPU, out+b.At-a.At, written+b.Write-a.Write
+				cpu, led, written = cpu+b.CPU-a.CPU, led+b.At-a.At, written+b.Write-a.Write
 			}
 		}
 	}
-	if out > 0 {
-		e.addWithMax("leader_cpu_mean", "the leader's share of a core, mean while it leads", "%", 100*cpu.Seconds()/out.Seconds(), 0, "")
+	if led > 0 {
+		e.addWithMax("leader_cpu_mean", "the leader's share of a core, mean while it leads", "%", 100*cpu.Seconds()/led.Seconds(), 0, "")
 		e.addWithMax("leader_out_mean", "its bytes written (sockets, folder and log), mean while it leads", "bytes/s",
-			float64(written)/out.Seconds(), 0, "")
+			float64(written)/led.Seconds(), 0, "")
 	}
 }
 
