--- a/internal/command/cluster.go
+++ b/internal/command/cluster.go
@@ -65,8 +65,9 @@
 	return v, nil
 }
 
-// status queries all voters. It returns the status of the leader of the latest term, or that of the voter with the
-// latest term if no leader answers.
+// status queries all voters, in the order of their names, and returns the status of one of them. A leader's status
+// replaces that of the voters before it unless its term is older; another voter's status replaces only one that is not
+// a leader's and whose term is older.
 func (v *voterClients) status() (best voter.Status, err error) {
 	var faults []error
 	for _, name := range slices.Sorted(maps.Keys(v.clients)) {
@@ -95,7 +96,7 @@
 	return voters, s, err
 }
 
-// queryLeader is queryStatus, but fails if there is no leader.
+// queryLeader is queryStatus, but fails if the result is not the status of a leader (see leaderStatus).
 func (a *clusterOptions) queryLeader() (*voterClients, voter.Status, error) {
 	voters, err := a.open()
 	if err != nil {
@@ -105,11 +106,12 @@
 	return voters, s, err
 }
 
-// leaderStatus is status, but fails if there is no leader.
+// leaderStatus is status, but fails if the result is not the status of a leader, as when no voter leads or the leader does
+// not answer.
 func (v *voterClients) leaderStatus() (voter.Status, error) {
 	s, err := v.status()
 	if err == nil && s.Leader != s.Name {
-		err = fmt.Errorf("no keeper leads (asked %d): is a majority up? %s", len(v.clients), missingVoters(&s))
+		err = fmt.Errorf("no leader answers (asked %d keepers): is a majority up? %s", len(v.clients), missingVoters(&s))
 	}
 	return s, err
 }
@@ -303,7 +305,7 @@
 	File   string        `arg:"" help:"The version's document (TOML): all that holds from then on, not what changes."`
 	Note   string        `help:"The reason, for people; used instead of the file's note."`
 	Parent *uint64       `help:"The version that this one follows; the active one if not given."`
-	Wait   time.Duration `default:"30s" help:"How long to wait until the version is active. After that the command fails, and the version goes on by itself."`
+	Wait   time.Duration `default:"30s" help:"How long to wait until the version is active. After that the command fails, and the crew carries on with a version that is already proposed."`
 }
 
 // Run proposes the document of a file.
@@ -348,7 +350,8 @@
 	return voters.propose(o, cluster.Proposal{Parent: active.Number, Note: fmt.Sprintf("undoes version %d", active.Number), Doc: *doc}, c.Wait, c.JSON)
 }
 
-// propose sends a proposal until the leader accepts it, and waits until the version is active or refused.
+// propose sends a proposal until the leader accepts or refuses it, and then waits until the version is active or refused.
+// Both together take about wait at most.
 func (v *voterClients) propose(o *Out, p cluster.Proposal, wait time.Duration, asJSON bool) error {
 	p.ID = voter.NewID()
 	if u, err := user.Current(); err == nil {
--- a/internal/command/heathgap.go
+++ b/internal/command/heathgap.go
@@ -25,7 +25,7 @@
 // commandLine declares the commands of heathgap.
 type commandLine struct {
 	Serve    serve            `cmd:"" default:"withargs" help:"Run one sidecar, configured by the file that BALANCER_CONFIG names. This is the default command."`
-	Check    check            `cmd:"" help:"Report all that is wrong with files, and start nothing."`
+	Check    check            `cmd:"" help:"Report what is wrong with files, and start nothing."`
 	Crew     clusterCommands  `cmd:"" help:"Query the crew that an operator's file names, and change its rules."`
 	Holdings holdingsCommands `cmd:"" help:"Query what the sidecars of a crew hold for one another."`
 	Version  version          `cmd:"" help:"Show which build this is."`
@@ -102,7 +102,7 @@
 	Files []string `arg:"" name:"file" help:"An operator's file (.toml) or a sidecar's configuration (.json)."`
 }
 
-// Run reports all that is wrong with each file.
+// Run checks each file. It reports all faults of an operator's file, but only the first one of a sidecar's configuration.
 func (c *check) Run(o *Out) error { return CheckAll(o, c.Files, checkFile) }
 
 // CheckAll checks each file, prints those that are good and returns the errors of all others.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -86,7 +86,7 @@
 // environment's, which cannot change in a running process and still has the value of the start.
 func Reload(env func(string) string) (*Config, error) { return load(env, true) }
 
-// Check reads a configuration file as at a start and returns what is wrong with it. It ignores the environment.
+// Check reads a configuration file as at a start and returns the first fault that it finds. It ignores the environment.
 func Check(path string) error {
 	_, err := Load(func(key string) string {
 		if key == EnvFile {
@@ -271,7 +271,8 @@
 	return nil
 }
 
-// decodeSettings decodes the settings and has the decision module check them.
+// decodeSettings decodes the settings, has the decision module check them, and sets what follows from them: classes, the
+// timeouts of connections, and shortened windows.
 func (c *Config) decodeSettings(v *fastjson.Value) error {
 	if v == nil {
 		return errors.New("missing")
@@ -281,7 +282,7 @@
 		return err
 	}
 	if _, err := decide.New(c.Settings, c.Seed); err != nil {
-		return errors.Unwrap(err)
+		return errors.Unwrap(err) // without the prefix "settings: ", which parse adds
 	}
 	c.Classes = map[string]decide.Class{}
 	for i, class := range c.Settings.Classes {
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -45,10 +45,10 @@
 	checkerMargin      = 250 * time.Millisecond  // that the checker allows for a status request, its answer and a busy machine
 	leaderTimeout      = 15 * time.Second        // for a cluster to form and to have a leader
 	proposeTimeout     = 2 * time.Second         // for one attempt of a proposal
-	maxAttempts        = 2                       // with two attempts a probe shows whether it may be sent again, at the price of one retry
+	maxAttempts        = 2                       // per request: one retry is enough to show whether a process sends a probe again
 	afterInEffectDelay = 1500 * time.Millisecond // after the last agreed version is in effect, before the checks
 	duplicateSuffix    = "'"                     // in the name of a duplicate: a second process that is started under the same member name
-	hangUpTimeout      = time.Millisecond        // a proposer that dies: its request has been sent, and no answer can have arrived
+	hangUpTimeout      = time.Millisecond        // for a proposer that dies: as a rule, after its request is sent and before an answer arrives
 	clusterDeadlineMS  = 800.0                   // the deadline of all classes, in ms
 	outcomeLifetime    = 2 * time.Minute         // the holdings' setting keep: how long outcomes are kept
 	holdingsLostAfter  = 10 * time.Second        // the holdings' setting lost_after
@@ -86,7 +86,7 @@
 	Versions             []ClusterVersion   `json:"versions,omitempty"`
 	Leaders              map[uint64]string  `json:"leaders,omitempty"`     // by term
 	Replaced             []string           `json:"replaced,omitempty"`    // voters that were replaced after the loss of their data directory
-	LeaderMS             []float64          `json:"leader_ms,omitempty"`   // for each fault of a leader, until a status report named another one
+	LeaderMS             []float64          `json:"leader_ms,omitempty"`   // from a leader's kill, or stop of more than 1 s, to the report of a later term's leader
 	CautiousMS           map[string]float64 `json:"cautious_ms,omitempty"` // how long each process was cautious
 	ReplicatedMS         []float64          `json:"whole_ms,omitempty"`    // for each lost process, until all that it held had its copies elsewhere
 	Keyed                *KeyedRecord       `json:"orders,omitempty"`
@@ -138,12 +138,12 @@
 	mu            sync.Mutex // guards checker and the fields up to cautious
 	checker       *consistency.Checker
 	rec           ClusterRecord
-	leader        string                   // by the last report
-	lastTerm      uint64                   // of that report
+	leader        string                   // of the latest term, as voters reported it
+	lastTerm      uint64                   // the latest term for which a voter reported a leader
 	lastAgreed    uint64                   // number of the newest version that a leader has confirmed
 	lostVoter     string                   // a voter that has lost its data directory and is not replaced yet; empty for none
 	lostVoterID   uint64                   // its id before the loss
-	leaderFaultAt time.Duration            // when the leader was killed or stopped; 0 once another one leads
+	leaderFaultAt time.Duration            // when the leader was last killed, or stopped for more than 1 s; 0 once a later term has a leader
 	pending       map[uint64]time.Duration // when each agreed version that is not in effect everywhere was proposed
 	lastStatus    map[string]member.Status // by process
 	cautious      map[string]time.Duration // how long each process was cautious
@@ -231,7 +231,8 @@
 	return &r.rec, nil
 }
 
-// start starts the endpoints, the relays and the processes. It waits until all processes hold a lease.
+// start starts the endpoints, the relays, and all processes except duplicates, and waits until these processes hold a lease. With
+// ClusterOptions.Separate there are no leases to wait for.
 func (r *clusterRun) start(ctx context.Context) error {
 	for i := range numEndpoints {
 		e, err := startClusterEndpoint(r, fmt.Sprintf("e-%d", i+1))
@@ -339,7 +340,8 @@
 	}
 }
 
-// operatorConfig returns the operator's file of a process, which describes the cluster.
+// operatorConfig returns the text of a process's operator's file. The other processes that it connects to are listed there with
+// the addresses of relays, so that steps can delay, cut and reset the connections.
 func (r *clusterRun) operatorConfig(p *clusterProcess) string {
 	f := ClusterFile{
 		Name: r.scenario.Name, Address: p.peerAddress, Data: filepath.Join(p.dir, "data"), Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack,
@@ -382,7 +384,8 @@
 	return r.startWithEffect(ctx, p, decide.Safe)
 }
 
-// startWithEffect writes the files of a process, starts it and waits until it is ready.
+// startWithEffect writes the files of a process, with effect as the effect of the probed class, starts it and waits until it is
+// ready.
 func (r *clusterRun) startWithEffect(ctx context.Context, p *clusterProcess, effect decide.Effect) error {
 	p.starts++
 	if err := os.MkdirAll(filepath.Join(p.dir, "data"), 0o700); err != nil {
@@ -502,7 +505,8 @@
 	}
 }
 
-// pollLeader asks a voter who leads, and records changes of the leader.
+// pollLeader asks a voter who leads and records the answer, unless the voter knows no leader. It also clears lostVoter once that
+// voter has been replaced, and measures how long after a leader's fault a later term has a leader.
 func (r *clusterRun) pollLeader(p *clusterProcess) {
 	var s voter.Status
 	if p.rpc.Call("status", struct{}{}, &s, rpcTimeout) != nil {
@@ -666,8 +670,9 @@
 	return steps
 }
 
-// applyStep applies one step. A goroutine in reverts reverts it after the step's duration (For). A fault that the cluster or the
-// holdings don't promise to survive at this time is skipped or weakened.
+// applyStep applies one step. A goroutine in reverts reverts it after the step's duration (For), except for the steps reset and
+// restart, which are not reverted, and propose, which runs in such a goroutine. A fault that the cluster or the holdings don't
+// promise to survive at this time is skipped or weakened.
 func (r *clusterRun) applyStep(ctx context.Context, s scenario.ClusterStep, reverts *sync.WaitGroup) error {
 	if s.Do == "propose" && r.opts.Separate {
 		return nil // without a cluster there is no voter that could receive it
@@ -756,7 +761,7 @@
 			if s.Do == "setback" {
 				os.CopyFS(data, os.DirFS(filepath.Join(p.dir, "copy"))) //nolint:errcheck // without a copy the step is a wipe
 				start()
-				// The operator reads the line that the voter logs and follows it: the older data directory is removed.
+				// The voter logs that its data directory was set back. Do what an operator does then: end it, and remove the directory.
 				time.Sleep(r.scenario.Lease)
 				p.setRunning(false)
 				p.proc.stop(syscall.SIGKILL)
@@ -838,8 +843,8 @@
 	return nil
 }
 
-// reserveVoterLoss records that a voter is about to lose its data directory. It returns false if the loss of another one has not
-// been made up yet.
+// reserveVoterLoss records that a voter is about to lose its data directory. It returns false if
+// another voter that lost its data directory is not replaced yet, or if this voter does not run or does not answer.
 func (r *clusterRun) reserveVoterLoss(p *clusterProcess) bool {
 	var st voter.Status
 	if p.rpc.Call("status", struct{}{}, &st, rpcTimeout) != nil || st.Ledger == nil || !p.isRunning() {
--- a/internal/lab/harness/exported.go
+++ b/internal/lab/harness/exported.go
@@ -88,13 +88,13 @@
 	r.relay.setPartitioned(fromTarget, partitioned)
 }
 
-// SetDelay adds a delay to both directions; a negative one takes it away.
+// SetDelay adds to the delay of both directions; a negative value takes delay away.
 func (r *Relay) SetDelay(by time.Duration) {
 	r.relay.addDelay(toTarget, by)
 	r.relay.addDelay(fromTarget, by)
 }
 
-// SetAnswerDelay is SetDelay for the direction from the target only.
+// SetAnswerDelay adds to the delay of the direction from the target only.
 func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.addDelay(fromTarget, by) }
 
 // Close stops the relay and resets its connections.
--- a/internal/lab/harness/hosts.go
+++ b/internal/lab/harness/hosts.go
@@ -15,9 +15,9 @@
 // process needs again.
 //
 // A host belongs to one run at a time, over all labs on the machine: to the run that listens at the host's guard port. Each port
-// is allocated only once, from a range below the one from which the kernel picks ports. When the kernel picked the ports and they
-// were closed before a process listened there, two failures occurred: in one of 6,250 cases the kernel picks the same port for a
-// host again, and a process was configured to listen at one port for two purposes.
+// is allocated only once, from a range below the one from which the kernel picks ports. Two failures came
+// from ports that the kernel picked and that were closed before a process listened there: in one of 6,250 cases the kernel picks
+// the same port for a host again, and a process was then configured to listen at one port for two purposes.
 type hostAllocator struct {
 	mu     sync.Mutex
 	net    int            // second byte of the hosts' addresses
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -492,7 +492,8 @@
 	both.Wait()
 }
 
-// copy forwards one direction until either end is closed.
+// copy forwards one direction and passes what it reads to count, until a read or write fails; a read fails after an hour without
+// data. It then closes to, which ends the other direction as well.
 func (t *countingProxy) copy(to, from net.Conn, count func([]byte)) {
 	defer to.Close()
 	b := make([]byte, 64<<10)
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -246,7 +246,8 @@
 // callCount numbers the calls of all tiers.
 var callCount atomic.Int64
 
-// call sends one call to the next tier and reports whether it was served.
+// call sends one call through the slot's sidecar to the next tier and reports whether it was served. deadline is a time on the
+// run's clock. A call of a keyed class gets a key of its own if key is empty.
 func (s *slot) call(ctx context.Context, deadline time.Duration, key string) bool {
 	class := s.tier.run.scenario.Classes[s.tier.run.callClass(s.tier.index)]
 	n := callCount.Add(1)
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -129,7 +129,7 @@
 	WaitedMS   float64  `json:"waited_ms"`         // from when it was due until it was proposed
 	InEffectMS float64  `json:"in_force_ms"`       // from when it was proposed until it was in effect at the last member
 	Last       string   `json:"last,omitempty"`    // that last member
-	Never      []string `json:"never,omitempty"`   // members where it did not come into effect
+	Never      []string `json:"never,omitempty"`   // members that could be reached and where it did not come into effect
 	Refused    string   `json:"refused,omitempty"` // the reason why it was refused
 }
 
@@ -162,7 +162,7 @@
 	LeaderCPU   float64 `json:"leader_cpu_percent"`
 }
 
-// Passed reports whether the run counts and no limit was violated.
+// Passed reports whether the run counts (it is not void), was not interrupted, had no failure of its own, and violated no limit.
 func (r *Record) Passed() bool {
 	return len(r.Void) == 0 && !r.Partial && len(r.Broken) == 0 && !slices.ContainsFunc(r.Measurements, func(f Measurement) bool { return f.Violated })
 }
@@ -339,7 +339,8 @@
 // millis returns d in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// evaluateVersions measures how soon each version was in effect, and how partitioned members behaved meanwhile.
+// evaluateVersions measures how soon each version was in effect, the longest interval in which a partitioned member applied an older one,
+// and the longest time in the whole run for which a partitioned member was cautious. Without versions it measures none of these.
 func (e *evaluation) evaluateVersions() {
 	var took, waited []float64
 	never, refused, worst := 0, 0, VersionRecord{}
@@ -409,8 +410,9 @@
 	}
 }
 
-// versionInEffect returns when the member began to apply version v (or a later one), whether the member counts for the time that v took,
-// and whether it applied v in the end.
+// versionInEffect reports whether the member counts for the time that v took, and returns when it last began to apply v (or a later version)
+// while v waited for it. applied is false if v was still waiting for the member in the end; at has no meaning then, nor if the member does
+// not count.
 // A member counts if it was reachable and held a lease when v was proposed, or if it came (back) later and still applied an older version.
 // A member that is lost or partitioned before it applies v does not count.
 func (e *evaluation) versionInEffect(name string, v ProposedVersion) (at time.Duration, counts, applied bool) {
@@ -443,8 +445,8 @@
 	return at, counts, true
 }
 
-// evaluateContradictions measures the longest time for which a member applied only an older version (it was not preparing the newer one)
-// after some other member had begun to apply the newer one.
+// evaluateContradictions measures the longest time from when the first member began to apply a version (or a later one) until a member last
+// applied only an older one (it was not preparing the newer one).
 func (e *evaluation) evaluateContradictions() {
 	longest, member := time.Duration(0), ""
 	for _, v := range e.obs.Versions {
@@ -523,8 +525,9 @@
 	value float64
 }
 
-// worstAndMeanRate returns the highest rate per second of any window of 10 s (worstWindow), and the mean rate. If the points cover less
-// than that, both are the mean; with fewer than two points both are NaN.
+// worstAndMeanRate returns the highest rate per second of any window, and the mean rate. A window begins at a point and ends at the first
+// point that is 10 s (worstWindow) or more later. If the points cover less than that, both are the mean; with fewer than two points both
+// are NaN.
 func worstAndMeanRate(points []point) (worst, mean float64) {
 	if len(points) < 2 {
 		return math.NaN(), math.NaN()
@@ -810,10 +813,10 @@
 			continue
 		}
 		e.rec.Costs = append(e.rec.Costs, c)
-		if !(c.CPUWorst <= most.CPUWorst) {
+		if !(c.CPUWorst <= most.CPUWorst) { // true for the first voter, which is compared with NaN
 			most = c
 		}
-		if !(c.MB <= mb.MB) {
+		if !(c.MB <= mb.MB) { // the same
 			mb = c
 		}
 	}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -106,7 +106,7 @@
 	Members         = "members" // all members that are not voters
 	EmulatedMembers = "hollow"
 	RealMembers     = "real"
-	VoterGroup      = "keepers" // voters, one after another; restarts only
+	VoterGroup      = "keepers" // the voters; restarts only
 	All             = "all"     // members and voters; restarts only
 )
 
@@ -213,7 +213,7 @@
 	return s, doc.Err()
 }
 
-// checkParams reports cluster parameters with which no cluster could be started.
+// checkParams reports cluster parameters with which no cluster could be started, and keyed requests without holdings.
 func (s *Scenario) checkParams(t *tomlread.Table) {
 	if s.Copies > len(s.zones()) {
 		t.Fail("copies", fmt.Sprint(s.Copies), fmt.Sprintf("as many as there are zones, %d", len(s.zones())))
@@ -282,7 +282,7 @@
 			Delay: d.Duration("by", 200*time.Millisecond, time.Millisecond, 10*time.Second),
 		}
 		if step.At+step.Duration > s.Duration {
-			d.Fail("at", (step.At+step.Duration).String()+" with what stands under for", "a time up to duration")
+			d.Fail("at", (step.At+step.Duration).String()+" (at plus for)", "a time up to duration")
 		}
 		s.checkStep(d, &step)
 		s.Steps = append(s.Steps, step)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings that a balancer gets at its start. The simulator and the sidecar pass the same
-// JSON object, and both decode it here.
+// Package settings decodes the settings with which a balancer starts. The simulator and the sidecar are given the same
+// JSON object, and this package decodes it for both.
 package settings
 
 import (
@@ -50,8 +50,8 @@
 		Peers:          int(o.Float("replicas_of_me")),
 		Zone:           o.Text("az"),
 		OverShareWorth: o.Float("over_share_worth"),
-		MustPoll:       o.Text("membership_mode") == "subscribe",
-		WeightKnown:    weights == "nominal" || weights == "rough",
+		MustPoll:       o.Text("membership_mode") == "subscribe",   // the list comes only when the instance asks for it
+		WeightKnown:    weights == "nominal" || weights == "rough", // either way an endpoint's weight is used as its size
 		HintsWork:      o.Text("worth_by") == "work",
 		Front:          tier == 0,
 		Depth:          max(0, len(o.Array("stages"))-1-tier),
@@ -94,6 +94,8 @@
 	l.MaxRetryAfter = o.Duration("max_retry_after")
 }
 
+// decodeReport decodes how endpoints report their load. A field that loadFields does not name becomes OtherField, which the
+// decision module ignores.
 func decodeReport(o jsonread.Object, r *decide.Report) {
 	r.Mode = jsonread.Enum(o, "how", reportModes)
 	for i, v := range o.Array("fields") {
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -106,7 +106,8 @@
 	return d.errs
 }
 
-// lineIndex returns the line of each key in a text that go-toml accepts.
+// lineIndex returns the lines of the keys in a text that go-toml accepts, except those in inline tables that are elements
+// of an array.
 func lineIndex(text []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{} // of the elements so far, by the path of an array of tables
@@ -134,8 +135,8 @@
 	return lines
 }
 
-// indexKey records the line of a dotted key and returns its path. A key below an array of tables belongs to the array's
-// last element so far.
+// indexKey records the line on which each part of a dotted key first occurs, and returns the key's path. A key below an
+// array of tables belongs to the array's last element so far.
 func indexKey(p *unstable.Parser, it unstable.Iterator, prefix string, lines, counts map[string]int) string {
 	path := prefix
 	for it.Next() {
@@ -186,7 +187,8 @@
 	return there
 }
 
-// Line returns the line of a key, or that of the table if the key is absent.
+// Line returns the line of a key. If none is recorded for the key, it is that of the nearest table or array around it, or
+// else 1.
 func (t *Table) Line(key string) int {
 	for path := joinPath(t.path, key); path != ""; path = parent(path) {
 		if line := t.doc.lines[path]; line > 0 {
@@ -258,7 +260,7 @@
 	}
 }
 
-// Text reads a string of up to 256 bytes.
+// Text reads a string of 1 to 256 bytes.
 func (t *Table) Text(key, defaultValue string) string {
 	const maxBytes = 256
 	allowed := fmt.Sprintf("a text of 1 to %d bytes", maxBytes)
