--- a/internal/lab/harness/hosts.go
+++ b/internal/lab/harness/hosts.go
@@ -15,13 +15,13 @@
 // process needs again.
 //
 // A host belongs to one run at a time, over all labs on the machine: to the run that listens at the host's guard port. Each port
-// is allocated only once, from a range below the one from which the kernel picks ports. When the kernel picked the ports and they
-// were closed before a process listened there, two failures occurred: in one of 6,250 cases the kernel picks the same port for a
-// host again, and a process was configured to listen at one port for two purposes.
+// is allocated only once, from a range below the one from which the kernel picks ports. Two failures came
+// from ports that the kernel picked and that were closed before a process listened there: in one of 6,250 cases the kernel picks
+// the same port for a host again, and a process was then configured to listen at one port for two purposes.
 type hostAllocator struct {
 	mu     sync.Mutex
 	net    int            // second byte of the hosts' addresses
-	next   int            // number of the host that was tried last: third and fourth byte
+	last   int            // number of the host that was tried last: third and fourth byte
 	port   int            // the next port to allocate
 	guards []net.Listener // listeners at the guard ports, until close
 }
@@ -41,7 +41,7 @@
 
 func newHostAllocator() *hostAllocator {
 	pid := os.Getpid()
-	return &hostAllocator{net: firstNet + pid%numNets, next: (pid / numNets % 200) * hostsPerByte, port: firstPort}
+	return &hostAllocator{net: firstNet + pid%numNets, last: (pid / numNets % 200) * hostsPerByte, port: firstPort}
 }
 
 // acquire returns a host that no other run uses.
@@ -49,8 +49,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for range maxHosts {
-		h.next++
-		n := h.next % maxHosts
+		h.last++
+		n := h.last % maxHosts
 		host := fmt.Sprintf("127.%d.%d.%d", h.net, n/hostsPerByte, 1+n%hostsPerByte)
 		guard, err := net.Listen("tcp", net.JoinHostPort(host, strconv.Itoa(guardPort)))
 		if errors.Is(err, syscall.EADDRINUSE) {
