--- a/internal/lab/consistency/consistency.go
+++ b/internal/lab/consistency/consistency.go
@@ -162,7 +162,7 @@
 
 // heldSince returns since when the reports of a process have met a condition, without a break and without a start in between: the
 // time of the answer to the first of these reports. ok is false unless the reports right before and right after the time at both meet
-// the condition.
+// the condition, no start lies between them, and the returned time is not after at.
 func (c *Checker) heldSince(process string, at time.Duration, holds func(s *StatusReport) bool) (from time.Duration, ok bool) {
 	reports := c.reports[process]
 	next, _ := slices.BinarySearchFunc(reports, at, func(s StatusReport, at time.Duration) int { return cmp.Compare(s.At, at) })
--- a/internal/lab/emulated/process.go
+++ b/internal/lab/emulated/process.go
@@ -36,7 +36,7 @@
 	voterAddresses map[string]bool
 	members        []*emulatedMember
 	byName         map[string]*emulatedMember
-	regions        map[string]bool // that an address of the run is in
+	regions        map[string]bool // names of the regions that contain an address of the run
 	cleanup        sync.WaitGroup  // goroutines that stop members that were killed
 	done           chan struct{}   // closed when the process ends
 
@@ -131,11 +131,11 @@
 	p.out.Encode(o) //nolint:errcheck // without a parent nobody can be told, and the end of standard input ends the process
 }
 
-// killAll kills all members and waits, for up to cleanupTimeout, until they have ended.
+// killAll ends checkStates and measureLag, kills all members and waits, for up to cleanupTimeout, until they have ended.
 func (p *process) killAll() {
 	close(p.done)
 	for _, m := range p.members {
-		m.kill() //nolint:errcheck // it has ended already
+		m.kill() //nolint:errcheck // fails only if the member does not run
 	}
 	done := make(chan struct{})
 	go func() {
@@ -192,7 +192,7 @@
 			return err
 		}
 		if err = inst.awaitListening(); err != nil {
-			m.kill() //nolint:errcheck // it was killed in the meantime
+			m.kill() //nolint:errcheck // fails only if the member was killed in the meantime
 		}
 		return err
 	})
@@ -284,8 +284,8 @@
 	return nil
 }
 
-// checkStates reports changes of the members' states until the process ends. It polls: a check costs the loads of a pointer and of the
-// clock.
+// checkStates reports changes of the members' states until the process ends. It polls: a check locks the member and reads
+// its status.
 func (p *process) checkStates() {
 	ticker := time.NewTicker(stateInterval)
 	defer ticker.Stop()
@@ -320,7 +320,7 @@
 	}
 }
 
-// sample returns what the process and the given members of it have cost, and resets the greatest lag.
+// sample returns the resources that the process and the given members have used, and resets the greatest lag.
 func (p *process) sample(members []*emulatedMember) (*Usage, error) {
 	s := &Usage{At: (env.Real{}).BootTime(), Members: map[string]MemberUsage{}}
 	for _, m := range members {
--- a/internal/lab/emulated/timer.go
+++ b/internal/lab/emulated/timer.go
@@ -88,6 +88,7 @@
 	if err != nil {
 		return false
 	}
+	// A timerfd set to 0 would be disarmed.
 	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(max(d, 1)))}
 	if callErr := raw.Control(func(fd uintptr) { err = unix.TimerfdSettime(int(fd), 0, &spec, nil) }); callErr != nil {
 		return false
--- a/internal/lab/faultproxy/proxy.go
+++ b/internal/lab/faultproxy/proxy.go
@@ -15,7 +15,7 @@
 type Proxy struct {
 	listener net.Listener
 	target   string
-	every    int // one of so many answers is written twice
+	every    int // each answer whose number is a multiple of this is written twice
 
 	mu      sync.Mutex
 	answers int
--- a/internal/lab/oracle/liststate.go
+++ b/internal/lab/oracle/liststate.go
@@ -65,7 +65,7 @@
 }
 
 // withdrawnSince returns since when a sidecar knows, or counts as knowing, that an endpoint drains or was removed. known is false if
-// at time now the newest change that it knows of has the endpoint serve, or if it knows of none.
+// the newest change delivered by now lists the endpoint as serving, or if none is delivered by now.
 func (s *listState) withdrawnSince(sidecar, endpoint string, now time.Duration) (since time.Duration, known bool) {
 	list := s.listOf(sidecar)
 	for _, change := range s.changes[endpoint] {
@@ -83,7 +83,8 @@
 	return since, known
 }
 
-// deliveredAt returns when a change was delivered to a sidecar or counts as delivered; false if it neither was nor counts so yet.
+// deliveredAt returns when a change was delivered to a sidecar or counts as delivered, which may be in the future. delivered is false
+// if no such time is known: the change was not delivered, and discovery can't be reached or no limit of Conf applies.
 func (s *listState) deliveredAt(list *sidecarList, change listChange) (at time.Duration, delivered bool) {
 	i := sort.Search(len(list.delivered), func(i int) bool { return list.delivered[i].version >= change.version })
 	if delivered = i < len(list.delivered); delivered {
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -292,8 +292,8 @@
 // checkSentToDrained checks whether an attempt began after the grace period of an endpoint that drains or was removed,
 // counted from when the sidecar learned of it or counts as having learned of it.
 func (c *Checker) checkSentToDrained(q *request, a Arrival) {
-	at, bound := c.listState.withdrawnSince(q.Sidecar, a.Endpoint, a.FirstByte)
-	if !bound {
+	at, known := c.listState.withdrawnSince(q.Sidecar, a.Endpoint, a.FirstByte)
+	if !known {
 		return
 	}
 	if late := a.FirstByte - at - c.conf.DrainGrace - c.conf.Margin; late > 0 {
@@ -329,7 +329,7 @@
 	Rules      map[Rule]int      `json:"rules"`
 	Violations []Violation       `json:"breaks"`   // the first maxViolations of them
 	Sidecars   map[string]*Tally `json:"sidecars"` // by name
-	Open       int               `json:"open"`     // requests that were written and have no outcome
+	Open       int               `json:"open"`     // requests that were written, have no outcome and were not pruned
 	Unknown    int               `json:"unknown"`  // attempts for requests that no client sent
 	Repeats    int               `json:"repeats"`  // effects that clients duplicated by sending one key again
 }
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -106,13 +106,13 @@
 	pick        func(from []decide.Endpoint) decide.EndpointID
 	maxAttempts int     // for each request
 	tokens      float64 // of the retry budget; below 0 for no budget
-	dropEvery   int     // injected fault: one of so many requests is ignored; 0 for none
+	dropEvery   int     // injected fault: each request whose number is a multiple of this is never answered; 0 for none
 	sendTwice   bool    // injected fault: unsafe requests are sent twice
 	ignoreDrain bool    // injected fault: draining endpoints get requests, too
 	arrivals    int
 }
 
-// The retry budget is that of the design, without its minimal refill.
+// The retry budget of the policy least-budget. Unlike that of package decide, it has no refill but that by served attempts.
 const (
 	maxTokens       = 10.0 // tokens at the start, and the most that can be saved
 	tokensPerServed = 0.1  // added for each served attempt
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -91,10 +91,12 @@
 
 // Tenant is a tenant with its share of the load.
 type Tenant struct {
-	Name    string
-	Share   float64
-	Allowed float64 // requests per second within the share of this tenant; 0 for no share
-	Portion float64
+	Name  string
+	Share float64 // part of the load, relative to the other tenants
+	// Allowed is the sidecars' setting allowance_per_s: requests per second, over all sidecars, beyond which a request of the tenant counts
+	// for less. 0 leaves the tenant out of the settings.
+	Allowed float64
+	Portion float64 // the sidecars' setting portion, passed on if Allowed is above 0; package decide does not use it
 }
 
 // Load says how many requests clients send, and how the clients behave.
@@ -112,23 +114,23 @@
 
 // The kinds.
 const (
-	Crash             Kind = "crash"           // endpoints die, and start again after For at the same address
-	Replace           Kind = "replace"         // endpoints die, and others under new names start after For
-	Pause             Kind = "pause"           // endpoints stop working for a while
-	Slow              Kind = "slow"            // endpoints work at Factor of their speed
-	Errors            Kind = "errors"          // endpoints fail a share (Of) of their requests at once
-	Hang              Kind = "hang"            // endpoints accept requests and never answer
-	Silent            Kind = "silent"          // the network of the endpoints' machines is partitioned
-	Refuse            Kind = "refuse"          // endpoints reject all requests
-	TruncatedAnswer   Kind = "half"            // endpoints break off within answers
-	Garbage           Kind = "garbage"         // endpoints answer with something that is not HTTP
-	ExtraBytes        Kind = "surplus"         // endpoints send bytes after their answers
-	Drain             Kind = "drain"           // endpoints drain, and leave after For
-	Release           Kind = "release"         // the tier is replaced, Share of it at a time; each batch drains for For
-	Add               Kind = "add"             // Count cold endpoints join
-	SidecarKill       Kind = "sidecar_kill"    // sidecars are killed, and start again after For
-	SidecarRestart    Kind = "sidecar_restart" // sidecars get SIGTERM, end, and start again after For
-	DiscoveryDown     Kind = "discovery_down"
+	Crash             Kind = "crash"             // endpoints die, and start again after For at the same address
+	Replace           Kind = "replace"           // endpoints die, and others under new names start after For
+	Pause             Kind = "pause"             // endpoints stop working for a while
+	Slow              Kind = "slow"              // endpoints work at Factor of their speed
+	Errors            Kind = "errors"            // endpoints fail a share (Of) of their requests at once
+	Hang              Kind = "hang"              // endpoints accept requests and never answer
+	Silent            Kind = "silent"            // the network of the endpoints' machines is partitioned
+	Refuse            Kind = "refuse"            // endpoints reject all requests
+	TruncatedAnswer   Kind = "half"              // endpoints break off within answers
+	Garbage           Kind = "garbage"           // endpoints answer with something that is not HTTP
+	ExtraBytes        Kind = "surplus"           // endpoints send bytes after their answers
+	Drain             Kind = "drain"             // endpoints drain, and leave after For
+	Release           Kind = "release"           // the tier is replaced, Share of it at a time; each batch drains for For
+	Add               Kind = "add"               // Count cold endpoints join
+	SidecarKill       Kind = "sidecar_kill"      // sidecars are killed, and start again after For
+	SidecarRestart    Kind = "sidecar_restart"   // sidecars get SIGTERM, end, and start again after For
+	DiscoveryDown     Kind = "discovery_down"    // discovery fails all calls for For
 	DiscoveryLag      Kind = "discovery_lag"     // each answer of discovery is delayed by Lag
 	DiscoveryOverload Kind = "discovery_crowded" // discovery refuses each new call after Lag, as if it had too many callers
 	Flood             Kind = "flood"             // requests of Tenant, or of all tenants, times Factor
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -13,7 +13,7 @@
 
 // Conf describes an endpoint.
 type Conf struct {
-	Cores        float64       // so many jobs run at full speed at once; more share the cores
+	Cores        float64       // number of jobs that run at full speed at once; if more run, they share the cores
 	Speed        float64       // seconds of work that a core does in a second
 	Slots        int           // jobs that may run at once
 	Queue        int           // jobs that may wait for a slot; more are rejected
@@ -73,7 +73,7 @@
 	speedFactor float64 // factor of its speed, set by SetSpeed
 	running     jobs
 	queue       []*Job
-	workPerJob  float64 // seconds of work that a job would have had by now if it had run since the start
+	workPerJob  float64 // seconds of work that a job which ran since the start would have received by now
 
 	demand          [demandParts]float64 // seconds of work that arrived, by part of the window, the newest first
 	demandPartStart time.Duration        // beginning of the newest part
@@ -155,7 +155,8 @@
 	return Accepted
 }
 
-// trackOverload notes since when a cold server has been sent more work than FallMultiple allows.
+// trackOverload records since when a cold server has been sent more work per demandWindow than FallMultiple times its present
+// capacity.
 func (s *Server) trackOverload() {
 	if !s.cold || s.conf.FallFor <= 0 {
 		return
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -98,7 +98,7 @@
 	return harness.Run(ctx, s, seed, opts)
 }
 
-// interruptContext returns a context that ends on SIGINT and SIGTERM, so that a run can be ended in order.
+// interruptContext returns a context that ends on SIGINT and SIGTERM, so that a run can end gracefully.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
@@ -167,7 +167,7 @@
 			return err
 		}
 		side := r.Policy
-		if c.By == "dir" {
+		if c.By == "dir" { // the side is the folder above the one that holds the record: runCases writes SIDE/SEED/record.json
 			side = filepath.Dir(filepath.Dir(path))
 		}
 		sides.Add(side, r)
@@ -185,7 +185,8 @@
 	Out      string   `placeholder:"DIR" help:"Folder to keep records in."`
 }
 
-// Run runs all policies for one seed after the other, so that a slow moment of the machine affects all policies alike.
+// Run runs all policies with the first seed, then all with the next one, and so on, so that a slow moment of the machine affects all
+// policies alike.
 func (c *labBaseline) Run(o *command.Out) error {
 	s, err := scenario.LoadFile(c.File)
 	if err != nil {
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -442,7 +442,9 @@
 	return nil
 }
 
-// printTiers prints, for each tier, the requests that its sidecar received and their outcomes.
+// printTiers prints a table with a row for each tier: requests ("asked") and their outcomes ("left": the caller left), attempts (also per
+// request of the tier and of the front), harness.Amplified ("1.1^n"), retries, those that served attempts did not pay for ("floors-paid>="),
+// the parts of the retry budget, latencies and the time left until the deadline ("left-p50") in ms, and what the sidecar used.
 func printTiers(o *command.Out, m *harness.Chain) {
 	requests := float64(max(1, m.Front[1].Requests))
 	fmt.Fprintln(o, "  tier  asked  attempts  per-ask  per-front  1.1^n  served refused failed left  retries  floors-paid>=  budget(start+floor+tenth)"+
--- a/internal/sim/clustersim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -16,7 +16,8 @@
 	inject func(r *run)
 }
 
-// faultKinds returns all kinds of faults. The order is part of what follows from a seed.
+// faultKinds returns all kinds of faults. What a seed does depends on their order. hears_only and leader_hears_only partition the
+// directions to the process, is_heard_only those from it.
 func faultKinds() []faultKind {
 	return []faultKind{
 		{"kill", 6, func(r *run) { r.kill(r.randomProcess()) }},
@@ -42,7 +43,8 @@
 	}
 }
 
-// injectFaults injects a fault picked at random and schedules the next.
+// injectFaults schedules its next call and injects a fault picked at random; none while a voter whose data directory was set back is
+// incomplete.
 func (r *run) injectFaults() {
 	if r.faultsOver {
 		return
@@ -50,7 +52,7 @@
 	r.w.schedule(r.w.randomDuration(r.conf.FaultEvery/4, 7*r.conf.FaultEvery/4), "strike", "", r.injectFaults)
 	for name := range r.incomplete {
 		if r.setBack[name] {
-			return // it must reach the other voters to be recognized; with another fault meanwhile, nothing is guaranteed
+			return // that voter must reach the others, so that they notice; the cluster guarantees nothing if another fault happens meanwhile
 		}
 	}
 	all := faultKinds()
@@ -71,7 +73,8 @@
 	}
 }
 
-// randomProcess picks a process; every other time it is one with a voter.
+// randomProcess picks a running process. With probability 0.5 it picks only among those with a voter's data directory, if any such
+// process runs.
 func (r *run) randomProcess() *process {
 	up := r.running()
 	if r.w.chance(0.5) {
@@ -82,9 +85,9 @@
 	return up[r.w.rng.IntN(len(up))]
 }
 
-// leaderOrRandom returns the leader's process, or any process if no leader can be reached.
+// leaderOrRandom returns the leader's process, or any process if no unpaused process leads.
 func (r *run) leaderOrRandom() *process {
-	if p := r.reachableLeader(); p != nil {
+	if p := r.unpausedLeader(); p != nil {
 		return p
 	}
 	return r.randomProcess()
@@ -103,7 +106,7 @@
 	})
 }
 
-// stopGracefully ends a process in order: it announces that it leaves, and exits 50 ms later.
+// stopGracefully ends a process gracefully: it announces that it leaves, and exits 50 ms later.
 func (r *run) stopGracefully() {
 	p := r.randomProcess()
 	renewal := p.holder.NextRenewal()
@@ -177,7 +180,7 @@
 	r.partition(directions)
 }
 
-// partition partitions directions for a time. Where partitions overlap, the first that heals ends both; another fault follows soon.
+// partition partitions directions for a time. A direction that two partitions share heals with the first of them.
 func (r *run) partition(directions []direction) {
 	for _, d := range directions {
 		r.partitioned[d] = true
@@ -248,7 +251,7 @@
 // pauseLeaderLater schedules a pause of the leader.
 func (r *run) pauseLeaderLater() {
 	r.w.schedule(r.w.randomDuration(400*time.Millisecond, time.Second), "pause leader", "", func() {
-		if p := r.reachableLeader(); p != nil && !r.faultsOver {
+		if p := r.unpausedLeader(); p != nil && !r.faultsOver {
 			r.pause(p, r.w.randomDuration(time.Second, 3*time.Second))
 		}
 	})
@@ -268,7 +271,7 @@
 // leader's side needs that voter for its majority. After the set-back it lacks what that majority agreed on, and could form another
 // majority with the other side, which lacks it too.
 func (r *run) setBackMiddleVoter() {
-	leader := r.reachableLeader()
+	leader := r.unpausedLeader()
 	if !r.votersIntact() || leader == nil || r.conf.Voters < 5 {
 		return
 	}
@@ -323,11 +326,12 @@
 	}
 }
 
-// pauseLeadersInTurn pauses the leader four times, each time for about as long as the election of the next one takes.
+// pauseLeadersInTurn pauses the leader of the moment four times, a second apart, each time for 900 ms: about as long as the election of
+// the next one takes.
 func (r *run) pauseLeadersInTurn() {
 	for i := range 4 {
 		r.w.schedule(time.Duration(i)*time.Second, "churn", "", func() {
-			if p := r.reachableLeader(); p != nil && !r.faultsOver {
+			if p := r.unpausedLeader(); p != nil && !r.faultsOver {
 				r.pause(p, 900*time.Millisecond)
 			}
 		})
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -45,7 +45,8 @@
 	return c
 }
 
-// Options hold what a run needs beside its configuration. Only Bug changes what happens in it.
+// Options hold what a run needs beside its configuration. Bug and FixChecksums change what happens in it,
+// and Only changes which violation ends it.
 type Options struct {
 	Trace, Log io.Writer // receive the steps and the voters' logs; nil for none
 	Bug        Bug
@@ -63,17 +64,17 @@
 const (
 	CountsFromAnswer        Bug = "a member counts its lease from the answer"
 	ClockStops              Bug = "a member's clock stops while its machine is suspended"
-	SlowClock               Bug = "a member's clock is slower than the terms allow"
+	SlowClock               Bug = "a member's clock is slower than the cluster parameters allow"
 	SameToken               Bug = "a second process of a name comes with the first one's token"
-	IgnoresEpoch            Bug = "a leader grants what is asked for under an older epoch"
+	IgnoresEpoch            Bug = "a leader treats a renewal from an older epoch as one from the present epoch"
 	DropsBans               Bug = "a member that is cut off drops the bans"
-	ConfirmsWithoutMajority Bug = "a leader takes itself for confirmed without a majority"
-	ReportsEarly            Bug = "a leader tells a proposal's number before it is agreed on"
-	AcksBeforeSync          Bug = "a disk says yes before a write is durable"
-	TrustsOldDirectory      Bug = "a folder that was set back is trusted at once"
-	KeepsOldID              Bug = "an empty folder comes back under the id of the lost one"
-	AcceptsStaleMessages    Bug = "a folder takes word that was for the one before it"
-	StopsSending            Bug = "a keeper says nothing more to one that it could not reach once"
+	ConfirmsWithoutMajority Bug = "a leader counts heartbeats as acknowledged that no voter has acknowledged"
+	ReportsEarly            Bug = "a leader reports a version's number before the version is agreed on"
+	AcksBeforeSync          Bug = "a disk acknowledges writes before they are durable"
+	TrustsOldDirectory      Bug = "a data directory that was set back is trusted at once"
+	KeepsOldID              Bug = "an empty data directory gets the id of the lost one"
+	AcceptsStaleMessages    Bug = "a voter accepts messages that were for its earlier data directory"
+	StopsSending            Bug = "a voter stops sending to another voter after a call to it failed"
 	OmitsChange             Bug = "a delta lacks a change"
 	ReappliesDelta          Bug = "a delta is applied again after a later one"
 	WrongBase               Bug = "a delta starts from a later state than it says"
@@ -108,7 +109,7 @@
 	Faults          map[string]int  // injected, by kind
 	Versions        int             // number of versions whose number was reported to the proposer
 	ActivationTimes []time.Duration // from each proposal to the first ledger in which the version is active
-	LeaderlessTimes []time.Duration // lengths of the times without a reachable leader
+	LeaderlessTimes []time.Duration // lengths of the times in which no unpaused process led
 	CautiousShare   float64         // share of the members' time in which they were cautious
 	UnknownOutcomes int             // number of proposals whose outcome is unknown
 	SettleTime      time.Duration   // from the end of all faults until the cluster was settled
@@ -149,7 +150,7 @@
 	history                   history
 	documents                 documentState
 	result                    Result
-	leaderlessFor             time.Duration // how long there has been no reachable leader
+	leaderlessFor             time.Duration // how long no unpaused process has led
 	usualLatency, slowLatency time.Duration // longest latency of most messages, and of a few slow ones
 	samples, cautiousSamples  int
 }
@@ -409,7 +410,7 @@
 
 // recordGrant records a grant as a read of the versions, for the check of linearizability.
 func (r *run) recordGrant(p *process, sentAt time.Duration, g *cluster.Grant, err error) {
-	// The answers of a few members are enough for the check; each member renews eight times per lease.
+	// Only the grants of a few members are recorded. They are enough for the check, since each member renews eight times per lease.
 	if i := slices.Index(r.names, p.name); i%max(4, len(r.names)/8) != 0 || err != nil || !g.Granted && !g.RetryNow {
 		return
 	}
@@ -420,8 +421,9 @@
 	r.history.add(p.id, sentAt, r.w.now, clientCall{}, result)
 }
 
-// reachableLeader returns the leader's process, that of the newest term if several lead; nil if none leads or it is paused.
-func (r *run) reachableLeader() *process {
+// unpausedLeader returns the leader's process, that of the newest term if several lead; nil if no unpaused process leads. A leader that
+// is partitioned counts too.
+func (r *run) unpausedLeader() *process {
 	var best *process
 	newest := uint64(0)
 	for _, p := range r.running() {
@@ -437,7 +439,7 @@
 
 // sample measures how long there is no leader, and how many members are cautious.
 func (r *run) sample() {
-	if r.reachableLeader() == nil {
+	if r.unpausedLeader() == nil {
 		r.leaderlessFor += sampleInterval
 	} else if r.leaderlessFor > 0 {
 		r.result.LeaderlessTimes = append(r.result.LeaderlessTimes, r.leaderlessFor)
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -57,7 +57,7 @@
 
 // viewIsCurrent reports whether a member has the members and the placement of the leader's present ledger.
 func (r *run) viewIsCurrent(p *process) bool {
-	leader := r.reachableLeader()
+	leader := r.unpausedLeader()
 	if leader == nil {
 		return false
 	}
--- a/internal/sim/models.go
+++ b/internal/sim/models.go
@@ -541,6 +541,8 @@
 	class := k.s.classes[a.Class]
 	k.sentAt = k.s.now()
 	until := k.sentAt + class.Deadline
+	// The sidecar's deadline counts from the arrival of the request (pipeline/takein.go), at most two latencies from now: the second
+	// part of a split message takes one more (conn.enqueue).
 	k.s.checker.RequestBegun(oracle.Request{ID: a.ID, Sidecar: k.c.proc.sidecarName(), Effect: class.Effect, Key: a.Key, Deadline: until + maxLatency*2})
 	k.s.checker.RequestWritten(a.ID)
 	k.s.unanswered[k] = true
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// peerClose closes the peer's end, in order or with a reset.
+// peerClose closes the peer's end, by a FIN or by a reset.
 func (c *conn) peerClose(reset bool) {
 	c.w.mu.Lock()
 	defer c.w.mu.Unlock()
@@ -265,9 +265,11 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if n := c.proc.lastAnsweredConn; n != nil && !n.closed && c.dialedAddress != "" && !c.eof && !c.reset {
-		n.enqueue(&n.toPeer, segment{bytes: c.proc.lastAnswer})
-		n.scheduleDelivery()
+	// Injected bug repeatAnswerOnCancel: when the sidecar closes a dialed connection that the peer has not ended, the bytes that it
+	// wrote last to a caller are written again.
+	if caller := c.proc.lastAnsweredConn; caller != nil && !caller.closed && c.dialedAddress != "" && !c.eof && !c.reset {
+		caller.enqueue(&caller.toPeer, segment{bytes: c.proc.lastAnswer})
+		caller.scheduleDelivery()
 	}
 	if c.dialedAddress != "" && c.bytesInFlight > 0 {
 		c.w.rareEvents[CancelWhileSending]++
@@ -295,7 +297,7 @@
 	return c.closed || c.reset || c.eof
 }
 
-// addr is the net.Addr of a simulated endpoint.
+// addr is the net.Addr of a process's address, or of a connection's id.
 type addr string
 
 // Network implements net.Addr.
--- a/internal/sim/process.go
+++ b/internal/sim/process.go
@@ -27,7 +27,7 @@
 
 	// Bugs that tests inject into the process's connections.
 	resendOnReset        bool  // when a connection that the process dialed is reset, its unanswered message is sent again
-	repeatAnswerOnCancel bool  // when the process closes a connection that it dialed, the last answer to a caller is written again
+	repeatAnswerOnCancel bool  // when the process closes a dialed connection that its peer has not ended, the bytes written last to a caller are written again
 	lastAnsweredConn     *conn // the connection of a caller that was written to last, with the bytes of that write
 	lastAnswer           []byte
 }
@@ -197,8 +197,9 @@
 	return c, nil
 }
 
-// resendUnanswered implements the injected bug resendOnReset: it sends the unanswered message of a
-// connection that was reset once more, on a new connection, without asking the module.
+// resendUnanswered implements the injected bug resendOnReset: after a reset of a connection,
+// it sends the unanswered message again, on a new connection, without a decision by package decide. The
+// caller holds w.mu.
 func (p *Process) resendUnanswered(from *conn) {
 	other := p.route(from.dialedAddress)
 	if other == nil || len(from.unanswered) == 0 {
