--- a/decide/coldstart_test.go
+++ b/decide/coldstart_test.go
@@ -59,8 +59,8 @@
 	set.Classes[0].Aim, set.Classes[0].Deadline = 800*ms, 3*time.Second
 	set.Rules.ColdShare = between(0.12, 0.35)
 	set.Rules.ColdTime = time.Duration(between(8, 24) * float64(time.Second))
-	set.Rules.FallMultiple = float64(2 + r.IntN(3))
-	set.Rules.FallWindow = time.Duration(1+r.IntN(3)) * time.Second
+	set.Rules.OverloadMultiple = float64(2 + r.IntN(3))
+	set.Rules.OverloadWindow = time.Duration(1+r.IntN(3)) * time.Second
 	set.Limits.MaxAttempts, set.Limits.Hedging = 4, r.IntN(2) == 0
 	set.WeightKnown, set.Front, set.Depth = r.IntN(3) > 0, r.IntN(3) > 0, r.IntN(3)
 	if r.IntN(4) == 0 {
@@ -425,14 +425,14 @@
 }
 
 // fullestWindow returns the largest sum of work that an endpoint was sent in a window, as a part of what overloads it. The settings allow N
-// requests of mean work: FallMultiple times the present capacity, taken at the window's start, when it is least.
+// requests of mean work: OverloadMultiple times the present capacity, taken at the window's start, when it is least.
 func (f *coldFleet) fullestWindow(e *coldEndpoint) (worst float64, details string) {
 	rules := f.set.Rules
 	for i, first := range e.sends {
-		n := rules.FallMultiple * f.present(e, first.at) * f.ratePerEndpoint * e.size * rules.FallWindow.Seconds()
+		n := rules.OverloadMultiple * f.present(e, first.at) * f.ratePerEndpoint * e.size * rules.OverloadWindow.Seconds()
 		sum, senders := 0.0, map[int]bool{}
 		for _, s := range e.sends[i:] {
-			if s.at-first.at >= rules.FallWindow || s.at-e.listed.Started >= rules.ColdTime {
+			if s.at-first.at >= rules.OverloadWindow || s.at-e.listed.Started >= rules.ColdTime {
 				break
 			}
 			sum, senders[s.by] = sum+s.work, true
@@ -508,7 +508,7 @@
 			granted := map[*endpoint]Time{}
 			return func(now Time, b *Balancer, _ *Event) {
 				cold(b, func(e *endpoint) {
-					if at, ok := granted[e]; !ok || now-at >= b.settings.Rules.FallWindow {
+					if at, ok := granted[e]; !ok || now-at >= b.settings.Rules.OverloadWindow {
 						granted[e], e.credit = now, max(e.credit, 1)
 					}
 				})
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -35,8 +35,8 @@
 		OverShareWorth: 0.05,
 		Limits:         Limits{Cancel: true, MaxAttempts: 4, RetryAfter: true, MaxRetryAfter: time.Second},
 		Rules: Rules{
-			AnswerSlack: 20 * ms, AskEvery: 10 * time.Second, ColdShare: 0.2, ColdTime: 10 * time.Second,
-			FallMultiple: 3, FallWindow: 2 * time.Second, DrainGrace: time.Second,
+			AnswerSlack: 20 * ms, PollEvery: 10 * time.Second, ColdShare: 0.2, ColdTime: 10 * time.Second,
+			OverloadMultiple: 3, OverloadWindow: 2 * time.Second, DrainGrace: time.Second,
 		},
 	}
 }
@@ -455,7 +455,7 @@
 	}
 }
 
-// A cold endpoint gets no more than FallMultiple times its present part of what a warm one gets, however much traffic there is.
+// A cold endpoint gets no more than OverloadMultiple times its present part of what a warm one gets, however much traffic there is.
 func TestColdEndpointIsNotOverloaded(t *testing.T) {
 	const perSecond = 100
 	set := testSettings()
@@ -481,9 +481,9 @@
 	for range 4 {
 		s.b.now = s.now
 		present := s.b.capacity(s.b.endpoints.byID[1])
-		got := run(set.Rules.FallWindow)
-		warm := float64(perSecond) / (1 + from) * set.Rules.FallWindow.Seconds()
-		if limit := set.Rules.FallMultiple * present * warm; float64(got) > limit {
+		got := run(set.Rules.OverloadWindow)
+		warm := float64(perSecond) / (1 + from) * set.Rules.OverloadWindow.Seconds()
+		if limit := set.Rules.OverloadMultiple * present * warm; float64(got) > limit {
 			t.Errorf("%d requests in a window, more than %v, at %v of its capacity", got, limit, present)
 		}
 		if got == 0 {
@@ -987,7 +987,7 @@
 func TestGoneEndpointServesOnWhereGoneDoesNotBind(t *testing.T) {
 	set := testSettings()
 	set.Limits.MaxAttempts = 9
-	set.Rules.GoneMayServe = true
+	set.Rules.RemovalNotBinding = true
 	s := start(t, set, two()...)
 	s.event(Event{Kind: ListReplaced, Endpoints: two()[:1]})
 	s.expect(s.arrive(1, "read"), Send)
--- a/decide/membership.go
+++ b/decide/membership.go
@@ -80,7 +80,7 @@
 // markGone records that an endpoint was reported gone. Where only draining binds, it goes on serving, after
 // all others, until an attempt at it fails.
 func (b *Balancer) markGone(e *endpoint) {
-	if b.settings.Rules.GoneMayServe && e.state == Active {
+	if b.settings.Rules.RemovalNotBinding && e.state == Active {
 		e.absentSince = cmp.Or(e.absentSince, b.now)
 		return
 	}
--- a/decide/module_test.go
+++ b/decide/module_test.go
@@ -18,7 +18,7 @@
 )
 
 // decidesNothing are the files that hold no decisions: they need not stand under policy in the deploy file.
-var decidesNothing = []string{"audit.go", "reason.go", "ruling.go", "timers.go", "types.go"}
+var decidesNothing = []string{"audit.go", "dynamic.go", "reason.go", "timers.go", "types.go"}
 
 func TestModuleStaysReadable(t *testing.T) {
 	deploy, err := tomlread.Load(filepath.Join("..", "deploy", "balancer.toml"))
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -110,7 +110,7 @@
 		if b.anyMayTake(r) {
 			b.addWaiting(r)
 		} else {
-			b.giveUp(r, NothingMayTake)
+			b.giveUp(r, NoEndpointAllowed)
 		}
 		return
 	}
@@ -255,7 +255,7 @@
 	}
 	reason := NoTimeLeft
 	if len(r.attempts) == 0 {
-		reason = HeldTooLong
+		reason = QueuedTooLong
 		if b.now-r.arrivedAt > graceTolerance {
 			b.admission.unplaced += smoothingGain * (1 - b.admission.unplaced)
 		}
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -90,7 +90,7 @@
 	case b.now >= b.lastUseful(r):
 		return NoTimeLeft
 	}
-	return NothingMayTake
+	return NoEndpointAllowed
 }
 
 // sendReason returns why the newest attempt of a request was sent, if it is not the first.
@@ -99,7 +99,7 @@
 	case len(r.attempts) < 2:
 		return NoReason
 	case r.unsettled > 1:
-		return Copied
+		return Hedged
 	}
 	return Retried
 }
--- a/decide/types.go
+++ b/decide/types.go
@@ -159,15 +159,15 @@
 type Rules struct {
 	AnswerSlack time.Duration // a final answer may come this much after the client's deadline
 	// When the instance has not polled for this long, changes of the list count as delivered.
-	AskEvery  time.Duration
+	PollEvery time.Duration
 	ColdShare float64       // a starting endpoint has at least this part of its capacity
 	ColdTime  time.Duration // and has all of it after this time
-	// A cold endpoint is overloaded when it is sent more than FallMultiple times its present capacity for
-	// FallWindow.
-	FallMultiple float64
-	FallWindow   time.Duration
-	DrainGrace   time.Duration // sends to a draining endpoint must end within this time
-	GoneMayServe bool          // only draining binds: an endpoint reported gone, or left out, may serve on
+	// A cold endpoint is overloaded when it is sent more than OverloadMultiple times its present capacity for
+	// OverloadWindow.
+	OverloadMultiple  float64
+	OverloadWindow    time.Duration
+	DrainGrace        time.Duration // sends to a draining endpoint must end within this time
+	RemovalNotBinding bool          // only draining binds: an endpoint reported gone, or left out, may serve on
 }
 
 // EndpointState is what the list reports of an endpoint.
@@ -307,8 +307,8 @@
 		name string
 		d    time.Duration
 	}{
-		{"answer slack", r.AnswerSlack}, {"ask every", r.AskEvery}, {"cold time", r.ColdTime},
-		{"fall window", r.FallWindow}, {"drain grace", r.DrainGrace},
+		{"answer slack", r.AnswerSlack}, {"ask every", r.PollEvery}, {"cold time", r.ColdTime},
+		{"fall window", r.OverloadWindow}, {"drain grace", r.DrainGrace},
 	} {
 		if f.d < 0 {
 			return fmt.Errorf("rules: %s: %v is negative", f.name, f.d)
--- a/internal/cluster/bench_test.go
+++ b/internal/cluster/bench_test.go
@@ -56,7 +56,7 @@
 			if placement == nil {
 				placement = &holdings.Placement{}
 			}
-			return placement.Plan(&holdings.PlacementInput{Members: l.Membership(), Copies: 2, Lost: func(int) bool { return false }})
+			return placement.Plan(&holdings.PlacementInput{Members: l.Membership(), Copies: 2, CountsAsLost: func(int) bool { return false }})
 		}
 		l.Apply(&Entry{ReplicaChanges: plan(), Epoch: l.Epoch})
 		for _, part := range []struct {
--- a/internal/cluster/delta_test.go
+++ b/internal/cluster/delta_test.go
@@ -133,13 +133,13 @@
 		if fullViews != c.whole || toAlter != 0 {
 			t.Errorf("%d deltas altered: the full view was received %d times, not %d; %d were not altered yet", c.spoils, fullViews, c.whole, toAlter)
 		}
-		if takes := member.holder.NextRenewal().Takes; (takes == 0) != (c.spoils > 1) {
+		if takes := member.holder.NextRenewal().DeltaFormat; (takes == 0) != (c.spoils > 1) {
 			t.Errorf("%d deltas altered: the member accepts deltas of format %d", c.spoils, takes)
 		}
 	}
 	f.changeLeader()
 	f.run(time.Second)
-	if member.holder.NextRenewal().Takes == 0 {
+	if member.holder.NextRenewal().DeltaFormat == 0 {
 		t.Error("the member accepts no deltas of a new leader either")
 	}
 }
--- a/internal/cluster/fleet_test.go
+++ b/internal/cluster/fleet_test.go
@@ -195,7 +195,7 @@
 		if next.Err != nil {
 			f.t.Fatal(next.Err)
 		}
-		if me, view := m.holder.Incarnation(), m.holder.View(); view.Placement != nil && me != (holdings.Incarnation{}) && (me != m.me || !view.Is(&m.view)) {
+		if me, view := m.holder.Incarnation(), m.holder.View(); view.Placement != nil && me != (holdings.Incarnation{}) && (me != m.me || !view.SameAs(&m.view)) {
 			m.me, m.view = me, view
 			m.store.ApplyView(f.now, me, view.Placement, view.Members)
 		}
@@ -209,7 +209,7 @@
 // renew passes a renewal to the leader and returns its answer, both encoded and decoded as on the wire.
 func (f *fleet) renew(m *fleetMember, r *cluster.Renewal) *cluster.Grant {
 	if m.acceptsNoDeltas {
-		r.Takes = 0
+		r.DeltaFormat = 0
 	}
 	body, err := cbor.Marshal(r)
 	if err != nil {
@@ -230,7 +230,7 @@
 		f.t.Fatal(err)
 	}
 	if f.leaderSendsNoDeltas {
-		received.Takes = 0
+		received.DeltaFormat = 0
 	}
 	grant := f.lessor.Renew(f.now, f.ledger, &received)
 	answer, err := cbor.Marshal(voter.RenewResult{Grant: &grant})
--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -64,12 +64,12 @@
 // NextRenewal returns the renewal to send now. The caller notes the time before sending it and passes it to HandleGrant.
 func (h *LeaseHolder) NextRenewal() Renewal {
 	r := Renewal{Member: h.Self, ParamsHash: h.params.Hash(), Epoch: h.epoch, Checked: h.checked, Refusal: h.refusal,
-		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.lastEcho, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, Takes: deltaFormat}
+		Prepared: h.prepared, HasActive: h.active.Number, LastEcho: h.lastEcho, CaughtUp: h.CaughtUp, Unreachable: h.Unreachable, Decommissioning: h.Decommissioning, DeltaFormat: deltaFormat}
 	if h.view.Placement != nil && h.deltaFailures != 1 {
 		r.HasMembership, r.HasPlacement = h.view.Epoch, h.view.Placement.Number
 	}
 	if h.deltaFailures >= maxDeltaFailures {
-		r.Takes = 0
+		r.DeltaFormat = 0
 	}
 	if h.next != nil {
 		r.HasNext = h.next.Number
--- a/internal/cluster/lessor.go
+++ b/internal/cluster/lessor.go
@@ -34,8 +34,8 @@
 	// Decommissioning means that the member will leave once its replicas are elsewhere; Unreachable lists the peers that it can't reach.
 	Decommissioning bool                   `cbor:"22,keyasint,omitempty"`
 	Unreachable     []holdings.Incarnation `cbor:"23,keyasint,omitempty"`
-	// Takes is the format of deltas that the member accepts, deltaFormat; 0 for none, as sent by builds that predate deltas.
-	Takes uint64 `cbor:"24,keyasint,omitempty"`
+	// DeltaFormat is the format of deltas that the member accepts, deltaFormat; 0 for none, as sent by builds that predate deltas.
+	DeltaFormat uint64 `cbor:"24,keyasint,omitempty"`
 }
 
 // deltaFormat is the format of deltas that this build sends and accepts: the fields of a holdings.Delta and what its checksum covers.
@@ -251,7 +251,7 @@
 		le.encoded.checksum = le.encoded.view.Checksum()
 	}
 	cached := &le.encoded
-	if r.Takes != deltaFormat {
+	if r.DeltaFormat != deltaFormat {
 		if cached.membership == nil {
 			cached.membership, cached.placement = mustEncode(cached.view.Members), mustEncode(cached.view.Placement)
 		}
@@ -369,8 +369,8 @@
 		caughtUp = append(caughtUp, le.caughtUp[name]...)
 	}
 	changes := placement.Plan(&holdings.PlacementInput{
-		Members: l.Membership(), Copies: le.params.Holdings.Copies, CaughtUp: caughtUp, Leaving: le.decommissioningMembers(l), Unreachable: le.unreachablePairs(l),
-		Lost: func(shard int) bool {
+		Members: l.Membership(), Copies: le.params.Holdings.Copies, CaughtUp: caughtUp, Decommissioning: le.decommissioningMembers(l), Unreachable: le.unreachablePairs(l),
+		CountsAsLost: func(shard int) bool {
 			since, dead := le.deadSince[shard]
 			return dead && now >= since+le.params.Holdings.LostAfter
 		},
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -111,7 +111,7 @@
 	if view.Placement == nil || me == (holdings.Incarnation{}) {
 		return
 	}
-	if !view.Is(&hs.view) || me != hs.me {
+	if !view.SameAs(&hs.view) || me != hs.me {
 		hs.me, hs.view = me, view
 		hs.addresses = map[holdings.Incarnation]string{}
 		for _, m := range view.Members {
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -325,9 +325,9 @@
 	return m.holdings
 }
 
-// Leaving implements lifecycle.Cluster: further renewals ask the leader to move this sidecar's replicas to other members. Without holdings
+// Decommission implements lifecycle.Cluster: further renewals ask the leader to move this sidecar's replicas to other members. Without holdings
 // it does nothing.
-func (m *Member) Leaving() {
+func (m *Member) Decommission() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.holder.Decommissioning = m.holdings != nil
@@ -335,7 +335,7 @@
 
 // leaveReplicas waits, for at most decommissionTimeout, until other members have taken over this sidecar's replicas.
 func (m *Member) leaveReplicas() {
-	m.Leaving()
+	m.Decommission()
 	for deadline := m.env.Now().Add(decommissionTimeout); m.env.Now().Before(deadline); m.env.Sleep(holdingsTick) {
 		if m.holdings.countReplicas() == 0 || m.Effective().Cautious {
 			return
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -566,7 +566,7 @@
 			return fmt.Errorf("the folder of %s was replaced: it takes no part any more; move it away and start again", from)
 		}
 		if c.node == nil { // an empty data directory that replaces a lost one
-			if c.store.identity.Set != nil {
+			if c.store.identity.FormingSet != nil {
 				continue // it waits for the others to form the cluster
 			}
 			if err := c.startRaft(); err != nil {
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -26,19 +26,19 @@
 type Announcement struct {
 	Name       string            `cbor:"1,keyasint"`
 	ID         uint64            `cbor:"2,keyasint"`
-	Set        map[string]uint64 `cbor:"3,keyasint,omitempty"`
+	FormingSet map[string]uint64 `cbor:"3,keyasint,omitempty"`
 	Begun      bool              `cbor:"4,keyasint,omitempty"`
 	ParamsHash string            `cbor:"5,keyasint"`
 	// Needed by a voter that starts with an existing data directory: see startcheck.go.
-	Term uint64                      `cbor:"6,keyasint,omitempty"`
-	End  logEnd                      `cbor:"7,keyasint"`
-	Seen map[uint64]observedProgress `cbor:"8,keyasint,omitempty"`
+	Term     uint64                      `cbor:"6,keyasint,omitempty"`
+	End      logEnd                      `cbor:"7,keyasint"`
+	Observed map[uint64]observedProgress `cbor:"8,keyasint,omitempty"`
 }
 
 // Announcement returns this voter's announcement.
 func (c *Core) Announcement() Announcement {
-	a := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, Set: maps.Clone(c.store.identity.Set), Begun: c.node != nil && len(c.ledger.Voters) > 0,
-		ParamsHash: c.conf.Params.Hash(), End: c.logEnd(), Seen: maps.Clone(c.observed)}
+	a := Announcement{Name: c.conf.Name, ID: c.store.identity.ID, FormingSet: maps.Clone(c.store.identity.FormingSet), Begun: c.node != nil && len(c.ledger.Voters) > 0,
+		ParamsHash: c.conf.Params.Hash(), End: c.logEnd(), Observed: maps.Clone(c.observed)}
 	if c.node != nil {
 		a.Term = c.node.BasicStatus().HardState.GetTerm()
 	}
@@ -87,11 +87,11 @@
 
 // tryForm takes the next step of forming a cluster, if the announcements allow one.
 func (c *Core) tryForm() error {
-	ownSet := c.store.identity.Set
+	ownSet := c.store.identity.FormingSet
 	for _, other := range c.announcements {
 		// The cluster is formed, or about to be, with a data directory of this voter that was lost: this one must replace it. Guards
 		// against a new voter that forms a second cluster with voters that have replaced the first ones.
-		if (other.Set != nil || other.Begun) && other.Set[c.conf.Name] != c.store.identity.ID {
+		if (other.FormingSet != nil || other.Begun) && other.FormingSet[c.conf.Name] != c.store.identity.ID {
 			return nil
 		}
 	}
@@ -104,7 +104,7 @@
 			set[name] = other.ID
 		}
 		for _, other := range c.announcements {
-			if other.ParamsHash != c.conf.Params.Hash() || other.Set != nil && !maps.Equal(other.Set, set) {
+			if other.ParamsHash != c.conf.Params.Hash() || other.FormingSet != nil && !maps.Equal(other.FormingSet, set) {
 				return nil
 			}
 		}
@@ -115,7 +115,7 @@
 	}
 	sameSet, begun := 0, false
 	for _, other := range c.announcements {
-		if maps.Equal(other.Set, ownSet) {
+		if maps.Equal(other.FormingSet, ownSet) {
 			sameSet++
 			begun = begun || other.Begun
 		}
@@ -156,7 +156,7 @@
 // first one while that one is running.
 func (c *Core) replaceVoter(a Announcement) {
 	previousID, known := c.ledger.Voters[a.Name]
-	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.Set != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
+	if c.raftState != raft.StateLeader || !known || previousID == a.ID || a.FormingSet != nil || c.changingVoters(0) || c.pendingMark != 0 || !c.appliedOwnTerm() {
 		return
 	}
 	if p, ok := c.node.Status().Progress[previousID]; ok && p.RecentActive {
--- a/internal/cluster/voter/startcheck.go
+++ b/internal/cluster/voter/startcheck.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if seen := a.Seen[c.store.identity.ID]; seen.Term > hard.GetTerm() || seen.Term == hard.GetTerm() && seen.Index > c.logEnd().Index {
+	if seen := a.Observed[c.store.identity.ID]; seen.Term > hard.GetTerm() || seen.Term == hard.GetTerm() && seen.Index > c.logEnd().Index {
 		return fmt.Errorf("this folder ends at entry %d of term %d, and %s knows that it held entry %d and term %d: it was set back to an earlier copy",
 			c.logEnd().Index, hard.GetTerm(), a.Name, seen.Index, seen.Term)
 	}
@@ -123,7 +123,7 @@
 // and another lost, for which nothing is guaranteed.
 func (c *Core) dropLostLogEnd(a Announcement) {
 	previousID := c.ledger.Voters[a.Name]
-	if _, required := c.requiredLogEnds[a.Name]; !required || a.ID == previousID || a.Set != nil || a.Begun {
+	if _, required := c.requiredLogEnds[a.Name]; !required || a.ID == previousID || a.FormingSet != nil || a.Begun {
 		return
 	}
 	if c.clock.Now().Sub(c.lastHeard[previousID]) > 2*electionTicks*TickEvery {
--- a/internal/cluster/voter/startcheck_test.go
+++ b/internal/cluster/voter/startcheck_test.go
@@ -48,14 +48,14 @@
 func TestSetBackDataDirIsDetected(t *testing.T) {
 	for name, seen := range map[string]observedProgress{"it held more": {Term: 4, Index: 9}, "it spoke in a later term": {Term: 5, Index: 5}} {
 		core := startedVoter(t)
-		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Seen: map[uint64]observedProgress{core.store.identity.ID: seen}})
+		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Observed: map[uint64]observedProgress{core.store.identity.ID: seen}})
 		if core.failure == nil || !strings.Contains(core.failure.Error(), "set back to an earlier copy") {
 			t.Errorf("%s: %v", name, core.failure)
 		}
 	}
 	for name, seen := range map[string]observedProgress{"it is as it was": {Term: 4, Index: 5}, "what it held more of was overwritten since": {Term: 3, Index: 9}} {
 		core := startedVoter(t)
-		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Seen: map[uint64]observedProgress{core.store.identity.ID: seen}})
+		core.HandleAnnouncement(Announcement{Name: "b", ID: 2, ParamsHash: core.conf.Params.Hash(), Observed: map[uint64]observedProgress{core.store.identity.ID: seen}})
 		if core.failure != nil {
 			t.Errorf("%s: %v", name, core.failure)
 		}
--- a/internal/cluster/voter/store.go
+++ b/internal/cluster/voter/store.go
@@ -46,14 +46,14 @@
 
 // Identity says to which voter of which cluster a data directory belongs.
 type Identity struct {
-	Format int    `cbor:"1,keyasint"`
-	Crew   string `cbor:"2,keyasint"`
-	Name   string `cbor:"3,keyasint"`
+	Format  int    `cbor:"1,keyasint"`
+	Cluster string `cbor:"2,keyasint"`
+	Name    string `cbor:"3,keyasint"`
 	// ID is drawn at random when the data directory is created: a voter that has lost its directory must not come back under the old
 	// id, because it may have voted under it.
 	ID uint64 `cbor:"4,keyasint"`
-	// Set holds the ids, by name, of the voters that formed the cluster. Once saved it does not change.
-	Set map[string]uint64 `cbor:"5,keyasint,omitempty"`
+	// FormingSet holds the ids, by name, of the voters that formed the cluster. Once saved it does not change.
+	FormingSet map[string]uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // store is a voter's data directory.
@@ -119,7 +119,7 @@
 			if !hasNoRaftData(tx) {
 				return fmt.Errorf("%w: votes or entries, and no identity that says whose they are", errDamaged)
 			}
-			s.identity = Identity{Format: storeFormat, Crew: cluster, Name: name, ID: newID()}
+			s.identity = Identity{Format: storeFormat, Cluster: cluster, Name: name, ID: newID()}
 			return s.putIdentity(tx)
 		}
 		if err := cbor.Unmarshal(content, &s.identity); err != nil {
@@ -128,8 +128,8 @@
 		switch {
 		case s.identity.Format != storeFormat:
 			return fmt.Errorf("of format %d; this build reads %d", s.identity.Format, storeFormat)
-		case s.identity.Crew != cluster || s.identity.Name != name:
-			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Crew, name, cluster)
+		case s.identity.Cluster != cluster || s.identity.Name != name:
+			return fmt.Errorf("belongs to %q of the crew %q, not to %q of %q", s.identity.Name, s.identity.Cluster, name, cluster)
 		}
 		return nil
 	})
@@ -223,7 +223,7 @@
 
 // saveSet saves the ids of the voters that form the cluster.
 func (s *store) saveSet(set map[string]uint64) error {
-	s.identity.Set = set
+	s.identity.FormingSet = set
 	return s.disk.Update(s.putIdentity)
 }
 
--- a/internal/holdings/delta.go
+++ b/internal/holdings/delta.go
@@ -117,7 +117,7 @@
 // ChangedShard is the present state of a shard that changed.
 type ChangedShard struct {
 	Shard int   `cbor:"1,keyasint"`
-	Of    Shard `cbor:"2,keyasint"`
+	State Shard `cbor:"2,keyasint"`
 }
 
 // Delta returns the delta from an earlier state, given by its epoch and placement number (0 for none), to the ledger's present state.
@@ -183,9 +183,11 @@
 	return View{epoch, members, placement}
 }
 
-// Is reports whether two views have the same epoch and share one placement in memory, so that nothing changed between them. The epoch is
+// SameAs reports whether two views have the same epoch and share one placement in memory, so that nothing changed between them. The epoch is
 // compared because members may change while the placement stays the same.
-func (v *View) Is(other *View) bool { return v.Epoch == other.Epoch && v.Placement == other.Placement }
+func (v *View) SameAs(other *View) bool {
+	return v.Epoch == other.Epoch && v.Placement == other.Placement
+}
 
 func byName(a, b Member) int { return cmp.Compare(a.Name, b.Name) }
 
@@ -237,7 +239,7 @@
 		}
 		p.Number = d.Number
 		for _, s := range d.Shards {
-			p.Shards[s.Shard] = s.Of
+			p.Shards[s.Shard] = s.State
 		}
 		next.Placement = &p
 	}
--- a/internal/holdings/delta_test.go
+++ b/internal/holdings/delta_test.go
@@ -127,7 +127,7 @@
 					c := *d // a deep copy, as an encoded message is
 					c.Joined, c.Gone, c.Shards = slices.Clone(d.Joined), slices.Clone(d.Gone), slices.Clone(d.Shards)
 					for i := range c.Shards {
-						c.Shards[i].Of.Replicas = slices.Clone(c.Shards[i].Of.Replicas)
+						c.Shards[i].State.Replicas = slices.Clone(c.Shards[i].State.Replicas)
 					}
 					m.inFlight = append(m.inFlight, &c)
 				}
--- a/internal/holdings/model_test.go
+++ b/internal/holdings/model_test.go
@@ -290,8 +290,8 @@
 			unreachable[[2]Incarnation{m.members[s.name].Incarnation, peer}] = true
 		}
 	}
-	changes := m.placement.Plan(&PlacementInput{Members: members, Copies: m.params.Copies, CaughtUp: caughtUp, Leaving: leaving, Unreachable: unreachable,
-		Lost: func(i int) bool { return m.deadSince[i] > 0 && m.now > m.deadSince[i]+m.params.LostAfter }})
+	changes := m.placement.Plan(&PlacementInput{Members: members, Copies: m.params.Copies, CaughtUp: caughtUp, Decommissioning: leaving, Unreachable: unreachable,
+		CountsAsLost: func(i int) bool { return m.deadSince[i] > 0 && m.now > m.deadSince[i]+m.params.LostAfter }})
 	for _, c := range changes {
 		if n := len(c.Replicas); m.fault == faultUnreadyPrimary && n > 1 && !c.Replicas[n-1].Ready {
 			c.Replicas[0], c.Replicas[n-1] = c.Replicas[n-1], c.Replicas[0]
@@ -355,10 +355,10 @@
 	out := &Batch{To: b.To}
 	for _, u := range b.Updates {
 		config := to.store.shards[u.Shard].Config
-		u.Of.Config = max(u.Of.Config, config)
+		u.State.Config = max(u.State.Config, config)
 		u.Entries = slices.Clone(u.Entries)
 		for n := range u.Entries {
-			u.Entries[n].Rev = Rev{u.Of.Config, 1 << 40}
+			u.Entries[n].Rev = Rev{u.State.Config, 1 << 40}
 		}
 		out.Updates = append(out.Updates, u)
 	}
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -126,11 +126,11 @@
 	Members  []Member
 	Copies   int        // replication factor
 	CaughtUp []CaughtUp // reports of primaries
-	// Lost reports whether a shard that has no ready replica in the cluster has waited long enough for one to come back, as happens
+	// CountsAsLost reports whether a shard that has no ready replica in the cluster has waited long enough for one to come back, as happens
 	// after a partition. Its entries then count as lost.
-	Lost func(shard int) bool
-	// Leaving holds the sidecars that are being decommissioned: their replicas are moved to others before they leave.
-	Leaving map[Incarnation]bool
+	CountsAsLost func(shard int) bool
+	// Decommissioning holds the sidecars that are being decommissioned: their replicas are moved to others before they leave.
+	Decommissioning map[Incarnation]bool
 	// Unreachable holds pairs of members: the first has not received answers from the second for a while.
 	Unreachable map[[2]Incarnation]bool
 }
@@ -212,7 +212,7 @@
 	}
 	slices.SortStableFunc(c.Replicas, func(a, b Replica) int { return cmp.Compare(priority(a), priority(b)) })
 	if len(c.Replicas) == 0 || !c.Replicas[0].Ready {
-		if s.Config > 0 && !p.Lost(c.Shard) {
+		if s.Config > 0 && !p.CountsAsLost(c.Shard) {
 			c.Replicas = s.Replicas
 			return
 		}
@@ -264,7 +264,7 @@
 // are isolated, and those that the shard's primary does not reach. An excluded member keeps its replica until enough others have its
 // entries: a member behind a broken route is not lost, and the primary that reports it may be lost next (seed 12 of the model test).
 func (p *planner) excluded(s *Shard) map[Incarnation]bool {
-	out := maps.Clone(p.Leaving)
+	out := maps.Clone(p.Decommissioning)
 	if out == nil {
 		out = map[Incarnation]bool{}
 	}
--- a/internal/holdings/placement_test.go
+++ b/internal/holdings/placement_test.go
@@ -17,9 +17,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		copies := rapid.IntRange(1, 3).Draw(t, "copies")
 		placement, epoch := &Placement{}, uint64(0)
-		input := &PlacementInput{Copies: copies, Lost: func(int) bool { return false }}
+		input := &PlacementInput{Copies: copies, CountsAsLost: func(int) bool { return false }}
 		for range rapid.IntRange(5, 25).Draw(t, "steps") {
-			input.Leaving, input.Unreachable, input.CaughtUp = map[Incarnation]bool{}, map[[2]Incarnation]bool{}, nil
+			input.Decommissioning, input.Unreachable, input.CaughtUp = map[Incarnation]bool{}, map[[2]Incarnation]bool{}, nil
 			pick := func(what string) int { return rapid.IntRange(0, len(input.Members)-1).Draw(t, what) }
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
@@ -36,7 +36,7 @@
 				}
 			case 3:
 				if len(input.Members) > 0 {
-					input.Leaving[input.Members[pick("leaves")].Incarnation] = true
+					input.Decommissioning[input.Members[pick("leaves")].Incarnation] = true
 				}
 			case 4:
 				if len(input.Members) > 1 {
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -99,7 +99,7 @@
 // Update carries entries of one shard from its primary to a replica.
 type Update struct {
 	Shard   int     `cbor:"1,keyasint"`
-	Of      Shard   `cbor:"2,keyasint"` // the shard's configuration as the primary knows it
+	State   Shard   `cbor:"2,keyasint"` // the shard's configuration as the primary knows it
 	Entries []Entry `cbor:"3,keyasint"`
 
 	items []outboxItem // the items that this update covers, including those whose entries have expired; not sent
@@ -428,7 +428,7 @@
 				continue // obsolete: the configuration has changed, or the replica has acknowledged the entry
 			}
 			if updates[item.shard] == nil {
-				updates[item.shard] = &Update{Shard: item.shard, Of: s.Shard}
+				updates[item.shard] = &Update{Shard: item.shard, State: s.Shard}
 				order = append(order, item.shard)
 			}
 			u := updates[item.shard]
@@ -479,7 +479,7 @@
 				st.adoptShard(now, s, later, false)
 			}
 		}
-		if s.Config != u.Of.Config || !st.isPrimary(s) {
+		if s.Config != u.State.Config || !st.isPrimary(s) {
 			continue // adoptShard has queued all that still counts
 		}
 		if rejected {
@@ -526,14 +526,14 @@
 			continue
 		}
 		s := st.shards[u.Shard]
-		if u.Of.Config < s.Config {
+		if u.State.Config < s.Config {
 			if reply.Later == nil {
 				reply.Later = map[int]Shard{}
 			}
 			reply.Later[u.Shard] = s.Shard
 			continue
 		}
-		st.adoptShard(now, s, u.Of, false)
+		st.adoptShard(now, s, u.State, false)
 		for n := range u.Entries {
 			st.storeEntry(now, s, &u.Entries[n])
 		}
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -625,8 +625,8 @@
 // Pending returns the number of connections with a pending request, its body included or still coming.
 func (l *Callers) Pending() int { return int(l.pending.Load()) }
 
-// Crowded reports whether there are more pending requests than the soft limit of connections.
-func (c *CallerConn) Crowded() bool {
+// OverSoftLimit reports whether there are more pending requests than the soft limit of connections.
+func (c *CallerConn) OverSoftLimit() bool {
 	l := c.owner
 	return l.pending.Load() > l.softLimit.Load()
 }
@@ -839,7 +839,7 @@
 	}
 	c.clearPending()
 	c.releaseAnswer()
-	c.noteReason(ReasonAskedClose)
+	c.noteReason(ReasonCloseRequested)
 	reason, linger := c.reason, c.lingerTime()
 	c.mu.Unlock()
 	if first {
--- a/internal/httpwire/discovery.go
+++ b/internal/httpwire/discovery.go
@@ -16,7 +16,7 @@
 // List is a message of discovery: the full list of endpoints, or the changes since an earlier version.
 type List struct {
 	Index     int64 // version of the list
-	Whole     bool  // Endpoints is the full list, not changes
+	Full      bool  `json:"Whole"` // Endpoints is the full list, not changes
 	Endpoints []ListedEndpoint
 	Bytes     int // size of the message body that held it; 0 if it came from elsewhere
 }
@@ -88,7 +88,7 @@
 	if err != nil {
 		return List{}, err
 	}
-	list := List{Index: o.Integer("index"), Whole: o.Boolean("snapshot")}
+	list := List{Index: o.Integer("index"), Full: o.Boolean("snapshot")}
 	if !o.Has("index") {
 		o.Fail("index", "a version", "nothing")
 	}
--- a/internal/httpwire/reason.go
+++ b/internal/httpwire/reason.go
@@ -15,22 +15,22 @@
 
 // Reasons for connections of callers.
 const (
-	ReasonCallerLeft  Reason = "caller_left"  // its caller disconnected while its request was pending
-	ReasonBadRequest  Reason = "bad_request"  // what it sent was not a valid request
-	ReasonAskedClose  Reason = "asked_close"  // the caller or the answer said Connection: close
-	ReasonWriteFailed Reason = "write_failed" // an answer could not be written
+	ReasonCallerLeft     Reason = "caller_left"  // its caller disconnected while its request was pending
+	ReasonBadRequest     Reason = "bad_request"  // what it sent was not a valid request
+	ReasonCloseRequested Reason = "asked_close"  // the caller or the answer said Connection: close
+	ReasonWriteFailed    Reason = "write_failed" // an answer could not be written
 )
 
 // Reasons for connections to endpoints and to discovery.
 const (
-	ReasonDialFailed Reason = "dial_failed" // it was never established
-	ReasonNotWritten Reason = "not_written" // it broke before the last byte of a request was written
-	ReasonBroken     Reason = "broken"      // it broke, or what came was not a valid answer
-	ReasonGivenUp    Reason = "given_up"    // its attempt was given up before its answer was complete
-	ReasonPeerClose  Reason = "peer_close"  // the answer said Connection: close
-	ReasonSilent     Reason = "silent"      // discovery did not answer in time
-	ReasonMoved      Reason = "moved"       // a reload names another discovery
-	ReasonHandedOver Reason = "handed_over" // another process of this sidecar continues its long answer
-	ReasonBanned     Reason = "banned"      // an operator banned its endpoint
-	ReasonUnlisted   Reason = "unlisted"    // its endpoint has left the list or restarted
+	ReasonDialFailed    Reason = "dial_failed" // it was never established
+	ReasonNotWritten    Reason = "not_written" // it broke before the last byte of a request was written
+	ReasonBroken        Reason = "broken"      // it broke, or what came was not a valid answer
+	ReasonGivenUp       Reason = "given_up"    // its attempt was given up before its answer was complete
+	ReasonCloseInAnswer Reason = "peer_close"  // the answer said Connection: close
+	ReasonSilent        Reason = "silent"      // discovery did not answer in time
+	ReasonMoved         Reason = "moved"       // a reload names another discovery
+	ReasonHandedOver    Reason = "handed_over" // another process of this sidecar continues its long answer
+	ReasonBanned        Reason = "banned"      // an operator banned its endpoint
+	ReasonUnlisted      Reason = "unlisted"    // its endpoint has left the list or restarted
 )
--- a/internal/lab/consistency/consistency.go
+++ b/internal/lab/consistency/consistency.go
@@ -50,12 +50,12 @@
 
 // The rules.
 const (
-	Contradicts = "contradicts" // a process did what a version in effect at another member has forbidden for too long
-	AgainstSelf = "against_own" // a process did what it had itself reported as forbidden
-	FarApart    = "far_apart"   // two members applied versions that are not neighbors
-	GoesBack    = "goes_back"   // a member applied an older version than before
-	TwoLeaders  = "two_leaders" // two leaders in one raft term
-	LostVersion = "lost"        // a version that was reported as agreed is not in the cluster any more
+	Contradicts      = "contradicts" // a process did what a version in effect at another member has forbidden for too long
+	AgainstSelf      = "against_own" // a process did what it had itself reported as forbidden
+	FarApart         = "far_apart"   // two members applied versions that are not neighbors
+	VersionRegressed = "goes_back"   // a member applied an older version than before
+	TwoLeaders       = "two_leaders" // two leaders in one raft term
+	LostVersion      = "lost"        // a version that was reported as agreed is not in the cluster any more
 )
 
 // maxViolations bounds the violations that are kept with a description; all are counted.
@@ -105,7 +105,7 @@
 	reports := c.reports[process]
 	s.AnsweredAt = max(s.AnsweredAt, s.At)
 	if n := len(reports); n > 0 && s.Active < reports[n-1].Active && !c.startedBetween(process, reports[n-1].At, s.At) {
-		c.recordViolation(GoesBack, s.At, "%s applies version %d after it had applied version %d", process, s.Active, reports[n-1].Active)
+		c.recordViolation(VersionRegressed, s.At, "%s applies version %d after it had applied version %d", process, s.Active, reports[n-1].Active)
 	}
 	c.reports[process] = append(reports, s)
 }
@@ -211,15 +211,15 @@
 type Report struct {
 	Violations    []Violation
 	NumViolations int // in all; Violations holds the first of them
-	// Longest is the longest time for which a version in effect at another member had forbidden an action. It counts from when the
+	// LongestContradiction is the longest time for which a version in effect at another member had forbidden an action. It counts from when the
 	// acting process was allowed the action, if that was later.
-	Longest time.Duration
-	Actions int // recorded
+	LongestContradiction time.Duration
+	Actions              int // recorded
 	// AgainstOthers counts actions that a version in effect at another member forbade, including those within the allowed time.
 	AgainstOthers int
-	// Unaware counts requests to banned endpoints by processes that were partitioned before they learned of the ban. They are not
+	// UnawareRequests counts requests to banned endpoints by processes that were partitioned before they learned of the ban. They are not
 	// judged.
-	Unaware int
+	UnawareRequests int
 }
 
 // unaware reports whether an action is a request to a banned endpoint by a process that was partitioned before it learned of the ban. Such
@@ -245,7 +245,7 @@
 	for i := range c.actions {
 		a := &c.actions[i]
 		if c.unaware(a) {
-			r.Unaware++
+			r.UnawareRequests++
 			continue
 		}
 		if since, ok := c.heldSince(a.Process, a.At, func(s *StatusReport) bool { return c.forbiddenToItself(s, a) }); ok && a.At-since > c.conf.Margin && c.sameStatusAround(a) {
@@ -262,7 +262,7 @@
 			}
 			forbidden = true
 			contradicted := a.At - max(since, allowedFrom)
-			if r.Longest = max(r.Longest, contradicted); contradicted > c.conf.MaxContradiction+c.conf.Margin {
+			if r.LongestContradiction = max(r.LongestContradiction, contradicted); contradicted > c.conf.MaxContradiction+c.conf.Margin {
 				c.recordViolation(Contradicts, a.At, "%s did %s, which the rules in effect at %s have forbidden for %v", a.Process, a.What, process, contradicted)
 			}
 		}
--- a/internal/lab/consistency/consistency_test.go
+++ b/internal/lab/consistency/consistency_test.go
@@ -112,7 +112,7 @@
 		"an older version without a start": {func(c *Checker) {
 			c.RecordStatus("a", StatusReport{At: 1, Active: 1})
 			c.RecordStatus("a", StatusReport{At: 2})
-		}, GoesBack},
+		}, VersionRegressed},
 		"an older version after a start": {func(c *Checker) {
 			c.RecordStatus("a", StatusReport{At: 1, Active: 1})
 			c.RecordStart(2, "a")
--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -198,7 +198,7 @@
 	m.mu.Unlock()
 	<-inst.started
 	if inst.member != nil {
-		inst.member.Leaving()
+		inst.member.Decommission()
 	}
 	inst.stopKeyedOnce.Do(func() { close(inst.stopKeyed) })
 	answered := make(chan struct{})
--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -35,7 +35,7 @@
 // List is an answer of discovery: a full list or changes.
 type List struct {
 	Index     int64  `json:"index"`
-	Whole     bool   `json:"snapshot"`
+	Full      bool   `json:"snapshot"`
 	Endpoints []Line `json:"endpoints"`
 }
 
@@ -141,7 +141,7 @@
 		d.delivered[sidecar] = d.index
 		return d.listAfter(0)
 	}
-	list := List{Index: version, Whole: true, Endpoints: []Line{}}
+	list := List{Index: version, Full: true, Endpoints: []Line{}}
 	for _, name := range d.order {
 		lines := d.history[name]
 		n := sort.Search(len(lines), func(i int) bool { return lines[i].version > version })
@@ -154,10 +154,10 @@
 
 // listAfter returns the lines that changed after a version, or the full list for version 0.
 func (d *Discovery) listAfter(after int64) List {
-	list := List{Index: d.index, Whole: after == 0, Endpoints: []Line{}}
+	list := List{Index: d.index, Full: after == 0, Endpoints: []Line{}}
 	for _, name := range d.order {
 		l := d.lines[name]
-		if list.Whole && l.Status == Deleted || !list.Whole && d.changed[name] <= after {
+		if list.Full && l.Status == Deleted || !list.Full && d.changed[name] <= after {
 			continue
 		}
 		list.Endpoints = append(list.Endpoints, l)
--- a/internal/lab/fake/fake_test.go
+++ b/internal/lab/fake/fake_test.go
@@ -363,7 +363,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status, list := fetch(t, address, ""); status != 200 || !list.Whole || len(list.Endpoints) != 2 || list.Index != 1 {
+	if status, list := fetch(t, address, ""); status != 200 || !list.Full || len(list.Endpoints) != 2 || list.Index != 1 {
 		t.Fatalf("%d, %+v", status, list)
 	}
 	got := make(chan List, 1)
@@ -373,7 +373,7 @@
 	}()
 	a.Status = Draining
 	d.SetLines(a)
-	if list := <-got; list.Whole || len(list.Endpoints) != 1 || list.Endpoints[0].Status != Draining {
+	if list := <-got; list.Full || len(list.Endpoints) != 1 || list.Endpoints[0].Status != Draining {
 		t.Errorf("the change: %+v", list)
 	}
 	if status, list := fetch(t, address, "?after=2&wait_ms=1"); status != 200 || len(list.Endpoints) != 0 {
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -345,7 +345,7 @@
 func (r *clusterRun) operatorConfig(p *clusterProcess) string {
 	f := ClusterFile{
 		Name: r.scenario.Name, Address: p.peerAddress, Data: filepath.Join(p.dir, "data"), Lease: r.scenario.Lease, Drift: r.scenario.Drift, Slack: r.scenario.Slack,
-		ContradictAtMost: r.scenario.ContradictAtMost, Copies: r.scenario.Copies, Keep: outcomeLifetime, LostAfter: holdingsLostAfter,
+		ContradictAtMost: r.scenario.ContradictAtMost, Copies: r.scenario.Copies, OutcomeLifetime: outcomeLifetime, LostAfter: holdingsLostAfter,
 	}
 	for _, v := range r.procs[:r.scenario.Voters] {
 		address := v.peerAddress
@@ -655,7 +655,7 @@
 		who := []string{"leader", "follower", r.procs[rng.IntN(len(r.procs))].name}[rng.IntN(3)]
 		do := scenario.ClusterFaults[rng.IntN(len(scenario.ClusterFaults))]
 		steps = append(steps, scenario.ClusterStep{
-			Drawn: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[rng.IntN(len(scenario.CutDirections))],
+			Generated: true, At: at, Do: do, Who: who, Direction: scenario.CutDirections[rng.IntN(len(scenario.CutDirections))],
 			For: r.scenario.Lease/2 + time.Duration(rng.Int64N(int64(2*r.scenario.Lease))),
 		})
 	}
@@ -700,7 +700,7 @@
 	}
 	p := r.processByName(s.Who)
 	ofProcess := s.Do != "cut" && s.Do != "delay" && s.Do != "reset" && s.Do != "restart" && s.Do != "twin" // a fault of the process itself
-	if r.scenario.Copies > 0 && (ofProcess || s.Do == "cut" && s.Drawn) && !r.canLoseProcess() {
+	if r.scenario.Copies > 0 && (ofProcess || s.Do == "cut" && s.Generated) && !r.canLoseProcess() {
 		return nil // the holdings promise to survive only one fault at a time
 	}
 	if ofProcess && !p.beginFault() {
@@ -1033,7 +1033,7 @@
 		r.rec.Violations = append(r.rec.Violations, fmt.Sprintf("%s at %.2fs: %s", v.Rule, v.At.Seconds(), v.What))
 	}
 	r.rec.NumViolations += report.NumViolations
-	r.rec.Contradicted, r.rec.Actions, r.rec.ActionsAgainstOthers = millis(report.Longest), report.Actions, report.AgainstOthers
+	r.rec.Contradicted, r.rec.Actions, r.rec.ActionsAgainstOthers = millis(report.LongestContradiction), report.Actions, report.AgainstOthers
 	r.rec.Requests, r.rec.Served = int(r.requests.Load()), int(r.served.Load())
 	for _, p := range r.procs {
 		if p.proc == nil {
--- a/internal/lab/harness/cluster_files.go
+++ b/internal/lab/harness/cluster_files.go
@@ -31,7 +31,7 @@
 	Voters              []NamedAddress
 	Routes              []NamedAddress // addresses of members as this process reaches them, if it reaches them through relays
 	Copies              int            // replication factor; 0 for no holdings
-	Keep                time.Duration
+	OutcomeLifetime     time.Duration
 	LostAfter           time.Duration
 }
 
@@ -48,7 +48,7 @@
 		fmt.Fprintf(&b, "[[crew.way]]\nname = %q\naddress = %q\n", w.Name, w.Address)
 	}
 	if f.Copies > 0 {
-		fmt.Fprintf(&b, "[holdings]\ncopies = %d\nkeep = %q\nlost_after = %q\n[[holdings.class]]\nname = %q\n", f.Copies, f.Keep, f.LostAfter, keyedClass)
+		fmt.Fprintf(&b, "[holdings]\ncopies = %d\nkeep = %q\nlost_after = %q\n[[holdings.class]]\nname = %q\n", f.Copies, f.OutcomeLifetime, f.LostAfter, keyedClass)
 	}
 	return b.String()
 }
--- a/internal/lab/harness/exported.go
+++ b/internal/lab/harness/exported.go
@@ -88,14 +88,14 @@
 	r.relay.setPartitioned(fromTarget, partitioned)
 }
 
-// SetDelay adds to the delay of both directions; a negative value takes delay away.
-func (r *Relay) SetDelay(by time.Duration) {
+// AddDelay adds to the delay of both directions; a negative value takes delay away.
+func (r *Relay) AddDelay(by time.Duration) {
 	r.relay.addDelay(toTarget, by)
 	r.relay.addDelay(fromTarget, by)
 }
 
-// SetAnswerDelay adds to the delay of the direction from the target only.
-func (r *Relay) SetAnswerDelay(by time.Duration) { r.relay.addDelay(fromTarget, by) }
+// AddAnswerDelay adds to the delay of the direction from the target only.
+func (r *Relay) AddAnswerDelay(by time.Duration) { r.relay.addDelay(fromTarget, by) }
 
 // Close stops the relay and resets its connections.
 func (r *Relay) Close() { r.relay.close() }
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -85,7 +85,7 @@
 func (r *run) openChecker(service *oracle.Service) {
 	r.checker = oracle.NewShared(oracle.New(oracle.Conf{
 		AnswerSlack: r.scenario.Rules.AnswerSlack, DrainGrace: r.scenario.Rules.DrainGrace,
-		AskEvery: r.scenario.Rules.AskEvery, DeliveredAfter: r.scenario.Rules.DeliveredAfter, Margin: r.scenario.Margin,
+		PollEvery: r.scenario.Rules.PollEvery, DeliveredAfter: r.scenario.Rules.DeliveredAfter, Margin: r.scenario.Margin,
 	}), service)
 }
 
@@ -148,8 +148,8 @@
 	if err != nil {
 		return err
 	}
-	if r.opts.Before != nil {
-		if target.Address, err = r.opts.Before(target.Address); err != nil {
+	if r.opts.Proxy != nil {
+		if target.Address, err = r.opts.Proxy(target.Address); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/harness/harness_test.go
+++ b/internal/lab/harness/harness_test.go
@@ -163,7 +163,7 @@
 		var proxies []*faultproxy.Proxy
 		var mu sync.Mutex
 		s := parseScenario(t, "")
-		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarCommand(policy.Module), Before: func(to string) (string, error) {
+		r, err := Run(t.Context(), s, s.Seed, Options{Sidecar: sidecarCommand(policy.Module), Proxy: func(to string) (string, error) {
 			l, err := faultproxy.Start("127.0.0.1:0", to, 100)
 			if err != nil {
 				return "", err
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -19,14 +19,14 @@
 
 // ListTrafficConf describes a measurement of what changes of an endpoint list cost.
 type ListTrafficConf struct {
-	Endpoints int           // in the list; none of them exists, since no requests are sent
-	AtOnce    int           // lines that change together
-	Apart     bool          // each of these lines changes in a version of its own, published one right after the other
-	Changes   int           // number of changes
-	Sidecars  int           // real sidecars that watch the list
-	Emulated  int           // emulated watchers: they speak the protocol but keep only the version
-	Peers     int           // number of peers in the sidecars' settings: with more peers they wait longer
-	Idle      time.Duration // time of a second measurement without changes; 0 for none
+	Endpoints  int           // in the list; none of them exists, since no requests are sent
+	AtOnce     int           // lines that change together
+	Separately bool          // each of these lines changes in a version of its own, published one right after the other
+	Changes    int           // number of changes
+	Sidecars   int           // real sidecars that watch the list
+	Emulated   int           // emulated watchers: they speak the protocol but keep only the version
+	Peers      int           // number of peers in the sidecars' settings: with more peers they wait longer
+	Idle       time.Duration // time of a second measurement without changes; 0 for none
 }
 
 // ListTraffic is the result of a measurement of list changes.
@@ -34,7 +34,7 @@
 	Real, Emulated Wire          // of one watcher, for each change
 	Idle           Wire          // of one sidecar, over the time without changes
 	IdleFor        time.Duration // length of that time
-	Whole          Wire          // of one request for the full list
+	FullList       Wire          // of one request for the full list
 	CPU            float64       // microseconds of a sidecar's CPU time for each change
 	IdleCPU        float64       // microseconds of a sidecar's CPU time for each second without changes
 	LabCPU         float64       // microseconds of the harness's CPU time for each change and watcher: fake discovery, emulated watchers and counting
@@ -243,7 +243,7 @@
 	for n := range lines {
 		lines[n] = listLine(n, status)
 	}
-	if !l.conf.Apart {
+	if !l.conf.Separately {
 		l.publish(lines...)
 		return
 	}
@@ -256,7 +256,7 @@
 func (l *listTraffic) measure(ctx context.Context) (*ListTraffic, error) {
 	out := &ListTraffic{IdleFor: l.conf.Idle}
 	var err error
-	if out.Whole, err = l.fetchFullList(ctx); err != nil {
+	if out.FullList, err = l.fetchFullList(ctx); err != nil {
 		return nil, err
 	}
 	before, emulated := snapshots(l.real), snapshots(l.emulated)
@@ -389,7 +389,7 @@
 	}
 	w.counts.answers.Add(1)
 	w.counts.lines.Add(int64(len(list.Endpoints)))
-	if list.Whole {
+	if list.Full {
 		w.counts.fullLists.Add(1)
 	}
 	return list, nil
@@ -537,7 +537,7 @@
 			}
 			t.counts.answers.Add(1)
 			t.counts.lines.Add(int64(len(list.Endpoints)))
-			if list.Whole {
+			if list.Full {
 				t.counts.fullLists.Add(1)
 			}
 		}
--- a/internal/lab/harness/measure_test.go
+++ b/internal/lab/harness/measure_test.go
@@ -139,7 +139,7 @@
 	for _, conf := range []ListTrafficConf{
 		{Endpoints: 20, AtOnce: 1, Changes: 6},
 		{Endpoints: 20, AtOnce: 7, Changes: 4},
-		{Endpoints: 20, AtOnce: 7, Changes: 4, Apart: true},
+		{Endpoints: 20, AtOnce: 7, Changes: 4, Separately: true},
 	} {
 		conf.Sidecars, conf.Emulated, conf.Peers = 2, 3, 13
 		m, err := MeasureListTraffic(context.Background(), conf, Options{Sidecar: sidecarCommand(policy.Module)})
@@ -152,8 +152,8 @@
 				t.Errorf("%+v: %s: %+v: %v lines for each change; want %d, and no full list", conf, who, w, lines, conf.AtOnce)
 			}
 		}
-		if m.Whole.FullLists != 1 || m.Whole.LinesPerAnswer != float64(conf.Endpoints) || m.Whole.AnswerBytes < m.Emulated.AnswerBytes/m.Emulated.Answers {
-			t.Errorf("%+v: the full list: %+v", conf, m.Whole)
+		if m.FullList.FullLists != 1 || m.FullList.LinesPerAnswer != float64(conf.Endpoints) || m.FullList.AnswerBytes < m.Emulated.AnswerBytes/m.Emulated.Answers {
+			t.Errorf("%+v: the full list: %+v", conf, m.FullList)
 		}
 	}
 }
--- a/internal/lab/harness/sidecar.go
+++ b/internal/lab/harness/sidecar.go
@@ -278,8 +278,8 @@
 			"connect_timeout": millis(l.ConnectTimeout), "conn_idle": millis(l.ConnIdle), "most_held": l.MaxPending,
 		},
 		"rules": map[string]any{
-			"answer_slack": millis(r.AnswerSlack), "ask_every": millis(r.AskEvery), "cold": millis(r.Cold),
-			"cold_from": r.ColdFrom, "drain_grace": millis(r.DrainGrace), "fall_multiple": r.FallMultiple,
+			"answer_slack": millis(r.AnswerSlack), "ask_every": millis(r.PollEvery), "cold": millis(r.Cold),
+			"cold_from": r.ColdFrom, "drain_grace": millis(r.DrainGrace), "fall_multiple": r.OverloadMultiple,
 			"overload_for": millis(r.OverloadFor),
 		},
 		"profiles": profiles, "parties": parties,
@@ -342,5 +342,5 @@
 	LogDir  string           // for the sidecars' logs; empty for none
 	// Progress receives a line every second; nil for none.
 	Progress func(line string)
-	Before   func(address string) (string, error) // if set, puts a proxy before each sidecar of the first tier and returns its address
+	Proxy    func(address string) (string, error) // if set, puts a proxy before each sidecar of the first tier and returns its address
 }
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -316,7 +316,7 @@
 		if step.Revert {
 			trouble = fake.NoTrouble
 		}
-		e.SetTrouble(trouble, step.Fault.Of)
+		e.SetTrouble(trouble, step.Fault.RequestShare)
 	}
 	return nil
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -143,7 +143,7 @@
 	if leavesEarly {
 		until = req.Leave
 	}
-	conn.SetReadDeadline(c.checker.Began().Add(until))
+	conn.SetReadDeadline(c.checker.StartTime().Add(until))
 	stop := context.AfterFunc(ctx, func() { conn.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.in.Peek(1); err != nil {
--- a/internal/lab/oracle/liststate.go
+++ b/internal/lab/oracle/liststate.go
@@ -7,7 +7,7 @@
 
 // This file decides when a sidecar must know of a change of the endpoint list. A change is delivered when discovery has written it to
 // the sidecar. It counts as delivered, even if it was not, at the earlier of two times: Conf.DeliveredAfter after discovery had the
-// change and could be reached; and, while the sidecar has no call for the list open, Conf.AskEvery after the end of its last call (or
+// change and could be reached; and, while the sidecar has no call for the list open, Conf.PollEvery after the end of its last call (or
 // after discovery had the change and could be reached, if that was later). A watch that discovery has accepted may wait longer than
 // Conf.DeliveredAfter: the change then counts as delivered watchSlack after the end of that wait.
 
@@ -103,8 +103,8 @@
 			at, delivered = assumed, true
 		}
 	}
-	if s.conf.AskEvery > 0 && list.openCalls == 0 {
-		if assumed := max(from, list.lastCallEnd) + s.conf.AskEvery; !delivered || assumed < at {
+	if s.conf.PollEvery > 0 && list.openCalls == 0 {
+		if assumed := max(from, list.lastCallEnd) + s.conf.PollEvery; !delivered || assumed < at {
 			at, delivered = assumed, true
 		}
 	}
--- a/internal/lab/oracle/oracle.go
+++ b/internal/lab/oracle/oracle.go
@@ -46,7 +46,7 @@
 type Conf struct {
 	AnswerSlack    time.Duration // how long after the client's deadline an answer may come
 	DrainGrace     time.Duration // how long after it learned of the drain a sidecar may send to a draining endpoint
-	AskEvery       time.Duration // poll interval: a change counts as delivered so long after a sidecar's last list call; 0 for never
+	PollEvery      time.Duration // poll interval: a change counts as delivered so long after a sidecar's last list call; 0 for never
 	DeliveredAfter time.Duration // a published change counts as delivered after this time even if it was not; 0 for never
 	Margin         time.Duration // added to each time limit, for delays of sockets and goroutines
 }
--- a/internal/lab/oracle/oracle_test.go
+++ b/internal/lab/oracle/oracle_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-var testConf = Conf{AnswerSlack: 20 * ms, DrainGrace: time.Second, AskEvery: 10 * time.Second, DeliveredAfter: 6 * time.Second, Margin: 50 * ms}
+var testConf = Conf{AnswerSlack: 20 * ms, DrainGrace: time.Second, PollEvery: 10 * time.Second, DeliveredAfter: 6 * time.Second, Margin: 50 * ms}
 
 // sendRequest records a request that was written completely and has a deadline of one second.
 func sendRequest(c *Checker, id string, effect decide.Effect, key string) {
--- a/internal/lab/oracle/shared.go
+++ b/internal/lab/oracle/shared.go
@@ -21,8 +21,8 @@
 // Now returns the time on the run's clock.
 func (s *Shared) Now() time.Duration { return time.Since(s.origin) }
 
-// Began returns when the run's clock was 0.
-func (s *Shared) Began() time.Time { return s.origin }
+// StartTime returns when the run's clock was 0.
+func (s *Shared) StartTime() time.Time { return s.origin }
 
 // Do calls record with the checker while it holds the lock.
 func (s *Shared) Do(record func(c *Checker)) {
--- a/internal/lab/policy/policy.go
+++ b/internal/lab/policy/policy.go
@@ -66,7 +66,7 @@
 // ByName returns the constructor of a policy's decider for a sidecar.
 func ByName(name string) (lifecycle.Decider, error) {
 	if name == Module {
-		return lifecycle.Module, nil
+		return lifecycle.NewBalancer, nil
 	}
 	kind, known := kinds[name]
 	if !known {
--- a/internal/lab/scale/actions.go
+++ b/internal/lab/scale/actions.go
@@ -222,11 +222,11 @@
 func (r *run) delayAnswers(name string, by time.Duration) {
 	for _, c := range r.sidecars {
 		if relay := c.relays[name]; relay != nil {
-			relay.SetAnswerDelay(by)
+			relay.AddAnswerDelay(by)
 		}
 	}
 	if relay := r.voterRelays[name]; relay != nil {
-		relay.SetAnswerDelay(by)
+		relay.AddAnswerDelay(by)
 	}
 }
 
--- a/internal/lab/scale/processes.go
+++ b/internal/lab/scale/processes.go
@@ -132,7 +132,7 @@
 func (c *sidecar) operatorFile(data string) string {
 	s := c.run.scenario
 	f := harness.ClusterFile{Name: s.Name, Address: c.address, Data: data, Lease: s.Lease, Drift: s.Drift, Slack: s.Slack,
-		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, Keep: s.Keep, LostAfter: s.LostAfter}
+		ContradictAtMost: s.ContradictAtMost, Copies: s.Copies, OutcomeLifetime: s.Keep, LostAfter: s.LostAfter}
 	for _, v := range c.run.voters {
 		address := v.address
 		if relay := c.relays[v.name]; relay != nil {
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -434,7 +434,7 @@
 				return err
 			}
 			if c.relays[v.name] = relay; from != to {
-				relay.SetDelay(r.scenario.RegionDelay)
+				relay.AddDelay(r.scenario.RegionDelay)
 				r.regionRelays = append(r.regionRelays, regionRelay{[2]string{from, to}, relay})
 			}
 		}
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -165,7 +165,7 @@
 // decode turns a parsed file into a scenario, and collects all errors.
 func decode(doc *tomlread.Doc) (*Scenario, error) {
 	t := doc.Root
-	t.Need("name", "a text")
+	t.Require("name", "a text")
 	s := &Scenario{
 		Name: t.Text("name", "scale"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
 		Voters: t.Int("keepers", 3, 1, clusterparams.MaxVoters), Real: t.Int("real", 0, 0, maxReal), Rate: t.Float("rate", 10, 0, 1000),
@@ -190,8 +190,8 @@
 	s.decodeRegions(t)
 	s.decodeSteps(t)
 	for _, p := range t.Tables("planted", maxEmulated) {
-		p.Need("who", "a hollow member, such as h1")
-		p.Need("fault", "unheeding, hasty, forgetful")
+		p.Require("who", "a hollow member, such as h1")
+		p.Require("fault", "unheeding, hasty, forgetful")
 		fault := InjectedFault{
 			Member: p.Text("who", "h1"),
 			Fault:  emulated.Fault(p.Enum("fault", string(emulated.IgnoresVersions), string(emulated.IgnoresVersions), string(emulated.RenewsTooOften), string(emulated.LosesState))),
@@ -239,8 +239,8 @@
 func (s *Scenario) decodeRegions(t *tomlread.Table) {
 	owner := map[string]string{}
 	for _, r := range t.Tables("region", maxZones) {
-		r.Need("name", "a text")
-		r.Need("zones", "an array of texts")
+		r.Require("name", "a text")
+		r.Require("zones", "an array of texts")
 		region := Region{Name: r.Text("name", ""), Zones: r.Texts("zones")}
 		if slices.ContainsFunc(s.Regions, func(other Region) bool { return other.Name == region.Name }) {
 			r.Fail("name", fmt.Sprintf("%q a second time", region.Name), "each name once")
@@ -274,7 +274,7 @@
 // decodeSteps reads the steps.
 func (s *Scenario) decodeSteps(t *tomlread.Table) {
 	for _, d := range t.Tables("step", maxSteps) {
-		d.Need("do", strings.Join(stepKinds, ", "))
+		d.Require("do", strings.Join(stepKinds, ", "))
 		step := Step{
 			At: d.Duration("at", 0, 0, maxDuration), Kind: d.Enum("do", Burst, stepKinds...), Target: d.Text("who", ""),
 			Share: d.Float("share", 0, 0, 1), Count: d.Int("count", 0, 0, maxCount), Duration: d.Duration("for", 0, 0, maxDuration),
--- a/internal/lab/scenario/cluster.go
+++ b/internal/lab/scenario/cluster.go
@@ -41,7 +41,7 @@
 	With         string        // of a partition or delay: the one process whose connections with Who are affected; empty for all
 	By           time.Duration // of a delay
 	ProposerDies bool          // the proposer closes its connection before it receives an answer
-	Drawn        bool          // generated from the seed
+	Generated    bool          // generated from the seed
 }
 
 // ClusterFaults are the faults that a process may have. CutDirections say what a partition blocks: "in" what comes to
@@ -98,7 +98,7 @@
 
 func decodeCluster(doc *tomlread.Doc) (*Cluster, error) {
 	t := doc.Root
-	t.Need("name", "a text")
+	t.Require("name", "a text")
 	c := &Cluster{
 		Name: t.Text("name", "crew"), About: t.Text("about", ""), Seed: uint64(t.Int("seed", 1, 0, 1<<31)),
 		Voters: t.Int("keepers", 3, 1, 7), Members: t.Int("members", 2, 0, maxProcesses-1),
@@ -120,7 +120,7 @@
 		t.Fail("duration", c.Duration.String(), "four leases or more")
 	}
 	for _, s := range t.Tables("step", maxClusterSteps) {
-		s.Need("do", "propose, kill, term, stop, cut, wipe, reset, full, setback, restart, twin, older, delay")
+		s.Require("do", "propose, kill, term, stop, cut, wipe, reset, full, setback, restart, twin, older, delay")
 		step := ClusterStep{
 			At: s.Duration("at", 0, 0, maxClusterTime), Do: s.Enum("do", "propose", append([]string{"propose", "restart", "twin", "older", "delay"}, ClusterFaults...)...),
 			Who: s.Text("who", "leader"), Direction: s.Enum("way", "both", CutDirections...), For: s.Duration("for", time.Second, 0, maxClusterTime),
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -49,8 +49,8 @@
 
 // Rules are the parameters of the rules, as in the sidecars' settings.
 type Rules struct {
-	AnswerSlack, AskEvery, DeliveredAfter, Cold, DrainGrace, OverloadFor time.Duration
-	ColdFrom, FallMultiple                                               float64
+	AnswerSlack, PollEvery, DeliveredAfter, Cold, DrainGrace, OverloadFor time.Duration
+	ColdFrom, OverloadMultiple                                            float64
 }
 
 // Limits are the limits in the sidecars' settings.
@@ -145,17 +145,17 @@
 
 // Fault is one entry of the timeline.
 type Fault struct {
-	Kind   Kind
-	At     time.Duration
-	For    time.Duration
-	Tier   int     // index of the endpoints' tier
-	Share  float64 // share of the endpoints or sidecars that have the fault
-	Of     float64 // errors: share of an endpoint's requests that fail
-	Count  int     // number of endpoints or sidecars, instead of Share
-	Factor float64
-	Tenant string
-	Lag    time.Duration
-	Listed time.Duration // crash: how long after it discovery lists the endpoints as gone; 0 for never
+	Kind         Kind
+	At           time.Duration
+	For          time.Duration
+	Tier         int     // index of the endpoints' tier
+	Share        float64 // share of the endpoints or sidecars that have the fault
+	RequestShare float64 // errors: share of an endpoint's requests that fail
+	Count        int     // number of endpoints or sidecars, instead of Share
+	Factor       float64
+	Tenant       string
+	Lag          time.Duration
+	Listed       time.Duration // crash: how long after it discovery lists the endpoints as gone; 0 for never
 }
 
 // LoadFile reads and checks a file.
@@ -179,8 +179,8 @@
 func decode(doc *tomlread.Doc) (*Scenario, error) {
 	root := doc.Root
 	s := &Scenario{}
-	root.Need("name", "a text")
-	root.Need("duration", "a time with its unit")
+	root.Require("name", "a text")
+	root.Require("duration", "a time with its unit")
 	s.Name = root.Text("name", "")
 	s.About = root.Text("about", s.Name)
 	s.Seed = uint64(root.Int("seed", 1, 0, 1<<53))
@@ -208,14 +208,14 @@
 
 func decodeRules(t *tomlread.Table) Rules {
 	return Rules{
-		AnswerSlack:    t.Duration("answer_slack", 20*time.Millisecond, 0, time.Second),
-		AskEvery:       t.Duration("ask_every", 10*time.Second, time.Second, hour),
-		DeliveredAfter: t.Duration("told_after", 6*time.Second, 0, hour),
-		Cold:           t.Duration("cold", 8*time.Second, 0, hour),
-		DrainGrace:     t.Duration("drain_grace", time.Second, 0, time.Minute),
-		OverloadFor:    t.Duration("overload_for", 3*time.Second, 0, hour),
-		ColdFrom:       t.Float("cold_from", 0.3, 0.01, 1),
-		FallMultiple:   t.Float("fall_multiple", 3, 1, 100),
+		AnswerSlack:      t.Duration("answer_slack", 20*time.Millisecond, 0, time.Second),
+		PollEvery:        t.Duration("ask_every", 10*time.Second, time.Second, hour),
+		DeliveredAfter:   t.Duration("told_after", 6*time.Second, 0, hour),
+		Cold:             t.Duration("cold", 8*time.Second, 0, hour),
+		DrainGrace:       t.Duration("drain_grace", time.Second, 0, time.Minute),
+		OverloadFor:      t.Duration("overload_for", 3*time.Second, 0, hour),
+		ColdFrom:         t.Float("cold_from", 0.3, 0.01, 1),
+		OverloadMultiple: t.Float("fall_multiple", 3, 1, 100),
 	}
 }
 
@@ -237,10 +237,10 @@
 var effects = map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
 
 func (s *Scenario) decodeClasses(root *tomlread.Table) {
-	root.Need("class", "an array of tables")
+	root.Require("class", "an array of tables")
 	for _, t := range root.Tables("class", maxClasses) {
-		t.Need("name", "a text")
-		t.Need("work", "a time with its unit")
+		t.Require("name", "a text")
+		t.Require("work", "a time with its unit")
 		c := Class{
 			Name:      t.Text("name", ""),
 			Effect:    effects[t.Enum("effect", "safe", "safe", "keyed", "unsafe")],
@@ -268,7 +268,7 @@
 
 func (s *Scenario) decodeTenants(root *tomlread.Table) {
 	for _, t := range root.Tables("tenant", maxTenants) {
-		t.Need("name", "a text")
+		t.Require("name", "a text")
 		s.Tenants = append(s.Tenants, Tenant{
 			Name:    t.Text("name", ""),
 			Share:   t.Float("share", 1, 0, 1e6),
@@ -282,11 +282,11 @@
 }
 
 func (s *Scenario) decodeTiers(root *tomlread.Table) {
-	root.Need("tier", "an array of tables")
+	root.Require("tier", "an array of tables")
 	tables := root.Tables("tier", maxTiers)
 	for i, t := range tables {
-		t.Need("name", "a text")
-		t.Need("endpoints", "a whole number")
+		t.Require("name", "a text")
+		t.Require("endpoints", "a whole number")
 		tier := Tier{
 			Name:        t.Text("name", ""),
 			Endpoints:   t.Int("endpoints", 1, 1, maxEndpoints),
@@ -307,7 +307,7 @@
 		}
 		if i < len(tables)-1 {
 			tier.Calls = t.Int("calls", 1, 0, 16)
-			t.Need("call_class", "the name of a class")
+			t.Require("call_class", "the name of a class")
 			tier.CallClass = t.Text("call_class", "")
 			if t.Has("call_class") && s.classIndex(tier.CallClass) < 0 {
 				t.Fail("call_class", fmt.Sprintf("%q", tier.CallClass), "the name of a class")
@@ -322,16 +322,16 @@
 
 func decodeServerModel(t *tomlread.Table, rules Rules) servermodel.Conf {
 	return servermodel.Conf{
-		Cores:        t.Float("cores", 2, 0.01, 1000),
-		Speed:        t.Float("speed", 1, 0.01, 1000),
-		Slots:        t.Int("slots", 16, 1, 100_000),
-		Queue:        t.Int("queue", 32, 0, 100_000),
-		ChokeAbove:   t.Int("choke_above", 0, 0, 100_000),
-		ChokeTo:      t.Float("choke_to", 1, 0.01, 1),
-		ColdFrom:     rules.ColdFrom,
-		ColdFor:      rules.Cold,
-		FallMultiple: rules.FallMultiple,
-		FallFor:      rules.OverloadFor,
+		Cores:            t.Float("cores", 2, 0.01, 1000),
+		Speed:            t.Float("speed", 1, 0.01, 1000),
+		Slots:            t.Int("slots", 16, 1, 100_000),
+		Queue:            t.Int("queue", 32, 0, 100_000),
+		ChokeAbove:       t.Int("choke_above", 0, 0, 100_000),
+		ChokeTo:          t.Float("choke_to", 1, 0.01, 1),
+		ColdFrom:         rules.ColdFrom,
+		ColdFor:          rules.Cold,
+		OverloadMultiple: rules.OverloadMultiple,
+		OverloadFor:      rules.OverloadFor,
 	}
 }
 
@@ -348,12 +348,12 @@
 	l.Period = t.Duration("period", 10*time.Second, time.Second, hour)
 	if t.Has("of_capacity") {
 		if t.Has("rate") {
-			t.Skip("rate")
+			t.MarkKnown("rate")
 			t.Fail("of_capacity", "beside rate", "one of the two")
 		}
 		l.Rate = t.Float("of_capacity", 0.5, 0.001, maxOfCapacity) * s.Capacity()
 	} else {
-		t.Need("rate", fmt.Sprintf("requests a second up to %d, or of_capacity", MaxRate))
+		t.Require("rate", fmt.Sprintf("requests a second up to %d, or of_capacity", MaxRate))
 		l.Rate = t.Float("rate", 1, 0.1, 1e9)
 	}
 	if l.Rate > MaxRate {
@@ -407,17 +407,17 @@
 }
 
 func (s *Scenario) decodeFault(t *tomlread.Table) Fault {
-	t.Need("kind", "a kind of fault")
-	t.Need("at", "a time with its unit")
+	t.Require("kind", "a kind of fault")
+	t.Require("at", "a time with its unit")
 	f := Fault{
-		Kind:   Kind(t.Enum("kind", "", faultKinds...)),
-		At:     t.Duration("at", 0, 0, s.Duration),
-		Share:  1,
-		Of:     1,
-		Factor: 1,
+		Kind:         Kind(t.Enum("kind", "", faultKinds...)),
+		At:           t.Duration("at", 0, 0, s.Duration),
+		Share:        1,
+		RequestShare: 1,
+		Factor:       1,
 	}
 	if f.Kind == "" {
-		t.Skip("for", "tier", "share", "count", "of_requests", "factor", "lag", "listed_after", "tenant") // which keys an unknown kind has can't be told
+		t.MarkKnown("for", "tier", "share", "count", "of_requests", "factor", "lag", "listed_after", "tenant") // which keys an unknown kind has can't be told
 	}
 	for _, key := range faultKeys[f.Kind] {
 		s.decodeFaultKey(t, &f, key)
@@ -432,7 +432,7 @@
 	const maxFactor = 100
 	switch key {
 	case "for":
-		t.Need(key, "a time with its unit")
+		t.Require(key, "a time with its unit")
 		f.For = t.Duration(key, 0, 0, maxDuration)
 	case "tier":
 		f.Tier = max(0, s.decodeTierName(t, key))
@@ -440,16 +440,16 @@
 		f.Share = t.Float(key, 1, 0.001, 1)
 	case "count":
 		if f.Kind == Add {
-			t.Need(key, "a whole number")
+			t.Require(key, "a whole number")
 		}
 		f.Count = t.Int(key, 0, 1, maxEndpoints)
 	case "of_requests":
-		f.Of = t.Float(key, 1, 0, 1)
+		f.RequestShare = t.Float(key, 1, 0, 1)
 	case "factor":
-		t.Need(key, "a number")
+		t.Require(key, "a number")
 		f.Factor = t.Float(key, 1, 0.001, maxFactor)
 	case "lag":
-		t.Need(key, "a time with its unit")
+		t.Require(key, "a time with its unit")
 		f.Lag = t.Duration(key, 0, 0, time.Minute)
 	case "listed_after":
 		f.Listed = t.Duration(key, 0, 0, time.Minute)
--- a/internal/lab/scripted/scripted.go
+++ b/internal/lab/scripted/scripted.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// WholeList returns a full list with a version.
-func WholeList(index int, lines ...map[string]any) map[string]any {
+// FullList returns a full list with a version.
+func FullList(index int, lines ...map[string]any) map[string]any {
 	return map[string]any{"index": index, "snapshot": true, "endpoints": append([]map[string]any{}, lines...)}
 }
 
@@ -175,7 +175,7 @@
 // Publish makes discovery answer with a full list.
 func (d *Discovery) Publish(t testing.TB, index int, lines ...map[string]any) {
 	t.Helper()
-	d.SetText(index, encode(t, WholeList(index, lines...)))
+	d.SetText(index, encode(t, FullList(index, lines...)))
 }
 
 // SetDown makes discovery answer 503 from now on, or no longer.
--- a/internal/lab/servermodel/server.go
+++ b/internal/lab/servermodel/server.go
@@ -13,16 +13,16 @@
 
 // Conf describes an endpoint.
 type Conf struct {
-	Cores        float64       // number of jobs that run at full speed at once; if more run, they share the cores
-	Speed        float64       // seconds of work that a core does in a second
-	Slots        int           // jobs that may run at once
-	Queue        int           // jobs that may wait for a slot; more are rejected
-	ChokeAbove   int           // with more jobs than this, running and waiting, the speed is multiplied by ChokeTo; 0 for never
-	ChokeTo      float64       // above 0, up to 1
-	ColdFrom     float64       // part of its capacity that a cold endpoint starts with
-	ColdFor      time.Duration // how long a cold endpoint takes until it has its full capacity; 0 for always warm
-	FallMultiple float64       // a cold endpoint is overloaded while it is sent more than this multiple of its present capacity
-	FallFor      time.Duration // a cold endpoint that is overloaded for this long loses all its jobs; 0 for never
+	Cores            float64       // number of jobs that run at full speed at once; if more run, they share the cores
+	Speed            float64       // seconds of work that a core does in a second
+	Slots            int           // jobs that may run at once
+	Queue            int           // jobs that may wait for a slot; more are rejected
+	ChokeAbove       int           // with more jobs than this, running and waiting, the speed is multiplied by ChokeTo; 0 for never
+	ChokeTo          float64       // above 0, up to 1
+	ColdFrom         float64       // part of its capacity that a cold endpoint starts with
+	ColdFor          time.Duration // how long a cold endpoint takes until it has its full capacity; 0 for always warm
+	OverloadMultiple float64       // a cold endpoint is overloaded while it is sent more than this multiple of its present capacity
+	OverloadFor      time.Duration // a cold endpoint that is overloaded for this long loses all its jobs; 0 for never
 }
 
 // check validates the configuration.
@@ -155,10 +155,10 @@
 	return Accepted
 }
 
-// trackOverload records since when a cold server has been sent more work per demandWindow than FallMultiple times its present
+// trackOverload records since when a cold server has been sent more work per demandWindow than OverloadMultiple times its present
 // capacity.
 func (s *Server) trackOverload() {
-	if !s.cold || s.conf.FallFor <= 0 {
+	if !s.cold || s.conf.OverloadFor <= 0 {
 		return
 	}
 	sent := 0.0
@@ -166,7 +166,7 @@
 		sent += d
 	}
 	capacity := s.conf.Cores * s.conf.Speed * s.Share() * demandWindow.Seconds()
-	if sent <= s.conf.FallMultiple*capacity {
+	if sent <= s.conf.OverloadMultiple*capacity {
 		s.overloadedSince = -1
 	} else if s.overloadedSince < 0 {
 		s.overloadedSince = s.now
@@ -224,7 +224,7 @@
 	}
 	s.advance(now)
 	s.trackOverload()
-	if s.overloadedSince < 0 || now-s.overloadedSince < s.conf.FallFor {
+	if s.overloadedSince < 0 || now-s.overloadedSince < s.conf.OverloadFor {
 		return jobs, false
 	}
 	s.Overloads++
--- a/internal/lab/servermodel/server_test.go
+++ b/internal/lab/servermodel/server_test.go
@@ -77,7 +77,7 @@
 // A cold server works slowly, warms up, and loses its jobs only when it is overloaded for long enough.
 func TestColdStart(t *testing.T) {
 	conf := Conf{Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: 0.25, ColdFor: 4 * time.Second,
-		FallMultiple: 2, FallFor: time.Second}
+		OverloadMultiple: 2, OverloadFor: time.Second}
 	overload := func(load float64, duration time.Duration) *Server {
 		s := newServer(t, conf, true)
 		for now := time.Duration(0); now < duration; now += 10 * ms {
@@ -90,10 +90,10 @@
 		t.Errorf("under a small load: %d overloads, share %v", s.Overloads, s.Share())
 	}
 	if s := overload(3, time.Second); s.Overloads != 0 {
-		t.Errorf("overloaded for less than FallFor: %d overloads counted", s.Overloads)
+		t.Errorf("overloaded for less than OverloadFor: %d overloads counted", s.Overloads)
 	}
 	if s := overload(3, 3*time.Second); s.Overloads == 0 {
-		t.Error("overloaded for longer than FallFor: no overload counted")
+		t.Error("overloaded for longer than OverloadFor: no overload counted")
 	}
 	j := &Job{Work: 10 * ms}
 	s := newServer(t, conf, true)
@@ -108,7 +108,7 @@
 func TestEachJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		conf := Conf{Cores: 1.5, Speed: 1, Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Queue: rapid.IntRange(0, 3).Draw(t, "queue"),
-			ColdFrom: 0.1, ColdFor: time.Second, FallMultiple: 1, FallFor: 100 * ms, ChokeAbove: 2, ChokeTo: 0.5}
+			ColdFrom: 0.1, ColdFor: time.Second, OverloadMultiple: 1, OverloadFor: 100 * ms, ChokeAbove: 2, ChokeTo: 0.5}
 		s, err := New(conf, 0, rapid.Bool().Draw(t, "cold"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -531,7 +531,7 @@
 		for i, n := range endpoints {
 			sizes[i] = float64(n)
 			m, err := harness.MeasureListTraffic(ctx, harness.ListTrafficConf{
-				Endpoints: n, AtOnce: c.AtOnce, Apart: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Emulated: c.Hollow, Peers: c.Peers, Idle: c.Idle,
+				Endpoints: n, AtOnce: c.AtOnce, Separately: c.Apart, Changes: c.Changes, Sidecars: c.Sidecars, Emulated: c.Hollow, Peers: c.Peers, Idle: c.Idle,
 			}, opts)
 			if err != nil {
 				return err
@@ -539,7 +539,7 @@
 			idle := max(1e-9, c.Idle.Seconds())
 			for k, v := range []float64{
 				m.CPU, m.Real.Calls, m.Real.Answers, m.Real.RequestBytes, m.Real.AnswerBytes, m.Real.LinesPerAnswer, m.Real.FullLists, m.Emulated.AnswerBytes, m.LabCPU,
-				m.Whole.AnswerBytes, m.DeliveryP50, m.DeliveryMax, m.Idle.Calls / idle, (m.Idle.RequestBytes + m.Idle.AnswerBytes) / idle, m.IdleCPU,
+				m.FullList.AnswerBytes, m.DeliveryP50, m.DeliveryMax, m.Idle.Calls / idle, (m.Idle.RequestBytes + m.Idle.AnswerBytes) / idle, m.IdleCPU,
 			}[:len(names)] {
 				measurements[k].runs[i] = append(measurements[k].runs[i], v)
 			}
--- a/internal/lifecycle/helpers_test.go
+++ b/internal/lifecycle/helpers_test.go
@@ -62,7 +62,7 @@
 	return map[string]any{
 		"name": "t0", "listen": "127.0.0.1:0", "discovery": d.Address, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"known":  scripted.WholeList(1, known...), "settings": testSettings(),
+		"known":  scripted.FullList(1, known...), "settings": testSettings(),
 	}
 }
 
--- a/internal/lifecycle/races_test.go
+++ b/internal/lifecycle/races_test.go
@@ -135,7 +135,7 @@
 	if took := time.Since(begin); took > killAfter+time.Second { // the machine may be slow
 		t.Errorf("stopping took %v", took)
 	}
-	if c := s.Counters(); c.Taken != 1 || c.Served != 1 || endpoint.HasPending() {
+	if c := s.Counters(); c.Accepted != 1 || c.Served != 1 || endpoint.HasPending() {
 		t.Errorf("%+v, a second connection to the endpoint: %v; want one request taken and served", c, endpoint.HasPending())
 	}
 }
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -65,8 +65,8 @@
 // Decider creates the decision module of a sidecar.
 type Decider func(conf *config.Config) (pipeline.Decider, error)
 
-// Module creates heathgap's decision module.
-func Module(conf *config.Config) (pipeline.Decider, error) {
+// NewBalancer creates heathgap's decision module.
+func NewBalancer(conf *config.Config) (pipeline.Decider, error) {
 	balancer, err := decide.New(conf.Settings, conf.Seed)
 	if err != nil {
 		return nil, err
@@ -91,8 +91,8 @@
 	Metrics(text []byte) []byte
 	// Holdings returns the access to the replicated records of keyed requests; nil without them.
 	Holdings() pipeline.Holdings
-	// Leaving announces that this process will stop and must not get any more replicas.
-	Leaving()
+	// Decommission announces that this process will stop and must not get any more replicas.
+	Decommission()
 	// Stop ends the membership.
 	Stop()
 }
@@ -100,7 +100,7 @@
 // Start starts a sidecar. When it returns, the sidecar accepts requests.
 func Start(conf *config.Config, log zerolog.Logger, opts Options) (*Sidecar, error) {
 	if opts.Decider == nil {
-		opts.Decider = Module
+		opts.Decider = NewBalancer
 	}
 	if opts.Env == nil {
 		opts.Env = env.Real{}
@@ -211,7 +211,7 @@
 	s.log.Info().Bool("succeeded", s.upgrade.replaced.Load()).Msg("stopping")
 	s.upgrade.stopping.Store(true)
 	if s.cluster != nil {
-		s.cluster.Leaving() // its replicas move to other members while the callers get their answers
+		s.cluster.Decommission() // its replicas move to other members while the callers get their answers
 	}
 	if !s.upgrade.replaced.Load() { // otherwise new callers reach the other process already
 		s.env.Sleep(s.stayTime)
--- a/internal/lifecycle/sidecar_test.go
+++ b/internal/lifecycle/sidecar_test.go
@@ -146,7 +146,7 @@
 	if body := <-got; body != "/look/first" || e.Count() != 1 {
 		t.Errorf("the first got %q, and the endpoint got %d requests", body, e.Count())
 	}
-	if c := s.Counters(); c.Malformed != 1 || c.Taken != 1 || c.Pending != 0 {
+	if c := s.Counters(); c.Malformed != 1 || c.Accepted != 1 || c.Pending != 0 {
 		t.Errorf("counters: %+v", c)
 	}
 }
@@ -284,8 +284,8 @@
 	eventually(t, "the request is sent", func() bool { return s.Counters().Sent == 1 })
 	conn.Close()
 	eventually(t, "the disconnect is noticed", func() bool { return s.Counters().Left == 1 })
-	if c := s.Counters(); c.Pending != 0 || c.Taken != 1 {
-		t.Errorf("pending %d, taken %d: want 0 and 1", c.Pending, c.Taken)
+	if c := s.Counters(); c.Pending != 0 || c.Accepted != 1 {
+		t.Errorf("pending %d, taken %d: want 0 and 1", c.Pending, c.Accepted)
 	}
 	eventually(t, "the end of its connection is logged", func() bool { return strings.Contains(s.log.String(), `"reason":"caller_left"`) })
 }
@@ -522,8 +522,8 @@
 		t.Errorf("more than %d connections to endpoints", s.conf.EndpointConns)
 	}
 	c := s.Counters()
-	if c.Pending != 0 || c.Taken+c.OverLimit != 100 || c.OverLimit == 0 {
-		t.Errorf("pending %d, taken %d, over the limit %d: want 0 pending, and 100 in all with some over the limit", c.Pending, c.Taken, c.OverLimit)
+	if c.Pending != 0 || c.Accepted+c.OverLimit != 100 || c.OverLimit == 0 {
+		t.Errorf("pending %d, taken %d, over the limit %d: want 0 pending, and 100 in all with some over the limit", c.Pending, c.Accepted, c.OverLimit)
 	}
 }
 
@@ -629,7 +629,7 @@
 	eventually(t, "traffic", func() bool { return s.Counters().Served > 100 })
 	s.Stop()
 	wait.Wait()
-	if c := s.Counters(); c.Pending != 0 || c.Taken != c.Served+c.Refused+c.Failed+c.Left {
+	if c := s.Counters(); c.Pending != 0 || c.Accepted != c.Served+c.Refused+c.Failed+c.Left {
 		t.Errorf("the counters do not add up: %+v", c)
 	}
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -195,9 +195,9 @@
 	}
 }
 
-// AdoptBan implements takeover.Handler.
-func (s *Sidecar) AdoptBan(name string, on bool) {
-	if err := s.engine.AdoptBan(name, on); err != nil {
+// ApplyBanChange implements takeover.Handler.
+func (s *Sidecar) ApplyBanChange(name string, on bool) {
+	if err := s.engine.ApplyBanChange(name, on); err != nil {
 		s.log.Warn().Err(err).Msg("a ban of the other process")
 	}
 }
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -55,7 +55,7 @@
 
 // decodeHoldings reads [holdings] into c.
 func decodeHoldings(t *tomlread.Table, c *Cluster) {
-	t.Need("class", "[[holdings.class]] with name and when_alone, one for each class whose requests are held")
+	t.Require("class", "[[holdings.class]] with name and when_alone, one for each class whose requests are held")
 	c.Params.Holdings = clusterparams.Holdings{
 		Copies: t.Int("copies", defaultCopies, 1, clusterparams.MaxCopies), Keep: t.Duration("keep", defaultKeep, clusterparams.MinKeep, clusterparams.MaxKeep),
 		LostAfter: t.Duration("lost_after", defaultLostAfter, clusterparams.MinLostAfter, clusterparams.MaxLostAfter),
@@ -65,7 +65,7 @@
 		MaxBody: t.Int("most_body", defaultBody, 0, maxBody),
 	}
 	for _, class := range t.Tables("class", maxClasses) {
-		class.Need("name", "the name of a keyed class")
+		class.Require("name", "the name of a keyed class")
 		name := class.Text("name", "")
 		if _, twice := c.Holdings.Classes[name]; twice {
 			class.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
@@ -86,9 +86,9 @@
 
 // decodeCluster reads [crew].
 func decodeCluster(t *tomlread.Table) *Cluster {
-	t.Need("name", "the crew's name, the same in all its sidecars")
-	t.Need("address", "an address with a port, of this process alone")
-	t.Need("keeper", "[[crew.keeper]] with name and address, one to seven of them; three or five in different zones")
+	t.Require("name", "the crew's name, the same in all its sidecars")
+	t.Require("address", "an address with a port, of this process alone")
+	t.Require("keeper", "[[crew.keeper]] with name and address, one to seven of them; three or five in different zones")
 	c := &Cluster{
 		Name: t.Text("name", ""), Address: readAddress(t, "address"), DataDir: t.Text("data", ""),
 		Params: clusterparams.Params{
@@ -110,8 +110,8 @@
 	}
 	c.Routes = map[string]string{}
 	for _, route := range t.Tables("way", clusterparams.MaxMembers) {
-		route.Need("name", "the name of a member")
-		route.Need("address", "where this process reaches it")
+		route.Require("name", "the name of a member")
+		route.Require("address", "where this process reaches it")
 		name := route.Text("name", "")
 		if c.Routes[name] != "" {
 			route.Fail("name", fmt.Sprintf("%q, a second time", name), "each name once")
@@ -120,8 +120,8 @@
 	}
 	addresses := map[string]bool{}
 	for _, voter := range t.Tables("keeper", clusterparams.MaxVoters) {
-		voter.Need("name", "the name of the keeper's sidecar")
-		voter.Need("address", "its crew.address")
+		voter.Require("name", "the name of the keeper's sidecar")
+		voter.Require("address", "its crew.address")
 		name, address := voter.Text("name", ""), readAddress(voter, "address")
 		if c.Voters[name] != "" || addresses[address] {
 			voter.Fail("name", fmt.Sprintf("%q at %q, a second time", name, address), "each name and address once")
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -85,7 +85,7 @@
 		}
 		f.Shadow.Settings = set
 	}
-	doc.Root.Skip("crew", "holdings") // optional tables, read below
+	doc.Root.MarkKnown("crew", "holdings") // optional tables, read below
 	if doc.Root.Has("crew") {
 		f.Cluster = decodeCluster(doc.Root.Table("crew"))
 	}
--- a/internal/pipeline/admit.go
+++ b/internal/pipeline/admit.go
@@ -38,7 +38,7 @@
 		a.answer <- httpwire.Answer{Verdict: httpwire.Refused, CloseAfter: a.crowded}
 		return
 	}
-	e.counters.Taken++
+	e.counters.Accepted++
 	a.request = e.requests.Add(a.message, a.deadline, a.answer)
 	a.request.Caller = a.caller
 	if a.claim != nil {
--- a/internal/pipeline/audit.go
+++ b/internal/pipeline/audit.go
@@ -36,8 +36,8 @@
 	}
 	c := e.snapshot()
 	ends := c.Served + c.Refused + c.Failed + c.Left
-	if ends+c.Pending != e.counters.Taken+c.HandedOver {
-		return fmt.Errorf("%d requests accepted, %d ended, %d pending", e.counters.Taken, ends, c.Pending)
+	if ends+c.Pending != e.counters.Accepted+c.HandedOver {
+		return fmt.Errorf("%d requests accepted, %d ended, %d pending", e.counters.Accepted, ends, c.Pending)
 	}
 	if available, total := e.answerMemory.Available(), e.conf.AnswerBytes; available < 0 || available > total {
 		return fmt.Errorf("memory budget for answers: %d of %d bytes available", available, total)
--- a/internal/pipeline/discover.go
+++ b/internal/pipeline/discover.go
@@ -91,7 +91,7 @@
 			e.watch.version, e.watch.hasList = known.Index, true
 		}
 		restored := *known
-		restored.Whole = true
+		restored.Full = true
 		e.applyList(&restored, decide.ListRestored)
 	}
 	if e.handover != nil {
@@ -189,7 +189,7 @@
 		}
 		checks = 0
 		if !keep {
-			e.closeWatchLink(w, httpwire.ReasonPeerClose, nil)
+			e.closeWatchLink(w, httpwire.ReasonCloseInAnswer, nil)
 		}
 		e.post(listReceived{w, list})
 		if known && list.Index == before {
@@ -252,7 +252,7 @@
 	e.listVersion = c.list.Index
 	e.markListCurrent()
 	kind := decide.ListChanged
-	if c.list.Whole {
+	if c.list.Full {
 		kind = decide.ListReplaced
 	}
 	e.applyList(c.list, kind)
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -109,7 +109,7 @@
 	for name := range conf.Classes {
 		names = append(names, name)
 	}
-	if conf.Settings.Rules.GoneMayServe {
+	if conf.Settings.Rules.RemovalNotBinding {
 		e.endpoints.KeepGone()
 	}
 	e.endpoints.SetGrace(conf.Settings.Rules.DrainGrace / drainGraceDivisor)
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -71,7 +71,7 @@
 		line = line.Int64("first_byte_ms", call.firstByte.Sub(call.begun).Milliseconds())
 	}
 	if list != nil {
-		line = line.Int64("version", list.Index).Bool("whole", list.Whole).
+		line = line.Int64("version", list.Index).Bool("whole", list.Full).
 			Int("lines", len(list.Endpoints)).Int("bytes", list.Bytes)
 	}
 	line.AnErr("error", err).Msg("list call")
--- a/internal/pipeline/operate.go
+++ b/internal/pipeline/operate.go
@@ -30,9 +30,9 @@
 // Enable ends a ban by hand.
 func (e *Engine) Enable(name string) error { return e.ban(name, false) }
 
-// AdoptBan takes over a ban by hand, or its end, from the other process of an upgrade. That process knows that the endpoint
+// ApplyBanChange takes over a ban by hand, or its end, from the other process of an upgrade. That process knows that the endpoint
 // has been listed.
-func (e *Engine) AdoptBan(name string, on bool) error {
+func (e *Engine) ApplyBanChange(name string, on bool) error {
 	return e.call(banCall{name: name, on: on, known: true, done: make(chan error, 1)})
 }
 
@@ -121,7 +121,7 @@
 		return byCluster && !byHand // the successor gets it from the cluster
 	})
 	r.reply <- Handover{
-		List: httpwire.List{Index: e.listVersion, Whole: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
+		List: httpwire.List{Index: e.listVersion, Full: true, Endpoints: endpoints.List()}, Seen: endpoints.SeenHashes(), Banned: bansByHand,
 		From: e.watch.address, Classes: e.conf.ClassNames(),
 		Lifted: endpoints.LiftedBans(e.clock.Now() - e.conf.Settings.Rules.ColdTime),
 	}
--- a/internal/pipeline/probe.go
+++ b/internal/pipeline/probe.go
@@ -64,7 +64,7 @@
 	}
 	p.outcome, p.reply = reply.Outcome, &reply
 	if reply.Close || reply.Stream != nil { // a load report is never long enough to be streamed
-		p.endReason = httpwire.ReasonPeerClose
+		p.endReason = httpwire.ReasonCloseInAnswer
 	}
 }
 
--- a/internal/pipeline/relay.go
+++ b/internal/pipeline/relay.go
@@ -98,7 +98,7 @@
 	case s.end == httpwire.AnswerCallerGone:
 		endReason, counted = httpwire.ReasonCallerLeft, metrics.CallerLeft
 	case s.reply.Close:
-		endReason = httpwire.ReasonPeerClose
+		endReason = httpwire.ReasonCloseInAnswer
 	}
 	if endReason == "" {
 		e.pool.Put(endpoint, s.link, e.clock.Now())
--- a/internal/pipeline/rules.go
+++ b/internal/pipeline/rules.go
@@ -116,7 +116,7 @@
 func (e *Engine) withhold(list *httpwire.List) *httpwire.List {
 	if !e.rules.Effective().Cautious || !e.listed.Load() {
 		maps.DeleteFunc(e.withheld, func(name string, _ httpwire.ListedEndpoint) bool {
-			return list.Whole || slices.ContainsFunc(list.Endpoints, func(l httpwire.ListedEndpoint) bool { return l.Name == name })
+			return list.Full || slices.ContainsFunc(list.Endpoints, func(l httpwire.ListedEndpoint) bool { return l.Name == name })
 		})
 		return list
 	}
--- a/internal/pipeline/rules_test.go
+++ b/internal/pipeline/rules_test.go
@@ -114,7 +114,7 @@
 func TestNewEndpointsAreWithheldWhileCautious(t *testing.T) {
 	e, rules, _ := newClusterEngine(t)
 	list := func(whole bool, names ...string) *httpwire.List {
-		l := &httpwire.List{Whole: whole}
+		l := &httpwire.List{Full: whole}
 		for _, name := range names {
 			l.Endpoints = append(l.Endpoints, httpwire.ListedEndpoint{Name: name, Address: "127.0.0.1:9"})
 		}
--- a/internal/pipeline/send.go
+++ b/internal/pipeline/send.go
@@ -113,7 +113,7 @@
 	if end.outcome, mayWrite = e.checkBeforeWrite(a); !mayWrite {
 		return
 	}
-	if !a.Write() || upload != nil && !upload.Claim() {
+	if !a.StartWrite() || upload != nil && !upload.Claim() {
 		end.outcome = decide.NotSent // the request ended while the connection was being made
 		return
 	}
@@ -131,7 +131,7 @@
 	}
 	end.outcome, end.reply = reply.Outcome, &reply
 	if reply.Close {
-		end.endReason = httpwire.ReasonPeerClose
+		end.endReason = httpwire.ReasonCloseInAnswer
 	}
 }
 
--- a/internal/pipeline/send_test.go
+++ b/internal/pipeline/send_test.go
@@ -38,7 +38,7 @@
 		a := e.requests.Begin(r, nil, now, now)
 		a.GiveUp = func() {}
 		e.timeouts.Add(a)
-		if written && !a.Write() {
+		if written && !a.StartWrite() {
 			t.Fatal("the attempt can't be written")
 		}
 		e.runDue()
--- a/internal/pipeline/takein.go
+++ b/internal/pipeline/takein.go
@@ -79,7 +79,7 @@
 		// timers, is kept that long.
 		message.Remaining = min(message.Remaining, maxDeadline)
 	}
-	crowded := conn.Crowded()
+	crowded := conn.OverSoftLimit()
 	if message.Upload == nil {
 		// From here on the caller's connection is watched, because a claim may take time too.
 		caller := &waitingCaller{}
--- a/internal/pipeline/watchcall.go
+++ b/internal/pipeline/watchcall.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, false, fmt.Errorf("answer: %w", markTimeout(err))
 	}
-	if w.hasList && !answer.Whole && answer.Index < w.version {
+	if w.hasList && !answer.Full && answer.Index < w.version {
 		w.hasList = false // the full list is fetched next
 		return nil, false, fmt.Errorf("answer: %w: %d after %d", errEarlierVersion, answer.Index, w.version)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -109,13 +109,13 @@
 
 func decodeRules(o jsonread.Object, r *decide.Rules) {
 	r.AnswerSlack = o.Duration("answer_slack")
-	r.AskEvery = o.Duration("ask_every")
+	r.PollEvery = o.Duration("ask_every")
 	r.ColdShare = o.Float("cold_from")
 	r.ColdTime = o.Duration("cold")
-	r.FallMultiple = o.Float("fall_multiple")
-	r.FallWindow = o.Duration("overload_for")
+	r.OverloadMultiple = o.Float("fall_multiple")
+	r.OverloadWindow = o.Duration("overload_for")
 	r.DrainGrace = o.Duration("drain_grace")
-	r.GoneMayServe = o.Boolean("removal_not_binding")
+	r.RemovalNotBinding = o.Boolean("removal_not_binding")
 }
 
 func decodeClass(o jsonread.Object) decide.Class {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 		!s.HintsWork || s.Tick != 2500*time.Microsecond {
 		t.Errorf("head: %+v", s)
 	}
-	if !s.Limits.Cancel || s.Limits.MaxAttempts != 4 || s.Rules.DrainGrace != time.Second || !s.Rules.GoneMayServe || s.Prices.Waste != 0.05 {
+	if !s.Limits.Cancel || s.Limits.MaxAttempts != 4 || s.Rules.DrainGrace != time.Second || !s.Rules.RemovalNotBinding || s.Prices.Waste != 0.05 {
 		t.Errorf("limits, rules, prices: %+v", s)
 	}
 	want := decide.Class{
--- a/internal/shadow/shadow.go
+++ b/internal/shadow/shadow.go
@@ -29,7 +29,7 @@
 	SentElsewhere int // sent to another endpoint
 	Sent          int // sent, where the deciding balancer held, refused or failed the request
 	Retried       int // sent again, where the deciding balancer did not
-	Held          int // held back, where the deciding balancer sent or ended the request
+	Pending       int // kept pending, where the deciding balancer sent or ended the request
 	Refused       int
 	Failed        int
 	Canceled      int // an attempt canceled, where the deciding balancer let it run
@@ -39,7 +39,7 @@
 // MarshalZerologObject writes the counts into a log line.
 func (c Counts) MarshalZerologObject(e *zerolog.Event) {
 	e.Int("watched", c.Followed).Int("unwatched", c.NotFollowed).Int("alike", c.Same).
-		Int("sent_elsewhere", c.SentElsewhere).Int("sent", c.Sent).Int("retried", c.Retried).Int("held", c.Held).
+		Int("sent_elsewhere", c.SentElsewhere).Int("sent", c.Sent).Int("retried", c.Retried).Int("held", c.Pending).
 		Int("refused", c.Refused).Int("failed", c.Failed).Int("called_off", c.Canceled).Int("probes", c.Probes)
 }
 
@@ -270,7 +270,7 @@
 	case a.Kind == decide.Cancel:
 		c.counts.Canceled++
 	default:
-		c.counts.Held++
+		c.counts.Pending++
 	}
 }
 
--- a/internal/shadow/shadow_test.go
+++ b/internal/shadow/shadow_test.go
@@ -140,7 +140,7 @@
 	if c.Same < 1000 {
 		t.Errorf("%d actions were the same, want at least 1000", c.Same)
 	}
-	if n := c.SentElsewhere + c.Sent + c.Retried + c.Held + c.Refused + c.Failed + c.Canceled; n > 0 {
+	if n := c.SentElsewhere + c.Sent + c.Retried + c.Pending + c.Refused + c.Failed + c.Canceled; n > 0 {
 		t.Errorf("differences between equal balancers: %+v", c)
 	}
 }
--- a/internal/sim/bugs_test.go
+++ b/internal/sim/bugs_test.go
@@ -58,7 +58,7 @@
 		changed := *conf
 		changed.Settings.Classes = slices.Clone(conf.Settings.Classes)
 		inject(&changed, b)
-		inner, err := lifecycle.Module(&changed)
+		inner, err := lifecycle.NewBalancer(&changed)
 		b.inner = inner
 		return b, err
 	}
--- a/internal/sim/clustersim/process.go
+++ b/internal/sim/clustersim/process.go
@@ -266,7 +266,7 @@
 		})
 	}, func(theirs voter.Announcement, ok bool) {
 		if p.r.bug == TrustsOldDirectory {
-			theirs.Term, theirs.End, theirs.Seen = 0, voter.Announcement{}.End, nil
+			theirs.Term, theirs.End, theirs.Observed = 0, voter.Announcement{}.End, nil
 		}
 		if ok {
 			p.withVoter(func(c *voter.Core) { c.HandleAnnouncement(theirs) })
@@ -350,7 +350,7 @@
 	if p.store == nil {
 		return
 	}
-	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.incarnation || !view.Is(&p.appliedView)) {
+	if me, view := p.holder.Incarnation(), p.holder.View(); view.Placement != nil && me.Name != "" && (me != p.incarnation || !view.SameAs(&p.appliedView)) {
 		p.incarnation, p.appliedView = me, view
 		p.store.ApplyView(p.BootTime(), me, view.Placement, view.Members)
 	}
--- a/internal/sim/clustersim/views.go
+++ b/internal/sim/clustersim/views.go
@@ -43,7 +43,7 @@
 // checkView checks that what a member knows is what a ledger had under the same epoch and placement number.
 func (r *run) checkView(p *process) {
 	v := p.holder.View()
-	if v.Placement == nil || v.Is(&p.checkedView) {
+	if v.Placement == nil || v.SameAs(&p.checkedView) {
 		return
 	}
 	p.checkedView = v
@@ -159,7 +159,7 @@
 	}
 	next.Placement.Number = d.Number
 	for _, s := range d.Shards {
-		next.Placement.Shards[s.Shard] = s.Of
+		next.Placement.Shards[s.Shard] = s.State
 	}
 	return &next
 }
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -128,7 +128,7 @@
 	s := &simulation{
 		w: newWorld(script.Seed, opts.Wait, opts.Trace), script: script, opts: opts, meanWork: script.Work,
 		checker: oracle.New(oracle.Conf{
-			AnswerSlack: answerSlack, DrainGrace: drainGrace, AskEvery: pollInterval, DeliveredAfter: deliveredAfter, Margin: networkMargin,
+			AnswerSlack: answerSlack, DrainGrace: drainGrace, PollEvery: pollInterval, DeliveredAfter: deliveredAfter, Margin: networkMargin,
 		}),
 		keys: &keyStore{window: script.Window, runs: map[string]*keyedRun{}}, routes: map[string]peer{},
 		classes: map[string]decide.Class{
@@ -225,7 +225,7 @@
 		address = s.endpoints[index].address
 	}
 	server, err := servermodel.New(servermodel.Conf{
-		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, FallMultiple: overloadMultiple, FallFor: overloadFor,
+		Cores: 1, Speed: 1, Slots: 8, Queue: 8, ColdFrom: coldFrom, ColdFor: coldFor, OverloadMultiple: overloadMultiple, OverloadFor: overloadFor,
 	}, s.now(), cold)
 	if err != nil {
 		panic(err) // the configuration is valid
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -139,7 +139,7 @@
 			stale = append(stale, e)
 		}
 	}
-	if list.Whole {
+	if list.Full {
 		for name, e := range t.byName {
 			if !inList[name] && t.markGone(e, now) {
 				stale = append(stale, e)
--- a/internal/state/request.go
+++ b/internal/state/request.go
@@ -54,9 +54,9 @@
 	writePrevented // the attempt must not be written any more
 )
 
-// Write reports whether the attempt may be written, and if so marks it as being written. The goroutine that carries the
+// StartWrite reports whether the attempt may be written, and if so marks it as being written. The goroutine that carries the
 // attempt calls it once, when its connection is up.
-func (a *Attempt) Write() bool { return a.writeState.CompareAndSwap(writeAllowed, writeStarted) }
+func (a *Attempt) StartWrite() bool { return a.writeState.CompareAndSwap(writeAllowed, writeStarted) }
 
 // PreventWrite prevents the attempt from being written. It returns false if writing has started already: the endpoint may then
 // receive the whole message.
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,7 +15,7 @@
 }
 
 func fullList(names ...string) *httpwire.List {
-	list := &httpwire.List{Whole: true}
+	list := &httpwire.List{Full: true}
 	for _, name := range names {
 		list.Endpoints = append(list.Endpoints, listed(name))
 	}
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -239,8 +239,8 @@
 
 // Handler acts on the messages of the other process. Its methods are called one at a time.
 type Handler interface {
-	// AdoptBan bans an endpoint (on) or ends its ban. It returns when that is in effect.
-	AdoptBan(name string, on bool)
+	// ApplyBanChange bans an endpoint (on) or ends its ban. It returns when that is in effect.
+	ApplyBanChange(name string, on bool)
 	// ResumeAnswer continues a long answer that the other process has begun to stream.
 	ResumeAnswer(state []byte, caller, endpoint net.Conn)
 	// StopAccepting stops accepting: the other process is about to accept.
@@ -263,7 +263,7 @@
 		}
 		switch {
 		case m.Ban != "":
-			h.AdoptBan(m.Ban, m.On)
+			h.ApplyBanChange(m.Ban, m.On)
 			p.send(message{Applied: m.Seq})
 		case m.Answer != nil:
 			if caller, endpoint, err := p.reader.takeConns(); err == nil {
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -11,7 +11,7 @@
 // silentHandler ignores the messages of the other process.
 type silentHandler struct{ ended chan bool }
 
-func (silentHandler) AdoptBan(string, bool)                   {}
+func (silentHandler) ApplyBanChange(string, bool)             {}
 func (silentHandler) ResumeAnswer([]byte, net.Conn, net.Conn) {}
 func (silentHandler) StopAccepting()                          {}
 func (q silentHandler) PeerEnded(yielded bool)                { q.ended <- yielded }
--- a/internal/tomlread/tomlread.go
+++ b/internal/tomlread/tomlread.go
@@ -245,15 +245,15 @@
 	return fmt.Sprint(v)
 }
 
-// Skip marks keys as known without reading them.
-func (t *Table) Skip(keys ...string) {
+// MarkKnown marks keys as known without reading them.
+func (t *Table) MarkKnown(keys ...string) {
 	for _, key := range keys {
 		t.known[key] = true
 	}
 }
 
-// Need records a fault if a key is missing.
-func (t *Table) Need(key, allowed string) {
+// Require records a fault if a key is missing.
+func (t *Table) Require(key, allowed string) {
 	if !t.Has(key) {
 		t.known[key] = true
 		t.Fail(key, "missing", allowed)
--- a/internal/versions/file.go
+++ b/internal/versions/file.go
@@ -53,15 +53,15 @@
 	}
 	doc.Classes = map[string]Class{}
 	for _, t := range root.Tables("class", MaxClasses) {
-		t.Need("name", "the name of a class")
-		t.Need("effect", "repeatable, by_key, once")
+		t.Require("name", "the name of a class")
+		t.Require("effect", "repeatable, by_key, once")
 		name := t.Text("name", "")
 		if _, found := doc.Classes[name]; found {
 			t.Fail("name", fmt.Sprintf("%q, a second time", name), "each class once")
 		}
 		c := Class{Effect: keyByName(EffectNames, t.Enum("effect", "once", slices.Sorted(maps.Values(EffectNames))...))}
 		if c.Effect == decide.Keyed {
-			t.Need("window", `a time such as "800ms"`)
+			t.Require("window", `a time such as "800ms"`)
 			c.Group = keyByName(GroupNames, t.Enum("group", "all", "all", "zone", "cell"))
 			c.Window = t.Duration("window", time.Second, 0, MaxWindow)
 		}
