--- a/decide/types.go
+++ b/decide/types.go
@@ -164,10 +164,11 @@
 	ColdTime  time.Duration // and has all of it after this time
 	// A cold endpoint is overloaded when it is sent more than OverloadMultiple times its present capacity for
 	// OverloadWindow.
-	OverloadMultiple  float64
-	OverloadWindow    time.Duration
-	DrainGrace        time.Duration // sends to a draining endpoint must end within this time
-	RemovalNotBinding bool          // only draining binds: an endpoint reported gone, or left out, may serve on
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
+	DrainGrace       time.Duration // sends to a draining endpoint must end within this time
+	// Only draining binds: an endpoint reported gone, or left out, may serve on.
+	RemovalNotBinding bool
 }
 
 // EndpointState is what the list reports of an endpoint.
--- a/internal/lab/consistency/consistency.go
+++ b/internal/lab/consistency/consistency.go
@@ -211,8 +211,8 @@
 type Report struct {
 	Violations    []Violation
 	NumViolations int // in all; Violations holds the first of them
-	// LongestContradiction is the longest time for which a version in effect at another member had forbidden an action. It counts from when the
-	// acting process was allowed the action, if that was later.
+	// LongestContradiction is the longest time for which a version in effect at another member had forbidden an action. It counts from when
+	// the acting process was allowed the action, if that was later.
 	LongestContradiction time.Duration
 	Actions              int // recorded
 	// AgainstOthers counts actions that a version in effect at another member forbade, including those within the allowed time.
