--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -473,7 +473,7 @@
 		if hs.view.Placement != nil {
 			event = event.Uint64("ballot", hs.view.Placement.Shards[shard].Config).Int("seats", len(hs.view.Placement.Shards[shard].Replicas))
 		}
-		event.Msg("a held request is refused")
+		event.Msg("a keyed request is refused")
 	}
 	return pipeline.ClaimResult{Answer: &httpwire.Answer{Verdict: httpwire.Refused, RetryAfter: refusedRetryAfter}}
 }
--- a/internal/cluster/member/member.go
+++ b/internal/cluster/member/member.go
@@ -118,7 +118,7 @@
 	select {
 	case <-m.firstAnswer:
 	case <-timer.C():
-		log.Warn().Msg("no word from the crew yet: serving cautiously, without the bans of its version")
+		log.Warn().Msg("no answer from the crew yet: serving cautiously, without the bans of its version")
 	}
 	return m, nil
 }
@@ -209,7 +209,7 @@
 		m.noLeader.Add(1)
 		return false
 	case step.Err != nil:
-		m.warn("the crew's word can't be taken", step.Err.Error())
+		m.warn("an answer of the crew's leader can't be accepted", step.Err.Error())
 		return false
 	case !step.Done:
 		return step.RenewNow
@@ -220,7 +220,7 @@
 	}
 	if err := m.holder.ViewErr(); err != nil && !m.viewErrLogged {
 		m.viewErrLogged = true // logged once per process; LeaseHolder.NextRenewal decides what to request instead
-		m.log.Warn().Err(err).Msg("changes of the crew can't be taken; asking for the whole")
+		m.log.Warn().Err(err).Msg("changes sent by the crew's leader can't be applied; requesting the full state")
 	}
 	select {
 	case <-m.firstAnswer:
@@ -325,8 +325,8 @@
 	return m.holdings
 }
 
-// Decommission implements lifecycle.Cluster: further renewals ask the leader to move this sidecar's replicas to other members. Without holdings
-// it does nothing.
+// Decommission implements lifecycle.Cluster: further renewals ask the leader to move this sidecar's replicas to other members. Without
+// holdings it does nothing.
 func (m *Member) Decommission() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -341,7 +341,7 @@
 			return
 		}
 	}
-	m.log.Warn().Int("shards", m.holdings.countReplicas()).Dur("after", decommissionTimeout).Msg("leaves with seats that nobody else has taken yet")
+	m.log.Warn().Int("shards", m.holdings.countReplicas()).Dur("after", decommissionTimeout).Msg("leaving the crew before other sidecars have taken over all its copies")
 }
 
 // Stop leaves the cluster, so that the member's name is free and nobody waits for its lease to end, and stops the voter.
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -392,7 +392,7 @@
 				lost++
 			}
 		}
-		event.Int("shards", len(entry.ReplicaChanges)).Int("lost", lost).Msg("seats have changed")
+		event.Int("shards", len(entry.ReplicaChanges)).Int("lost", lost).Msg("the placement of copies has changed")
 	case entry.End != nil:
 		event.Uint64("version", entry.End.Number).Str("why", entry.End.Reason).Msg("a version is refused")
 	}
--- a/internal/cluster/voter/form.go
+++ b/internal/cluster/voter/form.go
@@ -67,7 +67,7 @@
 	previous, known := c.announcements[a.Name]
 	if c.announcements[a.Name] = a; a.ParamsHash != c.conf.Params.Hash() {
 		if !known || previous.ParamsHash != a.ParamsHash {
-			c.log.Error().Str("keeper", a.Name).Str("here", c.conf.Params.String()).Msg("its terms differ; start all with the same [crew]")
+			c.log.Error().Str("keeper", a.Name).Str("here", c.conf.Params.String()).Msg("the terms of another keeper differ from those of this one; start all with the same [crew] and [holdings]")
 		}
 		return
 	}
--- a/internal/cluster/voter/outbox.go
+++ b/internal/cluster/voter/outbox.go
@@ -75,7 +75,7 @@
 		}
 		if err != nil && errors.Is(err, peerrpc.ErrRefused) && err.Error() != lastRefusal {
 			lastRefusal = err.Error() // log each reason once, not with each message
-			v.log.Warn().Str("keeper", name).Err(err).Msg("a keeper refuses this one's word")
+			v.log.Warn().Str("keeper", name).Err(err).Msg("another keeper refuses the raft messages of this keeper")
 		}
 	}
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -95,7 +95,7 @@
 	s.divideLimits(upgradeProcesses)
 	go peer.Run(predecessorHandler{s, peer})
 	if err := peer.StopAccepting(); err != nil {
-		s.log.Warn().Err(err).Msg("the predecessor does not answer, serving beside it")
+		s.log.Warn().Err(err).Msg("the predecessor does not confirm that it stops accepting; both processes accept connections")
 	}
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		// Guards against a directory in which no socket can be created: the sidecar serves, and its successor listens on
 		// the same address beside it instead.
-		s.log.Warn().Err(err).Msg("no way in for a successor")
+		s.log.Warn().Err(err).Msg("cannot create the socket that a successor connects to")
 		return
 	}
 	s.upgrade.mu.Lock()
@@ -198,7 +198,7 @@
 // ApplyBanChange implements takeover.Handler.
 func (s *Sidecar) ApplyBanChange(name string, on bool) {
 	if err := s.engine.ApplyBanChange(name, on); err != nil {
-		s.log.Warn().Err(err).Msg("a ban of the other process")
+		s.log.Warn().Err(err).Msg("can't take over a ban, or its end, from the other process of the upgrade")
 	}
 }
 
