--- a/decide/probing.go
+++ b/decide/probing.go
@@ -20,8 +20,8 @@
 	maxDraws      = 12
 	maxProbes     = 8                     // endpoints probed for a request in all
 	costlyProbe   = 0.005                 // from this price of a probe on, they are sent one by one
-	probeSlack    = 1                     // expected latencies set aside for probing before the aim
-	maxUnplaced   = 0.1                   // above this part without a slot none waits past its aim
+	probeSlack    = 1                     // where probes decide, giveUpAt is so many expected latencies earlier
+	maxUnplaced   = 0.1                   // from this value of unplaced on, giveUpAt marks no request as late
 	probeInterval = 25 * time.Millisecond // how often endpoints are probed for a request without a slot
 	freshTime     = 15 * time.Millisecond // how long a load report is valid
 )
@@ -34,7 +34,8 @@
 		b.settings.Report.Mode != ReportNever
 }
 
-// probeForQueued sends probes for the queued requests: two at a time, or one where probes are costly.
+// probeForQueued sends probes for the queued requests: for each request at most every probeInterval, two at a
+// time, or one where probes are costly.
 func (b *Balancer) probeForQueued() {
 	count := probesAtOnce
 	if b.settings.Prices.Probe >= costlyProbe {
@@ -56,7 +57,7 @@
 		}
 		next = min(next, r.nextProbeAt)
 	}
-	if next < math.MaxInt64 { // one timer for all requests: it sets the next one
+	if next < math.MaxInt64 { // one timer for all requests: when it is due, this runs again and sets the next
 		b.scheduleRecheck(max(0, next-b.now-recheckInterval))
 	}
 }
--- a/decide/requests.go
+++ b/decide/requests.go
@@ -54,7 +54,7 @@
 
 // handleArrival admits a new request. First attempts cost no token. On the front tier the request's value is
 // the worth that can be expected of it: less where it will probably miss its aim, and less where requests of
-// its class or tenant lately hold slots for long.
+// its class or tenant have lately held their slots for long.
 func (b *Balancer) handleArrival(e *Event) {
 	c := cmp.Or(b.classes[e.Class], &b.unknownClass)
 	r := &request{id: e.Request, class: c, deadline: b.now + e.Grace, arrivedAt: b.now}
@@ -72,7 +72,8 @@
 	} else if b.settings.Front && !b.probesFirst() {
 		left, takes := (r.aimAt - b.now).Seconds(), expected.Seconds()
 		r.value *= (left*left + c.LateShare*takes*takes) / (left*left + takes*takes)
-		r.value *= math.Exp(-r.excess[0].current(b.now) - r.excess[1].current(b.now)) // it holds a slot
+		// Less if such requests have lately held their slots for long.
+		r.value *= math.Exp(-r.excess[0].current(b.now) - r.excess[1].current(b.now))
 	}
 	b.admit(r)
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -15,7 +15,8 @@
 	reserveShare     = 0.5  // part of the bucket that the class of lowest worth leaves to the others
 )
 
-// bucket is a token bucket. It funds retries, or bounds the requests inside a tenant's share.
+// bucket is a token bucket. It funds retries, or holds a tenant's allowance: a token for each request that
+// keeps its full worth (see chargeTenant).
 type bucket struct {
 	tokens     float64
 	refilledAt Time       // when the floor was last added
--- a/decide/tenants.go
+++ b/decide/tenants.go
@@ -21,14 +21,14 @@
 	return 1
 }
 
-// excessTime is how much longer than usual requests of a class or a tenant lately hold their slots, as a
-// logarithm.
+// excessTime is how much longer than usual the attempts of a class or a tenant have lately taken: the logarithm
+// of the ratio.
 type excessTime struct {
 	log       float64
 	updatedAt Time
 }
 
 // current returns the excess time after its decay, which is as slow as the drift of payoffs.
-func (x *excessTime) current(current Time) float64 {
-	return max(0, x.log*decay(current-x.updatedAt, driftTime))
+func (x *excessTime) current(now Time) float64 {
+	return max(0, x.log*decay(now-x.updatedAt, driftTime))
 }
--- a/internal/cluster/leaseholder.go
+++ b/internal/cluster/leaseholder.go
@@ -123,7 +123,8 @@
 	return stamp
 }
 
-// withDocument returns a version record with its document: the one received, or the one already known if the leader left it out.
+// withDocument returns a version record with its document: the one already known for its number and hash, which the leader leaves out,
+// or else the one received, which is checked. Number 0 has no document.
 func (h *LeaseHolder) withDocument(r *VersionRecord) (*VersionRecord, error) {
 	if r.Number == 0 {
 		return r, nil
--- a/internal/cluster/member/holdings.go
+++ b/internal/cluster/member/holdings.go
@@ -123,7 +123,8 @@
 	hs.sendPending()
 }
 
-// leaseReport returns what the store has to report with the next renewal: its replicas that are caught up, and unreachable peers.
+// leaseReport returns what the store has to report with the next renewal: the replicas that have caught up in the shards of which this
+// sidecar is the primary, and unreachable peers.
 func (hs *holdingsService) leaseReport() ([]holdings.CaughtUp, []holdings.Incarnation) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
--- a/internal/cluster/voter/core.go
+++ b/internal/cluster/voter/core.go
@@ -88,7 +88,7 @@
 	observed         map[uint64]observedProgress             // of other voters' data directories, by id
 	nextAnnounce     time.Time
 	dropped          int64 // raft messages that the transport's queues had no room for
-	// The rest is what the other voters reported after this one started with an existing data directory; see startcheck.go.
+	// The rest serves the start check of an existing data directory; see startcheck.go.
 	startCheck      *startCheck
 	voteAfterTerm   uint64               // vote only in later terms; 0 for no such bound
 	minLogEnd       logEnd               // this voter's log, and that of a candidate it votes for, must end there or later
@@ -317,7 +317,8 @@
 // propose proposes an entry of this leader's own to raft.
 func (c *Core) propose(e cluster.Entry) {
 	c.markCount++
-	// The mark is odd (see NewID), and so never 0, which is the mark of versions proposed by people, and means "no entry" in pendingMark.
+	// markCount makes the marks differ even if NewID returns an id twice. The mark is odd, as NewID is, and so never 0, which is the mark
+	// of versions proposed by people, and means "no entry" in pendingMark.
 	mark := NewID() + 2*c.markCount
 	if c.proposeEntry(logEntry{mark, e}) == nil {
 		c.pendingMark = mark
--- a/internal/holdings/delta.go
+++ b/internal/holdings/delta.go
@@ -68,7 +68,8 @@
 	l.records = slices.Delete(l.records, 0, drop)
 }
 
-// since returns what changed from one number to another, sorted and without duplicates. known is false if the log does not cover this range.
+// since returns what changed from one number to another, sorted and without duplicates. known is false if the log does not cover this range,
+// or if number is 0, which stands for no earlier state, and now is not.
 func (l *changeLog[T]) since(number, now uint64) (changed []T, known bool) {
 	switch {
 	case number == now:
--- a/internal/holdings/placement.go
+++ b/internal/holdings/placement.go
@@ -286,8 +286,8 @@
 	return !excluded[m.Incarnation] && !slices.ContainsFunc(c.Replicas, func(s Replica) bool { return s.Incarnation == m.Incarnation })
 }
 
-// bestReplicas returns the replicas that should stay, in rank order: none of an excluded member, at most one of each zone, and at most as
-// many as Copies.
+// bestReplicas returns, of the given replicas, those that a shard should have, in rank order: none of an excluded member, at most one of
+// each zone, and at most as many as Copies.
 func (p *planner) bestReplicas(ranked []Member, replicas []Replica, excluded map[Incarnation]bool) (out []Replica) {
 	usedZones := map[string]bool{}
 	for _, m := range ranked {
--- a/internal/holdings/store.go
+++ b/internal/holdings/store.go
@@ -593,8 +593,8 @@
 	return e, true
 }
 
-// Unreachable returns the sidecars, sorted by name, that have not answered for at least unreachableAfter and have failed to answer within the
-// last unreachableFor, so that their replicas can be given to others.
+// Unreachable returns the sidecars, sorted by name, to which batches have failed over a time of at least unreachableAfter, with none answered
+// in between and the last one within the last unreachableFor, so that their replicas can be given to others.
 func (st *Store) Unreachable(now BootTime) []Incarnation {
 	var out []Incarnation
 	for peer, box := range st.outboxes {
--- a/internal/httpwire/caller.go
+++ b/internal/httpwire/caller.go
@@ -55,7 +55,8 @@
 // spareDivisor sets the part of the limit (1/16) that is kept free above the soft limit.
 const spareDivisor = 16
 
-// SetLimit sets the largest number of connections. Idle connections beyond it are closed; those in use continue.
+// SetLimit sets the largest number of connections. If there are more than the soft limit that follows from it, makeRoom
+// closes idle ones, lingering ones and those with an incomplete request; those with a pending request continue.
 func (l *Callers) SetLimit(limit int) {
 	l.limit.Store(int64(limit))
 	l.softLimit.Store(int64(max(1, limit-max(1, limit/spareDivisor))))
--- a/internal/httpwire/stream.go
+++ b/internal/httpwire/stream.go
@@ -35,8 +35,8 @@
 
 // Limits on the time that the sidecar waits for a body of a caller.
 const (
-	// For the next bytes, and in total beyond the time that minBodyRate allows. A caller that stops sending must get an
-	// answer or a close within 3 s.
+	// Limit on the wait for the next bytes, and on the total wait beyond the time that minBodyRate allows. A caller that
+	// stops sending must get an answer or a close within 3 s.
 	bodyGrace   = 2500 * time.Millisecond
 	minBodyRate = 32 << 10 // bytes a second: half of what slow callers are known to send
 )
@@ -224,7 +224,7 @@
 // How the streaming of a long answer ended.
 const (
 	AnswerComplete   AnswerEnd = iota // all of it is written
-	AnswerBrokenOff                   // its endpoint broke it off, or it exceeded MaxAnswer
+	AnswerBrokenOff                   // its endpoint broke it off, it exceeded MaxAnswer, or its hand-over failed
 	AnswerCallerGone                  // its caller has disconnected
 	AnswerHandedOver                  // another process continues it
 )
@@ -344,7 +344,8 @@
 	return 0, errors.New("a long answer is written, not read")
 }
 
-// WriteTo writes the whole body. After an error, what was written must not look complete.
+// WriteTo writes the body until its end or until a hand-over. It returns an error unless it has written the whole body:
+// fasthttp then writes no last chunk and closes the connection, so that the answer does not look complete.
 func (a *AnswerStream) WriteTo(w io.Writer) (int64, error) {
 	n, err := w.Write(a.beginning)
 	total := int64(n)
@@ -391,7 +392,8 @@
 	}
 }
 
-// Close is called when the answer is written, or will never be.
+// Close is called when the answer is written, or will never be. If WriteTo has not reported how the answer ended, its
+// caller has gone.
 func (a *AnswerStream) Close() error {
 	a.finish(AnswerCallerGone)
 	return nil
--- a/internal/lab/harness/cluster.go
+++ b/internal/lab/harness/cluster.go
@@ -459,7 +459,8 @@
 	return p.running
 }
 
-// pollStatus asks a process at intervals which rules are in effect there, and a voter also who leads.
+// pollStatus asks a process at intervals which rules are in effect there, and a voter (its name begins with k) also who leads. With
+// ClusterOptions.Separate it asks nothing and records separateVersion.
 func (r *clusterRun) pollStatus(ctx context.Context, p *clusterProcess) {
 	for ; ctx.Err() == nil; time.Sleep(statusInterval) {
 		if r.opts.Separate {
--- a/internal/lab/harness/harness.go
+++ b/internal/lab/harness/harness.go
@@ -380,7 +380,8 @@
 	return rec
 }
 
-// checkLoad makes the run void if the lab's own load was sent too late.
+// checkLoad records by how much the lab's own load was sent late. It makes the run void if that is too much or if too many
+// requests were open at the same time, and adds all reasons why the run is void to the record.
 func (r *run) checkLoad(rec *record.Record, driver *load.Driver) {
 	lag := driver.Lag(99)
 	rec.LateSendsP99, rec.LateSendsMax = millis(lag), millis(driver.Lag(100))
--- a/internal/lab/harness/lists.go
+++ b/internal/lab/harness/lists.go
@@ -208,7 +208,8 @@
 	l.version++
 }
 
-// awaitDelivery waits until all watchers have requested what follows the newest version, which shows that they have received it.
+// awaitDelivery waits until all watchers are known to have the newest version: a sidecar when it requests what follows that
+// version, an emulated watcher when it has decoded the list.
 func (l *listTraffic) awaitDelivery(ctx context.Context, timeout time.Duration) error {
 	all := append(append([]*watcherCounts{}, l.real...), l.emulated...)
 	for end := time.Now().Add(timeout); ; {
@@ -447,7 +448,7 @@
 	}
 }
 
-// track has the connection closed together with the proxy. It returns false if the proxy is closed already.
+// track registers a connection, so that close closes it. If the proxy is closed already, it registers nothing and returns false.
 func (t *countingProxy) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/lab/harness/overhead.go
+++ b/internal/lab/harness/overhead.go
@@ -73,8 +73,8 @@
 rate = 1
 `
 
-// scenario returns the scenario of the measurement: one tier of fake endpoints. It may be larger than the limits of scenario
-// files allow.
+// scenario returns the scenario of the measurement: one tier of fake endpoints, and Stages-1 further tiers that exist only in the
+// sidecar's settings. It may be larger than the limits of scenario files allow.
 func (c *OverheadConf) scenario() (*scenario.Scenario, error) {
 	s, err := scenario.Parse("call", []byte(overheadScenario))
 	if err != nil {
@@ -252,8 +252,8 @@
 	return millis(time.Duration(h.ValueAtQuantile(q)))
 }
 
-// cpuTime returns the CPU time of the process in ns. The ticks in usage are 10 ms, the cost of a hundred requests. The time of
-// threads that have ended is missing, but the Go runtime keeps its threads.
+// cpuTime returns the CPU time of the process, with a resolution of ns. That of usage is too coarse: it counts ticks of 10 ms, the
+// CPU time of about a hundred requests. The time of threads that have ended is missing, but the Go runtime keeps its threads.
 func (p *process) cpuTime() (time.Duration, error) {
 	paths, err := filepath.Glob(filepath.Join("/proc", strconv.Itoa(p.cmd.Process.Pid), "task", "*", "schedstat"))
 	if err != nil || len(paths) == 0 {
--- a/internal/lab/harness/tiers.go
+++ b/internal/lab/harness/tiers.go
@@ -105,7 +105,8 @@
 
 func (s *slot) group() int { return 1 + s.number%s.tier.conf.Groups }
 
-// keyMemory returns the memory of keys that the endpoint shares with others of its scope, or nil if the class isn't keyed.
+// keyMemory returns the memory of keys of class c, or nil if the class isn't keyed. All endpoints of the tier share it, or only
+// those of the slot's zone or cell, as c.Group says.
 func (s *slot) keyMemory(c scenario.Class) *fake.KeyMemory {
 	if c.Effect != decide.Keyed {
 		return nil
--- a/internal/lab/scale/evaluate.go
+++ b/internal/lab/scale/evaluate.go
@@ -339,8 +339,9 @@
 // millis returns d in milliseconds.
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// evaluateVersions measures how soon each version was in effect, the longest interval in which a partitioned member applied an older one,
-// and the longest time in the whole run for which a partitioned member was cautious. Without versions it measures none of these.
+// evaluateVersions counts the versions, those that could not be proposed, those refused, and the members that did not apply one. It measures
+// how soon each version was in effect, the longest interval in which a partitioned member applied an older one, and the longest time in the
+// whole run for which a partitioned member was cautious without a break. Without versions it only counts them and those not proposed.
 func (e *evaluation) evaluateVersions() {
 	var took, waited []float64
 	never, refused, worst := 0, 0, VersionRecord{}
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -167,14 +167,14 @@
 	fmt.Fprintf(o, "%d runs: minimum, median, maximum\n", len(runs))
 	for _, first := range runs[0].Measurements {
 		var values []float64
-		violated, not := 0, 0
+		violated, notMeasured := 0, 0
 		for _, r := range runs {
 			f := r.Measurement(first.Key)
 			if f.Violated {
 				violated++
 			}
 			if f.NotMeasured {
-				not++
+				notMeasured++
 				continue
 			}
 			values = append(values, f.Value)
@@ -187,8 +187,8 @@
 		if first.Limit != nil {
 			fmt.Fprintf(o, "  (limit %s, violated in %d)", formatNumber(*first.Limit), violated)
 		}
-		if not > 0 {
-			fmt.Fprintf(o, "  (not measured in %d)", not)
+		if notMeasured > 0 {
+			fmt.Fprintf(o, "  (not measured in %d)", notMeasured)
 		}
 		fmt.Fprintln(o)
 	}
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -626,8 +626,8 @@
 	r.measuring.Store(true)
 	all.Go(func() { r.sampleLoop(watching) })
 	all.Go(func() { r.measureOwnLag(watching) })
-	proposing, enough := context.WithCancel(watching)
-	defer enough()
+	proposing, stopProposing := context.WithCancel(watching)
+	defer stopProposing()
 	all.Go(func() { r.propose(proposing) })
 	for _, name := range slices.Concat(r.scenario.realNames(), r.scenario.plainNames()) {
 		all.Go(func() { r.generateLoad(watching, r.sidecars[name]) })
@@ -644,7 +644,7 @@
 	}
 	if sleep(ctx, time.Until(begin.Add(r.scenario.Duration))) == nil {
 		r.actions.Wait()
-		r.awaitLastVersion(ctx, enough)
+		r.awaitLastVersion(ctx, stopProposing)
 	}
 	r.actions.Wait()
 	r.measuring.Store(false)
@@ -653,9 +653,10 @@
 	}
 }
 
-// awaitLastVersion waits until all versions that are due have been proposed (for at most proposalsTimeout), stops proposing, and then waits
-// until the last version is in effect or refused, so that it can be evaluated.
-func (r *run) awaitLastVersion(ctx context.Context, enough func()) {
+// awaitLastVersion waits until all versions that are due have been proposed (for at most proposalsTimeout), and stops proposing. So that the
+// last version can be evaluated, it then waits until all members that run apply it or it was refused, for at most a lease longer than
+// Limits.InEffect or minSettleTime, whichever is longer.
+func (r *run) awaitLastVersion(ctx context.Context, stopProposing func()) {
 	until := func(timeout time.Duration, condition func() bool) {
 		deadline := time.Now().Add(timeout)
 		for ctx.Err() == nil && time.Now().Before(deadline) && !condition() {
@@ -667,7 +668,7 @@
 		defer r.mu.Unlock()
 		return r.obs.Unproposed == 0
 	})
-	enough()
+	stopProposing()
 	r.mu.Lock()
 	number := uint64(0)
 	if n := len(r.obs.Versions); n > 0 {
--- a/internal/lab/scale/scenario.go
+++ b/internal/lab/scale/scenario.go
@@ -213,7 +213,8 @@
 	return s, doc.Err()
 }
 
-// checkParams reports cluster parameters with which no cluster could be started, and keyed requests without holdings.
+// checkParams reports more copies than zones (each copy needs a zone of its own), a contradict_at_most that sidecars reject, keyed requests
+// without holdings, and more members than a cluster may have.
 func (s *Scenario) checkParams(t *tomlread.Table) {
 	if s.Copies > len(s.zones()) {
 		t.Fail("copies", fmt.Sprint(s.Copies), fmt.Sprintf("as many as there are zones, %d", len(s.zones())))
--- a/internal/lifecycle/process.go
+++ b/internal/lifecycle/process.go
@@ -58,7 +58,7 @@
 		log.Warn().Int("sockets", conf.Sockets).Uint64("descriptors", limit).Msg("the process may hold fewer descriptors than limits.sockets")
 	}
 	debug.SetMemoryLimit(conf.HeapBytes)
-	if conf.Console != "" { // by READY the platform learns that a successor is ready
+	if conf.Console != "" { // without the console's READY the platform could not learn that a successor is ready
 		opts.TakeoverSocket = takeover.SocketPath(os.TempDir(), conf.Name, conf.Listen)
 	}
 	sidecar, err := Start(conf, log, opts)
--- a/internal/lifecycle/sidecar.go
+++ b/internal/lifecycle/sidecar.go
@@ -29,7 +29,7 @@
 	killAfter       = maxDeadlineWait + 700*time.Millisecond
 	maxDeadlineWait = 3 * time.Second
 	finishGrace     = 550 * time.Millisecond // requests still pending that long after the longest deadline (maxDeadlineWait at most) fail
-	writeGrace      = 100 * time.Millisecond // that long after them the process ends, whatever has not been written
+	writeGrace      = 100 * time.Millisecond // the process ends that long after they have failed, whatever has not been written; later if it streams long answers
 	// That long before pending requests fail, long answers are handed over to a successor.
 	handOverLead = 550 * time.Millisecond
 
@@ -250,7 +250,8 @@
 // Audit checks the consistency of the engine's state. The engine must be idle meanwhile.
 func (s *Sidecar) Audit() error { return s.engine.Audit() }
 
-// awaitDrained waits until all callers have their answers, at the latest until the given time.
+// awaitDrained closes the callers' connections as they become idle, and waits until none is open and no answer of another
+// process is being resumed, at the latest until the given time.
 func (s *Sidecar) awaitDrained(until time.Time) {
 	for (s.callers.Open() > 0 || s.engine.Resuming()) && s.env.Now().Before(until) {
 		s.callers.CloseIdle(httpwire.ReasonShutdown)
@@ -258,7 +259,7 @@
 	}
 }
 
-// finishTime returns how long after the signal to stop pending requests fail.
+// finishTime returns the time from the stop signal until requests that are still pending fail.
 func (s *Sidecar) finishTime() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range s.conf.Settings.Classes {
--- a/internal/operator/cluster.go
+++ b/internal/operator/cluster.go
@@ -77,7 +77,7 @@
 // Defaults and limits of the cluster parameters.
 const (
 	defaultLease      = 2 * time.Second // the loss of a leader costs about one lease: elections take 0.5 to 1 s
-	defaultDrift      = 0.01            // far more than a clock that NTP steers; that of a virtual machine may be worse
+	defaultDrift      = 0.01            // far above the drift of a clock that NTP steers; the clock of a virtual machine may drift more
 	defaultSlack      = 200 * time.Millisecond
 	defaultContradict = 2500 * time.Millisecond
 	maxSlack          = 10 * time.Second
--- a/internal/pipeline/calltimes.go
+++ b/internal/pipeline/calltimes.go
@@ -83,11 +83,12 @@
 // watches at once does not keep a sidecar busy. A watch counts as uninterrupted if its next call comes within 200 ms.
 const noNewsPause = 100 * time.Millisecond
 
-// maxRetryDelay returns the longest pause after a failed call with which a change still arrives in time. took is for how long
-// nothing has been received; answered reports whether discovery refused the call or answered it with an invalid list.
-func maxRetryDelay(took time.Duration, answered bool) time.Duration {
+// maxRetryDelay returns the longest pause after a failed call with which a change still arrives within maxListDelay, or a minimum
+// pause if that is longer. took is for how long nothing has been received; refused reports whether discovery refused the call or
+// answered it with an invalid list.
+func maxRetryDelay(took time.Duration, refused bool) time.Duration {
 	floor := lateRetryPause
-	if answered {
+	if refused {
 		floor = overloadedPause
 	}
 	return max(floor, maxListDelay-maxQueueTime-took)
--- a/internal/pipeline/engine.go
+++ b/internal/pipeline/engine.go
@@ -176,7 +176,7 @@
 	now := e.clock.Now()
 	for a := e.timeouts.Due(now); a != nil; a = e.timeouts.Due(now) {
 		outcome := decide.TimedOut
-		if a.PreventWrite() { // no connection came up, so the attempt never ran
+		if a.PreventWrite() { // nothing has been written yet, so the attempt never ran
 			outcome = decide.ConnectFailed
 		}
 		a.GiveUp()
--- a/internal/pipeline/listcall.go
+++ b/internal/pipeline/listcall.go
@@ -11,7 +11,7 @@
 )
 
 // Each call to discovery has a number and one log line that says what was requested and how the call ended. The metrics count
-// the calls by how they ended. The staleness of the list is measured, and logged when it begins to count.
+// the calls by how they ended. The staleness of the list is measured, and logged once the missed changes count as delivered.
 
 // listCallKind is what a call to discovery requests.
 type listCallKind string
--- a/internal/pipeline/route.go
+++ b/internal/pipeline/route.go
@@ -36,7 +36,8 @@
 func (e *Engine) perform(a decide.Action) {
 	switch a.Kind {
 	case decide.SetTimer:
-		// The module sets its timer anew each time that it is due, so that only the newest timer counts.
+		// A new timer replaces the one before: the module sets one only if it is due earlier or the one before has come, and the
+		// next one when it has come.
 		e.moduleTimerAt = e.clock.Now() + a.After
 		return
 	case decide.WatchList:
--- a/internal/state/endpoint.go
+++ b/internal/state/endpoint.go
@@ -41,7 +41,7 @@
 	byName map[string]*Endpoint
 	byID   map[decide.EndpointID]*Endpoint
 
-	banned     map[string]decide.EndpointID // endpoints banned by hand; each keeps its id while it is banned, listed or not
+	banned     map[string]decide.EndpointID // banned endpoints; each keeps its id while it is banned, listed or not
 	seen       map[uint64]struct{}          // hashes of names that have been listed
 	seenRing   []uint64                     // the same hashes in the order of insertion; a new one replaces the oldest
 	ringNext   int                          // index of the oldest hash once seenRing is full
@@ -226,8 +226,8 @@
 // Banned returns the banned names in order.
 func (t *Endpoints) Banned() []string { return slices.Sorted(maps.Keys(t.banned)) }
 
-// Ban adds or ends a ban by hand and returns the id of the endpoint. It fails if the name has never been listed, or if there
-// are maxBans bans already.
+// Ban adds or ends a ban, by hand or by the cluster's version, and returns the id of the endpoint. It fails if the name has never
+// been listed, or if there are maxBans bans already.
 func (t *Endpoints) Ban(name string, on bool, now decide.Time) (decide.EndpointID, error) {
 	id, banned := t.banned[name]
 	e := t.byName[name]
--- a/internal/takeover/takeover.go
+++ b/internal/takeover/takeover.go
@@ -446,10 +446,11 @@
 	s.busy = false
 }
 
-// serveSuccessor sends a successor what it needs, and handles its messages until it ends.
+// serveSuccessor sends a successor the listener's descriptor and the state, and handles its messages until its connection
+// ends. Run is called after an error too, because it calls PeerEnded.
 func (s *SuccessorListener) serveSuccessor(conn *net.UnixConn, listener syscall.Conn, onSuccessor func(*Peer) ([]byte, Handler, error)) {
 	p := newPeer(conn)
-	// Bans from here on are sent to it, after the state.
+	// Locked until the state is sent: a ban that is made meanwhile waits for the lock and is sent after the state.
 	p.mu.Lock()
 	state, h, err := onSuccessor(p)
 	if err == nil {
