--- a/decide/probing.go
+++ b/decide/probing.go
@@ -20,7 +20,7 @@
 	maxDraws      = 12
 	maxProbes     = 8                     // endpoints probed for a request in all
 	costlyProbe   = 0.005                 // from this price of a probe on, they are sent one by one
-	probeSlack    = 1                     // where probes decide, giveUpAt is so many expected latencies earlier
+	probeSlack    = 1                     // with probing, giveUpAt is this many expected latencies earlier
 	maxUnplaced   = 0.1                   // from this value of unplaced on, giveUpAt marks no request as late
 	probeInterval = 25 * time.Millisecond // how often endpoints are probed for a request without a slot
 	freshTime     = 15 * time.Millisecond // how long a load report is valid
--- a/decide/tenants.go
+++ b/decide/tenants.go
@@ -21,8 +21,8 @@
 	return 1
 }
 
-// excessTime is how much longer than usual the attempts of a class or a tenant have lately taken: the logarithm
-// of the ratio.
+// excessTime is how much longer than usual the attempts of a class or a tenant have lately taken: the
+// logarithm of the ratio.
 type excessTime struct {
 	log       float64
 	updatedAt Time
