--- a/internal/lab/emulated/member.go
+++ b/internal/lab/emulated/member.go
@@ -136,8 +136,8 @@
 	m.reportState(s)
 }
 
-// reportState stores a state and reports it if it differs from the last one in more than Epoch. The lock is held, so that no state of
-// an instance is reported after its end.
+// reportState stores a state and reports it if it is the first one, or differs from the last one in more than Epoch and At. The lock is
+// held, so that no state of an instance is reported after its end.
 func (m *emulatedMember) reportState(s MemberState) {
 	s.At, s.Member = (env.Real{}).BootTime(), m.peer.Name
 	before := m.state
@@ -254,7 +254,7 @@
 	return s
 }
 
-// usage returns what the member has cost so far, after it has reported a changed state.
+// usage returns what the member has used so far, and its state. It first reports the state if it has changed.
 func (m *emulatedMember) usage() MemberUsage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/lab/fake/discovery.go
+++ b/internal/lab/fake/discovery.go
@@ -193,8 +193,9 @@
 // maxWait bounds a watch, as in the protocol.
 const maxWait = time.Minute
 
-// serve answers one call. A call for the full list is answered at once; a watch when there is a newer version, or after
-// the time that it asks for.
+// serve answers one call; SetOverloaded, SetLag and SetDown change how. A call for the full list does not wait for a change.
+// A watch waits until there is a newer version or discovery is down, for at most the time that it asks for or maxWait; while
+// new calls are refused, a newer version does not end its wait.
 func (d *Discovery) serve(w http.ResponseWriter, r *http.Request, sidecar string) {
 	d.checker.Do(func(b *oracle.Checker) { b.ListCallBegun(sidecar) })
 	defer func() { d.checker.Do(func(b *oracle.Checker) { b.ListCallEnded(d.checker.Now(), sidecar) }) }()
@@ -246,9 +247,10 @@
 	}
 }
 
-// waitForNewer waits for a version after a given one, for at most maxWait. It returns false if the peer leaves.
-func (d *Discovery) waitForNewer(r *http.Request, after int64, maxWait time.Duration) bool {
-	timer := time.NewTimer(maxWait)
+// waitForNewer waits until there is a version after a given one and new calls are not refused, or until discovery is down,
+// for at most limit. It returns false if the peer leaves.
+func (d *Discovery) waitForNewer(r *http.Request, after int64, limit time.Duration) bool {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
 		d.mu.Lock()
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -118,7 +118,7 @@
 	Replace           Kind = "replace"           // endpoints die, and others under new names start after For
 	Pause             Kind = "pause"             // endpoints stop working for a while
 	Slow              Kind = "slow"              // endpoints work at Factor of their speed
-	Errors            Kind = "errors"            // endpoints fail a share (Of) of their requests at once
+	Errors            Kind = "errors"            // endpoints fail a share (RequestShare) of their requests at once
 	Hang              Kind = "hang"              // endpoints accept requests and never answer
 	Silent            Kind = "silent"            // the network of the endpoints' machines is partitioned
 	Refuse            Kind = "refuse"            // endpoints reject all requests
--- a/internal/labcommand/heathlab.go
+++ b/internal/labcommand/heathlab.go
@@ -72,7 +72,8 @@
 	return filepath.Join(filepath.Dir(self), "heathgap"), nil
 }
 
-// runScenario runs a scenario once, with the policy of the given name.
+// runScenario runs a scenario once, with the policy of the given name. For policy.Module its sidecars run the sidecar's program; for
+// any other policy they run this program, as heathlab sidecar.
 func (g *commonOptions) runScenario(ctx context.Context, o *command.Out, s *scenario.Scenario, seed uint64, policyName string) (*record.Record, error) {
 	program, err := g.program()
 	if err != nil {
--- a/internal/sim/clustersim/faults.go
+++ b/internal/sim/clustersim/faults.go
@@ -305,7 +305,8 @@
 	r.diskFaultSet[name] = true
 }
 
-// startDuplicate runs a second process under the name of a member for a while.
+// startDuplicate starts a second process under the name of a random member that is not a voter, and kills it after 0.5 to 4 s. With the
+// injected bug SameToken it has the first process's token, otherwise one of its own.
 func (r *run) startDuplicate() {
 	name := r.names[r.conf.Voters+r.w.rng.IntN(max(1, r.conf.Members))%max(1, r.conf.Members)]
 	p := r.newProcess(name)
--- a/internal/sim/clustersim/run.go
+++ b/internal/sim/clustersim/run.go
@@ -110,7 +110,7 @@
 	Versions        int             // number of versions whose number was reported to the proposer
 	ActivationTimes []time.Duration // from each proposal to the first ledger in which the version is active
 	LeaderlessTimes []time.Duration // lengths of the times in which no unpaused process led
-	CautiousShare   float64         // share of the members' time in which they were cautious
+	CautiousShare   float64         // share of the samples, taken of unpaused processes from 3 s on, in which the process was cautious
 	UnknownOutcomes int             // number of proposals whose outcome is unknown
 	SettleTime      time.Duration   // from the end of all faults until the cluster was settled
 	Deltas          map[string]int  // sent to members: full states ("whole"), changes, states that a member rejected ("differed") and tampered ones
@@ -437,7 +437,8 @@
 	return best
 }
 
-// sample measures how long there is no leader, and how many members are cautious.
+// sample measures how long no unpaused process has led and, from 3 s after the start of the run on, what share of the unpaused processes
+// is cautious. It takes a sample at each sampleInterval.
 func (r *run) sample() {
 	if r.unpausedLeader() == nil {
 		r.leaderlessFor += sampleInterval
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -52,7 +52,7 @@
 	toSidecarScheduled bool   // the same for toSidecar
 	peerClosed         bool   // the peer has closed its end
 	dialedAddress      string // the address that the sidecar dialed; empty for a connection that the peer opened
-	unanswered         []byte // the newest message that got no response yet, kept for an injected bug
+	unanswered         []byte // written by the sidecar since bytes last arrived from the peer; kept only for the injected bug resendOnReset
 }
 
 // segment is a part of what one end sends to the other: bytes, an orderly close or a reset.
@@ -191,7 +191,7 @@
 	c.scheduleDelivery()
 }
 
-// errReset is the error of reads and writes after a reset, as the kernel reports it.
+// errReset is the error of each write, and of the first read, after a reset, as the kernel reports it.
 var errReset = &net.OpError{Op: "sim", Net: "tcp", Err: syscall.ECONNRESET}
 
 // expired reports whether a deadline is set and has passed.
--- a/internal/sim/run.go
+++ b/internal/sim/run.go
@@ -65,11 +65,11 @@
 	RareEvents map[RareEvent]int // how often each coincidence came about
 }
 
-// Options hold what a run needs beside its script.
-type Options struct { // synctest.Wait: the run must be in a bubble of testing/synctest
-	Wait    func()            // receives one line per step; nil for none
-	Trace   io.Writer         // receives the logs of the sidecars; nil for none
-	Log     io.Writer         // of the sidecars; nil for none
+// Options hold what a run needs besides its script.
+type Options struct {
+	Wait    func()            // synctest.Wait: the run must be in a bubble of testing/synctest
+	Trace   io.Writer         // receives one line per step; nil for none
+	Log     io.Writer         // receives the logs of the sidecars; nil for none
 	Decider lifecycle.Decider // the decision module to use; nil for the real one
 	Bug     func(p *Process)  // injects a bug into each process that starts; nil for none
 }
@@ -419,7 +419,8 @@
 		s.killSidecar(proc, instance)
 		later(func() { s.start(sc) })
 	case Stop:
-		// As the platform does: SIGTERM, then SIGKILL when even the last answer is overdue.
+		// As the platform does: SIGTERM, and SIGKILL if the process still runs 700 ms after the deadline of a request that
+		// arrived at the time of the SIGTERM.
 		restart := func() {
 			if !proc.dead {
 				s.killSidecar(proc, instance)
